--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -9,7 +9,7 @@
 	"violetthread/dispatch"
 	"violetthread/hint"
 	"violetthread/index"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/quorum"
@@ -59,7 +59,7 @@
 
 // side is what a registrar does beside voting: sessions and the plan's cache.
 type side struct {
-	roll *membership.Roll
+	roll *membership.Sessions
 	held plan.Held
 }
 
@@ -73,7 +73,7 @@
 	w := NewWorld(seed)
 	f := &Fleet{W: w, Core: NewCore(w, 4), side: map[*Registrar]*side{}}
 	f.Core.era = 4_000_000
-	f.Core.rings = wal.Plan{Files: 16, Size: 64 << 10}
+	f.Core.rings = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
 	f.judge = newJudge(f)
 	f.Platform = w.NewHost("platform", "north", func() {})
 	f.Platform.Start()
@@ -124,33 +124,33 @@
 		f.side[r] = s
 		r.Every(150_000, func() {
 			at := r.Clock()
-			get := quorum.Op{Kind: quorum.OpGet, Key: planKey}
-			take := func(a quorum.Answer) bool {
-				if a.Status == quorum.Done && f.side[r] == s {
-					s.held, _, _ = s.held.Take(plan.Word{Rev: a.Rev, Raw: a.Val, Fresh: true}, at)
+			get := quorum.Operation{Type: quorum.OpGet, Key: planKey}
+			take := func(a quorum.Result) bool {
+				if a.Status == quorum.StatusDone && f.side[r] == s {
+					s.held, _, _ = s.held.Take(plan.Word{Rev: a.Revision, Raw: a.Value, Fresh: true}, at)
 				}
-				return a.Status == quorum.Done
+				return a.Status == quorum.StatusDone
 			}
-			r.Op(get, 0, func(a quorum.Answer) {
+			r.Op(get, 0, func(a quorum.Result) {
 				o := f.Core.Nodes[w.Rng.Intn(len(f.Core.Nodes))]
 				if take(a) || o == r {
 					return
 				}
 				// The way to the owner may be cut here and not elsewhere.
-				Call(r.Host, o.Host, get, 600_000, func(q quorum.Op, rep func(quorum.Answer)) { o.Op(q, 1, rep) },
-					func(a quorum.Answer) { take(a) }, func() {})
+				Call(r.Host, o.Host, get, 600_000, func(q quorum.Operation, rep func(quorum.Result)) { o.Op(q, 1, rep) },
+					func(a quorum.Result) { take(a) }, func() {})
 			})
 		})
 		r.Every(300_000, func() {
-			t := s.roll.Tell(r.Clock())
+			t := s.roll.Announcement(r.Clock())
 			if r.node == nil {
 				return // in no roster yet
 			}
 			for _, o := range f.Core.Nodes {
-				if _, in := r.node.Roster().Find(o.Name); in && o != r {
+				if _, in := r.node.VoterSet().Find(o.Name); in && o != r {
 					r.Send(o.Host, func() {
 						if x := f.side[o]; x != nil {
-							x.roll.Hear(o.Clock(), t)
+							x.roll.Merge(o.Clock(), t)
 						}
 					})
 				}
@@ -190,12 +190,12 @@
 				return
 			}
 			now := r.Clock()
-			s.roll.Beat(now, q.Node)
+			s.roll.Heartbeat(now, q.Node)
 			t := &fb.BeatTellT{Rev: s.held.Rev, Age: s.held.Age(now), Fresh: s.held.Known, Nodes: s.roll.Live(now), Era: r.era}
 			if t.Rev != q.Have {
 				t.Plan = s.held.Raw
 			}
-			for _, v := range r.node.Roster().Voters {
+			for _, v := range r.node.VoterSet().Voters {
 				t.Registrars = append(t.Registrars, v.Name)
 			}
 			rep(t)
@@ -224,19 +224,19 @@
 }
 
 // op carries an operation through registrars until one answers for the owner.
-func (f *Fleet) op(h *Host, m *member, at int, op quorum.Op, left int64, end func(quorum.Answer, bool)) {
+func (f *Fleet) op(h *Host, m *member, at int, op quorum.Operation, left int64, end func(quorum.Result, bool)) {
 	r := m.known[at%len(m.known)]
 	t0 := f.W.now
 	next := func() {
-		if l := left - (f.W.now - t0); l > 30_000 && op.Kind != quorum.OpPut {
+		if l := left - (f.W.now - t0); l > 30_000 && op.Type != quorum.OpPut {
 			h.After(20_000, func() { f.op(h, m, at+1, op, l-20_000, end) })
 		} else {
-			end(quorum.Answer{}, false)
+			end(quorum.Result{}, false)
 		}
 	}
-	Call(h, r.Host, op, min(left, 900_000), func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) },
-		func(a quorum.Answer) {
-			if a.Status == quorum.NotOwner || a.Status == quorum.Unknown {
+	Call(h, r.Host, op, min(left, 900_000), func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) },
+		func(a quorum.Result) {
+			if a.Status == quorum.StatusNotLeader || a.Status == quorum.StatusUnknown {
 				next()
 				return
 			}
@@ -263,7 +263,7 @@
 	k := c.k
 	f.beat(c.Host, &c.m, func() *fb.NodeT {
 		n := &fb.NodeT{Name: c.Name, Role: "custodian", Site: c.Site, Addr: c.Name, Inc: inc, Ready: !c.leaving}
-		return wire.TellIndexNode(k, c.Clock(), n)
+		return codec.AddIndexNodeStatus(k, c.Clock(), n)
 	}, nil)
 	c.Every(200_000, func() {
 		at := c.Clock()
@@ -279,7 +279,7 @@
 		if c.m.held.Plan != nil {
 			k.Plan(c.m.held.Plan, c.m.held.At)
 		}
-		cs, me := wire.Custodians(c.m.nodes, c.Name)
+		cs, me := codec.ReadyIndexNodes(c.m.nodes, c.Name)
 		if !me && !c.leaving {
 			return
 		}
@@ -290,12 +290,12 @@
 			}
 		}
 		for _, a := range k.Want(now) {
-			op := quorum.Op{Kind: quorum.OpHold, Key: a.Key, Expect: a.Epoch, Holder: holder, Term: index.DutyTerm}
+			op := quorum.Operation{Type: quorum.OpAcquire, Key: a.Key, ExpectedRevision: a.Epoch, Holder: holder, LeaseDuration: index.DutyTerm}
 			if a.Free {
-				op.Kind = quorum.OpFree
+				op.Type = quorum.OpRelease
 			}
-			f.op(c.Host, &c.m, w.Rng.Intn(4), op, 1_000_000, func(ans quorum.Answer, ok bool) {
-				k.Held(c.Clock(), a, now, ok && ans.Status == quorum.Done, ans.Rev)
+			f.op(c.Host, &c.m, w.Rng.Intn(4), op, 1_000_000, func(ans quorum.Result, ok bool) {
+				k.Held(c.Clock(), a, now, ok && ans.Status == quorum.StatusDone, ans.Revision)
 			})
 		}
 	})
@@ -316,7 +316,7 @@
 // room answers an agent, or passes its question on to the index node that it is for.
 func (c *Custodian) room(q *fb.RoomAskT, reply func(*fb.RoomTellT)) {
 	if q.To == "" || q.To == c.Name {
-		reply(wire.RoomTell(c.k, c.Clock(), c.Name, q))
+		reply(codec.AnswerCapacity(c.k, c.Clock(), c.Name, q))
 		return
 	}
 	if o := c.f.custodian(q.To); o != nil {
@@ -353,7 +353,7 @@
 }
 
 func (c *Custodian) news(k *index.Keeper) {
-	cs, _ := wire.Custodians(c.m.nodes, c.Name)
+	cs, _ := codec.ReadyIndexNodes(c.m.nodes, c.Name)
 	for _, p := range cs {
 		o := c.f.custodian(p.Name)
 		if o == nil || c.f.W.Rng.Intn(1000) < c.f.MuteNews {
@@ -361,21 +361,21 @@
 		}
 		ask := func(q *fb.NewsAskT, got func(*fb.NewsTellT)) {
 			q.From = c.Name
-			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(wire.NewsTell(o.k, q)) }, got, func() {})
+			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(codec.AnswerUpdates(o.k, q)) }, got, func() {})
 		}
 		if mine := k.MyShards(c.Clock()); len(mine) > 0 {
 			cur := k.HoldsCursor(p.Name)
-			ask(&fb.NewsAskT{Kind: wire.HoldsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
 				if k.HoldsCursor(p.Name) == cur {
-					wire.TakeHolds(k, c.Clock(), p.Name, t)
+					codec.ApplyHoldings(k, c.Clock(), p.Name, t)
 				}
 			})
 		}
 		for _, s := range k.MySites() {
 			cur := *k.SiteCursor(s, p.Name)
-			ask(&fb.NewsAskT{Kind: wire.SiteFeed, Site: s, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
 				if *k.SiteCursor(s, p.Name) == cur {
-					k.SiteNews(s, p.Name, index.ShardsOf(p), wire.Batch(t))
+					k.SiteNews(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
 				}
 			})
 		}
@@ -416,16 +416,16 @@
 	g := r.g
 	r.f.beat(r.Host, &r.m, func() *fb.NodeT { return r.node }, nil)
 	r.Every(120_000, func() {
-		for _, a := range g.Asks(r.Clock(), r.m.nodes) {
+		for _, a := range g.Queries(r.Clock(), r.m.nodes) {
 			c, at := r.f.custodian(a.Via), r.Clock()
-			Call(r.Host, c.Host, a.Room, 700_000, c.room, func(t *fb.RoomTellT) {
+			Call(r.Host, c.Host, a.Request, 700_000, c.room, func(t *fb.RoomTellT) {
 				if r.f.Unlearnt {
 					for _, o := range t.Orders {
 						o.Grades = nil
 					}
 				}
-				g.Told(a, at, t)
-			}, func() { g.Told(a, at, nil) })
+				g.HandleReply(a, at, t)
+			}, func() { g.HandleReply(a, at, nil) })
 		}
 	})
 }
@@ -438,7 +438,7 @@
 	d      *dispatch.Desk
 	held   plan.Held
 	table  *hint.Table
-	cur    wire.Cursor
+	cur    codec.Cursor
 	inc    uint64
 	refs   uint64
 	calls  map[uint64]*send
@@ -464,10 +464,10 @@
 func (p *Proxy) start() {
 	f := p.f
 	p.inc = uint64(f.W.Rng.Int63()) >> 24
-	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Held{}, hint.NewTable(4096), wire.Cursor{}, map[uint64]*send{}
+	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Held{}, hint.NewTable(4096), codec.Cursor{}, map[uint64]*send{}
 	d := p.d
 	p.Every(100_000, func() {
-		q := wire.FeedAsk(d, &fb.FeedAskT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Site: p.Site, Inc: p.inc, Ready: true},
+		q := codec.FillFeedRequest(d, &fb.FeedAskT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Site: p.Site, Inc: p.inc, Ready: true},
 			Have: p.held.Rev, NewsInc: p.cur.Inc, NewsSince: p.cur.Next})
 		at := p.Clock()
 		r := p.runner
@@ -483,8 +483,8 @@
 			if p.held.Plan != nil {
 				p.carry(d.Plan(p.Clock(), p.held.Plan, p.held.At))
 			}
-			p.carry(d.Orders(p.Clock(), wire.Orders(t.Orders, p.Clock()-at)))
-			p.cur = wire.TakeNews(p.table, p.cur, t)
+			p.carry(d.Orders(p.Clock(), codec.UnpackGrants(t.Orders, p.Clock()-at)))
+			p.cur = codec.ApplyUpdates(p.table, p.cur, t)
 			f.callerEra = max(f.callerEra, t.Era)
 		}, func() {})
 	})
@@ -568,9 +568,9 @@
 		s := p.calls[a.Ref]
 		switch a.Do {
 		case dispatch.DoClaim, dispatch.DoRelease:
-			op := quorum.Op{Kind: quorum.OpClaim, Key: a.Claim, Val: []byte(a.Nonce)}
+			op := quorum.Operation{Type: quorum.OpClaim, Key: a.Claim, Value: []byte(a.Nonce)}
 			if a.Do == dispatch.DoRelease {
-				op.Kind = quorum.OpUnclaim
+				op.Type = quorum.OpUnclaim
 			}
 			p.claim(a, op)
 		case dispatch.DoStart:
@@ -593,20 +593,20 @@
 }
 
 // claim goes by the agent to the control nodes, as in the daemons.
-func (p *Proxy) claim(a dispatch.Act, op quorum.Op) {
+func (p *Proxy) claim(a dispatch.Act, op quorum.Operation) {
 	r := p.runner
-	Call(p.Host, r.Host, op, 2_000_000, func(q quorum.Op, rep func(quorum.Answer)) {
-		p.f.op(r.Host, &r.m, r.m.cur, q, 1_900_000, func(ans quorum.Answer, ok bool) {
+	Call(p.Host, r.Host, op, 2_000_000, func(q quorum.Operation, rep func(quorum.Result)) {
+		p.f.op(r.Host, &r.m, r.m.cur, q, 1_900_000, func(ans quorum.Result, ok bool) {
 			if !ok {
-				ans.Status = quorum.Unknown
+				ans.Status = quorum.StatusUnknown
 			}
 			rep(ans)
 		})
-	}, func(ans quorum.Answer) {
+	}, func(ans quorum.Result) {
 		if a.Do != dispatch.DoClaim {
 			return
 		}
-		c := map[quorum.Status]attempt.Claim{quorum.Done: attempt.Held, quorum.Conflict: attempt.Taken, quorum.Closed: attempt.Closed}[ans.Status]
+		c := map[quorum.Status]attempt.Claim{quorum.StatusDone: attempt.Held, quorum.StatusConflict: attempt.Taken, quorum.StatusGenerationClosed: attempt.Closed}[ans.Status]
 		if c == attempt.Missing {
 			c = attempt.Doubtful
 		}
