--- a/docs/symbols_test.go
+++ b/docs/symbols_test.go
@@ -161,7 +161,7 @@
 func TestMissing(t *testing.T) {
 	names := declared(t)
 	for code, want := range map[string]string{
-		"quorum.Node.Vouch": "", "quorum.Node.NoSuchMethod": "no such symbol", "quorum.Entry.Rev": "",
+		"quorum.Node.ReadUnderLease": "", "quorum.Node.NoSuchMethod": "no such symbol", "quorum.Entry.Revision": "",
 		"TestMissing": "", "TestNoSuchTest": "no such test", "docs/symbols_test.go": "", "docs/no-such.md": "no such file",
 		"scripts/test": "", "a few words": "",
 	} {
--- a/quorum/explore_linearizable_test.go
+++ b/quorum/explore_linearizable_test.go
@@ -6,9 +6,9 @@
 func (j *judge) operations(key string) []lincheck.Op {
 	var ops []lincheck.Op
 	add := func(p asking, o lincheck.Op) {
-		o.Client, o.Put, o.From = p.machine, p.op.Kind == OpPut, p.at
+		o.Client, o.Put, o.From = p.machine, p.op.Type == OpPut, p.at
 		if o.Put {
-			o.Val = string(p.op.Val)
+			o.Val = string(p.op.Value)
 		}
 		ops = append(ops, o)
 	}
