--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -12,8 +12,8 @@
 	"github.com/samber/lo"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -51,7 +51,7 @@
 func (r *Node) knows() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return lo.Without(lo.Uniq(append(slices.Clone(r.known), r.s.Seeds...)), r.s.Wire, "")
+	return lo.Without(lo.Uniq(append(slices.Clone(r.known), r.s.Seeds...)), r.s.TransportAddr, "")
 }
 
 type told struct {
@@ -76,7 +76,7 @@
 			c.Go("ask", func(ctx context.Context) {
 				for ctx.Err() == nil {
 					at := clock.Now()
-					if !taskgroup.Give(ctx, ch, told{a, at, r.ask(ctx, a, true)}) || !taskgroup.Pause(ctx, askEvery) {
+					if !taskgroup.Send(ctx, ch, told{a, at, r.ask(ctx, a, true)}) || !taskgroup.Sleep(ctx, askEvery) {
 						return
 					}
 				}
@@ -88,12 +88,12 @@
 			r.d.SetReady(err.Error())
 		}
 		if len(asked) == 0 { // nobody to ask but those who find this node
-			if !taskgroup.Pause(ctx, askEvery) {
+			if !taskgroup.Sleep(ctx, askEvery) {
 				return nil, false
 			}
 			continue
 		}
-		w, ok := taskgroup.Wait(ctx, ch)
+		w, ok := taskgroup.Receive(ctx, ch)
 		if !ok {
 			return nil, false
 		}
@@ -110,7 +110,7 @@
 // ask asks one registrar who it is and which roster it follows. A blank one asks to
 // be let in by that.
 func (r *Node) ask(ctx context.Context, addr string, blank bool) *fb.FoundTellT {
-	t, err := r.book.At(addr).Call(ctx, &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: r.s.Name, Addr: r.s.Wire, Inc: r.Inc(), Blank: blank, First: r.first()}}, askLimit)
+	t, err := r.book.Get(addr).Call(ctx, &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: r.s.Name, Addr: r.s.TransportAddr, Inc: r.Inc(), Blank: blank, First: r.first()}}, askLimit)
 	if err != nil || t.FoundTell == nil || t.FoundTell.Inc == 0 {
 		return nil // who that is lies on a disk that was not read yet
 	}
@@ -133,11 +133,11 @@
 	if !r.first() {
 		return nil, fmt.Errorf("no founded fleet is reachable; if this is the fleet's first start, give every registrar --found true")
 	}
-	if !slices.Contains(r.s.Seeds, r.s.Wire) {
+	if !slices.Contains(r.s.Seeds, r.s.TransportAddr) {
 		return nil, fmt.Errorf("waiting for the seeds to found the fleet; start the registrars at %s", strings.Join(r.s.Seeds, ", "))
 	}
-	vs := []*fb.VoterT{{Name: r.s.Name, Addr: r.s.Wire, Inc: r.Inc()}}
-	for _, a := range lo.Without(lo.Uniq(r.s.Seeds), r.s.Wire) {
+	vs := []*fb.VoterT{{Name: r.s.Name, Addr: r.s.TransportAddr, Inc: r.Inc()}}
+	for _, a := range lo.Without(lo.Uniq(r.s.Seeds), r.s.TransportAddr) {
 		w := last[a]
 		if w.t == nil || now-w.at > fresh {
 			return nil, fmt.Errorf("founding waits until every seed answers; %s does not", a)
@@ -166,7 +166,7 @@
 	case err != nil || q.Name == "" || q.Inc == 0:
 	case q.Blank && f != nil && r.up.Load():
 		v := quorum.Voter{Name: q.Name, Addr: q.Addr, Incarnation: q.Inc}
-		taskgroup.Offer(r.in, func(now int64) {
+		taskgroup.TrySend(r.in, func(now int64) {
 			if q.First {
 				r.out(r.node.AdmitFoundingVoter(now, v))
 				return
@@ -185,7 +185,7 @@
 func (r *Node) probe(ctx context.Context) {
 	ch := make(chan []quorum.Voter, 1)
 	far := false
-	if !taskgroup.Give(ctx, r.in, func(now int64) {
+	if !taskgroup.Send(ctx, r.in, func(now int64) {
 		var vs []quorum.Voter
 		ro := r.node.VoterSet()
 		for _, v := range ro.Voters {
@@ -198,7 +198,7 @@
 	}) {
 		return
 	}
-	vs, ok := taskgroup.Wait(ctx, ch)
+	vs, ok := taskgroup.Receive(ctx, ch)
 	if !ok || len(vs) == 0 {
 		return
 	}
@@ -206,15 +206,15 @@
 	if far {
 		as = append(as, r.knows()...)
 	}
-	for _, a := range lo.Without(lo.Uniq(as), r.s.Wire) {
+	for _, a := range lo.Without(lo.Uniq(as), r.s.TransportAddr) {
 
 		r.c.Go("probe.ask", func(ctx context.Context) {
 			t := r.ask(ctx, a, false)
 			if t == nil || t.Founding == nil || t.Founding.Rev == 0 {
 				return
 			}
-			ro := wire.Unroster(t.Founding)
-			taskgroup.Give(ctx, r.in, func(now int64) { r.out(r.node.ObserveVoterSet(now, ro)) })
+			ro := codec.UnpackVoterSet(t.Founding)
+			taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.ObserveVoterSet(now, ro)) })
 		})
 	}
 }
@@ -230,12 +230,12 @@
 	if !r.up.Load() {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(leaveMost))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(leaveMost))
 	defer stop()
-	if !taskgroup.Give(ctx, r.in, func(now int64) { r.out(r.node.Leave(now)) }) {
+	if !taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.Leave(now)) }) {
 		return
 	}
-	for taskgroup.Pause(ctx, leaveLeast) {
+	for taskgroup.Sleep(ctx, leaveLeast) {
 		if !r.handingOver(ctx) {
 			return
 		}
@@ -245,9 +245,9 @@
 // handingOver asks the voter's loop whether this node's seat is about to be dropped.
 func (r *Node) handingOver(ctx context.Context) bool {
 	answer := make(chan bool, 1)
-	if !taskgroup.Give(ctx, r.in, func(int64) { answer <- r.node.RemovalPending() }) {
+	if !taskgroup.Send(ctx, r.in, func(int64) { answer <- r.node.RemovalPending() }) {
 		return false
 	}
-	handing, ok := taskgroup.Wait(ctx, answer)
+	handing, ok := taskgroup.Receive(ctx, answer)
 	return ok && handing
 }
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -25,14 +25,14 @@
 	r.startLoops()
 	r.up.Store(true)
 	r.d.SetReady("")
-	why, ok := taskgroup.Wait(ctx, r.ended)
+	why, ok := taskgroup.Receive(ctx, r.ended)
 	r.up.Store(false)
 	if ok && !errors.Is(why, errRetired) {
 		r.diskTrouble(why)
 		r.handOver(ctx)
 	}
 	r.c.Stop()
-	taskgroup.Wait(ctx, r.storage.written) // a stalled operation may still be under way
+	taskgroup.Receive(ctx, r.storage.written) // a stalled operation may still be under way
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -44,17 +44,17 @@
 	p := quorum.DefaultConfig(r.s.Name, inc)
 	p.GenerationDuration, p.OpenGenerations, p.LeaseDuration = r.s.EraTerm, r.s.Eras, r.s.Term
 	p.MaxStateBytes = int(int64(r.s.RingFiles) * r.s.RingBytes / 4)
-	return quorum.New(p, wire.Unroster(f), clock.Now(), recs)
+	return quorum.New(p, codec.UnpackVoterSet(f), clock.Now(), recs)
 }
 
 func (r *Node) startLoops() {
 	tick := quorum.DefaultConfig("", 0).HeartbeatInterval / 4
 	r.c.Go("voter", func(ctx context.Context) {
-		taskgroup.Serve(ctx, r.in, clock.Micros(tick), func(f func(int64)) { f(clock.Now()) }, r.tick)
+		taskgroup.Serve(ctx, r.in, clock.Duration(tick), func(f func(int64)) { f(clock.Now()) }, r.tick)
 	})
-	r.c.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(probeEvery), r.probe) })
-	r.c.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(planEvery), r.refresh) })
-	r.c.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(rollEvery), r.tellRoll) })
+	r.c.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(probeEvery), r.probe) })
+	r.c.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(planEvery), r.refresh) })
+	r.c.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(rollEvery), r.tellRoll) })
 }
 
 const (
@@ -94,7 +94,7 @@
 // tellRoll tells the other voters of this node's sessions.
 func (r *Node) tellRoll(context.Context) {
 	m := &fb.FrameT{RollTell: r.roll.Tell(clock.Now())}
-	taskgroup.Offer(r.in, func(int64) {
+	taskgroup.TrySend(r.in, func(int64) {
 		for _, v := range r.node.VoterSet().Voters {
 			r.give(v.Name, m)
 		}
@@ -105,12 +105,12 @@
 // wait for the disk are given up with them.
 func (r *Node) handOver(ctx context.Context) {
 	done := make(chan struct{})
-	if taskgroup.Give(ctx, r.in, func(now int64) {
+	if taskgroup.Send(ctx, r.in, func(now int64) {
 		r.out(r.node.StepDown(now))
 		close(done)
 	}) {
-		taskgroup.Wait(ctx, done)
-		taskgroup.Pause(ctx, handOverFor)
+		taskgroup.Receive(ctx, done)
+		taskgroup.Sleep(ctx, handOverFor)
 	}
 }
 
@@ -123,14 +123,14 @@
 	}
 	r.record(o.Records)
 	if o.VoterSet != nil {
-		f := wire.Roster(*o.VoterSet, r.Inc())
+		f := codec.PackVoterSet(*o.VoterSet, r.Inc())
 		r.found.Store(f)
 		if !r.holds(f) {
 			r.endVote(errRetired)
 		}
 	}
 	for _, s := range o.Messages {
-		r.give(s.To, wire.Settle(s.Message))
+		r.give(s.To, codec.PackMessage(s.Message))
 	}
 	for _, a := range o.Results {
 		if ch := r.waiting[a.ID]; ch != nil {
@@ -154,10 +154,10 @@
 	if ch == nil {
 		ch = make(chan *fb.FrameT, 4096)
 		r.senders[v.Addr] = ch
-		p := r.book.At(v.Addr)
+		p := r.book.Get(v.Addr)
 		r.c.Go("peer", func(ctx context.Context) {
 			for {
-				m, ok := taskgroup.Wait(ctx, ch)
+				m, ok := taskgroup.Receive(ctx, ch)
 				if !ok {
 					return
 				}
@@ -165,13 +165,13 @@
 			}
 		})
 	}
-	taskgroup.Offer(ch, m)
+	taskgroup.TrySend(ch, m)
 }
 
 // do starts an operation here and waits for its answer.
 func (r *Node) do(ctx context.Context, op quorum.Operation) (quorum.Result, bool) {
 	ch := make(chan quorum.Result, 1)
-	if !taskgroup.Give(ctx, r.in, func(now int64) {
+	if !taskgroup.Send(ctx, r.in, func(now int64) {
 		r.ops++
 		op.ID = r.ops
 		r.waiting[op.ID] = ch
@@ -179,5 +179,5 @@
 	}) {
 		return quorum.Result{}, false
 	}
-	return taskgroup.Wait(ctx, ch)
+	return taskgroup.Receive(ctx, ch)
 }
--- a/internal/app/directory/list.go
+++ b/internal/app/directory/list.go
@@ -7,7 +7,7 @@
 	"sort"
 
 	"violetthread/internal/clock"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/schema/fb"
 )
 
@@ -35,7 +35,7 @@
 	if now-at < t.settings.ListEvery+place*listTurn {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(900_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(900_000))
 	defer stop()
 	if l, err := t.platform.List(ctx); err == nil {
 		t.takeList(now, l)
@@ -64,7 +64,7 @@
 	}
 	a := f.MapTell
 	t.mu.Lock()
-	t.namings.Take(wire.Namings(a, at))
+	t.namings.Take(codec.UnpackVersionAges(a, at))
 	t.mu.Unlock()
 	if !a.Whole {
 		t.mu.Lock()
@@ -78,7 +78,7 @@
 			continue
 		}
 		l = append(l, Listed{ID: e.Id, Pool: e.Pool, Addr: e.Addr, Site: e.Site, Draining: e.Draining,
-			Slots: int(e.Slots), Weights: wire.Weights(e.Weights)})
+			Slots: int(e.Slots), Weights: codec.UnpackWeights(e.Weights)})
 	}
 	if t.takeList(at-a.ListAge, l) {
 		t.firstInc, t.firstMap = a.Inc, a.Map
--- a/internal/wire/record_test.go
+++ b/internal/codec/record_test.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"math/rand"
@@ -13,28 +13,28 @@
 	roster := quorum.VoterSet{Revision: quorum.FirstRevision(5), Voters: []quorum.Voter{{Name: "a", Addr: "10.0.0.1:1", Incarnation: 3, Number: 1}}}
 	entry := quorum.Entry{Key: "plan", Position: quorum.Position{Term: 3, Index: 9}, Revision: 4, Value: []byte("{}")}
 	return [][]byte{
-		Rec(quorum.Record{Type: quorum.RecordPromise, Slot: 1, Term: 65537}),
-		Rec(quorum.Record{Type: quorum.RecordEntry, Slot: 2, Term: 3, Last: quorum.Position{Term: 3, Index: 9}, Committed: quorum.Position{Term: 3, Index: 8}, Entry: entry}),
-		Rec(quorum.Record{Type: quorum.RecordDelete, Slot: 2, Entry: quorum.Entry{Key: "gone"}}),
-		Rec(quorum.Record{Type: quorum.RecordLogState, Slot: 2, Term: 4, Last: quorum.Position{Term: 4}}),
-		Rec(quorum.Record{Type: quorum.RecordVoterSet, VoterSet: &roster}),
-		Founding(Roster(roster, 3)),
-		Founding(&fb.FoundingT{Inc: 8}),
+		PackRecord(quorum.Record{Type: quorum.RecordPromise, Slot: 1, Term: 65537}),
+		PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 2, Term: 3, Last: quorum.Position{Term: 3, Index: 9}, Committed: quorum.Position{Term: 3, Index: 8}, Entry: entry}),
+		PackRecord(quorum.Record{Type: quorum.RecordDelete, Slot: 2, Entry: quorum.Entry{Key: "gone"}}),
+		PackRecord(quorum.Record{Type: quorum.RecordLogState, Slot: 2, Term: 4, Last: quorum.Position{Term: 4}}),
+		PackRecord(quorum.Record{Type: quorum.RecordVoterSet, VoterSet: &roster}),
+		PackFounding(PackVoterSet(roster, 3)),
+		PackFounding(&fb.FoundingT{Inc: 8}),
 	}
 }
 
 // readRecord takes a record of any content in, and a founding's roster with it.
 func readRecord(b []byte) error {
-	rec, founding, err := Unrec(b)
+	rec, founding, err := UnpackRecord(b)
 	if err != nil {
 		return err
 	}
 	if founding != nil {
-		_ = Unroster(founding)
-		_ = Founding(founding)
+		_ = UnpackVoterSet(founding)
+		_ = PackFounding(founding)
 		return nil
 	}
-	_ = Rec(rec)
+	_ = PackRecord(rec)
 	return nil
 }
 
