--- a/cmd/dealer/main.go
+++ b/cmd/dealer/main.go
@@ -18,7 +18,7 @@
 
 	"violetthread/internal/base"
 	"violetthread/plan"
-	"violetthread/tape/reel"
+	"violetthread/recording/reel"
 )
 
 type tool struct {
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -28,7 +28,7 @@
 	"violetthread/internal/taskgroup"
 	"violetthread/plan"
 	"violetthread/quorum"
-	"violetthread/tape/reel"
+	"violetthread/recording/reel"
 	"violetthread/wal"
 )
 
