--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -26,7 +26,7 @@
 	"violetthread/plan"
 	"violetthread/quorum"
 	"violetthread/recording"
-	"violetthread/recording/reel"
+	"violetthread/recording/replay"
 	"violetthread/schema/fb"
 )
 
@@ -56,7 +56,7 @@
 	refs   atomic.Uint64
 	era    atomic.Uint64 // newest era of claims known here
 	mu     sync.Mutex
-	desk   *reel.Dispatcher
+	desk   *replay.Dispatcher
 	calls  map[uint64]*call
 	plain  atomic.Int64 // plain calls under way
 	newsAt wire.Cursor
@@ -93,7 +93,7 @@
 	}
 	r := &remisier{s: s, d: d, inc: binary.LittleEndian.Uint64(b[:])>>24 | 1, table: hint.NewTable(s.Hints), calls: map[uint64]*call{}}
 	r.plan.Store(&plan.Held{})
-	r.desk = &reel.Dispatcher{Desk: dispatch.New(s.Name, s.Site, r.inc)}
+	r.desk = &replay.Dispatcher{Desk: dispatch.New(s.Name, s.Site, r.inc)}
 	if s.Tape != "" {
 		w, err := recording.Create(s.Tape, recording.Header{Component: "desk", Name: s.Name, Zone: s.Site, Incarnation: r.inc}, s.TapeBytes)
 		if err != nil {
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -26,7 +26,7 @@
 	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/recording"
-	"violetthread/recording/reel"
+	"violetthread/recording/replay"
 	"violetthread/schema/fb"
 )
 
@@ -51,7 +51,7 @@
 	holder string
 	http   *engineapi.Client
 	mu     sync.Mutex
-	k      *reel.IndexNode
+	k      *replay.IndexNode
 	busy   map[string]bool
 	pushAt map[string]index.Cursor
 }
@@ -81,7 +81,7 @@
 	c := &custodian{s: s, d: d, book: link.NewBook(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
 		http: engineapi.NewClient(), busy: map[string]bool{}, pushAt: map[string]index.Cursor{}}
 	c.holder = fmt.Sprintf("%s#%x", s.Name, c.inc)
-	c.k = &reel.IndexNode{Keeper: index.New(s.Name, s.Site, c.inc)}
+	c.k = &replay.IndexNode{Keeper: index.New(s.Name, s.Site, c.inc)}
 	if s.Tape != "" {
 		w, err := recording.Create(s.Tape, recording.Header{Component: "keeper", Name: s.Name, Zone: s.Site, Incarnation: c.inc}, s.TapeBytes)
 		if err != nil {
@@ -116,7 +116,7 @@
 }
 
 // with runs f on the keeper, which is not safe for concurrent use.
-func (c *custodian) with(f func(now int64, k *reel.IndexNode)) {
+func (c *custodian) with(f func(now int64, k *replay.IndexNode)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(clock.Now(), c.k)
@@ -154,7 +154,7 @@
 			return index.Listed{Name: x.Name, Addr: x.Addr, Site: x.Site, Store: x.Kind == "store", Leaving: x.Leaving}
 		})
 	}
-	c.with(func(now int64, k *reel.IndexNode) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		switch {
 		case err == nil:
 			k.Listing(now, at, last)
@@ -171,7 +171,7 @@
 	}
 	v := c.ses.View()
 	var as []index.DutyAsk
-	c.with(func(now int64, k *reel.IndexNode) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		if v.Plan != nil {
 			k.Plan(now, &v.Held)
 		}
@@ -194,7 +194,7 @@
 	}
 	at := clock.Now()
 	t, err := c.ses.Op(ctx, &fb.OpAskT{Kind: byte(kind), Key: a.Key, Expect: a.Epoch, Holder: c.holder, Term: index.DutyTerm}, 1_000_000)
-	c.with(func(now int64, k *reel.IndexNode) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		if err != nil {
 			k.Held(now, a, at, false, 0)
 			return
@@ -210,10 +210,10 @@
 // leave gives every duty back, so that others need not wait the leases out: the
 // shards at once, the engines when no order is in use any more (design §10).
 func (c *custodian) leave(ctx context.Context) {
-	c.with(func(now int64, k *reel.IndexNode) { k.Peers(now, nil) })
+	c.with(func(now int64, k *replay.IndexNode) { k.Peers(now, nil) })
 	for idle := false; !idle; {
 		var as []index.DutyAsk
-		c.with(func(now int64, k *reel.IndexNode) { as, idle = k.Want(now), k.Idle() })
+		c.with(func(now int64, k *replay.IndexNode) { as, idle = k.Want(now), k.Idle() })
 		for _, a := range as {
 			c.d.Group.Go("duty.free", func(ctx context.Context) { c.hold(ctx, a) })
 		}
@@ -228,7 +228,7 @@
 func (c *custodian) engines(context.Context) {
 	var ps []index.Poll
 	var ts []index.Turn
-	c.with(func(now int64, k *reel.IndexNode) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		ps = k.Polls(now)
 		ts = k.Turns(now)
 	})
@@ -247,7 +247,7 @@
 			return
 		}
 		parts := lo.FilterMap(w.Parts, func(s string, _ int) (hint.Key, bool) { return engineapi.Key(s) })
-		c.with(func(now int64, k *reel.IndexNode) { k.Whole(now, p.Engine, w.Inc, w.Seq, parts) })
+		c.with(func(now int64, k *replay.IndexNode) { k.Whole(now, p.Engine, w.Inc, w.Seq, parts) })
 		p.Inc, p.After = w.Inc, w.Seq
 	}
 	at := clock.Now()
@@ -264,13 +264,13 @@
 		v.Part, v.HasPart = engineapi.Key(e.Part)
 		x.Events = append(x.Events, v)
 	}
-	c.with(func(now int64, k *reel.IndexNode) { k.Reported(now, at, p.Engine, x) })
+	c.with(func(now int64, k *replay.IndexNode) { k.Reported(now, at, p.Engine, x) })
 }
 
 func (c *custodian) turn(ctx context.Context, t index.Turn) {
 	// Held still? The engine rejects a lower epoch, but it need not come to that.
 	ok := false
-	c.with(func(now int64, k *reel.IndexNode) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		ep, held := k.Holds(now, index.EngineDuty(t.Engine))
 		ok = held && ep == t.Epoch
 	})
@@ -310,12 +310,12 @@
 	var mine []uint16
 	var cur index.Cursor
 	var sites, pushes []string
-	c.with(func(now int64, k *reel.IndexNode) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		mine, cur, sites, pushes = k.MyShards(now), k.HoldsCursor(p.Name), k.MySites(), k.PushSites(now)
 	})
 	if len(mine) > 0 {
 		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: wire.HoldsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}); ok {
-			c.with(func(now int64, k *reel.IndexNode) { wire.TakeHolds(k.Keeper, now, p.Name, t) })
+			c.with(func(now int64, k *replay.IndexNode) { wire.TakeHolds(k.Keeper, now, p.Name, t) })
 		}
 	}
 	for _, s := range pushes {
@@ -323,15 +323,15 @@
 	}
 	for _, s := range sites {
 		var sc index.Cursor
-		c.with(func(_ int64, k *reel.IndexNode) { sc = *k.SiteCursor(s, p.Name) })
+		c.with(func(_ int64, k *replay.IndexNode) { sc = *k.SiteCursor(s, p.Name) })
 		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: wire.SiteFeed, Site: s, Inc: sc.Inc, Since: sc.Next}); ok {
-			c.with(func(_ int64, k *reel.IndexNode) { k.SiteNews(s, p.Name, index.ShardsOf(p), wire.Batch(t)) })
+			c.with(func(_ int64, k *replay.IndexNode) { k.SiteNews(s, p.Name, index.ShardsOf(p), wire.Batch(t)) })
 		}
 	}
 }
 
 func (c *custodian) tellNews(q *fb.NewsAskT) (t *fb.NewsTellT) {
-	c.with(func(_ int64, k *reel.IndexNode) { t = wire.NewsTell(k.Keeper, q) })
+	c.with(func(_ int64, k *replay.IndexNode) { t = wire.NewsTell(k.Keeper, q) })
 	return t
 }
 
@@ -346,7 +346,7 @@
 		return
 	}
 	var ps []index.Push
-	c.with(func(now int64, k *reel.IndexNode) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		c.pushAt[site+"|"+p.Name] = index.Cursor{Inc: t.Inc, Next: t.Next}
 		ps = k.Pushes(now, site, wire.Batch(t), wire.Places(t))
 	})
@@ -385,29 +385,29 @@
 }
 
 func (c *custodian) room(q *fb.RoomAskT) (t *fb.RoomTellT) {
-	c.with(func(now int64, k *reel.IndexNode) { t = wire.RoomTell(k, now, c.s.Name, q) })
+	c.with(func(now int64, k *replay.IndexNode) { t = wire.RoomTell(k, now, c.s.Name, q) })
 	return t
 }
 
 func (c *custodian) vitals() {
-	g := func(name, help string, f func(now int64, k *reel.IndexNode) float64) {
+	g := func(name, help string, f func(now int64, k *replay.IndexNode) float64) {
 		c.d.Gauge(name, help, func() (v float64) {
-			c.with(func(now int64, k *reel.IndexNode) { v = f(now, k) })
+			c.with(func(now int64, k *replay.IndexNode) { v = f(now, k) })
 			return v
 		})
 	}
-	g("duties_held", "leases held now", func(now int64, k *reel.IndexNode) float64 { return float64(len(k.Duties(now))) })
-	g("parts_known", "parts in the shards held here", func(_ int64, k *reel.IndexNode) float64 { return float64(k.Directory().Len()) })
-	g("takeovers", "leases newly won", func(_ int64, k *reel.IndexNode) float64 { return float64(k.Counts.Takeovers) })
-	g("pushes", "parts ordered to be fetched ahead of need", func(_ int64, k *reel.IndexNode) float64 { return float64(k.Counts.Pushes) })
-	g("resyncs", "times an engine's keeps were read whole", func(_ int64, k *reel.IndexNode) float64 { return float64(k.Counts.Resyncs) })
-	g("hand_overs_good", "hand-overs learnt to have worked", func(_ int64, k *reel.IndexNode) float64 { return float64(k.Counts.HandOK) })
-	g("hand_overs_bad", "hand-overs learnt to have been recomputed", func(_ int64, k *reel.IndexNode) float64 { return float64(k.Counts.HandBad) })
-	g("news_changes", "changes to what is kept, at shards held here", func(_ int64, k *reel.IndexNode) float64 { return float64(k.Directory().Changes) })
-	g("news_sent", "pieces of hint news queued for followers", func(_ int64, k *reel.IndexNode) float64 { return float64(k.NewsSent()) })
+	g("duties_held", "leases held now", func(now int64, k *replay.IndexNode) float64 { return float64(len(k.Duties(now))) })
+	g("parts_known", "parts in the shards held here", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Directory().Len()) })
+	g("takeovers", "leases newly won", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Takeovers) })
+	g("pushes", "parts ordered to be fetched ahead of need", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Pushes) })
+	g("resyncs", "times an engine's keeps were read whole", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Resyncs) })
+	g("hand_overs_good", "hand-overs learnt to have worked", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.HandOK) })
+	g("hand_overs_bad", "hand-overs learnt to have been recomputed", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.HandBad) })
+	g("news_changes", "changes to what is kept, at shards held here", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Directory().Changes) })
+	g("news_sent", "pieces of hint news queued for followers", func(_ int64, k *replay.IndexNode) float64 { return float64(k.NewsSent()) })
 	c.d.Handle("/v1/engines", func(w http.ResponseWriter, _ *http.Request) {
 		var es []index.Engine
-		c.with(func(now int64, k *reel.IndexNode) { es = k.Engines(now) })
+		c.with(func(now int64, k *replay.IndexNode) { es = k.Engines(now) })
 		base.JSON(w, 200, es)
 	})
 }
--- a/recording/reel/desk.go
+++ b/recording/replay/desk.go
@@ -1,5 +1,5 @@
 // Package reel puts deciding parts on tape and feeds tapes back to them.
-package reel
+package replay
 
 import (
 	"encoding/json"
--- a/recording/reel/keeper.go
+++ b/recording/replay/keeper.go
@@ -1,4 +1,4 @@
-package reel
+package replay
 
 import (
 	"encoding/json"
