--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/schema/fb"
 )
 
@@ -120,7 +120,7 @@
 // ageSince is the age of what was read at a time, or wire.NeverRead.
 func ageSince(now, at int64) int64 {
 	if at == 0 {
-		return wire.NeverRead
+		return codec.AgeNeverRead
 	}
 	return now - at
 }
