--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -12,24 +12,24 @@
 
 	"violetthread/agent"
 	"violetthread/internal/app/session"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
 
 // Settings of a runner.
-type Settings struct{ base.Node }
+type Settings struct{ daemon.NodeSettings }
 
 // Defaults of the settings.
-func Defaults() Settings { return Settings{base.Node{Drain: 500_000}} }
+func Defaults() Settings { return Settings{daemon.NodeSettings{DrainUS: 500_000}} }
 
 type runner struct {
 	s    Settings
-	d    *base.Daemon
-	book *link.Book
+	d    *daemon.Daemon
+	book *transport.PeerPool
 	ses  *session.Session
 	node atomic.Pointer[fb.NodeT]
 	mu   sync.Mutex
@@ -51,26 +51,26 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
-	if s.Wire == "" || len(s.Seeds) == 0 {
+func New(s Settings) (*daemon.Daemon, error) {
+	if s.TransportAddr == "" || len(s.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire a loopback IP:port and --seeds the registrars' addresses")
 	}
-	if h, _, _ := net.SplitHostPort(s.Wire); !net.ParseIP(h).IsLoopback() {
+	if h, _, _ := net.SplitHostPort(s.TransportAddr); !net.ParseIP(h).IsLoopback() {
 		return nil, trace.BadParameter("wire must be on loopback, beside its proxy; give --wire 127.0.0.1:port")
 	}
-	d := base.Start("runner", s.Name+"-runner", s.HTTP, s.Drain)
-	if err := d.Profile(s.CPU); err != nil {
+	d := daemon.New("runner", s.Name+"-runner", s.HTTPAddr, s.DrainUS)
+	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
-	r := &runner{s: s, d: d, g: agent.New(s.Name, s.Site)}
-	r.node.Store(&fb.NodeT{Name: s.Name, Role: "remisier", Site: s.Site, Addr: s.Wire})
-	r.book = link.NewBook(d.Group)
+	r := &runner{s: s, d: d, g: agent.New(s.Name, s.Zone)}
+	r.node.Store(&fb.NodeT{Name: s.Name, Role: "remisier", Site: s.Zone, Addr: s.TransportAddr})
+	r.book = transport.NewPeerPool(d.Group)
 	r.ses = session.New(d.Group, r.book, s.Seeds, func() *fb.NodeT { return r.node.Load() })
-	l, err := net.Listen("tcp", s.Wire)
+	l, err := net.Listen("tcp", s.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free loopback IP:port", s.Wire)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free loopback IP:port", s.TransportAddr)
 	}
-	link.Serve(d.Group, l, r.handle)
+	transport.Serve(d.Group, l, r.handle)
 	r.ses.Run()
 	d.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(period), r.round) })
 	d.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(r.ses.View().Rev) })
@@ -110,7 +110,7 @@
 	for _, a := range as {
 		r.d.Group.Go("orders.ask", func(ctx context.Context) {
 			at := clock.Now()
-			f, err := r.book.At(a.Addr).Call(ctx, &fb.FrameT{RoomAsk: a.Room}, patience)
+			f, err := r.book.Get(a.Addr).Call(ctx, &fb.FrameT{RoomAsk: a.Room}, patience)
 			var t *fb.RoomTellT
 			if err == nil {
 				t = f.RoomTell
--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -9,9 +9,9 @@
 
 	"github.com/gravitational/trace"
 
-	"violetthread/internal/base"
-	"violetthread/internal/link"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/quorum"
@@ -21,7 +21,7 @@
 
 // Settings of a registrar.
 type Settings struct {
-	base.Node
+	daemon.NodeSettings
 	Found     bool  `json:"found" help:"true at the very first start of a fleet: agree with the seeds on who votes"`
 	RingFiles int   `json:"ring_files" validate:"min=8,max=1024" help:"files in the disk ring"`
 	EraTerm   int64 `json:"era_us" validate:"min=1000000,max=86400000000" help:"how long an era of claims is the newest"`
@@ -37,21 +37,21 @@
 
 // Defaults of the settings.
 func Defaults() Settings {
-	return Settings{Node: base.Node{Drain: 1_000_000}, RingFiles: 32, RingBytes: 8 << 20, Term: 1_000_000, EraTerm: 120_000_000, Eras: 5, Patience: 4_000_000}
+	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 1_000_000}, RingFiles: 32, RingBytes: 8 << 20, Term: 1_000_000, EraTerm: 120_000_000, Eras: 5, Patience: 4_000_000}
 }
 
 // Node is a running control node.
 type Node struct {
 	s       Settings
-	d       *base.Daemon
+	d       *daemon.Daemon
 	c       *taskgroup.Group // of the voter, while this disk is in a roster
-	book    *link.Book
+	book    *transport.PeerPool
 	storage storage
 	inc     atomic.Uint64                // 0 until the disk was read
 	found   atomic.Pointer[fb.FoundingT] // the roster that this disk knows
 	ended   chan error                   // why the voter must stop: retired, or what the disk did
 	rejoins atomic.Bool                  // it was in a roster once, and lost its place
-	frames  atomic.Pointer[[]link.Handler]
+	frames  atomic.Pointer[[]transport.Handler]
 	mu      sync.Mutex
 	known   []string // addresses to ask while this disk is in no roster
 	recs    []quorum.Rec
@@ -86,7 +86,7 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
+func New(s Settings) (*daemon.Daemon, error) {
 	r, err := Make(s)
 	if err != nil {
 		return nil, err
@@ -96,24 +96,24 @@
 
 // Make makes one for a program that adds to what it answers.
 func Make(s Settings) (*Node, error) {
-	if s.Data == "" || s.Wire == "" {
+	if s.DataDir == "" || s.TransportAddr == "" {
 		return nil, trace.BadParameter("data_dir and wire are needed; give --data-dir a folder and --wire an IP:port")
 	}
-	d := base.Start("registrar", s.Name, s.HTTP, s.Drain)
-	if err := d.Profile(s.CPU); err != nil {
+	d := daemon.New("registrar", s.Name, s.HTTPAddr, s.DrainUS)
+	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
 	r := &Node{s: s, d: d, ended: make(chan error, 1), in: make(chan func(int64), 4096),
 		senders: map[string]chan *fb.FrameT{}, waiting: map[uint64]chan quorum.Answer{}, roll: membership.New(s.Name)}
-	r.book = link.NewBook(d.Group)
+	r.book = transport.NewPeerPool(d.Group)
 	r.stats.Store(&stats{})
 	r.cache.Store(&plan.Held{})
 	r.initStorage()
-	l, err := net.Listen("tcp", s.Wire)
+	l, err := net.Listen("tcp", s.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.Wire)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.TransportAddr)
 	}
-	link.Serve(d.Group, l, link.Chain(r.handle))
+	transport.Serve(d.Group, l, transport.Chain(r.handle))
 	d.OnDrain(r.leave)
 	r.routes()
 	d.Group.Go("life", r.life)
--- a/internal/app/control/embed.go
+++ b/internal/app/control/embed.go
@@ -5,16 +5,16 @@
 
 	"github.com/samber/lo"
 
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
 
 // Daemon is the process around the node.
-func (r *Node) Daemon() *base.Daemon { return r.d }
+func (r *Node) Daemon() *daemon.Daemon { return r.d }
 
 // Name is the node's name.
 func (r *Node) Name() string { return r.s.Name }
@@ -26,7 +26,7 @@
 func (r *Node) Up() bool { return r.up.Load() }
 
 // Book holds the node's wires to others.
-func (r *Node) Book() *link.Book { return r.book }
+func (r *Node) Book() *transport.PeerPool { return r.book }
 
 // Live lists the members whose sessions stand.
 func (r *Node) Live(now int64) []*fb.NodeT { return r.roll.Live(now) }
@@ -81,7 +81,7 @@
 func (r *Node) Frames(h func(ctx context.Context, f *fb.FrameT) *fb.FrameT) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var hs []link.Handler
+	var hs []transport.Handler
 	if p := r.frames.Load(); p != nil {
 		hs = append(hs, *p...)
 	}
@@ -139,13 +139,13 @@
 // Tell sends a frame to the other voters; it may be lost.
 func (r *Node) Tell(f *fb.FrameT) {
 	for _, a := range r.Voters() {
-		if a != r.s.Wire {
-			r.book.At(a).Send(f)
+		if a != r.s.TransportAddr {
+			r.book.Get(a).Send(f)
 		}
 	}
 }
 
 // Ask asks the control node at an address and waits for its answer.
 func (r *Node) Ask(ctx context.Context, addr string, f *fb.FrameT, us int64) (*fb.FrameT, error) {
-	return r.book.At(addr).Call(ctx, f, us)
+	return r.book.Get(addr).Call(ctx, f, us)
 }
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -12,8 +12,8 @@
 	"github.com/samber/lo"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -51,7 +51,7 @@
 func (r *Node) knows() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return lo.Without(lo.Uniq(append(slices.Clone(r.known), r.s.Seeds...)), r.s.Wire, "")
+	return lo.Without(lo.Uniq(append(slices.Clone(r.known), r.s.Seeds...)), r.s.TransportAddr, "")
 }
 
 type told struct {
@@ -110,7 +110,7 @@
 // ask asks one registrar who it is and which roster it follows. A blank one asks to
 // be let in by that.
 func (r *Node) ask(ctx context.Context, addr string, blank bool) *fb.FoundTellT {
-	t, err := r.book.At(addr).Call(ctx, &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: r.s.Name, Addr: r.s.Wire, Inc: r.Inc(), Blank: blank, First: r.first()}}, askLimit)
+	t, err := r.book.Get(addr).Call(ctx, &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: r.s.Name, Addr: r.s.TransportAddr, Inc: r.Inc(), Blank: blank, First: r.first()}}, askLimit)
 	if err != nil || t.FoundTell == nil || t.FoundTell.Inc == 0 {
 		return nil // who that is lies on a disk that was not read yet
 	}
@@ -133,11 +133,11 @@
 	if !r.first() {
 		return nil, fmt.Errorf("no founded fleet is reachable; if this is the fleet's first start, give every registrar --found true")
 	}
-	if !slices.Contains(r.s.Seeds, r.s.Wire) {
+	if !slices.Contains(r.s.Seeds, r.s.TransportAddr) {
 		return nil, fmt.Errorf("waiting for the seeds to found the fleet; start the registrars at %s", strings.Join(r.s.Seeds, ", "))
 	}
-	vs := []*fb.VoterT{{Name: r.s.Name, Addr: r.s.Wire, Inc: r.Inc()}}
-	for _, a := range lo.Without(lo.Uniq(r.s.Seeds), r.s.Wire) {
+	vs := []*fb.VoterT{{Name: r.s.Name, Addr: r.s.TransportAddr, Inc: r.Inc()}}
+	for _, a := range lo.Without(lo.Uniq(r.s.Seeds), r.s.TransportAddr) {
 		w := last[a]
 		if w.t == nil || now-w.at > fresh {
 			return nil, fmt.Errorf("founding waits until every seed answers; %s does not", a)
@@ -206,14 +206,14 @@
 	if far {
 		as = append(as, r.knows()...)
 	}
-	for _, a := range lo.Without(lo.Uniq(as), r.s.Wire) {
+	for _, a := range lo.Without(lo.Uniq(as), r.s.TransportAddr) {
 
 		r.c.Go("probe.ask", func(ctx context.Context) {
 			t := r.ask(ctx, a, false)
 			if t == nil || t.Founding == nil || t.Founding.Rev == 0 {
 				return
 			}
-			ro := wire.Unroster(t.Founding)
+			ro := codec.UnpackVoterSet(t.Founding)
 			taskgroup.Give(ctx, r.in, func(now int64) { r.out(r.node.Learn(now, ro)) })
 		})
 	}
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -7,8 +7,8 @@
 
 	"github.com/samber/lo"
 
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -68,7 +68,7 @@
 	}
 	r.found.Store(f)
 	names := lo.Map(f.Voters, func(v *fb.VoterT, _ int) string { return v.Name })
-	r.d.Log.Info("joined", "fleet", f.Fleet, "step", wire.Unroster(f).Step(), "voters", strings.Join(names, ","))
+	r.d.Log.Info("joined", "fleet", f.Fleet, "step", codec.UnpackVoterSet(f).Step(), "voters", strings.Join(names, ","))
 	return nil
 }
 
@@ -80,11 +80,11 @@
 	if err != nil {
 		return err
 	}
-	blank := wire.Founding(&fb.FoundingT{Inc: inc, Voters: f.Voters})
+	blank := codec.PackFounding(&fb.FoundingT{Inc: inc, Voters: f.Voters})
 	if err := r.diskStep(ctx, func() error { return r.storage.log.Checkpoint([][]byte{blank}) }); err != nil {
 		return err
 	}
-	r.d.Log.Info("retired", "step", wire.Unroster(f).Step(), "inc", inc)
+	r.d.Log.Info("retired", "step", codec.UnpackVoterSet(f).Step(), "inc", inc)
 	r.inc.Store(inc)
 	r.rejoins.Store(true)
 	r.learn(addrs(f))
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -6,8 +6,8 @@
 	"github.com/samber/lo"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/plan"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
@@ -23,7 +23,7 @@
 func (r *Node) pass(ctx context.Context, addr string, t *fb.OpAskT) *fb.OpTellT {
 	c := *t
 	c.Hops++
-	f, err := r.book.At(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](harmless(quorum.OpKind(t.Kind)), 500_000, 2_000_000))
+	f, err := r.book.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](harmless(quorum.OpKind(t.Kind)), 500_000, 2_000_000))
 	if err != nil || f.OpTell == nil {
 		return &fb.OpTellT{Status: byte(quorum.Unknown)}
 	}
@@ -74,7 +74,7 @@
 	switch {
 	case f.Settle != nil:
 		if r.up.Load() {
-			m := wire.Unsettle(f.Settle)
+			m := codec.UnpackMessage(f.Settle)
 			taskgroup.Give(ctx, r.in, func(now int64) { r.out(r.node.Recv(now, m)) })
 		}
 		return nil
@@ -111,7 +111,7 @@
 			ctx, stop := context.WithTimeout(r.d.Group.Context(), clock.Micros(700_000))
 			defer stop()
 			q.Hops = 1
-			if f, err := r.book.At(via).Call(ctx, &fb.FrameT{OpAsk: q}, 600_000); err == nil && f.OpTell != nil {
+			if f, err := r.book.Get(via).Call(ctx, &fb.FrameT{OpAsk: q}, 600_000); err == nil && f.OpTell != nil {
 				t = f.OpTell
 			}
 		}
@@ -126,7 +126,7 @@
 func (r *Node) another() string {
 	var as []string
 	if f := r.found.Load(); f != nil {
-		as = lo.Without(addrs(f), r.s.Wire)
+		as = lo.Without(addrs(f), r.s.TransportAddr)
 	} else {
 		as = r.knows()
 	}
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -13,8 +13,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 	"violetthread/wal"
@@ -74,7 +74,7 @@
 
 func (r *Node) initStorage() {
 	st := &r.storage
-	st.folder = osdisk.Folder{Dir: filepath.Join(r.s.Data, "ring")}
+	st.folder = osdisk.Folder{Dir: filepath.Join(r.s.DataDir, "ring")}
 	st.fs = st.folder
 	if r.s.Disk != nil {
 		st.fs = r.s.Disk(st.fs)
@@ -285,7 +285,7 @@
 func decodeImage(raw [][]byte) (*diskImage, error) {
 	image := &diskImage{count: len(raw)}
 	for _, b := range raw {
-		rec, founding, err := wire.Unrec(b)
+		rec, founding, err := codec.UnpackRecord(b)
 		if err != nil {
 			return nil, trace.Wrap(err, "the ring holds a record that this version can't read; start the version that wrote it")
 		}
@@ -306,7 +306,7 @@
 		return i.follow(founding)
 	case rec.Roster != nil:
 		i.recs = append(i.recs, rec)
-		return i.follow(wire.Roster(*rec.Roster, i.inc))
+		return i.follow(codec.PackVoterSet(*rec.Roster, i.inc))
 	}
 	i.recs = append(i.recs, rec)
 	return nil
@@ -314,9 +314,9 @@
 
 // follow takes in a roster, which must be of the same fleet as those before.
 func (i *diskImage) follow(f *fb.FoundingT) error {
-	if i.founding != nil && wire.Unroster(i.founding).Fleet() != wire.Unroster(f).Fleet() {
+	if i.founding != nil && codec.UnpackVoterSet(i.founding).Fleet() != codec.UnpackVoterSet(f).Fleet() {
 		return trace.BadParameter("the ring holds records of fleets %d and %d; move data_dir aside and rejoin as an empty node",
-			wire.Unroster(i.founding).Fleet(), wire.Unroster(f).Fleet())
+			codec.UnpackVoterSet(i.founding).Fleet(), codec.UnpackVoterSet(f).Fleet())
 	}
 	i.founding = f
 	return nil
@@ -350,7 +350,7 @@
 
 // keep appends and syncs one founding.
 func (r *Node) keep(f *fb.FoundingT) error {
-	if err := r.storage.log.Append(wire.Founding(f)); err != nil {
+	if err := r.storage.log.Append(codec.PackFounding(f)); err != nil {
 		return err
 	}
 	return r.storage.log.Sync()
@@ -366,9 +366,9 @@
 	node := r.newVoter(image.founding, image.inc, image.recs)
 	founding := *image.founding
 	founding.Inc = image.inc
-	parts := [][]byte{wire.Founding(&founding)}
+	parts := [][]byte{codec.PackFounding(&founding)}
 	for _, rec := range node.Checkpoint() {
-		parts = append(parts, wire.Rec(rec))
+		parts = append(parts, codec.PackRecord(rec))
 	}
 	if err := log.Checkpoint(parts); err != nil {
 		return fmt.Errorf("restating the state: %w", err)
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -44,7 +44,7 @@
 	p := quorum.Defaults(r.s.Name, inc)
 	p.EraTerm, p.Eras, p.Term = r.s.EraTerm, r.s.Eras, r.s.Term
 	p.Limit = int(int64(r.s.RingFiles) * r.s.RingBytes / 4)
-	return quorum.New(p, wire.Unroster(f), clock.Now(), recs)
+	return quorum.New(p, codec.UnpackVoterSet(f), clock.Now(), recs)
 }
 
 func (r *Node) startLoops() {
@@ -123,14 +123,14 @@
 	}
 	r.record(o.Recs)
 	if o.Roster != nil {
-		f := wire.Roster(*o.Roster, r.Inc())
+		f := codec.PackVoterSet(*o.Roster, r.Inc())
 		r.found.Store(f)
 		if !r.holds(f) {
 			r.endVote(errRetired)
 		}
 	}
 	for _, s := range o.Sends {
-		r.give(s.To, wire.Settle(s.Msg))
+		r.give(s.To, codec.PackMessage(s.Msg))
 	}
 	for _, a := range o.Answers {
 		if ch := r.waiting[a.ID]; ch != nil {
@@ -154,7 +154,7 @@
 	if ch == nil {
 		ch = make(chan *fb.FrameT, 4096)
 		r.senders[v.Addr] = ch
-		p := r.book.At(v.Addr)
+		p := r.book.Get(v.Addr)
 		r.c.Go("peer", func(ctx context.Context) {
 			for {
 				m, ok := taskgroup.Wait(ctx, ch)
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/wal"
 )
@@ -31,7 +31,7 @@
 	}
 	b := batch{recs: make([][]byte, 0, len(recs))}
 	for _, rec := range recs {
-		b.recs = append(b.recs, wire.Rec(rec))
+		b.recs = append(b.recs, codec.PackRecord(rec))
 	}
 	if !taskgroup.Offer(r.storage.pending, b) {
 		r.storage.lost = true
@@ -140,7 +140,7 @@
 		return err
 	}
 	w.checkpoint, w.under = state, true
-	return w.log.Part([][]byte{wire.Founding(&founding)})
+	return w.log.Part([][]byte{codec.PackFounding(&founding)})
 }
 
 func (w *writer) continueCheckpoint() error {
@@ -150,7 +150,7 @@
 	count := min(len(w.checkpoint), checkpointPart)
 	part := make([][]byte, 0, count)
 	for _, rec := range w.checkpoint[:count] {
-		part = append(part, wire.Rec(rec))
+		part = append(part, codec.PackRecord(rec))
 	}
 	if err := w.log.Part(part); err != nil {
 		return err
--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/schema/fb"
 )
 
@@ -117,10 +117,10 @@
 	return a
 }
 
-// ageSince is the age of what was read at a time, or wire.NeverRead.
+// ageSince is the age of what was read at a time, or codec.AgeNeverRead.
 func ageSince(now, at int64) int64 {
 	if at == 0 {
-		return wire.NeverRead
+		return codec.AgeNeverRead
 	}
 	return now - at
 }
--- a/internal/app/directory/list.go
+++ b/internal/app/directory/list.go
@@ -7,7 +7,7 @@
 	"sort"
 
 	"violetthread/internal/clock"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/schema/fb"
 )
 
@@ -64,7 +64,7 @@
 	}
 	a := f.MapTell
 	t.mu.Lock()
-	t.namings.Take(wire.Namings(a, at))
+	t.namings.Take(codec.UnpackVersionAges(a, at))
 	t.mu.Unlock()
 	if !a.Whole {
 		t.mu.Lock()
@@ -78,7 +78,7 @@
 			continue
 		}
 		l = append(l, Listed{ID: e.Id, Pool: e.Pool, Addr: e.Addr, Site: e.Site, Draining: e.Draining,
-			Slots: int(e.Slots), Weights: wire.Weights(e.Weights)})
+			Slots: int(e.Slots), Weights: codec.UnpackWeights(e.Weights)})
 	}
 	if t.takeList(at-a.ListAge, l) {
 		t.firstInc, t.firstMap = a.Inc, a.Map
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -18,12 +18,12 @@
 	"violetthread/hint"
 	"violetthread/index"
 	"violetthread/internal/app/session"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
-	"violetthread/internal/link"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
+	"violetthread/internal/transport"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 	"violetthread/tape"
@@ -32,20 +32,20 @@
 
 // Settings of a custodian.
 type Settings struct {
-	base.Node
+	daemon.NodeSettings
 	Platform string `json:"platform" validate:"required,ipport" help:"IP:port of the platform's list of engines"`
-	base.Taped
+	daemon.RecordingSettings
 }
 
 // Defaults of the settings.
 func Defaults() Settings {
-	return Settings{Node: base.Node{Drain: 3_000_000}, Taped: base.TapeDefaults}
+	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 3_000_000}, RecordingSettings: daemon.RecordingDefaults}
 }
 
 type custodian struct {
 	s      Settings
-	d      *base.Daemon
-	book   *link.Book
+	d      *daemon.Daemon
+	book   *transport.PeerPool
 	ses    *session.Session
 	inc    uint64
 	holder string
@@ -66,37 +66,37 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
-	if s.Wire == "" || len(s.Seeds) == 0 {
+func New(s Settings) (*daemon.Daemon, error) {
+	if s.TransportAddr == "" || len(s.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the registrars' addresses")
 	}
-	d := base.Start("custodian", s.Name, s.HTTP, s.Drain)
-	if err := d.Profile(s.CPU); err != nil {
+	d := daemon.New("custodian", s.Name, s.HTTPAddr, s.DrainUS)
+	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	c := &custodian{s: s, d: d, book: link.NewBook(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
+	c := &custodian{s: s, d: d, book: transport.NewPeerPool(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
 		http: engineapi.NewClient(), busy: map[string]bool{}, pushAt: map[string]index.Cursor{}}
 	c.holder = fmt.Sprintf("%s#%x", s.Name, c.inc)
-	c.k = &reel.Keeper{Keeper: index.New(s.Name, s.Site, c.inc)}
-	if s.Tape != "" {
-		w, err := tape.Create(s.Tape, tape.Head{Part: "keeper", Name: s.Name, Site: s.Site, Inc: c.inc}, s.TapeBytes)
+	c.k = &reel.Keeper{Keeper: index.New(s.Name, s.Zone, c.inc)}
+	if s.Recording != "" {
+		w, err := tape.Create(s.Recording, tape.Head{Part: "keeper", Name: s.Name, Site: s.Zone, Inc: c.inc}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
-		w.Full = func() { d.Log.Info("tape_full", "file", s.Tape, "bytes", s.TapeBytes) }
+		w.Full = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
 		c.k.W = w
 		d.OnStop(func() { _ = w.Close() })
 	}
 	c.ses = session.New(d.Group, c.book, s.Seeds, c.self)
-	l, err := net.Listen("tcp", s.Wire)
+	l, err := net.Listen("tcp", s.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.Wire)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.TransportAddr)
 	}
-	link.Serve(d.Group, l, c.handle)
+	transport.Serve(d.Group, l, c.handle)
 	c.ses.Run()
 	d.Group.Go("list", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(200_000), c.list) })
 	d.Group.Go("duties", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(100_000), c.duties) })
@@ -111,8 +111,8 @@
 func (c *custodian) self() *fb.NodeT {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := &fb.NodeT{Name: c.s.Name, Role: "custodian", Site: c.s.Site, Addr: c.s.Wire, Http: c.s.HTTP, Inc: c.inc, Ready: c.d.Ready()}
-	return wire.TellIndexNode(c.k.Keeper, clock.Now(), n)
+	n := &fb.NodeT{Name: c.s.Name, Role: "custodian", Site: c.s.Zone, Addr: c.s.TransportAddr, Http: c.s.HTTPAddr, Inc: c.inc, Ready: c.d.Ready()}
+	return codec.AddIndexNodeStatus(c.k.Keeper, clock.Now(), n)
 }
 
 // with runs f on the keeper, which is not safe for concurrent use.
@@ -175,7 +175,7 @@
 		if v.Plan != nil {
 			k.Plan(now, &v.Held)
 		}
-		cs, me := wire.Custodians(v.Nodes, c.s.Name)
+		cs, me := codec.ReadyIndexNodes(v.Nodes, c.s.Name)
 		if !me {
 			return // not a member yet: this node's duties may be another's by now
 		}
@@ -299,7 +299,7 @@
 	if p.Name == c.s.Name {
 		return c.tellNews(q), true
 	}
-	f, err := c.book.At(p.Addr).Call(ctx, &fb.FrameT{NewsAsk: q}, 800_000)
+	f, err := c.book.Get(p.Addr).Call(ctx, &fb.FrameT{NewsAsk: q}, 800_000)
 	if err != nil || f.NewsTell == nil {
 		return nil, false
 	}
@@ -314,8 +314,8 @@
 		mine, cur, sites, pushes = k.MyShards(now), k.HoldsCursor(p.Name), k.MySites(), k.PushSites(now)
 	})
 	if len(mine) > 0 {
-		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: wire.HoldsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}); ok {
-			c.with(func(now int64, k *reel.Keeper) { wire.TakeHolds(k.Keeper, now, p.Name, t) })
+		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}); ok {
+			c.with(func(now int64, k *reel.Keeper) { codec.ApplyHoldings(k.Keeper, now, p.Name, t) })
 		}
 	}
 	for _, s := range pushes {
@@ -324,14 +324,14 @@
 	for _, s := range sites {
 		var sc index.Cursor
 		c.with(func(_ int64, k *reel.Keeper) { sc = *k.SiteCursor(s, p.Name) })
-		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: wire.SiteFeed, Site: s, Inc: sc.Inc, Since: sc.Next}); ok {
-			c.with(func(_ int64, k *reel.Keeper) { k.SiteNews(s, p.Name, index.ShardsOf(p), wire.Batch(t)) })
+		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: sc.Inc, Since: sc.Next}); ok {
+			c.with(func(_ int64, k *reel.Keeper) { k.SiteNews(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t)) })
 		}
 	}
 }
 
 func (c *custodian) tellNews(q *fb.NewsAskT) (t *fb.NewsTellT) {
-	c.with(func(_ int64, k *reel.Keeper) { t = wire.NewsTell(k.Keeper, q) })
+	c.with(func(_ int64, k *reel.Keeper) { t = codec.AnswerUpdates(k.Keeper, q) })
 	return t
 }
 
@@ -341,14 +341,14 @@
 	c.mu.Lock()
 	cur := c.pushAt[site+"|"+p.Name]
 	c.mu.Unlock()
-	t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: wire.PushFeed, Site: site, Inc: cur.Inc, Since: cur.Next})
+	t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: codec.PushFeed, Site: site, Inc: cur.Inc, Since: cur.Next})
 	if !ok {
 		return
 	}
 	var ps []index.Push
 	c.with(func(now int64, k *reel.Keeper) {
 		c.pushAt[site+"|"+p.Name] = index.Cursor{Inc: t.Inc, Next: t.Next}
-		ps = k.Pushes(now, site, wire.Batch(t), wire.Places(t))
+		ps = k.Pushes(now, site, codec.UnpackBatch(t), codec.UnpackPlaces(t))
 	})
 	for _, x := range ps {
 		_ = c.http.Post(ctx, x.Addr, "/v1/import", 500_000, engineapi.Import{Part: engineapi.Part(x.Part), From: x.From, Epoch: x.Epoch, WaitUS: 300_000, Weights: x.Weights}, nil)
@@ -374,10 +374,10 @@
 // does not reach itself.
 func (c *custodian) relay(ctx context.Context, f *fb.FrameT) *fb.FrameT {
 	to, ok := lo.Find(c.ses.View().Nodes, func(n *fb.NodeT) bool { return n.Name == f.RoomAsk.To && n.Role == "custodian" })
-	if !ok || to.Addr == c.s.Wire {
+	if !ok || to.Addr == c.s.TransportAddr {
 		return nil
 	}
-	answer, err := c.book.At(to.Addr).Call(ctx, &fb.FrameT{RoomAsk: f.RoomAsk}, relayPatience)
+	answer, err := c.book.Get(to.Addr).Call(ctx, &fb.FrameT{RoomAsk: f.RoomAsk}, relayPatience)
 	if err != nil || answer.RoomTell == nil {
 		return nil
 	}
@@ -385,7 +385,7 @@
 }
 
 func (c *custodian) room(q *fb.RoomAskT) (t *fb.RoomTellT) {
-	c.with(func(now int64, k *reel.Keeper) { t = wire.RoomTell(k, now, c.s.Name, q) })
+	c.with(func(now int64, k *reel.Keeper) { t = codec.AnswerCapacity(k, now, c.s.Name, q) })
 	return t
 }
 
@@ -408,6 +408,6 @@
 	c.d.Handle("/v1/engines", func(w http.ResponseWriter, _ *http.Request) {
 		var es []index.Engine
 		c.with(func(now int64, k *reel.Keeper) { es = k.Engines(now) })
-		base.JSON(w, 200, es)
+		daemon.WriteJSON(w, 200, es)
 	})
 }
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -18,10 +18,10 @@
 
 	"violetthread/attempt"
 	"violetthread/hint"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/placement"
 	"violetthread/route"
 	"violetthread/schema/fb"
@@ -39,9 +39,9 @@
 
 type carrier struct {
 	s      Settings
-	d      *base.Daemon
+	d      *daemon.Daemon
 	door   Door
-	book   *link.Book
+	book   *transport.PeerPool
 	inc    uint64
 	view   atomic.Pointer[view]
 	pool   *pool
@@ -63,7 +63,7 @@
 var noTime = time.Time{}
 
 // New makes a carrier, ready to Run.
-func New(s Settings, door Door) (*base.Daemon, error) {
+func New(s Settings, door Door) (*daemon.Daemon, error) {
 	if s.Listen == "" || len(s.Seeds) == 0 {
 		return nil, trace.BadParameter("an address for callers and a seed are needed; look at the settings file")
 	}
@@ -72,8 +72,8 @@
 		return nil, trace.Wrap(err)
 	}
 	grace := max(s.Bounds.GraceUS-700_000, 1_000_000)
-	d := base.Start("carrier", s.Name, s.HTTP, grace)
-	c := &carrier{s: s, d: d, door: door, book: link.NewBook(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
+	d := daemon.New("carrier", s.Name, s.HTTP, grace)
+	c := &carrier{s: s, d: d, door: door, book: transport.NewPeerPool(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
 		pool: newPool(), hints: hint.NewHolders(s.Hints)}
 	c.pick = placement.New(s.Site, c.hints)
 	c.window, c.allow = map[string]*attempt.Window{}, 1
--- a/internal/scale/engines.go
+++ b/internal/scale/engines.go
@@ -13,8 +13,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/hint"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
 	"violetthread/placement"
 )
@@ -194,7 +194,7 @@
 		l = append(l, map[string]any{"instance-id": e.id, "service": e.pool, "address": e.addr, "zone": e.zone, "capacity": 32, "state": state,
 			"models": []model{{e.model, 1}}})
 	}
-	base.JSON(w, http.StatusOK, map[string]any{"instances": l})
+	daemon.WriteJSON(w, http.StatusOK, map[string]any{"instances": l})
 }
 
 func (es *Engines) asked(q *http.Request) *engine {
@@ -207,7 +207,7 @@
 
 func (es *Engines) report(w http.ResponseWriter, q *http.Request) {
 	e := es.asked(q)
-	base.JSON(w, http.StatusOK, map[string]any{"models": []map[string]any{{"name": e.model, "version": 1}}, "saturated": false})
+	daemon.WriteJSON(w, http.StatusOK, map[string]any{"models": []map[string]any{{"name": e.model, "version": 1}}, "saturated": false})
 }
 
 // events answers a question for news, held until there is some.
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -16,8 +16,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 )
 
 // Sample is what one run showed. Figures of a role are a mean over its processes.
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l0, e0, p0, v0 := link.Total(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
+	l0, e0, p0, v0 := transport.TotalTraffic(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
 	t0 := clock.Now()
 	var ack, known []int64
 	steps := max(1, s.Changes, s.MapChanges)
@@ -145,7 +145,7 @@
 			taskgroup.Pause(ctx, d)
 		}
 	}
-	l1, e1, p1, v1 := link.Total(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
+	l1, e1, p1, v1 := transport.TotalTraffic(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
 	t1 := clock.Now()
 	z, err := r.looks(ctx)
 	if err != nil {
@@ -160,7 +160,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n, k := float64(s.Proxies), float64(len(s.Controls))
-	f["hollow.in_bytes_s"], f["hollow.out_bytes_s"] = float64(l1.BytesIn-l0.BytesIn)/sec/n, float64(l1.BytesOut-l0.BytesOut)/sec/n
+	f["hollow.in_bytes_s"], f["hollow.out_bytes_s"] = float64(l1.BytesReceived-l0.BytesReceived)/sec/n, float64(l1.BytesSent-l0.BytesSent)/sec/n
 	f["hollow.asks_s"], f["hollow.news_s"] = float64(b.asks)/sec/n, float64(b.news)/sec/n
 	f["hollow.resets_s"], f["hollow.failed_s"] = float64(b.reset)/sec/n, float64(b.bad)/sec/n
 	f["hollow.ready_ms"], f[configSize] = readyMS, float64(b.bytes)
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -22,8 +22,8 @@
 	"github.com/gravitational/trace"
 	"github.com/samber/lo"
 
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/internal/standin/engine"
 	"violetthread/internal/taskgroup"
@@ -114,7 +114,7 @@
 // Run plays a load and reports. Broken says which must-nevers were broken.
 func Run(s Settings) (*Report, error) {
 	l := &load{s: s, sc: scenarios[s.Scenario], http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	c := taskgroup.New(context.Background(), base.Log("rehearsal", "callers"))
+	c := taskgroup.New(context.Background(), daemon.NewLogger("rehearsal", "callers"))
 	defer c.Stop()
 	rng := rand.New(rand.NewSource(s.Seed))
 	prefix := map[string]string{}
--- a/internal/link/server.go
+++ b/internal/transport/server.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bufio"
@@ -7,8 +7,8 @@
 	"io"
 	"net"
 
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/schema/fb"
 )
 
@@ -45,7 +45,7 @@
 	r := bufio.NewReaderSize(counted{conn}, readBufferBytes)
 	room := make(chan struct{}, answersAtOnce)
 	for {
-		f, err := wire.Read(r)
+		f, err := codec.ReadFrame(r)
 		if err != nil {
 			if ctx.Err() == nil && !isGone(err) {
 				g.Log().Info("wire_closed", "peer", conn.RemoteAddr().String(), "cause", err.Error())
--- a/sim/core.go
+++ b/sim/core.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 	"violetthread/wal"
@@ -120,7 +120,7 @@
 	r.ring = ring
 	var recs []quorum.Rec
 	for _, b := range raw {
-		c, _, err := wire.Unrec(b)
+		c, _, err := codec.UnpackRecord(b)
 		if err != nil {
 			r.die(err)
 			return
@@ -263,7 +263,7 @@
 // in the midst of it: then the old state stands, and it is told again.
 func (r *Registrar) retire() {
 	inc := r.core.newInc()
-	if err := r.ring.Checkpoint([][]byte{wire.Founding(&fb.FoundingT{Inc: inc})}); err != nil {
+	if err := r.ring.Checkpoint([][]byte{codec.PackFounding(&fb.FoundingT{Inc: inc})}); err != nil {
 		r.die(err)
 		return
 	}
@@ -303,7 +303,7 @@
 		r.core.w.Note("%s %s", r.Name, e)
 	}
 	for _, c := range o.Recs {
-		if err := r.ring.Append(wire.Rec(c)); err != nil {
+		if err := r.ring.Append(codec.PackRecord(c)); err != nil {
 			r.die(err)
 			return
 		}
@@ -344,12 +344,12 @@
 	if r.node == nil || r.Dead != nil || r.core.drop != nil && r.core.drop(m) {
 		return
 	}
-	f, err := wire.Decode(wire.Encode(wire.Settle(m))[8:])
+	f, err := codec.Decode(codec.Encode(codec.PackMessage(m))[8:])
 	if err != nil {
 		r.core.w.Wrong("codec", "%v", err)
 		return
 	}
-	r.out(r.node.Recv(r.Clock(), wire.Unsettle(f.Settle)))
+	r.out(r.node.Recv(r.Clock(), codec.UnpackMessage(f.Settle)))
 }
 
 func (r *Registrar) sync() {
@@ -389,7 +389,7 @@
 	}
 	var parts [][]byte
 	for _, c := range r.node.Checkpoint() {
-		parts = append(parts, wire.Rec(c))
+		parts = append(parts, codec.PackRecord(c))
 	}
 	return r.ring.Checkpoint(parts)
 }
@@ -419,7 +419,7 @@
 	}
 	var recs [][]byte
 	for _, c := range r.parts[:k] {
-		recs = append(recs, wire.Rec(c))
+		recs = append(recs, codec.PackRecord(c))
 	}
 	r.parts = r.parts[k:]
 	if err := r.ring.Part(recs); err != nil || len(r.parts) > 0 {
