--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -72,7 +72,7 @@
 	}
 	transport.Serve(d.Group, l, r.handle)
 	r.ses.Run()
-	d.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(period), r.round) })
+	d.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(period), r.round) })
 	d.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(r.ses.View().Rev) })
 	d.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(r.ses.View().Age(clock.Now())) })
 	d.SetReady("")
--- a/internal/app/control/embed.go
+++ b/internal/app/control/embed.go
@@ -67,7 +67,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	r.d.Group.Go("contact", func(context.Context) {
 		for r.HearsMajority() {
-			if !taskgroup.Pause(ctx, contactLook) {
+			if !taskgroup.Sleep(ctx, contactLook) {
 				break
 			}
 		}
@@ -95,7 +95,7 @@
 // Op carries an operation out, trying again while it provably did nothing, or while
 // doing it twice is the same as once, for as long as Settings.Patience.
 func (r *Node) Op(ctx context.Context, t *fb.OpAskT) *fb.OpTellT {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(lo.Ternary(r.s.Patience > 0, r.s.Patience, Defaults().Patience)))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(lo.Ternary(r.s.Patience > 0, r.s.Patience, Defaults().Patience)))
 	defer stop()
 	doubt := false
 	for {
@@ -103,7 +103,7 @@
 		a := r.op(ctx, &c)
 		again := false
 		a, doubt, again = verdict(quorum.OpKind(t.Kind), a, doubt)
-		if !again || !taskgroup.Pause(ctx, 30_000) {
+		if !again || !taskgroup.Sleep(ctx, 30_000) {
 			return a
 		}
 	}
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -76,7 +76,7 @@
 			c.Go("ask", func(ctx context.Context) {
 				for ctx.Err() == nil {
 					at := clock.Now()
-					if !taskgroup.Give(ctx, ch, told{a, at, r.ask(ctx, a, true)}) || !taskgroup.Pause(ctx, askEvery) {
+					if !taskgroup.Send(ctx, ch, told{a, at, r.ask(ctx, a, true)}) || !taskgroup.Sleep(ctx, askEvery) {
 						return
 					}
 				}
@@ -88,12 +88,12 @@
 			r.d.SetReady(err.Error())
 		}
 		if len(asked) == 0 { // nobody to ask but those who find this node
-			if !taskgroup.Pause(ctx, askEvery) {
+			if !taskgroup.Sleep(ctx, askEvery) {
 				return nil, false
 			}
 			continue
 		}
-		w, ok := taskgroup.Wait(ctx, ch)
+		w, ok := taskgroup.Receive(ctx, ch)
 		if !ok {
 			return nil, false
 		}
@@ -166,7 +166,7 @@
 	case err != nil || q.Name == "" || q.Inc == 0:
 	case q.Blank && f != nil && r.up.Load():
 		v := quorum.Voter{Name: q.Name, Addr: q.Addr, Inc: q.Inc}
-		taskgroup.Offer(r.in, func(now int64) {
+		taskgroup.TrySend(r.in, func(now int64) {
 			if q.First {
 				r.out(r.node.Grow(now, v))
 				return
@@ -185,7 +185,7 @@
 func (r *Node) probe(ctx context.Context) {
 	ch := make(chan []quorum.Voter, 1)
 	far := false
-	if !taskgroup.Give(ctx, r.in, func(now int64) {
+	if !taskgroup.Send(ctx, r.in, func(now int64) {
 		var vs []quorum.Voter
 		ro := r.node.Roster()
 		for _, v := range ro.Voters {
@@ -198,7 +198,7 @@
 	}) {
 		return
 	}
-	vs, ok := taskgroup.Wait(ctx, ch)
+	vs, ok := taskgroup.Receive(ctx, ch)
 	if !ok || len(vs) == 0 {
 		return
 	}
@@ -214,7 +214,7 @@
 				return
 			}
 			ro := codec.UnpackVoterSet(t.Founding)
-			taskgroup.Give(ctx, r.in, func(now int64) { r.out(r.node.Learn(now, ro)) })
+			taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.Learn(now, ro)) })
 		})
 	}
 }
@@ -230,12 +230,12 @@
 	if !r.up.Load() {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(leaveMost))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(leaveMost))
 	defer stop()
-	if !taskgroup.Give(ctx, r.in, func(now int64) { r.out(r.node.Leave(now)) }) {
+	if !taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.Leave(now)) }) {
 		return
 	}
-	for taskgroup.Pause(ctx, leaveLeast) {
+	for taskgroup.Sleep(ctx, leaveLeast) {
 		if !r.handingOver(ctx) {
 			return
 		}
@@ -245,9 +245,9 @@
 // handingOver asks the voter's loop whether this node's seat is about to be dropped.
 func (r *Node) handingOver(ctx context.Context) bool {
 	answer := make(chan bool, 1)
-	if !taskgroup.Give(ctx, r.in, func(int64) { answer <- r.node.HandingOver() }) {
+	if !taskgroup.Send(ctx, r.in, func(int64) { answer <- r.node.HandingOver() }) {
 		return false
 	}
-	handing, ok := taskgroup.Wait(ctx, answer)
+	handing, ok := taskgroup.Receive(ctx, answer)
 	return ok && handing
 }
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -90,7 +90,7 @@
 	r.learn(addrs(f))
 	r.found.Store(nil)
 	r.recs = nil
-	r.storage.used.Store(int64(r.storage.log.Used()))
+	r.storage.used.Store(int64(r.storage.log.UsedPermille()))
 	return nil
 }
 
@@ -130,4 +130,4 @@
 }
 
 // endVote stops the voter; the first reason counts.
-func (r *Node) endVote(why error) { taskgroup.Offer(r.ended, why) }
+func (r *Node) endVote(why error) { taskgroup.TrySend(r.ended, why) }
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -75,7 +75,7 @@
 	case f.Settle != nil:
 		if r.up.Load() {
 			m := codec.UnpackMessage(f.Settle)
-			taskgroup.Give(ctx, r.in, func(now int64) { r.out(r.node.Recv(now, m)) })
+			taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.Recv(now, m)) })
 		}
 		return nil
 	case f.RollTell != nil:
@@ -87,7 +87,7 @@
 		r.roll.Beat(now, f.BeatAsk.Node)
 		return &fb.FrameT{BeatTell: r.beatTell(now, f.BeatAsk.Have)}
 	case f.OpAsk != nil:
-		ctx, stop := context.WithTimeout(ctx, clock.Micros(5_000_000))
+		ctx, stop := context.WithTimeout(ctx, clock.Duration(5_000_000))
 		defer stop()
 		return &fb.FrameT{OpTell: r.op(ctx, f.OpAsk)}
 	}
@@ -98,7 +98,7 @@
 
 // refresh asks the plan's owner anew; the age counts from before the question.
 func (r *Node) refresh(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(700_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(700_000))
 	defer stop()
 	c := r.cache.Load()
 	at := clock.Now()
@@ -108,7 +108,7 @@
 		// The way to the owner may be cut here and not elsewhere. The age counts
 		// from the first question all the same.
 		if via := r.another(); via != "" {
-			ctx, stop := context.WithTimeout(r.d.Group.Context(), clock.Micros(700_000))
+			ctx, stop := context.WithTimeout(r.d.Group.Context(), clock.Duration(700_000))
 			defer stop()
 			q.Hops = 1
 			if f, err := r.book.Get(via).Call(ctx, &fb.FrameT{OpAsk: q}, 600_000); err == nil && f.OpTell != nil {
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -28,7 +28,7 @@
 // again, another voter begins from what was synced, exactly as after a restart of the
 // process; so a disk in trouble needs no rule of its own (design §5).
 type storage struct {
-	folder  osdisk.Folder
+	folder  osdisk.Directory
 	fs      wal.FS
 	lock    io.Closer
 	log     *wal.Log
@@ -74,7 +74,7 @@
 
 func (r *Node) initStorage() {
 	st := &r.storage
-	st.folder = osdisk.Folder{Dir: filepath.Join(r.s.DataDir, "ring")}
+	st.folder = osdisk.Directory{Path: filepath.Join(r.s.DataDir, "ring")}
 	st.fs = st.folder
 	if r.s.Disk != nil {
 		st.fs = r.s.Disk(st.fs)
@@ -108,9 +108,9 @@
 		}
 		ended <- struct{}{}
 	})
-	ctx, stop := context.WithTimeout(context.Background(), clock.Micros(closeWithin))
+	ctx, stop := context.WithTimeout(context.Background(), clock.Duration(closeWithin))
 	defer stop()
-	taskgroup.Wait(ctx, ended)
+	taskgroup.Receive(ctx, ended)
 }
 
 // Disk is the state of this node's disk.
@@ -118,7 +118,7 @@
 
 // passes tells whether a failure may pass by itself, so that waiting is worth it.
 func passes(err error) bool {
-	return errors.Is(err, wal.ErrDisk) || errors.Is(err, errStalled) || errors.Is(err, errBacklog) || errors.Is(err, wal.ErrRingFull)
+	return errors.Is(err, wal.ErrDisk) || errors.Is(err, errStalled) || errors.Is(err, errBacklog) || errors.Is(err, wal.ErrFull)
 }
 
 // openStorage opens the log, or opens it anew after trouble, and waits for as long as the
@@ -133,7 +133,7 @@
 			r.takeImage(image)
 			r.diskUsable()
 			return true
-		case !passes(err) || errors.Is(err, wal.ErrRingFull):
+		case !passes(err) || errors.Is(err, wal.ErrFull):
 			r.d.Fail(err)
 			return false
 		}
@@ -156,7 +156,7 @@
 // backOff waits before the disk is tried again, longer each time until it has been usable
 // for a while.
 func (st *storage) backOff(ctx context.Context) bool {
-	ok := taskgroup.Pause(ctx, st.pause)
+	ok := taskgroup.Sleep(ctx, st.pause)
 	st.pause = min(2*st.pause, retryAtMost)
 	return ok
 }
@@ -174,8 +174,8 @@
 		done <- result{image, err}
 	})
 	for {
-		patience, stop := context.WithTimeout(ctx, clock.Micros(openAfter))
-		res, ok := taskgroup.Wait(patience, done)
+		patience, stop := context.WithTimeout(ctx, clock.Duration(openAfter))
+		res, ok := taskgroup.Receive(patience, done)
 		stop()
 		if ok {
 			return res.image, res.err
@@ -274,7 +274,7 @@
 	if st.log != nil {
 		return st.log.Reopen()
 	}
-	log, raw, err := wal.Open(st.fs, wal.Plan{Files: r.s.RingFiles, Size: r.s.RingBytes})
+	log, raw, err := wal.Open(st.fs, wal.Config{SegmentCount: r.s.RingFiles, SegmentBytes: r.s.RingBytes})
 	if err == nil {
 		st.log = log
 	}
@@ -360,7 +360,7 @@
 // with a ring without room would stop at its first record.
 func (r *Node) makeRoom(image *diskImage) error {
 	log := r.storage.log
-	if log.Used() <= checkpointAt || image.founding == nil || !heldBy(image.founding, r.s.Name, image.inc) {
+	if log.UsedPermille() <= checkpointAt || image.founding == nil || !heldBy(image.founding, r.s.Name, image.inc) {
 		return nil
 	}
 	node := r.newVoter(image.founding, image.inc, image.recs)
@@ -384,7 +384,7 @@
 		r.learn(image.known)
 	}
 	r.recs = image.recs
-	used := r.storage.log.Used()
+	used := r.storage.log.UsedPermille()
 	r.storage.used.Store(int64(used))
 	r.d.Log.Info("ring_open", "records", image.count, "used_permille", used, "inc", image.inc)
 }
--- a/internal/app/control/storage_test.go
+++ b/internal/app/control/storage_test.go
@@ -25,7 +25,7 @@
 	node.Daemon().Group.Stop()
 	node.closeStorage()
 
-	log, _, err := wal.Open(node.storage.fs, wal.Plan{Files: s.RingFiles, Size: s.RingBytes})
+	log, _, err := wal.Open(node.storage.fs, wal.Config{SegmentCount: s.RingFiles, SegmentBytes: s.RingBytes})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	if err := log.Append(codec.PackFounding(founding)); err != nil {
 		t.Fatal(err)
 	}
-	if err := log.Begin(); err != nil {
+	if err := log.BeginCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
 	written := 0
@@ -43,7 +43,7 @@
 		entry := quorum.Entry{Key: fmt.Sprint("key", written%10), Ver: version, Rev: uint64(written), Val: make([]byte, 2000)}
 		err = log.Append(codec.PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 3, Epoch: 1, Mark: version, Entry: entry}))
 	}
-	if !errors.Is(err, wal.ErrRingFull) {
+	if !errors.Is(err, wal.ErrFull) {
 		t.Fatal(err)
 	}
 	if err := errors.Join(log.Sync(), log.Close()); err != nil {
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatalf("a ring that is %d records full does not open: %v", written, err)
 	}
-	if used := node.storage.log.Used(); used > tightAt {
+	if used := node.storage.log.UsedPermille(); used > tightAt {
 		t.Fatalf("%d thousandths are used after the start", used)
 	}
 	if err := node.keep(founding); err != nil {
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -25,14 +25,14 @@
 	r.startLoops()
 	r.up.Store(true)
 	r.d.SetReady("")
-	why, ok := taskgroup.Wait(ctx, r.ended)
+	why, ok := taskgroup.Receive(ctx, r.ended)
 	r.up.Store(false)
 	if ok && !errors.Is(why, errRetired) {
 		r.diskTrouble(why)
 		r.handOver(ctx)
 	}
 	r.c.Stop()
-	taskgroup.Wait(ctx, r.storage.written) // a stalled operation may still be under way
+	taskgroup.Receive(ctx, r.storage.written) // a stalled operation may still be under way
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -50,11 +50,11 @@
 func (r *Node) startLoops() {
 	tick := quorum.Defaults("", 0).Beat / 4
 	r.c.Go("voter", func(ctx context.Context) {
-		taskgroup.Serve(ctx, r.in, clock.Micros(tick), func(f func(int64)) { f(clock.Now()) }, r.tick)
+		taskgroup.Serve(ctx, r.in, clock.Duration(tick), func(f func(int64)) { f(clock.Now()) }, r.tick)
 	})
-	r.c.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(probeEvery), r.probe) })
-	r.c.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(planEvery), r.refresh) })
-	r.c.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(rollEvery), r.tellRoll) })
+	r.c.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(probeEvery), r.probe) })
+	r.c.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(planEvery), r.refresh) })
+	r.c.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(rollEvery), r.tellRoll) })
 }
 
 const (
@@ -94,7 +94,7 @@
 // tellRoll tells the other voters of this node's sessions.
 func (r *Node) tellRoll(context.Context) {
 	m := &fb.FrameT{RollTell: r.roll.Tell(clock.Now())}
-	taskgroup.Offer(r.in, func(int64) {
+	taskgroup.TrySend(r.in, func(int64) {
 		for _, v := range r.node.Roster().Voters {
 			r.give(v.Name, m)
 		}
@@ -105,12 +105,12 @@
 // wait for the disk are given up with them.
 func (r *Node) handOver(ctx context.Context) {
 	done := make(chan struct{})
-	if taskgroup.Give(ctx, r.in, func(now int64) {
+	if taskgroup.Send(ctx, r.in, func(now int64) {
 		r.out(r.node.StepDown(now))
 		close(done)
 	}) {
-		taskgroup.Wait(ctx, done)
-		taskgroup.Pause(ctx, handOverFor)
+		taskgroup.Receive(ctx, done)
+		taskgroup.Sleep(ctx, handOverFor)
 	}
 }
 
@@ -157,7 +157,7 @@
 		p := r.book.Get(v.Addr)
 		r.c.Go("peer", func(ctx context.Context) {
 			for {
-				m, ok := taskgroup.Wait(ctx, ch)
+				m, ok := taskgroup.Receive(ctx, ch)
 				if !ok {
 					return
 				}
@@ -165,13 +165,13 @@
 			}
 		})
 	}
-	taskgroup.Offer(ch, m)
+	taskgroup.TrySend(ch, m)
 }
 
 // do starts an operation here and waits for its answer.
 func (r *Node) do(ctx context.Context, op quorum.Op) (quorum.Answer, bool) {
 	ch := make(chan quorum.Answer, 1)
-	if !taskgroup.Give(ctx, r.in, func(now int64) {
+	if !taskgroup.Send(ctx, r.in, func(now int64) {
 		r.ops++
 		op.ID = r.ops
 		r.waiting[op.ID] = ch
@@ -179,5 +179,5 @@
 	}) {
 		return quorum.Answer{}, false
 	}
-	return taskgroup.Wait(ctx, ch)
+	return taskgroup.Receive(ctx, ch)
 }
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -33,7 +33,7 @@
 	for _, rec := range recs {
 		b.recs = append(b.recs, codec.PackRecord(rec))
 	}
-	if !taskgroup.Offer(r.storage.pending, b) {
+	if !taskgroup.TrySend(r.storage.pending, b) {
 		r.storage.lost = true
 		r.endVote(errBacklog)
 	}
@@ -84,7 +84,7 @@
 	var batches []batch
 	pending := w.node.storage.pending
 	if !w.under {
-		b, ok := taskgroup.Wait(ctx, pending)
+		b, ok := taskgroup.Receive(ctx, pending)
 		if !ok {
 			return nil, false
 		}
@@ -112,12 +112,12 @@
 	}
 	st := &w.node.storage
 	st.synced.Add(count)
-	st.used.Store(int64(w.log.Used()))
-	if w.log.Used() > checkpointAt && !w.under {
+	st.used.Store(int64(w.log.UsedPermille()))
+	if w.log.UsedPermille() > checkpointAt && !w.under {
 		st.wants.Store(true)
 	}
 	// A word that finds no room is not missed: each tick looks as well.
-	taskgroup.Offer(w.node.in, w.node.onDisk)
+	taskgroup.TrySend(w.node.in, w.node.onDisk)
 	return nil
 }
 
@@ -136,11 +136,11 @@
 func (w *writer) beginCheckpoint(state []quorum.Rec) error {
 	founding := *w.node.found.Load()
 	founding.Inc = w.node.Inc()
-	if err := w.log.Begin(); err != nil {
+	if err := w.log.BeginCheckpoint(); err != nil {
 		return err
 	}
 	w.checkpoint, w.under = state, true
-	return w.log.Part([][]byte{codec.PackFounding(&founding)})
+	return w.log.AppendCheckpoint([][]byte{codec.PackFounding(&founding)})
 }
 
 func (w *writer) continueCheckpoint() error {
@@ -152,7 +152,7 @@
 	for _, rec := range w.checkpoint[:count] {
 		part = append(part, codec.PackRecord(rec))
 	}
-	if err := w.log.Part(part); err != nil {
+	if err := w.log.AppendCheckpoint(part); err != nil {
 		return err
 	}
 	if w.checkpoint = w.checkpoint[count:]; len(w.checkpoint) > 0 {
@@ -162,11 +162,11 @@
 }
 
 func (w *writer) endCheckpoint() error {
-	if err := w.log.End(); err != nil {
+	if err := w.log.EndCheckpoint(); err != nil {
 		return err
 	}
 	w.under = false
-	w.node.d.Log.Info("checkpoint", "used_permille", w.log.Used())
+	w.node.d.Log.Info("checkpoint", "used_permille", w.log.UsedPermille())
 	w.node.storage.wants.Store(false)
 	w.node.storage.restate.Store(false)
 	return nil
@@ -181,7 +181,7 @@
 	r.out(r.node.Synced(now, st.synced.Load()))
 	if st.wants.Load() && st.restate.CompareAndSwap(false, true) {
 		// Behind all records that the state follows from.
-		if !taskgroup.Offer(st.pending, batch{checkpoint: r.node.Checkpoint()}) {
+		if !taskgroup.TrySend(st.pending, batch{checkpoint: r.node.Checkpoint()}) {
 			st.restate.Store(false)
 		}
 	}
--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -57,8 +57,8 @@
 		if urgent || left <= 0 {
 			return true
 		}
-		wait, stop := context.WithTimeout(ctx, clock.Micros(left))
-		taskgroup.Wait(wait, changed)
+		wait, stop := context.WithTimeout(ctx, clock.Duration(left))
+		taskgroup.Receive(wait, changed)
 		stop()
 		if ctx.Err() != nil {
 			return false
--- a/internal/app/directory/conduct.go
+++ b/internal/app/directory/conduct.go
@@ -159,7 +159,7 @@
 	if lease.Until-now > term*2/3 {
 		return true
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(800_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(800_000))
 	defer stop()
 	a := t.control.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpHold), Key: WeightsDuty, Holder: d.holder, Term: term})
 	if quorum.Status(a.Status) != quorum.Done {
@@ -183,7 +183,7 @@
 
 // order sends an order that was decided under the lease with this fence.
 func (t *Directory) order(ctx context.Context, o rollout.Order, fence uint64) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(rollout.OrderTime))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(rollout.OrderTime))
 	defer stop()
 	d := t.duty
 	permit := func() error { return d.lease.Load().Permit(clock.Now(), fence) }
@@ -204,7 +204,7 @@
 
 // inspect asks a turning engine itself: the platform's list comes late.
 func (t *Directory) inspect(ctx context.Context, e rollout.Engine) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(500_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(500_000))
 	defer stop()
 	w, busy, err := t.platform.Running(ctx, e.Addr)
 	if err != nil || busy {
--- a/internal/app/directory/conduct_test.go
+++ b/internal/app/directory/conduct_test.go
@@ -84,7 +84,7 @@
 	p.underWay.Add(1)
 	defer p.underWay.Add(-1)
 	for !p.release() {
-		taskgroup.Pause(context.Background(), 100)
+		taskgroup.Sleep(context.Background(), 100)
 	}
 	return Doing
 }
@@ -153,7 +153,7 @@
 	d.duty.lease.Store(&rollout.Lease{Fence: 1, Until: clock.Now() + 60_000_000})
 	d.send([]rollout.Order{{Engine: "i-1"}}, 1)
 	for platform.underWay.Load() == 0 {
-		taskgroup.Pause(t.Context(), 100)
+		taskgroup.Sleep(t.Context(), 100)
 	}
 	d.Leave(t.Context())
 	if !freed {
--- a/internal/app/directory/list.go
+++ b/internal/app/directory/list.go
@@ -35,7 +35,7 @@
 	if now-at < t.settings.ListEvery+place*listTurn {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(900_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(900_000))
 	defer stop()
 	if l, err := t.platform.List(ctx); err == nil {
 		t.takeList(now, l)
--- a/internal/app/directory/news.go
+++ b/internal/app/directory/news.go
@@ -82,7 +82,7 @@
 
 func (r *reader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		q, stop := context.WithTimeout(ctx, clock.Micros(newsHold+400_000))
+		q, stop := context.WithTimeout(ctx, clock.Duration(newsHold+400_000))
 		p, err := r.t.platform.News(q, r.addr, r.since, newsHold)
 		stop()
 		if ctx.Err() != nil {
@@ -102,7 +102,7 @@
 			r.t.notify()
 		}
 		r.t.mu.Unlock()
-		if !taskgroup.Pause(ctx, newsPause) {
+		if !taskgroup.Sleep(ctx, newsPause) {
 			return
 		}
 	}
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -28,7 +28,7 @@
 	"violetthread/internal/taskgroup"
 	"violetthread/plan"
 	"violetthread/quorum"
-	"violetthread/tape/reel"
+	"violetthread/recording/replay"
 	"violetthread/wal"
 )
 
@@ -490,7 +490,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := reel.Replay(h)
+		n, err := replay.Replay(h)
 		_ = h.Close()
 		if err != nil || n < 20 {
 			t.Errorf("%s: %d events: %v", f, n, err)
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -73,7 +73,7 @@
 	w := NewWorld(seed)
 	f := &Fleet{W: w, Core: NewCore(w, 4), side: map[*Registrar]*side{}}
 	f.Core.era = 4_000_000
-	f.Core.rings = wal.Plan{Files: 16, Size: 64 << 10}
+	f.Core.rings = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
 	f.judge = newJudge(f)
 	f.Platform = w.NewHost("platform", "north", func() {})
 	f.Platform.Start()
