--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -117,7 +117,7 @@
 	return a
 }
 
-// ageSince is the age of what was read at a time, or wire.NeverRead.
+// ageSince is the age of what was read at a time, or codec.AgeNeverRead.
 func ageSince(now, at int64) int64 {
 	if at == 0 {
 		return codec.AgeNeverRead
