--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -36,7 +36,7 @@
 	own := func() float64 {
 		n := 0
 		for _, s := range r.stats.Load().slots {
-			if s.Mine {
+			if s.IsLeader {
 				n++
 			}
 		}
@@ -55,7 +55,7 @@
 	case http.MethodGet:
 		a := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
 		switch {
-		case quorum.Status(a.Status) != quorum.Done:
+		case quorum.Status(a.Status) != quorum.StatusDone:
 			unsettled(w, a)
 		case a.Rev == 0:
 			daemon.WriteJSON(w, http.StatusNotFound, Problems{Reason: "no-plan", Remedy: "send a whole plan first, with dealer plan put"})
@@ -95,7 +95,7 @@
 	for try := 0; try < 50; try++ {
 		// What is in force is read first in any case: the seal follows from it.
 		at := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
-		if quorum.Status(at.Status) != quorum.Done {
+		if quorum.Status(at.Status) != quorum.StatusDone {
 			unsettled(w, at)
 			return
 		}
@@ -106,12 +106,12 @@
 		}
 		a := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: planKey, Val: sealed, Expect: at.Rev})
 		switch quorum.Status(a.Status) {
-		case quorum.Done:
+		case quorum.StatusDone:
 			r.d.Log.Info("plan_accepted", "rev", a.Rev, "method", q.Method, "from", q.RemoteAddr)
 			w.Header().Set("ETag", etag(a.Rev))
 			daemon.WriteJSON(w, http.StatusOK, Accepted{a.Rev})
 			return
-		case quorum.Conflict:
+		case quorum.StatusConflict:
 			// Another operator's change came between reading and writing: without a
 			// precondition this one goes on top of what is there now.
 			if !c.If {
@@ -150,9 +150,9 @@
 func unsettled(w http.ResponseWriter, a *fb.OpTellT) {
 	w.Header().Set("Retry-After", "1")
 	switch quorum.Status(a.Status) {
-	case quorum.NotOwner:
+	case quorum.StatusNotLeader:
 		daemon.WriteJSON(w, http.StatusServiceUnavailable, Problems{Reason: "no-owner", Remedy: "nothing was changed; a majority of registrars must be up, then send again"})
-	case quorum.Full:
+	case quorum.StatusFull:
 		daemon.WriteJSON(w, http.StatusInsufficientStorage, Problems{Reason: "state-full", Remedy: "nothing was changed; raise ring_files on every registrar"})
 	default:
 		daemon.WriteJSON(w, http.StatusGatewayTimeout, Problems{Reason: "unknown", Remedy: "the change may or may not be in force; read the plan before sending again"})
@@ -199,24 +199,24 @@
 			no(http.StatusConflict, "newcomer-not-empty", "its disk belongs to a roster already; give it an empty data_dir")
 			return
 		}
-		come = &quorum.Voter{Name: a.FoundTell.Name, Addr: c.Addr, Inc: a.FoundTell.Inc}
+		come = &quorum.Voter{Name: a.FoundTell.Name, Addr: c.Addr, Incarnation: a.FoundTell.Inc}
 	}
 	n, err := ro.Next(c.Old, come)
 	if err != nil {
 		no(http.StatusBadRequest, "no-such-step", err.Error())
 		return
 	}
-	at := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.RosterKey})
-	if quorum.Status(at.Status) != quorum.Done {
+	at := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.VoterSetKey})
+	if quorum.Status(at.Status) != quorum.StatusDone {
 		unsettled(w, at)
 		return
 	}
-	a := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.RosterKey, Val: n.Bytes(), Expect: at.Rev})
+	a := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.VoterSetKey, Val: n.Bytes(), Expect: at.Rev})
 	switch quorum.Status(a.Status) {
-	case quorum.Done:
+	case quorum.StatusDone:
 		r.d.Log.Info("roster_changed", "step", n.Step(), "old", c.Old, "addr", c.Addr)
 		daemon.WriteJSON(w, http.StatusOK, map[string]any{"step": n.Step(), "voters": n.Voters})
-	case quorum.Conflict:
+	case quorum.StatusConflict:
 		no(http.StatusConflict, "not-now", string(a.Val))
 	default:
 		unsettled(w, a)
@@ -275,7 +275,7 @@
 	c := r.cache.Load()
 	f := Fleet{Registrar: r.s.Name, Plan: PlanState{c.Rev, c.Age(now)}, Slots: []SlotState{}, Nodes: []NodeState{}}
 	for i, s := range r.stats.Load().slots {
-		f.Slots = append(f.Slots, SlotState{i, s.Owner, s.Epoch, s.Count})
+		f.Slots = append(f.Slots, SlotState{i, s.Leader, s.Term, s.Keys})
 	}
 	for _, n := range r.roll.Live(now) {
 		f.Nodes = append(f.Nodes, NodeState{n.Name, n.Role, n.Site, n.Http, n.Addr, n.Ready, n.Registrar, n.Age, n.Duties})
--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -54,11 +54,11 @@
 	frames  atomic.Pointer[[]transport.Handler]
 	mu      sync.Mutex
 	known   []string // addresses to ask while this disk is in no roster
-	recs    []quorum.Rec
+	recs    []quorum.Record
 	node    *quorum.Node
 	in      chan func(now int64)
 	senders map[string]chan *fb.FrameT
-	waiting map[uint64]chan quorum.Answer
+	waiting map[uint64]chan quorum.Result
 	ops     uint64
 	roll    *membership.Roll
 	cache   atomic.Pointer[plan.Held]
@@ -70,7 +70,7 @@
 }
 
 type stats struct {
-	slots []quorum.Slot
+	slots []quorum.SlotStatus
 	size  int
 	firm  bool
 	mute  map[string]bool // voters not heard lately
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	r := &Node{s: s, d: d, ended: make(chan error, 1), in: make(chan func(int64), 4096),
-		senders: map[string]chan *fb.FrameT{}, waiting: map[uint64]chan quorum.Answer{}, roll: membership.New(s.Name)}
+		senders: map[string]chan *fb.FrameT{}, waiting: map[uint64]chan quorum.Result{}, roll: membership.New(s.Name)}
 	r.book = transport.NewPeerPool(d.Group)
 	r.stats.Store(&stats{})
 	r.cache.Store(&plan.Held{})
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -154,7 +154,7 @@
 		}
 	}
 	fleet := h.Sum64() >> 24
-	return &fb.FoundingT{Fleet: fleet, Rev: quorum.Found(fleet), Voters: vs, Seats: uint16(len(vs))}, nil
+	return &fb.FoundingT{Fleet: fleet, Rev: quorum.FirstRevision(fleet), Voters: vs, Seats: uint16(len(vs))}, nil
 }
 
 // foundTell answers who this is. A blank asker wants to be let in; one that votes may
@@ -165,13 +165,13 @@
 	switch {
 	case err != nil || q.Name == "" || q.Inc == 0:
 	case q.Blank && f != nil && r.up.Load():
-		v := quorum.Voter{Name: q.Name, Addr: q.Addr, Inc: q.Inc}
+		v := quorum.Voter{Name: q.Name, Addr: q.Addr, Incarnation: q.Inc}
 		taskgroup.TrySend(r.in, func(now int64) {
 			if q.First {
-				r.out(r.node.Grow(now, v))
+				r.out(r.node.AdmitFoundingVoter(now, v))
 				return
 			}
-			r.out(r.node.Admit(now, v))
+			r.out(r.node.AdmitVoter(now, v))
 		})
 	case !q.Blank && f == nil:
 		r.learn([]string{q.Addr})
@@ -187,7 +187,7 @@
 	far := false
 	if !taskgroup.Send(ctx, r.in, func(now int64) {
 		var vs []quorum.Voter
-		ro := r.node.Roster()
+		ro := r.node.VoterSet()
 		for _, v := range ro.Voters {
 			if v.Name != r.s.Name && r.node.Silence(now, v.Name) > lonely {
 				vs = append(vs, v)
@@ -214,7 +214,7 @@
 				return
 			}
 			ro := codec.UnpackVoterSet(t.Founding)
-			taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.Learn(now, ro)) })
+			taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.ObserveVoterSet(now, ro)) })
 		})
 	}
 }
@@ -245,7 +245,7 @@
 // handingOver asks the voter's loop whether this node's seat is about to be dropped.
 func (r *Node) handingOver(ctx context.Context) bool {
 	answer := make(chan bool, 1)
-	if !taskgroup.Send(ctx, r.in, func(int64) { answer <- r.node.HandingOver() }) {
+	if !taskgroup.Send(ctx, r.in, func(int64) { answer <- r.node.RemovalPending() }) {
 		return false
 	}
 	handing, ok := taskgroup.Receive(ctx, answer)
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -107,7 +107,7 @@
 func (r *Node) resetVoter() {
 	for id, ch := range r.waiting {
 		delete(r.waiting, id)
-		ch <- quorum.Answer{Status: quorum.Unknown}
+		ch <- quorum.Result{Status: quorum.StatusUnknown}
 	}
 	clear(r.senders)
 	drain(r.in)
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -23,9 +23,9 @@
 func (r *Node) pass(ctx context.Context, addr string, t *fb.OpAskT) *fb.OpTellT {
 	c := *t
 	c.Hops++
-	f, err := r.book.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](harmless(quorum.OpKind(t.Kind)), 500_000, 2_000_000))
+	f, err := r.book.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](harmless(quorum.OperationType(t.Kind)), 500_000, 2_000_000))
 	if err != nil || f.OpTell == nil {
-		return &fb.OpTellT{Status: byte(quorum.Unknown)}
+		return &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
 	}
 	return f.OpTell
 }
@@ -36,26 +36,26 @@
 		if via := r.another(); via != "" && t.Hops < maxHops {
 			return r.pass(ctx, via, t)
 		}
-		return &fb.OpTellT{Status: byte(quorum.NotOwner)}
+		return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
 	}
-	a, ok := r.do(ctx, quorum.Op{Kind: quorum.OpKind(t.Kind), Key: t.Key, Val: t.Val, Expect: t.Expect, Holder: t.Holder, Term: t.Term})
+	a, ok := r.do(ctx, quorum.Operation{Type: quorum.OperationType(t.Kind), Key: t.Key, Value: t.Val, ExpectedRevision: t.Expect, Holder: t.Holder, LeaseDuration: t.Term})
 	if !ok {
-		return &fb.OpTellT{Status: byte(quorum.Unknown)}
+		return &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
 	}
-	if a.Status == quorum.NotOwner && a.Owner != "" && a.Owner != r.s.Name && t.Hops < maxHops {
+	if a.Status == quorum.StatusNotLeader && a.Leader != "" && a.Leader != r.s.Name && t.Hops < maxHops {
 		f := r.found.Load()
-		if f == nil || r.stats.Load().mute[a.Owner] {
+		if f == nil || r.stats.Load().mute[a.Leader] {
 			// Nothing was sent, so that it is safe to say so and try again.
-			return &fb.OpTellT{Status: byte(quorum.NotOwner)}
+			return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
 		}
-		v, ok := lo.Find(f.Voters, func(v *fb.VoterT) bool { return v.Name == a.Owner })
+		v, ok := lo.Find(f.Voters, func(v *fb.VoterT) bool { return v.Name == a.Leader })
 		if !ok {
-			return &fb.OpTellT{Status: byte(quorum.NotOwner)}
+			return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
 		}
 		return r.pass(ctx, v.Addr, t)
 	}
-	out := &fb.OpTellT{Status: byte(a.Status), Rev: a.Rev, Val: a.Val, Owner: a.Owner}
-	if t.Have != 0 && t.Have == a.Rev {
+	out := &fb.OpTellT{Status: byte(a.Status), Rev: a.Revision, Val: a.Value, Owner: a.Leader}
+	if t.Have != 0 && t.Have == a.Revision {
 		out.Val = nil
 	}
 	return out
@@ -75,7 +75,7 @@
 	case f.Settle != nil:
 		if r.up.Load() {
 			m := codec.UnpackMessage(f.Settle)
-			taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.Recv(now, m)) })
+			taskgroup.Send(ctx, r.in, func(now int64) { r.out(r.node.Receive(now, m)) })
 		}
 		return nil
 	case f.RollTell != nil:
@@ -104,7 +104,7 @@
 	at := clock.Now()
 	q := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: c.Rev}
 	t := r.op(ctx, q)
-	if quorum.Status(t.Status) != quorum.Done {
+	if quorum.Status(t.Status) != quorum.StatusDone {
 		// The way to the owner may be cut here and not elsewhere. The age counts
 		// from the first question all the same.
 		if via := r.another(); via != "" {
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	if quorum.Status(t.Status) == quorum.Done {
+	if quorum.Status(t.Status) == quorum.StatusDone {
 		n, _, _ := c.Take(plan.Word{Rev: t.Rev, Raw: t.Val, Fresh: true}, at)
 		r.cache.Store(&n)
 	}
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -226,7 +226,7 @@
 	inc      uint64
 	founding *fb.FoundingT // nil while this disk is in no roster
 	known    []string      // whom to ask then
-	recs     []quorum.Rec
+	recs     []quorum.Record
 	count    int
 }
 
@@ -296,7 +296,7 @@
 	return image, nil
 }
 
-func (i *diskImage) add(rec quorum.Rec, founding *fb.FoundingT) error {
+func (i *diskImage) add(rec quorum.Record, founding *fb.FoundingT) error {
 	switch {
 	case founding != nil && founding.Rev == 0: // of a disk in no roster
 		i.inc, i.known = founding.Inc, addrs(founding)
@@ -304,9 +304,9 @@
 	case founding != nil:
 		i.inc = founding.Inc
 		return i.follow(founding)
-	case rec.Roster != nil:
+	case rec.VoterSet != nil:
 		i.recs = append(i.recs, rec)
-		return i.follow(codec.PackVoterSet(*rec.Roster, i.inc))
+		return i.follow(codec.PackVoterSet(*rec.VoterSet, i.inc))
 	}
 	i.recs = append(i.recs, rec)
 	return nil
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -40,15 +40,15 @@
 }
 
 // newVoter makes a voter from what a disk holds.
-func (r *Node) newVoter(f *fb.FoundingT, inc uint64, recs []quorum.Rec) *quorum.Node {
-	p := quorum.Defaults(r.s.Name, inc)
-	p.EraTerm, p.Eras, p.Term = r.s.EraTerm, r.s.Eras, r.s.Term
-	p.Limit = int(int64(r.s.RingFiles) * r.s.RingBytes / 4)
+func (r *Node) newVoter(f *fb.FoundingT, inc uint64, recs []quorum.Record) *quorum.Node {
+	p := quorum.DefaultConfig(r.s.Name, inc)
+	p.GenerationDuration, p.OpenGenerations, p.LeaseDuration = r.s.EraTerm, r.s.Eras, r.s.Term
+	p.MaxStateBytes = int(int64(r.s.RingFiles) * r.s.RingBytes / 4)
 	return quorum.New(p, codec.UnpackVoterSet(f), clock.Now(), recs)
 }
 
 func (r *Node) startLoops() {
-	tick := quorum.Defaults("", 0).Beat / 4
+	tick := quorum.DefaultConfig("", 0).HeartbeatInterval / 4
 	r.c.Go("voter", func(ctx context.Context) {
 		taskgroup.Serve(ctx, r.in, clock.Duration(tick), func(f func(int64)) { f(clock.Now()) }, r.tick)
 	})
@@ -71,12 +71,12 @@
 	r.onDisk(now)
 	r.noteRoom()
 	r.out(r.node.Tick(now))
-	r.era.Store(r.node.Open())
+	r.era.Store(r.node.Generation())
 	mute := map[string]bool{}
-	for _, v := range r.node.Roster().Voters {
+	for _, v := range r.node.VoterSet().Voters {
 		mute[v.Name] = r.node.Silence(now, v.Name) > muteAfter
 	}
-	r.stats.Store(&stats{r.node.Slots(now), r.node.Size(), r.node.Firm(), mute})
+	r.stats.Store(&stats{r.node.Status(now), r.node.StateBytes(), r.node.AllSlotsRecovered(), mute})
 }
 
 // noteRoom has the voter refuse new changes while the ring has little room.
@@ -87,7 +87,7 @@
 		return
 	}
 	r.tight = tight
-	r.node.Tight(tight)
+	r.node.SetDiskLow(tight)
 	r.d.Log.Info("ring_tight", "tight", tight, "used_permille", used)
 }
 
@@ -95,7 +95,7 @@
 func (r *Node) tellRoll(context.Context) {
 	m := &fb.FrameT{RollTell: r.roll.Tell(clock.Now())}
 	taskgroup.TrySend(r.in, func(int64) {
-		for _, v := range r.node.Roster().Voters {
+		for _, v := range r.node.VoterSet().Voters {
 			r.give(v.Name, m)
 		}
 	})
@@ -115,24 +115,24 @@
 }
 
 // out carries a step's effects out.
-func (r *Node) out(o quorum.Out) {
+func (r *Node) out(o quorum.Ready) {
 	for _, e := range o.Events {
 		if !strings.HasPrefix(e, "unheard") {
 			r.d.Log.Info("settle", "what", e)
 		}
 	}
-	r.record(o.Recs)
-	if o.Roster != nil {
-		f := codec.PackVoterSet(*o.Roster, r.Inc())
+	r.record(o.Records)
+	if o.VoterSet != nil {
+		f := codec.PackVoterSet(*o.VoterSet, r.Inc())
 		r.found.Store(f)
 		if !r.holds(f) {
 			r.endVote(errRetired)
 		}
 	}
-	for _, s := range o.Sends {
-		r.give(s.To, codec.PackMessage(s.Msg))
+	for _, s := range o.Messages {
+		r.give(s.To, codec.PackMessage(s.Message))
 	}
-	for _, a := range o.Answers {
+	for _, a := range o.Results {
 		if ch := r.waiting[a.ID]; ch != nil {
 			delete(r.waiting, a.ID)
 			ch <- a
@@ -146,7 +146,7 @@
 	if name == r.s.Name {
 		return
 	}
-	v, ok := r.node.Roster().Find(name)
+	v, ok := r.node.VoterSet().Find(name)
 	if !ok {
 		return
 	}
@@ -169,15 +169,15 @@
 }
 
 // do starts an operation here and waits for its answer.
-func (r *Node) do(ctx context.Context, op quorum.Op) (quorum.Answer, bool) {
-	ch := make(chan quorum.Answer, 1)
+func (r *Node) do(ctx context.Context, op quorum.Operation) (quorum.Result, bool) {
+	ch := make(chan quorum.Result, 1)
 	if !taskgroup.Send(ctx, r.in, func(now int64) {
 		r.ops++
 		op.ID = r.ops
 		r.waiting[op.ID] = ch
-		r.out(r.node.Do(now, op))
+		r.out(r.node.Propose(now, op))
 	}) {
-		return quorum.Answer{}, false
+		return quorum.Result{}, false
 	}
 	return taskgroup.Receive(ctx, ch)
 }
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -20,12 +20,12 @@
 // batch is what the voter wants on disk.
 type batch struct {
 	recs       [][]byte
-	checkpoint []quorum.Rec // or: the state at this point, to be restated
+	checkpoint []quorum.Record // or: the state at this point, to be restated
 }
 
 // record queues records for the disk. The voter never waits for it: one that falls this
 // far behind is stopped.
-func (r *Node) record(recs []quorum.Rec) {
+func (r *Node) record(recs []quorum.Record) {
 	if len(recs) == 0 || r.storage.lost {
 		return
 	}
@@ -58,8 +58,8 @@
 type writer struct {
 	node       *Node
 	log        *wal.Log
-	checkpoint []quorum.Rec // still to be written
-	under      bool         // a checkpoint has begun
+	checkpoint []quorum.Record // still to be written
+	under      bool            // a checkpoint has begun
 	operations int64
 }
 
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (w *writer) beginCheckpoint(state []quorum.Rec) error {
+func (w *writer) beginCheckpoint(state []quorum.Record) error {
 	founding := *w.node.found.Load()
 	founding.Inc = w.node.Inc()
 	if err := w.log.BeginCheckpoint(); err != nil {
@@ -178,7 +178,7 @@
 	if st.lost {
 		return // what was dropped never comes to lie on the disk, whatever is written after it
 	}
-	r.out(r.node.Synced(now, st.synced.Load()))
+	r.out(r.node.RecordsSynced(now, st.synced.Load()))
 	if st.wants.Load() && st.restate.CompareAndSwap(false, true) {
 		// Behind all records that the state follows from.
 		if !taskgroup.TrySend(st.pending, batch{checkpoint: r.node.Checkpoint()}) {
--- a/internal/app/directory/conduct.go
+++ b/internal/app/directory/conduct.go
@@ -85,7 +85,7 @@
 // newConductor makes a conductor that goes on where the last one left off.
 func (t *Directory) newConductor(ctx context.Context, now int64) bool {
 	a := t.control.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: RolloutKey})
-	if quorum.Status(a.Status) != quorum.Done {
+	if quorum.Status(a.Status) != quorum.StatusDone {
 		return false
 	}
 	state, err := rollout.Read(a.Val)
@@ -134,7 +134,7 @@
 func (t *Directory) saveState(ctx context.Context, d *dutyHolder) bool {
 	val := d.conductor.S.Bytes()
 	a := t.control.Op(ctx, &fb.OpAskT{Kind: byte(quorum.OpPut), Key: RolloutKey, Val: val, Expect: d.stateRev})
-	if quorum.Status(a.Status) != quorum.Done {
+	if quorum.Status(a.Status) != quorum.StatusDone {
 		d.conductor = nil // read anew what stands there
 		return false
 	}
@@ -161,8 +161,8 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, clock.Duration(800_000))
 	defer stop()
-	a := t.control.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpHold), Key: WeightsDuty, Holder: d.holder, Term: term})
-	if quorum.Status(a.Status) != quorum.Done {
+	a := t.control.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpAcquire), Key: WeightsDuty, Holder: d.holder, Term: term})
+	if quorum.Status(a.Status) != quorum.StatusDone {
 		return now < lease.Until
 	}
 	if a.Rev != lease.Fence {
@@ -239,5 +239,5 @@
 		return
 	}
 	d.sending.Wait()
-	t.control.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpFree), Key: WeightsDuty, Holder: d.holder, Expect: lease.Fence})
+	t.control.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpRelease), Key: WeightsDuty, Holder: d.holder, Expect: lease.Fence})
 }
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -89,7 +89,7 @@
 	t.mu.Unlock()
 	at := clock.Now()
 	a := t.control.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key, Have: have})
-	if quorum.Status(a.Status) != quorum.Done {
+	if quorum.Status(a.Status) != quorum.StatusDone {
 		return
 	}
 	t.mu.Lock()
