--- a/recording/replay/dispatcher.go
+++ b/recording/replay/dispatcher.go
@@ -69,8 +69,8 @@
 
 type ticketIn struct {
 	dispatch.Ticket
-	Prompt *string `json:",omitempty"` // hides the caller's words
-	Rows   int     // length of the chain; its keys are not needed to decide
+	Prompt *string `json:"Prompt,omitempty"` // hides the caller's words
+	Rows   int     `json:"Rows"`             // length of the chain; its keys are not needed to decide
 }
 
 // Plan records and passes on.
--- /dev/null
+++ b/recording/replay/format_test.go
@@ -0,0 +1,128 @@
+package replay
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"violetthread/dispatch"
+	"violetthread/index"
+	"violetthread/recording"
+)
+
+var update = flag.Bool("update", false, "write testdata/stored_form.txt anew")
+
+// recorded lists every type that is stored in recordings, by the event and the side of
+// it on which it stands.
+var recorded = []struct {
+	name  string
+	value any
+}{
+	{"header", recording.Header{}},
+	{"event", recording.Event{}},
+	{"dispatcher plan input", planIn{}},
+	{"dispatcher output", decided{}},
+	{"dispatcher orders input", []dispatch.Order{}},
+	{"dispatcher arrive input", ticketIn{}},
+	{"dispatcher claimed, note, out, stop input", noteIn{}},
+	{"index node plan input", planIn{}},
+	{"index node peers input", []index.Custodian{}},
+	{"index node peers output", (*index.Keeper)(nil).Placement},
+	{"index node listing input", listIn{}},
+	{"index node want output", []index.DutyAsk{}},
+	{"index node held input", heldIn{}},
+	{"index node polls output", []index.Poll{}},
+	{"index node turns output", []index.Turn{}},
+	{"index node whole input", wholeIn{}},
+	{"index node reported input", reportIn{}},
+	{"index node orders input", index.Ask{}},
+	{"index node orders output", []index.Order{}},
+}
+
+// TestStoredForm: recordings are replayed by later versions of the program, so that the
+// JSON form of what they hold does not follow the names of Go fields.
+func TestStoredForm(t *testing.T) {
+	var got bytes.Buffer
+	for _, entry := range recorded {
+		kind := reflect.TypeOf(entry.value)
+		if kind.Kind() == reflect.Func {
+			kind = kind.Out(0)
+		}
+		value := reflect.New(kind).Elem()
+		fill(value)
+		stored, err := json.Marshal(value.Interface())
+		if err != nil {
+			t.Fatalf("%s: %v", entry.name, err)
+		}
+		fmt.Fprintf(&got, "%s: %s\n", entry.name, stored)
+	}
+	path := filepath.Join("testdata", "stored_form.txt")
+	if *update {
+		if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := bytes.Split(got.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
+	if len(gotLines) != len(wantLines) {
+		t.Fatalf("%d recorded types, not %d", len(gotLines)-1, len(wantLines)-1)
+	}
+	for i := range wantLines {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			t.Errorf("the stored form changed:\n got %s\nwant %s", gotLines[i], wantLines[i])
+		}
+	}
+}
+
+// fill gives every exported field a value other than its zero value, so that no field
+// is left out of the JSON form.
+func fill(value reflect.Value) {
+	switch value.Kind() {
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if value.Type().Field(i).IsExported() {
+				fill(value.Field(i))
+			}
+		}
+	case reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		fill(value.Elem())
+	case reflect.Slice:
+		if value.Type() == reflect.TypeFor[json.RawMessage]() {
+			value.SetBytes([]byte("{}"))
+			return
+		}
+		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+		fill(value.Index(0))
+	case reflect.Map:
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+		fill(key)
+		fill(element)
+		value.Set(reflect.MakeMap(value.Type()))
+		value.SetMapIndex(key, element)
+	case reflect.Array:
+		for i := range value.Len() {
+			fill(value.Index(i))
+		}
+	case reflect.String:
+		value.SetString("s")
+	case reflect.Bool:
+		value.SetBool(true)
+	case reflect.Float64:
+		value.SetFloat(1.5)
+	default:
+		if value.CanInt() {
+			value.SetInt(1)
+		} else if value.CanUint() {
+			value.SetUint(1)
+		}
+	}
+}
--- a/recording/replay/indexnode.go
+++ b/recording/replay/indexnode.go
@@ -18,28 +18,29 @@
 }
 
 type heldIn struct {
-	Ask   index.DutyAsk
-	Asked int64
-	OK    bool
-	Epoch uint64
+	Ask   index.DutyAsk `json:"Ask"`
+	Asked int64         `json:"Asked"`
+	OK    bool          `json:"OK"`
+	Epoch uint64        `json:"Epoch"`
 }
 
 type reportIn struct {
-	Asked  int64
-	Engine string
-	Report index.Report
+	Asked  int64        `json:"Asked"`
+	Engine string       `json:"Engine"`
+	Report index.Report `json:"Report"`
 }
 
 type wholeIn struct {
-	Engine   string
-	Inc, Seq uint64
-	Parts    []hint.Key
+	Engine string     `json:"Engine"`
+	Inc    uint64     `json:"Inc"`
+	Seq    uint64     `json:"Seq"`
+	Parts  []hint.Key `json:"Parts"`
 }
 
 type listIn struct {
-	At     int64
-	List   []index.Listed
-	Stands bool `json:",omitempty"`
+	At     int64          `json:"At"`
+	List   []index.Listed `json:"List"`
+	Stands bool           `json:"Stands,omitempty"`
 }
 
 // Plan records and passes on.
