--- a/cmd/dealer/views.go
+++ b/cmd/dealer/views.go
@@ -16,7 +16,7 @@
 
 	"violetthread/index"
 	"violetthread/internal/app/control"
-	"violetthread/tape"
+	"violetthread/recording"
 )
 
 // row is one line of a view: the same for people and for programs.
@@ -213,15 +213,15 @@
 			fmt.Print(string(x))
 			continue
 		}
-		var l tape.Line
+		var l recording.Event
 		if err := json.Unmarshal(x, &l); err != nil {
 			return trace.BadParameter("line %d is broken: %v; the tape was changed or its disk is failing", n, err)
 		}
 		if first == 0 {
-			first = l.At
+			first = l.TimeUS
 		}
-		if s := string(l.Out); s != "" && s != "{}" && s != "null" || t.all {
-			fmt.Printf("%10.3fs %-9s %.200s\n%22s%.400s\n", float64(l.At-first)/1e6, l.Kind, l.In, "-> ", s)
+		if s := string(l.Output); s != "" && s != "{}" && s != "null" || t.all {
+			fmt.Printf("%10.3fs %-9s %.200s\n%22s%.400s\n", float64(l.TimeUS-first)/1e6, l.Type, l.Input, "-> ", s)
 		}
 	}
 }
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -12,24 +12,24 @@
 
 	"violetthread/agent"
 	"violetthread/internal/app/session"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
 
 // Settings of a runner.
-type Settings struct{ base.Node }
+type Settings struct{ daemon.NodeSettings }
 
 // Defaults of the settings.
-func Defaults() Settings { return Settings{base.Node{Drain: 500_000}} }
+func Defaults() Settings { return Settings{daemon.NodeSettings{DrainUS: 500_000}} }
 
 type server struct {
 	settings  Settings
-	daemon    *base.Daemon
-	peers     *link.Book
+	daemon    *daemon.Daemon
+	peers     *transport.PeerPool
 	session   *session.Session
 	proxyNode atomic.Pointer[fb.NodeT]
 	mu        sync.Mutex
@@ -51,28 +51,28 @@
 }
 
 // New makes one, ready to Run.
-func NewDaemon(settings Settings) (*base.Daemon, error) {
-	if settings.Wire == "" || len(settings.Seeds) == 0 {
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
+	if settings.TransportAddr == "" || len(settings.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire a loopback IP:port and --seeds the registrars' addresses")
 	}
-	if h, _, _ := net.SplitHostPort(settings.Wire); !net.ParseIP(h).IsLoopback() {
+	if h, _, _ := net.SplitHostPort(settings.TransportAddr); !net.ParseIP(h).IsLoopback() {
 		return nil, trace.BadParameter("wire must be on loopback, beside its proxy; give --wire 127.0.0.1:port")
 	}
-	daemon := base.Start("runner", settings.Name+"-runner", settings.HTTP, settings.Drain)
-	if err := daemon.Profile(settings.CPU); err != nil {
+	daemon := daemon.New("runner", settings.Name+"-runner", settings.HTTPAddr, settings.DrainUS)
+	if err := daemon.ProfileCPU(settings.CPUProfile); err != nil {
 		return nil, err
 	}
-	s := &server{settings: settings, daemon: daemon, agent: agent.New(settings.Name, settings.Site)}
-	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: "remisier", Site: settings.Site, Addr: settings.Wire})
-	s.peers = link.NewBook(daemon.Group)
+	s := &server{settings: settings, daemon: daemon, agent: agent.New(settings.Name, settings.Zone)}
+	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: "remisier", Site: settings.Zone, Addr: settings.TransportAddr})
+	s.peers = transport.NewPeerPool(daemon.Group)
 	s.session = session.New(daemon.Group, s.peers, settings.Seeds, func() *fb.NodeT { return s.proxyNode.Load() })
-	l, err := net.Listen("tcp", settings.Wire)
+	l, err := net.Listen("tcp", settings.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free loopback IP:port", settings.Wire)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free loopback IP:port", settings.TransportAddr)
 	}
-	link.Serve(daemon.Group, l, s.handleFrame)
+	transport.Serve(daemon.Group, l, s.handleFrame)
 	s.session.Run()
-	daemon.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(queryInterval), s.queryIndexNodes) })
+	daemon.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(queryInterval), s.queryIndexNodes) })
 	daemon.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(s.session.View().Rev) })
 	daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(s.session.View().Age(clock.Now())) })
 	daemon.SetReady("")
@@ -110,7 +110,7 @@
 	for _, a := range as {
 		s.daemon.Group.Go("orders.ask", func(ctx context.Context) {
 			at := clock.Now()
-			f, err := s.peers.At(a.Addr).Call(ctx, &fb.FrameT{RoomAsk: a.Request}, queryTimeout)
+			f, err := s.peers.Get(a.Addr).Call(ctx, &fb.FrameT{RoomAsk: a.Request}, queryTimeout)
 			var t *fb.RoomTellT
 			if err == nil {
 				t = f.RoomTell
--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"strings"
 
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
+	"violetthread/internal/daemon"
 	"violetthread/plan"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
@@ -58,13 +58,13 @@
 		case quorum.Status(a.Status) != quorum.Done:
 			writeNotCommitted(w, a)
 		case a.Rev == 0:
-			base.JSON(w, http.StatusNotFound, ErrorResponse{Reason: "no-plan", Remedy: "send a whole plan first, with dealer plan put"})
+			daemon.WriteJSON(w, http.StatusNotFound, ErrorResponse{Reason: "no-plan", Remedy: "send a whole plan first, with dealer plan put"})
 		default:
 			w.Header().Set("ETag", etag(a.Rev))
 			w.Header().Set("Content-Type", "application/json")
 			_, raw, err := plan.Open(a.Val)
 			if err != nil {
-				base.JSON(w, http.StatusInternalServerError, ErrorResponse{Reason: "unreadable", Remedy: err.Error()})
+				daemon.WriteJSON(w, http.StatusInternalServerError, ErrorResponse{Reason: "unreadable", Remedy: err.Error()})
 				return
 			}
 			_, _ = w.Write(raw) // to the byte what was sent
@@ -72,7 +72,7 @@
 	case http.MethodPut, http.MethodPatch:
 		n.changePlan(w, q)
 	default:
-		base.JSON(w, http.StatusMethodNotAllowed, ErrorResponse{Reason: "no-such-method", Remedy: "use GET, PUT or PATCH"})
+		daemon.WriteJSON(w, http.StatusMethodNotAllowed, ErrorResponse{Reason: "no-such-method", Remedy: "use GET, PUT or PATCH"})
 	}
 }
 
@@ -81,14 +81,14 @@
 func (n *Node) changePlan(w http.ResponseWriter, q *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, plan.MaxBytes+1))
 	if err != nil {
-		base.JSON(w, http.StatusRequestEntityTooLarge, ErrorResponse{Reason: "too-large", Remedy: fmt.Sprintf("keep a plan within %d bytes", plan.MaxBytes)})
+		daemon.WriteJSON(w, http.StatusRequestEntityTooLarge, ErrorResponse{Reason: "too-large", Remedy: fmt.Sprintf("keep a plan within %d bytes", plan.MaxBytes)})
 		return
 	}
 	c := plan.Change{Body: body, Patch: q.Method == http.MethodPatch}
 	if m := strings.Trim(q.Header.Get("If-Match"), `"`); m != "" && m != "*" {
 		c.If = true
 		if c.Rev, err = strconv.ParseUint(m, 10, 64); err != nil {
-			base.JSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-precondition", Remedy: "give If-Match the revision that ETag showed"})
+			daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-precondition", Remedy: "give If-Match the revision that ETag showed"})
 			return
 		}
 	}
@@ -109,7 +109,7 @@
 		case quorum.Done:
 			n.daemon.Log.Info("plan_accepted", "rev", a.Rev, "method", q.Method, "from", q.RemoteAddr)
 			w.Header().Set("ETag", etag(a.Rev))
-			base.JSON(w, http.StatusOK, PlanAccepted{a.Rev})
+			daemon.WriteJSON(w, http.StatusOK, PlanAccepted{a.Rev})
 			return
 		case quorum.Conflict:
 			// Another operator's change came between reading and writing: without a
@@ -124,7 +124,7 @@
 			return
 		}
 	}
-	base.JSON(w, http.StatusConflict, ErrorResponse{Reason: "too-busy", Remedy: "many operators change the plan at once; send the patch again"})
+	daemon.WriteJSON(w, http.StatusConflict, ErrorResponse{Reason: "too-busy", Remedy: "many operators change the plan at once; send the patch again"})
 }
 
 // declined tells an operator why a change does not apply.
@@ -133,29 +133,29 @@
 	case plan.OtherRevision:
 		writeRevisionConflict(w, e.Rev)
 	case plan.NoPlan:
-		base.JSON(w, http.StatusNotFound, ErrorResponse{Reason: "no-plan", Remedy: e.Error()})
+		daemon.WriteJSON(w, http.StatusNotFound, ErrorResponse{Reason: "no-plan", Remedy: e.Error()})
 	case plan.BadPatch:
-		base.JSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-patch", Remedy: e.Error()})
+		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-patch", Remedy: e.Error()})
 	case plan.BadPlan:
-		base.JSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-plan", Remedy: e.Error(), Findings: e.Findings})
+		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-plan", Remedy: e.Error(), Findings: e.Findings})
 	default:
-		base.JSON(w, http.StatusInternalServerError, ErrorResponse{Reason: "unreadable", Remedy: err.Error()})
+		daemon.WriteJSON(w, http.StatusInternalServerError, ErrorResponse{Reason: "unreadable", Remedy: err.Error()})
 	}
 }
 
 func writeRevisionConflict(w http.ResponseWriter, rev uint64) {
-	base.JSON(w, http.StatusPreconditionFailed, ErrorResponse{Reason: "other-revision", Remedy: "read the plan again and decide anew; nothing was changed", Revision: rev})
+	daemon.WriteJSON(w, http.StatusPreconditionFailed, ErrorResponse{Reason: "other-revision", Remedy: "read the plan again and decide anew; nothing was changed", Revision: rev})
 }
 
 func writeNotCommitted(w http.ResponseWriter, a *fb.OpTellT) {
 	w.Header().Set("Retry-After", "1")
 	switch quorum.Status(a.Status) {
 	case quorum.NotOwner:
-		base.JSON(w, http.StatusServiceUnavailable, ErrorResponse{Reason: "no-owner", Remedy: "nothing was changed; a majority of registrars must be up, then send again"})
+		daemon.WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Reason: "no-owner", Remedy: "nothing was changed; a majority of registrars must be up, then send again"})
 	case quorum.Full:
-		base.JSON(w, http.StatusInsufficientStorage, ErrorResponse{Reason: "state-full", Remedy: "nothing was changed; raise ring_files on every registrar"})
+		daemon.WriteJSON(w, http.StatusInsufficientStorage, ErrorResponse{Reason: "state-full", Remedy: "nothing was changed; raise ring_files on every registrar"})
 	default:
-		base.JSON(w, http.StatusGatewayTimeout, ErrorResponse{Reason: "unknown", Remedy: "the change may or may not be in force; read the plan before sending again"})
+		daemon.WriteJSON(w, http.StatusGatewayTimeout, ErrorResponse{Reason: "unknown", Remedy: "the change may or may not be in force; read the plan before sending again"})
 	}
 }
 
@@ -172,25 +172,25 @@
 	d := json.NewDecoder(http.MaxBytesReader(w, q.Body, 4096))
 	d.DisallowUnknownFields()
 	if q.Method != http.MethodPost || d.Decode(&c) != nil || c.Leaving == "" && c.JoiningAddr == "" {
-		base.JSON(w, http.StatusBadRequest, ErrorResponse{Reason: "malformed", Remedy: "POST old, addr or both, and the step that GET /v1/fleet shows"})
+		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "malformed", Remedy: "POST old, addr or both, and the step that GET /v1/fleet shows"})
 		return
 	}
 	no := func(status int, reason, remedy string) {
-		base.JSON(w, status, ErrorResponse{Reason: reason, Remedy: remedy + "; nothing was changed"})
+		daemon.WriteJSON(w, status, ErrorResponse{Reason: reason, Remedy: remedy + "; nothing was changed"})
 	}
 	f := n.voterSet.Load()
 	if f == nil {
 		no(http.StatusServiceUnavailable, "not-in-fleet", "ask a registrar that is in the roster")
 		return
 	}
-	ro := wire.Unroster(f)
+	ro := codec.UnpackVoterSet(f)
 	if c.Step != ro.Step() {
 		no(http.StatusPreconditionFailed, "other-step", fmt.Sprintf("the roster is at step %d; look at it again", ro.Step()))
 		return
 	}
 	var come *quorum.Voter
 	if c.JoiningAddr != "" {
-		a, err := n.peers.At(c.JoiningAddr).Call(q.Context(), &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.Wire, Inc: n.Incarnation()}}, 1_000_000)
+		a, err := n.peers.Get(c.JoiningAddr).Call(q.Context(), &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation()}}, 1_000_000)
 		if err != nil || a.FoundTell == nil || a.FoundTell.Inc == 0 {
 			no(http.StatusBadGateway, "newcomer-unreachable", "start the new registrar first, and give its wire address as IP:port")
 			return
@@ -215,7 +215,7 @@
 	switch quorum.Status(a.Status) {
 	case quorum.Done:
 		n.daemon.Log.Info("roster_changed", "step", next.Step(), "old", c.Leaving, "addr", c.JoiningAddr)
-		base.JSON(w, http.StatusOK, map[string]any{"step": next.Step(), "voters": next.Voters})
+		daemon.WriteJSON(w, http.StatusOK, map[string]any{"step": next.Step(), "voters": next.Voters})
 	case quorum.Conflict:
 		no(http.StatusConflict, "not-now", string(a.Val))
 	default:
@@ -283,10 +283,10 @@
 	f.ChangeAllowed = n.status.Load().changeAllowed
 	f.Disk = n.DiskStatus()
 	if x := n.voterSet.Load(); x != nil {
-		f.VoterSetStep = wire.Unroster(x).Step()
+		f.VoterSetStep = codec.UnpackVoterSet(x).Step()
 		for _, v := range x.Voters {
 			f.Voters = append(f.Voters, VoterStatus{v.Name, v.Addr})
 		}
 	}
-	base.JSON(w, http.StatusOK, f)
+	daemon.WriteJSON(w, http.StatusOK, f)
 }
--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -9,9 +9,9 @@
 
 	"github.com/gravitational/trace"
 
-	"violetthread/internal/base"
-	"violetthread/internal/link"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/quorum"
@@ -21,7 +21,7 @@
 
 // Settings of a registrar.
 type Settings struct {
-	base.Node
+	daemon.NodeSettings
 	Bootstrap          bool  `json:"found" help:"true at the very first start of a fleet: agree with the seeds on who votes"`
 	LogSegments        int   `json:"ring_files" validate:"min=8,max=1024" help:"files in the disk ring"`
 	GenerationDuration int64 `json:"era_us" validate:"min=1000000,max=86400000000" help:"how long an era of claims is the newest"`
@@ -37,21 +37,21 @@
 
 // Defaults of the settings.
 func Defaults() Settings {
-	return Settings{Node: base.Node{Drain: 1_000_000}, LogSegments: 32, LogSegmentBytes: 8 << 20, LeaseDuration: 1_000_000, GenerationDuration: 120_000_000, OpenGenerations: 5, OperationTimeout: 4_000_000}
+	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 1_000_000}, LogSegments: 32, LogSegmentBytes: 8 << 20, LeaseDuration: 1_000_000, GenerationDuration: 120_000_000, OpenGenerations: 5, OperationTimeout: 4_000_000}
 }
 
 // Node is a running control node.
 type Node struct {
 	settings      Settings
-	daemon        *base.Daemon
+	daemon        *daemon.Daemon
 	voterGroup    *taskgroup.Group // of the voter, while this disk is in a roster
-	peers         *link.Book
+	peers         *transport.PeerPool
 	storage       storage
 	incarnation   atomic.Uint64                // 0 until the disk was read
 	voterSet      atomic.Pointer[fb.FoundingT] // the roster that this disk knows
 	stopReason    chan error                   // why the voter must stop: retired, or what the disk did
 	removed       atomic.Bool                  // it was in a roster once, and lost its place
-	handlers      atomic.Pointer[[]link.Handler]
+	handlers      atomic.Pointer[[]transport.Handler]
 	mu            sync.Mutex
 	knownAddrs    []string // addresses to ask while this disk is in no roster
 	records       []quorum.Rec
@@ -86,7 +86,7 @@
 }
 
 // New makes one, ready to Run.
-func NewDaemon(s Settings) (*base.Daemon, error) {
+func NewDaemon(s Settings) (*daemon.Daemon, error) {
 	r, err := NewNode(s)
 	if err != nil {
 		return nil, err
@@ -96,24 +96,24 @@
 
 // Make makes one for a program that adds to what it answers.
 func NewNode(s Settings) (*Node, error) {
-	if s.Data == "" || s.Wire == "" {
+	if s.DataDir == "" || s.TransportAddr == "" {
 		return nil, trace.BadParameter("data_dir and wire are needed; give --data-dir a folder and --wire an IP:port")
 	}
-	d := base.Start("registrar", s.Name, s.HTTP, s.Drain)
-	if err := d.Profile(s.CPU); err != nil {
+	d := daemon.New("registrar", s.Name, s.HTTPAddr, s.DrainUS)
+	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
 	r := &Node{settings: s, daemon: d, stopReason: make(chan error, 1), commands: make(chan func(int64), 4096),
 		senders: map[string]chan *fb.FrameT{}, results: map[uint64]chan quorum.Answer{}, sessions: membership.New(s.Name)}
-	r.peers = link.NewBook(d.Group)
+	r.peers = transport.NewPeerPool(d.Group)
 	r.status.Store(&voterStatus{})
 	r.plan.Store(&plan.Held{})
 	r.initStorage()
-	l, err := net.Listen("tcp", s.Wire)
+	l, err := net.Listen("tcp", s.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.Wire)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.TransportAddr)
 	}
-	link.Serve(d.Group, l, link.Chain(r.handleFrame))
+	transport.Serve(d.Group, l, transport.Chain(r.handleFrame))
 	d.OnDrain(r.leave)
 	r.registerRoutes()
 	d.Group.Go("life", r.runLifecycle)
--- a/internal/app/control/embed.go
+++ b/internal/app/control/embed.go
@@ -5,16 +5,16 @@
 
 	"github.com/samber/lo"
 
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
 
 // Daemon is the process around the node.
-func (n *Node) Daemon() *base.Daemon { return n.daemon }
+func (n *Node) Daemon() *daemon.Daemon { return n.daemon }
 
 // Name is the node's name.
 func (n *Node) Name() string { return n.settings.Name }
@@ -26,7 +26,7 @@
 func (n *Node) Voting() bool { return n.voting.Load() }
 
 // Book holds the node's wires to others.
-func (n *Node) Peers() *link.Book { return n.peers }
+func (n *Node) Peers() *transport.PeerPool { return n.peers }
 
 // Live lists the members whose sessions stand.
 func (n *Node) LiveNodes(now int64) []*fb.NodeT { return n.sessions.Live(now) }
@@ -67,7 +67,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	n.daemon.Group.Go("contact", func(context.Context) {
 		for n.HearsMajority() {
-			if !taskgroup.Pause(ctx, contactInterval) {
+			if !taskgroup.Sleep(ctx, contactInterval) {
 				break
 			}
 		}
@@ -81,7 +81,7 @@
 func (n *Node) AddHandler(h func(ctx context.Context, f *fb.FrameT) *fb.FrameT) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var hs []link.Handler
+	var hs []transport.Handler
 	if p := n.handlers.Load(); p != nil {
 		hs = append(hs, *p...)
 	}
@@ -95,7 +95,7 @@
 // Op carries an operation out, trying again while it provably did nothing, or while
 // doing it twice is the same as once, for as long as Settings.Patience.
 func (n *Node) Execute(ctx context.Context, t *fb.OpAskT) *fb.OpTellT {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(lo.Ternary(n.settings.OperationTimeout > 0, n.settings.OperationTimeout, Defaults().OperationTimeout)))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(lo.Ternary(n.settings.OperationTimeout > 0, n.settings.OperationTimeout, Defaults().OperationTimeout)))
 	defer stop()
 	doubt := false
 	for {
@@ -103,7 +103,7 @@
 		a := n.execute(ctx, &c)
 		again := false
 		a, doubt, again = judgeAttempt(quorum.OpKind(t.Kind), a, doubt)
-		if !again || !taskgroup.Pause(ctx, 30_000) {
+		if !again || !taskgroup.Sleep(ctx, 30_000) {
 			return a
 		}
 	}
@@ -139,13 +139,13 @@
 // Tell sends a frame to the other voters; it may be lost.
 func (n *Node) Broadcast(f *fb.FrameT) {
 	for _, a := range n.VoterAddrs() {
-		if a != n.settings.Wire {
-			n.peers.At(a).Send(f)
+		if a != n.settings.TransportAddr {
+			n.peers.Get(a).Send(f)
 		}
 	}
 }
 
 // Ask asks the control node at an address and waits for its answer.
 func (n *Node) Call(ctx context.Context, addr string, f *fb.FrameT, us int64) (*fb.FrameT, error) {
-	return n.peers.At(addr).Call(ctx, f, us)
+	return n.peers.Get(addr).Call(ctx, f, us)
 }
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -12,8 +12,8 @@
 	"github.com/samber/lo"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -53,7 +53,7 @@
 func (n *Node) candidateAddrs() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return lo.Without(lo.Uniq(append(slices.Clone(n.knownAddrs), n.settings.Seeds...)), n.settings.Wire, "")
+	return lo.Without(lo.Uniq(append(slices.Clone(n.knownAddrs), n.settings.Seeds...)), n.settings.TransportAddr, "")
 }
 
 type peerReply struct {
@@ -78,7 +78,7 @@
 			c.Go("ask", func(ctx context.Context) {
 				for ctx.Err() == nil {
 					at := clock.Now()
-					if !taskgroup.Give(ctx, ch, peerReply{a, at, n.askVoterSet(ctx, a, true)}) || !taskgroup.Pause(ctx, askInterval) {
+					if !taskgroup.Send(ctx, ch, peerReply{a, at, n.askVoterSet(ctx, a, true)}) || !taskgroup.Sleep(ctx, askInterval) {
 						return
 					}
 				}
@@ -90,12 +90,12 @@
 			n.daemon.SetReady(err.Error())
 		}
 		if len(asked) == 0 { // nobody to ask but those who find this node
-			if !taskgroup.Pause(ctx, askInterval) {
+			if !taskgroup.Sleep(ctx, askInterval) {
 				return nil, false
 			}
 			continue
 		}
-		w, ok := taskgroup.Wait(ctx, ch)
+		w, ok := taskgroup.Receive(ctx, ch)
 		if !ok {
 			return nil, false
 		}
@@ -112,7 +112,7 @@
 // ask asks one registrar who it is and which roster it follows. A blank one asks to
 // be let in by that.
 func (n *Node) askVoterSet(ctx context.Context, addr string, blank bool) *fb.FoundTellT {
-	t, err := n.peers.At(addr).Call(ctx, &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.Wire, Inc: n.Incarnation(), Blank: blank, First: n.firstStart()}}, askTimeout)
+	t, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation(), Blank: blank, First: n.firstStart()}}, askTimeout)
 	if err != nil || t.FoundTell == nil || t.FoundTell.Inc == 0 {
 		return nil // who that is lies on a disk that was not read yet
 	}
@@ -135,11 +135,11 @@
 	if !n.firstStart() {
 		return nil, fmt.Errorf("no founded fleet is reachable; if this is the fleet's first start, give every registrar --found true")
 	}
-	if !slices.Contains(n.settings.Seeds, n.settings.Wire) {
+	if !slices.Contains(n.settings.Seeds, n.settings.TransportAddr) {
 		return nil, fmt.Errorf("waiting for the seeds to found the fleet; start the registrars at %s", strings.Join(n.settings.Seeds, ", "))
 	}
-	vs := []*fb.VoterT{{Name: n.settings.Name, Addr: n.settings.Wire, Inc: n.Incarnation()}}
-	for _, a := range lo.Without(lo.Uniq(n.settings.Seeds), n.settings.Wire) {
+	vs := []*fb.VoterT{{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation()}}
+	for _, a := range lo.Without(lo.Uniq(n.settings.Seeds), n.settings.TransportAddr) {
 		w := last[a]
 		if w.reply == nil || now-w.askedAt > replyLifetime {
 			return nil, fmt.Errorf("founding waits until every seed answers; %s does not", a)
@@ -168,7 +168,7 @@
 	case err != nil || q.Name == "" || q.Inc == 0:
 	case q.Blank && f != nil && n.voting.Load():
 		v := quorum.Voter{Name: q.Name, Addr: q.Addr, Inc: q.Inc}
-		taskgroup.Offer(n.commands, func(now int64) {
+		taskgroup.TrySend(n.commands, func(now int64) {
 			if q.First {
 				n.processReady(n.voter.Grow(now, v))
 				return
@@ -187,7 +187,7 @@
 func (n *Node) probeSilentVoters(ctx context.Context) {
 	ch := make(chan []quorum.Voter, 1)
 	far := false
-	if !taskgroup.Give(ctx, n.commands, func(now int64) {
+	if !taskgroup.Send(ctx, n.commands, func(now int64) {
 		var vs []quorum.Voter
 		ro := n.voter.Roster()
 		for _, v := range ro.Voters {
@@ -200,7 +200,7 @@
 	}) {
 		return
 	}
-	vs, ok := taskgroup.Wait(ctx, ch)
+	vs, ok := taskgroup.Receive(ctx, ch)
 	if !ok || len(vs) == 0 {
 		return
 	}
@@ -208,15 +208,15 @@
 	if far {
 		as = append(as, n.candidateAddrs()...)
 	}
-	for _, a := range lo.Without(lo.Uniq(as), n.settings.Wire) {
+	for _, a := range lo.Without(lo.Uniq(as), n.settings.TransportAddr) {
 
 		n.voterGroup.Go("probe.ask", func(ctx context.Context) {
 			t := n.askVoterSet(ctx, a, false)
 			if t == nil || t.Founding == nil || t.Founding.Rev == 0 {
 				return
 			}
-			ro := wire.Unroster(t.Founding)
-			taskgroup.Give(ctx, n.commands, func(now int64) { n.processReady(n.voter.Learn(now, ro)) })
+			ro := codec.UnpackVoterSet(t.Founding)
+			taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Learn(now, ro)) })
 		})
 	}
 }
@@ -232,12 +232,12 @@
 	if !n.voting.Load() {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(leaveTimeout))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(leaveTimeout))
 	defer stop()
-	if !taskgroup.Give(ctx, n.commands, func(now int64) { n.processReady(n.voter.Leave(now)) }) {
+	if !taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Leave(now)) }) {
 		return
 	}
-	for taskgroup.Pause(ctx, leavePoll) {
+	for taskgroup.Sleep(ctx, leavePoll) {
 		if !n.awaitingRemoval(ctx) {
 			return
 		}
@@ -247,9 +247,9 @@
 // handingOver asks the voter's loop whether this node's seat is about to be dropped.
 func (n *Node) awaitingRemoval(ctx context.Context) bool {
 	answer := make(chan bool, 1)
-	if !taskgroup.Give(ctx, n.commands, func(int64) { answer <- n.voter.HandingOver() }) {
+	if !taskgroup.Send(ctx, n.commands, func(int64) { answer <- n.voter.HandingOver() }) {
 		return false
 	}
-	handing, ok := taskgroup.Wait(ctx, answer)
+	handing, ok := taskgroup.Receive(ctx, answer)
 	return ok && handing
 }
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -7,8 +7,8 @@
 
 	"github.com/samber/lo"
 
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -68,7 +68,7 @@
 	}
 	n.voterSet.Store(f)
 	names := lo.Map(f.Voters, func(v *fb.VoterT, _ int) string { return v.Name })
-	n.daemon.Log.Info("joined", "fleet", f.Fleet, "step", wire.Unroster(f).Step(), "voters", strings.Join(names, ","))
+	n.daemon.Log.Info("joined", "fleet", f.Fleet, "step", codec.UnpackVoterSet(f).Step(), "voters", strings.Join(names, ","))
 	return nil
 }
 
@@ -80,17 +80,17 @@
 	if err != nil {
 		return err
 	}
-	blank := wire.Founding(&fb.FoundingT{Inc: inc, Voters: f.Voters})
+	blank := codec.PackFounding(&fb.FoundingT{Inc: inc, Voters: f.Voters})
 	if err := n.runDiskStep(ctx, func() error { return n.storage.log.Checkpoint([][]byte{blank}) }); err != nil {
 		return err
 	}
-	n.daemon.Log.Info("retired", "step", wire.Unroster(f).Step(), "inc", inc)
+	n.daemon.Log.Info("retired", "step", codec.UnpackVoterSet(f).Step(), "inc", inc)
 	n.incarnation.Store(inc)
 	n.removed.Store(true)
 	n.addKnownAddrs(voterAddrs(f))
 	n.voterSet.Store(nil)
 	n.records = nil
-	n.storage.usedPermille.Store(int64(n.storage.log.Used()))
+	n.storage.usedPermille.Store(int64(n.storage.log.UsedPermille()))
 	return nil
 }
 
@@ -130,4 +130,4 @@
 }
 
 // endVote stops the voter; the first reason counts.
-func (n *Node) stopVoter(why error) { taskgroup.Offer(n.stopReason, why) }
+func (n *Node) stopVoter(why error) { taskgroup.TrySend(n.stopReason, why) }
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -6,8 +6,8 @@
 	"github.com/samber/lo"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/plan"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
@@ -23,7 +23,7 @@
 func (n *Node) forward(ctx context.Context, addr string, t *fb.OpAskT) *fb.OpTellT {
 	c := *t
 	c.Hops++
-	f, err := n.peers.At(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](idempotent(quorum.OpKind(t.Kind)), 500_000, 2_000_000))
+	f, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](idempotent(quorum.OpKind(t.Kind)), 500_000, 2_000_000))
 	if err != nil || f.OpTell == nil {
 		return &fb.OpTellT{Status: byte(quorum.Unknown)}
 	}
@@ -74,8 +74,8 @@
 	switch {
 	case f.Settle != nil:
 		if n.voting.Load() {
-			m := wire.Unsettle(f.Settle)
-			taskgroup.Give(ctx, n.commands, func(now int64) { n.processReady(n.voter.Recv(now, m)) })
+			m := codec.UnpackMessage(f.Settle)
+			taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Recv(now, m)) })
 		}
 		return nil
 	case f.RollTell != nil:
@@ -87,7 +87,7 @@
 		n.sessions.Heartbeat(now, f.BeatAsk.Node)
 		return &fb.FrameT{BeatTell: n.heartbeatReply(now, f.BeatAsk.Have)}
 	case f.OpAsk != nil:
-		ctx, stop := context.WithTimeout(ctx, clock.Micros(5_000_000))
+		ctx, stop := context.WithTimeout(ctx, clock.Duration(5_000_000))
 		defer stop()
 		return &fb.FrameT{OpTell: n.execute(ctx, f.OpAsk)}
 	}
@@ -98,7 +98,7 @@
 
 // refresh asks the plan's owner anew; the age counts from before the question.
 func (n *Node) refreshPlan(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(700_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(700_000))
 	defer stop()
 	c := n.plan.Load()
 	at := clock.Now()
@@ -108,10 +108,10 @@
 		// The way to the owner may be cut here and not elsewhere. The age counts
 		// from the first question all the same.
 		if via := n.nextPeer(); via != "" {
-			ctx, stop := context.WithTimeout(n.daemon.Group.Context(), clock.Micros(700_000))
+			ctx, stop := context.WithTimeout(n.daemon.Group.Context(), clock.Duration(700_000))
 			defer stop()
 			q.Hops = 1
-			if f, err := n.peers.At(via).Call(ctx, &fb.FrameT{OpAsk: q}, 600_000); err == nil && f.OpTell != nil {
+			if f, err := n.peers.Get(via).Call(ctx, &fb.FrameT{OpAsk: q}, 600_000); err == nil && f.OpTell != nil {
 				t = f.OpTell
 			}
 		}
@@ -126,7 +126,7 @@
 func (n *Node) nextPeer() string {
 	var as []string
 	if f := n.voterSet.Load(); f != nil {
-		as = lo.Without(voterAddrs(f), n.settings.Wire)
+		as = lo.Without(voterAddrs(f), n.settings.TransportAddr)
 	} else {
 		as = n.candidateAddrs()
 	}
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -13,8 +13,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 	"violetthread/wal"
@@ -28,7 +28,7 @@
 // again, another voter begins from what was synced, exactly as after a restart of the
 // process; so a disk in trouble needs no rule of its own (design §5).
 type storage struct {
-	folder           osdisk.Folder
+	folder           osdisk.Directory
 	fs               wal.FS
 	lock             io.Closer
 	log              *wal.Log
@@ -74,7 +74,7 @@
 
 func (n *Node) initStorage() {
 	st := &n.storage
-	st.folder = osdisk.Folder{Dir: filepath.Join(n.settings.Data, "ring")}
+	st.folder = osdisk.Directory{Path: filepath.Join(n.settings.DataDir, "ring")}
 	st.fs = st.folder
 	if n.settings.Disk != nil {
 		st.fs = n.settings.Disk(st.fs)
@@ -108,9 +108,9 @@
 		}
 		ended <- struct{}{}
 	})
-	ctx, stop := context.WithTimeout(context.Background(), clock.Micros(closeTimeout))
+	ctx, stop := context.WithTimeout(context.Background(), clock.Duration(closeTimeout))
 	defer stop()
-	taskgroup.Wait(ctx, ended)
+	taskgroup.Receive(ctx, ended)
 }
 
 // Disk is the state of this node's disk.
@@ -118,7 +118,7 @@
 
 // passes tells whether a failure may pass by itself, so that waiting is worth it.
 func isTransient(err error) bool {
-	return errors.Is(err, wal.ErrDisk) || errors.Is(err, errStalled) || errors.Is(err, errBacklog) || errors.Is(err, wal.ErrRingFull)
+	return errors.Is(err, wal.ErrDisk) || errors.Is(err, errStalled) || errors.Is(err, errBacklog) || errors.Is(err, wal.ErrFull)
 }
 
 // openStorage opens the log, or opens it anew after trouble, and waits for as long as the
@@ -133,7 +133,7 @@
 			n.loadImage(image)
 			n.markDiskUsable()
 			return true
-		case !isTransient(err) || errors.Is(err, wal.ErrRingFull):
+		case !isTransient(err) || errors.Is(err, wal.ErrFull):
 			n.daemon.Fail(err)
 			return false
 		}
@@ -156,7 +156,7 @@
 // backOff waits before the disk is tried again, longer each time until it has been usable
 // for a while.
 func (s *storage) backOff(ctx context.Context) bool {
-	ok := taskgroup.Pause(ctx, s.retryDelay)
+	ok := taskgroup.Sleep(ctx, s.retryDelay)
 	s.retryDelay = min(2*s.retryDelay, maxRetryDelay)
 	return ok
 }
@@ -174,8 +174,8 @@
 		done <- result{image, err}
 	})
 	for {
-		patience, stop := context.WithTimeout(ctx, clock.Micros(diskTimeout))
-		res, ok := taskgroup.Wait(patience, done)
+		patience, stop := context.WithTimeout(ctx, clock.Duration(diskTimeout))
+		res, ok := taskgroup.Receive(patience, done)
 		stop()
 		if ok {
 			return res.image, res.err
@@ -274,7 +274,7 @@
 	if st.log != nil {
 		return st.log.Reopen()
 	}
-	log, raw, err := wal.Open(st.fs, wal.Plan{Files: n.settings.LogSegments, Size: n.settings.LogSegmentBytes})
+	log, raw, err := wal.Open(st.fs, wal.Config{SegmentCount: n.settings.LogSegments, SegmentBytes: n.settings.LogSegmentBytes})
 	if err == nil {
 		st.log = log
 	}
@@ -285,7 +285,7 @@
 func decodeImage(raw [][]byte) (*diskImage, error) {
 	image := &diskImage{recordCount: len(raw)}
 	for _, b := range raw {
-		rec, founding, err := wire.Unrec(b)
+		rec, founding, err := codec.UnpackRecord(b)
 		if err != nil {
 			return nil, trace.Wrap(err, "the ring holds a record that this version can't read; start the version that wrote it")
 		}
@@ -306,7 +306,7 @@
 		return i.adoptVoterSet(founding)
 	case rec.Roster != nil:
 		i.records = append(i.records, rec)
-		return i.adoptVoterSet(wire.Roster(*rec.Roster, i.incarnation))
+		return i.adoptVoterSet(codec.PackVoterSet(*rec.Roster, i.incarnation))
 	}
 	i.records = append(i.records, rec)
 	return nil
@@ -314,9 +314,9 @@
 
 // follow takes in a roster, which must be of the same fleet as those before.
 func (i *diskImage) adoptVoterSet(f *fb.FoundingT) error {
-	if i.voterSet != nil && wire.Unroster(i.voterSet).Fleet() != wire.Unroster(f).Fleet() {
+	if i.voterSet != nil && codec.UnpackVoterSet(i.voterSet).Fleet() != codec.UnpackVoterSet(f).Fleet() {
 		return trace.BadParameter("the ring holds records of fleets %d and %d; move data_dir aside and rejoin as an empty node",
-			wire.Unroster(i.voterSet).Fleet(), wire.Unroster(f).Fleet())
+			codec.UnpackVoterSet(i.voterSet).Fleet(), codec.UnpackVoterSet(f).Fleet())
 	}
 	i.voterSet = f
 	return nil
@@ -350,7 +350,7 @@
 
 // keep appends and syncs one founding.
 func (n *Node) persistVoterSet(f *fb.FoundingT) error {
-	if err := n.storage.log.Append(wire.Founding(f)); err != nil {
+	if err := n.storage.log.Append(codec.PackFounding(f)); err != nil {
 		return err
 	}
 	return n.storage.log.Sync()
@@ -360,15 +360,15 @@
 // with a ring without room would stop at its first record.
 func (n *Node) checkpointIfFull(image *diskImage) error {
 	log := n.storage.log
-	if log.Used() <= checkpointAtPermille || image.voterSet == nil || !containsDisk(image.voterSet, n.settings.Name, image.incarnation) {
+	if log.UsedPermille() <= checkpointAtPermille || image.voterSet == nil || !containsDisk(image.voterSet, n.settings.Name, image.incarnation) {
 		return nil
 	}
 	node := n.newVoter(image.voterSet, image.incarnation, image.records)
 	founding := *image.voterSet
 	founding.Inc = image.incarnation
-	parts := [][]byte{wire.Founding(&founding)}
+	parts := [][]byte{codec.PackFounding(&founding)}
 	for _, rec := range node.Checkpoint() {
-		parts = append(parts, wire.Rec(rec))
+		parts = append(parts, codec.PackRecord(rec))
 	}
 	if err := log.Checkpoint(parts); err != nil {
 		return fmt.Errorf("restating the state: %w", err)
@@ -384,7 +384,7 @@
 		n.addKnownAddrs(image.knownAddrs)
 	}
 	n.records = image.records
-	used := n.storage.log.Used()
+	used := n.storage.log.UsedPermille()
 	n.storage.usedPermille.Store(int64(used))
 	n.daemon.Log.Info("ring_open", "records", image.recordCount, "used_permille", used, "inc", image.incarnation)
 }
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -25,14 +25,14 @@
 	n.startLoops()
 	n.voting.Store(true)
 	n.daemon.SetReady("")
-	why, ok := taskgroup.Wait(ctx, n.stopReason)
+	why, ok := taskgroup.Receive(ctx, n.stopReason)
 	n.voting.Store(false)
 	if ok && !errors.Is(why, errRetired) {
 		n.markDiskUnusable(why)
 		n.stepDown(ctx)
 	}
 	n.voterGroup.Stop()
-	taskgroup.Wait(ctx, n.storage.writerDone) // a stalled operation may still be under way
+	taskgroup.Receive(ctx, n.storage.writerDone) // a stalled operation may still be under way
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -44,17 +44,17 @@
 	p := quorum.Defaults(n.settings.Name, inc)
 	p.EraTerm, p.Eras, p.Term = n.settings.GenerationDuration, n.settings.OpenGenerations, n.settings.LeaseDuration
 	p.Limit = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / 4)
-	return quorum.New(p, wire.Unroster(f), clock.Now(), recs)
+	return quorum.New(p, codec.UnpackVoterSet(f), clock.Now(), recs)
 }
 
 func (n *Node) startLoops() {
 	tick := quorum.Defaults("", 0).Beat / 4
 	n.voterGroup.Go("voter", func(ctx context.Context) {
-		taskgroup.Serve(ctx, n.commands, clock.Micros(tick), func(f func(int64)) { f(clock.Now()) }, n.tickVoter)
+		taskgroup.Serve(ctx, n.commands, clock.Duration(tick), func(f func(int64)) { f(clock.Now()) }, n.tickVoter)
 	})
-	n.voterGroup.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(probeInterval), n.probeSilentVoters) })
-	n.voterGroup.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(planInterval), n.refreshPlan) })
-	n.voterGroup.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(sessionsInterval), n.broadcastSessions) })
+	n.voterGroup.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(probeInterval), n.probeSilentVoters) })
+	n.voterGroup.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(planInterval), n.refreshPlan) })
+	n.voterGroup.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(sessionsInterval), n.broadcastSessions) })
 }
 
 const (
@@ -94,7 +94,7 @@
 // tellRoll tells the other voters of this node's sessions.
 func (n *Node) broadcastSessions(context.Context) {
 	m := &fb.FrameT{RollTell: n.sessions.Announcement(clock.Now())}
-	taskgroup.Offer(n.commands, func(int64) {
+	taskgroup.TrySend(n.commands, func(int64) {
 		for _, v := range n.voter.Roster().Voters {
 			n.sendTo(v.Name, m)
 		}
@@ -105,12 +105,12 @@
 // wait for the disk are given up with them.
 func (n *Node) stepDown(ctx context.Context) {
 	done := make(chan struct{})
-	if taskgroup.Give(ctx, n.commands, func(now int64) {
+	if taskgroup.Send(ctx, n.commands, func(now int64) {
 		n.processReady(n.voter.StepDown(now))
 		close(done)
 	}) {
-		taskgroup.Wait(ctx, done)
-		taskgroup.Pause(ctx, stepDownGrace)
+		taskgroup.Receive(ctx, done)
+		taskgroup.Sleep(ctx, stepDownGrace)
 	}
 }
 
@@ -123,14 +123,14 @@
 	}
 	n.queueRecords(o.Recs)
 	if o.Roster != nil {
-		f := wire.Roster(*o.Roster, n.Incarnation())
+		f := codec.PackVoterSet(*o.Roster, n.Incarnation())
 		n.voterSet.Store(f)
 		if !n.isVoter(f) {
 			n.stopVoter(errRetired)
 		}
 	}
 	for _, s := range o.Sends {
-		n.sendTo(s.To, wire.Settle(s.Msg))
+		n.sendTo(s.To, codec.PackMessage(s.Msg))
 	}
 	for _, a := range o.Answers {
 		if ch := n.results[a.ID]; ch != nil {
@@ -154,10 +154,10 @@
 	if ch == nil {
 		ch = make(chan *fb.FrameT, 4096)
 		n.senders[v.Addr] = ch
-		p := n.peers.At(v.Addr)
+		p := n.peers.Get(v.Addr)
 		n.voterGroup.Go("peer", func(ctx context.Context) {
 			for {
-				m, ok := taskgroup.Wait(ctx, ch)
+				m, ok := taskgroup.Receive(ctx, ch)
 				if !ok {
 					return
 				}
@@ -165,13 +165,13 @@
 			}
 		})
 	}
-	taskgroup.Offer(ch, m)
+	taskgroup.TrySend(ch, m)
 }
 
 // do starts an operation here and waits for its answer.
 func (n *Node) propose(ctx context.Context, op quorum.Op) (quorum.Answer, bool) {
 	ch := make(chan quorum.Answer, 1)
-	if !taskgroup.Give(ctx, n.commands, func(now int64) {
+	if !taskgroup.Send(ctx, n.commands, func(now int64) {
 		n.lastOperation++
 		op.ID = n.lastOperation
 		n.results[op.ID] = ch
@@ -179,5 +179,5 @@
 	}) {
 		return quorum.Answer{}, false
 	}
-	return taskgroup.Wait(ctx, ch)
+	return taskgroup.Receive(ctx, ch)
 }
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/quorum"
 	"violetthread/wal"
 )
@@ -31,9 +31,9 @@
 	}
 	b := batch{records: make([][]byte, 0, len(recs))}
 	for _, rec := range recs {
-		b.records = append(b.records, wire.Rec(rec))
+		b.records = append(b.records, codec.PackRecord(rec))
 	}
-	if !taskgroup.Offer(n.storage.pending, b) {
+	if !taskgroup.TrySend(n.storage.pending, b) {
 		n.storage.recordsLost = true
 		n.stopVoter(errBacklog)
 	}
@@ -84,7 +84,7 @@
 	var batches []batch
 	pending := w.node.storage.pending
 	if !w.checkpointing {
-		b, ok := taskgroup.Wait(ctx, pending)
+		b, ok := taskgroup.Receive(ctx, pending)
 		if !ok {
 			return nil, false
 		}
@@ -112,12 +112,12 @@
 	}
 	st := &w.node.storage
 	st.syncedRecords.Add(count)
-	st.usedPermille.Store(int64(w.log.Used()))
-	if w.log.Used() > checkpointAtPermille && !w.checkpointing {
+	st.usedPermille.Store(int64(w.log.UsedPermille()))
+	if w.log.UsedPermille() > checkpointAtPermille && !w.checkpointing {
 		st.checkpointWanted.Store(true)
 	}
 	// A word that finds no room is not missed: each tick looks as well.
-	taskgroup.Offer(w.node.commands, w.node.recordsSynced)
+	taskgroup.TrySend(w.node.commands, w.node.recordsSynced)
 	return nil
 }
 
@@ -136,11 +136,11 @@
 func (w *writer) beginCheckpoint(state []quorum.Rec) error {
 	founding := *w.node.voterSet.Load()
 	founding.Inc = w.node.Incarnation()
-	if err := w.log.Begin(); err != nil {
+	if err := w.log.BeginCheckpoint(); err != nil {
 		return err
 	}
 	w.remaining, w.checkpointing = state, true
-	return w.log.Part([][]byte{wire.Founding(&founding)})
+	return w.log.AppendCheckpoint([][]byte{codec.PackFounding(&founding)})
 }
 
 func (w *writer) continueCheckpoint() error {
@@ -150,9 +150,9 @@
 	count := min(len(w.remaining), checkpointPartRecords)
 	part := make([][]byte, 0, count)
 	for _, rec := range w.remaining[:count] {
-		part = append(part, wire.Rec(rec))
+		part = append(part, codec.PackRecord(rec))
 	}
-	if err := w.log.Part(part); err != nil {
+	if err := w.log.AppendCheckpoint(part); err != nil {
 		return err
 	}
 	if w.remaining = w.remaining[count:]; len(w.remaining) > 0 {
@@ -162,11 +162,11 @@
 }
 
 func (w *writer) endCheckpoint() error {
-	if err := w.log.End(); err != nil {
+	if err := w.log.EndCheckpoint(); err != nil {
 		return err
 	}
 	w.checkpointing = false
-	w.node.daemon.Log.Info("checkpoint", "used_permille", w.log.Used())
+	w.node.daemon.Log.Info("checkpoint", "used_permille", w.log.UsedPermille())
 	w.node.storage.checkpointWanted.Store(false)
 	w.node.storage.checkpointQueued.Store(false)
 	return nil
@@ -181,7 +181,7 @@
 	n.processReady(n.voter.Synced(now, st.syncedRecords.Load()))
 	if st.checkpointWanted.Load() && st.checkpointQueued.CompareAndSwap(false, true) {
 		// Behind all records that the state follows from.
-		if !taskgroup.Offer(st.pending, batch{checkpoint: n.voter.Checkpoint()}) {
+		if !taskgroup.TrySend(st.pending, batch{checkpoint: n.voter.Checkpoint()}) {
 			st.checkpointQueued.Store(false)
 		}
 	}
--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/schema/fb"
 )
 
@@ -57,8 +57,8 @@
 		if urgent || left <= 0 {
 			return true
 		}
-		wait, stop := context.WithTimeout(ctx, clock.Micros(left))
-		taskgroup.Wait(wait, changed)
+		wait, stop := context.WithTimeout(ctx, clock.Duration(left))
+		taskgroup.Receive(wait, changed)
 		stop()
 		if ctx.Err() != nil {
 			return false
@@ -120,7 +120,7 @@
 // ageSince is the age of what was read at a time, or wire.NeverRead.
 func ageSince(now, at int64) int64 {
 	if at == 0 {
-		return wire.NeverRead
+		return codec.AgeNeverRead
 	}
 	return now - at
 }
--- a/internal/app/directory/conduct.go
+++ b/internal/app/directory/conduct.go
@@ -159,7 +159,7 @@
 	if lease.ExpiresAt-now > term*2/3 {
 		return true
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(800_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(800_000))
 	defer stop()
 	a := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpHold), Key: WeightsRoleKey, Holder: role.leaderID, Term: term})
 	if quorum.Status(a.Status) != quorum.Done {
@@ -183,7 +183,7 @@
 
 // order sends an order that was decided under the lease with this fence.
 func (d *Directory) sendUpdate(ctx context.Context, o rollout.UpdateRequest, fence uint64) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(rollout.RequestTimeout))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(rollout.RequestTimeout))
 	defer stop()
 	role := d.role
 	permit := func() error { return role.lease.Load().Permit(clock.Now(), fence) }
@@ -204,7 +204,7 @@
 
 // inspect asks a turning engine itself: the platform's list comes late.
 func (d *Directory) inspect(ctx context.Context, e rollout.Engine) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(500_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(500_000))
 	defer stop()
 	w, busy, err := d.platform.RunningWeights(ctx, e.Addr)
 	if err != nil || busy {
--- a/internal/app/directory/conduct_test.go
+++ b/internal/app/directory/conduct_test.go
@@ -86,7 +86,7 @@
 	p.underWay.Add(1)
 	defer p.underWay.Add(-1)
 	for !p.release() {
-		taskgroup.Pause(context.Background(), 100)
+		taskgroup.Sleep(context.Background(), 100)
 	}
 	return ResultStarted
 }
@@ -157,7 +157,7 @@
 	d.role.lease.Store(&rollout.Lease{FencingToken: 1, ExpiresAt: clock.Now() + 60_000_000})
 	d.sendUpdates([]rollout.UpdateRequest{{Engine: "i-1"}}, 1)
 	for platform.underWay.Load() == 0 {
-		taskgroup.Pause(t.Context(), 100)
+		taskgroup.Sleep(t.Context(), 100)
 	}
 	d.Leave(t.Context())
 	if !freed {
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -88,7 +88,7 @@
 func New(group *taskgroup.Group, s Settings, control Control, platform Platform) *Directory {
 	t := newDirectory(group, s, control, platform)
 	every := func(name string, us int64, f func(context.Context)) {
-		group.Go(name, func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(us), f) })
+		group.Go(name, func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(us), f) })
 	}
 	every("directory.registers", firstRefreshInterval, t.refreshDue)
 	every("directory.list", listPollInterval, t.refreshList)
--- a/internal/app/directory/list.go
+++ b/internal/app/directory/list.go
@@ -7,7 +7,7 @@
 	"sort"
 
 	"violetthread/internal/clock"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/schema/fb"
 )
 
@@ -35,7 +35,7 @@
 	if now-at < d.settings.ListInterval+place*listStagger {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(900_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(900_000))
 	defer stop()
 	if l, err := d.platform.ListEngines(ctx); err == nil {
 		d.adoptList(now, l)
@@ -64,7 +64,7 @@
 	}
 	a := f.MapTell
 	d.mu.Lock()
-	d.namings.Take(wire.Namings(a, at))
+	d.namings.Take(codec.UnpackVersionAges(a, at))
 	d.mu.Unlock()
 	if !a.Whole {
 		d.mu.Lock()
@@ -78,7 +78,7 @@
 			continue
 		}
 		l = append(l, Engine{ID: e.Id, Pool: e.Pool, Addr: e.Addr, Zone: e.Site, Draining: e.Draining,
-			Slots: int(e.Slots), Weights: wire.Weights(e.Weights)})
+			Slots: int(e.Slots), Weights: codec.UnpackWeights(e.Weights)})
 	}
 	if d.adoptList(at-a.ListAge, l) {
 		d.firstIncarnation, d.firstRevision = a.Inc, a.Map
--- a/internal/app/directory/news.go
+++ b/internal/app/directory/news.go
@@ -82,7 +82,7 @@
 
 func (r *eventReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		q, stop := context.WithTimeout(ctx, clock.Micros(eventPollTimeout+400_000))
+		q, stop := context.WithTimeout(ctx, clock.Duration(eventPollTimeout+400_000))
 		p, err := r.directory.platform.CacheEvents(q, r.addr, r.cursor, eventPollTimeout)
 		stop()
 		if ctx.Err() != nil {
@@ -102,7 +102,7 @@
 			r.directory.notify()
 		}
 		r.directory.mu.Unlock()
-		if !taskgroup.Pause(ctx, eventPollPause) {
+		if !taskgroup.Sleep(ctx, eventPollPause) {
 			return
 		}
 	}
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -82,7 +82,7 @@
 // read reads one register, and hands a new value to take, with the earliest time at which
 // it can have come there.
 func (d *Directory) readRegister(ctx context.Context, key string, r *register, take func(val []byte, rev uint64, since int64)) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(700_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(700_000))
 	defer stop()
 	d.mu.Lock()
 	have := r.revision
--- a/internal/e2e/core_test.go
+++ b/internal/e2e/core_test.go
@@ -42,7 +42,7 @@
 		names = append(names, string(rune('a'+i)))
 		c.machine(names[i])
 		if i < 3 {
-			c.seeds = append(c.seeds, c.m[names[i]].s.Wire)
+			c.seeds = append(c.seeds, c.m[names[i]].s.TransportAddr)
 		}
 	}
 	for _, n := range names {
@@ -60,7 +60,7 @@
 
 func (c *core) machine(name string) {
 	s := control.Defaults()
-	s.Name, s.Site, s.HTTP, s.Wire, s.Data, s.Drain = name, "north", c.port(), c.port(), c.t.TempDir(), 0
+	s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.DataDir, s.DrainUS = name, "north", c.port(), c.port(), c.t.TempDir(), 0
 	s.LogSegments, s.LogSegmentBytes, s.OperationTimeout = 16, 2<<20, 2_500_000
 	m := &machine{s: s, disk: newSick(nil)}
 	m.s.Disk = func(fs wal.FS) wal.FS {
@@ -116,7 +116,7 @@
 }
 
 func (c *core) wipe(name string) {
-	if err := os.RemoveAll(c.m[name].s.Data); err != nil {
+	if err := os.RemoveAll(c.m[name].s.DataDir); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -132,7 +132,7 @@
 		case <-end:
 			for n, m := range c.m {
 				if m.node != nil {
-					c.t.Logf("%s: up %v, %s", n, m.node.Voting(), c.fleet(m.s.HTTP))
+					c.t.Logf("%s: up %v, %s", n, m.node.Voting(), c.fleet(m.s.HTTPAddr))
 				}
 			}
 			c.t.Fatalf("waited in vain until %s", what)
@@ -152,7 +152,7 @@
 		for _, n := range names {
 			in := false
 			for _, a := range x.VoterAddrs() {
-				in = in || a == c.m[n].s.Wire
+				in = in || a == c.m[n].s.TransportAddr
 			}
 			if !in {
 				return false
--- a/internal/e2e/disk_test.go
+++ b/internal/e2e/disk_test.go
@@ -20,7 +20,7 @@
 
 // page is what a machine's HTTP interface answers to a path.
 func (c *core) page(name, path string) (int, string) {
-	a, err := http.Get("http://" + c.m[name].s.HTTP + path)
+	a, err := http.Get("http://" + c.m[name].s.HTTPAddr + path)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -31,7 +31,7 @@
 
 func (c *core) diskState(name string) control.DiskStatus {
 	var f control.FleetStatus
-	_ = json.Unmarshal([]byte(c.fleet(c.m[name].s.HTTP)), &f)
+	_ = json.Unmarshal([]byte(c.fleet(c.m[name].s.HTTPAddr)), &f)
 	return f.Disk
 }
 
@@ -50,7 +50,7 @@
 // ownsNothing tells whether no slot has this owner, as another machine sees it.
 func (c *core) ownsNothing(name, seenBy string) bool {
 	var f control.FleetStatus
-	if json.Unmarshal([]byte(c.fleet(c.m[seenBy].s.HTTP)), &f) != nil || len(f.Slots) == 0 {
+	if json.Unmarshal([]byte(c.fleet(c.m[seenBy].s.HTTPAddr)), &f) != nil || len(f.Slots) == 0 {
 		return false
 	}
 	for _, s := range f.Slots {
@@ -219,7 +219,7 @@
 	m.node = nil
 	m.disk.turn("")
 	c.until("it is back", time.Now(), func() bool {
-		if m.node == nil || m.node.Daemon().Failed() != nil {
+		if m.node == nil || m.node.Daemon().Failure() != nil {
 			c.kill("a")
 			c.start("a", false)
 		}
@@ -229,7 +229,7 @@
 
 // ringFile is a file of a machine's ring.
 func (c *core) ringFile(name string, index int) string {
-	return filepath.Join(c.m[name].s.Data, "ring", fmt.Sprintf("ring-%03d", index))
+	return filepath.Join(c.m[name].s.DataDir, "ring", fmt.Sprintf("ring-%03d", index))
 }
 
 // TestLostMedium: a disk that comes back without what it had confirmed is not trusted
@@ -326,7 +326,7 @@
 	other.putSoon("a", "plan", "foreign")
 	inc := c.m["c"].node.Incarnation()
 	for name, seeds := range map[string][]string{
-		"itself":        {c.m["c"].s.Wire},
+		"itself":        {c.m["c"].s.TransportAddr},
 		"dead":          {c.port(), c.port()},
 		"another fleet": other.seeds,
 	} {
@@ -354,7 +354,7 @@
 		t.Run("blank, "+name, func(t *testing.T) {
 			c.machine("blank")
 			if c.seeds = seeds; seeds == nil {
-				c.seeds = []string{c.m["blank"].s.Wire}
+				c.seeds = []string{c.m["blank"].s.TransportAddr}
 			}
 			c.start("blank", false)
 			c.until("it says what to do", time.Now(), func() bool {
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -22,7 +22,7 @@
 	c := newCore(t, 3)
 	c.until("the fleet is whole", time.Now(), func() bool { return c.whole("a", "b", "c") })
 	c.kill("a")
-	c.m["a"].s.Drain = 1_000_000
+	c.m["a"].s.DrainUS = 1_000_000
 	c.start("a", false)
 	c.until("it is back", time.Now(), func() bool { return c.whole("a", "b", "c") })
 	c.put("b", "plan", "v1")
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -18,9 +18,9 @@
 	"violetthread/hint"
 	"violetthread/internal/app/directory"
 	"violetthread/internal/app/proxy"
-	"violetthread/internal/base"
-	"violetthread/internal/link"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/platform"
 	"violetthread/route"
 	"violetthread/schema/fb"
@@ -41,7 +41,7 @@
 	for _, l := range ls {
 		a := l.Addr().String()
 		s.addrs = append(s.addrs, a)
-		link.Serve(c, l, func(ctx context.Context, f *fb.FrameT) *fb.FrameT { return s.answer(ctx, a, f) })
+		transport.Serve(c, l, func(ctx context.Context, f *fb.FrameT) *fb.FrameT { return s.answer(ctx, a, f) })
 	}
 	return s
 }
@@ -268,11 +268,11 @@
 	sub := flaggy.NewSubcommand("run")
 	p := flaggy.NewParser("scale")
 	p.AttachSubcommand(sub, 1)
-	base.Flags(sub, &s)
+	daemon.DeclareFlags(sub, &s)
 	if err := p.ParseArgs([]string{"run", "--proxies", "0", "--engines", "many", "--role", "nobody", "--list", "here", "--seconds", "90", "--control-pids", "7,x", "--wires", "127.0.0.1:1"}); err != nil {
 		t.Fatal(err)
 	}
-	err := base.Fill(&s, base.Given(&s))
+	err := daemon.FillSettings(&s, daemon.DeclaredFlags(&s))
 	if err == nil {
 		t.Fatal("it was taken")
 	}
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -9,7 +9,7 @@
 	"violetthread/dispatch"
 	"violetthread/hint"
 	"violetthread/index"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/quorum"
@@ -73,7 +73,7 @@
 	w := NewWorld(seed)
 	f := &Fleet{W: w, Core: NewCore(w, 4), side: map[*Registrar]*side{}}
 	f.Core.era = 4_000_000
-	f.Core.rings = wal.Plan{Files: 16, Size: 64 << 10}
+	f.Core.rings = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
 	f.judge = newJudge(f)
 	f.Platform = w.NewHost("platform", "north", func() {})
 	f.Platform.Start()
@@ -263,7 +263,7 @@
 	k := c.k
 	f.beat(c.Host, &c.m, func() *fb.NodeT {
 		n := &fb.NodeT{Name: c.Name, Role: "custodian", Site: c.Site, Addr: c.Name, Inc: inc, Ready: !c.leaving}
-		return wire.TellIndexNode(k, c.Clock(), n)
+		return codec.AddIndexNodeStatus(k, c.Clock(), n)
 	}, nil)
 	c.Every(200_000, func() {
 		at := c.Clock()
@@ -279,7 +279,7 @@
 		if c.m.held.Plan != nil {
 			k.Plan(c.m.held.Plan, c.m.held.At)
 		}
-		cs, me := wire.Custodians(c.m.nodes, c.Name)
+		cs, me := codec.ReadyIndexNodes(c.m.nodes, c.Name)
 		if !me && !c.leaving {
 			return
 		}
@@ -316,7 +316,7 @@
 // room answers an agent, or passes its question on to the index node that it is for.
 func (c *Custodian) room(q *fb.RoomAskT, reply func(*fb.RoomTellT)) {
 	if q.To == "" || q.To == c.Name {
-		reply(wire.RoomTell(c.k, c.Clock(), c.Name, q))
+		reply(codec.AnswerCapacity(c.k, c.Clock(), c.Name, q))
 		return
 	}
 	if o := c.f.custodian(q.To); o != nil {
@@ -353,7 +353,7 @@
 }
 
 func (c *Custodian) news(k *index.Keeper) {
-	cs, _ := wire.Custodians(c.m.nodes, c.Name)
+	cs, _ := codec.ReadyIndexNodes(c.m.nodes, c.Name)
 	for _, p := range cs {
 		o := c.f.custodian(p.Name)
 		if o == nil || c.f.W.Rng.Intn(1000) < c.f.MuteNews {
@@ -361,21 +361,21 @@
 		}
 		ask := func(q *fb.NewsAskT, got func(*fb.NewsTellT)) {
 			q.From = c.Name
-			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(wire.NewsTell(o.k, q)) }, got, func() {})
+			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(codec.AnswerUpdates(o.k, q)) }, got, func() {})
 		}
 		if mine := k.MyShards(c.Clock()); len(mine) > 0 {
 			cur := k.HoldsCursor(p.Name)
-			ask(&fb.NewsAskT{Kind: wire.HoldsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
 				if k.HoldsCursor(p.Name) == cur {
-					wire.TakeHolds(k, c.Clock(), p.Name, t)
+					codec.ApplyHoldings(k, c.Clock(), p.Name, t)
 				}
 			})
 		}
 		for _, s := range k.MySites() {
 			cur := *k.SiteCursor(s, p.Name)
-			ask(&fb.NewsAskT{Kind: wire.SiteFeed, Site: s, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
 				if *k.SiteCursor(s, p.Name) == cur {
-					k.SiteNews(s, p.Name, index.ShardsOf(p), wire.Batch(t))
+					k.SiteNews(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
 				}
 			})
 		}
@@ -438,7 +438,7 @@
 	d      *dispatch.Desk
 	held   plan.Held
 	table  *hint.Table
-	cur    wire.Cursor
+	cur    codec.Cursor
 	inc    uint64
 	refs   uint64
 	calls  map[uint64]*send
@@ -464,10 +464,10 @@
 func (p *Proxy) start() {
 	f := p.f
 	p.inc = uint64(f.W.Rng.Int63()) >> 24
-	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Held{}, hint.NewTable(4096), wire.Cursor{}, map[uint64]*send{}
+	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Held{}, hint.NewTable(4096), codec.Cursor{}, map[uint64]*send{}
 	d := p.d
 	p.Every(100_000, func() {
-		q := wire.FeedAsk(d, &fb.FeedAskT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Site: p.Site, Inc: p.inc, Ready: true},
+		q := codec.FillFeedRequest(d, &fb.FeedAskT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Site: p.Site, Inc: p.inc, Ready: true},
 			Have: p.held.Rev, NewsInc: p.cur.Inc, NewsSince: p.cur.Next})
 		at := p.Clock()
 		r := p.runner
@@ -483,8 +483,8 @@
 			if p.held.Plan != nil {
 				p.carry(d.Plan(p.Clock(), p.held.Plan, p.held.At))
 			}
-			p.carry(d.Orders(p.Clock(), wire.Orders(t.Orders, p.Clock()-at)))
-			p.cur = wire.TakeNews(p.table, p.cur, t)
+			p.carry(d.Orders(p.Clock(), codec.UnpackGrants(t.Orders, p.Clock()-at)))
+			p.cur = codec.ApplyUpdates(p.table, p.cur, t)
 			f.callerEra = max(f.callerEra, t.Era)
 		}, func() {})
 	})
