--- a/cmd/dealer/views.go
+++ b/cmd/dealer/views.go
@@ -23,7 +23,7 @@
 type row map[string]any
 
 // fleet asks a registrar for the members.
-func (t *tool) fleet() (f control.Fleet, err error) {
+func (t *tool) fleet() (f control.FleetStatus, err error) {
 	r, b, err := t.do(http.MethodGet, "/v1/fleet", nil)
 	if err != nil {
 		return f, err
@@ -87,8 +87,8 @@
 	for i := 0; i < index.Shards; i++ {
 		r := row{"shard": i, "owner": "nobody"}
 		for _, n := range f.Nodes {
-			if slices.Contains(n.Duties, index.ShardDuty(i)) {
-				r["owner"], r["site"] = n.Name, n.Site
+			if slices.Contains(n.SingletonRoles, index.ShardDuty(i)) {
+				r["owner"], r["site"] = n.Name, n.Zone
 			}
 		}
 		rows = append(rows, r)
@@ -107,7 +107,7 @@
 		if n.Role != "remisier" {
 			continue
 		}
-		r := row{"proxy": n.Name, "site": n.Site, "ready": n.Ready}
+		r := row{"proxy": n.Name, "site": n.Zone, "ready": n.Ready}
 		b, err := t.ask(n.HTTP, "/metrics")
 		if err != nil {
 			r["problem"] = "does not answer: " + err.Error()
--- a/internal/app/control/storage_test.go
+++ b/internal/app/control/storage_test.go
@@ -17,15 +17,15 @@
 func TestRoomAtStart(t *testing.T) {
 	s := Defaults()
 	s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.DataDir = "a", "north", "127.0.0.1:0", "127.0.0.1:0", t.TempDir()
-	s.RingFiles, s.RingBytes = 8, 64<<10
-	node, err := Make(s)
+	s.LogSegments, s.LogSegmentBytes = 8, 64<<10
+	node, err := NewNode(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	node.Daemon().Group.Stop()
 	node.closeStorage()
 
-	log, _, err := wal.Open(node.storage.fs, wal.Config{SegmentCount: s.RingFiles, SegmentBytes: s.RingBytes})
+	log, _, err := wal.Open(node.storage.fs, wal.Config{SegmentCount: s.LogSegments, SegmentBytes: s.LogSegmentBytes})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +55,10 @@
 	if err != nil {
 		t.Fatalf("a ring that is %d records full does not open: %v", written, err)
 	}
-	if used := node.storage.log.UsedPermille(); used > tightAt {
+	if used := node.storage.log.UsedPermille(); used > tightAtPermille {
 		t.Fatalf("%d thousandths are used after the start", used)
 	}
-	if err := node.keep(founding); err != nil {
+	if err := node.persistVoterSet(founding); err != nil {
 		t.Fatal(err)
 	}
 	again, err := node.storage.log.Reopen()
@@ -66,11 +66,11 @@
 		t.Fatal(err)
 	}
 	after, err := decodeImage(again)
-	if err != nil || after.inc != image.inc || after.founding == nil {
+	if err != nil || after.incarnation != image.incarnation || after.voterSet == nil {
 		t.Fatalf("%+v, %v", after, err)
 	}
-	before := node.newVoter(image.founding, image.inc, image.recs).Slots(0)
-	for i, slot := range node.newVoter(after.founding, after.inc, after.recs).Slots(0) {
+	before := node.newVoter(image.voterSet, image.incarnation, image.records).Slots(0)
+	for i, slot := range node.newVoter(after.voterSet, after.incarnation, after.records).Slots(0) {
 		if slot.Count != before[i].Count || slot.Mark != before[i].Mark {
 			t.Fatalf("slot %d has %+v, had %+v", i, slot, before[i])
 		}
