--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -98,7 +98,7 @@
 	}
 	if a.Whole || q.Node == nil {
 		a.Named = t.named(now)
-		a.NamedEpoch = t.namings.Epoch()
+		a.NamedEpoch = t.namings.Term()
 	}
 	a.NamedAge = ageSince(now, min(t.weights.at, t.rollout.at))
 	if q.Node == nil {
@@ -139,7 +139,7 @@
 	}
 	if t.table != nil {
 		for _, p := range t.table.Stores() {
-			out = append(out, &fb.MapEngineT{Id: storeID(p.Store), Addr: p.Store, Site: p.Site, Store: true, Down: down(storeID(p.Store))})
+			out = append(out, &fb.MapEngineT{Id: storeID(p.StoreAddr), Addr: p.StoreAddr, Site: p.Zone, Store: true, Down: down(storeID(p.StoreAddr))})
 		}
 	}
 	return out
--- a/internal/app/directory/conduct.go
+++ b/internal/app/directory/conduct.go
@@ -109,7 +109,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for model, version := range t.newest {
-		at, _ := t.namings.At(model, version)
+		at, _ := t.namings.AnnouncedAt(model, version)
 		t.duty.conductor.Name(model, version, at)
 	}
 	engines := map[string]rollout.Engine{}
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -68,7 +68,7 @@
 	table        *route.Table
 	state        rollout.State
 	newest       map[string]uint64 // newest version named of each model
-	namings      route.Namings
+	namings      route.Announcements
 
 	listed []Listed
 	listAt int64
--- a/internal/app/directory/list.go
+++ b/internal/app/directory/list.go
@@ -64,7 +64,7 @@
 	}
 	a := f.MapTell
 	t.mu.Lock()
-	t.namings.Take(wire.Namings(a, at))
+	t.namings.Merge(wire.Namings(a, at))
 	t.mu.Unlock()
 	if !a.Whole {
 		t.mu.Lock()
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -50,15 +50,15 @@
 // takeWeights takes in a new value of the register of weights, which it has had since the
 // given time at the earliest. Called under the lock.
 func (t *Directory) takeWeights(val []byte, _ uint64, since int64) {
-	doc, err := route.ReadWeights(val)
+	doc, err := route.DecodeWeights(val)
 	if err != nil {
 		return
 	}
 	t.newest = newestOf(doc)
 	for _, m := range doc.Models {
 		for _, version := range m.Versions[max(0, len(m.Versions)-namedKept):] {
-			if _, known := t.namings.At(m.Model, version); !known {
-				t.namings.Hear(m.Model, version, since)
+			if _, known := t.namings.AnnouncedAt(m.Model, version); !known {
+				t.namings.Observe(m.Model, version, since)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 // takeDuty takes in that the duty of weights changed hands. Called under the lock.
 func (t *Directory) takeDuty(_ []byte, rev uint64, since int64) {
 	if rev > 1 { // the first holder followed nobody
-		t.namings.Begin(rev, since-unsettledFor)
+		t.namings.StartTerm(rev, since-unsettledFor)
 	}
 }
 
@@ -115,10 +115,10 @@
 }
 
 // newestOf is the newest named version of each model.
-func newestOf(d *route.WeightsDoc) map[string]uint64 {
+func newestOf(d *route.WeightVersions) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, m := range d.Models {
-		out[m.Model] = d.Newest(m.Model)
+		out[m.Model] = d.Latest(m.Model)
 	}
 	return out
 }
