--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -20,9 +20,9 @@
 	"violetthread/attempt"
 	"violetthread/dispatch"
 	"violetthread/hint"
-	"violetthread/internal/base"
 	"violetthread/internal/callerapi"
 	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/internal/taskgroup"
 	"violetthread/plan"
@@ -132,7 +132,7 @@
 		r.refuse(w, http.StatusServiceUnavailable, "claim-unavailable", 1_000_000)
 		return
 	}
-	base.JSON(w, http.StatusOK, callerapi.Era{Era: e})
+	daemon.WriteJSON(w, http.StatusOK, callerapi.Era{Era: e})
 }
 
 // refuse answers a ticket that was turned away before anything was queued.
@@ -143,12 +143,12 @@
 	if back > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((back+999_999)/1_000_000, 10))
 	}
-	base.JSON(w, status, callerapi.Frame{Frame: "refused", Era: r.era.Load(), Reason: reason, Remedy: callerapi.Remedy(reason), RetryAfterUS: back})
+	daemon.WriteJSON(w, status, callerapi.Frame{Frame: "refused", Era: r.era.Load(), Reason: reason, Remedy: callerapi.Remedy(reason), RetryAfterUS: back})
 }
 
 func (r *remisier) ticketHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.Method != http.MethodPost {
-		base.JSON(w, http.StatusMethodNotAllowed, base.Wrong{Reason: "no-such-method", Remedy: "use POST"})
+		daemon.WriteJSON(w, http.StatusMethodNotAllowed, daemon.ErrorResponse{Reason: "no-such-method", Remedy: "use POST"})
 		return
 	}
 	arrived := clock.Now()
@@ -194,7 +194,7 @@
 		return
 	}
 	// A caller that reads too slowly is cut off a little after the due.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Micros(t.DueUS + 2_000_000)))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Duration(t.DueUS + 2_000_000)))
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.Header().Set("X-Ticket-Id", x.ID)
 	c.write(callerapi.Frame{Frame: "accepted", Ticket: x.ID, Node: r.s.Name, Era: r.era.Load()}, false)
@@ -381,7 +381,7 @@
 	}
 	e, ok := p.EntryFor(q.URL.Path)
 	if !ok {
-		base.JSON(w, http.StatusNotFound, base.Wrong{Reason: "no-entry", Remedy: "the plan has no entry for this path; check the path, or have an operator add it"})
+		daemon.WriteJSON(w, http.StatusNotFound, daemon.ErrorResponse{Reason: "no-entry", Remedy: "the plan has no entry for this path; check the path, or have an operator add it"})
 		return
 	}
 	r.plain.Add(1)
@@ -391,7 +391,7 @@
 		r.refuse(w, http.StatusRequestEntityTooLarge, "too-large", 0)
 		return
 	}
-	ctx, stop := context.WithTimeout(q.Context(), clock.Micros(e.DueUS))
+	ctx, stop := context.WithTimeout(q.Context(), clock.Duration(e.DueUS))
 	defer stop()
 	safe := q.Method == http.MethodGet || q.Method == http.MethodHead || q.Method == http.MethodOptions
 	if id := q.Header.Get("X-Ticket-Id"); id != "" && !safe {
@@ -402,7 +402,7 @@
 		}
 		if reason := r.claimPlain(ctx, era, group, id); reason != "" {
 			if reason == "duplicate" || reason == "era-closed" {
-				base.JSON(w, http.StatusConflict, callerapi.Frame{Frame: "unknown", Ticket: id, Reason: reason, Remedy: callerapi.Remedy(reason)})
+				daemon.WriteJSON(w, http.StatusConflict, callerapi.Frame{Frame: "unknown", Ticket: id, Reason: reason, Remedy: callerapi.Remedy(reason)})
 			} else {
 				r.refuse(w, http.StatusServiceUnavailable, reason, 1_000_000)
 			}
@@ -422,7 +422,7 @@
 		case (safe || !sent) && try == 0 && ctx.Err() == nil && r.spend():
 			continue
 		case sent:
-			base.JSON(w, http.StatusBadGateway, callerapi.Frame{Frame: "unknown", Reason: "backend-lost", Remedy: callerapi.Remedy("backend-lost")})
+			daemon.WriteJSON(w, http.StatusBadGateway, callerapi.Frame{Frame: "unknown", Reason: "backend-lost", Remedy: callerapi.Remedy("backend-lost")})
 			return
 		default:
 			r.refuse(w, http.StatusServiceUnavailable, "backend-unreachable", 1_000_000)
@@ -446,7 +446,7 @@
 	done := make(chan string, 1)
 	a := dispatch.Act{Claim: dispatch.ClaimKey(era, group, "plain:"+id), Nonce: fmt.Sprintf("%s/%x/p%d", r.s.Name, r.inc, r.refs.Add(1))}
 	r.d.Group.Go("claim.plain", func(ctx context.Context) { done <- r.claimWord(ctx, a) })
-	s, ok := taskgroup.Wait(ctx, done)
+	s, ok := taskgroup.Receive(ctx, done)
 	if !ok {
 		return "claim-unavailable"
 	}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -18,37 +18,37 @@
 	"violetthread/attempt"
 	"violetthread/dispatch"
 	"violetthread/hint"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
+	"violetthread/internal/codec"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
+	"violetthread/internal/transport"
 	"violetthread/plan"
 	"violetthread/quorum"
+	"violetthread/recording"
+	"violetthread/recording/replay"
 	"violetthread/schema/fb"
-	"violetthread/tape"
-	"violetthread/tape/reel"
 )
 
 // Settings of a remisier.
 type Settings struct {
-	base.Node
+	daemon.NodeSettings
 	Runner string `json:"runner" validate:"required,ipport" help:"loopback IP:port of the runner beside it"`
 	Hints  int    `json:"hints" validate:"min=64,max=16777216" help:"entries in the hint table"`
 	Index  bool   `json:"index" help:"false leaves the hint table unused, to measure what it is worth"`
-	base.Taped
+	daemon.RecordingSettings
 }
 
 // Defaults of the settings.
 func Defaults() Settings {
-	return Settings{Node: base.Node{Drain: 12_000_000}, Hints: 1 << 16, Index: true, Taped: base.TapeDefaults}
+	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 12_000_000}, Hints: 1 << 16, Index: true, RecordingSettings: daemon.RecordingDefaults}
 }
 
 type remisier struct {
 	s      Settings
-	d      *base.Daemon
+	d      *daemon.Daemon
 	inc    uint64
-	agent  *link.Peer
+	agent  *transport.Peer
 	table  *hint.Table
 	engine *http.Client
 	// plan is swapped whole; tickets read it without a lock.
@@ -56,10 +56,10 @@
 	refs   atomic.Uint64
 	era    atomic.Uint64 // newest era of claims known here
 	mu     sync.Mutex
-	desk   *reel.Desk
+	desk   *replay.Dispatcher
 	calls  map[uint64]*call
 	plain  atomic.Int64 // plain calls under way
-	newsAt wire.Cursor
+	newsAt codec.Cursor
 	claims lats
 	spare  attempt.RetryBudget // for calls to app back ends; under mu
 }
@@ -79,12 +79,12 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
-	d := base.Start("remisier", s.Name, s.HTTP, s.Drain)
+func New(s Settings) (*daemon.Daemon, error) {
+	d := daemon.New("remisier", s.Name, s.HTTPAddr, s.DrainUS)
 	// A proxy keeps little and makes much garbage: rarer collections cost it a few
 	// megabytes and save processor time, for which its machines are paid.
 	debug.SetGCPercent(400)
-	if err := d.Profile(s.CPU); err != nil {
+	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
 	var b [8]byte
@@ -93,17 +93,17 @@
 	}
 	r := &remisier{s: s, d: d, inc: binary.LittleEndian.Uint64(b[:])>>24 | 1, table: hint.NewTable(s.Hints), calls: map[uint64]*call{}}
 	r.plan.Store(&plan.Held{})
-	r.desk = &reel.Desk{Desk: dispatch.New(s.Name, s.Site, r.inc)}
-	if s.Tape != "" {
-		w, err := tape.Create(s.Tape, tape.Head{Part: "desk", Name: s.Name, Site: s.Site, Inc: r.inc}, s.TapeBytes)
+	r.desk = &replay.Dispatcher{Desk: dispatch.New(s.Name, s.Zone, r.inc)}
+	if s.Recording != "" {
+		w, err := recording.Create(s.Recording, recording.Header{Component: "desk", Name: s.Name, Zone: s.Zone, Incarnation: r.inc}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
-		w.Full = func() { d.Log.Info("tape_full", "file", s.Tape, "bytes", s.TapeBytes) }
-		r.desk.W = w
+		w.OnFull = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
+		r.desk.Writer = w
 		d.OnStop(func() { _ = w.Close() })
 	}
-	r.agent = link.NewBook(d.Group).At(s.Runner)
+	r.agent = transport.NewPeerPool(d.Group).Get(s.Runner)
 	// No connection is used twice: a broken idle one would leave it open
 	// whether an attempt began (design §6).
 	dial := &net.Dialer{Timeout: 400 * time.Millisecond}
@@ -112,9 +112,9 @@
 	d.Handle("/v1/tickets", r.ticketHTTP)
 	d.Handle("/v1/era", r.eraHTTP)
 	d.HandlePrefix("/", r.entryHTTP)
-	d.Group.Go("feed", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(100_000), r.feed) })
+	d.Group.Go("feed", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(100_000), r.feed) })
 	d.Group.Go("tick", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Micros(dispatch.TickEvery), func(context.Context) {
+		taskgroup.Every(ctx, clock.Duration(dispatch.TickEvery), func(context.Context) {
 			r.step(func(now int64) []dispatch.Act { return r.desk.Tick(now) })
 		})
 	})
@@ -133,10 +133,10 @@
 
 // feed asks the agent for plan, orders and news, and tells it this proxy's need.
 func (r *remisier) feed(ctx context.Context) {
-	q := &fb.FeedAskT{Node: &fb.NodeT{Name: r.s.Name, Role: "remisier", Site: r.s.Site, Http: r.s.HTTP, Inc: r.inc, Ready: r.d.Ready()},
+	q := &fb.FeedAskT{Node: &fb.NodeT{Name: r.s.Name, Role: "remisier", Site: r.s.Zone, Http: r.s.HTTPAddr, Inc: r.inc, Ready: r.d.Ready()},
 		Have: r.plan.Load().Rev, NewsInc: r.newsAt.Inc, NewsSince: r.newsAt.Next}
 	r.mu.Lock()
-	wire.FeedAsk(r.desk.Desk, q)
+	codec.FillFeedRequest(r.desk.Desk, q)
 	r.mu.Unlock()
 	at := clock.Now()
 	f, err := r.agent.Call(ctx, &fb.FrameT{FeedAsk: q}, 500_000)
@@ -175,7 +175,7 @@
 		r.d.Log.Info("plan", "rev", n.Rev, "age_us", n.Age(clock.Now()))
 	}
 	// Ages count from the question: the answer may have been long on its way.
-	os := wire.Orders(t.Orders, clock.Now()-at)
+	os := codec.UnpackGrants(t.Orders, clock.Now()-at)
 	r.step(func(now int64) []dispatch.Act {
 		var acts []dispatch.Act
 		if n.Plan != nil {
@@ -186,7 +186,7 @@
 	if t.Era > r.era.Load() {
 		r.era.Store(t.Era)
 	}
-	r.newsAt = wire.TakeNews(r.table, r.newsAt, t)
+	r.newsAt = codec.ApplyUpdates(r.table, r.newsAt, t)
 }
 
 // carry hands the desk's acts to those who do them. The lock is held, so that
@@ -258,7 +258,7 @@
 // drain lets running tickets finish, then ends the rest explicitly.
 func (r *remisier) drain(ctx context.Context) {
 	for r.load() > 0 {
-		if !taskgroup.Pause(ctx, 20_000) {
+		if !taskgroup.Sleep(ctx, 20_000) {
 			break
 		}
 	}
--- a/internal/wire/desk.go
+++ b/internal/codec/desk.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"slices"
@@ -13,14 +13,14 @@
 
 // The kinds of news feed between index nodes.
 const (
-	HoldsFeed = 1
-	SiteFeed  = 2
-	PushFeed  = 3
+	HoldingsFeed = 1
+	ZoneFeed     = 2
+	PushFeed     = 3
 )
 
 // Custodians picks the ready index nodes out of the members, and tells whether
 // the one named me is among them.
-func Custodians(ns []*fb.NodeT, me string) (cs []index.Custodian, in bool) {
+func ReadyIndexNodes(ns []*fb.NodeT, me string) (cs []index.Custodian, in bool) {
 	for _, n := range ns {
 		if n.Role == "custodian" && n.Ready {
 			in = in || n.Name == me
@@ -32,7 +32,7 @@
 }
 
 // TellIndexNode adds what an index node's session says of its duties and engines.
-func TellIndexNode(k *index.Keeper, now int64, n *fb.NodeT) *fb.NodeT {
+func AddIndexNodeStatus(k *index.Keeper, now int64, n *fb.NodeT) *fb.NodeT {
 	r := k.Reach(now)
 	n.Duties, n.ListStale, n.Silent, n.Reached = k.Duties(now), r.ListStale, r.Silent, r.Reached
 	return n
@@ -41,12 +41,12 @@
 func key(n *fb.NewsT) hint.Key { return hint.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check} }
 
 // Batch unpacks a feed's answer.
-func Batch(t *fb.NewsTellT) hint.Batch {
-	return hint.Batch{Inc: t.Inc, Next: t.Next, Reset: t.Reset, News: News(t.News)}
+func UnpackBatch(t *fb.NewsTellT) hint.Batch {
+	return hint.Batch{Inc: t.Inc, Next: t.Next, Reset: t.Reset, News: UnpackUpdates(t.News)}
 }
 
 // News unpacks hint news.
-func News(ns []*fb.NewsT) []hint.News {
+func UnpackUpdates(ns []*fb.NewsT) []hint.News {
 	return lo.Map(ns, func(n *fb.NewsT, _ int) hint.News { return hint.News{Key: key(n), Node: n.Node, Op: hint.Op(n.Op)} })
 }
 
@@ -57,11 +57,11 @@
 }
 
 // NewsTell answers another index node out of a keeper's feeds.
-func NewsTell(k *index.Keeper, q *fb.NewsAskT) *fb.NewsTellT {
+func AnswerUpdates(k *index.Keeper, q *fb.NewsAskT) *fb.NewsTellT {
 	var b hint.Batch
 	var ps []index.Place
 	switch q.Kind {
-	case HoldsFeed:
+	case HoldingsFeed:
 		b, ps = k.HoldsFeed(q.From, q.Shards, q.Inc, q.Since)
 	case PushFeed:
 		b, ps = k.PushFeed(q.Site, q.Inc, q.Since)
@@ -75,25 +75,25 @@
 }
 
 // TakeHolds gives a keeper the answer of another's holds feed.
-func TakeHolds(k *index.Keeper, now int64, from string, t *fb.NewsTellT) {
-	k.HoldsNews(now, from, Batch(t), Places(t))
+func ApplyHoldings(k *index.Keeper, now int64, from string, t *fb.NewsTellT) {
+	k.HoldsNews(now, from, UnpackBatch(t), UnpackPlaces(t))
 }
 
 // Places unpacks where holders lie.
-func Places(t *fb.NewsTellT) []index.Place {
+func UnpackPlaces(t *fb.NewsTellT) []index.Place {
 	return lo.Map(t.Places, func(x *fb.PlaceT, _ int) index.Place {
 		return index.Place{ID: x.Id, Engine: x.Engine, Site: x.Site, Store: x.Store}
 	})
 }
 
 // Orderer is a keeper, recorded or not.
-type Orderer interface {
+type GrantSource interface {
 	Orders(now int64, a index.Ask) []index.Order
 	ProxyFeed(site string, inc, since uint64) (hint.Batch, bool)
 }
 
 // RoomTell answers a proxy's agent out of a keeper.
-func RoomTell(k Orderer, now int64, name string, q *fb.RoomAskT) *fb.RoomTellT {
+func AnswerCapacity(k GrantSource, now int64, name string, q *fb.RoomAskT) *fb.RoomTellT {
 	a := index.Ask{Proxy: q.Proxy, Site: q.Site, Want: map[string]int{}, Active: int(q.Active)}
 	for _, w := range q.Wants {
 		a.Want[w.Group] += int(w.N)
@@ -127,7 +127,7 @@
 }
 
 // Orders unpacks standing orders; lag is added to the age of each.
-func Orders(os []*fb.OrderT, lag int64) []dispatch.Order {
+func UnpackGrants(os []*fb.OrderT, lag int64) []dispatch.Order {
 	return lo.Map(os, func(o *fb.OrderT, _ int) dispatch.Order {
 		g := map[uint64]int{}
 		for _, x := range o.Grades {
@@ -139,7 +139,7 @@
 }
 
 // FeedAsk packs what a proxy's desk tells its agent.
-func FeedAsk(d *dispatch.Desk, q *fb.FeedAskT) *fb.FeedAskT {
+func FillFeedRequest(d *dispatch.Desk, q *fb.FeedAskT) *fb.FeedAskT {
 	w, a := d.Want()
 	is, seen := d.Report()
 	q.Active = uint32(a)
@@ -165,7 +165,7 @@
 type Cursor struct{ Inc, Next uint64 }
 
 // TakeNews applies a feed's news to a proxy's table, in order or not at all.
-func TakeNews(t *hint.Table, c Cursor, f *fb.FeedTellT) Cursor {
+func ApplyUpdates(t *hint.Table, c Cursor, f *fb.FeedTellT) Cursor {
 	if f.NewsReset {
 		t.Clear()
 	} else if f.NewsInc != c.Inc || f.NewsAt != c.Next {
