--- a/internal/app/proxy/admission.go
+++ b/internal/app/proxy/admission.go
@@ -25,40 +25,40 @@
 
 // serve takes one request of a caller: it reads it whole, finds its route and tenant, and
 // passes it on.
-func (c *carrier) serve(w http.ResponseWriter, r *http.Request) {
+func (s *server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	arrived := clock.Now()
-	c.counts.arrived.Add(1)
-	if c.view.Load().table == nil {
-		c.respondError(w, http.StatusServiceUnavailable, reasonConfigMissing, backoffConfigMissing)
+	s.counts.arrived.Add(1)
+	if s.view.Load().table == nil {
+		s.respondError(w, http.StatusServiceUnavailable, reasonConfigMissing, backoffConfigMissing)
 		return
 	}
-	if callerConnOf(r.Context()).doubt() != nil {
+	if callerConnOf(r.Context()).ambiguity() != nil {
 		w.Header().Set("Connection", "close")
-		c.respondError(w, http.StatusBadRequest, reasonMalformed, 0)
+		s.respondError(w, http.StatusBadRequest, reasonMalformed, 0)
 		return
 	}
-	ask, err := c.door.ParseRequest(r.Header)
+	ask, err := s.adapter.ParseRequest(r.Header)
 	if err != nil {
-		c.respondError(w, http.StatusBadRequest, reasonMalformed, 0)
+		s.respondError(w, http.StatusBadRequest, reasonMalformed, 0)
 		return
 	}
-	body, ok := c.readBody(w, r)
+	body, ok := s.readBody(w, r)
 	if !ok {
 		return
 	}
 	// The body may have taken its time: what is in force is looked up after it.
-	p := &passage{c: c, w: w, r: r, ask: ask, view: c.view.Load(), body: body, lastEvent: ask.LastEventID}
-	if c.admit(p) {
-		p.prepare(arrived)
-		p.run()
+	f := &forwardedRequest{server: s, writer: w, request: r, info: ask, view: s.view.Load(), body: body, lastEventID: ask.LastEventID}
+	if s.admit(f) {
+		f.prepare(arrived)
+		f.run()
 	}
 }
 
 // readBody reads a request's body whole. If it can't, it has answered.
-func (c *carrier) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
+func (s *server) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(clock.Duration(bodyReadTimeoutUS)))
-	limit := c.view.Load().table.Limits.BodyBytes
+	limit := s.view.Load().table.Limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultBodyBytes
 	}
@@ -66,7 +66,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		c.respondError(w, http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
+		s.respondError(w, http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
 		return nil, false
 	case err != nil:
 		panic(http.ErrAbortHandler) // it never came whole
@@ -76,29 +76,29 @@
 }
 
 // admit finds a request's route and tenant. If it returns false, it has answered.
-func (c *carrier) admit(p *passage) bool {
-	table := p.view.table
-	path, _, _ := strings.Cut(p.r.RequestURI, "?")
-	p.route = table.Match(p.r.Host, path)
+func (s *server) admit(f *forwardedRequest) bool {
+	table := f.view.table
+	path, _, _ := strings.Cut(f.request.RequestURI, "?")
+	f.route = table.Match(f.request.Host, path)
 	status, reason := 0, ""
 	switch {
-	case p.route == nil:
+	case f.route == nil:
 		status, reason = http.StatusNotFound, reasonNoRoute
-	case table.RequiresKeys() && !p.route.Public:
-		if p.tenant = table.TenantByKey(p.ask.Key); p.tenant == nil {
+	case table.RequiresKeys() && !f.route.Public:
+		if f.tenant = table.TenantByKey(f.info.Key); f.tenant == nil {
 			status, reason = http.StatusUnauthorized, reasonKeyUnknown
 		}
 	}
-	age := p.view.age(clock.Now())
+	age := f.view.age(clock.Now())
 	// What is refused for good must rest on news that is fresh.
-	tooOld := age > c.stale() || reason != "" && age > c.s.Bounds.ConfigApplyUS/2
+	tooOld := age > s.maxConfigAgeUS() || reason != "" && age > s.settings.Bounds.ConfigApplyUS/2
 	switch {
 	case tooOld:
-		c.counts.refused.Add(1)
-		c.respondError(p.w, http.StatusServiceUnavailable, reasonConfigNotFresh, backoffConfigNotFresh)
+		s.counts.rejected.Add(1)
+		s.respondError(f.writer, http.StatusServiceUnavailable, reasonConfigNotFresh, backoffConfigNotFresh)
 		return false
 	case reason != "":
-		c.respondError(p.w, status, reason, 0)
+		s.respondError(f.writer, status, reason, 0)
 		return false
 	}
 	return true
@@ -106,27 +106,27 @@
 
 // prepare sets a request's deadline, what may be repeated of it, and what it asks of
 // placement.
-func (p *passage) prepare(arrived int64) {
-	c := p.c
-	p.deadline = arrived + timeoutOf(p.ask, p.route)
-	resumable := p.route.Semantics == route.EventStream && p.route.Resumable
-	p.ledger = attempt.Forward{Repeatable: resumable || p.route.Semantics == route.Idempotent, Resumable: resumable, MaxEngines: max(1, p.route.MaxEngines)}
+func (f *forwardedRequest) prepare(arrived int64) {
+	s := f.server
+	f.deadline = arrived + timeoutOf(f.info, f.route)
+	resumable := f.route.Semantics == route.EventStream && f.route.Resumable
+	f.forward = attempt.Forward{Repeatable: resumable || f.route.Semantics == route.Idempotent, Resumable: resumable, MaxEngines: max(1, f.route.MaxEngines)}
 	tenant := ""
-	if p.tenant != nil {
-		tenant = p.tenant.Name
-	}
-	p.placing = placement.Request{
-		Pool:            poolOf(p.route, p.ask.AttemptID),
-		Model:           p.ask.Model,
-		Blocks:          p.ask.Blocks,
-		PromptTokens:    p.ask.PromptTokens,
-		MaxOutputTokens: p.ask.MaxOutputTokens,
-		CacheScope:      p.view.table.CacheScope(tenant),
+	if f.tenant != nil {
+		tenant = f.tenant.Name
+	}
+	f.placement = placement.Request{
+		Pool:            poolOf(f.route, f.info.AttemptID),
+		Model:           f.info.Model,
+		Blocks:          f.info.Blocks,
+		PromptTokens:    f.info.PromptTokens,
+		MaxOutputTokens: f.info.MaxOutputTokens,
+		CacheScope:      f.view.table.CacheScope(tenant),
 		TriedEngines:    map[string]bool{},
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.budget(p.placing.Pool).CountRequest(clock.Now())
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.retryWindow(f.placement.Pool).CountRequest(clock.Now())
 }
 
 // timeoutOf is the shorter of what the caller waits and what the route allows.
--- a/internal/app/proxy/answer.go
+++ b/internal/app/proxy/answer.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	strayAnswers     = 2        // answers to former requests that are read away before the right one
-	strayAnswerBytes = 1 << 20  // how long such an answer may be
-	skipBodyBytes    = 64 << 10 // how long the body of a refusal may be
-	skipBodyUS       = 50_000   // and how long it may take: the caller waits for another engine
+	maxStrayAnswers = 2        // answers to former requests that are read away before the right one
+	maxStrayBytes   = 1 << 20  // how long such an answer may be
+	notRunBodyBytes = 64 << 10 // how long the body of a refusal may be
+	notRunBodyUS    = 50_000   // and how long it may take: the caller waits for another engine
 )
 
 // readHead reads the head of the answer to this very attempt. An answer to a former one
@@ -21,22 +21,22 @@
 // outcome says why.
 func (a *engineAttempt) readHead() (*http.Response, ResponseInfo, outcome) {
 	for stray := 0; ; {
-		answer, err := a.conn.readHead(a.p.r)
+		answer, err := a.conn.readHead(a.forwarded.request)
 		if err != nil {
-			return nil, ResponseInfo{}, a.broken(reasonEngineLost)
+			return nil, ResponseInfo{}, a.interrupted(reasonEngineLost)
 		}
 		if answer.StatusCode < http.StatusOK {
 			continue // an interim answer
 		}
-		word := a.p.c.door.ParseResponse(answer.StatusCode, answer.Header)
-		if a.answersThis(word, stray) {
+		word := a.forwarded.server.adapter.ParseResponse(answer.StatusCode, answer.Header)
+		if a.matches(word, stray) {
 			return answer, word, outcome{}
 		}
-		if a.conn.used == 0 || word.AttemptID == "" || stray == strayAnswers || answer.Close {
-			return nil, ResponseInfo{}, a.broken(reasonEngineMalformed)
+		if a.conn.used == 0 || word.AttemptID == "" || stray == maxStrayAnswers || answer.Close {
+			return nil, ResponseInfo{}, a.interrupted(reasonEngineMalformed)
 		}
-		if !discard(answer.Body, strayAnswerBytes) {
-			return nil, ResponseInfo{}, a.broken(reasonEngineMalformed)
+		if !discard(answer.Body, maxStrayBytes) {
+			return nil, ResponseInfo{}, a.interrupted(reasonEngineMalformed)
 		}
 		stray++
 	}
@@ -44,15 +44,15 @@
 
 // answersThis reports whether an answer belongs to this attempt. One without a name is
 // trusted only on a connection that carried nothing before.
-func (a *engineAttempt) answersThis(word ResponseInfo, stray int) bool {
+func (a *engineAttempt) matches(word ResponseInfo, stray int) bool {
 	if word.AttemptID == "" {
 		return word.NotRun && stray == 0 && a.conn.used == 0
 	}
-	return word.AttemptID == a.p.ask.AttemptID
+	return word.AttemptID == a.forwarded.info.AttemptID
 }
 
 // refusals are the statuses by which an engine says that it did not run a request.
-var refusals = map[int]bool{
+var notRunStatuses = map[int]bool{
 	http.StatusBadRequest:         true,
 	http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests:    true,
@@ -60,16 +60,16 @@
 }
 
 // skipped deals with an engine's word that it did not run the request.
-func (a *engineAttempt) skipped(answer *http.Response) (outcome, *http.Response) {
-	if !refusals[answer.StatusCode] {
-		return a.broken(reasonEngineMalformed), nil
+func (a *engineAttempt) notRun(answer *http.Response) (outcome, *http.Response) {
+	if !notRunStatuses[answer.StatusCode] {
+		return a.interrupted(reasonEngineMalformed), nil
 	}
-	end := outcome{attempt.NotStarted, causeSkipped}
+	end := outcome{attempt.NotStarted, causeNotRun}
 	if answer.StatusCode == http.StatusMisdirectedRequest {
-		end.cause = causeOther
+		end.cause = causeMisdirected
 	}
-	_ = a.conn.SetReadDeadline(time.Now().Add(clock.Duration(skipBodyUS)))
-	if !discard(answer.Body, skipBodyBytes) {
+	_ = a.conn.SetReadDeadline(time.Now().Add(clock.Duration(notRunBodyUS)))
+	if !discard(answer.Body, notRunBodyBytes) {
 		return end, nil
 	}
 	return end, answer
@@ -82,7 +82,7 @@
 }
 
 // promises are the statuses by which a caller is told that its request never ran.
-var promises = map[int]bool{
+var promisesNotRun = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests:    true,
@@ -90,12 +90,12 @@
 }
 
 // unfit says why an answer may not reach the caller; it is empty if it may.
-func unfit(answer *http.Response, word ResponseInfo) string {
+func rejectAnswer(answer *http.Response, word ResponseInfo) string {
 	switch {
 	case answer.StatusCode < 300 && (!word.HasSuccessStamp || answer.Header.Get("Content-Encoding") != ""):
 		// A success without the engine's own mark, or in an encoding nobody asked for.
 		return reasonEngineMalformed
-	case promises[answer.StatusCode]:
+	case promisesNotRun[answer.StatusCode]:
 		// Passed on it would promise that the request never ran, which only the mark of
 		// a skipped one tells.
 		return reasonEngineFailed
--- a/internal/app/proxy/budget_test.go
+++ b/internal/app/proxy/budget_test.go
@@ -16,17 +16,17 @@
 	u.SetRetries(0, 1)
 	u.SetEngines(&placement.Engine{ID: "e", Pool: "p", Addr: "127.0.0.1:1"})
 	now := clock.Now()
-	p := &passage{c: u.c, deadline: now + 1_000_000, placing: placement.Request{Pool: "p", TriedEngines: map[string]bool{}}}
-	if !p.facts(now).RetryAllowed {
+	p := &forwardedRequest{server: u.c, deadline: now + 1_000_000, placement: placement.Request{Pool: "p", TriedEngines: map[string]bool{}}}
+	if !p.conditions(now).RetryAllowed {
 		t.Fatal("there is no budget to begin with")
 	}
-	if _, err := p.choose(now, true); err != nil {
+	if _, err := p.pickEngine(now, true); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.choose(now, true); !errors.Is(err, errRetryBudget) {
+	if _, err := p.pickEngine(now, true); !errors.Is(err, errRetryBudget) {
 		t.Fatalf("a second attempt was chosen with a budget for one: %v", err)
 	}
-	if _, err := p.choose(now, false); err != nil {
+	if _, err := p.pickEngine(now, false); err != nil {
 		t.Fatalf("a first attempt needs no budget: %v", err)
 	}
 }
--- a/internal/app/proxy/callerconn.go
+++ b/internal/app/proxy/callerconn.go
@@ -71,13 +71,13 @@
 }
 
 // doubt says why it is not clear where the request whose head came last ends; nil if it is.
-func (c *callerConn) doubt() error {
+func (c *callerConn) ambiguity() error {
 	if c == nil {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.doubt
+	return c.requests.ambiguity
 }
 
 // resetOnClose makes the end of the connection visible as one that was not planned.
--- a/internal/app/proxy/connpool.go
+++ b/internal/app/proxy/connpool.go
@@ -19,11 +19,11 @@
 
 // pool keeps connections to engines. A connection carries one request at a time, and
 // is used again only if its last answer was whole and nothing lies on it unasked.
-type pool struct {
-	mu    sync.Mutex
-	idle  map[string][]*engineConn // by engine's life
-	Dials uint64
-	Again uint64
+type connPool struct {
+	mu     sync.Mutex
+	idle   map[string][]*engineConn // by engine's life
+	dialed uint64
+	reused uint64
 
 	dialTimeoutUS int64
 }
@@ -31,26 +31,26 @@
 // engineConn is a connection to one engine.
 type engineConn struct {
 	net.Conn
-	br    *bufio.Reader
-	used  int
-	until int64 // not used again after it
+	br          *bufio.Reader
+	used        int
+	usableUntil int64 // not used again after it
 }
 
 const (
 	maxAnswerHeadBytes = 16 << 10
 
-	idleMost = 4_000_000 // a connection idle for longer is not used again
-	idleEach = 24        // idle connections kept to one engine
+	maxIdleUS        = 4_000_000 // a connection idle for longer is not used again
+	maxIdlePerEngine = 24        // idle connections kept to one engine
 
 	defaultDialTimeoutUS = 350_000
 )
 
-func newPool() *pool {
-	return &pool{idle: map[string][]*engineConn{}, dialTimeoutUS: defaultDialTimeoutUS}
+func newConnPool() *connPool {
+	return &connPool{idle: map[string][]*engineConn{}, dialTimeoutUS: defaultDialTimeoutUS}
 }
 
 // get is an idle connection to an engine's life, or none.
-func (p *pool) get(id string) *engineConn {
+func (p *connPool) get(id string) *engineConn {
 	for {
 		p.mu.Lock()
 		l := p.idle[id]
@@ -61,9 +61,9 @@
 		w := l[len(l)-1] // the one used last
 		p.idle[id] = l[:len(l)-1]
 		p.mu.Unlock()
-		if clock.Now() < w.until && w.quiet() {
+		if clock.Now() < w.usableUntil && w.quiet() {
 			p.mu.Lock()
-			p.Again++
+			p.reused++
 			p.mu.Unlock()
 			return w
 		}
@@ -72,11 +72,11 @@
 }
 
 // quiet reports whether the far end has neither closed nor said anything.
-func (w *engineConn) quiet() bool {
-	if w.br.Buffered() > 0 {
+func (c *engineConn) quiet() bool {
+	if c.br.Buffered() > 0 {
 		return false
 	}
-	t, ok := w.Conn.(*net.TCPConn)
+	t, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return true
 	}
@@ -95,7 +95,7 @@
 }
 
 // dial makes a new connection. A far end that falls silent is noticed by the kernel.
-func (p *pool) dial(ctx context.Context, addr string) (*engineConn, error) {
+func (p *connPool) dial(ctx context.Context, addr string) (*engineConn, error) {
 	d := net.Dialer{Timeout: clock.Duration(p.dialTimeoutUS), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: clock.Duration(1_000_000), Interval: clock.Duration(1_000_000), Count: 2},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
@@ -107,24 +107,24 @@
 		return nil, err
 	}
 	p.mu.Lock()
-	p.Dials++
+	p.dialed++
 	p.mu.Unlock()
 	return &engineConn{Conn: c, br: bufio.NewReaderSize(c, maxAnswerHeadBytes)}, nil
 }
 
 // put gives a connection back after a whole answer.
-func (p *pool) put(id string, w *engineConn, h http.Header) {
+func (p *connPool) put(id string, w *engineConn, h http.Header) {
 	keep := keepAlive(h)
 	if w.br.Buffered() > 0 || keep <= 0 {
 		w.kill()
 		return
 	}
 	w.used++
-	w.until = clock.Now() + keep
+	w.usableUntil = clock.Now() + keep
 	_ = w.SetDeadline(noTime)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[id]) >= idleEach {
+	if len(p.idle[id]) >= maxIdlePerEngine {
 		w.kill()
 		return
 	}
@@ -133,7 +133,7 @@
 
 // keepAlive is for how long a connection may lie idle, going by the engine's word.
 func keepAlive(h http.Header) int64 {
-	keep := int64(idleMost)
+	keep := int64(maxIdleUS)
 	for _, f := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if s, ok := strings.CutPrefix(strings.TrimSpace(f), "timeout="); ok {
 			if n, err := strconv.ParseInt(s, 10, 64); err == nil {
@@ -146,41 +146,41 @@
 
 // readHead reads the head of the next answer, to a request of this kind. An answer that
 // leaves a doubt about its end is an error.
-func (w *engineConn) readHead(request *http.Request) (*http.Response, error) {
+func (c *engineConn) readHead(request *http.Request) (*http.Response, error) {
 	for {
-		came, _ := w.br.Peek(w.br.Buffered())
+		came, _ := c.br.Peek(c.br.Buffered())
 		if end := headEnd(came); end > 0 {
 			if _, err := framingOf(came[:end]); err != nil {
 				return nil, err
 			}
-			return http.ReadResponse(w.br, request)
+			return http.ReadResponse(c.br, request)
 		}
-		if len(came) == w.br.Size() {
-			return nil, trace.LimitExceeded("the head of an answer is over %d bytes", w.br.Size())
+		if len(came) == c.br.Size() {
+			return nil, trace.LimitExceeded("the head of an answer is over %d bytes", c.br.Size())
 		}
-		if _, err := w.br.Peek(len(came) + 1); err != nil {
+		if _, err := c.br.Peek(len(came) + 1); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // kill drops a connection at once: what is still on its way is not sent any more.
-func (w *engineConn) kill() {
-	if t, ok := w.Conn.(*net.TCPConn); ok {
+func (c *engineConn) kill() {
+	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
-	_ = w.Close()
+	_ = c.Close()
 }
 
 // sweep drops connections to engines that are gone, and those idle for too long.
-func (p *pool) sweep(live func(id string) bool) {
+func (p *connPool) sweep(live func(id string) bool) {
 	now := clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, l := range p.idle {
 		keep := l[:0]
 		for _, w := range l {
-			if live(id) && now < w.until {
+			if live(id) && now < w.usableUntil {
 				keep = append(keep, w)
 			} else {
 				w.kill()
@@ -193,4 +193,4 @@
 }
 
 // closeIdle drops all idle connections.
-func (p *pool) closeIdle() { p.sweep(func(string) bool { return false }) }
+func (p *connPool) closeIdle() { p.sweep(func(string) bool { return false }) }
--- a/internal/app/proxy/engineattempt.go
+++ b/internal/app/proxy/engineattempt.go
@@ -12,10 +12,10 @@
 
 // engineAttempt is one attempt of a request at one engine.
 type engineAttempt struct {
-	p      *passage
-	choice *placement.Choice
-	id     string // in the ledger
-	conn   *engineConn
+	forwarded *forwardedRequest
+	choice    *placement.Choice
+	id        string // in the ledger
+	conn      *engineConn
 
 	unreached bool // no connection came about, and the caller is not the reason
 	began     bool // the engine has answered with content
@@ -30,12 +30,12 @@
 
 // Causes of attempts that never began, beside attempt.Unreachable.
 const (
-	causeSkipped = "skipped" // the engine says that it did not run it
-	causeOther   = "other"   // the address is another engine's, or it has other weights
+	causeNotRun      = "skipped" // the engine says that it did not run it
+	causeMisdirected = "other"   // the address is another engine's, or it has other weights
 )
 
 var (
-	finished    = outcome{state: attempt.Completed}
+	completed   = outcome{state: attempt.Completed}
 	unreachable = outcome{attempt.NotStarted, attempt.Unreachable}
 )
 
@@ -44,11 +44,11 @@
 
 // run sends the request and relays the answer as far as it comes.
 func (a *engineAttempt) run() outcome {
-	c, engine := a.p.c, a.choice.Engine
-	c.counts.read.Add(int64(a.choice.PrefillTokens))
-	c.counts.moved.Add(int64(a.choice.TransferTokens))
-	c.counts.hit.Add(int64(a.choice.CachedTokens))
-	ctx := a.p.r.Context()
+	s, engine := a.forwarded.server, a.choice.Engine
+	s.counts.prefillTokens.Add(int64(a.choice.PrefillTokens))
+	s.counts.transferTokens.Add(int64(a.choice.TransferTokens))
+	s.counts.cachedTokens.Add(int64(a.choice.CachedTokens))
+	ctx := a.forwarded.request.Context()
 	if !a.connect(ctx) {
 		return unreachable
 	}
@@ -56,7 +56,7 @@
 	end, answer := a.exchange()
 	// A connection is kept only after a whole answer, and if nobody has killed it.
 	if answer != nil && !answer.Close && stop() {
-		c.pool.put(engine.ID, a.conn, answer.Header)
+		s.pool.put(engine.ID, a.conn, answer.Header)
 		return end
 	}
 	stop()
@@ -66,12 +66,12 @@
 
 // connect takes a connection of the pool, or makes one.
 func (a *engineAttempt) connect(ctx context.Context) bool {
-	c, engine := a.p.c, a.choice.Engine
-	a.conn = c.pool.get(engine.ID)
+	s, engine := a.forwarded.server, a.choice.Engine
+	a.conn = s.pool.get(engine.ID)
 	if a.conn != nil {
 		return true
 	}
-	conn, err := c.pool.dial(ctx, engine.Addr)
+	conn, err := s.pool.dial(ctx, engine.Addr)
 	a.conn = conn
 	a.unreached = err != nil && ctx.Err() == nil
 	return err == nil
@@ -80,56 +80,56 @@
 // exchange sends the request over the attempt's connection and deals with the answer. It
 // returns the answer if that was read to its end.
 func (a *engineAttempt) exchange() (outcome, *http.Response) {
-	p, c := a.p, a.p.c
+	p, s := a.forwarded, a.forwarded.server
 	// Looked at again at the moment of dispatch: the machine may have slept.
 	now := clock.Now()
 	switch {
-	case c.view.Load().age(now) > c.stale():
-		p.ledger.StopReason = reasonConfigNotFresh
+	case s.view.Load().age(now) > s.maxConfigAgeUS():
+		p.forward.StopReason = reasonConfigNotFresh
 		return unreachable, nil
 	case now >= p.deadline:
 		return unreachable, nil
 	}
 	_ = a.conn.SetDeadline(time.Now().Add(clock.Duration(p.deadline + lateAnswerUS - now)))
-	c.counts.sends.Add(1)
-	_, writeErr := a.conn.Write(a.message(now))
+	s.counts.sends.Add(1)
+	_, writeErr := a.conn.Write(a.encodeRequest(now))
 	answer, word, end := a.readHead()
 	if answer == nil {
 		return end, nil
 	}
-	a.noteLoad(word)
+	a.reportLoad(word)
 	switch {
 	case word.NotRun: // an engine may refuse a request before it has read it whole
-		return a.skipped(answer)
+		return a.notRun(answer)
 	case writeErr != nil:
-		return a.broken(reasonEngineLost), nil
+		return a.interrupted(reasonEngineLost), nil
 	}
-	if cause := unfit(answer, word); cause != "" {
-		return a.broken(cause), nil
+	if cause := rejectAnswer(answer, word); cause != "" {
+		return a.interrupted(cause), nil
 	}
-	if end = a.relay(answer); end != finished {
+	if end = a.relay(answer); end != completed {
 		return end, nil
 	}
 	return end, answer
 }
 
 // noteLoad tells placement what the engine says of its load.
-func (a *engineAttempt) noteLoad(word ResponseInfo) {
+func (a *engineAttempt) reportLoad(word ResponseInfo) {
 	if !word.HasLoad {
 		return
 	}
-	c := a.p.c
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.pick.ReportLoad(clock.Now(), a.choice.Engine.ID, word.Running, word.Waiting, word.Slots)
+	s := a.forwarded.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.picker.ReportLoad(clock.Now(), a.choice.Engine.ID, word.Running, word.Waiting, word.Slots)
 }
 
 // broken is the outcome of an attempt that was sent and lost.
-func (a *engineAttempt) broken(cause string) outcome {
+func (a *engineAttempt) interrupted(cause string) outcome {
 	switch {
-	case a.p.r.Context().Err() != nil:
+	case a.forwarded.request.Context().Err() != nil:
 		cause = reasonCallerGone
-	case clock.Now() >= a.p.deadline:
+	case clock.Now() >= a.forwarded.deadline:
 		cause = reasonDuePassed
 	}
 	return outcome{attempt.Interrupted, cause}
--- a/internal/app/proxy/export_test.go
+++ b/internal/app/proxy/export_test.go
@@ -19,7 +19,7 @@
 // Unattached is a proxy without control nodes: tests say what is in force and which
 // engines there are.
 type Unattached struct {
-	c      *carrier
+	c      *server
 	Listen string
 }
 
@@ -32,22 +32,22 @@
 	}
 	bounds := route.DefaultBounds()
 	bounds.RetryAllowance, bounds.RetryRatio = 1e9, 1
-	c := &carrier{
-		s:      Settings{Name: "unattached", Zone: "here", Bounds: bounds},
-		d:      quietDaemon(),
-		door:   door,
-		pool:   newPool(),
-		hints:  hint.NewHolders(64),
-		window: map[string]*attempt.RetryWindow{},
-		allow:  1e9,
+	c := &server{
+		settings:       Settings{Name: "unattached", Zone: "here", Bounds: bounds},
+		daemon:         quietDaemon(),
+		adapter:        door,
+		pool:           newConnPool(),
+		hints:          hint.NewHolders(64),
+		retryWindows:   map[string]*attempt.RetryWindow{},
+		retryAllowance: 1e9,
 	}
 	c.pool.dialTimeoutUS = patienceUS // the machine may be busy with other tests
-	c.pick = placement.New(c.s.Zone, c.hints)
-	c.view.Store(&view{table: table, rev: 1, at: clock.Now() + 1<<40, known: true, peers: 1})
+	c.picker = placement.New(c.settings.Zone, c.hints)
+	c.view.Store(&view{table: table, revision: 1, configAt: clock.Now() + 1<<40, configKnown: true, proxies: 1})
 	c.serveCallers(l, table.Limits)
 	t.Cleanup(func() {
 		c.pool.closeIdle()
-		c.d.Group.Stop()
+		c.daemon.Group.Stop()
 	})
 	return &Unattached{c: c, Listen: l.Addr().String()}
 }
@@ -56,17 +56,17 @@
 func (u *Unattached) SetEngines(engines ...*placement.Engine) {
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
-	u.c.pick = placement.New(u.c.s.Zone, u.c.hints)
-	u.c.pick.SetFleet(engines, nil)
+	u.c.picker = placement.New(u.c.settings.Zone, u.c.hints)
+	u.c.picker.SetFleet(engines, nil)
 }
 
 // SetRetries replaces what the proxy may spend on further attempts.
 func (u *Unattached) SetRetries(ratio, allowance float64) {
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
-	u.c.allow = allowance
-	u.c.s.Bounds.RetryRatio = ratio
-	u.c.window = map[string]*attempt.RetryWindow{}
+	u.c.retryAllowance = allowance
+	u.c.settings.Bounds.RetryRatio = ratio
+	u.c.retryWindows = map[string]*attempt.RetryWindow{}
 }
 
 // NewView takes the configuration away, or gives one.
--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -24,21 +24,21 @@
 func TestGoingOverKeepsAges(t *testing.T) {
 	const within = 12 * second
 	v := &view{}
-	v.hear(told(1, 0, "e", 11*second, 5), 100*second)
-	v.hear(told(2, 0, "e", 1*second, 5), 102*second)
-	if least := v.least(103*second, "m", within); least != 2 {
+	v.merge(told(1, 0, "e", 11*second, 5), 100*second)
+	v.merge(told(2, 0, "e", 1*second, 5), 102*second)
+	if least := v.minVersion(103*second, "m", within); least != 2 {
 		t.Errorf("version %d may still be begun 14 s after 2 was named", least)
 	}
 	before := *v
-	v.hear(told(2, 0, "e", 4*second, 6), 104*second) // the duty changed hands
-	if least := v.least(105*second, "m", within); least != 0 {
+	v.merge(told(2, 0, "e", 4*second, 6), 104*second) // the duty changed hands
+	if least := v.minVersion(105*second, "m", within); least != 0 {
 		t.Errorf("%d must be begun though the bound counts anew", least)
 	}
-	if least := before.least(105*second, "m", within); least != 2 {
+	if least := before.minVersion(105*second, "m", within); least != 2 {
 		t.Error("a view that was published has changed")
 	}
-	v.hear(told(1, 0, "e", 90*second, 5), 106*second) // a node that has not noticed
-	if least := v.least(107*second, "m", within); least != 0 {
+	v.merge(told(1, 0, "e", 90*second, 5), 106*second) // a node that has not noticed
+	if least := v.minVersion(107*second, "m", within); least != 0 {
 		t.Errorf("%d must be begun by the word of an earlier epoch", least)
 	}
 }
@@ -54,7 +54,7 @@
 	v := &view{}
 	use := func(what string, m *fb.MapTellT, at int64, want string) {
 		t.Helper()
-		engines, ok := v.hear(m, at)
+		engines, ok := v.merge(m, at)
 		switch {
 		case ok && engines[0].Id != want:
 			t.Errorf("%s: the map of %q is used, not %q", what, engines[0].Id, want)
@@ -69,7 +69,7 @@
 	use("it has looked again", stands(2, 100_000), 101*second, "two")
 	use("nothing new", stands(2, 200_000), 101*second+100_000, "")
 	use("a third's older list", told(3, 9*second, "three", 0, 1), 102*second, "")
-	use("the platform is down", stands(3, 13*second), 102*second+nextMapWait+1, "three")
+	use("the platform is down", stands(3, 13*second), 102*second+pendingMapWaitUS+1, "three")
 	use("a node that just started", told(4, frames.AgeNeverRead, "none", 0, 1), 107*second, "")
 	use("and after a while", stands(4, frames.AgeNeverRead), 117*second, "")
 	use("once it has looked", told(4, 0, "four", 0, 1), 118*second, "four")
@@ -81,16 +81,16 @@
 	v := &view{}
 	all := told(1, 0, "e", 0, 1)
 	all.Proxies = 9
-	v.hear(all, 100*second)
+	v.merge(all, 100*second)
 	cut := stands(1, 0)
 	cut.Age = 5 * second
-	v.hear(cut, 105*second)
-	if v.peers != 9 {
-		t.Errorf("%d proxies are counted by the word of a node that is cut off", v.peers)
+	v.merge(cut, 105*second)
+	if v.proxies != 9 {
+		t.Errorf("%d proxies are counted by the word of a node that is cut off", v.proxies)
 	}
-	v.hear(stands(1, 0), 106*second)
-	if v.peers != 3 {
-		t.Errorf("%d proxies are counted, 3 are told", v.peers)
+	v.merge(stands(1, 0), 106*second)
+	if v.proxies != 3 {
+		t.Errorf("%d proxies are counted, 3 are told", v.proxies)
 	}
 }
 
@@ -102,7 +102,7 @@
 	}{
 		{true, 300_000, 300_000, false}, {true, 2 * second, 0, true}, {true, 0, 2 * second, true}, {false, 0, 0, true}, {true, 0, frames.AgeNeverRead, true},
 	} {
-		if got := behind(&fb.MapTellT{Known: c.known, Age: c.config, NamedAge: c.named}); got != c.want {
+		if got := outOfTouch(&fb.MapTellT{Known: c.known, Age: c.config, NamedAge: c.named}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -110,13 +110,13 @@
 
 // A node that is cut off knows an old roster: who came since is not forgotten by its word.
 func TestOldRosterForgetsNobody(t *testing.T) {
-	f := newFollower(&carrier{s: Settings{Seeds: []string{"a"}}})
-	f.learn([]string{"b", "c"}, true)
-	f.learn([]string{"a", "d"}, false)
+	f := newFollower(&server{settings: Settings{Seeds: []string{"a"}}})
+	f.setNodes([]string{"b", "c"}, true)
+	f.setNodes([]string{"a", "d"}, false)
 	if len(f.nodes) != 4 {
 		t.Errorf("%d nodes are known, not 4", len(f.nodes))
 	}
-	f.learn([]string{"b", "d"}, true)
+	f.setNodes([]string{"b", "d"}, true)
 	if f.nodes["c"] != nil || len(f.nodes) != 3 {
 		t.Errorf("c has gone, and %d nodes are known", len(f.nodes))
 	}
@@ -153,9 +153,9 @@
 		{9, "", false, 19 * second, 0, 9, 17*second - 300_000},      // a node that just started
 	} {
 		told := &fb.MapTellT{Known: s.known, Rev: s.rev, Config: []byte(s.text), Age: s.age}
-		v.hearConfig(told, s.at, parse)
-		if v.rev != s.wantRev || v.at != s.wantFrom {
-			t.Fatalf("step %d: revision %d in force at %d, want %d at %d", i, v.rev, v.at, s.wantRev, s.wantFrom)
+		v.mergeConfig(told, s.at, parse)
+		if v.revision != s.wantRev || v.configAt != s.wantFrom {
+			t.Fatalf("step %d: revision %d in force at %d, want %d at %d", i, v.revision, v.configAt, s.wantRev, s.wantFrom)
 		}
 	}
 }
@@ -166,14 +166,14 @@
 	u := NewUnattached(t, nil, route.Compile(route.Config{}, 1))
 	u.SetEngines(&placement.Engine{ID: "old", Pool: "p", Addr: "127.0.0.1:1", Weights: map[string]uint64{"m": 1}})
 	v := *u.c.view.Load()
-	v.hear(told(1, 0, "old", 0, 1), named)
+	v.merge(told(1, 0, "old", 0, 1), named)
 	u.c.view.Store(&v)
-	p := &passage{c: u.c, ask: RequestInfo{Model: "m"}, placing: placement.Request{Pool: "p", Model: "m", TriedEngines: map[string]bool{}}}
-	within := u.c.s.Bounds.VersionApplyUS
-	if _, err := p.choose(named+within/2, false); err != nil {
+	p := &forwardedRequest{server: u.c, info: RequestInfo{Model: "m"}, placement: placement.Request{Pool: "p", Model: "m", TriedEngines: map[string]bool{}}}
+	within := u.c.settings.Bounds.VersionApplyUS
+	if _, err := p.pickEngine(named+within/2, false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.choose(named+within, true); !errors.Is(err, errNoEngine) {
+	if _, err := p.pickEngine(named+within, true); !errors.Is(err, errNoEngine) {
 		t.Fatalf("an engine with older weights was chosen at the bound: %v", err)
 	}
 }
@@ -182,10 +182,10 @@
 // after all others, though it is in the proxy's own zone and answers at once.
 func TestCutOffNodeIsNotClungTo(t *testing.T) {
 	const now = 100 * second
-	f := &follower{c: &carrier{s: Settings{Name: "p", Zone: "north"}}, nodes: map[string]*directoryNode{
-		"near": {site: "north", badAt: now - 100},
-		"far1": {site: "south", badAt: now - second},
-		"far2": {site: "west", badAt: now - second/2},
+	f := &follower{server: &server{settings: Settings{Name: "p", Zone: "north"}}, nodes: map[string]*controlNode{
+		"near": {zone: "north", failedAt: now - 100},
+		"far1": {zone: "south", failedAt: now - second},
+		"far2": {zone: "west", failedAt: now - second/2},
 	}}
 	want := func(what string, now int64, names ...string) {
 		t.Helper()
@@ -194,9 +194,9 @@
 		}
 	}
 	want("all failed lately", now, "far1", "far2", "near")
-	f.nodes["far1"].badAt = now
+	f.nodes["far1"].failedAt = now
 	want("one failed again", now+1, "far2", "near", "far1")
-	f.nodes["far2"].badAt = 0
+	f.nodes["far2"].failedAt = 0
 	want("one answered well", now+1, "far2", "near", "far1")
 	want("a while later", now+2*second, "near", "far2", "far1")
 }
--- a/internal/app/proxy/framing.go
+++ b/internal/app/proxy/framing.go
@@ -83,11 +83,11 @@
 
 // splitter finds the ends of the requests in what comes on a connection.
 type splitter struct {
-	part  part
-	head  []byte // so far, of the request whose head is coming
-	line  []byte // so far, of a chunk's line or a trailer
-	left  int64  // bytes of the body, or of the chunk, still to come
-	doubt error  // of the request whose head came last
+	part      part
+	head      []byte // so far, of the request whose head is coming
+	line      []byte // so far, of a chunk's line or a trailer
+	left      int64  // bytes of the body, or of the chunk, still to come
+	ambiguity error  // of the request whose head came last
 }
 
 // part is the part of a request that comes next.
@@ -144,7 +144,7 @@
 	}
 	f, err := framingOf(s.head[:end])
 	s.head = s.head[:0]
-	s.doubt = err
+	s.ambiguity = err
 	switch {
 	case err != nil:
 		s.giveUp(err)
@@ -216,5 +216,5 @@
 
 // giveUp leaves the rest of the connection in doubt.
 func (s *splitter) giveUp(err error) {
-	s.part, s.head, s.line, s.doubt = partUnknown, nil, nil, err
+	s.part, s.head, s.line, s.ambiguity = partUnknown, nil, nil, err
 }
--- a/internal/app/proxy/message.go
+++ b/internal/app/proxy/message.go
@@ -23,12 +23,12 @@
 
 // message is the request as the engine gets it: method, path, query and body are the
 // caller's own.
-func (a *engineAttempt) message(now int64) []byte {
-	p := a.p
+func (a *engineAttempt) encodeRequest(now int64) []byte {
+	p := a.forwarded
 	var b bytes.Buffer
 	b.Grow(1024 + len(p.body))
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", p.r.Method, p.r.RequestURI, p.r.Host)
-	if len(p.body) > 0 || p.r.ContentLength > 0 || p.r.Method == http.MethodPost || p.r.Method == http.MethodPut {
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", p.request.Method, p.request.RequestURI, p.request.Host)
+	if len(p.body) > 0 || p.request.ContentLength > 0 || p.request.Method == http.MethodPost || p.request.Method == http.MethodPut {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(p.body))
 	}
 	_ = a.header(now).Write(&b)
@@ -40,9 +40,9 @@
 // header is the caller's, without what concerns its connection, and with what the
 // engine is told.
 func (a *engineAttempt) header(now int64) http.Header {
-	p := a.p
-	h := p.r.Header.Clone()
-	for _, field := range p.r.Header["Connection"] {
+	p := a.forwarded
+	h := p.request.Header.Clone()
+	for _, field := range p.request.Header["Connection"] {
 		for _, name := range strings.Split(field, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
@@ -56,14 +56,14 @@
 		Salt:        a.choice.Salt,
 		Source:      a.choice.Source,
 		Destination: a.choice.Destination,
-		Model:       p.ask.Model,
+		Model:       p.info.Model,
 		Version:     a.choice.Version,
 		Priority:    p.view.table.Priority(p.tenant, p.route),
-		LastEventID: p.lastEvent,
+		LastEventID: p.lastEventID,
 	}
 	if p.tenant != nil {
 		told.Tenant = p.tenant.Name
 	}
-	p.c.door.SetEngineHeaders(h, told)
+	p.server.adapter.SetEngineHeaders(h, told)
 	return h
 }
--- a/internal/app/proxy/passage.go
+++ b/internal/app/proxy/passage.go
@@ -14,106 +14,106 @@
 )
 
 // passage is one caller's request on its way.
-type passage struct {
-	c         *carrier
-	w         http.ResponseWriter
-	r         *http.Request
-	ask       RequestInfo
-	view      *view // in force when the request had come whole
-	route     *route.Route
-	tenant    *route.Tenant // nil on a public route
-	body      []byte
-	deadline  int64
-	ledger    attempt.Forward
-	placing   placement.Request
-	lastEvent string // id of the last event that went out
+type forwardedRequest struct {
+	server      *server
+	writer      http.ResponseWriter
+	request     *http.Request
+	info        RequestInfo
+	view        *view // in force when the request had come whole
+	route       *route.Route
+	tenant      *route.Tenant // nil on a public route
+	body        []byte
+	deadline    int64
+	forward     attempt.Forward
+	placement   placement.Request
+	lastEventID string // id of the last event that went out
 }
 
 const (
 	// dispatchMarginUS is the least time that must be left for another attempt.
 	dispatchMarginUS = 5_000
 
-	restFullUS  = 250_000 // for an engine that turned a request away
-	restLostUS  = 400_000 // for an engine that broke off; doubles with each failure
-	restOtherUS = 300_000 // for an address that is another engine's now, or has other weights; doubles
+	ejectFullUS        = 250_000 // for an engine that turned a request away
+	ejectInterruptedUS = 400_000 // for an engine that broke off; doubles with each failure
+	ejectMisdirectedUS = 300_000 // for an address that is another engine's now, or has other weights; doubles
 )
 
 // run derives the next move from the ledger until the request has ended.
-func (p *passage) run() {
-	c := p.c
+func (f *forwardedRequest) run() {
+	s := f.server
 	for {
 		now := clock.Now()
-		move := p.ledger.Next(p.facts(now))
+		move := f.forward.Next(f.conditions(now))
 		switch move.Action {
 		case attempt.ForwardSend:
 			// A budget that was spent meanwhile is seen at the next move.
-			if err := p.place(now, move.SpendsRetry); errors.Is(err, errNoEngine) {
-				p.refuse(reasonNoEngine)
+			if err := f.send(now, move.SpendsRetry); errors.Is(err, errNoEngine) {
+				f.reject(reasonNoEngine)
 				return
 			}
 		case attempt.ForwardDone:
-			c.counts.done.Add(1)
+			s.counts.done.Add(1)
 			return
 		case attempt.ForwardReject:
-			p.refuse(move.Reason)
+			f.reject(move.Reason)
 			return
 		case attempt.ForwardLost:
-			p.lost(move.Reason)
+			f.respondLost(move.Reason)
 			return
 		default: // PassCut: whatever came so far must not look whole
-			c.counts.cut.Add(1)
-			p.abort()
+			s.counts.aborted.Add(1)
+			f.abort()
 		}
 	}
 }
 
 // facts are what the ledger has to know beside its attempts.
-func (p *passage) facts(now int64) attempt.Conditions {
-	p.c.mu.Lock()
-	defer p.c.mu.Unlock()
-	return attempt.Conditions{TimeLeft: now < p.deadline-dispatchMarginUS, RetryAllowed: p.c.budget(p.placing.Pool).Allows(now)}
+func (f *forwardedRequest) conditions(now int64) attempt.Conditions {
+	f.server.mu.Lock()
+	defer f.server.mu.Unlock()
+	return attempt.Conditions{TimeLeft: now < f.deadline-dispatchMarginUS, RetryAllowed: f.server.retryWindow(f.placement.Pool).Allows(now)}
 }
 
 // lost says that the request may have run and has no answer.
-func (p *passage) lost(reason string) {
-	p.c.counts.lost.Add(1)
-	if p.r.Context().Err() != nil {
-		p.abort() // nobody is there to read it
+func (f *forwardedRequest) respondLost(reason string) {
+	f.server.counts.lost.Add(1)
+	if f.request.Context().Err() != nil {
+		f.abort() // nobody is there to read it
 	}
 	status := http.StatusBadGateway
 	if reason == reasonDuePassed {
 		status = http.StatusGatewayTimeout
 	}
-	p.c.respondError(p.w, status, reason, 0)
+	f.server.respondError(f.writer, status, reason, 0)
 }
 
 // refuse promises that the request has not run and will not; it says that it is lost if
 // an attempt may have run.
-func (p *passage) refuse(reason string) {
-	c := p.c
-	for _, a := range p.ledger.Attempts {
+func (f *forwardedRequest) reject(reason string) {
+	s := f.server
+	for _, a := range f.forward.Attempts {
 		if a.State == attempt.Interrupted {
-			c.counts.lost.Add(1)
-			if p.ledger.HeadSent {
-				p.abort()
+			s.counts.lost.Add(1)
+			if f.forward.HeadSent {
+				f.abort()
 			}
-			c.respondError(p.w, http.StatusBadGateway, reasonEngineLost, 0)
+			s.respondError(f.writer, http.StatusBadGateway, reasonEngineLost, 0)
 			return
 		}
 	}
-	c.counts.refused.Add(1)
+	s.counts.rejected.Add(1)
 	backoff := int64(backoffRefused)
 	if reason == reasonNoEngine {
 		backoff = backoffNoEngine
 	}
-	c.respondError(p.w, http.StatusServiceUnavailable, reason, backoff)
+	s.respondError(f.writer, http.StatusServiceUnavailable, reason, backoff)
 }
 
 // abort ends the connection so that the answer can't look whole: chunks and lengths tell,
 // and where there may be neither, a reset does.
-func (p *passage) abort() {
-	if !p.r.ProtoAtLeast(1, 1) {
-		callerConnOf(p.r.Context()).resetOnClose()
+func (f *forwardedRequest) abort() {
+	if !f.request.ProtoAtLeast(1, 1) {
+		callerConnOf(f.request.Context()).resetOnClose()
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -125,66 +125,66 @@
 )
 
 // place chooses an engine and makes one attempt at it.
-func (p *passage) place(now int64, retry bool) error {
-	choice, err := p.choose(now, retry)
+func (f *forwardedRequest) send(now int64, retry bool) error {
+	choice, err := f.pickEngine(now, retry)
 	if err != nil {
 		return err
 	}
-	p.placing.TriedEngines[choice.Engine.ID] = true
-	id := strconv.Itoa(len(p.ledger.Attempts))
-	p.ledger.Attempts = append(p.ledger.Attempts, attempt.Attempt{ID: id, Engine: choice.Engine.ID, State: attempt.Sent})
-	a := &engineAttempt{p: p, choice: &choice, id: id}
+	f.placement.TriedEngines[choice.Engine.ID] = true
+	id := strconv.Itoa(len(f.forward.Attempts))
+	f.forward.Attempts = append(f.forward.Attempts, attempt.Attempt{ID: id, Engine: choice.Engine.ID, State: attempt.Sent})
+	a := &engineAttempt{forwarded: f, choice: &choice, id: id}
 	end := a.run()
-	p.settle(now, a, end)
-	if p.r.Context().Err() != nil && end.state != attempt.Completed {
-		p.ledger.StopReason = reasonCallerGone
+	f.release(now, a, end)
+	if f.request.Context().Err() != nil && end.state != attempt.Completed {
+		f.forward.StopReason = reasonCallerGone
 	}
-	p.ledger.Record(id, end.state, end.cause)
+	f.forward.Record(id, end.state, end.cause)
 	return nil
 }
 
 // choose picks an engine, counts the request there, and spends the budget of a retry.
-func (p *passage) choose(now int64, retry bool) (placement.Choice, error) {
-	c := p.c
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	budget := c.budget(p.placing.Pool)
+func (f *forwardedRequest) pickEngine(now int64, retry bool) (placement.Choice, error) {
+	s := f.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	budget := s.retryWindow(f.placement.Pool)
 	if retry && !budget.Allows(now) {
 		return placement.Choice{}, errRetryBudget
 	}
 	// A later attempt begins later: weights may have gone out of date since the first.
-	p.placing.MinVersion = c.leastVersion(now, p.ask.Model)
-	choice, ok := c.pick.Pick(now, &p.placing)
+	f.placement.MinVersion = s.minVersion(now, f.info.Model)
+	choice, ok := s.picker.Pick(now, &f.placement)
 	if !ok {
 		return choice, errNoEngine
 	}
-	c.pick.RequestSent(&choice)
+	s.picker.RequestSent(&choice)
 	if retry {
 		budget.CountRetry(now)
-		c.counts.more.Add(1)
+		s.counts.retries.Add(1)
 	}
 	return choice, nil
 }
 
 // settle takes an attempt that has ended off its engine's load, and lets an engine rest
 // that failed or turned it away.
-func (p *passage) settle(now int64, a *engineAttempt, end outcome) {
-	c, engine := p.c, a.choice.Engine.ID
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.pick.AttemptEnded(a.choice, a.began)
+func (f *forwardedRequest) release(now int64, a *engineAttempt, end outcome) {
+	s, engine := f.server, a.choice.Engine.ID
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.picker.AttemptEnded(a.choice, a.began)
 	switch {
-	case end.state == attempt.NotStarted && end.cause == causeSkipped:
-		c.counts.skipped.Add(1)
-		c.pick.Eject(now, engine, restFullUS, false)
-	case end.state == attempt.NotStarted && end.cause == causeOther:
-		c.counts.skipped.Add(1)
-		c.pick.Eject(now, engine, restOtherUS, true)
-		p.placing.Misdirected = true
+	case end.state == attempt.NotStarted && end.cause == causeNotRun:
+		s.counts.notRun.Add(1)
+		s.picker.Eject(now, engine, ejectFullUS, false)
+	case end.state == attempt.NotStarted && end.cause == causeMisdirected:
+		s.counts.notRun.Add(1)
+		s.picker.Eject(now, engine, ejectMisdirectedUS, true)
+		f.placement.Misdirected = true
 	case a.unreached:
-		c.pick.Eject(clock.Now(), engine, restLostUS, true)
+		s.picker.Eject(clock.Now(), engine, ejectInterruptedUS, true)
 	case end.state == attempt.Interrupted && end.cause != reasonCallerGone && end.cause != reasonDuePassed:
-		c.counts.broken.Add(1)
-		c.pick.Eject(clock.Now(), engine, restLostUS, true)
+		s.counts.interrupted.Add(1)
+		s.picker.Eject(clock.Now(), engine, ejectInterruptedUS, true)
 	}
 }
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -37,60 +37,60 @@
 	HintEntries int // entries of the hint table
 }
 
-type carrier struct {
-	s      Settings
-	d      *daemon.Daemon
-	door   Adapter
-	book   *transport.PeerPool
-	inc    uint64
-	view   atomic.Pointer[view]
-	pool   *pool
-	hints  *hint.Holders
-	hintMu sync.Mutex
-	mu     sync.Mutex // of pick and window
-	pick   *placement.Picker
-	window map[string]*attempt.RetryWindow // by pool
-	allow  float64
-	srv    atomic.Pointer[http.Server]
-	met    atomic.Bool // a map that shows engines was seen
-	counts counts
+type server struct {
+	settings       Settings
+	daemon         *daemon.Daemon
+	adapter        Adapter
+	controlNodes   *transport.PeerPool
+	incarnation    uint64
+	view           atomic.Pointer[view]
+	pool           *connPool
+	hints          *hint.Holders
+	hintMu         sync.Mutex
+	mu             sync.Mutex // of pick and window
+	picker         *placement.Picker
+	retryWindows   map[string]*attempt.RetryWindow // by pool
+	retryAllowance float64
+	httpServer     atomic.Pointer[http.Server]
+	seenEngines    atomic.Bool // a map that shows engines was seen
+	counts         counts
 }
 
 type counts struct {
-	arrived, done, refused, lost, cut, sends, more, skipped, broken, resumed, read, moved, hit atomic.Int64
+	arrived, done, rejected, lost, aborted, sends, retries, notRun, interrupted, resumed, prefillTokens, transferTokens, cachedTokens atomic.Int64
 }
 
 var noTime = time.Time{}
 
 // New makes a carrier, ready to Run.
-func New(s Settings, door Adapter) (*daemon.Daemon, error) {
-	if s.Listen == "" || len(s.Seeds) == 0 {
+func New(settings Settings, door Adapter) (*daemon.Daemon, error) {
+	if settings.Listen == "" || len(settings.Seeds) == 0 {
 		return nil, trace.BadParameter("an address for callers and a seed are needed; look at the settings file")
 	}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	grace := max(s.Bounds.GraceUS-700_000, 1_000_000)
-	d := daemon.New("carrier", s.Name, s.HTTP, grace)
-	c := &carrier{s: s, d: d, door: door, book: transport.NewPeerPool(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
-		pool: newPool(), hints: hint.NewHolders(s.HintEntries)}
-	c.pick = placement.New(s.Zone, c.hints)
-	c.window, c.allow = map[string]*attempt.RetryWindow{}, 1
-	c.view.Store(&view{})
-	f := newFollower(c)
-	d.Group.Go("follow", f.run)
-	d.Group.Go("ready", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(40_000), c.watch) })
-	d.Group.Go("sweep", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Duration(1_000_000), func(context.Context) { c.pool.sweep(func(string) bool { return true }) })
+	grace := max(settings.Bounds.GraceUS-700_000, 1_000_000)
+	daemon := daemon.New("carrier", settings.Name, settings.HTTP, grace)
+	s := &server{settings: settings, daemon: daemon, adapter: door, controlNodes: transport.NewPeerPool(daemon.Group), incarnation: binary.LittleEndian.Uint64(b[:])>>24 | 1,
+		pool: newConnPool(), hints: hint.NewHolders(settings.HintEntries)}
+	s.picker = placement.New(settings.Zone, s.hints)
+	s.retryWindows, s.retryAllowance = map[string]*attempt.RetryWindow{}, 1
+	s.view.Store(&view{})
+	f := newFollower(s)
+	daemon.Group.Go("follow", f.run)
+	daemon.Group.Go("ready", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(40_000), s.updateReadiness) })
+	daemon.Group.Go("sweep", func(ctx context.Context) {
+		taskgroup.Every(ctx, clock.Duration(1_000_000), func(context.Context) { s.pool.sweep(func(string) bool { return true }) })
 	})
-	d.OnDrain(c.drain)
-	c.gauges()
-	return d, nil
+	daemon.OnDrain(s.drain)
+	s.registerMetrics()
+	return daemon, nil
 }
 
-func (c *carrier) self() *fb.NodeT {
-	return &fb.NodeT{Name: c.s.Name, Role: "carrier", Site: c.s.Zone, Http: c.s.HTTP, Inc: c.inc, Ready: c.d.Ready()}
+func (s *server) self() *fb.NodeT {
+	return &fb.NodeT{Name: s.settings.Name, Role: "carrier", Site: s.settings.Zone, Http: s.settings.HTTP, Inc: s.incarnation, Ready: s.daemon.Ready()}
 }
 
 func score(a, b string) uint64 {
@@ -102,83 +102,83 @@
 
 // stale is the age beyond which a configuration may not be acted on: a key that it
 // holds may have been taken away, and that must be in force everywhere by then.
-func (c *carrier) stale() int64 {
-	if !c.s.Bounds.RevocationGlobal {
+func (s *server) maxConfigAgeUS() int64 {
+	if !s.settings.Bounds.RevocationGlobal {
 		return 1 << 49
 	}
-	return max(c.s.Bounds.RevocationUS-400_000, 500_000)
+	return max(s.settings.Bounds.RevocationUS-400_000, 500_000)
 }
 
 // watch says whether this proxy is ready, and opens its door for callers once it is.
-func (c *carrier) watch(context.Context) {
-	v := c.view.Load()
+func (s *server) updateReadiness(context.Context) {
+	v := s.view.Load()
 	now := clock.Now()
-	if v.table == nil || v.age(now) > c.stale() {
-		c.d.SetReady("the configuration is not known to be in force")
+	if v.table == nil || v.age(now) > s.maxConfigAgeUS() {
+		s.daemon.SetReady("the configuration is not known to be in force")
 		return
 	}
-	if !c.met.Load() {
-		c.d.SetReady("no engine is known yet")
+	if !s.seenEngines.Load() {
+		s.daemon.SetReady("no engine is known yet")
 		return
 	}
-	if c.srv.Load() == nil && !c.d.Stopping() {
-		if err := c.open(v.table.Limits); err != nil {
-			c.d.SetReady(err.Error())
+	if s.httpServer.Load() == nil && !s.daemon.Stopping() {
+		if err := s.listen(v.table.Limits); err != nil {
+			s.daemon.SetReady(err.Error())
 			return
 		}
 	}
-	c.d.SetReady("")
-	c.mu.Lock()
-	c.allow = float64(c.s.Bounds.RetryAllowance) * 0.7 / float64(v.peers)
-	c.mu.Unlock()
+	s.daemon.SetReady("")
+	s.mu.Lock()
+	s.retryAllowance = float64(s.settings.Bounds.RetryAllowance) * 0.7 / float64(v.proxies)
+	s.mu.Unlock()
 }
 
 // budget is this proxy's part of the further sends that a pool may get in all. The
 // caller holds the lock.
-func (c *carrier) budget(pool string) *attempt.RetryWindow {
-	w := c.window[pool]
+func (s *server) retryWindow(pool string) *attempt.RetryWindow {
+	w := s.retryWindows[pool]
 	if w == nil {
-		w = &attempt.RetryWindow{SpanUS: c.s.Bounds.RetryWindowUS, Ratio: c.s.Bounds.RetryRatio * 0.7}
-		c.window[pool] = w
+		w = &attempt.RetryWindow{SpanUS: s.settings.Bounds.RetryWindowUS, Ratio: s.settings.Bounds.RetryRatio * 0.7}
+		s.retryWindows[pool] = w
 	}
-	w.Allowance = c.allow
+	w.Allowance = s.retryAllowance
 	return w
 }
 
 // open listens for callers, within the limits that the configuration sets.
-func (c *carrier) open(l route.Limits) error {
-	ln, err := net.Listen("tcp", c.s.Listen)
+func (s *server) listen(limits route.Limits) error {
+	listener, err := net.Listen("tcp", s.settings.Listen)
 	if err != nil {
-		return trace.ConnectionProblem(err, "can't listen on %s; give it a free IP:port of this machine", c.s.Listen)
+		return trace.ConnectionProblem(err, "can't listen on %s; give it a free IP:port of this machine", s.settings.Listen)
 	}
-	c.serveCallers(ln, l)
-	c.d.Log.Info("open", "listen", c.s.Listen)
+	s.serveCallers(listener, limits)
+	s.daemon.Log.Info("open", "listen", s.settings.Listen)
 	return nil
 }
 
 // serveCallers takes callers' requests from a listener.
-func (c *carrier) serveCallers(ln net.Listener, l route.Limits) {
-	s := &http.Server{Handler: http.HandlerFunc(c.serve), ReadHeaderTimeout: clock.Duration(l.HeaderUS), IdleTimeout: idleUnbounded,
-		MaxHeaderBytes: int(l.HeaderBytes), ErrorLog: log.New(io.Discard, "", 0), ConnContext: withCallerConn, ConnState: noteState}
-	if l.HeaderUS <= 0 {
-		s.ReadHeaderTimeout = 5 * time.Second
+func (s *server) serveCallers(listener net.Listener, limits route.Limits) {
+	httpServer := &http.Server{Handler: http.HandlerFunc(s.serveRequest), ReadHeaderTimeout: clock.Duration(limits.HeaderUS), IdleTimeout: idleUnbounded,
+		MaxHeaderBytes: int(limits.HeaderBytes), ErrorLog: log.New(io.Discard, "", 0), ConnContext: withCallerConn, ConnState: noteState}
+	if limits.HeaderUS <= 0 {
+		httpServer.ReadHeaderTimeout = 5 * time.Second
 	}
-	c.srv.Store(s)
-	c.d.Group.Go("callers", func(context.Context) {
-		if err := s.Serve(callerListener{Listener: ln, idleLimit: c.idleLimit}); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			c.d.Log.Info("callers_problem", "cause", err.Error())
-			c.d.Stop()
+	s.httpServer.Store(httpServer)
+	s.daemon.Group.Go("callers", func(context.Context) {
+		if err := httpServer.Serve(callerListener{Listener: listener, idleLimit: s.idleLimit}); err != nil && !errors.Is(err, http.ErrServerClosed) {
+			s.daemon.Log.Info("callers_problem", "cause", err.Error())
+			s.daemon.Stop()
 		}
 	})
-	c.d.Group.Go("callers.close", func(ctx context.Context) {
+	s.daemon.Group.Go("callers.close", func(ctx context.Context) {
 		<-ctx.Done()
-		_ = s.Close()
+		_ = httpServer.Close()
 	})
 }
 
 // idleLimit is how long a caller's connection may rest under the configuration in force.
-func (c *carrier) idleLimit() time.Duration {
-	if t := c.view.Load().table; t != nil && t.Limits.IdleUS > 0 {
+func (s *server) idleLimit() time.Duration {
+	if t := s.view.Load().table; t != nil && t.Limits.IdleUS > 0 {
 		return clock.Duration(t.Limits.IdleUS)
 	}
 	return idleDefault
@@ -186,38 +186,38 @@
 
 // awayUS is how long new connections may still come after this proxy said that it is
 // not ready any more: the platform asks once a second and believes the second no.
-const awayUS = 2_700_000
+const stillArrivingUS = 2_700_000
 
 // drain lets what is under way end. For a while new requests are still taken, since
 // they still come; each answer then asks its caller to connect anew elsewhere.
-func (c *carrier) drain(ctx context.Context) {
-	s := c.srv.Load()
-	if s == nil {
+func (s *server) drain(ctx context.Context) {
+	httpServer := s.httpServer.Load()
+	if httpServer == nil {
 		return
 	}
-	taskgroup.Sleep(ctx, awayUS)
-	_ = s.Shutdown(ctx)
-	c.pool.closeIdle()
+	taskgroup.Sleep(ctx, stillArrivingUS)
+	_ = httpServer.Shutdown(ctx)
+	s.pool.closeIdle()
 }
 
-func (c *carrier) gauges() {
+func (s *server) registerMetrics() {
 	n := func(name, help string, v *atomic.Int64) {
-		c.d.Counter(name, help, func() float64 { return float64(v.Load()) })
+		s.daemon.Counter(name, help, func() float64 { return float64(v.Load()) })
 	}
-	k := &c.counts
+	k := &s.counts
 	n("requests_arrived", "requests taken", &k.arrived)
 	n("requests_done", "requests answered whole", &k.done)
-	n("requests_refused", "requests refused that never ran", &k.refused)
+	n("requests_refused", "requests refused that never ran", &k.rejected)
 	n("requests_lost", "requests that may have run and have no answer", &k.lost)
-	n("requests_cut", "answers broken off", &k.cut)
+	n("requests_cut", "answers broken off", &k.aborted)
 	n("sends", "requests sent to engines", &k.sends)
-	n("sends_more", "of these, beyond a request's first", &k.more)
-	n("sends_skipped", "turned away by engines", &k.skipped)
-	n("sends_broken", "lost after they were sent", &k.broken)
+	n("sends_more", "of these, beyond a request's first", &k.retries)
+	n("sends_skipped", "turned away by engines", &k.notRun)
+	n("sends_broken", "lost after they were sent", &k.interrupted)
 	n("streams_resumed", "streams taken up at another engine", &k.resumed)
-	n("tokens_read", "prompt tokens that engines had to read, as estimated", &k.read)
-	n("tokens_moved", "prompt tokens that engines were told to take", &k.moved)
-	n("tokens_hit", "prompt tokens hinted to be kept where they were needed", &k.hit)
-	c.d.Gauge("config_age_us", "time since the configuration was known to be in force", func() float64 { return float64(c.view.Load().age(clock.Now())) })
-	c.d.Gauge("hints", "entries in the hint table", func() float64 { return float64(c.hints.Len()) })
+	n("tokens_read", "prompt tokens that engines had to read, as estimated", &k.prefillTokens)
+	n("tokens_moved", "prompt tokens that engines were told to take", &k.transferTokens)
+	n("tokens_hit", "prompt tokens hinted to be kept where they were needed", &k.cachedTokens)
+	s.daemon.Gauge("config_age_us", "time since the configuration was known to be in force", func() float64 { return float64(s.view.Load().age(clock.Now())) })
+	s.daemon.Gauge("hints", "entries in the hint table", func() float64 { return float64(s.hints.Len()) })
 }
--- a/internal/app/proxy/refusal.go
+++ b/internal/app/proxy/refusal.go
@@ -54,11 +54,11 @@
 
 // respondError answers a request that is not passed on, or whose answer was lost.
 // A backoffUS above 0 is told as Retry-After.
-func (c *carrier) respondError(w http.ResponseWriter, status int, reason string, backoffUS int64) {
+func (s *server) respondError(w http.ResponseWriter, status int, reason string, backoffUS int64) {
 	if backoffUS > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(backoffUS)/1e6, 'f', 3, 64))
 	}
-	if c.d.Stopping() {
+	if s.daemon.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
 	daemon.WriteJSON(w, status, daemon.ErrorResponse{Reason: reason, Remedy: remedies[reason]})
