--- a/dispatch/desk.go
+++ b/dispatch/desk.go
@@ -76,7 +76,7 @@
 	byNode  map[uint64]*lane
 	tickets map[uint64]*work
 	q       *fairqueue.Queue
-	budget  attempt.Budget
+	budget  attempt.RetryBudget
 	typical map[string]int64
 	seq     uint64
 	Counts  Counts
@@ -122,8 +122,8 @@
 		if r == "" {
 			r = d.rehome(w)
 		}
-		if r != "" && w.led.Stop == "" {
-			w.led.Stop = r
+		if r != "" && w.led.StopReason == "" {
+			w.led.StopReason = r
 			acts = append(acts, d.move(now, w)...)
 		}
 	}
@@ -198,7 +198,7 @@
 		}
 		switch {
 		case w.led.Ended:
-			if w.led.Claim == attempt.Asked && now-w.askAt > 30_000_000 {
+			if w.led.Claim == attempt.ClaimRequested && now-w.askAt > 30_000_000 {
 				delete(d.tickets, w.Ref)
 			}
 			continue
@@ -209,10 +209,10 @@
 		case w.queued && hopeless[ref]:
 			// Given up: answered now, not when its due is near (design §8).
 			acts = append(acts, d.Stop(now, w.Ref, "due-unreachable")...)
-		case w.led.Claim == attempt.Asked && now-w.askAt > claimWait:
+		case w.led.Claim == attempt.ClaimRequested && now-w.askAt > claimWait:
 			// The claim may yet be granted; this ticket will not use it, and it
 			// stays taken, which errs on the safe side.
-			w.led.Claim = attempt.Doubtful
+			w.led.Claim = attempt.ClaimUnknown
 			acts = append(acts, d.move(now, w)...)
 		case w.queued:
 			acts = append(acts, d.move(now, w)...)
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -126,9 +126,9 @@
 		d.seen[l.Engine] = e
 	}
 	switch s {
-	case attempt.Began:
+	case attempt.Started:
 		e.FirstUS = now - w.began
-	case attempt.Finished:
+	case attempt.Completed:
 		l.problem = 0
 		e.Dones++
 	default:
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -28,7 +28,7 @@
 
 type work struct {
 	Ticket
-	led    attempt.Ledger
+	led    attempt.History
 	nonce  string
 	lane   *lane
 	queued bool
@@ -55,7 +55,7 @@
 	if !ok || !d.plan.Allowed(w.Group, w.Kind) {
 		return "kind-taken"
 	}
-	if k.Once && !w.led.Once && len(w.led.Attempts) == 0 {
+	if k.Once && !w.led.OnceOnly && len(w.led.Attempts) == 0 {
 		d.once(w)
 		if w.Own && w.Era == 0 {
 			return "era-missing" // its kind became a once-only one while it waited
@@ -67,9 +67,9 @@
 // once makes a ticket run once at most. An id that this proxy made up can't come
 // again, so that it needs no claim: the ledger alone sees to it.
 func (d *Desk) once(w *work) {
-	w.led.Once = true
+	w.led.OnceOnly = true
 	if !w.Own {
-		w.led.Claim = attempt.Needless
+		w.led.Claim = attempt.ClaimNotNeeded
 	}
 }
 
@@ -80,7 +80,7 @@
 	if d.plan.Domain(w.Group, w.Weights) == w.Domain {
 		return ""
 	}
-	a, live := w.led.Live()
+	a, live := w.led.InFlight()
 	if live && a.State == attempt.Sent {
 		return "wall-changed"
 	}
@@ -119,7 +119,7 @@
 	if ahead := d.q.Ahead(t.Group, t.Due, d.lasts(room)); now+ahead*5/4+w.cost*2 > t.Due && (ahead > 0 || now+w.cost > t.Due) {
 		return nil, &Refusal{"due-unreachable", max(ahead, 100_000)}
 	}
-	d.budget.Earn()
+	d.budget.CountRequest()
 	d.seq++
 	w.nonce = d.name + "/" + strconv.FormatUint(d.inc, 36) + "/" + strconv.FormatUint(d.seq, 36)
 	d.tickets[t.Ref] = w
@@ -139,39 +139,39 @@
 	}
 }
 
-func (d *Desk) facts(now int64, w *work) attempt.Facts {
+func (d *Desk) facts(now int64, w *work) attempt.Conditions {
 	need := int64(1000)
 	if w.queued {
 		need = w.cost
 	}
-	return attempt.Facts{Time: now+need < w.Due, Budget: d.budget.Has()}
+	return attempt.Conditions{TimeLeft: now+need < w.Due, RetryAllowed: d.budget.Allows()}
 }
 
 // move carries out what the ledger says comes next.
 func (d *Desk) move(now int64, w *work) []Act {
-	if d.plan != nil && w.led.Stop == "" {
+	if d.plan != nil && w.led.StopReason == "" {
 		if len(w.led.Attempts) == 0 && d.PlanAge(now) > PlanLimit {
-			w.led.Stop = "plan-not-fresh"
+			w.led.StopReason = "plan-not-fresh"
 		}
 	}
 	m := w.led.Next(d.facts(now, w))
-	switch m.Do {
-	case attempt.Ask:
+	switch m.Action {
+	case attempt.RequestClaim:
 		if w.lane == nil {
 			return nil // still waiting its turn
 		}
-		w.led.Claim, w.askAt = attempt.Asked, now
+		w.led.Claim, w.askAt = attempt.ClaimRequested, now
 		d.Counts.Claims++
 		return []Act{{Do: DoClaim, Ref: w.Ref, Group: w.Group, ID: w.ID, Nonce: w.nonce, Claim: w.claim()}}
 	case attempt.Assign:
 		return d.assign(now, w, m)
-	case attempt.End:
+	case attempt.Finish:
 		return d.end(now, w, m)
 	}
 	return nil
 }
 
-func (d *Desk) assign(now int64, w *work, m attempt.Move) []Act {
+func (d *Desk) assign(now int64, w *work, m attempt.Decision) []Act {
 	if w.lane == nil {
 		if w.queued {
 			return nil
@@ -196,13 +196,13 @@
 	if now-l.at > OrderLimit || d.PlanAge(now) > PlanLimit {
 		d.leave(w)
 		if d.PlanAge(now) > PlanLimit {
-			w.led.Stop = "plan-not-fresh"
+			w.led.StopReason = "plan-not-fresh"
 			return d.move(now, w)
 		}
 		return d.assign(now, w, m)
 	}
-	if m.Retry {
-		d.budget.Spend()
+	if m.SpendsRetry {
+		d.budget.CountRetry()
 		d.Counts.Retries++
 	}
 	d.Counts.Attempts++
@@ -238,25 +238,25 @@
 	}
 }
 
-func (d *Desk) end(now int64, w *work, m attempt.Move) []Act {
+func (d *Desk) end(now int64, w *work, m attempt.Decision) []Act {
 	w.led.Ended = true
 	var acts []Act
-	if m.Cancel != "" {
-		acts = append(acts, Act{Do: DoCancel, Ref: w.Ref, Attempt: m.Cancel})
+	if m.CancelAttempt != "" {
+		acts = append(acts, Act{Do: DoCancel, Ref: w.Ref, Attempt: m.CancelAttempt})
 	}
-	if m.Release {
+	if m.ReleaseClaim {
 		acts = append(acts, Act{Do: DoRelease, Ref: w.Ref, Group: w.Group, ID: w.ID, Nonce: w.nonce, Claim: w.claim()})
 	}
 	switch m.Outcome {
 	case attempt.Done:
 		d.Counts.Done++
-	case attempt.Refused:
+	case attempt.Rejected:
 		d.Counts.Refused++
 	default:
 		d.Counts.Unknown++
 	}
 	end := Act{Do: DoEnd, Ref: w.Ref, ID: w.ID, Outcome: m.Outcome, Reason: m.Reason}
-	if m.Outcome == attempt.Refused {
+	if m.Outcome == attempt.Rejected {
 		end.Back = max(100_000, d.q.Ahead(w.Group, w.Due, max(1, d.Room(now))))
 	}
 	acts = append(acts, end)
@@ -266,22 +266,22 @@
 		d.q.Release(w.Group)
 		w.taken = false
 	}
-	if w.led.Claim != attempt.Asked {
+	if w.led.Claim != attempt.ClaimRequested {
 		delete(d.tickets, w.Ref)
 	}
 	return append(acts, d.pump(now)...)
 }
 
 // Claimed takes in the answer to a claim.
-func (d *Desk) Claimed(now int64, ref uint64, c attempt.Claim) []Act {
+func (d *Desk) Claimed(now int64, ref uint64, c attempt.ClaimState) []Act {
 	w := d.tickets[ref]
-	if w == nil || w.led.Claim != attempt.Asked {
+	if w == nil || w.led.Claim != attempt.ClaimRequested {
 		return nil
 	}
 	w.led.Claim = c
 	if w.led.Ended {
 		delete(d.tickets, ref)
-		if c == attempt.Held {
+		if c == attempt.ClaimGranted {
 			return []Act{{Do: DoRelease, Ref: ref, Group: w.Group, ID: w.ID, Nonce: w.nonce, Claim: w.claim()}}
 		}
 		return nil
@@ -292,18 +292,18 @@
 // Note takes in how far an attempt has come.
 func (d *Desk) Note(now int64, ref uint64, id string, s attempt.State, cause string) []Act {
 	w := d.tickets[ref]
-	if w == nil || !w.led.Note(id, s, cause) {
+	if w == nil || !w.led.Record(id, s, cause) {
 		return nil
 	}
 	l := w.lane
 	if l != nil {
 		d.learn(now, l, w, s, cause)
 	}
-	if s == attempt.Began {
+	if s == attempt.Started {
 		return nil
 	}
 	d.leave(w)
-	if s == attempt.Finished {
+	if s == attempt.Completed {
 		t := now - w.began
 		if o := d.typical[w.Kind]; o > 0 {
 			t = o + (t-o)/8
@@ -320,19 +320,19 @@
 	if w == nil || w.led.Ended {
 		return false
 	}
-	if a, ok := w.led.Live(); !ok || a.ID != attempt {
+	if a, ok := w.led.InFlight(); !ok || a.ID != attempt {
 		return false
 	}
-	w.led.Out = true
+	w.led.ResponseStarted = true
 	return true
 }
 
 // Stop ends a ticket for a reason.
 func (d *Desk) Stop(now int64, ref uint64, why string) []Act {
 	w := d.tickets[ref]
-	if w == nil || w.led.Ended || w.led.Stop != "" {
+	if w == nil || w.led.Ended || w.led.StopReason != "" {
 		return nil
 	}
-	w.led.Stop = why
+	w.led.StopReason = why
 	return d.move(now, w)
 }
--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -282,7 +282,7 @@
 	}
 	b, err := json.Marshal(body)
 	if err != nil {
-		note(attempt.NeverBegan, "unencodable")
+		note(attempt.NotStarted, "unencodable")
 		return
 	}
 	var wired atomic.Bool // from here on bytes may have gone out
@@ -290,21 +290,21 @@
 	// A reader that can't be rewound keeps the library from sending twice.
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Order.Addr+"/v1/run", io.NopCloser(bytes.NewReader(b)))
 	if err != nil {
-		note(attempt.NeverBegan, "bad-address")
+		note(attempt.NotStarted, "bad-address")
 		return
 	}
 	q.ContentLength = int64(len(b))
 	q.Header.Set("Content-Type", "application/json")
 	if clock.Now() > a.Until {
-		note(attempt.NeverBegan, "woke-late")
+		note(attempt.NotStarted, "woke-late")
 		return
 	}
 	s, err := r.engine.Do(q)
 	if err != nil {
 		if !wired.Load() {
-			note(attempt.NeverBegan, "unreachable")
+			note(attempt.NotStarted, "unreachable")
 		} else {
-			note(attempt.Broken, "engine-lost")
+			note(attempt.Interrupted, "engine-lost")
 		}
 		return
 	}
@@ -313,17 +313,17 @@
 		x, _ := io.ReadAll(io.LimitReader(s.Body, 4096))
 		var no engineapi.Refusal
 		if json.Unmarshal(x, &no) == nil && no.Refused != "" {
-			note(attempt.NeverBegan, no.Refused)
+			note(attempt.NotStarted, no.Refused)
 		} else {
-			note(attempt.Broken, "engine-error-"+strconv.Itoa(s.StatusCode))
+			note(attempt.Interrupted, "engine-error-"+strconv.Itoa(s.StatusCode))
 		}
 		return
 	}
 	cause := r.relay(c, a, s.Body, note)
 	if cause == "" {
-		note(attempt.Finished, "")
+		note(attempt.Completed, "")
 	} else {
-		note(attempt.Broken, cause)
+		note(attempt.Interrupted, cause)
 	}
 }
 
@@ -343,7 +343,7 @@
 		switch {
 		case l.Began && !began && l.Piece == nil && !l.Done:
 			began = true
-			note(attempt.Began, "")
+			note(attempt.Started, "")
 		case !began || l.Began:
 			return "engine-malformed"
 		case l.Piece != nil && !l.Done:
@@ -411,7 +411,7 @@
 	}
 	r.mu.Lock()
 	r.spare.Permille = p.Limits.RetryPermille
-	r.spare.Earn()
+	r.spare.CountRequest()
 	r.mu.Unlock()
 	for try := 0; ; try++ {
 		s, sent, err := r.plainOnce(ctx, q, e, body)
@@ -435,10 +435,10 @@
 func (r *remisier) spend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.spare.Has() {
+	if !r.spare.Allows() {
 		return false
 	}
-	r.spare.Spend()
+	r.spare.CountRetry()
 	return true
 }
 
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -61,7 +61,7 @@
 	plain  atomic.Int64 // plain calls under way
 	newsAt codec.Cursor
 	claims lats
-	spare  attempt.Budget // for calls to app back ends; under mu
+	spare  attempt.RetryBudget // for calls to app back ends; under mu
 }
 
 // lats sums how long something took.
@@ -224,7 +224,7 @@
 }
 
 func (r *remisier) claim(ctx context.Context, a dispatch.Act) {
-	s := map[string]attempt.Claim{"": attempt.Held, "duplicate": attempt.Taken, "era-closed": attempt.Closed, "claim-unavailable": attempt.Doubtful}[r.claimWord(ctx, a)]
+	s := map[string]attempt.ClaimState{"": attempt.ClaimGranted, "duplicate": attempt.ClaimTaken, "era-closed": attempt.ClaimClosed, "claim-unavailable": attempt.ClaimUnknown}[r.claimWord(ctx, a)]
 	r.step(func(now int64) []dispatch.Act { return r.desk.Claimed(now, a.Ref, s) })
 }
 
