--- /dev/null
+++ b/internal/app/control/api_plan.go
@@ -0,0 +1,146 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"violetthread/internal/daemon"
+	"violetthread/plan"
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+)
+
+// maxPlanAttempts bounds how often a change without a precondition is put on top of another
+// operator's.
+const maxPlanAttempts = 50
+
+// PlanAccepted is what an operator gets for a plan in force.
+type PlanAccepted struct {
+	Revision uint64 `json:"rev"`
+}
+
+// servePlan serves /v1/plan.
+func (n *Node) servePlan(w http.ResponseWriter, r *http.Request) {
+	switch r.Method {
+	case http.MethodGet:
+		n.readPlan(w, r)
+	case http.MethodPut, http.MethodPatch:
+		n.changePlan(w, r)
+	default:
+		writeError(w, http.StatusMethodNotAllowed, "no-such-method", "use GET, PUT or PATCH")
+	}
+}
+
+func (n *Node) readPlan(w http.ResponseWriter, r *http.Request) {
+	answer := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
+	switch {
+	case quorum.Status(answer.Status) != quorum.Done:
+		writeNotCommitted(w, answer)
+	case answer.Rev == 0:
+		writeError(w, http.StatusNotFound, "no-plan", "send a whole plan first, with violetthread-ctl plan put")
+	default:
+		w.Header().Set("ETag", etag(answer.Rev))
+		w.Header().Set("Content-Type", "application/json")
+		_, raw, err := plan.Open(answer.Val)
+		if err != nil {
+			writeError(w, http.StatusInternalServerError, "unreadable", err.Error())
+			return
+		}
+		_, _ = w.Write(raw) // to the byte what was sent
+	}
+}
+
+func etag(revision uint64) string { return fmt.Sprintf("%q", strconv.FormatUint(revision, 10)) }
+
+// changePlan carries out a PUT or PATCH of the plan.
+func (n *Node) changePlan(w http.ResponseWriter, r *http.Request) {
+	change, ok := readPlanChange(w, r)
+	if !ok {
+		return
+	}
+	for range maxPlanAttempts {
+		// What is in force is read first in any case: the seal follows from it.
+		current := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
+		if quorum.Status(current.Status) != quorum.Done {
+			writeNotCommitted(w, current)
+			return
+		}
+		sealed, _, err := change.On(current.Rev, current.Val)
+		if err != nil {
+			writeChangeError(w, err)
+			return
+		}
+		answer := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: planKey, Val: sealed, Expect: current.Rev})
+		if quorum.Status(answer.Status) == quorum.Conflict && !change.If {
+			continue // another operator's change came between; this one goes on top of it
+		}
+		n.writePlanResult(w, r, answer)
+		return
+	}
+	writeError(w, http.StatusConflict, "too-busy", "many operators change the plan at once; send the patch again")
+}
+
+// readPlanChange reads what an operator sent; false means that it was answered.
+func readPlanChange(w http.ResponseWriter, r *http.Request) (change plan.Change, ok bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, plan.MaxBytes+1))
+	if err != nil {
+		writeError(w, http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("keep a plan within %d bytes", plan.MaxBytes))
+		return change, false
+	}
+	change = plan.Change{Body: body, Patch: r.Method == http.MethodPatch}
+	if match := strings.Trim(r.Header.Get("If-Match"), `"`); match != "" && match != "*" {
+		change.If = true
+		if change.Rev, err = strconv.ParseUint(match, 10, 64); err != nil {
+			writeError(w, http.StatusBadRequest, "bad-precondition", "give If-Match the revision that ETag showed")
+			return change, false
+		}
+	}
+	return change, true
+}
+
+func (n *Node) writePlanResult(w http.ResponseWriter, r *http.Request, answer *fb.OpTellT) {
+	switch quorum.Status(answer.Status) {
+	case quorum.Done:
+		n.logPlanChanged(answer.Rev, r.Method, r.RemoteAddr)
+		w.Header().Set("ETag", etag(answer.Rev))
+		daemon.WriteJSON(w, http.StatusOK, PlanAccepted{answer.Rev})
+	case quorum.Conflict:
+		writeRevisionConflict(w, answer.Rev)
+	default:
+		writeNotCommitted(w, answer)
+	}
+}
+
+// writeChangeError tells an operator why a change does not apply.
+func writeChangeError(w http.ResponseWriter, err error) {
+	var (
+		otherRevision plan.OtherRevision
+		noPlan        plan.NoPlan
+		badPatch      plan.BadPatch
+		badPlan       plan.BadPlan
+	)
+	switch {
+	case errors.As(err, &otherRevision):
+		writeRevisionConflict(w, otherRevision.Rev)
+	case errors.As(err, &noPlan):
+		writeError(w, http.StatusNotFound, "no-plan", noPlan.Error())
+	case errors.As(err, &badPatch):
+		writeError(w, http.StatusBadRequest, "bad-patch", badPatch.Error())
+	case errors.As(err, &badPlan):
+		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-plan", Remedy: badPlan.Error(), Findings: badPlan.Findings})
+	default:
+		writeError(w, http.StatusInternalServerError, "unreadable", err.Error())
+	}
+}
+
+func writeRevisionConflict(w http.ResponseWriter, revision uint64) {
+	daemon.WriteJSON(w, http.StatusPreconditionFailed, ErrorResponse{
+		Reason:   "other-revision",
+		Remedy:   "read the plan again and decide anew; nothing was changed",
+		Revision: revision,
+	})
+}
--- /dev/null
+++ b/internal/app/control/api_status.go
@@ -0,0 +1,85 @@
+package control
+
+import (
+	"net/http"
+
+	"violetthread/internal/clock"
+	"violetthread/internal/codec"
+	"violetthread/internal/daemon"
+)
+
+// FleetStatus is what GET /v1/fleet tells.
+type FleetStatus struct {
+	ControlNode string        `json:"registrar"` // the one that answers
+	Plan        PlanStatus    `json:"plan"`
+	Slots       []SlotStatus  `json:"slots"`
+	Nodes       []NodeStatus  `json:"nodes"`
+	Voters      []VoterStatus `json:"voters"`
+	// VoterSetStep counts the voter set's changes; ChangeAllowed says that the next may be
+	// made.
+	VoterSetStep  uint64 `json:"roster_step"`
+	ChangeAllowed bool   `json:"roster_firm"`
+	// Disk is this node's own.
+	Disk DiskStatus `json:"disk"`
+}
+
+// PlanStatus is the plan as this control node last had it confirmed by its leader.
+type PlanStatus struct {
+	Revision uint64 `json:"rev"`
+	AgeUS    int64  `json:"age_us"` // since before the question that was answered
+}
+
+// SlotStatus is a slot of the control state.
+type SlotStatus struct {
+	Slot   int    `json:"slot"`
+	Leader string `json:"owner"`
+	Term   uint64 `json:"epoch"`
+	Keys   int    `json:"keys"`
+}
+
+// NodeStatus is a node whose session has not ended.
+type NodeStatus struct {
+	Name           string   `json:"name"`
+	Role           string   `json:"role"`
+	Zone           string   `json:"site"`
+	HTTP           string   `json:"http"`
+	Addr           string   `json:"wire"`
+	Ready          bool     `json:"ready"`
+	ControlNode    string   `json:"via"`    // that keeps the session
+	AgeUS          int64    `json:"age_us"` // of the last heartbeat
+	SingletonRoles []string `json:"duties,omitempty"`
+}
+
+// VoterStatus is a member of the voter set.
+type VoterStatus struct {
+	Name string `json:"name"`
+	Addr string `json:"wire"`
+}
+
+// serveFleet serves GET /v1/fleet.
+func (n *Node) serveFleet(w http.ResponseWriter, _ *http.Request) {
+	now := clock.Now()
+	held := n.plan.Load()
+	status := n.status.Load()
+	fleet := FleetStatus{
+		ControlNode:   n.settings.Name,
+		Plan:          PlanStatus{held.Rev, held.Age(now)},
+		Slots:         []SlotStatus{},
+		Nodes:         []NodeStatus{},
+		ChangeAllowed: status.changeAllowed,
+		Disk:          n.DiskStatus(),
+	}
+	for i, slot := range status.slots {
+		fleet.Slots = append(fleet.Slots, SlotStatus{i, slot.Owner, slot.Epoch, slot.Count})
+	}
+	for _, node := range n.sessions.Live(now) {
+		fleet.Nodes = append(fleet.Nodes, NodeStatus{node.Name, node.Role, node.Site, node.Http, node.Addr, node.Ready, node.Registrar, node.Age, node.Duties})
+	}
+	if set := n.voterSet.Load(); set != nil {
+		fleet.VoterSetStep = codec.UnpackVoterSet(set).Step()
+		for _, voter := range set.Voters {
+			fleet.Voters = append(fleet.Voters, VoterStatus{voter.Name, voter.Addr})
+		}
+	}
+	daemon.WriteJSON(w, http.StatusOK, fleet)
+}
--- /dev/null
+++ b/internal/app/control/api_voter_set.go
@@ -0,0 +1,101 @@
+package control
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"violetthread/internal/codec"
+	"violetthread/internal/daemon"
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+)
+
+// joiningTimeout is how long a joining control node may take to say who it is, in
+// microseconds.
+const joiningTimeout = 1_000_000
+
+// VoterSetChange is the body of POST /v1/roster: the voter named Leaving leaves, the empty
+// control node that listens at JoiningAddr joins; either may be left out. Step must be the
+// voter set's.
+type VoterSetChange struct {
+	Leaving     string `json:"old,omitempty"`
+	JoiningAddr string `json:"addr,omitempty"`
+	Step        uint64 `json:"step"`
+}
+
+// VoterSetAccepted is what an operator gets for a voter set in force.
+type VoterSetAccepted struct {
+	Step   uint64         `json:"step"`
+	Voters []quorum.Voter `json:"voters"`
+}
+
+// serveVoterSetChange serves POST /v1/roster.
+func (n *Node) serveVoterSetChange(w http.ResponseWriter, r *http.Request) {
+	var change VoterSetChange
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChangeBytes))
+	decoder.DisallowUnknownFields()
+	if r.Method != http.MethodPost || decoder.Decode(&change) != nil || change.Leaving == "" && change.JoiningAddr == "" {
+		writeError(w, http.StatusBadRequest, "malformed", "POST old, addr or both, and the step that GET /v1/fleet shows")
+		return
+	}
+	set := n.voterSet.Load()
+	if set == nil {
+		writeUnchanged(w, http.StatusServiceUnavailable, "not-in-fleet", "ask a control node that is in the voter set")
+		return
+	}
+	current := codec.UnpackVoterSet(set)
+	if change.Step != current.Step() {
+		writeUnchanged(w, http.StatusPreconditionFailed, "other-step", fmt.Sprintf("the voter set is at step %d; look at it again", current.Step()))
+		return
+	}
+	var joining *quorum.Voter
+	if change.JoiningAddr != "" {
+		if joining = n.identifyJoining(r.Context(), w, change.JoiningAddr); joining == nil {
+			return
+		}
+	}
+	next, err := current.Next(change.Leaving, joining)
+	if err != nil {
+		writeUnchanged(w, http.StatusBadRequest, "no-such-step", err.Error())
+		return
+	}
+	n.commitVoterSet(r.Context(), w, change, next)
+}
+
+// identifyJoining asks a joining control node who it is, and that its disk is empty. Nil
+// means that the operator was answered.
+func (n *Node) identifyJoining(ctx context.Context, w http.ResponseWriter, addr string) *quorum.Voter {
+	ask := &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation()}
+	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{FoundAsk: ask}, joiningTimeout)
+	if err != nil || answer.FoundTell == nil || answer.FoundTell.Inc == 0 {
+		writeUnchanged(w, http.StatusBadGateway, "newcomer-unreachable", "start the new control node first, and give its wire address as IP:port")
+		return nil
+	}
+	identity := answer.FoundTell
+	if identity.Founding != nil && len(identity.Founding.Voters) > 0 {
+		writeUnchanged(w, http.StatusConflict, "newcomer-not-empty", "its disk belongs to a voter set already; give it an empty data_dir")
+		return nil
+	}
+	return &quorum.Voter{Name: identity.Name, Addr: addr, Inc: identity.Inc}
+}
+
+// commitVoterSet puts a changed voter set in force and answers the operator.
+func (n *Node) commitVoterSet(ctx context.Context, w http.ResponseWriter, change VoterSetChange, next quorum.Roster) {
+	current := n.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.RosterKey})
+	if quorum.Status(current.Status) != quorum.Done {
+		writeNotCommitted(w, current)
+		return
+	}
+	answer := n.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.RosterKey, Val: next.Bytes(), Expect: current.Rev})
+	switch quorum.Status(answer.Status) {
+	case quorum.Done:
+		n.logVoterSetChanged(next.Step(), change.Leaving, change.JoiningAddr)
+		daemon.WriteJSON(w, http.StatusOK, VoterSetAccepted{next.Step(), next.Voters})
+	case quorum.Conflict:
+		writeUnchanged(w, http.StatusConflict, "not-now", string(answer.Val))
+	default:
+		writeNotCommitted(w, answer)
+	}
+}
--- /dev/null
+++ b/internal/app/control/bootstrap.go
@@ -0,0 +1,63 @@
+package control
+
+import (
+	"fmt"
+	"hash/fnv"
+	"slices"
+	"sort"
+	"strings"
+
+	"github.com/samber/lo"
+
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+)
+
+// replyLifetime is how old a seed's reply may be for a bootstrap, in microseconds.
+const replyLifetime = 700_000
+
+// firstStart reports whether this node belongs to a fleet that starts for the first time,
+// and never had a seat in it. One that lost its seat was replaced: its seat is taken.
+func (n *Node) firstStart() bool { return n.settings.Bootstrap && !n.removed.Load() }
+
+// tryBootstrap makes a fleet's first voter set out of what the seeds just replied, or says
+// what is waited for. Only seeds bootstrap, once each has told its incarnation and none
+// knows a voter set; whoever meets a fleet that has one joins that (design §4.6). All seeds
+// work out the same voter set.
+func (n *Node) tryBootstrap(now int64, replies map[string]peerReply) (*fb.FoundingT, error) {
+	for _, reply := range replies {
+		if reply.reply != nil && reply.reply.Founding != nil {
+			return nil, &joinError{"waiting to be let into the fleet's voter set", "a majority of its control nodes must be up"}
+		}
+	}
+	if !n.firstStart() {
+		return nil, &joinError{"no founded fleet is reachable", "if this is the fleet's first start, give every control node --found true"}
+	}
+	if !slices.Contains(n.settings.Seeds, n.settings.TransportAddr) {
+		return nil, &joinError{"waiting for the seeds to found the fleet", "start the control nodes at " + strings.Join(n.settings.Seeds, ", ")}
+	}
+	voters := []*fb.VoterT{{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation()}}
+	for _, addr := range lo.Without(lo.Uniq(n.settings.Seeds), n.settings.TransportAddr) {
+		reply := replies[addr]
+		if reply.reply == nil || now-reply.askedAt > replyLifetime {
+			return nil, &joinError{"founding waits until every seed answers", addr + " does not"}
+		}
+		voters = append(voters, &fb.VoterT{Name: reply.reply.Name, Addr: addr, Inc: reply.reply.Inc})
+	}
+	return firstVoterSet(voters)
+}
+
+// firstVoterSet is the voter set of a new fleet, whose number follows from its voters.
+func firstVoterSet(voters []*fb.VoterT) (*fb.FoundingT, error) {
+	sort.Slice(voters, func(i, j int) bool { return voters[i].Name < voters[j].Name })
+	hash := fnv.New64a()
+	for i, voter := range voters {
+		voter.Num = uint16(i + 1)
+		_, _ = fmt.Fprintf(hash, "%s|%s|%d;", voter.Name, voter.Addr, voter.Inc)
+		if i > 0 && voters[i-1].Name == voter.Name {
+			return nil, &joinError{"two control nodes are named " + voter.Name, "give each its own name"}
+		}
+	}
+	fleet := hash.Sum64() >> 24
+	return &fb.FoundingT{Fleet: fleet, Rev: quorum.Found(fleet), Voters: voters, Seats: uint16(len(voters))}, nil
+}
--- /dev/null
+++ b/internal/app/control/disk_image.go
@@ -0,0 +1,187 @@
+package control
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"fmt"
+
+	"github.com/gravitational/trace"
+
+	"violetthread/internal/codec"
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+	"violetthread/wal"
+)
+
+// diskImage is what the disk holds.
+type diskImage struct {
+	incarnation uint64
+	voterSet    *fb.FoundingT // nil while this disk is in no voter set
+	knownAddrs  []string      // whom to ask then
+	records     []quorum.Rec
+	recordCount int // all that were read
+}
+
+// readDisk locks the folder, reads the log and makes sure that it can be written. What
+// the log holds may serve to find other nodes also when it can't.
+func (n *Node) readDisk() (*diskImage, error) {
+	if err := n.lockFolder(); err != nil {
+		return nil, err
+	}
+	raw, err := n.readLog()
+	image, decodeErr := decodeImage(raw)
+	if decodeErr != nil {
+		return nil, decodeErr
+	}
+	if err != nil {
+		n.addKnownAddrs(image.addresses())
+		return nil, err
+	}
+	if image.incarnation == 0 {
+		if err := n.drawIncarnation(image); err != nil {
+			return nil, err
+		}
+	}
+	return image, n.checkpointIfFull(image)
+}
+
+func (n *Node) lockFolder() error {
+	s := &n.storage
+	if s.lock != nil {
+		return nil
+	}
+	lock, err := s.folder.Lock()
+	switch {
+	case err == nil:
+		s.lock = lock
+		return nil
+	case trace.IsAlreadyExists(err):
+		return err
+	}
+	return &wal.DiskError{Op: "open", Err: err}
+}
+
+func (n *Node) readLog() ([][]byte, error) {
+	s := &n.storage
+	if s.log != nil {
+		return s.log.Reopen()
+	}
+	config := wal.Config{SegmentCount: n.settings.LogSegments, SegmentBytes: n.settings.LogSegmentBytes}
+	log, raw, err := wal.Open(s.fs, config)
+	if err == nil {
+		s.log = log
+	}
+	return raw, err
+}
+
+// decodeImage reads the records of a log.
+func decodeImage(raw [][]byte) (*diskImage, error) {
+	image := &diskImage{recordCount: len(raw)}
+	for _, data := range raw {
+		record, founding, err := codec.UnpackRecord(data)
+		if err != nil {
+			return nil, trace.Wrap(err, "the write-ahead log holds a record that this version can't read; start the version that wrote it")
+		}
+		if err := image.add(record, founding); err != nil {
+			return nil, err
+		}
+	}
+	return image, nil
+}
+
+func (i *diskImage) add(record quorum.Rec, founding *fb.FoundingT) error {
+	switch {
+	case founding != nil && founding.Rev == 0: // of a disk in no voter set
+		i.incarnation, i.knownAddrs = founding.Inc, voterAddrs(founding)
+		return nil
+	case founding != nil:
+		i.incarnation = founding.Inc
+		return i.adoptVoterSet(founding)
+	case record.Roster != nil:
+		i.records = append(i.records, record)
+		return i.adoptVoterSet(codec.PackVoterSet(*record.Roster, i.incarnation))
+	}
+	i.records = append(i.records, record)
+	return nil
+}
+
+// adoptVoterSet takes in a voter set, which must be of the same fleet as those before.
+func (i *diskImage) adoptVoterSet(set *fb.FoundingT) error {
+	if i.voterSet != nil {
+		before, fleet := codec.UnpackVoterSet(i.voterSet).Fleet(), codec.UnpackVoterSet(set).Fleet()
+		if before != fleet {
+			return trace.BadParameter("the write-ahead log holds records of fleets %d and %d; move data_dir aside and rejoin as an empty node", before, fleet)
+		}
+	}
+	i.voterSet = set
+	return nil
+}
+
+// addresses lists whom to ask for a voter set.
+func (i *diskImage) addresses() []string {
+	if i.voterSet != nil {
+		return voterAddrs(i.voterSet)
+	}
+	return i.knownAddrs
+}
+
+// drawIncarnation numbers a disk that has no incarnation. The number is on the disk before
+// anyone hears of it: one number never stands for two states of this disk.
+func (n *Node) drawIncarnation(image *diskImage) error {
+	incarnation, err := randomIncarnation()
+	if err != nil {
+		return err
+	}
+	image.incarnation = incarnation
+	return n.persistVoterSet(&fb.FoundingT{Inc: incarnation})
+}
+
+// randomIncarnation draws a number that is not 0 and fits a signed one.
+func randomIncarnation() (uint64, error) {
+	var b [8]byte
+	if _, err := rand.Read(b[:]); err != nil {
+		return 0, err
+	}
+	return binary.LittleEndian.Uint64(b[:])>>1 | 1, nil
+}
+
+// persistVoterSet appends and syncs a voter set.
+func (n *Node) persistVoterSet(set *fb.FoundingT) error {
+	if err := n.storage.log.Append(codec.PackFounding(set)); err != nil {
+		return err
+	}
+	return n.storage.log.Sync()
+}
+
+// checkpointIfFull restates the state if the log is full enough for that: a voter that
+// begins with a log without room would stop at its first record.
+func (n *Node) checkpointIfFull(image *diskImage) error {
+	log := n.storage.log
+	if log.UsedPermille() <= checkpointAtPermille || image.voterSet == nil || !containsDisk(image.voterSet, n.settings.Name, image.incarnation) {
+		return nil
+	}
+	voter := n.newVoter(image.voterSet, image.incarnation, image.records)
+	set := *image.voterSet
+	set.Inc = image.incarnation
+	state := [][]byte{codec.PackFounding(&set)}
+	for _, record := range voter.Checkpoint() {
+		state = append(state, codec.PackRecord(record))
+	}
+	if err := log.Checkpoint(state); err != nil {
+		return fmt.Errorf("restating the state: %w", err)
+	}
+	return nil
+}
+
+// loadImage begins from what the disk holds.
+func (n *Node) loadImage(image *diskImage) {
+	n.incarnation.Store(image.incarnation)
+	n.voterSet.Store(image.voterSet)
+	if image.voterSet == nil {
+		n.addKnownAddrs(image.knownAddrs)
+	}
+	n.records = image.records
+	used := n.storage.log.UsedPermille()
+	n.storage.usedPermille.Store(int64(used))
+	n.logDiskOpened(image.recordCount, used, image.incarnation)
+}
--- a/internal/app/control/storage_test.go
+++ b/internal/app/control/disk_image_test.go
@@ -11,26 +11,33 @@
 	"violetthread/wal"
 )
 
-// TestRoomAtStart: a process that ended during a checkpoint, with the room that is kept
-// for it used up by what was appended meanwhile, starts all the same: it restates its
-// state before anything else is written, and has all of it.
-func TestRoomAtStart(t *testing.T) {
-	s := Defaults()
-	s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.DataDir = "a", "north", "127.0.0.1:0", "127.0.0.1:0", t.TempDir()
-	s.LogSegments, s.LogSegmentBytes = 8, 64<<10
-	node, err := NewNode(s)
+// newStoppedNode makes a node whose loops and disk were stopped.
+func newStoppedNode(t *testing.T) *Node {
+	t.Helper()
+	settings := Defaults()
+	settings.Name, settings.Zone = "a", "north"
+	settings.HTTPAddr, settings.TransportAddr = "127.0.0.1:0", "127.0.0.1:0"
+	settings.DataDir = t.TempDir()
+	settings.LogSegments, settings.LogSegmentBytes = 8, 64<<10
+	node, err := NewNode(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	node.Daemon().Group.Stop()
 	node.closeStorage()
+	return node
+}
 
-	log, _, err := wal.Open(node.storage.fs, wal.Config{SegmentCount: s.LogSegments, SegmentBytes: s.LogSegmentBytes})
+// fillDuringCheckpoint begins a checkpoint in a node's log and appends records, as a voter
+// does meanwhile, until the log has no room. It returns how many were written.
+func fillDuringCheckpoint(t *testing.T, node *Node, voterSet *fb.FoundingT) int {
+	t.Helper()
+	config := wal.Config{SegmentCount: node.settings.LogSegments, SegmentBytes: node.settings.LogSegmentBytes}
+	log, _, err := wal.Open(node.storage.fs, config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	founding := &fb.FoundingT{Inc: 7, Rev: quorum.Found(9), Voters: []*fb.VoterT{{Name: "a", Addr: s.TransportAddr, Inc: 7, Num: 1}}}
-	if err := log.Append(codec.PackFounding(founding)); err != nil {
+	if err := log.Append(codec.PackFounding(voterSet)); err != nil {
 		t.Fatal(err)
 	}
 	if err := log.BeginCheckpoint(); err != nil {
@@ -39,9 +46,9 @@
 	written := 0
 	for err == nil {
 		written++
-		version := quorum.Ver{Epoch: 1, Seq: uint64(written)}
-		entry := quorum.Entry{Key: fmt.Sprint("key", written%10), Ver: version, Rev: uint64(written), Val: make([]byte, 2000)}
-		err = log.Append(codec.PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 3, Epoch: 1, Mark: version, Entry: entry}))
+		position := quorum.Ver{Epoch: 1, Seq: uint64(written)}
+		entry := quorum.Entry{Key: fmt.Sprint("key", written%10), Ver: position, Rev: uint64(written), Val: make([]byte, 2000)}
+		err = log.Append(codec.PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 3, Epoch: 1, Mark: position, Entry: entry}))
 	}
 	if !errors.Is(err, wal.ErrFull) {
 		t.Fatal(err)
@@ -49,23 +56,33 @@
 	if err := errors.Join(log.Sync(), log.Close()); err != nil {
 		t.Fatal(err)
 	}
+	return written
+}
+
+// TestRoomAtStart: a process that ended during a checkpoint, with the room that is kept
+// for it used up by what was appended meanwhile, starts all the same: it restates its
+// state before anything else is written, and has all of it.
+func TestRoomAtStart(t *testing.T) {
+	node := newStoppedNode(t)
+	voterSet := &fb.FoundingT{Inc: 7, Rev: quorum.Found(9), Voters: []*fb.VoterT{{Name: "a", Addr: node.settings.TransportAddr, Inc: 7, Num: 1}}}
+	written := fillDuringCheckpoint(t, node, voterSet)
 
 	node.storage.log, node.storage.lock = nil, nil
 	image, err := node.readDisk()
 	if err != nil {
-		t.Fatalf("a ring that is %d records full does not open: %v", written, err)
+		t.Fatalf("a log that is %d records full does not open: %v", written, err)
 	}
 	if used := node.storage.log.UsedPermille(); used > tightAtPermille {
 		t.Fatalf("%d thousandths are used after the start", used)
 	}
-	if err := node.persistVoterSet(founding); err != nil {
+	if err := node.persistVoterSet(voterSet); err != nil {
 		t.Fatal(err)
 	}
-	again, err := node.storage.log.Reopen()
+	data, err := node.storage.log.Reopen()
 	if err != nil {
 		t.Fatal(err)
 	}
-	after, err := decodeImage(again)
+	after, err := decodeImage(data)
 	if err != nil || after.incarnation != image.incarnation || after.voterSet == nil {
 		t.Fatalf("%+v, %v", after, err)
 	}
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -2,90 +2,84 @@
 
 import (
 	"context"
-	"fmt"
-	"hash/fnv"
 	"net/netip"
 	"slices"
-	"sort"
-	"strings"
 
 	"github.com/samber/lo"
 
 	"violetthread/internal/clock"
-	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
 
+// Microseconds.
 const (
-	askInterval   = 50_000  // between questions to one registrar
-	askTimeout    = 500_000 // for its answer
-	replyLifetime = 700_000 // an answer this old still counts for a founding
-	probeInterval = 150_000
-	silentAfter   = 250_000 // without word from a majority a voter looks for a newer roster
-	maxKnownAddrs = 32
+	askInterval = 50_000  // between two questions to one control node
+	askTimeout  = 500_000 // for its answer
 )
 
-// holds tells whether the very disk of this node votes in a roster.
-func (n *Node) isVoter(f *fb.FoundingT) bool {
-	return containsDisk(f, n.settings.Name, n.Incarnation())
+const (
+	maxKnownAddrs  = 32
+	maxPeerReplies = 64 // replies that wait for the loop of join
+)
+
+// isVoter tells whether the very disk of this node votes in a voter set.
+func (n *Node) isVoter(set *fb.FoundingT) bool {
+	return containsDisk(set, n.settings.Name, n.Incarnation())
 }
 
-// heldBy tells whether a disk votes in a roster.
-func containsDisk(f *fb.FoundingT, name string, inc uint64) bool {
-	return lo.ContainsBy(f.Voters, func(v *fb.VoterT) bool { return v.Name == name && v.Inc == inc })
+// containsDisk tells whether a disk votes in a voter set.
+func containsDisk(set *fb.FoundingT, name string, incarnation uint64) bool {
+	return lo.ContainsBy(set.Voters, func(voter *fb.VoterT) bool { return voter.Name == name && voter.Inc == incarnation })
 }
 
-func voterAddrs(f *fb.FoundingT) []string {
-	return lo.Map(f.Voters, func(v *fb.VoterT, _ int) string { return v.Addr })
+func voterAddrs(set *fb.FoundingT) []string {
+	return lo.Map(set.Voters, func(voter *fb.VoterT, _ int) string { return voter.Addr })
 }
 
-// learn keeps addresses of registrars, the latest first.
-func (n *Node) addKnownAddrs(as []string) {
+// addKnownAddrs keeps addresses of control nodes, the latest first.
+func (n *Node) addKnownAddrs(addrs []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := lo.Uniq(append(slices.Clone(as), n.knownAddrs...))
-	n.knownAddrs = l[:min(len(l), maxKnownAddrs)]
+	known := lo.Uniq(append(slices.Clone(addrs), n.knownAddrs...))
+	n.knownAddrs = known[:min(len(known), maxKnownAddrs)]
 }
 
-// knows lists whom this node may ask: what it learned and its seeds, never itself.
+// candidateAddrs lists whom this node may ask: what it learned and its seeds, never itself.
 func (n *Node) candidateAddrs() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return lo.Without(lo.Uniq(append(slices.Clone(n.knownAddrs), n.settings.Seeds...)), n.settings.TransportAddr, "")
 }
 
+// peerReply is what a control node answered to askVoterSet.
 type peerReply struct {
 	addr    string
 	askedAt int64
 	reply   *fb.FoundTellT // nil: no answer
 }
 
-// join asks whoever may know a roster, each on its own so that a dead one holds
-// nobody up, until a roster holds this disk or it founded one with the seeds.
+// voterSet is the voter set that a reply bears, or nil.
+func (r peerReply) voterSet() *fb.FoundingT {
+	if r.reply == nil || r.reply.Founding == nil || r.reply.Founding.Rev == 0 {
+		return nil
+	}
+	return r.reply.Founding
+}
+
+// join asks whoever may know a voter set, each on its own so that a dead one holds nobody
+// up, until one includes this disk or this node bootstrapped one with the seeds. False
+// means that the node ends.
 func (n *Node) join(ctx context.Context) (*fb.FoundingT, bool) {
-	c := taskgroup.New(ctx, n.daemon.Log)
-	defer c.Stop()
-	ch := make(chan peerReply, 64)
-	asked, last := map[string]bool{}, map[string]peerReply{}
+	group := taskgroup.New(ctx, n.daemon.Log)
+	defer group.Stop()
+	replies := make(chan peerReply, maxPeerReplies)
+	asked, latest := map[string]bool{}, map[string]peerReply{}
 	for {
-		for _, a := range n.candidateAddrs() {
-			if asked[a] {
-				continue
-			}
-			asked[a] = true
-			c.Go("ask", func(ctx context.Context) {
-				for ctx.Err() == nil {
-					at := clock.Now()
-					if !taskgroup.Send(ctx, ch, peerReply{a, at, n.askVoterSet(ctx, a, true)}) || !taskgroup.Sleep(ctx, askInterval) {
-						return
-					}
-				}
-			})
-		}
-		if f, err := n.tryBootstrap(clock.Now(), last); f != nil {
-			return f, true
+		n.askCandidates(group, asked, replies)
+		if set, err := n.tryBootstrap(clock.Now(), latest); set != nil {
+			return set, true
 		} else if err != nil {
 			n.daemon.SetReady(err.Error())
 		}
@@ -95,161 +89,72 @@
 			}
 			continue
 		}
-		w, ok := taskgroup.Receive(ctx, ch)
+		reply, ok := taskgroup.Receive(ctx, replies)
 		if !ok {
 			return nil, false
 		}
-		last[w.addr] = w
-		if w.reply != nil && w.reply.Founding != nil && w.reply.Founding.Rev != 0 {
-			if n.isVoter(w.reply.Founding) {
-				return w.reply.Founding, true
+		latest[reply.addr] = reply
+		if set := reply.voterSet(); set != nil {
+			if n.isVoter(set) {
+				return set, true
 			}
-			n.addKnownAddrs(voterAddrs(w.reply.Founding))
+			n.addKnownAddrs(voterAddrs(set))
 		}
 	}
 }
 
-// ask asks one registrar who it is and which roster it follows. A blank one asks to
-// be let in by that.
-func (n *Node) askVoterSet(ctx context.Context, addr string, blank bool) *fb.FoundTellT {
-	t, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation(), Blank: blank, First: n.firstStart()}}, askTimeout)
-	if err != nil || t.FoundTell == nil || t.FoundTell.Inc == 0 {
-		return nil // who that is lies on a disk that was not read yet
-	}
-	return t.FoundTell
-}
-
-// first reports whether this node belongs to a fleet that starts for the first time, and
-// never had a place in it. One that lost its place was replaced: its seat is taken.
-func (n *Node) firstStart() bool { return n.settings.Bootstrap && !n.removed.Load() }
-
-// foundNow founds a fleet out of what the seeds just told, or says what is waited for.
-// Only seeds found, once each has told its number and none knows a roster; whoever
-// meets a founded fleet joins that (design §4.6).
-func (n *Node) tryBootstrap(now int64, last map[string]peerReply) (*fb.FoundingT, error) {
-	for _, w := range last {
-		if w.reply != nil && w.reply.Founding != nil {
-			return nil, fmt.Errorf("waiting to be let into the fleet's roster; a majority of its registrars must be up")
-		}
-	}
-	if !n.firstStart() {
-		return nil, fmt.Errorf("no founded fleet is reachable; if this is the fleet's first start, give every registrar --found true")
-	}
-	if !slices.Contains(n.settings.Seeds, n.settings.TransportAddr) {
-		return nil, fmt.Errorf("waiting for the seeds to found the fleet; start the registrars at %s", strings.Join(n.settings.Seeds, ", "))
-	}
-	vs := []*fb.VoterT{{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation()}}
-	for _, a := range lo.Without(lo.Uniq(n.settings.Seeds), n.settings.TransportAddr) {
-		w := last[a]
-		if w.reply == nil || now-w.askedAt > replyLifetime {
-			return nil, fmt.Errorf("founding waits until every seed answers; %s does not", a)
-		}
-		vs = append(vs, &fb.VoterT{Name: w.reply.Name, Addr: a, Inc: w.reply.Inc})
-	}
-	sort.Slice(vs, func(i, j int) bool { return vs[i].Name < vs[j].Name })
-	h := fnv.New64a()
-	for i, v := range vs {
-		v.Num = uint16(i + 1)
-		_, _ = fmt.Fprintf(h, "%s|%s|%d;", v.Name, v.Addr, v.Inc)
-		if i > 0 && vs[i-1].Name == v.Name {
-			return nil, fmt.Errorf("two registrars are named %s; give each its own name", v.Name)
+// askCandidates starts a loop of questions to each address that has none yet.
+func (n *Node) askCandidates(group *taskgroup.Group, asked map[string]bool, replies chan peerReply) {
+	for _, addr := range n.candidateAddrs() {
+		if asked[addr] {
+			continue
 		}
-	}
-	fleet := h.Sum64() >> 24
-	return &fb.FoundingT{Fleet: fleet, Rev: quorum.Found(fleet), Voters: vs, Seats: uint16(len(vs))}, nil
-}
-
-// foundTell answers who this is. A blank asker wants to be let in; one that votes may
-// be the only way for a blank node here to find its fleet.
-func (n *Node) voterSetReply(q *fb.FoundAskT) *fb.FoundTellT {
-	f := n.voterSet.Load()
-	_, err := netip.ParseAddrPort(q.Addr)
-	switch {
-	case err != nil || q.Name == "" || q.Inc == 0:
-	case q.Blank && f != nil && n.voting.Load():
-		v := quorum.Voter{Name: q.Name, Addr: q.Addr, Inc: q.Inc}
-		taskgroup.TrySend(n.commands, func(now int64) {
-			if q.First {
-				n.processReady(n.voter.Grow(now, v))
-				return
+		asked[addr] = true
+		group.Go("ask", func(ctx context.Context) {
+			for ctx.Err() == nil {
+				askedAt := clock.Now()
+				reply := peerReply{addr, askedAt, n.askVoterSet(ctx, addr, true)}
+				if !taskgroup.Send(ctx, replies, reply) || !taskgroup.Sleep(ctx, askInterval) {
+					return
+				}
 			}
-			n.processReady(n.voter.Admit(now, v))
 		})
-	case !q.Blank && f == nil:
-		n.addKnownAddrs([]string{q.Addr})
 	}
-	return &fb.FoundTellT{Name: n.settings.Name, Inc: n.Incarnation(), Blank: f == nil, Founding: f}
 }
 
-// probe looks after voters that are not heard. Without a majority this node may have
-// been left out of newer rosters, and asks for them; one that is blank since learns
-// from the question whom to ask.
-func (n *Node) probeSilentVoters(ctx context.Context) {
-	ch := make(chan []quorum.Voter, 1)
-	far := false
-	if !taskgroup.Send(ctx, n.commands, func(now int64) {
-		var vs []quorum.Voter
-		ro := n.voter.Roster()
-		for _, v := range ro.Voters {
-			if v.Name != n.settings.Name && n.voter.Silence(now, v.Name) > silentAfter {
-				vs = append(vs, v)
-			}
-		}
-		far = len(ro.Voters)-len(vs) < ro.Majority()
-		ch <- vs
-	}) {
-		return
-	}
-	vs, ok := taskgroup.Receive(ctx, ch)
-	if !ok || len(vs) == 0 {
-		return
-	}
-	as := lo.Map(vs, func(v quorum.Voter, _ int) string { return v.Addr })
-	if far {
-		as = append(as, n.candidateAddrs()...)
+// askVoterSet asks one control node who it is and which voter set it follows. A blank one
+// asks to be admitted by that. Nil means that there was no answer.
+func (n *Node) askVoterSet(ctx context.Context, addr string, blank bool) *fb.FoundTellT {
+	ask := &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation(), Blank: blank, First: n.firstStart()}
+	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{FoundAsk: ask}, askTimeout)
+	if err != nil || answer.FoundTell == nil || answer.FoundTell.Inc == 0 {
+		return nil // who that is lies on a disk that was not read yet
 	}
-	for _, a := range lo.Without(lo.Uniq(as), n.settings.TransportAddr) {
+	return answer.FoundTell
+}
 
-		n.voterGroup.Go("probe.ask", func(ctx context.Context) {
-			t := n.askVoterSet(ctx, a, false)
-			if t == nil || t.Founding == nil || t.Founding.Rev == 0 {
-				return
-			}
-			ro := codec.UnpackVoterSet(t.Founding)
-			taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Learn(now, ro)) })
-		})
+// voterSetReply answers who this is. A blank asker wants to be admitted; one that votes
+// may be the only way for a blank node here to find its fleet.
+func (n *Node) voterSetReply(ask *fb.FoundAskT) *fb.FoundTellT {
+	set := n.voterSet.Load()
+	_, err := netip.ParseAddrPort(ask.Addr)
+	switch {
+	case err != nil || ask.Name == "" || ask.Inc == 0:
+	case ask.Blank && set != nil && n.voting.Load():
+		n.admit(quorum.Voter{Name: ask.Name, Addr: ask.Addr, Inc: ask.Inc}, ask.First)
+	case !ask.Blank && set == nil:
+		n.addKnownAddrs([]string{ask.Addr})
 	}
+	return &fb.FoundTellT{Name: n.settings.Name, Inc: n.Incarnation(), Blank: set == nil, Founding: set}
 }
 
-const (
-	leavePoll    = 100_000 // for the word to go out
-	leaveTimeout = 900_000 // for the rest to drop the seat; they do so without this node as well
-)
-
-// leave gives the slots up before a polite stop. A machine whose successor was let in
-// before stays until the rest has dropped its seat, so that the stop costs no margin.
-func (n *Node) leave(ctx context.Context) {
-	if !n.voting.Load() {
-		return
-	}
-	ctx, stop := context.WithTimeout(ctx, clock.Duration(leaveTimeout))
-	defer stop()
-	if !taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Leave(now)) }) {
-		return
-	}
-	for taskgroup.Sleep(ctx, leavePoll) {
-		if !n.awaitingRemoval(ctx) {
+// admit hands a blank node that asks for a seat to the voter.
+func (n *Node) admit(joining quorum.Voter, firstStart bool) {
+	taskgroup.TrySend(n.commands, func(now int64) {
+		if firstStart {
+			n.processReady(n.voter.Grow(now, joining))
 			return
 		}
-	}
-}
-
-// handingOver asks the voter's loop whether this node's seat is about to be dropped.
-func (n *Node) awaitingRemoval(ctx context.Context) bool {
-	answer := make(chan bool, 1)
-	if !taskgroup.Send(ctx, n.commands, func(int64) { answer <- n.voter.HandingOver() }) {
-		return false
-	}
-	handing, ok := taskgroup.Receive(ctx, answer)
-	return ok && handing
+		n.processReady(n.voter.Admit(now, joining))
+	})
 }
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -13,18 +13,18 @@
 	"violetthread/schema/fb"
 )
 
-// life is a disk's way: it finds or founds a roster that holds it, votes while a
-// roster does, and begins anew when none does any more (design §4.6). It waits while the
-// disk can't be used, and begins anew from what is on it afterwards.
+// runLifecycle joins or bootstraps a voter set that includes this disk, votes while one
+// does, and begins anew when none does any more (design §4.6). It waits while the disk
+// can't be used, and begins anew from what is on it afterwards.
 func (n *Node) runLifecycle(ctx context.Context) {
-	usable := false
+	diskOpen := false
 	for ctx.Err() == nil {
-		if !usable && !n.openStorage(ctx) {
+		if !diskOpen && !n.openStorage(ctx) {
 			return
 		}
 		err := n.joinAndVote(ctx)
-		usable = err == nil || errors.Is(err, errRetired)
-		if usable || ctx.Err() != nil {
+		diskOpen = err == nil || errors.Is(err, errRemoved)
+		if diskOpen || ctx.Err() != nil {
 			continue
 		}
 		if !isTransient(err) {
@@ -38,11 +38,11 @@
 	}
 }
 
-// liveOnce votes in the roster that holds this disk, after joining one if none does. It
-// returns why it ended: errRetired, or what the disk did.
+// joinAndVote votes in the voter set that includes this disk, after joining one if none
+// does. It returns why it ended: errRemoved, or what the disk did.
 func (n *Node) joinAndVote(ctx context.Context) error {
-	if f := n.voterSet.Load(); f != nil && !n.isVoter(f) {
-		if err := n.discardState(ctx, f); err != nil {
+	if set := n.voterSet.Load(); set != nil && !n.isVoter(set) {
+		if err := n.discardState(ctx, set); err != nil {
 			return err
 		}
 	}
@@ -56,45 +56,45 @@
 	return err
 }
 
-// enterRoster waits for a roster that holds this disk and keeps it.
+// joinVoterSet waits for a voter set that includes this disk and persists it.
 func (n *Node) joinVoterSet(ctx context.Context) error {
-	f, ok := n.join(ctx)
+	set, ok := n.join(ctx)
 	if !ok {
 		return ctx.Err()
 	}
-	f.Inc = n.Incarnation()
-	if err := n.runDiskStep(ctx, func() error { return n.persistVoterSet(f) }); err != nil {
+	set.Inc = n.Incarnation()
+	if err := n.runDiskStep(ctx, func() error { return n.persistVoterSet(set) }); err != nil {
 		return err
 	}
-	n.voterSet.Store(f)
-	names := lo.Map(f.Voters, func(v *fb.VoterT, _ int) string { return v.Name })
-	n.daemon.Log.Info("joined", "fleet", f.Fleet, "step", codec.UnpackVoterSet(f).Step(), "voters", strings.Join(names, ","))
+	n.voterSet.Store(set)
+	names := lo.Map(set.Voters, func(voter *fb.VoterT, _ int) string { return voter.Name })
+	n.logVoterSetJoined(set.Fleet, codec.UnpackVoterSet(set).Step(), strings.Join(names, ","))
 	return nil
 }
 
-// retire drops the state of a disk that a newer roster does not hold, and its
-// incarnation with it. The ring is restated as a checkpoint that holds nothing but the
-// new incarnation and whom to ask: until that is synced, the old state stands whole.
-func (n *Node) discardState(ctx context.Context, f *fb.FoundingT) error {
-	inc, err := randomIncarnation()
+// discardState drops the state of a disk that a newer voter set does not include, and its
+// incarnation with it. The log is restated as a checkpoint that holds nothing but the new
+// incarnation and whom to ask: until that is synced, the old state stays complete.
+func (n *Node) discardState(ctx context.Context, set *fb.FoundingT) error {
+	incarnation, err := randomIncarnation()
 	if err != nil {
 		return err
 	}
-	blank := codec.PackFounding(&fb.FoundingT{Inc: inc, Voters: f.Voters})
+	blank := codec.PackFounding(&fb.FoundingT{Inc: incarnation, Voters: set.Voters})
 	if err := n.runDiskStep(ctx, func() error { return n.storage.log.Checkpoint([][]byte{blank}) }); err != nil {
 		return err
 	}
-	n.daemon.Log.Info("retired", "step", codec.UnpackVoterSet(f).Step(), "inc", inc)
-	n.incarnation.Store(inc)
+	n.logStateDiscarded(codec.UnpackVoterSet(set).Step(), incarnation)
+	n.incarnation.Store(incarnation)
 	n.removed.Store(true)
-	n.addKnownAddrs(voterAddrs(f))
+	n.addKnownAddrs(voterAddrs(set))
 	n.voterSet.Store(nil)
 	n.records = nil
 	n.storage.usedPermille.Store(int64(n.storage.log.UsedPermille()))
 	return nil
 }
 
-// diskStep is tryDisk for an operation without a result.
+// runDiskStep is runDiskOperation for an operation without a result.
 func (n *Node) runDiskStep(ctx context.Context, operation func() error) error {
 	_, err := n.runDiskOperation(ctx, func() (*diskImage, error) { return nil, operation() })
 	if err == nil {
@@ -105,9 +105,9 @@
 
 // resetVoter forgets a voter that has stopped; the loops that used this have ended.
 func (n *Node) resetVoter() {
-	for id, ch := range n.results {
+	for id, result := range n.results {
 		delete(n.results, id)
-		ch <- quorum.Answer{Status: quorum.Unknown}
+		result <- quorum.Answer{Status: quorum.Unknown}
 	}
 	clear(n.senders)
 	drainChannel(n.commands)
@@ -115,12 +115,7 @@
 	drainChannel(n.storage.pending)
 	n.voter, n.records, n.logTight = nil, nil, false
 	n.status.Store(&voterStatus{})
-	st := &n.storage
-	st.recordsLost, st.stall = false, stallWatch{}
-	st.syncedRecords.Store(0)
-	st.activeOperation.Store(0)
-	st.checkpointWanted.Store(false)
-	st.checkpointQueued.Store(false)
+	n.storage.resetWriter()
 }
 
 func drainChannel[T any](ch chan T) {
@@ -129,5 +124,5 @@
 	}
 }
 
-// endVote stops the voter; the first reason counts.
-func (n *Node) stopVoter(why error) { taskgroup.TrySend(n.stopReason, why) }
+// stopVoter has the voter stop; the first reason counts.
+func (n *Node) stopVoter(reason error) { taskgroup.TrySend(n.stopReason, reason) }
--- /dev/null
+++ b/internal/app/control/operations.go
@@ -0,0 +1,143 @@
+package control
+
+import (
+	"context"
+
+	"github.com/samber/lo"
+
+	"violetthread/internal/clock"
+	"violetthread/internal/taskgroup"
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+)
+
+// maxHops is how often an operation is forwarded.
+const maxHops = 2
+
+// Microseconds.
+const (
+	idempotentTimeout = 500_000   // for the answer to a forwarded operation that may be repeated
+	forwardTimeout    = 2_000_000 // for the answer to any other
+	attemptPause      = 30_000    // between two attempts of Execute
+)
+
+// ExecuteOnce carries an operation out with one attempt.
+func (n *Node) ExecuteOnce(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+	return n.execute(ctx, ask)
+}
+
+// Execute carries an operation out, trying again while it provably did nothing, or while
+// doing it twice is the same as once, for as long as Settings.OperationTimeout.
+func (n *Node) Execute(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+	timeout := lo.Ternary(n.settings.OperationTimeout > 0, n.settings.OperationTimeout, Defaults().OperationTimeout)
+	ctx, cancel := context.WithTimeout(ctx, clock.Duration(timeout))
+	defer cancel()
+	inDoubt := false
+	for {
+		attempt := *ask
+		answer := n.execute(ctx, &attempt)
+		again := false
+		answer, inDoubt, again = judgeAttempt(quorum.OpKind(ask.Kind), answer, inDoubt)
+		if !again || !taskgroup.Sleep(ctx, attemptPause) {
+			return answer
+		}
+	}
+}
+
+// idempotent tells the operations that may be carried out twice: a read, and a claim or
+// lease that its very holder asks for again (design §4.5, §6).
+func idempotent(kind quorum.OpKind) bool {
+	return kind == quorum.OpGet || kind == quorum.OpClaim || kind == quorum.OpHold
+}
+
+// judgeAttempt is what the caller may be told after an attempt, whether one of the attempts
+// may still take effect, and whether to try again. After an attempt in doubt only an answer
+// that is right whatever became of it counts; a read is never in doubt.
+func judgeAttempt(kind quorum.OpKind, answer *fb.OpTellT, inDoubt bool) (told *fb.OpTellT, doubtful, again bool) {
+	switch status := quorum.Status(answer.Status); {
+	case status == quorum.Done || status == quorum.Conflict || status == quorum.Closed:
+		return answer, inDoubt, false
+	case status == quorum.Unknown && !idempotent(kind):
+		return answer, true, false
+	case status == quorum.Unknown:
+		return answer, inDoubt || kind != quorum.OpGet, true
+	case inDoubt:
+		return failed(quorum.Unknown), true, true
+	default:
+		return answer, false, status == quorum.NotOwner
+	}
+}
+
+// failed is the answer to an operation that has no result.
+func failed(status quorum.Status) *fb.OpTellT { return &fb.OpTellT{Status: byte(status)} }
+
+// execute carries an operation to the leader of its key's slot, which may be this node.
+func (n *Node) execute(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+	if !n.voting.Load() {
+		if via := n.nextPeer(); via != "" && ask.Hops < maxHops {
+			return n.forward(ctx, via, ask)
+		}
+		return failed(quorum.NotOwner)
+	}
+	result, ok := n.propose(ctx, quorum.Op{
+		Kind:   quorum.OpKind(ask.Kind),
+		Key:    ask.Key,
+		Val:    ask.Val,
+		Expect: ask.Expect,
+		Holder: ask.Holder,
+		Term:   ask.Term,
+	})
+	if !ok {
+		return failed(quorum.Unknown)
+	}
+	if result.Status == quorum.NotOwner && result.Owner != "" && result.Owner != n.settings.Name && ask.Hops < maxHops {
+		return n.forwardToLeader(ctx, result.Owner, ask)
+	}
+	answer := &fb.OpTellT{Status: byte(result.Status), Rev: result.Rev, Val: result.Val, Owner: result.Owner}
+	if ask.Have != 0 && ask.Have == result.Rev {
+		answer.Val = nil
+	}
+	return answer
+}
+
+// forwardToLeader forwards an operation to the voter that leads the key's slot. While that
+// one is silent nothing is sent, so that it is safe to say so and try again.
+func (n *Node) forwardToLeader(ctx context.Context, leader string, ask *fb.OpAskT) *fb.OpTellT {
+	set := n.voterSet.Load()
+	if set == nil || n.status.Load().silent[leader] {
+		return failed(quorum.NotOwner)
+	}
+	voter, ok := lo.Find(set.Voters, func(voter *fb.VoterT) bool { return voter.Name == leader })
+	if !ok {
+		return failed(quorum.NotOwner)
+	}
+	return n.forward(ctx, voter.Addr, ask)
+}
+
+// forward hands an operation on. One that may be repeated is not waited for long: the
+// leader may be gone, and whoever asked tries again (Execute).
+func (n *Node) forward(ctx context.Context, addr string, ask *fb.OpAskT) *fb.OpTellT {
+	forwarded := *ask
+	forwarded.Hops++
+	timeout := lo.Ternary[int64](idempotent(quorum.OpKind(ask.Kind)), idempotentTimeout, forwardTimeout)
+	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &forwarded}, timeout)
+	if err != nil || answer.OpTell == nil {
+		return failed(quorum.Unknown)
+	}
+	return answer.OpTell
+}
+
+// nextPeer is the address of another control node, one after the other; "" if none is
+// known.
+func (n *Node) nextPeer() string {
+	var addrs []string
+	if set := n.voterSet.Load(); set != nil {
+		addrs = lo.Without(voterAddrs(set), n.settings.TransportAddr)
+	} else {
+		addrs = n.candidateAddrs()
+	}
+	if len(addrs) == 0 {
+		return ""
+	}
+	return addrs[n.peerTurn.Add(1)%uint64(len(addrs))]
+}
--- /dev/null
+++ b/internal/app/control/plan_cache.go
@@ -0,0 +1,57 @@
+package control
+
+import (
+	"context"
+
+	"violetthread/internal/clock"
+	"violetthread/plan"
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+)
+
+// planKey is the control key that holds the plan.
+const planKey = "plan"
+
+// Microseconds.
+const (
+	planTimeout      = 700_000 // for a read of the plan
+	planRelayTimeout = 600_000 // for the answer of another control node to it
+)
+
+// refreshPlan asks the leader of the plan's key anew; the age counts from before the
+// question.
+func (n *Node) refreshPlan(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, clock.Duration(planTimeout))
+	defer cancel()
+	held := n.plan.Load()
+	askedAt := clock.Now()
+	ask := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: held.Rev}
+	answer := n.execute(ctx, ask)
+	if quorum.Status(answer.Status) != quorum.Done {
+		if relayed := n.readPlanThroughPeer(ask); relayed != nil {
+			answer = relayed
+		}
+	}
+	if quorum.Status(answer.Status) == quorum.Done {
+		updated, _, _ := held.Take(plan.Word{Rev: answer.Rev, Raw: answer.Val, Fresh: true}, askedAt)
+		n.plan.Store(&updated)
+	}
+}
+
+// readPlanThroughPeer asks another control node, since the way to the leader may be cut
+// here and not elsewhere. It has its own time limit: that of the first question may be
+// used up.
+func (n *Node) readPlanThroughPeer(ask *fb.OpAskT) *fb.OpTellT {
+	via := n.nextPeer()
+	if via == "" {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(n.daemon.Group.Context(), clock.Duration(planTimeout))
+	defer cancel()
+	ask.Hops = 1
+	answer, err := n.peers.Get(via).Call(ctx, &fb.FrameT{OpAsk: ask}, planRelayTimeout)
+	if err != nil {
+		return nil
+	}
+	return answer.OpTell
+}
--- /dev/null
+++ b/internal/app/control/probe.go
@@ -0,0 +1,67 @@
+package control
+
+import (
+	"context"
+
+	"github.com/samber/lo"
+
+	"violetthread/internal/codec"
+	"violetthread/internal/taskgroup"
+	"violetthread/quorum"
+)
+
+// Microseconds.
+const (
+	probeInterval = 150_000 // between two looks for silent voters
+	silentAfter   = 250_000 // a voter not heard for so long is probed
+)
+
+// contact is which other voters are silent, and whether the rest is a majority.
+type contact struct {
+	silent   []quorum.Voter
+	majority bool
+}
+
+// probeSilentVoters asks voters that are not heard. Without a majority this node may have
+// been left out of newer voter sets, and asks all that it knows for them; one that is blank
+// since learns from the question whom to ask.
+func (n *Node) probeSilentVoters(ctx context.Context) {
+	answer := make(chan contact, 1)
+	if !taskgroup.Send(ctx, n.commands, func(now int64) { answer <- n.contact(now) }) {
+		return
+	}
+	current, ok := taskgroup.Receive(ctx, answer)
+	if !ok || len(current.silent) == 0 {
+		return
+	}
+	addrs := lo.Map(current.silent, func(voter quorum.Voter, _ int) string { return voter.Addr })
+	if !current.majority {
+		addrs = append(addrs, n.candidateAddrs()...)
+	}
+	for _, addr := range lo.Without(lo.Uniq(addrs), n.settings.TransportAddr) {
+		n.voterGroup.Go("probe.ask", func(ctx context.Context) { n.probe(ctx, addr) })
+	}
+}
+
+// contact looks which voters are silent. Called from the voter's loop alone.
+func (n *Node) contact(now int64) contact {
+	var current contact
+	set := n.voter.Roster()
+	for _, voter := range set.Voters {
+		if voter.Name != n.settings.Name && n.voter.Silence(now, voter.Name) > silentAfter {
+			current.silent = append(current.silent, voter)
+		}
+	}
+	current.majority = len(set.Voters)-len(current.silent) >= set.Majority()
+	return current
+}
+
+// probe asks one control node for its voter set, which the voter takes in.
+func (n *Node) probe(ctx context.Context, addr string) {
+	answer := n.askVoterSet(ctx, addr, false)
+	if answer == nil || answer.Founding == nil || answer.Founding.Rev == 0 {
+		return
+	}
+	set := codec.UnpackVoterSet(answer.Founding)
+	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Learn(now, set)) })
+}
--- /dev/null
+++ b/internal/app/control/ready.go
@@ -0,0 +1,78 @@
+package control
+
+import (
+	"context"
+	"strings"
+
+	"violetthread/internal/codec"
+	"violetthread/internal/taskgroup"
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+)
+
+// processReady carries out the effects of one step of the voter: records to the disk,
+// then the voter set, messages and results. Called from the voter's loop alone.
+func (n *Node) processReady(ready quorum.Out) {
+	for _, e := range ready.Events {
+		if !strings.HasPrefix(e, "unheard") {
+			n.daemon.Log.Info("settle", "what", e)
+		}
+	}
+	n.queueRecords(ready.Recs)
+	if ready.Roster != nil {
+		n.adoptVoterSet(*ready.Roster)
+	}
+	for _, envelope := range ready.Sends {
+		n.sendTo(envelope.To, codec.PackMessage(envelope.Msg))
+	}
+	for _, result := range ready.Answers {
+		if waiting := n.results[result.ID]; waiting != nil {
+			delete(n.results, result.ID)
+			waiting <- result
+		}
+	}
+}
+
+// adoptVoterSet publishes a newer voter set, and stops the voter if it leaves this disk
+// out.
+func (n *Node) adoptVoterSet(newer quorum.Roster) {
+	set := codec.PackVoterSet(newer, n.Incarnation())
+	n.voterSet.Store(set)
+	if !n.isVoter(set) {
+		n.stopVoter(errRemoved)
+	}
+}
+
+// sendTo queues a frame for another voter, on a sender of its own so that a slow one
+// holds up nobody; a frame that finds no room is lost. Called from the voter's loop alone.
+func (n *Node) sendTo(name string, frame *fb.FrameT) {
+	if name == n.settings.Name {
+		return
+	}
+	voter, ok := n.voter.Roster().Find(name)
+	if !ok {
+		return
+	}
+	queue := n.senders[voter.Addr] // a name may come back at another address
+	if queue == nil {
+		queue = n.startSender(voter.Addr)
+		n.senders[voter.Addr] = queue
+	}
+	taskgroup.TrySend(queue, frame)
+}
+
+// startSender starts the loop that sends what is queued for one address.
+func (n *Node) startSender(addr string) chan *fb.FrameT {
+	queue := make(chan *fb.FrameT, maxPendingFrames)
+	peer := n.peers.Get(addr)
+	n.voterGroup.Go("peer", func(ctx context.Context) {
+		for {
+			frame, ok := taskgroup.Receive(ctx, queue)
+			if !ok {
+				return
+			}
+			peer.Send(frame)
+		}
+	})
+	return queue
+}
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -2,123 +2,99 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
 	"errors"
-	"fmt"
 	"io"
 	"path/filepath"
 	"sync/atomic"
 
-	"github.com/gravitational/trace"
-
 	"violetthread/internal/clock"
-	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/quorum"
-	"violetthread/schema/fb"
 	"violetthread/wal"
 	"violetthread/wal/osdisk"
 )
 
+// logFolder is the folder of the write-ahead log in the node's data folder.
+const logFolder = "ring"
+
+// Microseconds.
+const (
+	diskTimeout   = 5_000_000  // an opening that takes longer counts as stalled
+	closeTimeout  = 500_000    // when the node stops, for an operation under way
+	minRetryDelay = 100_000    // between attempts to use a disk in trouble, doubled each time
+	maxRetryDelay = 800_000    // the doubling ends here
+	steadyAfter   = 10_000_000 // usable for so long, a disk is tried again at once
+)
+
+// maxPendingBatches is how far the voter may be ahead of its disk; one that falls further
+// behind is stopped with errBacklog.
+const maxPendingBatches = 4096
+
 // storage is this node's write-ahead log and what is known of the disk below it.
 //
-// A disk that refuses an operation, or does not answer, stops the voter: it gives up what
-// it owns and is thrown away, with all that was not synced. Once the disk takes writes
-// again, another voter begins from what was synced, exactly as after a restart of the
-// process; so a disk in trouble needs no rule of its own (design §5).
+// A disk that refuses an operation, or does not answer, stops the voter: it gives up the
+// slots that it leads and is thrown away, with all that was not synced. Once the disk
+// takes writes again, another voter begins from what was synced, exactly as after a
+// restart of the process; so a disk in trouble needs no rule of its own (design §5).
 type storage struct {
-	folder           osdisk.Directory
-	fs               wal.FS
-	lock             io.Closer
-	log              *wal.Log
-	operations       *taskgroup.Group // operations that a stalled disk may hold up for ever
-	pending          chan batch       // records that the voter wants on disk
-	writerDone       chan struct{}    // told once the writer of this voter has ended
-	activeOperation  atomic.Int64     // number of the writer's operation under way; 0: none
-	stall            stallWatch
-	recordsLost      bool          // a batch was dropped: this voter's records are incomplete
+	folder     osdisk.Directory
+	fs         wal.FS
+	lock       io.Closer
+	log        *wal.Log
+	operations *taskgroup.Group // operations that a stalled disk may hold up for ever
+
+	// Between the voter's loop and its writer.
+	pending          chan batch    // records that the voter wants on disk
+	writerDone       chan struct{} // receives one value once the writer of this voter has ended
+	activeOperation  atomic.Int64  // number of the writer's operation under way; 0: none
+	stall            stallWatch    // of the voter's loop
+	recordsLost      bool          // of the voter's loop: a batch was dropped, its records are incomplete
 	syncedRecords    atomic.Uint64 // records of this voter on disk
-	checkpointWanted atomic.Bool   // the ring wants a checkpoint
-	checkpointQueued atomic.Bool   // a checkpoint is queued or being written
-	usedPermille     atomic.Int64  // thousandths of the ring
-	usableSince      int64         // since when it is, or last was
-	retryDelay       int64         // before the next try to use a disk in trouble
-	status           atomic.Pointer[DiskStatus]
-	troubleCount     atomic.Uint64 // times that the disk stopped this node
-}
+	checkpointWanted atomic.Bool   // the log is full enough for one
+	checkpointQueued atomic.Bool   // one is queued or being written
+	usedPermille     atomic.Int64  // thousandths of the log in use
 
-const causeStarting = "starting"
+	// Of the lifecycle's goroutine.
+	usableSince int64 // when the disk last became usable
+	retryDelay  int64 // before the next attempt to use a disk in trouble
 
-// DiskState is the disk as operators see it.
-type DiskStatus struct {
-	Usable  bool   `json:"usable"`
-	Cause   string `json:"cause,omitempty"` // why it is not, with the remedy
-	sinceUS int64
+	status       atomic.Pointer[DiskStatus]
+	troubleCount atomic.Uint64 // times that the disk stopped this node
 }
 
-var (
-	errStalled = errors.New("the disk does not answer; check it, and what else uses it")
-	errBacklog = errors.New("the disk is slower than the records that come; check it, and what else uses it")
-	errRetired = errors.New("a newer roster does not hold this disk")
-)
-
-const (
-	diskTimeout       = 5_000_000 // an opening that takes longer counts as stalled
-	closeTimeout      = 500_000   // when the node stops, for an operation under way
-	minRetryDelay     = 100_000   // between tries to use a disk in trouble, doubled each time
-	maxRetryDelay     = 800_000
-	steadyAfter       = 10_000_000 // usable for so long, a disk is tried again at once
-	maxPendingBatches = 4096       // batches
-)
-
 func (n *Node) initStorage() {
-	st := &n.storage
-	st.folder = osdisk.Directory{Path: filepath.Join(n.settings.DataDir, "ring")}
-	st.fs = st.folder
+	s := &n.storage
+	s.folder = osdisk.Directory{Path: filepath.Join(n.settings.DataDir, logFolder)}
+	s.fs = s.folder
 	if n.settings.Disk != nil {
-		st.fs = n.settings.Disk(st.fs)
+		s.fs = n.settings.Disk(s.fs)
 	}
-	st.operations = taskgroup.New(context.Background(), n.daemon.Log) // waited for within bounds alone
-	st.retryDelay = minRetryDelay
-	st.pending = make(chan batch, maxPendingBatches)
-	st.status.Store(&DiskStatus{Cause: causeStarting, sinceUS: clock.Now()})
+	s.operations = taskgroup.New(context.Background(), n.daemon.Log) // waited for within bounds alone
+	s.retryDelay = minRetryDelay
+	s.pending = make(chan batch, maxPendingBatches)
+	s.status.Store(&DiskStatus{Cause: causeStarting, sinceUS: clock.Now()})
 	n.daemon.OnStop(n.closeStorage)
-	n.daemon.Gauge("disk_usable", "1 while this node's disk takes writes, 0 while it is full, stalled or failing", func() float64 {
-		if st.status.Load().Usable {
-			return 1
-		}
-		return 0
-	})
-	n.daemon.Counter("disk_troubles_total", "times that the disk stopped this node from voting", func() float64 { return float64(st.troubleCount.Load()) })
+	n.registerDiskMetrics()
 }
 
-// closeStorage gives the folder back. While an operation is stalled no other may use the
-// folder: this returns without that then, and it is given back when the operation ends.
+// closeStorage gives the folder back. While an operation is stalled no other process may
+// use the folder: this returns without closing it then, and it is closed when the
+// operation ends.
 func (n *Node) closeStorage() {
-	st := &n.storage
-	ended := make(chan struct{}, 1)
+	s := &n.storage
+	closed := make(chan struct{}, 1)
 	taskgroup.New(context.Background(), n.daemon.Log).Go("disk.close", func(context.Context) {
-		st.operations.Stop()
-		if st.log != nil {
-			_ = st.log.Close()
+		s.operations.Stop()
+		if s.log != nil {
+			_ = s.log.Close()
 		}
-		if st.lock != nil {
-			_ = st.lock.Close()
+		if s.lock != nil {
+			_ = s.lock.Close()
 		}
-		ended <- struct{}{}
+		closed <- struct{}{}
 	})
-	ctx, stop := context.WithTimeout(context.Background(), clock.Duration(closeTimeout))
-	defer stop()
-	taskgroup.Receive(ctx, ended)
-}
-
-// Disk is the state of this node's disk.
-func (n *Node) DiskStatus() DiskStatus { return *n.storage.status.Load() }
-
-// passes tells whether a failure may pass by itself, so that waiting is worth it.
-func isTransient(err error) bool {
-	return errors.Is(err, wal.ErrDisk) || errors.Is(err, errStalled) || errors.Is(err, errBacklog) || errors.Is(err, wal.ErrFull)
+	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(closeTimeout))
+	defer cancel()
+	taskgroup.Receive(ctx, closed)
 }
 
 // openStorage opens the log, or opens it anew after trouble, and waits for as long as the
@@ -144,7 +120,7 @@
 	}
 }
 
-// again waits before a disk that was usable is tried again, unless it was so for a while.
+// retryAfterTrouble waits before a disk that was usable is tried again, unless it was so for a while.
 func (s *storage) retryAfterTrouble(ctx context.Context) bool {
 	if clock.Now()-s.usableSince > steadyAfter {
 		s.retryDelay = minRetryDelay
@@ -161,24 +137,24 @@
 	return ok
 }
 
-// tryDisk runs an operation on the disk, and tells operators if it stalls. It returns
+// runDiskOperation runs an operation on the disk, and tells operators if it stalls. It returns
 // without the operation's end when the node ends.
 func (n *Node) runDiskOperation(ctx context.Context, operation func() (*diskImage, error)) (*diskImage, error) {
-	type result struct {
+	type outcome struct {
 		image *diskImage
 		err   error
 	}
-	done := make(chan result, 1)
+	done := make(chan outcome, 1)
 	n.startDiskOperation("disk.try", func() {
 		image, err := operation()
-		done <- result{image, err}
+		done <- outcome{image, err}
 	})
 	for {
-		patience, stop := context.WithTimeout(ctx, clock.Duration(diskTimeout))
-		res, ok := taskgroup.Receive(patience, done)
-		stop()
+		patience, cancel := context.WithTimeout(ctx, clock.Duration(diskTimeout))
+		ended, ok := taskgroup.Receive(patience, done)
+		cancel()
 		if ok {
-			return res.image, res.err
+			return ended.image, ended.err
 		}
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
@@ -187,204 +163,18 @@
 	}
 }
 
+// startDiskOperation runs an operation that may stall on a goroutine that nobody waits for
+// without bounds.
 func (n *Node) startDiskOperation(name string, operation func()) {
 	n.storage.operations.Go(name, func(context.Context) { operation() })
 }
 
-// diskTrouble tells operators that the disk can't be used, once for each spell of it.
-func (n *Node) markDiskUnusable(err error) {
-	st := &n.storage
-	was := st.status.Load()
-	state := &DiskStatus{Cause: err.Error(), sinceUS: was.sinceUS}
-	if was.Usable || was.Cause == causeStarting {
-		state.sinceUS = clock.Now()
-		st.troubleCount.Add(1)
-		n.daemon.Log.Info("disk_problem", "cause", state.Cause)
-	}
-	st.status.Store(state)
-	n.daemon.SetReady("this node does not vote: " + state.Cause)
-}
-
-// diskUsable tells operators that the disk takes writes.
-func (n *Node) markDiskUsable() {
-	st := &n.storage
-	was := st.status.Load()
-	if was.Usable {
-		return
-	}
-	now := clock.Now()
-	st.usableSince = now
-	st.status.Store(&DiskStatus{Usable: true, sinceUS: now})
-	if was.Cause != causeStarting {
-		n.daemon.SetReady("starting")
-		n.daemon.Log.Info("disk_usable", "after_us", now-was.sinceUS)
-	}
-}
-
-// diskImage is what the disk holds.
-type diskImage struct {
-	incarnation uint64
-	voterSet    *fb.FoundingT // nil while this disk is in no roster
-	knownAddrs  []string      // whom to ask then
-	records     []quorum.Rec
-	recordCount int
-}
-
-// readDisk locks the folder, reads the ring and makes sure that it can be written. What
-// the ring holds may serve to find other nodes also when it can't.
-func (n *Node) readDisk() (*diskImage, error) {
-	if err := n.lockFolder(); err != nil {
-		return nil, err
-	}
-	raw, err := n.readLog()
-	image, decodeErr := decodeImage(raw)
-	if decodeErr != nil {
-		return nil, decodeErr
-	}
-	if err != nil {
-		n.addKnownAddrs(image.addresses())
-		return nil, err
-	}
-	if image.incarnation == 0 {
-		if err := n.drawIncarnation(image); err != nil {
-			return nil, err
-		}
-	}
-	return image, n.checkpointIfFull(image)
-}
-
-func (n *Node) lockFolder() error {
-	st := &n.storage
-	if st.lock != nil {
-		return nil
-	}
-	lock, err := st.folder.Lock()
-	switch {
-	case err == nil:
-		st.lock = lock
-		return nil
-	case trace.IsAlreadyExists(err):
-		return err
-	}
-	return &wal.DiskError{Op: "open", Err: err}
-}
-
-func (n *Node) readLog() ([][]byte, error) {
-	st := &n.storage
-	if st.log != nil {
-		return st.log.Reopen()
-	}
-	log, raw, err := wal.Open(st.fs, wal.Config{SegmentCount: n.settings.LogSegments, SegmentBytes: n.settings.LogSegmentBytes})
-	if err == nil {
-		st.log = log
-	}
-	return raw, err
-}
-
-// decodeImage reads the records of a ring.
-func decodeImage(raw [][]byte) (*diskImage, error) {
-	image := &diskImage{recordCount: len(raw)}
-	for _, b := range raw {
-		rec, founding, err := codec.UnpackRecord(b)
-		if err != nil {
-			return nil, trace.Wrap(err, "the ring holds a record that this version can't read; start the version that wrote it")
-		}
-		if err := image.add(rec, founding); err != nil {
-			return nil, err
-		}
-	}
-	return image, nil
-}
-
-func (i *diskImage) add(rec quorum.Rec, founding *fb.FoundingT) error {
-	switch {
-	case founding != nil && founding.Rev == 0: // of a disk in no roster
-		i.incarnation, i.knownAddrs = founding.Inc, voterAddrs(founding)
-		return nil
-	case founding != nil:
-		i.incarnation = founding.Inc
-		return i.adoptVoterSet(founding)
-	case rec.Roster != nil:
-		i.records = append(i.records, rec)
-		return i.adoptVoterSet(codec.PackVoterSet(*rec.Roster, i.incarnation))
-	}
-	i.records = append(i.records, rec)
-	return nil
-}
-
-// follow takes in a roster, which must be of the same fleet as those before.
-func (i *diskImage) adoptVoterSet(f *fb.FoundingT) error {
-	if i.voterSet != nil && codec.UnpackVoterSet(i.voterSet).Fleet() != codec.UnpackVoterSet(f).Fleet() {
-		return trace.BadParameter("the ring holds records of fleets %d and %d; move data_dir aside and rejoin as an empty node",
-			codec.UnpackVoterSet(i.voterSet).Fleet(), codec.UnpackVoterSet(f).Fleet())
-	}
-	i.voterSet = f
-	return nil
-}
-
-func (i *diskImage) addresses() []string {
-	if i.voterSet != nil {
-		return voterAddrs(i.voterSet)
-	}
-	return i.knownAddrs
-}
-
-// drawIncarnation names a disk that has none. The name is on the disk before anyone hears
-// of it: the same one never stands for two lives of this disk.
-func (n *Node) drawIncarnation(image *diskImage) error {
-	inc, err := randomIncarnation()
-	if err != nil {
-		return err
-	}
-	image.incarnation = inc
-	return n.persistVoterSet(&fb.FoundingT{Inc: inc})
-}
-
-func randomIncarnation() (uint64, error) {
-	var b [8]byte
-	if _, err := rand.Read(b[:]); err != nil {
-		return 0, err
-	}
-	return binary.LittleEndian.Uint64(b[:])>>1 | 1, nil
-}
-
-// keep appends and syncs one founding.
-func (n *Node) persistVoterSet(f *fb.FoundingT) error {
-	if err := n.storage.log.Append(codec.PackFounding(f)); err != nil {
-		return err
-	}
-	return n.storage.log.Sync()
-}
-
-// makeRoom restates the state if the ring is full enough for that: a voter that begins
-// with a ring without room would stop at its first record.
-func (n *Node) checkpointIfFull(image *diskImage) error {
-	log := n.storage.log
-	if log.UsedPermille() <= checkpointAtPermille || image.voterSet == nil || !containsDisk(image.voterSet, n.settings.Name, image.incarnation) {
-		return nil
-	}
-	node := n.newVoter(image.voterSet, image.incarnation, image.records)
-	founding := *image.voterSet
-	founding.Inc = image.incarnation
-	parts := [][]byte{codec.PackFounding(&founding)}
-	for _, rec := range node.Checkpoint() {
-		parts = append(parts, codec.PackRecord(rec))
-	}
-	if err := log.Checkpoint(parts); err != nil {
-		return fmt.Errorf("restating the state: %w", err)
-	}
-	return nil
-}
-
-// takeImage begins from what the disk holds.
-func (n *Node) loadImage(image *diskImage) {
-	n.incarnation.Store(image.incarnation)
-	n.voterSet.Store(image.voterSet)
-	if image.voterSet == nil {
-		n.addKnownAddrs(image.knownAddrs)
-	}
-	n.records = image.records
-	used := n.storage.log.UsedPermille()
-	n.storage.usedPermille.Store(int64(used))
-	n.daemon.Log.Info("ring_open", "records", image.recordCount, "used_permille", used, "inc", image.incarnation)
+// resetWriter forgets the writer of a voter that has stopped.
+func (s *storage) resetWriter() {
+	s.recordsLost = false
+	s.stall = stallWatch{}
+	s.syncedRecords.Store(0)
+	s.activeOperation.Store(0)
+	s.checkpointWanted.Store(false)
+	s.checkpointQueued.Store(false)
 }
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"strings"
 
 	"violetthread/internal/clock"
 	"violetthread/internal/codec"
@@ -12,11 +11,19 @@
 	"violetthread/schema/fb"
 )
 
-// handOverFor is how long word of slots given up may take to go out.
-const stepDownGrace = 100_000
+// Microseconds.
+const (
+	planInterval     = 150_000 // between two reads of the plan
+	sessionsInterval = 300_000 // between two announcements of sessions
+	stepDownGrace    = 100_000 // for the messages of a step-down to go out
+)
 
-// vote runs the voter until a newer roster does not hold this disk, or the disk can't be
-// used: one loop for its state, one for its disk, one to each peer. It returns which.
+// stateShare bounds the voter's state at this part of the log: a checkpoint of all of it
+// and the changes that come meanwhile must fit beside the old state.
+const stateShare = 4
+
+// runVoter runs the voter until a newer voter set leaves this disk out, or the disk can't
+// be used: one loop for its state, one for its disk, one to each peer. It returns which.
 func (n *Node) runVoter(ctx context.Context) error {
 	n.voterGroup = taskgroup.New(ctx, n.daemon.Log)
 	n.voter = n.newVoter(n.voterSet.Load(), n.Incarnation(), n.records)
@@ -25,10 +32,10 @@
 	n.startLoops()
 	n.voting.Store(true)
 	n.daemon.SetReady("")
-	why, ok := taskgroup.Receive(ctx, n.stopReason)
+	reason, ok := taskgroup.Receive(ctx, n.stopReason)
 	n.voting.Store(false)
-	if ok && !errors.Is(why, errRetired) {
-		n.markDiskUnusable(why)
+	if ok && !errors.Is(reason, errRemoved) {
+		n.markDiskUnusable(reason)
 		n.stepDown(ctx)
 	}
 	n.voterGroup.Stop()
@@ -36,33 +43,34 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return why
+	return reason
 }
 
 // newVoter makes a voter from what a disk holds.
-func (n *Node) newVoter(f *fb.FoundingT, inc uint64, recs []quorum.Rec) *quorum.Node {
-	p := quorum.Defaults(n.settings.Name, inc)
-	p.EraTerm, p.Eras, p.Term = n.settings.GenerationDuration, n.settings.OpenGenerations, n.settings.LeaseDuration
-	p.Limit = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / 4)
-	return quorum.New(p, codec.UnpackVoterSet(f), clock.Now(), recs)
+func (n *Node) newVoter(set *fb.FoundingT, incarnation uint64, records []quorum.Rec) *quorum.Node {
+	config := quorum.Defaults(n.settings.Name, incarnation)
+	config.EraTerm = n.settings.GenerationDuration
+	config.Eras = n.settings.OpenGenerations
+	config.Term = n.settings.LeaseDuration
+	config.Limit = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / stateShare)
+	return quorum.New(config, codec.UnpackVoterSet(set), clock.Now(), records)
 }
 
 func (n *Node) startLoops() {
 	tick := quorum.Defaults("", 0).Beat / 4
 	n.voterGroup.Go("voter", func(ctx context.Context) {
-		taskgroup.Serve(ctx, n.commands, clock.Duration(tick), func(f func(int64)) { f(clock.Now()) }, n.tickVoter)
+		run := func(command func(int64)) { command(clock.Now()) }
+		taskgroup.Serve(ctx, n.commands, clock.Duration(tick), run, n.tickVoter)
 	})
-	n.voterGroup.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(probeInterval), n.probeSilentVoters) })
-	n.voterGroup.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(planInterval), n.refreshPlan) })
-	n.voterGroup.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(sessionsInterval), n.broadcastSessions) })
+	every := func(name string, intervalUS int64, run func(context.Context)) {
+		n.voterGroup.Go(name, func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(intervalUS), run) })
+	}
+	every("probe", probeInterval, n.probeSilentVoters)
+	every("plan", planInterval, n.refreshPlan)
+	every("roll", sessionsInterval, n.broadcastSessions)
 }
 
-const (
-	planInterval     = 150_000
-	sessionsInterval = 300_000
-)
-
-// tick is a few times a beat.
+// tickVoter runs a few times in each heartbeat interval, in the voter's loop.
 func (n *Node) tickVoter() {
 	now := clock.Now()
 	if n.storage.stall.stalled(n.storage.activeOperation.Load()) {
@@ -72,14 +80,23 @@
 	n.updateLogPressure()
 	n.processReady(n.voter.Tick(now))
 	n.generation.Store(n.voter.Open())
-	mute := map[string]bool{}
-	for _, v := range n.voter.Roster().Voters {
-		mute[v.Name] = n.voter.Silence(now, v.Name) > contactTimeout
+	n.publishStatus(now)
+}
+
+func (n *Node) publishStatus(now int64) {
+	silent := map[string]bool{}
+	for _, peer := range n.voter.Roster().Voters {
+		silent[peer.Name] = n.voter.Silence(now, peer.Name) > contactTimeout
 	}
-	n.status.Store(&voterStatus{n.voter.Slots(now), n.voter.Size(), n.voter.Firm(), mute})
+	n.status.Store(&voterStatus{
+		slots:         n.voter.Slots(now),
+		stateBytes:    n.voter.Size(),
+		changeAllowed: n.voter.Firm(),
+		silent:        silent,
+	})
 }
 
-// noteRoom has the voter refuse new changes while the ring has little room.
+// updateLogPressure has the voter refuse new changes while the log has little room.
 func (n *Node) updateLogPressure() {
 	used := n.storage.usedPermille.Load()
 	tight := used > tightAtPermille
@@ -88,21 +105,21 @@
 	}
 	n.logTight = tight
 	n.voter.Tight(tight)
-	n.daemon.Log.Info("ring_tight", "tight", tight, "used_permille", used)
+	n.logSpace(tight, used)
 }
 
-// tellRoll tells the other voters of this node's sessions.
+// broadcastSessions announces this node's sessions to the other voters.
 func (n *Node) broadcastSessions(context.Context) {
-	m := &fb.FrameT{RollTell: n.sessions.Announcement(clock.Now())}
+	frame := &fb.FrameT{RollTell: n.sessions.Announcement(clock.Now())}
 	taskgroup.TrySend(n.commands, func(int64) {
-		for _, v := range n.voter.Roster().Voters {
-			n.sendTo(v.Name, m)
+		for _, peer := range n.voter.Roster().Voters {
+			n.sendTo(peer.Name, frame)
 		}
 	})
 }
 
-// handOver gives the slots up because of the disk, and lets the word go out. Answers that
-// wait for the disk are given up with them.
+// stepDown gives all slots up because of the disk, and lets the messages go out. Results
+// that wait for the disk are given up with them.
 func (n *Node) stepDown(ctx context.Context) {
 	done := make(chan struct{})
 	if taskgroup.Send(ctx, n.commands, func(now int64) {
@@ -114,70 +131,17 @@
 	}
 }
 
-// out carries a step's effects out.
-func (n *Node) processReady(o quorum.Out) {
-	for _, e := range o.Events {
-		if !strings.HasPrefix(e, "unheard") {
-			n.daemon.Log.Info("settle", "what", e)
-		}
-	}
-	n.queueRecords(o.Recs)
-	if o.Roster != nil {
-		f := codec.PackVoterSet(*o.Roster, n.Incarnation())
-		n.voterSet.Store(f)
-		if !n.isVoter(f) {
-			n.stopVoter(errRetired)
-		}
-	}
-	for _, s := range o.Sends {
-		n.sendTo(s.To, codec.PackMessage(s.Msg))
-	}
-	for _, a := range o.Answers {
-		if ch := n.results[a.ID]; ch != nil {
-			delete(n.results, a.ID)
-			ch <- a
-		}
-	}
-}
-
-// give queues a frame for another voter, on a sender of its own so that a slow
-// one holds up nobody. Called from the voter's loop alone.
-func (n *Node) sendTo(name string, m *fb.FrameT) {
-	if name == n.settings.Name {
-		return
-	}
-	v, ok := n.voter.Roster().Find(name)
-	if !ok {
-		return
-	}
-	ch := n.senders[v.Addr] // a name may come back at another address
-	if ch == nil {
-		ch = make(chan *fb.FrameT, 4096)
-		n.senders[v.Addr] = ch
-		p := n.peers.Get(v.Addr)
-		n.voterGroup.Go("peer", func(ctx context.Context) {
-			for {
-				m, ok := taskgroup.Receive(ctx, ch)
-				if !ok {
-					return
-				}
-				p.Send(m)
-			}
-		})
-	}
-	taskgroup.TrySend(ch, m)
-}
-
-// do starts an operation here and waits for its answer.
-func (n *Node) propose(ctx context.Context, op quorum.Op) (quorum.Answer, bool) {
-	ch := make(chan quorum.Answer, 1)
+// propose starts an operation at this node's voter and waits for its result. False means
+// that the result is not known: the operation may take effect.
+func (n *Node) propose(ctx context.Context, operation quorum.Op) (quorum.Answer, bool) {
+	result := make(chan quorum.Answer, 1)
 	if !taskgroup.Send(ctx, n.commands, func(now int64) {
 		n.lastOperation++
-		op.ID = n.lastOperation
-		n.results[op.ID] = ch
-		n.processReady(n.voter.Do(now, op))
+		operation.ID = n.lastOperation
+		n.results[operation.ID] = result
+		n.processReady(n.voter.Do(now, operation))
 	}) {
 		return quorum.Answer{}, false
 	}
-	return taskgroup.Receive(ctx, ch)
+	return taskgroup.Receive(ctx, result)
 }
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -14,7 +14,6 @@
 	checkpointAtPermille  = 350  // thousandths of the ring in use
 	tightAtPermille       = 750  // from here on new changes are refused until a checkpoint made room
 	maxBatchesPerSync     = 512  // that one sync covers
-	stallTicks            = 80   // ticks of the voter, two seconds, that one write and sync may take
 )
 
 // batch is what the voter wants on disk.
@@ -23,15 +22,15 @@
 	checkpoint []quorum.Rec // or: the state at this point, to be restated
 }
 
-// record queues records for the disk. The voter never waits for it: one that falls this
+// queueRecords queues records for the disk. The voter never waits for it: one that falls this
 // far behind is stopped.
-func (n *Node) queueRecords(recs []quorum.Rec) {
-	if len(recs) == 0 || n.storage.recordsLost {
+func (n *Node) queueRecords(records []quorum.Rec) {
+	if len(records) == 0 || n.storage.recordsLost {
 		return
 	}
-	b := batch{records: make([][]byte, 0, len(recs))}
-	for _, rec := range recs {
-		b.records = append(b.records, codec.PackRecord(rec))
+	b := batch{records: make([][]byte, 0, len(records))}
+	for _, record := range records {
+		b.records = append(b.records, codec.PackRecord(record))
 	}
 	if !taskgroup.TrySend(n.storage.pending, b) {
 		n.storage.recordsLost = true
@@ -39,12 +38,12 @@
 	}
 }
 
-// startWriter starts the loop that keeps the voter's records.
+// startWriter starts the loop that writes the voter's records.
 func (n *Node) startWriter(ctx context.Context) {
-	st := &n.storage
+	s := &n.storage
 	done := make(chan struct{}, 1)
-	st.writerDone = done
-	w := &writer{log: st.log, node: n}
+	s.writerDone = done
+	w := &writer{log: s.log, node: n}
 	n.startDiskOperation("disk.write", func() {
 		if err := w.run(ctx); err != nil {
 			n.stopVoter(err)
@@ -53,8 +52,9 @@
 	})
 }
 
-// writer appends what has gathered, syncs once for all of it, and says so. A checkpoint
-// goes out in parts between, so that it holds no change up for long.
+// writer appends the batches that have gathered, syncs once for all of them, and notifies
+// the voter. A checkpoint is written in parts between, so that it delays no change for
+// long.
 type writer struct {
 	node          *Node
 	log           *wal.Log
@@ -110,13 +110,13 @@
 	if err := w.log.Sync(); err != nil {
 		return err
 	}
-	st := &w.node.storage
-	st.syncedRecords.Add(count)
-	st.usedPermille.Store(int64(w.log.UsedPermille()))
+	s := &w.node.storage
+	s.syncedRecords.Add(count)
+	s.usedPermille.Store(int64(w.log.UsedPermille()))
 	if w.log.UsedPermille() > checkpointAtPermille && !w.checkpointing {
-		st.checkpointWanted.Store(true)
+		s.checkpointWanted.Store(true)
 	}
-	// A word that finds no room is not missed: each tick looks as well.
+	// A notification that finds no room is not missed: each tick looks as well.
 	taskgroup.TrySend(w.node.commands, w.node.recordsSynced)
 	return nil
 }
@@ -134,13 +134,13 @@
 }
 
 func (w *writer) beginCheckpoint(state []quorum.Rec) error {
-	founding := *w.node.voterSet.Load()
-	founding.Inc = w.node.Incarnation()
+	set := *w.node.voterSet.Load()
+	set.Inc = w.node.Incarnation()
 	if err := w.log.BeginCheckpoint(); err != nil {
 		return err
 	}
 	w.remaining, w.checkpointing = state, true
-	return w.log.AppendCheckpoint([][]byte{codec.PackFounding(&founding)})
+	return w.log.AppendCheckpoint([][]byte{codec.PackFounding(&set)})
 }
 
 func (w *writer) continueCheckpoint() error {
@@ -149,8 +149,8 @@
 	}
 	count := min(len(w.remaining), checkpointPartRecords)
 	part := make([][]byte, 0, count)
-	for _, rec := range w.remaining[:count] {
-		part = append(part, codec.PackRecord(rec))
+	for _, record := range w.remaining[:count] {
+		part = append(part, codec.PackRecord(record))
 	}
 	if err := w.log.AppendCheckpoint(part); err != nil {
 		return err
@@ -166,40 +166,23 @@
 		return err
 	}
 	w.checkpointing = false
-	w.node.daemon.Log.Info("checkpoint", "used_permille", w.log.UsedPermille())
+	w.node.logCheckpoint(w.log.UsedPermille())
 	w.node.storage.checkpointWanted.Store(false)
 	w.node.storage.checkpointQueued.Store(false)
 	return nil
 }
 
-// onDisk tells the voter what is synced, and queues a checkpoint that is wanted.
+// recordsSynced tells the voter what is synced, and queues a checkpoint that is wanted.
 func (n *Node) recordsSynced(now int64) {
-	st := &n.storage
-	if st.recordsLost {
-		return // what was dropped never comes to lie on the disk, whatever is written after it
+	s := &n.storage
+	if s.recordsLost {
+		return // what was dropped never reaches the disk, whatever is written after it
 	}
-	n.processReady(n.voter.Synced(now, st.syncedRecords.Load()))
-	if st.checkpointWanted.Load() && st.checkpointQueued.CompareAndSwap(false, true) {
+	n.processReady(n.voter.Synced(now, s.syncedRecords.Load()))
+	if s.checkpointWanted.Load() && s.checkpointQueued.CompareAndSwap(false, true) {
 		// Behind all records that the state follows from.
-		if !taskgroup.TrySend(st.pending, batch{checkpoint: n.voter.Checkpoint()}) {
-			st.checkpointQueued.Store(false)
+		if !taskgroup.TrySend(s.pending, batch{checkpoint: n.voter.Checkpoint()}) {
+			s.checkpointQueued.Store(false)
 		}
 	}
 }
-
-// stallWatch counts ticks of the voter during one operation of the disk. It counts ticks
-// and not time: a frozen process does not wait for its disk.
-type stallWatch struct {
-	operation int64
-	ticks     int
-}
-
-// stalled tells whether the operation under way has taken too long.
-func (s *stallWatch) stalled(operation int64) bool {
-	if operation == 0 || operation != s.operation {
-		s.operation, s.ticks = operation, 0
-		return false
-	}
-	s.ticks++
-	return s.ticks >= stallTicks
-}
