--- /dev/null
+++ b/internal/app/directory/cache_events.go
@@ -0,0 +1,205 @@
+package directory
+
+import (
+	"context"
+
+	"violetthread/hint"
+	"violetthread/internal/clock"
+	"violetthread/internal/taskgroup"
+	"violetthread/placement"
+	"violetthread/schema/fb"
+)
+
+// maxEventsPerReply bounds the cache events in one reply: proxies' links are narrow, and a
+// reply that takes too long is given up and asked of another node, who would begin anew.
+const maxEventsPerReply = 1500
+
+// Microseconds.
+const (
+	eventPollPause   = 150_000 // between questions to one engine, so that events come in lots
+	eventPollTimeout = 900_000 // that an engine may hold a question for
+	eventPollMargin  = 400_000 // beyond that, for the answer to come
+)
+
+// failuresUntilDown is how many questions in a row fail before an engine counts as down.
+const failuresUntilDown = 2
+
+// storeID names a store in the map.
+func storeID(addr string) string { return "store " + addr }
+
+// eventSource is an engine or store whose cache events are followed.
+type eventSource struct {
+	addr string
+	node uint64 // that stands for it in cache events
+}
+
+// eventSources lists, by id, what is to be followed. Called under the lock.
+func (d *Directory) eventSources() map[string]eventSource {
+	sources := map[string]eventSource{}
+	if d.table == nil {
+		return sources
+	}
+	for _, pool := range d.table.Stores() {
+		sources[storeID(pool.Store)] = eventSource{pool.Store, placement.StoreNode(pool.Store)}
+	}
+	for _, engine := range d.listedEngines {
+		if pool := d.table.Pool(engine.Pool); pool != nil && len(pool.Models) > 0 {
+			sources[engine.ID] = eventSource{engine.Addr, placement.EngineNode(engine.ID)}
+		}
+	}
+	return sources
+}
+
+// syncReaders makes sure that every source has a reader, and nobody else. Called under the
+// lock.
+func (d *Directory) syncReaders() {
+	sources := d.eventSources()
+	for id, reader := range d.readers {
+		if _, ok := sources[id]; !ok {
+			reader.stop()
+			delete(d.readers, id)
+			d.dropCached(reader.node)
+		}
+	}
+	for id, source := range sources {
+		if d.readers[id] == nil {
+			ctx, cancel := context.WithCancel(d.group.Context())
+			reader := &eventReader{directory: d, eventSource: source, stop: cancel}
+			d.readers[id] = reader
+			d.group.Go("directory.news", func(context.Context) { reader.run(ctx) })
+		}
+	}
+}
+
+// dropCached records that a node keeps nothing any more. Called under the lock.
+func (d *Directory) dropCached(node uint64) {
+	for key := range d.cachedBlocks[node] {
+		d.events.Add(hint.News{Key: key, Node: node, Op: hint.Drop})
+	}
+	delete(d.cachedBlocks, node)
+}
+
+// cacheSnapshot lists all that is cached, for who can't follow the changes. Called under
+// the lock, by events.
+func (d *Directory) cacheSnapshot() []hint.News {
+	var snapshot []hint.News
+	for node, keys := range d.cachedBlocks {
+		for key := range keys {
+			snapshot = append(snapshot, hint.News{Key: key, Node: node, Op: hint.Load})
+		}
+	}
+	return snapshot
+}
+
+// eventReader follows the cache events of one engine or store.
+type eventReader struct {
+	eventSource
+	directory *Directory
+	stop      context.CancelFunc
+	epoch     string // of the source, as last told
+	cursor    string // of the next question; of run alone, as epoch
+	failures  int    // questions in a row that failed
+	answered  bool   // or failed, once
+}
+
+func (r *eventReader) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		question, cancel := context.WithTimeout(ctx, clock.Duration(eventPollTimeout+eventPollMargin))
+		page, err := r.directory.platform.CacheEvents(question, r.addr, r.cursor, eventPollTimeout)
+		cancel()
+		if ctx.Err() != nil {
+			return
+		}
+		r.handle(page, err)
+		if !taskgroup.Sleep(ctx, eventPollPause) {
+			return
+		}
+	}
+}
+
+// handle takes in an answer, or that there was none.
+func (r *eventReader) handle(page CacheEventPage, err error) {
+	d := r.directory
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	wasDown := r.down()
+	r.answered = true
+	if err != nil {
+		r.failures++
+	} else {
+		r.failures = 0
+		r.apply(page)
+	}
+	if r.down() != wasDown {
+		d.mapRevision++
+		d.notify()
+	}
+}
+
+// down reports whether the source counts as down.
+func (r *eventReader) down() bool { return r.failures >= failuresUntilDown }
+
+// apply takes in a page of events. Called under the lock.
+func (r *eventReader) apply(page CacheEventPage) {
+	d := r.directory
+	if page.Epoch != r.epoch {
+		if r.epoch != "" {
+			d.dropCached(r.node) // it started anew, with nothing cached
+		}
+		if r.epoch != "" && len(page.Events) == 0 && r.cursor != "" {
+			// Its cursors began anew: ask from the start.
+			r.epoch, r.cursor = page.Epoch, ""
+			return
+		}
+		r.epoch = page.Epoch
+	}
+	r.cursor = page.Next
+	cached := d.cachedBlocks[r.node]
+	if cached == nil {
+		cached = map[hint.Key]bool{}
+		d.cachedBlocks[r.node] = cached
+	}
+	for _, event := range page.Events {
+		key := hint.PartKey(event.Salt, event.Model, event.Block)
+		if event.Cached == cached[key] {
+			continue
+		}
+		op := hint.Load
+		if event.Cached {
+			cached[key] = true
+		} else {
+			delete(cached, key)
+			op = hint.Drop
+		}
+		d.events.Add(hint.News{Key: key, Node: r.node, Op: op})
+	}
+}
+
+// unsentEvents is the rest of a snapshot that a proxy gets in pages. Called under the lock.
+func (d *Directory) unsentEvents(ask *fb.MapAskT) []hint.News {
+	if ask.Node == nil || d.proxies[ask.Node.Name] == nil {
+		return nil
+	}
+	return d.proxies[ask.Node.Name].unsent
+}
+
+// nextEvents is the next page of cache events for a proxy. Called under the lock.
+func (d *Directory) nextEvents(ask *fb.MapAskT) hint.Batch {
+	var proxy *proxyState
+	if ask.Node != nil {
+		proxy = d.proxies[ask.Node.Name]
+	}
+	if proxy != nil && len(proxy.unsent) > 0 && ask.NewsInc == d.incarnation {
+		page := proxy.unsent[:min(maxEventsPerReply, len(proxy.unsent))]
+		proxy.unsent = proxy.unsent[len(page):]
+		return hint.Batch{Inc: ask.NewsInc, Next: ask.NewsSince, News: page}
+	}
+	batch := d.events.Since(ask.NewsInc, ask.NewsSince, maxEventsPerReply)
+	if proxy != nil {
+		proxy.unsent = nil
+		if batch.Reset && len(batch.News) > maxEventsPerReply {
+			batch.News, proxy.unsent = batch.News[:maxEventsPerReply], batch.News[maxEventsPerReply:]
+		}
+	}
+	return batch
+}
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -4,7 +4,6 @@
 	"context"
 	"crypto/rand"
 	"encoding/binary"
-	"fmt"
 	"sync"
 
 	"github.com/go-logr/logr"
@@ -16,111 +15,109 @@
 	"violetthread/route"
 )
 
-// namedKept is how many versions of a model proxies are told of: who lags behind an
-// older naming is late by that, whatever was named since.
-const namedVersionsKept = 8
-
-// RolloutKey is the register that holds who is turning to new weights.
-const RolloutKey = "route/rollout"
-
-// Settings of a directory. Times are microseconds.
+// Settings of a directory.
 type Settings struct {
-	Name, Zone   string
-	ControlAddr  string // where the control node beside it listens
-	Bounds       route.Bounds
-	ListInterval int64 // between two questions for the platform's list
+	Name string // of this core machine, unlike any other's
+	Zone string
+	// ControlAddr is where the control node beside it listens, as its voter set has it.
+	ControlAddr string
+	// Bounds are those of the deployment that a rollout keeps.
+	Bounds route.Bounds
+	// ListInterval is how old the list of engines becomes before it is asked for anew, in
+	// microseconds. A longer one costs the platform fewer calls.
+	ListInterval int64
 	// Parse reads an operator's text; the table is nil if it can't be read.
-	Parse func(val []byte, rev uint64) *route.Table
+	Parse func(text []byte, revision uint64) *route.Table
 }
 
+// Intervals of the loops, in microseconds.
 const (
 	refreshInterval      = 150_000
 	firstRefreshInterval = 50_000 // until the configuration is known
 	listPollInterval     = 100_000
 	rolloutInterval      = 150_000
-	eventPollPause       = 150_000 // between questions to one engine, so that news comes in lots
-	eventPollTimeout     = 900_000
-	maxReplyDelay        = 400_000
-	mapBatchDelay        = 60_000
-	failuresUntilDown    = 2 // questions in a row that failed, until an engine counts as down
 )
 
-// Directory is one core machine's part.
+// maxLoggedEvents is how many cache events are kept for proxies that follow them; who is
+// further behind gets all that is cached.
+const maxLoggedEvents = 1 << 13
+
+// Directory is one core machine's part. See the package comment for who may call it.
 type Directory struct {
 	settings    Settings
 	log         logr.Logger
 	group       *taskgroup.Group
 	control     Control
 	platform    Platform
-	incarnation uint64
+	incarnation uint64 // of this directory, drawn at its start
+	startedAt   int64
 	role        *weightsRole
 
-	mu          sync.Mutex
+	mu          sync.Mutex    // guards what follows
 	changed     chan struct{} // closed when something urgent changed
-	mapRevision uint64
+	mapRevision uint64        // rises with each change of what mapEngines shows
 
 	config         register
 	weights        register
-	rollout        register
 	roleRegister   register
+	rollout        register
 	refreshedAt    int64
-	startedAt      int64
-	table          *route.Table
-	rolloutState   rollout.State
-	newestVersions map[string]uint64 // newest version named of each model
-	namings        route.Namings
+	table          *route.Table      // of config; nil until one could be read
+	newestVersions map[string]uint64 // of weights: the newest version of each model
+	rolloutState   rollout.State     // of rollout
+	namings        route.Namings     // when each version was first known to be wanted
 
 	listedEngines []Engine
-	listReadAt    int64
-	// Only the list's own loop uses these: which map of the first node in line this
-	// one's list equals, and when it was asked.
-	firstIncarnation uint64
-	firstRevision    uint64
-	firstAskedAt     int64
+	listReadAt    int64 // 0: never
 
-	readers      map[string]*eventReader
-	events       *hint.Outbox
+	readers      map[string]*eventReader      // by the engine's or store's id
 	cachedBlocks map[uint64]map[hint.Key]bool // what each engine and store keeps
+	events       *hint.Outbox                 // changes of cachedBlocks
 	proxies      map[string]*proxyState
+
+	// Of the list's loop alone: which map of the first node in line this one's list equals,
+	// and when that node was asked.
+	firstIncarnation uint64
+	firstRevision    uint64
+	firstAskedAt     int64
 }
 
 // New makes a directory and starts its loops on the group.
-func New(group *taskgroup.Group, s Settings, control Control, platform Platform) *Directory {
-	t := newDirectory(group, s, control, platform)
-	every := func(name string, us int64, f func(context.Context)) {
-		group.Go(name, func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(us), f) })
+func New(group *taskgroup.Group, settings Settings, control Control, platform Platform) *Directory {
+	d := newDirectory(group, settings, control, platform)
+	every := func(name string, intervalUS int64, run func(context.Context)) {
+		group.Go(name, func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(intervalUS), run) })
 	}
-	every("directory.registers", firstRefreshInterval, t.refreshDue)
-	every("directory.list", listPollInterval, t.refreshList)
-	every("directory.conduct", rolloutInterval, t.runRollout)
-	every("directory.loads", loadsInterval, t.broadcastLoads)
-	return t
+	every("directory.registers", firstRefreshInterval, d.refreshDue)
+	every("directory.list", listPollInterval, d.refreshList)
+	every("directory.conduct", rolloutInterval, d.runRollout)
+	every("directory.loads", loadsInterval, d.broadcastLoads)
+	return d
 }
 
 // newDirectory makes a directory without its loops.
-func newDirectory(group *taskgroup.Group, s Settings, control Control, platform Platform) *Directory {
+func newDirectory(group *taskgroup.Group, settings Settings, control Control, platform Platform) *Directory {
 	incarnation := drawIncarnation()
-	t := &Directory{
-		settings:     s,
+	d := &Directory{
+		settings:     settings,
 		log:          group.Log(),
 		group:        group,
 		control:      control,
 		platform:     platform,
 		incarnation:  incarnation,
-		role:         &weightsRole{inspectedAt: map[string]int64{}, sentAt: map[string]int64{}, leaderID: fmt.Sprintf("%s#%x", s.Name, incarnation)},
+		startedAt:    clock.Now(),
+		role:         newWeightsRole(settings.Name, incarnation),
 		changed:      make(chan struct{}),
 		mapRevision:  1,
-		startedAt:    clock.Now(),
 		readers:      map[string]*eventReader{},
 		cachedBlocks: map[uint64]map[hint.Key]bool{},
 		proxies:      map[string]*proxyState{},
 	}
-	t.role.lease.Store(&rollout.Lease{})
-	t.events = hint.NewOutbox(incarnation, 1<<13, t.cacheSnapshot)
-	return t
+	d.events = hint.NewOutbox(incarnation, maxLoggedEvents, d.cacheSnapshot)
+	return d
 }
 
-// drawIncarnation draws the number of this life of the directory.
+// drawIncarnation draws the number of a directory.
 func drawIncarnation() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -129,7 +126,7 @@
 	return binary.LittleEndian.Uint64(b[:])>>24 | 1
 }
 
-// notify tells all who wait that something urgent changed. Called under the lock.
+// notify wakes all that wait for something urgent to change. Called under the lock.
 func (d *Directory) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
--- a/internal/app/directory/loads.go
+++ b/internal/app/directory/loads.go
@@ -8,12 +8,13 @@
 	"violetthread/schema/fb"
 )
 
+// Microseconds.
 const (
 	loadsLifetime = 1_500_000 // what a proxy had under way counts no longer than this
-	loadsInterval = 200_000   // between two tellings to the other control nodes
+	loadsInterval = 200_000   // between two broadcasts to the other control nodes
 )
 
-// proxy is what a proxy has under way, as last told here or to another node.
+// proxyState is what is known of a proxy, as it last told this node or another one.
 type proxyState struct {
 	heardAt int64
 	direct  bool // it asks this node
@@ -21,51 +22,69 @@
 	unsent  []hint.News // of a snapshot that it gets in pages
 }
 
-// tellLoads tells the other nodes what the proxies that ask here have under way.
+// recordProxy takes in what a proxy tells of itself as it asks.
+func (d *Directory) recordProxy(now int64, ask *fb.MapAskT) {
+	d.control.RecordHeartbeat(now, ask.Node)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	proxy := &proxyState{heardAt: now, direct: true, loads: ask.Loads}
+	if known := d.proxies[ask.Node.Name]; known != nil && known.direct {
+		proxy.unsent = known.unsent
+	}
+	d.proxies[ask.Node.Name] = proxy
+}
+
+// broadcastLoads tells the other core machines what the proxies that ask here have under
+// way.
 func (d *Directory) broadcastLoads(context.Context) {
 	now := clock.Now()
-	m := &fb.LoadTellT{}
+	loads := &fb.LoadTellT{}
 	d.mu.Lock()
-	for n, p := range d.proxies {
+	for name, proxy := range d.proxies {
 		switch {
-		case now-p.heardAt > loadsLifetime:
-			delete(d.proxies, n)
-		case p.direct:
-			m.Proxies = append(m.Proxies, &fb.ProxyLoadT{Name: n, Age: now - p.heardAt, Loads: p.loads})
+		case now-proxy.heardAt > loadsLifetime:
+			delete(d.proxies, name)
+		case proxy.direct:
+			loads.Proxies = append(loads.Proxies, &fb.ProxyLoadT{Name: name, Age: now - proxy.heardAt, Loads: proxy.loads})
 		}
 	}
 	d.mu.Unlock()
-	if len(m.Proxies) == 0 {
+	if len(loads.Proxies) == 0 {
 		return
 	}
-	d.control.Broadcast(&fb.FrameT{LoadTell: m})
+	d.control.Broadcast(&fb.FrameT{LoadTell: loads})
 }
 
-func (d *Directory) mergeLoads(now int64, m *fb.LoadTellT) {
+// mergeLoads takes in what another core machine broadcast; the newer one counts.
+func (d *Directory) mergeLoads(now int64, loads *fb.LoadTellT) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, p := range m.Proxies {
-		if o := d.proxies[p.Name]; p.Age >= 0 && (o == nil || o.heardAt < now-p.Age) {
-			d.proxies[p.Name] = &proxyState{heardAt: now - p.Age, loads: p.Loads}
+	for _, heard := range loads.Proxies {
+		known := d.proxies[heard.Name]
+		if heard.Age >= 0 && (known == nil || known.heardAt < now-heard.Age) {
+			d.proxies[heard.Name] = &proxyState{heardAt: now - heard.Age, loads: heard.Loads}
 		}
 	}
 }
 
-// others sums what all proxies but one have under way. Called under the lock.
-func (d *Directory) loadsOfOthers(now int64, but string) (out []*fb.LoadT) {
-	sum := map[uint64]*fb.LoadT{}
-	for n, p := range d.proxies {
-		if n == but || now-p.heardAt > loadsLifetime {
+// loadsOfOthers sums what all proxies but one have under way, by engine. Called under the
+// lock.
+func (d *Directory) loadsOfOthers(now int64, except string) (out []*fb.LoadT) {
+	sums := map[uint64]*fb.LoadT{}
+	for name, proxy := range d.proxies {
+		if name == except || now-proxy.heardAt > loadsLifetime {
 			continue
 		}
-		for _, l := range p.loads {
-			x := sum[l.Node]
-			if x == nil {
-				x = &fb.LoadT{Node: l.Node}
-				sum[l.Node] = x
-				out = append(out, x)
+		for _, load := range proxy.loads {
+			sum := sums[load.Node]
+			if sum == nil {
+				sum = &fb.LoadT{Node: load.Node}
+				sums[load.Node] = sum
+				out = append(out, sum)
 			}
-			x.Active, x.Reading, x.Tokens = x.Active+l.Active, x.Reading+l.Reading, x.Tokens+l.Tokens
+			sum.Active += load.Active
+			sum.Reading += load.Reading
+			sum.Tokens += load.Tokens
 		}
 	}
 	return out
--- /dev/null
+++ b/internal/app/directory/logging.go
@@ -0,0 +1,19 @@
+package directory
+
+import "violetthread/rollout"
+
+// Log events of a directory. Each is one line, event=NAME and the keys given here;
+// docs/logs.md says what they mean to an operator.
+
+func (d *Directory) logLeaseAcquired(fencingToken uint64) {
+	d.log.Info("rollout_lease_acquired", "key", WeightsRoleKey, "fencing_token", fencingToken)
+}
+
+func (d *Directory) logStateUnreadable(err error) {
+	d.log.Info("rollout_state_unreadable", "key", RolloutKey, "cause", err.Error())
+}
+
+func (d *Directory) logWeightUpdate(request rollout.UpdateRequest, fencingToken uint64, result UpdateResult) {
+	d.log.Info("weight_update", "engine", request.Engine, "model", request.Model, "version", request.Version,
+		"fencing_token", fencingToken, "result", result.String())
+}
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -10,12 +10,19 @@
 	"violetthread/schema/fb"
 )
 
-// register is a key of the control state as last vouched for.
+// namedVersionsKept is how many versions of a model proxies are told of: who lags behind an
+// older announcement is late by that, whatever was announced since.
+const namedVersionsKept = 8
+
+// readTimeout is how long the read of one register may take, in microseconds.
+const readTimeout = 700_000
+
+// register is a key of the control state as its leader last confirmed it.
 type register struct {
-	known    bool
+	known    bool // it was read since this directory started
 	revision uint64
 	value    []byte
-	readAt   int64
+	readAt   int64 // before the question
 }
 
 // refreshDue refreshes when it is time to; after a start that is sooner.
@@ -33,41 +40,41 @@
 	d.mu.Lock()
 	d.refreshedAt = clock.Now()
 	d.mu.Unlock()
-	d.readRegister(ctx, route.ConfigKey, &d.config, func(v []byte, rev uint64, _ int64) {
-		if tab := d.settings.Parse(v, rev); tab != nil {
-			d.table = tab
+	d.readRegister(ctx, route.ConfigKey, &d.config, func(value []byte, revision uint64, _ int64) {
+		if table := d.settings.Parse(value, revision); table != nil {
+			d.table = table
 		}
 	})
 	d.readRegister(ctx, route.WeightsKey, &d.weights, d.applyWeights)
 	d.readRegister(ctx, WeightsRoleKey, &d.roleRegister, d.applyRoleChange)
-	d.readRegister(ctx, RolloutKey, &d.rollout, func(v []byte, _ uint64, _ int64) {
-		if s, err := rollout.UnmarshalState(v); err == nil {
-			d.rolloutState = s
+	d.readRegister(ctx, RolloutKey, &d.rollout, func(value []byte, _ uint64, _ int64) {
+		if state, err := rollout.UnmarshalState(value); err == nil {
+			d.rolloutState = state
 		}
 	})
 }
 
-// takeWeights takes in a new value of the register of weights, which it has had since the
+// applyWeights takes in a new value of the register of weights, which it has had since the
 // given time at the earliest. Called under the lock.
-func (d *Directory) applyWeights(val []byte, _ uint64, since int64) {
-	doc, err := route.ReadWeights(val)
+func (d *Directory) applyWeights(value []byte, _ uint64, since int64) {
+	doc, err := route.ReadWeights(value)
 	if err != nil {
 		return
 	}
 	d.newestVersions = newestOf(doc)
-	for _, m := range doc.Models {
-		for _, version := range m.Versions[max(0, len(m.Versions)-namedVersionsKept):] {
-			if _, known := d.namings.At(m.Model, version); !known {
-				d.namings.Hear(m.Model, version, since)
+	for _, model := range doc.Models {
+		for _, version := range model.Versions[max(0, len(model.Versions)-namedVersionsKept):] {
+			if _, known := d.namings.At(model.Model, version); !known {
+				d.namings.Hear(model.Model, version, since)
 			}
 		}
 	}
 }
 
-// takeDuty takes in that the duty of weights changed hands. Called under the lock.
-func (d *Directory) applyRoleChange(_ []byte, rev uint64, since int64) {
-	if rev > 1 { // the first holder followed nobody
-		d.namings.Begin(rev, since-takeoverWindow)
+// applyRoleChange takes in that another directory leads the rollout. Called under the lock.
+func (d *Directory) applyRoleChange(_ []byte, revision uint64, since int64) {
+	if revision > 1 { // the first leader followed nobody
+		d.namings.Begin(revision, since-takeoverWindow)
 	}
 }
 
@@ -79,46 +86,46 @@
 	return max(lastRead, now-takeoverWindow)
 }
 
-// read reads one register, and hands a new value to take, with the earliest time at which
-// it can have come there.
-func (d *Directory) readRegister(ctx context.Context, key string, r *register, take func(val []byte, rev uint64, since int64)) {
-	ctx, stop := context.WithTimeout(ctx, clock.Duration(700_000))
-	defer stop()
+// readRegister reads one register, and hands a new value to apply, with the earliest time
+// at which it can have come there. Apply is called under the lock.
+func (d *Directory) readRegister(ctx context.Context, key string, r *register, apply func(value []byte, revision uint64, since int64)) {
+	ctx, cancel := context.WithTimeout(ctx, clock.Duration(readTimeout))
+	defer cancel()
 	d.mu.Lock()
 	have := r.revision
 	d.mu.Unlock()
-	at := clock.Now()
-	a := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key, Have: have})
-	if quorum.Status(a.Status) != quorum.Done {
+	askedAt := clock.Now()
+	answer := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key, Have: have})
+	if quorum.Status(answer.Status) != quorum.Done {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if r.known && a.Rev < r.revision {
+	if r.known && answer.Rev < r.revision {
 		return
 	}
-	fresh := a.Rev != r.revision && len(a.Val) > 0
-	if a.Rev != r.revision && !fresh {
+	changed := answer.Rev != r.revision
+	if changed && len(answer.Val) == 0 {
 		return // its value did not come along
 	}
 	lastRead := r.readAt
 	if !r.known {
 		lastRead = d.startedAt
 	}
-	r.known, r.revision, r.readAt = true, a.Rev, max(r.readAt, at)
-	if fresh {
-		r.value = a.Val
-		take(a.Val, a.Rev, changedSince(lastRead, clock.Now()))
+	r.known, r.revision, r.readAt = true, answer.Rev, max(r.readAt, askedAt)
+	if changed {
+		r.value = answer.Val
+		apply(answer.Val, answer.Rev, changedSince(lastRead, clock.Now()))
 		d.mapRevision++
 		d.notify()
 	}
 }
 
-// newestOf is the newest named version of each model.
-func newestOf(d *route.WeightsDoc) map[string]uint64 {
-	out := map[string]uint64{}
-	for _, m := range d.Models {
-		out[m.Model] = d.Newest(m.Model)
+// newestOf is the newest announced version of each model.
+func newestOf(doc *route.WeightsDoc) map[string]uint64 {
+	newest := map[string]uint64{}
+	for _, model := range doc.Models {
+		newest[model.Model] = doc.Newest(model.Model)
 	}
-	return out
+	return newest
 }
--- a/internal/app/directory/registers_test.go
+++ b/internal/app/directory/registers_test.go
@@ -8,8 +8,8 @@
 	"violetthread/schema/fb"
 )
 
-// name names a version of model m's weights.
-func (c *fakeControl) name(version uint64) {
+// announce makes a version of model m's weights wanted.
+func (c *fakeControl) announce(version uint64) {
 	doc := &route.WeightsDoc{}
 	if val := c.values[route.WeightsKey]; val != nil {
 		doc, _ = route.ReadWeights(val)
@@ -18,7 +18,7 @@
 	c.set(route.WeightsKey, next.Bytes())
 }
 
-// toldAge is how long ago a proxy is told that a version was named.
+// toldAge is how long ago a proxy is told that a version was announced.
 func toldAge(t *testing.T, d *Directory, version uint64) int64 {
 	t.Helper()
 	a := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, clock.Now())
@@ -35,12 +35,12 @@
 // been named right after it last looked.
 func TestLateHearerTellsNoYoungAge(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
-	control.name(1)
+	control.announce(1)
 	lastLook := clock.Now()
 	d.Refresh(t.Context())
 	d.weights.readAt -= 2_000_000 // the look was two seconds ago
 	lastLook -= 2_000_000
-	control.name(2)
+	control.announce(2)
 	d.Refresh(t.Context())
 	if age, least := toldAge(t, d, 2), clock.Now()-lastLook-100_000; age < least {
 		t.Errorf("told an age of %d us, it may be %d", age, least)
@@ -61,7 +61,7 @@
 		}
 	}
 	d, control, _ := newTestDirectory(t)
-	control.name(1)
+	control.announce(1)
 	d.startedAt = clock.Now() - 3_000_000
 	d.Refresh(t.Context())
 	if age := toldAge(t, d, 1); age < 3_000_000 {
@@ -69,10 +69,10 @@
 	}
 }
 
-// Ages begin anew when the duty of weights changes hands, and only then.
+// Ages begin anew when another directory leads the rollout, and only then.
 func TestAgesCountFromTheDuty(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
-	control.name(1)
+	control.announce(1)
 	control.set(WeightsRoleKey, nil)
 	d.Refresh(t.Context())
 	d.namings.Hear("m", 1, clock.Now()-60_000_000)
@@ -82,9 +82,9 @@
 	control.set(WeightsRoleKey, []byte("another's"))
 	d.Refresh(t.Context())
 	if age := toldAge(t, d, 1); age < takeoverWindow || age > 3*takeoverWindow {
-		t.Errorf("told %d us after the duty changed hands", age)
+		t.Errorf("told %d us after the leader changed", age)
 	}
-	if got := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0).NamedEpoch; got != control.revs[WeightsRoleKey] {
+	if got := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0).NamedEpoch; got != control.revisions[WeightsRoleKey] {
 		t.Errorf("epoch %d is told", got)
 	}
 }
@@ -92,9 +92,9 @@
 // A node takes over the age that the first in line has, when its own is less.
 func TestOlderAgeOfAnotherNodeIsTaken(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
-	control.name(1)
+	control.announce(1)
 	d.Refresh(t.Context())
-	control.first = &fb.MapTellT{Named: []*fb.NamedT{{Model: "m", Version: 1, Age: 30_000_000}}, ListAge: 1_000_000}
+	control.firstReply = &fb.MapTellT{Named: []*fb.NamedT{{Model: "m", Version: 1, Age: 30_000_000}}, ListAge: 1_000_000}
 	d.copyListFrom(t.Context(), "a:1")
 	if age := toldAge(t, d, 1); age < 30_000_000 {
 		t.Errorf("told %d us, the first in line knows 30 s", age)
@@ -104,10 +104,10 @@
 // What the registers of weights and roll-outs were last vouched for goes with each answer.
 func TestAgeOfRegistersIsTold(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
-	control.name(1)
+	control.announce(1)
 	d.Refresh(t.Context())
 	d.weights.readAt -= 5_000_000
-	control.silent = true
+	control.unreadable = true
 	d.Refresh(t.Context())
 	if a := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0); a.NamedAge < 5_000_000 {
 		t.Errorf("an age of %d us is told of weights last vouched for 5 s ago", a.NamedAge)
--- /dev/null
+++ b/internal/app/directory/reply.go
@@ -0,0 +1,181 @@
+package directory
+
+import (
+	"context"
+	"maps"
+	"slices"
+
+	"violetthread/internal/clock"
+	"violetthread/internal/codec"
+	"violetthread/internal/taskgroup"
+	"violetthread/schema/fb"
+)
+
+// Microseconds.
+const (
+	maxReplyDelay = 400_000 // that a question is held for at the most
+	mapBatchDelay = 60_000  // changes of the map come in lots, and go out together
+)
+
+// proxyRole is the role that proxies have in their heartbeats.
+const proxyRole = "carrier"
+
+// Handle answers proxies and other nodes; nil if the frame is not for a directory.
+func (d *Directory) Handle(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
+	now := clock.Now()
+	switch {
+	case frame.LoadTell != nil:
+		d.mergeLoads(now, frame.LoadTell)
+		return nil
+	case frame.MapAsk == nil:
+		return nil
+	}
+	if frame.MapAsk.Node != nil {
+		d.recordProxy(now, frame.MapAsk)
+	}
+	if !d.awaitChange(ctx, now, frame.MapAsk) {
+		return nil
+	}
+	return &fb.FrameT{MapTell: d.reply(frame.MapAsk, now)}
+}
+
+// awaitChange holds a question that came at a time until something urgent changed, or it
+// was held for long enough. It returns false if whoever asked is gone.
+func (d *Directory) awaitChange(ctx context.Context, askedAt int64, ask *fb.MapAskT) bool {
+	end := askedAt + min(max(ask.Hold, 0), maxReplyDelay)
+	for {
+		d.mu.Lock()
+		changed, urgent := d.changed, d.hasUrgentChange(ask, askedAt)
+		if ask.Map != d.mapRevision {
+			end = min(end, askedAt+mapBatchDelay)
+		}
+		d.mu.Unlock()
+		left := end - clock.Now()
+		if urgent || left <= 0 {
+			return true
+		}
+		wait, cancel := context.WithTimeout(ctx, clock.Duration(left))
+		taskgroup.Receive(wait, changed)
+		cancel()
+		if ctx.Err() != nil {
+			return false
+		}
+	}
+}
+
+// hasUrgentChange reports whether a question is answered at once. Called under the lock.
+func (d *Directory) hasUrgentChange(ask *fb.MapAskT, askedAt int64) bool {
+	switch {
+	case d.config.known && ask.Have != d.config.revision:
+		return true
+	case ask.Inc != d.incarnation || ask.NewsInc != d.incarnation || len(d.unsentEvents(ask)) > 0:
+		return true
+	}
+	return ask.Map != d.mapRevision && clock.Now()-askedAt >= mapBatchDelay
+}
+
+// reply answers a question that came at a time.
+func (d *Directory) reply(ask *fb.MapAskT, askedAt int64) *fb.MapTellT {
+	voters, live := d.control.VoterAddrs(), d.control.LiveNodes(clock.Now())
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := clock.Now()
+	reply := &fb.MapTellT{
+		Inc:      d.incarnation,
+		Site:     d.settings.Zone,
+		Held:     now - askedAt,
+		Known:    d.config.known,
+		Rev:      d.config.revision,
+		Age:      now - d.config.readAt,
+		Map:      d.mapRevision,
+		ListAge:  ageSince(now, d.listReadAt),
+		Voters:   voters,
+		NamedAge: ageSince(now, min(d.weights.readAt, d.rollout.readAt)),
+	}
+	if ask.Have != d.config.revision {
+		reply.Config = d.config.value
+	}
+	for _, node := range live {
+		if node.Role == proxyRole {
+			reply.Proxies++
+		}
+	}
+	if ask.Inc != d.incarnation || ask.Map != d.mapRevision {
+		reply.Whole = true
+		reply.Engines = d.mapEngines()
+	}
+	if reply.Whole || ask.Node == nil {
+		reply.Named = d.namedVersions(now)
+		reply.NamedEpoch = d.namings.Epoch()
+	}
+	if ask.Node != nil { // another core machine follows the engines itself
+		reply.Loads = d.loadsOfOthers(now, ask.Node.Name)
+		d.addEvents(reply, ask)
+	}
+	return reply
+}
+
+// addEvents adds the next page of cache events for a proxy. Called under the lock.
+func (d *Directory) addEvents(reply *fb.MapTellT, ask *fb.MapAskT) {
+	batch := d.nextEvents(ask)
+	reply.Complete = len(d.readers) > 0 && len(d.unsentEvents(ask)) == 0
+	for _, reader := range d.readers {
+		reply.Complete = reply.Complete && reader.answered
+	}
+	reply.NewsInc, reply.NewsNext, reply.NewsReset = batch.Inc, batch.Next, batch.Reset
+	for _, event := range batch.News {
+		reply.News = append(reply.News, &fb.NewsT{
+			Hi:    event.Key.Hi,
+			Lo:    event.Key.Lo,
+			Check: event.Key.Check,
+			Node:  event.Node,
+			Op:    byte(event.Op),
+		})
+	}
+}
+
+// ageSince is the age of what was read at a time, or codec.AgeNeverRead.
+func ageSince(now, readAt int64) int64 {
+	if readAt == 0 {
+		return codec.AgeNeverRead
+	}
+	return now - readAt
+}
+
+// mapEngines is the map as proxies see it, stores included. Called under the lock.
+func (d *Directory) mapEngines() (out []*fb.MapEngineT) {
+	down := func(id string) bool { reader := d.readers[id]; return reader != nil && reader.down() }
+	for _, engine := range d.listedEngines {
+		shown := &fb.MapEngineT{
+			Id:       engine.ID,
+			Pool:     engine.Pool,
+			Addr:     engine.Addr,
+			Site:     engine.Zone,
+			Draining: engine.Draining,
+			Slots:    uint32(engine.Slots),
+			Down:     down(engine.ID),
+		}
+		for _, model := range slices.Sorted(maps.Keys(engine.Weights)) {
+			version := d.rolloutState.Version(engine.ID, model, engine.Weights[model])
+			shown.Weights = append(shown.Weights, &fb.ModelAtT{Model: model, Version: version})
+		}
+		_, shown.Turning = d.rolloutState.Updates[engine.ID]
+		out = append(out, shown)
+	}
+	if d.table != nil {
+		for _, pool := range d.table.Stores() {
+			id := storeID(pool.Store)
+			out = append(out, &fb.MapEngineT{Id: id, Addr: pool.Store, Site: pool.Site, Store: true, Down: down(id)})
+		}
+	}
+	return out
+}
+
+// namedVersions tells how long ago each version of weights was announced. Called under the
+// lock.
+func (d *Directory) namedVersions(now int64) (out []*fb.NamedT) {
+	d.namings.Each(func(model string, version uint64, at int64) {
+		out = append(out, &fb.NamedT{Model: model, Version: version, Age: now - at})
+	})
+	return out
+}
--- /dev/null
+++ b/internal/app/directory/weights_role.go
@@ -0,0 +1,96 @@
+package directory
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"sync/atomic"
+
+	"violetthread/internal/clock"
+	"violetthread/quorum"
+	"violetthread/rollout"
+	"violetthread/schema/fb"
+)
+
+// WeightsRoleKey is the lease of the rollout leader, who brings engines to new weights. Its
+// register's revision is the fencing token of every update request (design §15).
+const WeightsRoleKey = "duty/weights"
+
+// Microseconds.
+const (
+	// takeoverWindow is how long before a change of the leader the core may have been in
+	// order again: a lease expires a while after its holder was lost.
+	takeoverWindow = 4_000_000
+	// leaseMargin is added to the bound of a lease for what is asked for: the leader renews
+	// in time for the bound to be kept.
+	leaseMargin = 500_000
+	// leaseSlack is how long before its lease expires the leader stops.
+	leaseSlack   = 300_000
+	renewTimeout = 800_000
+)
+
+// weightsRole is this node's part in the rollout of weights: its lease, and the scheduler
+// while it leads.
+type weightsRole struct {
+	leaderID string                        // of this directory, unlike any other's
+	lease    atomic.Pointer[rollout.Lease] // read where runRollout may hold the lock for long
+	inFlight sync.WaitGroup                // requests under way
+
+	mu            sync.Mutex // guards what follows
+	leaving       bool       // the lease was released and is not asked for again
+	heldSince     int64      // when this node came to lead
+	startedAt     int64      // when it first made a scheduler under this lease
+	sentAt        map[string]int64
+	inspectedAt   map[string]int64
+	scheduler     *rollout.Scheduler // nil: it is to be made from the register
+	stateRevision uint64             // of the rollout's register as written here
+}
+
+func newWeightsRole(name string, incarnation uint64) *weightsRole {
+	role := &weightsRole{
+		leaderID:    fmt.Sprintf("%s#%x", name, incarnation),
+		inspectedAt: map[string]int64{},
+		sentAt:      map[string]int64{},
+	}
+	role.lease.Store(&rollout.Lease{})
+	return role
+}
+
+// renewLease asks for the lease of the rollout, or for more of it.
+func (d *Directory) renewLease(ctx context.Context, now int64) bool {
+	role := d.role
+	lease := *role.lease.Load()
+	duration := d.settings.Bounds.LeaseUS + leaseMargin
+	if lease.ExpiresAt-now > duration*2/3 {
+		return true
+	}
+	ctx, cancel := context.WithTimeout(ctx, clock.Duration(renewTimeout))
+	defer cancel()
+	answer := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpHold), Key: WeightsRoleKey, Holder: role.leaderID, Term: duration})
+	if quorum.Status(answer.Status) != quorum.Done {
+		return now < lease.ExpiresAt
+	}
+	if answer.Rev != lease.FencingToken {
+		role.scheduler, role.heldSince = nil, now-takeoverWindow
+		role.startedAt, role.sentAt = 0, map[string]int64{}
+		d.logLeaseAcquired(answer.Rev)
+	}
+	role.lease.Store(&rollout.Lease{FencingToken: answer.Rev, ExpiresAt: now + duration - leaseSlack})
+	return true
+}
+
+// Leave releases the lease, so that another node need not wait for it to expire. It waits
+// for requests that are under way: the next leader's must not come close behind them.
+func (d *Directory) Leave(ctx context.Context) {
+	role := d.role
+	role.mu.Lock()
+	lease := *role.lease.Load()
+	role.lease.Store(&rollout.Lease{})
+	role.leaving, role.scheduler = true, nil
+	role.mu.Unlock()
+	if clock.Now() >= lease.ExpiresAt {
+		return
+	}
+	role.inFlight.Wait()
+	d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpFree), Key: WeightsRoleKey, Holder: role.leaderID, Expect: lease.FencingToken})
+}
