--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -37,7 +37,7 @@
 func (n *Node) countLedSlots() float64 {
 	count := 0
 	for _, slot := range n.status.Load().slots {
-		if slot.Mine {
+		if slot.IsLeader {
 			count++
 		}
 	}
@@ -58,9 +58,9 @@
 func writeNotCommitted(w http.ResponseWriter, answer *fb.OpTellT) {
 	w.Header().Set("Retry-After", "1")
 	switch quorum.Status(answer.Status) {
-	case quorum.NotOwner:
+	case quorum.StatusNotLeader:
 		writeError(w, http.StatusServiceUnavailable, "no-owner", "nothing was changed; a majority of control nodes must be up, then send again")
-	case quorum.Full:
+	case quorum.StatusFull:
 		writeError(w, http.StatusInsufficientStorage, "state-full", "nothing was changed; raise ring_files on every control node")
 	default:
 		writeError(w, http.StatusGatewayTimeout, "unknown", "the change may or may not be in force; read the plan before sending again")
--- a/internal/app/control/api_plan.go
+++ b/internal/app/control/api_plan.go
@@ -38,7 +38,7 @@
 func (n *Node) readPlan(w http.ResponseWriter, r *http.Request) {
 	answer := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
 	switch {
-	case quorum.Status(answer.Status) != quorum.Done:
+	case quorum.Status(answer.Status) != quorum.StatusDone:
 		writeNotCommitted(w, answer)
 	case answer.Rev == 0:
 		writeError(w, http.StatusNotFound, "no-plan", "send a whole plan first, with violetthread-ctl plan put")
@@ -65,7 +65,7 @@
 	for range maxPlanAttempts {
 		// What is in force is read first in any case: the seal follows from it.
 		current := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
-		if quorum.Status(current.Status) != quorum.Done {
+		if quorum.Status(current.Status) != quorum.StatusDone {
 			writeNotCommitted(w, current)
 			return
 		}
@@ -75,7 +75,7 @@
 			return
 		}
 		answer := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: planKey, Val: sealed, Expect: current.Rev})
-		if quorum.Status(answer.Status) == quorum.Conflict && !change.If {
+		if quorum.Status(answer.Status) == quorum.StatusConflict && !change.If {
 			continue // another operator's change came between; this one goes on top of it
 		}
 		n.writePlanResult(w, r, answer)
@@ -104,11 +104,11 @@
 
 func (n *Node) writePlanResult(w http.ResponseWriter, r *http.Request, answer *fb.OpTellT) {
 	switch quorum.Status(answer.Status) {
-	case quorum.Done:
+	case quorum.StatusDone:
 		n.logPlanChanged(answer.Rev, r.Method, r.RemoteAddr)
 		w.Header().Set("ETag", etag(answer.Rev))
 		daemon.WriteJSON(w, http.StatusOK, PlanAccepted{answer.Rev})
-	case quorum.Conflict:
+	case quorum.StatusConflict:
 		writeRevisionConflict(w, answer.Rev)
 	default:
 		writeNotCommitted(w, answer)
--- a/internal/app/control/api_status.go
+++ b/internal/app/control/api_status.go
@@ -70,7 +70,7 @@
 		Disk:          n.DiskStatus(),
 	}
 	for i, slot := range status.slots {
-		fleet.Slots = append(fleet.Slots, SlotStatus{i, slot.Owner, slot.Epoch, slot.Count})
+		fleet.Slots = append(fleet.Slots, SlotStatus{i, slot.Leader, slot.Term, slot.Keys})
 	}
 	for _, node := range n.sessions.Live(now) {
 		fleet.Nodes = append(fleet.Nodes, NodeStatus{node.Name, node.Role, node.Site, node.Http, node.Addr, node.Ready, node.Registrar, node.Age, node.Duties})
--- a/internal/app/control/api_voter_set.go
+++ b/internal/app/control/api_voter_set.go
@@ -78,22 +78,22 @@
 		writeUnchanged(w, http.StatusConflict, "newcomer-not-empty", "its disk belongs to a voter set already; give it an empty data_dir")
 		return nil
 	}
-	return &quorum.Voter{Name: identity.Name, Addr: addr, Inc: identity.Inc}
+	return &quorum.Voter{Name: identity.Name, Addr: addr, Incarnation: identity.Inc}
 }
 
 // commitVoterSet puts a changed voter set in force and answers the operator.
-func (n *Node) commitVoterSet(ctx context.Context, w http.ResponseWriter, change VoterSetChange, next quorum.Roster) {
-	current := n.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.RosterKey})
-	if quorum.Status(current.Status) != quorum.Done {
+func (n *Node) commitVoterSet(ctx context.Context, w http.ResponseWriter, change VoterSetChange, next quorum.VoterSet) {
+	current := n.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.VoterSetKey})
+	if quorum.Status(current.Status) != quorum.StatusDone {
 		writeNotCommitted(w, current)
 		return
 	}
-	answer := n.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.RosterKey, Val: next.Bytes(), Expect: current.Rev})
+	answer := n.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.VoterSetKey, Val: next.Bytes(), Expect: current.Rev})
 	switch quorum.Status(answer.Status) {
-	case quorum.Done:
+	case quorum.StatusDone:
 		n.logVoterSetChanged(next.Step(), change.Leaving, change.JoiningAddr)
 		daemon.WriteJSON(w, http.StatusOK, VoterSetAccepted{next.Step(), next.Voters})
-	case quorum.Conflict:
+	case quorum.StatusConflict:
 		writeUnchanged(w, http.StatusConflict, "not-now", string(answer.Val))
 	default:
 		writeNotCommitted(w, answer)
--- a/internal/app/control/bootstrap.go
+++ b/internal/app/control/bootstrap.go
@@ -59,5 +59,5 @@
 		}
 	}
 	fleet := hash.Sum64() >> 24
-	return &fb.FoundingT{Fleet: fleet, Rev: quorum.Found(fleet), Voters: voters, Seats: uint16(len(voters))}, nil
+	return &fb.FoundingT{Fleet: fleet, Rev: quorum.FirstRevision(fleet), Voters: voters, Seats: uint16(len(voters))}, nil
 }
--- a/internal/app/control/disk_image.go
+++ b/internal/app/control/disk_image.go
@@ -18,7 +18,7 @@
 	incarnation uint64
 	voterSet    *fb.FoundingT // nil while this disk is in no voter set
 	knownAddrs  []string      // whom to ask then
-	records     []quorum.Rec
+	records     []quorum.Record
 	recordCount int // all that were read
 }
 
@@ -89,7 +89,7 @@
 	return image, nil
 }
 
-func (i *diskImage) add(record quorum.Rec, founding *fb.FoundingT) error {
+func (i *diskImage) add(record quorum.Record, founding *fb.FoundingT) error {
 	switch {
 	case founding != nil && founding.Rev == 0: // of a disk in no voter set
 		i.incarnation, i.knownAddrs = founding.Inc, voterAddrs(founding)
@@ -97,9 +97,9 @@
 	case founding != nil:
 		i.incarnation = founding.Inc
 		return i.adoptVoterSet(founding)
-	case record.Roster != nil:
+	case record.VoterSet != nil:
 		i.records = append(i.records, record)
-		return i.adoptVoterSet(codec.PackVoterSet(*record.Roster, i.incarnation))
+		return i.adoptVoterSet(codec.PackVoterSet(*record.VoterSet, i.incarnation))
 	}
 	i.records = append(i.records, record)
 	return nil
--- a/internal/app/control/disk_image_test.go
+++ b/internal/app/control/disk_image_test.go
@@ -46,9 +46,9 @@
 	written := 0
 	for err == nil {
 		written++
-		position := quorum.Ver{Epoch: 1, Seq: uint64(written)}
-		entry := quorum.Entry{Key: fmt.Sprint("key", written%10), Ver: position, Rev: uint64(written), Val: make([]byte, 2000)}
-		err = log.Append(codec.PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 3, Epoch: 1, Mark: position, Entry: entry}))
+		position := quorum.Position{Term: 1, Index: uint64(written)}
+		entry := quorum.Entry{Key: fmt.Sprint("key", written%10), Position: position, Revision: uint64(written), Value: make([]byte, 2000)}
+		err = log.Append(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 3, Term: 1, Last: position, Entry: entry}))
 	}
 	if !errors.Is(err, wal.ErrFull) {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 // state before anything else is written, and has all of it.
 func TestRoomAtStart(t *testing.T) {
 	node := newStoppedNode(t)
-	voterSet := &fb.FoundingT{Inc: 7, Rev: quorum.Found(9), Voters: []*fb.VoterT{{Name: "a", Addr: node.settings.TransportAddr, Inc: 7, Num: 1}}}
+	voterSet := &fb.FoundingT{Inc: 7, Rev: quorum.FirstRevision(9), Voters: []*fb.VoterT{{Name: "a", Addr: node.settings.TransportAddr, Inc: 7, Num: 1}}}
 	written := fillDuringCheckpoint(t, node, voterSet)
 
 	node.storage.log, node.storage.lock = nil, nil
@@ -86,9 +86,9 @@
 	if err != nil || after.incarnation != image.incarnation || after.voterSet == nil {
 		t.Fatalf("%+v, %v", after, err)
 	}
-	before := node.newVoter(image.voterSet, image.incarnation, image.records).Slots(0)
-	for i, slot := range node.newVoter(after.voterSet, after.incarnation, after.records).Slots(0) {
-		if slot.Count != before[i].Count || slot.Mark != before[i].Mark {
+	before := node.newVoter(image.voterSet, image.incarnation, image.records).Status(0)
+	for i, slot := range node.newVoter(after.voterSet, after.incarnation, after.records).Status(0) {
+		if slot.Keys != before[i].Keys || slot.Last != before[i].Last {
 			t.Fatalf("slot %d has %+v, had %+v", i, slot, before[i])
 		}
 	}
--- a/internal/app/control/frames.go
+++ b/internal/app/control/frames.go
@@ -62,7 +62,7 @@
 		return
 	}
 	message := codec.UnpackMessage(packed)
-	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Recv(now, message)) })
+	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Receive(now, message)) })
 }
 
 // heartbeatReply is what a node learns from its heartbeat: the live nodes, the voters, and
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -141,7 +141,7 @@
 	switch {
 	case err != nil || ask.Name == "" || ask.Inc == 0:
 	case ask.Blank && set != nil && n.voting.Load():
-		n.admit(quorum.Voter{Name: ask.Name, Addr: ask.Addr, Inc: ask.Inc}, ask.First)
+		n.admit(quorum.Voter{Name: ask.Name, Addr: ask.Addr, Incarnation: ask.Inc}, ask.First)
 	case !ask.Blank && set == nil:
 		n.addKnownAddrs([]string{ask.Addr})
 	}
@@ -152,9 +152,9 @@
 func (n *Node) admit(joining quorum.Voter, firstStart bool) {
 	taskgroup.TrySend(n.commands, func(now int64) {
 		if firstStart {
-			n.processReady(n.voter.Grow(now, joining))
+			n.processReady(n.voter.AdmitFoundingVoter(now, joining))
 			return
 		}
-		n.processReady(n.voter.Admit(now, joining))
+		n.processReady(n.voter.AdmitVoter(now, joining))
 	})
 }
--- a/internal/app/control/leave.go
+++ b/internal/app/control/leave.go
@@ -34,7 +34,7 @@
 // awaitingRemoval asks the voter's loop whether this node's seat is about to be dropped.
 func (n *Node) awaitingRemoval(ctx context.Context) bool {
 	answer := make(chan bool, 1)
-	if !taskgroup.Send(ctx, n.commands, func(int64) { answer <- n.voter.HandingOver() }) {
+	if !taskgroup.Send(ctx, n.commands, func(int64) { answer <- n.voter.RemovalPending() }) {
 		return false
 	}
 	awaiting, ok := taskgroup.Receive(ctx, answer)
--- a/internal/app/control/node.go
+++ b/internal/app/control/node.go
@@ -45,21 +45,21 @@
 
 	// Of the lifecycle's goroutine.
 	voterGroup *taskgroup.Group // the loops of the voter that runs
-	records    []quorum.Rec     // what the next voter starts from
+	records    []quorum.Record  // what the next voter starts from
 	stopReason chan error       // why the voter must stop; the first reason counts
 
 	// Of the voter's loop, which runs what arrives on commands.
 	commands      chan func(now int64)
 	voter         *quorum.Node
 	senders       map[string]chan *fb.FrameT // by address
-	results       map[uint64]chan quorum.Answer
+	results       map[uint64]chan quorum.Result
 	lastOperation uint64
 	logTight      bool // the voter was told that the log is nearly full
 }
 
 // voterStatus is what the voter's loop publishes for others.
 type voterStatus struct {
-	slots         []quorum.Slot
+	slots         []quorum.SlotStatus
 	stateBytes    int
 	changeAllowed bool            // the voter set may be changed now
 	silent        map[string]bool // voters not heard for contactTimeout, by name
@@ -101,7 +101,7 @@
 		stopReason: make(chan error, 1),
 		commands:   make(chan func(int64), maxCommands),
 		senders:    map[string]chan *fb.FrameT{},
-		results:    map[uint64]chan quorum.Answer{},
+		results:    map[uint64]chan quorum.Result{},
 	}
 	n.status.Store(&voterStatus{})
 	n.plan.Store(&plan.Held{})
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -37,7 +37,7 @@
 		attempt := *ask
 		answer := n.execute(ctx, &attempt)
 		again := false
-		answer, inDoubt, again = judgeAttempt(quorum.OpKind(ask.Kind), answer, inDoubt)
+		answer, inDoubt, again = judgeAttempt(quorum.OperationType(ask.Kind), answer, inDoubt)
 		if !again || !taskgroup.Sleep(ctx, attemptPause) {
 			return answer
 		}
@@ -46,25 +46,25 @@
 
 // idempotent tells the operations that may be carried out twice: a read, and a claim or
 // lease that its very holder asks for again (design §4.5, §6).
-func idempotent(kind quorum.OpKind) bool {
-	return kind == quorum.OpGet || kind == quorum.OpClaim || kind == quorum.OpHold
+func idempotent(kind quorum.OperationType) bool {
+	return kind == quorum.OpGet || kind == quorum.OpClaim || kind == quorum.OpAcquire
 }
 
 // judgeAttempt is what the caller may be told after an attempt, whether one of the attempts
 // may still take effect, and whether to try again. After an attempt in doubt only an answer
 // that is right whatever became of it counts; a read is never in doubt.
-func judgeAttempt(kind quorum.OpKind, answer *fb.OpTellT, inDoubt bool) (told *fb.OpTellT, doubtful, again bool) {
+func judgeAttempt(kind quorum.OperationType, answer *fb.OpTellT, inDoubt bool) (told *fb.OpTellT, doubtful, again bool) {
 	switch status := quorum.Status(answer.Status); {
-	case status == quorum.Done || status == quorum.Conflict || status == quorum.Closed:
+	case status == quorum.StatusDone || status == quorum.StatusConflict || status == quorum.StatusGenerationClosed:
 		return answer, inDoubt, false
-	case status == quorum.Unknown && !idempotent(kind):
+	case status == quorum.StatusUnknown && !idempotent(kind):
 		return answer, true, false
-	case status == quorum.Unknown:
+	case status == quorum.StatusUnknown:
 		return answer, inDoubt || kind != quorum.OpGet, true
 	case inDoubt:
-		return failed(quorum.Unknown), true, true
+		return failed(quorum.StatusUnknown), true, true
 	default:
-		return answer, false, status == quorum.NotOwner
+		return answer, false, status == quorum.StatusNotLeader
 	}
 }
 
@@ -77,24 +77,24 @@
 		if via := n.nextPeer(); via != "" && ask.Hops < maxHops {
 			return n.forward(ctx, via, ask)
 		}
-		return failed(quorum.NotOwner)
+		return failed(quorum.StatusNotLeader)
 	}
-	result, ok := n.propose(ctx, quorum.Op{
-		Kind:   quorum.OpKind(ask.Kind),
-		Key:    ask.Key,
-		Val:    ask.Val,
-		Expect: ask.Expect,
-		Holder: ask.Holder,
-		Term:   ask.Term,
+	result, ok := n.propose(ctx, quorum.Operation{
+		Type:             quorum.OperationType(ask.Kind),
+		Key:              ask.Key,
+		Value:            ask.Val,
+		ExpectedRevision: ask.Expect,
+		Holder:           ask.Holder,
+		LeaseDuration:    ask.Term,
 	})
 	if !ok {
-		return failed(quorum.Unknown)
+		return failed(quorum.StatusUnknown)
 	}
-	if result.Status == quorum.NotOwner && result.Owner != "" && result.Owner != n.settings.Name && ask.Hops < maxHops {
-		return n.forwardToLeader(ctx, result.Owner, ask)
+	if result.Status == quorum.StatusNotLeader && result.Leader != "" && result.Leader != n.settings.Name && ask.Hops < maxHops {
+		return n.forwardToLeader(ctx, result.Leader, ask)
 	}
-	answer := &fb.OpTellT{Status: byte(result.Status), Rev: result.Rev, Val: result.Val, Owner: result.Owner}
-	if ask.Have != 0 && ask.Have == result.Rev {
+	answer := &fb.OpTellT{Status: byte(result.Status), Rev: result.Revision, Val: result.Value, Owner: result.Leader}
+	if ask.Have != 0 && ask.Have == result.Revision {
 		answer.Val = nil
 	}
 	return answer
@@ -105,11 +105,11 @@
 func (n *Node) forwardToLeader(ctx context.Context, leader string, ask *fb.OpAskT) *fb.OpTellT {
 	set := n.voterSet.Load()
 	if set == nil || n.status.Load().silent[leader] {
-		return failed(quorum.NotOwner)
+		return failed(quorum.StatusNotLeader)
 	}
 	voter, ok := lo.Find(set.Voters, func(voter *fb.VoterT) bool { return voter.Name == leader })
 	if !ok {
-		return failed(quorum.NotOwner)
+		return failed(quorum.StatusNotLeader)
 	}
 	return n.forward(ctx, voter.Addr, ask)
 }
@@ -119,10 +119,10 @@
 func (n *Node) forward(ctx context.Context, addr string, ask *fb.OpAskT) *fb.OpTellT {
 	forwarded := *ask
 	forwarded.Hops++
-	timeout := lo.Ternary[int64](idempotent(quorum.OpKind(ask.Kind)), idempotentTimeout, forwardTimeout)
+	timeout := lo.Ternary[int64](idempotent(quorum.OperationType(ask.Kind)), idempotentTimeout, forwardTimeout)
 	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &forwarded}, timeout)
 	if err != nil || answer.OpTell == nil {
-		return failed(quorum.Unknown)
+		return failed(quorum.StatusUnknown)
 	}
 	return answer.OpTell
 }
--- a/internal/app/control/operations_test.go
+++ b/internal/app/control/operations_test.go
@@ -14,28 +14,28 @@
 	const tryAgain, final = true, false
 	for _, c := range []struct {
 		name        string
-		kind        quorum.OpKind
+		kind        quorum.OperationType
 		status      quorum.Status
 		inDoubt     bool // after an attempt before
 		wantStatus  quorum.Status
 		wantInDoubt bool
 		wantAgain   bool
 	}{
-		{"read done", quorum.OpGet, quorum.Done, false, quorum.Done, false, final},
-		{"read without a leader", quorum.OpGet, quorum.NotOwner, false, quorum.NotOwner, false, tryAgain},
-		{"read without an answer", quorum.OpGet, quorum.Unknown, false, quorum.Unknown, false, tryAgain},
-		{"write without a leader", quorum.OpPut, quorum.NotOwner, false, quorum.NotOwner, false, tryAgain},
-		{"write without an answer", quorum.OpPut, quorum.Unknown, false, quorum.Unknown, true, final},
-		{"release without an answer", quorum.OpFree, quorum.Unknown, false, quorum.Unknown, true, final},
-		{"unclaim without an answer", quorum.OpUnclaim, quorum.Unknown, false, quorum.Unknown, true, final},
-		{"claim without an answer", quorum.OpClaim, quorum.Unknown, false, quorum.Unknown, true, tryAgain},
-		{"claim in doubt, no leader", quorum.OpClaim, quorum.NotOwner, true, quorum.Unknown, true, tryAgain},
-		{"claim in doubt, state full", quorum.OpClaim, quorum.Full, true, quorum.Unknown, true, tryAgain},
-		{"claim, state full", quorum.OpClaim, quorum.Full, false, quorum.Full, false, final},
-		{"claim in doubt, done", quorum.OpClaim, quorum.Done, true, quorum.Done, true, final},
-		{"claim in doubt, another's", quorum.OpClaim, quorum.Conflict, true, quorum.Conflict, true, final},
-		{"lease without an answer", quorum.OpHold, quorum.Unknown, false, quorum.Unknown, true, tryAgain},
-		{"lease in doubt, no leader", quorum.OpHold, quorum.NotOwner, true, quorum.Unknown, true, tryAgain},
+		{"read done", quorum.OpGet, quorum.StatusDone, false, quorum.StatusDone, false, final},
+		{"read without a leader", quorum.OpGet, quorum.StatusNotLeader, false, quorum.StatusNotLeader, false, tryAgain},
+		{"read without an answer", quorum.OpGet, quorum.StatusUnknown, false, quorum.StatusUnknown, false, tryAgain},
+		{"write without a leader", quorum.OpPut, quorum.StatusNotLeader, false, quorum.StatusNotLeader, false, tryAgain},
+		{"write without an answer", quorum.OpPut, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
+		{"release without an answer", quorum.OpRelease, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
+		{"unclaim without an answer", quorum.OpUnclaim, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
+		{"claim without an answer", quorum.OpClaim, quorum.StatusUnknown, false, quorum.StatusUnknown, true, tryAgain},
+		{"claim in doubt, no leader", quorum.OpClaim, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, tryAgain},
+		{"claim in doubt, state full", quorum.OpClaim, quorum.StatusFull, true, quorum.StatusUnknown, true, tryAgain},
+		{"claim, state full", quorum.OpClaim, quorum.StatusFull, false, quorum.StatusFull, false, final},
+		{"claim in doubt, done", quorum.OpClaim, quorum.StatusDone, true, quorum.StatusDone, true, final},
+		{"claim in doubt, another's", quorum.OpClaim, quorum.StatusConflict, true, quorum.StatusConflict, true, final},
+		{"lease without an answer", quorum.OpAcquire, quorum.StatusUnknown, false, quorum.StatusUnknown, true, tryAgain},
+		{"lease in doubt, no leader", quorum.OpAcquire, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, tryAgain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answer, inDoubt, again := judgeAttempt(c.kind, &fb.OpTellT{Status: byte(c.status)}, c.inDoubt)
--- a/internal/app/control/plan_cache.go
+++ b/internal/app/control/plan_cache.go
@@ -27,12 +27,12 @@
 	askedAt := clock.Now()
 	ask := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: held.Rev}
 	answer := n.execute(ctx, ask)
-	if quorum.Status(answer.Status) != quorum.Done {
+	if quorum.Status(answer.Status) != quorum.StatusDone {
 		if relayed := n.readPlanThroughPeer(ask); relayed != nil {
 			answer = relayed
 		}
 	}
-	if quorum.Status(answer.Status) == quorum.Done {
+	if quorum.Status(answer.Status) == quorum.StatusDone {
 		updated, _, _ := held.Take(plan.Word{Rev: answer.Rev, Raw: answer.Val, Fresh: true}, askedAt)
 		n.plan.Store(&updated)
 	}
--- a/internal/app/control/probe.go
+++ b/internal/app/control/probe.go
@@ -46,7 +46,7 @@
 // contact looks which voters are silent. Called from the voter's loop alone.
 func (n *Node) contact(now int64) contact {
 	var current contact
-	set := n.voter.Roster()
+	set := n.voter.VoterSet()
 	for _, voter := range set.Voters {
 		if voter.Name != n.settings.Name && n.voter.Silence(now, voter.Name) > silentAfter {
 			current.silent = append(current.silent, voter)
@@ -63,5 +63,5 @@
 		return
 	}
 	set := codec.UnpackVoterSet(answer.Founding)
-	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Learn(now, set)) })
+	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.ObserveVoterSet(now, set)) })
 }
--- a/internal/app/control/ready.go
+++ b/internal/app/control/ready.go
@@ -12,20 +12,20 @@
 
 // processReady carries out the effects of one step of the voter: records to the disk,
 // then the voter set, messages and results. Called from the voter's loop alone.
-func (n *Node) processReady(ready quorum.Out) {
+func (n *Node) processReady(ready quorum.Ready) {
 	for _, e := range ready.Events {
 		if !strings.HasPrefix(e, "unheard") {
 			n.daemon.Log.Info("settle", "what", e)
 		}
 	}
-	n.queueRecords(ready.Recs)
-	if ready.Roster != nil {
-		n.adoptVoterSet(*ready.Roster)
+	n.queueRecords(ready.Records)
+	if ready.VoterSet != nil {
+		n.adoptVoterSet(*ready.VoterSet)
 	}
-	for _, envelope := range ready.Sends {
-		n.sendTo(envelope.To, codec.PackMessage(envelope.Msg))
+	for _, envelope := range ready.Messages {
+		n.sendTo(envelope.To, codec.PackMessage(envelope.Message))
 	}
-	for _, result := range ready.Answers {
+	for _, result := range ready.Results {
 		if waiting := n.results[result.ID]; waiting != nil {
 			delete(n.results, result.ID)
 			waiting <- result
@@ -35,7 +35,7 @@
 
 // adoptVoterSet publishes a newer voter set, and stops the voter if it leaves this disk
 // out.
-func (n *Node) adoptVoterSet(newer quorum.Roster) {
+func (n *Node) adoptVoterSet(newer quorum.VoterSet) {
 	set := codec.PackVoterSet(newer, n.Incarnation())
 	n.voterSet.Store(set)
 	if !n.isVoter(set) {
@@ -49,7 +49,7 @@
 	if name == n.settings.Name {
 		return
 	}
-	voter, ok := n.voter.Roster().Find(name)
+	voter, ok := n.voter.VoterSet().Find(name)
 	if !ok {
 		return
 	}
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -47,17 +47,17 @@
 }
 
 // newVoter makes a voter from what a disk holds.
-func (n *Node) newVoter(set *fb.FoundingT, incarnation uint64, records []quorum.Rec) *quorum.Node {
-	config := quorum.Defaults(n.settings.Name, incarnation)
-	config.EraTerm = n.settings.GenerationDuration
-	config.Eras = n.settings.OpenGenerations
-	config.Term = n.settings.LeaseDuration
-	config.Limit = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / stateShare)
+func (n *Node) newVoter(set *fb.FoundingT, incarnation uint64, records []quorum.Record) *quorum.Node {
+	config := quorum.DefaultConfig(n.settings.Name, incarnation)
+	config.GenerationDuration = n.settings.GenerationDuration
+	config.OpenGenerations = n.settings.OpenGenerations
+	config.LeaseDuration = n.settings.LeaseDuration
+	config.MaxStateBytes = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / stateShare)
 	return quorum.New(config, codec.UnpackVoterSet(set), clock.Now(), records)
 }
 
 func (n *Node) startLoops() {
-	tick := quorum.Defaults("", 0).Beat / 4
+	tick := quorum.DefaultConfig("", 0).HeartbeatInterval / 4
 	n.voterGroup.Go("voter", func(ctx context.Context) {
 		run := func(command func(int64)) { command(clock.Now()) }
 		taskgroup.Serve(ctx, n.commands, clock.Duration(tick), run, n.tickVoter)
@@ -79,19 +79,19 @@
 	n.recordsSynced(now)
 	n.updateLogPressure()
 	n.processReady(n.voter.Tick(now))
-	n.generation.Store(n.voter.Open())
+	n.generation.Store(n.voter.Generation())
 	n.publishStatus(now)
 }
 
 func (n *Node) publishStatus(now int64) {
 	silent := map[string]bool{}
-	for _, peer := range n.voter.Roster().Voters {
+	for _, peer := range n.voter.VoterSet().Voters {
 		silent[peer.Name] = n.voter.Silence(now, peer.Name) > contactTimeout
 	}
 	n.status.Store(&voterStatus{
-		slots:         n.voter.Slots(now),
-		stateBytes:    n.voter.Size(),
-		changeAllowed: n.voter.Firm(),
+		slots:         n.voter.Status(now),
+		stateBytes:    n.voter.StateBytes(),
+		changeAllowed: n.voter.AllSlotsRecovered(),
 		silent:        silent,
 	})
 }
@@ -104,7 +104,7 @@
 		return
 	}
 	n.logTight = tight
-	n.voter.Tight(tight)
+	n.voter.SetDiskLow(tight)
 	n.logSpace(tight, used)
 }
 
@@ -112,7 +112,7 @@
 func (n *Node) broadcastSessions(context.Context) {
 	frame := &fb.FrameT{RollTell: n.sessions.Announcement(clock.Now())}
 	taskgroup.TrySend(n.commands, func(int64) {
-		for _, peer := range n.voter.Roster().Voters {
+		for _, peer := range n.voter.VoterSet().Voters {
 			n.sendTo(peer.Name, frame)
 		}
 	})
@@ -133,15 +133,15 @@
 
 // propose starts an operation at this node's voter and waits for its result. False means
 // that the result is not known: the operation may take effect.
-func (n *Node) propose(ctx context.Context, operation quorum.Op) (quorum.Answer, bool) {
-	result := make(chan quorum.Answer, 1)
+func (n *Node) propose(ctx context.Context, operation quorum.Operation) (quorum.Result, bool) {
+	result := make(chan quorum.Result, 1)
 	if !taskgroup.Send(ctx, n.commands, func(now int64) {
 		n.lastOperation++
 		operation.ID = n.lastOperation
 		n.results[operation.ID] = result
-		n.processReady(n.voter.Do(now, operation))
+		n.processReady(n.voter.Propose(now, operation))
 	}) {
-		return quorum.Answer{}, false
+		return quorum.Result{}, false
 	}
 	return taskgroup.Receive(ctx, result)
 }
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -19,12 +19,12 @@
 // batch is what the voter wants on disk.
 type batch struct {
 	records    [][]byte
-	checkpoint []quorum.Rec // or: the state at this point, to be restated
+	checkpoint []quorum.Record // or: the state at this point, to be restated
 }
 
 // queueRecords queues records for the disk. The voter never waits for it: one that falls this
 // far behind is stopped.
-func (n *Node) queueRecords(records []quorum.Rec) {
+func (n *Node) queueRecords(records []quorum.Record) {
 	if len(records) == 0 || n.storage.recordsLost {
 		return
 	}
@@ -58,8 +58,8 @@
 type writer struct {
 	node          *Node
 	log           *wal.Log
-	remaining     []quorum.Rec // still to be written
-	checkpointing bool         // a checkpoint has begun
+	remaining     []quorum.Record // still to be written
+	checkpointing bool            // a checkpoint has begun
 	operation     int64
 }
 
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (w *writer) beginCheckpoint(state []quorum.Rec) error {
+func (w *writer) beginCheckpoint(state []quorum.Record) error {
 	set := *w.node.voterSet.Load()
 	set.Inc = w.node.Incarnation()
 	if err := w.log.BeginCheckpoint(); err != nil {
@@ -178,7 +178,7 @@
 	if s.recordsLost {
 		return // what was dropped never reaches the disk, whatever is written after it
 	}
-	n.processReady(n.voter.Synced(now, s.syncedRecords.Load()))
+	n.processReady(n.voter.RecordsSynced(now, s.syncedRecords.Load()))
 	if s.checkpointWanted.Load() && s.checkpointQueued.CompareAndSwap(false, true) {
 		// Behind all records that the state follows from.
 		if !taskgroup.TrySend(s.pending, batch{checkpoint: n.voter.Checkpoint()}) {
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -96,7 +96,7 @@
 	d.mu.Unlock()
 	askedAt := clock.Now()
 	answer := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key, Have: have})
-	if quorum.Status(answer.Status) != quorum.Done {
+	if quorum.Status(answer.Status) != quorum.StatusDone {
 		return
 	}
 	d.mu.Lock()
--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -72,7 +72,7 @@
 // newScheduler makes a scheduler that goes on where the last leader left off.
 func (d *Directory) newScheduler(ctx context.Context, now int64) bool {
 	answer := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: RolloutKey})
-	if quorum.Status(answer.Status) != quorum.Done {
+	if quorum.Status(answer.Status) != quorum.StatusDone {
 		return false
 	}
 	state, err := rollout.UnmarshalState(answer.Val)
@@ -124,7 +124,7 @@
 func (d *Directory) saveState(ctx context.Context, role *weightsRole) bool {
 	value := role.scheduler.State.Marshal()
 	answer := d.control.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpPut), Key: RolloutKey, Val: value, Expect: role.stateRevision})
-	if quorum.Status(answer.Status) != quorum.Done {
+	if quorum.Status(answer.Status) != quorum.StatusDone {
 		role.scheduler = nil // the next one reads what is in the register
 		return false
 	}
--- a/internal/app/directory/rollout_test.go
+++ b/internal/app/directory/rollout_test.go
@@ -43,27 +43,27 @@
 }
 
 func (c *fakeControl) ExecuteOnce(_ context.Context, ask *fb.OpAskT) *fb.OpTellT {
-	if quorum.OpKind(ask.Kind) == quorum.OpFree {
+	if quorum.OperationType(ask.Kind) == quorum.OpRelease {
 		c.onRelease()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.unreadable {
-		return &fb.OpTellT{Status: byte(quorum.NotOwner)}
+		return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
 	}
-	switch quorum.OpKind(ask.Kind) {
+	switch quorum.OperationType(ask.Kind) {
 	case quorum.OpPut:
 		if ask.Expect != c.revisions[ask.Key] {
-			return &fb.OpTellT{Status: byte(quorum.Conflict), Rev: c.revisions[ask.Key]}
+			return &fb.OpTellT{Status: byte(quorum.StatusConflict), Rev: c.revisions[ask.Key]}
 		}
 		c.values[ask.Key] = ask.Val
 		c.revisions[ask.Key]++
-	case quorum.OpHold:
+	case quorum.OpAcquire:
 		if c.revisions[ask.Key] == 0 {
 			c.revisions[ask.Key] = 1
 		}
 	}
-	return &fb.OpTellT{Status: byte(quorum.Done), Rev: c.revisions[ask.Key], Val: c.values[ask.Key]}
+	return &fb.OpTellT{Status: byte(quorum.StatusDone), Rev: c.revisions[ask.Key], Val: c.values[ask.Key]}
 }
 
 func (c *fakeControl) VoterAddrs() []string             { return c.voters }
--- a/internal/app/directory/weights_role.go
+++ b/internal/app/directory/weights_role.go
@@ -66,8 +66,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(renewTimeout))
 	defer cancel()
-	answer := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpHold), Key: WeightsRoleKey, Holder: role.leaderID, Term: duration})
-	if quorum.Status(answer.Status) != quorum.Done {
+	answer := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpAcquire), Key: WeightsRoleKey, Holder: role.leaderID, Term: duration})
+	if quorum.Status(answer.Status) != quorum.StatusDone {
 		return now < lease.ExpiresAt
 	}
 	if answer.Rev != lease.FencingToken {
@@ -92,5 +92,5 @@
 		return
 	}
 	role.inFlight.Wait()
-	d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpFree), Key: WeightsRoleKey, Holder: role.leaderID, Expect: lease.FencingToken})
+	d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpRelease), Key: WeightsRoleKey, Holder: role.leaderID, Expect: lease.FencingToken})
 }
