--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -29,7 +29,7 @@
 	n.daemon.Gauge("state_bytes", "bytes of live control state", func() float64 { return float64(n.status.Load().stateBytes) })
 	n.daemon.Gauge("ring_used_permille", "part of the disk ring in use", func() float64 { return float64(n.storage.usedPermille.Load()) })
 	n.daemon.Gauge("era", "newest era of claims known to be open", func() float64 { return float64(n.generation.Load()) })
-	n.daemon.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(n.plan.Load().Rev) })
+	n.daemon.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(n.plan.Load().Revision) })
 	n.daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(n.plan.Load().Age(clock.Now())) })
 }
 
--- a/internal/app/control/api_plan.go
+++ b/internal/app/control/api_plan.go
@@ -45,7 +45,7 @@
 	default:
 		w.Header().Set("ETag", etag(answer.Rev))
 		w.Header().Set("Content-Type", "application/json")
-		_, raw, err := plan.Open(answer.Val)
+		_, raw, err := plan.Decode(answer.Val)
 		if err != nil {
 			writeError(w, http.StatusInternalServerError, "unreadable", err.Error())
 			return
@@ -69,13 +69,13 @@
 			writeNotCommitted(w, current)
 			return
 		}
-		sealed, _, err := change.On(current.Rev, current.Val)
+		sealed, _, err := change.Apply(current.Rev, current.Val)
 		if err != nil {
 			writeChangeError(w, err)
 			return
 		}
 		answer := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: planKey, Val: sealed, Expect: current.Rev})
-		if quorum.Status(answer.Status) == quorum.StatusConflict && !change.If {
+		if quorum.Status(answer.Status) == quorum.StatusConflict && !change.Conditional {
 			continue // another operator's change came between; this one goes on top of it
 		}
 		n.writePlanResult(w, r, answer)
@@ -93,8 +93,8 @@
 	}
 	change = plan.Change{Body: body, Patch: r.Method == http.MethodPatch}
 	if match := strings.Trim(r.Header.Get("If-Match"), `"`); match != "" && match != "*" {
-		change.If = true
-		if change.Rev, err = strconv.ParseUint(match, 10, 64); err != nil {
+		change.Conditional = true
+		if change.ExpectedRevision, err = strconv.ParseUint(match, 10, 64); err != nil {
 			writeError(w, http.StatusBadRequest, "bad-precondition", "give If-Match the revision that ETag showed")
 			return change, false
 		}
@@ -118,14 +118,14 @@
 // writeChangeError tells an operator why a change does not apply.
 func writeChangeError(w http.ResponseWriter, err error) {
 	var (
-		otherRevision plan.OtherRevision
-		noPlan        plan.NoPlan
-		badPatch      plan.BadPatch
-		badPlan       plan.BadPlan
+		otherRevision plan.RevisionConflictError
+		noPlan        plan.NoPlanError
+		badPatch      plan.PatchError
+		badPlan       plan.InvalidPlanError
 	)
 	switch {
 	case errors.As(err, &otherRevision):
-		writeRevisionConflict(w, otherRevision.Rev)
+		writeRevisionConflict(w, otherRevision.Revision)
 	case errors.As(err, &noPlan):
 		writeError(w, http.StatusNotFound, "no-plan", noPlan.Error())
 	case errors.As(err, &badPatch):
--- a/internal/app/control/api_status.go
+++ b/internal/app/control/api_status.go
@@ -63,7 +63,7 @@
 	status := n.status.Load()
 	fleet := FleetStatus{
 		ControlNode:   n.settings.Name,
-		Plan:          PlanStatus{held.Rev, held.Age(now)},
+		Plan:          PlanStatus{held.Revision, held.Age(now)},
 		Slots:         []SlotStatus{},
 		Nodes:         []NodeStatus{},
 		ChangeAllowed: status.changeAllowed,
--- a/internal/app/control/frames.go
+++ b/internal/app/control/frames.go
@@ -69,8 +69,8 @@
 // the plan if it is not the one it has.
 func (n *Node) heartbeatReply(now int64, haveRevision uint64) *fb.BeatTellT {
 	held := n.plan.Load()
-	reply := &fb.BeatTellT{Rev: held.Rev, Age: held.Age(now), Fresh: held.Known, Nodes: n.sessions.Live(now), Era: n.generation.Load()}
-	if held.Rev != haveRevision {
+	reply := &fb.BeatTellT{Rev: held.Revision, Age: held.Age(now), Fresh: held.Known, Nodes: n.sessions.Live(now), Era: n.generation.Load()}
+	if held.Revision != haveRevision {
 		reply.Plan = held.Raw
 	}
 	if set := n.voterSet.Load(); set != nil {
--- a/internal/app/control/node.go
+++ b/internal/app/control/node.go
@@ -36,7 +36,7 @@
 	removed     atomic.Bool                         // the disk lost a seat since the process began
 	status      atomic.Pointer[voterStatus]         // as of the voter's last tick
 	generation  atomic.Uint64                       // the newest of claims that is known to be open
-	plan        atomic.Pointer[plan.Held]           // as last confirmed by its key's leader
+	plan        atomic.Pointer[plan.Cached]         // as last confirmed by its key's leader
 	peerTurn    atomic.Uint64                       // rotates nextPeer
 	handlers    atomic.Pointer[[]transport.Handler] // asked before the node's own
 
@@ -104,7 +104,7 @@
 		results:    map[uint64]chan quorum.Result{},
 	}
 	n.status.Store(&voterStatus{})
-	n.plan.Store(&plan.Held{})
+	n.plan.Store(&plan.Cached{})
 	n.initStorage()
 	listener, err := net.Listen("tcp", settings.TransportAddr)
 	if err != nil {
--- a/internal/app/control/plan_cache.go
+++ b/internal/app/control/plan_cache.go
@@ -25,7 +25,7 @@
 	defer cancel()
 	held := n.plan.Load()
 	askedAt := clock.Now()
-	ask := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: held.Rev}
+	ask := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: held.Revision}
 	answer := n.execute(ctx, ask)
 	if quorum.Status(answer.Status) != quorum.StatusDone {
 		if relayed := n.readPlanThroughPeer(ask); relayed != nil {
@@ -33,7 +33,7 @@
 		}
 	}
 	if quorum.Status(answer.Status) == quorum.StatusDone {
-		updated, _, _ := held.Take(plan.Word{Rev: answer.Rev, Raw: answer.Val, Fresh: true}, askedAt)
+		updated, _, _ := held.Apply(plan.Update{Revision: answer.Rev, Raw: answer.Val, Confirmed: true}, askedAt)
 		n.plan.Store(&updated)
 	}
 }
--- a/internal/app/directory/cache_events.go
+++ b/internal/app/directory/cache_events.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/taskgroup"
 	"violetthread/placement"
@@ -40,11 +40,11 @@
 		return sources
 	}
 	for _, pool := range d.table.Stores() {
-		sources[storeID(pool.Store)] = eventSource{pool.Store, placement.StoreNode(pool.Store)}
+		sources[storeID(pool.StoreAddr)] = eventSource{pool.StoreAddr, placement.StoreHolderID(pool.StoreAddr)}
 	}
 	for _, engine := range d.listedEngines {
 		if pool := d.table.Pool(engine.Pool); pool != nil && len(pool.Models) > 0 {
-			sources[engine.ID] = eventSource{engine.Addr, placement.EngineNode(engine.ID)}
+			sources[engine.ID] = eventSource{engine.Addr, placement.EngineHolderID(engine.ID)}
 		}
 	}
 	return sources
@@ -74,18 +74,18 @@
 // dropCached records that a node keeps nothing any more. Called under the lock.
 func (d *Directory) dropCached(node uint64) {
 	for key := range d.cachedBlocks[node] {
-		d.events.Add(hint.News{Key: key, Node: node, Op: hint.Drop})
+		d.events.Append(cacheindex.Update{Key: key, Node: node, Op: cacheindex.OpRemove})
 	}
 	delete(d.cachedBlocks, node)
 }
 
 // cacheSnapshot lists all that is cached, for who can't follow the changes. Called under
 // the lock, by events.
-func (d *Directory) cacheSnapshot() []hint.News {
-	var snapshot []hint.News
+func (d *Directory) cacheSnapshot() []cacheindex.Update {
+	var snapshot []cacheindex.Update
 	for node, keys := range d.cachedBlocks {
 		for key := range keys {
-			snapshot = append(snapshot, hint.News{Key: key, Node: node, Op: hint.Load})
+			snapshot = append(snapshot, cacheindex.Update{Key: key, Node: node, Op: cacheindex.OpAdd})
 		}
 	}
 	return snapshot
@@ -156,27 +156,27 @@
 	r.cursor = page.Next
 	cached := d.cachedBlocks[r.node]
 	if cached == nil {
-		cached = map[hint.Key]bool{}
+		cached = map[cacheindex.Key]bool{}
 		d.cachedBlocks[r.node] = cached
 	}
 	for _, event := range page.Events {
-		key := hint.PartKey(event.Salt, event.Model, event.Block)
+		key := cacheindex.BlockKey(event.Salt, event.Model, event.Block)
 		if event.Cached == cached[key] {
 			continue
 		}
-		op := hint.Load
+		op := cacheindex.OpAdd
 		if event.Cached {
 			cached[key] = true
 		} else {
 			delete(cached, key)
-			op = hint.Drop
+			op = cacheindex.OpRemove
 		}
-		d.events.Add(hint.News{Key: key, Node: r.node, Op: op})
+		d.events.Append(cacheindex.Update{Key: key, Node: r.node, Op: op})
 	}
 }
 
 // unsentEvents is the rest of a snapshot that a proxy gets in pages. Called under the lock.
-func (d *Directory) unsentEvents(ask *fb.MapAskT) []hint.News {
+func (d *Directory) unsentEvents(ask *fb.MapAskT) []cacheindex.Update {
 	if ask.Node == nil || d.proxies[ask.Node.Name] == nil {
 		return nil
 	}
@@ -184,7 +184,7 @@
 }
 
 // nextEvents is the next page of cache events for a proxy. Called under the lock.
-func (d *Directory) nextEvents(ask *fb.MapAskT) hint.Batch {
+func (d *Directory) nextEvents(ask *fb.MapAskT) cacheindex.UpdateBatch {
 	var proxy *proxyState
 	if ask.Node != nil {
 		proxy = d.proxies[ask.Node.Name]
@@ -192,13 +192,13 @@
 	if proxy != nil && len(proxy.unsent) > 0 && ask.NewsInc == d.incarnation {
 		page := proxy.unsent[:min(maxEventsPerReply, len(proxy.unsent))]
 		proxy.unsent = proxy.unsent[len(page):]
-		return hint.Batch{Inc: ask.NewsInc, Next: ask.NewsSince, News: page}
+		return cacheindex.UpdateBatch{Incarnation: ask.NewsInc, Next: ask.NewsSince, Updates: page}
 	}
 	batch := d.events.Since(ask.NewsInc, ask.NewsSince, maxEventsPerReply)
 	if proxy != nil {
 		proxy.unsent = nil
-		if batch.Reset && len(batch.News) > maxEventsPerReply {
-			batch.News, proxy.unsent = batch.News[:maxEventsPerReply], batch.News[maxEventsPerReply:]
+		if batch.Reset && len(batch.Updates) > maxEventsPerReply {
+			batch.Updates, proxy.unsent = batch.Updates[:maxEventsPerReply], batch.Updates[maxEventsPerReply:]
 		}
 	}
 	return batch
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-logr/logr"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/taskgroup"
 	"violetthread/rollout"
@@ -62,17 +62,17 @@
 	roleRegister   register
 	rollout        register
 	refreshedAt    int64
-	table          *route.Table      // of config; nil until one could be read
-	newestVersions map[string]uint64 // of weights: the newest version of each model
-	rolloutState   rollout.State     // of rollout
-	namings        route.Namings     // when each version was first known to be wanted
+	table          *route.Table        // of config; nil until one could be read
+	newestVersions map[string]uint64   // of weights: the newest version of each model
+	rolloutState   rollout.State       // of rollout
+	namings        route.Announcements // when each version was first known to be wanted
 
 	listedEngines []Engine
 	listReadAt    int64 // 0: never
 
-	readers      map[string]*eventReader      // by the engine's or store's id
-	cachedBlocks map[uint64]map[hint.Key]bool // what each engine and store keeps
-	events       *hint.Outbox                 // changes of cachedBlocks
+	readers      map[string]*eventReader            // by the engine's or store's id
+	cachedBlocks map[uint64]map[cacheindex.Key]bool // what each engine and store keeps
+	events       *cacheindex.UpdateLog              // changes of cachedBlocks
 	proxies      map[string]*proxyState
 
 	// Of the list's loop alone: which map of the first node in line this one's list equals,
@@ -110,10 +110,10 @@
 		changed:      make(chan struct{}),
 		mapRevision:  1,
 		readers:      map[string]*eventReader{},
-		cachedBlocks: map[uint64]map[hint.Key]bool{},
+		cachedBlocks: map[uint64]map[cacheindex.Key]bool{},
 		proxies:      map[string]*proxyState{},
 	}
-	d.events = hint.NewOutbox(incarnation, maxLoggedEvents, d.cacheSnapshot)
+	d.events = cacheindex.NewUpdateLog(incarnation, maxLoggedEvents, d.cacheSnapshot)
 	return d
 }
 
--- a/internal/app/directory/engine_list.go
+++ b/internal/app/directory/engine_list.go
@@ -71,7 +71,7 @@
 	}
 	told := answer.MapTell
 	d.mu.Lock()
-	d.namings.Take(codec.UnpackVersionAges(told, askedAt))
+	d.namings.Merge(codec.UnpackVersionAges(told, askedAt))
 	d.mu.Unlock()
 	if !told.Whole { // the list is still the one that was taken over last
 		d.mu.Lock()
--- a/internal/app/directory/loads.go
+++ b/internal/app/directory/loads.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/schema/fb"
 )
@@ -19,7 +19,7 @@
 	heardAt int64
 	direct  bool // it asks this node
 	loads   []*fb.LoadT
-	unsent  []hint.News // of a snapshot that it gets in pages
+	unsent  []cacheindex.Update // of a snapshot that it gets in pages
 }
 
 // recordProxy takes in what a proxy tells of itself as it asks.
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -57,15 +57,15 @@
 // applyWeights takes in a new value of the register of weights, which it has had since the
 // given time at the earliest. Called under the lock.
 func (d *Directory) applyWeights(value []byte, _ uint64, since int64) {
-	doc, err := route.ReadWeights(value)
+	doc, err := route.DecodeWeights(value)
 	if err != nil {
 		return
 	}
 	d.newestVersions = newestOf(doc)
 	for _, model := range doc.Models {
 		for _, version := range model.Versions[max(0, len(model.Versions)-namedVersionsKept):] {
-			if _, known := d.namings.At(model.Model, version); !known {
-				d.namings.Hear(model.Model, version, since)
+			if _, known := d.namings.AnnouncedAt(model.Model, version); !known {
+				d.namings.Observe(model.Model, version, since)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 // applyRoleChange takes in that another directory leads the rollout. Called under the lock.
 func (d *Directory) applyRoleChange(_ []byte, revision uint64, since int64) {
 	if revision > 1 { // the first leader followed nobody
-		d.namings.Begin(revision, since-takeoverWindow)
+		d.namings.StartTerm(revision, since-takeoverWindow)
 	}
 }
 
@@ -122,10 +122,10 @@
 }
 
 // newestOf is the newest announced version of each model.
-func newestOf(doc *route.WeightsDoc) map[string]uint64 {
+func newestOf(doc *route.WeightVersions) map[string]uint64 {
 	newest := map[string]uint64{}
 	for _, model := range doc.Models {
-		newest[model.Model] = doc.Newest(model.Model)
+		newest[model.Model] = doc.Latest(model.Model)
 	}
 	return newest
 }
--- a/internal/app/directory/reply.go
+++ b/internal/app/directory/reply.go
@@ -106,7 +106,7 @@
 	}
 	if reply.Whole || ask.Node == nil {
 		reply.Named = d.namedVersions(now)
-		reply.NamedEpoch = d.namings.Epoch()
+		reply.NamedEpoch = d.namings.Term()
 	}
 	if ask.Node != nil { // another core machine follows the engines itself
 		reply.Loads = d.loadsOfOthers(now, ask.Node.Name)
@@ -122,8 +122,8 @@
 	for _, reader := range d.readers {
 		reply.Complete = reply.Complete && reader.answered
 	}
-	reply.NewsInc, reply.NewsNext, reply.NewsReset = batch.Inc, batch.Next, batch.Reset
-	for _, event := range batch.News {
+	reply.NewsInc, reply.NewsNext, reply.NewsReset = batch.Incarnation, batch.Next, batch.Reset
+	for _, event := range batch.Updates {
 		reply.News = append(reply.News, &fb.NewsT{
 			Hi:    event.Key.Hi,
 			Lo:    event.Key.Lo,
@@ -164,8 +164,8 @@
 	}
 	if d.table != nil {
 		for _, pool := range d.table.Stores() {
-			id := storeID(pool.Store)
-			out = append(out, &fb.MapEngineT{Id: id, Addr: pool.Store, Site: pool.Site, Store: true, Down: down(id)})
+			id := storeID(pool.StoreAddr)
+			out = append(out, &fb.MapEngineT{Id: id, Addr: pool.StoreAddr, Site: pool.Zone, Store: true, Down: down(id)})
 		}
 	}
 	return out
