--- a/wal/checkpoint.go
+++ b/wal/checkpoint.go
@@ -1,39 +1,40 @@
 package wal
 
-// Begin begins a checkpoint: the records that Part then adds restate everything
-// before it. Other records may be appended and synced meanwhile; one checkpoint
-// at a time.
+// BeginCheckpoint begins a checkpoint: the records that AppendCheckpoint then adds
+// restate everything before it. Other records may be appended and synced meanwhile; only
+// one checkpoint may be under way. It fails as Append does.
 func (l *Log) BeginCheckpoint() error {
-	if err := l.put(kindBegin, nil, 0); err != nil {
+	if err := l.put(typeCheckpointBegin, nil, 0); err != nil {
 		return err
 	}
-	l.begun, l.under = l.gen, true
+	l.checkpointSequence, l.checkpointing = l.sequence, true
 	return nil
 }
 
-// Part adds records to the checkpoint.
+// AppendCheckpoint adds records to the checkpoint.
 func (l *Log) AppendCheckpoint(records [][]byte) error {
 	for _, data := range records {
-		if err := l.put(kindCheckpoint, data, 0); err != nil {
+		if err := l.put(typeCheckpointData, data, 0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// End ends the checkpoint, syncs, and frees the files that came before it.
+// EndCheckpoint ends the checkpoint, syncs, and frees the segments before the one in
+// which it began.
 func (l *Log) EndCheckpoint() error {
-	if err := l.put(kindEnd, nil, 0); err != nil {
+	if err := l.put(typeCheckpointEnd, nil, 0); err != nil {
 		return err
 	}
 	if err := l.Sync(); err != nil {
 		return err
 	}
-	l.keep, l.under = l.begun, false
+	l.oldestNeeded, l.checkpointing = l.checkpointSequence, false
 	return nil
 }
 
-// Checkpoint writes a whole checkpoint in one go.
+// Checkpoint writes and syncs a complete checkpoint.
 func (l *Log) Checkpoint(records [][]byte) error {
 	if err := l.BeginCheckpoint(); err != nil {
 		return err
--- a/wal/damage_test.go
+++ b/wal/damage_test.go
@@ -14,24 +14,24 @@
 	"violetthread/wal"
 )
 
-// tryOpen is open for a ring that may be refused.
-func tryOpen(fs wal.FS, plan wal.Config) ([]string, error) {
-	_, raw, err := wal.Open(fs, plan)
+// tryOpen is open for a log that may be refused.
+func tryOpen(fs wal.FS, config wal.Config) ([]string, error) {
+	_, raw, err := wal.Open(fs, config)
 	var out []string
-	for _, b := range raw {
-		out = append(out, string(b))
+	for _, data := range raw {
+		out = append(out, string(data))
 	}
 	return out, err
 }
 
-// smallest is the smallest ring.
-var smallest = wal.Config{SegmentCount: 3, SegmentBytes: 4096}
+// smallest is the smallest log.
+var smallestConfig = wal.Config{SegmentCount: 3, SegmentBytes: 4096}
 
-// written is a ring that holds so many synced records, and those that must be read back.
-func written(t *testing.T, plan wal.Config, n int) (*faultyFS, []string) {
+// written is a log that holds so many synced records, and those that must be read back.
+func written(t *testing.T, config wal.Config, n int) (*faultyFS, []string) {
 	t.Helper()
 	fs := newFaultyFS(1)
-	log, _ := open(t, fs, plan)
+	log, _ := open(t, fs, config)
 	var want []string
 	for i := 0; i < n; i++ {
 		rec := fmt.Sprintf("record %03d %s", i, strings.Repeat("x", 150))
@@ -46,19 +46,19 @@
 	return fs, want
 }
 
-// TestFlippedByte: whichever byte of any file flips, the ring opens with all that was
+// TestFlippedByte: whichever byte of any file flips, the log opens with all that was
 // synced or says that it can't; only the very last synced batch may be taken for a torn
 // tail (design §5).
 func TestFlippedByte(t *testing.T) {
-	whole, want := written(t, smallest, 30) // two of its files
+	full, want := written(t, smallestConfig, 30) // two of its files
 	last := len(want) - 1
-	for name := range whole.files {
-		for i := 0; i < int(smallest.SegmentBytes); i++ {
-			fs := whole.snapshot()
+	for name := range full.files {
+		for i := 0; i < int(smallestConfig.SegmentBytes); i++ {
+			fs := full.snapshot()
 			fs.files[name].cache[i] ^= 0x41
-			got, err := tryOpen(fs, smallest)
+			got, err := tryOpen(fs, smallestConfig)
 			switch {
-			case err != nil && !typed(err):
+			case err != nil && !isTyped(err):
 				t.Fatalf("%s byte %d: %v", name, i, err)
 			case err == nil && !slices.Equal(got, want) && !slices.Equal(got, want[:last]):
 				t.Fatalf("%s byte %d: %d of %d records came back without a word", name, i, len(got), len(want))
@@ -70,37 +70,37 @@
 // TestCutFile: a file that was cut at any byte, or is gone, is never taken for one whose
 // end was not written yet.
 func TestCutFile(t *testing.T) {
-	whole, _ := written(t, smallest, 30)
-	for name := range whole.files {
-		for i := 0; i < int(smallest.SegmentBytes); i++ {
-			fs := whole.snapshot()
+	full, _ := written(t, smallestConfig, 30)
+	for name := range full.files {
+		for i := 0; i < int(smallestConfig.SegmentBytes); i++ {
+			fs := full.snapshot()
 			f := fs.files[name]
 			f.cache, f.durable = f.cache[:i], f.durable[:i]
-			if _, err := tryOpen(fs, smallest); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "rejoin as an empty node") {
+			if _, err := tryOpen(fs, smallestConfig); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "rejoin as an empty node") {
 				t.Fatalf("%s cut at %d: %v", name, i, err)
 			}
 			if len(fs.files[name].cache) != i {
 				t.Fatalf("%s cut at %d was changed", name, i)
 			}
 		}
-		fs := whole.snapshot()
+		fs := full.snapshot()
 		delete(fs.files, name)
-		if _, err := tryOpen(fs, smallest); !errors.Is(err, wal.ErrLayout) {
+		if _, err := tryOpen(fs, smallestConfig); !errors.Is(err, wal.ErrLayout) {
 			t.Fatalf("%s is gone: %v", name, err)
 		}
 	}
 }
 
-// TestCutWhileMade: a ring whose files were being made when the process ended opens empty.
+// TestCutWhileMade: a log whose files were being made when the process ended opens empty.
 func TestCutWhileMade(t *testing.T) {
-	for made := 0; made < plan.SegmentCount; made++ {
-		for _, part := range []int64{0, 1, 31, 32, 33, plan.SegmentBytes - 1} {
+	for made := 0; made < testConfig.SegmentCount; made++ {
+		for _, part := range []int64{0, 1, 31, 32, 33, testConfig.SegmentBytes - 1} {
 			fs := newFaultyFS(1)
 			for i := 0; i < made; i++ {
-				_, _ = fs.Open(fmt.Sprintf("ring-%03d", i), plan.SegmentBytes)
+				_, _ = fs.Open(fmt.Sprintf("ring-%03d", i), testConfig.SegmentBytes)
 			}
 			_, _ = fs.Open(fmt.Sprintf("ring-%03d", made), part)
-			if got, err := tryOpen(fs, plan); err != nil || len(got) != 0 {
+			if got, err := tryOpen(fs, testConfig); err != nil || len(got) != 0 {
 				t.Fatalf("%d files and %d bytes made: %v", made, part, err)
 			}
 		}
@@ -113,7 +113,7 @@
 	for torn := 0; torn <= 40; torn++ {
 		for turn := 0; turn < 2; turn++ { // a new file, and one that is used again
 			fs := newFaultyFS(1)
-			log, _ := open(t, fs, plan)
+			log, _ := open(t, fs, testConfig)
 			if turn == 1 {
 				for i := 0; i < 3; i++ {
 					fillFiles(t, log, 2)
@@ -122,11 +122,11 @@
 					}
 				}
 			}
-			fs.torn = torn
+			fs.tornBytes = torn
 			err := error(nil)
 			for n := 0; err == nil; n++ {
 				if err = log.Append(make([]byte, 500)); err == nil {
-					if log.UsedPermille()*plan.SegmentCount%1000 > 850 {
+					if log.UsedPermille()*testConfig.SegmentCount%1000 > 850 {
 						fs.broken = true // the next is the start of a file
 					}
 				}
@@ -135,7 +135,7 @@
 				}
 			}
 			fs.broken = false
-			if _, err := tryOpen(fs, plan); err != nil {
+			if _, err := tryOpen(fs, testConfig); err != nil {
 				t.Fatalf("header torn at %d, turn %d: %v", torn, turn, err)
 			}
 		}
@@ -156,12 +156,12 @@
 
 // TestNewerFormat: files of another version are left as they are.
 func TestNewerFormat(t *testing.T) {
-	fs, _ := written(t, plan, 3)
+	fs, _ := written(t, testConfig, 3)
 	b := fs.files["ring-001"].cache
 	copy(b, "VTRING02")
 	binary.LittleEndian.PutUint32(b[24:], crc32.Checksum(b[:24], crc32.MakeTable(crc32.Castagnoli)))
 	before := slices.Clone(b)
-	if _, err := tryOpen(fs, plan); !errors.Is(err, wal.ErrVersion) || !strings.Contains(err.Error(), "start the version that wrote it") {
+	if _, err := tryOpen(fs, testConfig); !errors.Is(err, wal.ErrVersion) || !strings.Contains(err.Error(), "start the version that wrote it") {
 		t.Fatal(err)
 	}
 	if !slices.Equal(fs.files["ring-001"].cache, before) {
@@ -169,14 +169,14 @@
 	}
 }
 
-// TestOtherSizes: a ring in use is not opened with other sizes, and opens with its own.
+// TestOtherSizes: a log in use is not opened with other sizes, and opens with its own.
 func TestOtherSizes(t *testing.T) {
 	for _, other := range []wal.Config{{SegmentCount: 6, SegmentBytes: 4096}, {SegmentCount: 4, SegmentBytes: 4096}, {SegmentCount: 5, SegmentBytes: 8192}, {SegmentCount: 10, SegmentBytes: 8192}} {
-		fs, want := written(t, plan, 30)
+		fs, want := written(t, testConfig, 30)
 		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "set ring_files and ring_bytes as they were") {
 			t.Fatalf("%+v: %v", other, err)
 		}
-		if got, err := tryOpen(fs, plan); err != nil || !slices.Equal(got, want) {
+		if got, err := tryOpen(fs, testConfig); err != nil || !slices.Equal(got, want) {
 			t.Fatalf("after %+v: %v", other, err)
 		}
 	}
@@ -187,21 +187,21 @@
 // process is killed there, the power is lost, or the disk refuses once.
 func TestCheckpointCutShort(t *testing.T) {
 	ends := map[string]func(*faultyFS, *wal.Log) ([][]byte, error){
-		"killed": func(fs *faultyFS, _ *wal.Log) ([][]byte, error) { _, r, err := wal.Open(fs, plan); return r, err },
+		"killed": func(fs *faultyFS, _ *wal.Log) ([][]byte, error) { _, r, err := wal.Open(fs, testConfig); return r, err },
 		"power": func(fs *faultyFS, _ *wal.Log) ([][]byte, error) {
 			fs.powerLoss()
-			_, r, err := wal.Open(fs, plan)
+			_, r, err := wal.Open(fs, testConfig)
 			return r, err
 		},
 		"refused": func(_ *faultyFS, log *wal.Log) ([][]byte, error) { return log.Reopen() },
 	}
 	for how, end := range ends {
 		t.Run(how, func(t *testing.T) {
-			whole := false
-			for at := 1; !whole; at++ {
+			complete := false
+			for at := 1; !complete; at++ {
 				for torn := 0; torn < 64; torn += 3 {
 					fs := newFaultyFS(int64(at))
-					log, _ := open(t, fs, plan)
+					log, _ := open(t, fs, testConfig)
 					for _, rec := range []string{"a=1", "b=1", "a=2"} {
 						if err := log.Append([]byte(rec)); err != nil {
 							t.Fatal(err)
@@ -210,10 +210,10 @@
 					if err := log.Sync(); err != nil {
 						t.Fatal(err)
 					}
-					fs.failAt, fs.torn = fs.count+at, torn
+					fs.failAt, fs.tornBytes = fs.operations+at, torn
 					between, err := checkpointWithAppend(log)
 					if err == nil {
-						whole = true
+						complete = true
 						break
 					}
 					raw, err := end(fs, log)
@@ -257,19 +257,19 @@
 	return out
 }
 
-// TestReopen: after an operation that failed, at any place of a long run, the ring is
+// TestReopen: after an operation that failed, at any place of a long run, the log is
 // read anew with all that was synced; whatever it returns lasts from then on, also when
 // the power goes at once, and the run goes on as if nothing had been.
 func TestReopen(t *testing.T) {
 	for seed := int64(1); seed <= 80; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		fs := newFaultyFS(seed)
-		log, _ := open(t, fs, plan)
+		log, _ := open(t, fs, testConfig)
 		var live []string
 		synced, next, reopened := 0, 0, 0
 		for step := 0; step < 200; step++ {
 			if rng.Intn(6) == 0 {
-				fs.failAt, fs.torn = fs.count+1+rng.Intn(4), rng.Intn(300)
+				fs.failAt, fs.tornBytes = fs.operations+1+rng.Intn(4), rng.Intn(300)
 			}
 			err := error(nil)
 			switch k := rng.Intn(10); {
@@ -318,7 +318,7 @@
 			synced = len(live)
 			if rng.Intn(2) == 0 {
 				fs.powerLoss()
-				if log, got = open(t, fs, plan); !slices.Equal(got, live) {
+				if log, got = open(t, fs, testConfig); !slices.Equal(got, live) {
 					t.Fatalf("seed %d: reopened with %d records, %d after a power loss", seed, len(live), len(got))
 				}
 			}
@@ -347,14 +347,14 @@
 }
 
 // TestReopenNotRetried: a sync that failed is not covered by one that succeeds later.
-// What was appended before it lasts only once the ring was read and written anew.
+// What was appended before it lasts only once the log was read and written anew.
 func TestReopenNotRetried(t *testing.T) {
 	fs := newFaultyFS(1)
-	log, _ := open(t, fs, plan)
+	log, _ := open(t, fs, testConfig)
 	if err := log.Append([]byte("a=1")); err != nil {
 		t.Fatal(err)
 	}
-	fs.failAt = fs.count + 1
+	fs.failAt = fs.operations + 1
 	for range 2 {
 		if err := log.Sync(); !errors.Is(err, wal.ErrDisk) {
 			t.Fatal(err)
@@ -366,7 +366,7 @@
 		t.Fatal(err)
 	}
 	fs.powerLoss()
-	if _, got := open(t, fs, plan); len(got) != len(raw) {
+	if _, got := open(t, fs, testConfig); len(got) != len(raw) {
 		t.Fatalf("reopened with %d records, %d after a power loss", len(raw), len(got))
 	}
 }
@@ -376,17 +376,17 @@
 func TestOpenAfterFailedSync(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		fs := newFaultyFS(seed)
-		log, _ := open(t, fs, plan)
+		log, _ := open(t, fs, testConfig)
 		if err := log.Append([]byte("promise")); err != nil {
 			t.Fatal(err)
 		}
-		fs.failAt = fs.count + 1
+		fs.failAt = fs.operations + 1
 		if err := log.Sync(); !errors.Is(err, wal.ErrDisk) {
 			t.Fatal(err)
 		}
-		_, before := open(t, fs, plan)
+		_, before := open(t, fs, testConfig)
 		fs.powerLoss()
-		if _, after := open(t, fs, plan); !slices.Equal(before, after) {
+		if _, after := open(t, fs, testConfig); !slices.Equal(before, after) {
 			t.Fatalf("seed %d: opened with %d records, %d after a power loss", seed, len(before), len(after))
 		}
 	}
@@ -395,7 +395,7 @@
 // TestLostSync: a disk that came back without what it had synced is not trusted again.
 func TestLostSync(t *testing.T) {
 	fs := newFaultyFS(1)
-	log, _ := open(t, fs, plan)
+	log, _ := open(t, fs, testConfig)
 	if err := log.Append([]byte("promise")); err != nil {
 		t.Fatal(err)
 	}
@@ -421,9 +421,9 @@
 // TestFullDisk: a full disk is told apart, names its remedy, gives the records back that
 // are there, and opens once there is room.
 func TestFullDisk(t *testing.T) {
-	fs, want := written(t, plan, 5)
+	fs, want := written(t, testConfig, 5)
 	fs.full = true
-	got, err := tryOpen(fs, plan)
+	got, err := tryOpen(fs, testConfig)
 	if !errors.Is(err, wal.ErrDisk) || !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), "free space where data_dir lies") {
 		t.Fatal(err)
 	}
@@ -431,7 +431,7 @@
 		t.Fatalf("%d of %d records were shown", len(got), len(want))
 	}
 	fs.full = false
-	log, got := open(t, fs, plan)
+	log, got := open(t, fs, testConfig)
 	if !slices.Equal(got, want) {
 		t.Fatalf("%d of %d records came back", len(got), len(want))
 	}
@@ -445,20 +445,20 @@
 	}
 	empty := newFaultyFS(1)
 	empty.full = true
-	if _, err := tryOpen(empty, plan); !errors.Is(err, syscall.ENOSPC) {
+	if _, err := tryOpen(empty, testConfig); !errors.Is(err, syscall.ENOSPC) {
 		t.Fatalf("no file could be made: %v", err)
 	}
 	empty.full = false
-	if _, err := tryOpen(empty, plan); err != nil {
+	if _, err := tryOpen(empty, testConfig); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// FuzzRing: whatever the files hold, opening ends in records or a typed error, nothing
-// is taken that was not written whole, and a ring that opens can be written and reopened.
-func FuzzRing(f *testing.F) {
+// FuzzRecovery: whatever the files hold, opening ends in records or a typed error, nothing
+// is taken that was not written whole, and a log that opens can be written and reopened.
+func FuzzRecovery(f *testing.F) {
 	fs := newFaultyFS(1)
-	log, _, err := wal.Open(fs, smallest)
+	log, _, err := wal.Open(fs, smallestConfig)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -471,7 +471,7 @@
 		f.Fatal(err)
 	}
 	var whole []byte
-	for i := 0; i < smallest.SegmentCount; i++ {
+	for i := 0; i < smallestConfig.SegmentCount; i++ {
 		whole = append(whole, fs.files[fmt.Sprintf("ring-%03d", i)].cache...)
 	}
 	f.Add(whole, uint32(0), byte(0))
@@ -480,22 +480,22 @@
 	f.Add(whole[:6000], uint32(40), byte(7))
 	// The first file is gone, and the header of the second is damaged (found by fuzzing).
 	firstGone := slices.Clone(whole)
-	clear(firstGone[smallest.SegmentBytes : 2*smallest.SegmentBytes])
-	f.Add(firstGone, uint32(2*smallest.SegmentBytes+8), byte(1))
+	clear(firstGone[smallestConfig.SegmentBytes : 2*smallestConfig.SegmentBytes])
+	f.Add(firstGone, uint32(2*smallestConfig.SegmentBytes+8), byte(1))
 	f.Add([]byte("VTRING02"), uint32(0), byte(0))
 	f.Fuzz(func(t *testing.T, content []byte, at uint32, flip byte) {
 		fs := newFaultyFS(1)
-		for i := 0; i < smallest.SegmentCount; i++ {
-			cache := make([]byte, smallest.SegmentBytes)
-			copy(cache, content[min(len(content), i*int(smallest.SegmentBytes)):])
+		for i := 0; i < smallestConfig.SegmentCount; i++ {
+			cache := make([]byte, smallestConfig.SegmentBytes)
+			copy(cache, content[min(len(content), i*int(smallestConfig.SegmentBytes)):])
 			fs.files[fmt.Sprintf("ring-%03d", i)] = &faultyFile{fs: fs, cache: cache, durable: slices.Clone(cache)}
 		}
-		if n := uint32(smallest.SegmentCount) * uint32(smallest.SegmentBytes); at < n {
-			fs.files[fmt.Sprintf("ring-%03d", at/uint32(smallest.SegmentBytes))].cache[at%uint32(smallest.SegmentBytes)] ^= flip
+		if n := uint32(smallestConfig.SegmentCount) * uint32(smallestConfig.SegmentBytes); at < n {
+			fs.files[fmt.Sprintf("ring-%03d", at/uint32(smallestConfig.SegmentBytes))].cache[at%uint32(smallestConfig.SegmentBytes)] ^= flip
 		}
-		log, raw, err := wal.Open(fs, smallest)
+		log, raw, err := wal.Open(fs, smallestConfig)
 		if err != nil {
-			if !typed(err) {
+			if !isTyped(err) {
 				t.Fatal(err)
 			}
 			return
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -6,66 +6,104 @@
 	"syscall"
 )
 
-// Errors that callers tell apart with errors.Is.
+// What went wrong, for errors.Is. The typed errors below hold the details.
 var (
-	// ErrRingFull means that a record finds no room before the next checkpoint.
+	// ErrFull means that a record finds no room before the next checkpoint. Details are
+	// in a *FullError.
 	ErrFull = errors.New("the ring is full")
-	// ErrCorrupt means that something synced can't be read back. It does not pass.
+	// ErrCorrupt means that something synced can't be read back. It is permanent.
+	// Details are in a *CorruptionError.
 	ErrCorrupt = errors.New("the ring can't be read back")
-	// ErrFormat means that another version of the program wrote the ring.
+	// ErrVersion means that another version of the program wrote the files. Details are
+	// in a *VersionError.
 	ErrVersion = errors.New("the ring is of another format")
-	// ErrSizes means that the files are not those that the plan names.
+	// ErrLayout means that the files are not those that the Config describes. Details
+	// are in a *LayoutError.
 	ErrLayout = errors.New("the ring has other sizes")
-	// ErrDisk means that the disk refused a read, a write or a sync. It may pass:
-	// Open and Reopen tell.
+	// ErrDisk means that the disk refused to open, read, write or sync. It may be
+	// temporary: Open and Reopen tell. Details are in a *DiskError.
 	ErrDisk = errors.New("the disk refused an operation")
 )
 
-// DiskError is an operation that the disk refused; errors.Is finds ErrDisk in it.
+const rejoinRemedy = "move data_dir aside and rejoin as an empty node"
+
+// DiskError is an operation that the disk refused. It matches ErrDisk and its cause.
 type DiskError struct {
 	Op  string // open, read, write or sync
-	Err error
+	Err error  // what the file system returned
 }
 
 // Error names the remedy.
 func (e *DiskError) Error() string {
-	return fmt.Sprintf("disk %s failed: %v; %s", e.Op, e.Err, e.remedy())
+	return fmt.Sprintf("disk %s failed: %v; %s", e.Op, e.Err, e.Remedy())
 }
 
-func (e *DiskError) remedy() string {
+// Remedy is what an operator can do about it.
+func (e *DiskError) Remedy() string {
 	if errors.Is(e.Err, syscall.ENOSPC) || errors.Is(e.Err, syscall.EDQUOT) {
 		return "free space where data_dir lies"
 	}
 	return "check the disk below data_dir, and replace it if this goes on"
 }
 
-// Unwrap gives the cause, and ErrDisk.
+// Unwrap gives ErrDisk and the cause.
 func (e *DiskError) Unwrap() []error { return []error{ErrDisk, e.Err} }
 
-// ringError is a ring that can't be used as it is found.
-type ringError struct {
-	kind   error
-	detail string
-	remedy string
+// CorruptionError is synced data that can't be read back. It matches ErrCorrupt.
+type CorruptionError struct {
+	File   int   // index of the segment file
+	Offset int64 // bytes from its start to where reading stopped
+	Detail string
 }
 
-func (e *ringError) Error() string { return fmt.Sprintf("%v: %s; %s", e.kind, e.detail, e.remedy) }
+// Error names the remedy.
+func (e *CorruptionError) Error() string {
+	return fmt.Sprintf("%v: file %d offset %d %s; %s", ErrCorrupt, e.File, e.Offset, e.Detail, rejoinRemedy)
+}
 
-func (e *ringError) Unwrap() error { return e.kind }
+// Unwrap gives ErrCorrupt.
+func (e *CorruptionError) Unwrap() error { return ErrCorrupt }
 
-const rejoin = "move data_dir aside and rejoin as an empty node"
+// LayoutError is a file that the Config does not describe. It matches ErrLayout.
+type LayoutError struct {
+	File   int // index of the segment file
+	Detail string
+}
 
-func corrupt(file int, offset int64, detail string) error {
-	return &ringError{ErrCorrupt, fmt.Sprintf("file %d offset %d %s", file, offset, detail), rejoin}
+// Error names the remedy.
+func (e *LayoutError) Error() string {
+	const remedy = "set ring_files and ring_bytes as they were; if they were not changed, a file was cut: " + rejoinRemedy
+	return fmt.Sprintf("%v: file %d %s; %s", ErrLayout, e.File, e.Detail, remedy)
 }
 
-func otherSizes(file int, detail string) error {
-	return &ringError{ErrLayout, fmt.Sprintf("file %d %s", file, detail),
-		"set ring_files and ring_bytes as they were; if they were not changed, a file was cut: " + rejoin}
+// Unwrap gives ErrLayout.
+func (e *LayoutError) Unwrap() error { return ErrLayout }
+
+// VersionError is a file that another version of the program wrote. It matches
+// ErrVersion.
+type VersionError struct {
+	File  int    // index of the segment file
+	Found string // format that its header names
 }
 
-func otherFormat(file int, found string) error {
-	return &ringError{ErrVersion, fmt.Sprintf("file %d is marked %q, not %q", file, found, magic), "start the version that wrote it"}
+// Error names the remedy.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("%v: file %d is marked %q, not %q; start the version that wrote it", ErrVersion, e.File, e.Found, magic)
+}
+
+// Unwrap gives ErrVersion.
+func (e *VersionError) Unwrap() error { return ErrVersion }
+
+// FullError is a record that found no room. Nothing was written. It matches ErrFull.
+type FullError struct {
+	Detail string
+	Remedy string // what an operator can do about it
+}
+
+// Error names the remedy.
+func (e *FullError) Error() string {
+	return fmt.Sprintf("%v: %s; %s", ErrFull, e.Detail, e.Remedy)
 }
 
-func ringFull(detail, remedy string) error { return &ringError{ErrFull, detail, remedy} }
+// Unwrap gives ErrFull.
+func (e *FullError) Unwrap() error { return ErrFull }
--- /dev/null
+++ b/wal/errors_test.go
@@ -0,0 +1,75 @@
+package wal_test
+
+import (
+	"encoding/binary"
+	"errors"
+	"hash/crc32"
+	"syscall"
+	"testing"
+
+	"violetthread/wal"
+)
+
+// TestTypedErrors: each kind of failure gives its details by errors.As, and matches its
+// sentinel alone.
+func TestTypedErrors(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		sentinel error
+		damage   func(fs *faultyFS)
+		details  func(err error) bool
+	}{
+		{"corruption", wal.ErrCorrupt,
+			func(fs *faultyFS) { fs.files["ring-001"].cache[8] ^= 1 },
+			func(err error) bool {
+				var typed *wal.CorruptionError
+				return errors.As(err, &typed) && typed.File == 1 && typed.Offset == 0
+			}},
+		{"another version", wal.ErrVersion,
+			func(fs *faultyFS) {
+				content := fs.files["ring-001"].cache
+				copy(content, "VTRING07")
+				binary.LittleEndian.PutUint32(content[24:], crc32.Checksum(content[:24], crc32.MakeTable(crc32.Castagnoli)))
+			},
+			func(err error) bool {
+				var typed *wal.VersionError
+				return errors.As(err, &typed) && typed.File == 1 && typed.Found == "VTRING07"
+			}},
+		{"another layout", wal.ErrLayout,
+			func(fs *faultyFS) { fs.files["ring-002"].cache = fs.files["ring-002"].cache[:100] },
+			func(err error) bool {
+				var typed *wal.LayoutError
+				return errors.As(err, &typed) && typed.File == 2
+			}},
+		{"disk", wal.ErrDisk,
+			func(fs *faultyFS) { fs.broken = true },
+			func(err error) bool {
+				var typed *wal.DiskError
+				return errors.As(err, &typed) && typed.Op == "write" && errors.Is(typed.Err, syscall.EIO)
+			}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			fs, _ := written(t, testConfig, 3)
+			test.damage(fs)
+			_, err := tryOpen(fs, testConfig)
+			if !test.details(err) {
+				t.Fatalf("%v (%T)", err, err)
+			}
+			for _, sentinel := range []error{wal.ErrCorrupt, wal.ErrVersion, wal.ErrLayout, wal.ErrDisk, wal.ErrFull} {
+				if errors.Is(err, sentinel) != (sentinel == test.sentinel) {
+					t.Errorf("%v matches %v: %v", err, sentinel, errors.Is(err, sentinel))
+				}
+			}
+		})
+	}
+}
+
+// TestFullError: a record that finds no room says what to do.
+func TestFullError(t *testing.T) {
+	log, _ := open(t, newFaultyFS(1), testConfig)
+	err := log.Append(make([]byte, testConfig.SegmentBytes))
+	var full *wal.FullError
+	if !errors.As(err, &full) || !errors.Is(err, wal.ErrFull) || full.Remedy != "raise ring_bytes, with an empty data_dir" {
+		t.Fatalf("%v (%T)", err, err)
+	}
+}
--- a/wal/example_test.go
+++ b/wal/example_test.go
@@ -12,21 +12,21 @@
 func Example() {
 	dir, _ := os.MkdirTemp("", "ring")
 	defer os.RemoveAll(dir)
-	p := wal.Config{SegmentCount: 4, SegmentBytes: 64 << 10}
-	r, _, err := wal.Open(osdisk.Directory{Path: dir}, p)
+	config := wal.Config{SegmentCount: 4, SegmentBytes: 64 << 10}
+	log, _, err := wal.Open(osdisk.Directory{Path: dir}, config)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	_ = r.Append([]byte("a=1"))
-	_ = r.Append([]byte("a=2"))
-	_ = r.Checkpoint([][]byte{[]byte("a=2")})
-	_ = r.Append([]byte("b=1"))
-	_ = r.Sync()
-	_ = r.Close()
-	_, recs, _ := wal.Open(osdisk.Directory{Path: dir}, p)
-	for _, x := range recs {
-		fmt.Println(string(x))
+	_ = log.Append([]byte("a=1"))
+	_ = log.Append([]byte("a=2"))
+	_ = log.Checkpoint([][]byte{[]byte("a=2")})
+	_ = log.Append([]byte("b=1"))
+	_ = log.Sync()
+	_ = log.Close()
+	_, records, _ := wal.Open(osdisk.Directory{Path: dir}, config)
+	for _, record := range records {
+		fmt.Println(string(record))
 	}
 	// Output:
 	// a=2
--- a/wal/faults_test.go
+++ b/wal/faulty_fs_test.go
@@ -13,13 +13,13 @@
 // part, and a sync that fails leaves the cache as it is, marks it clean, and has put any
 // part of it on the medium.
 type faultyFS struct {
-	rng    *rand.Rand
-	files  map[string]*faultyFile
-	full   bool
-	count  int // writes and syncs so far
-	failAt int // that one fails; 0: none
-	torn   int // bytes that a failing write leaves
-	broken bool
+	rng        *rand.Rand
+	files      map[string]*faultyFile
+	full       bool
+	operations int // writes and syncs so far
+	failAt     int // that one fails; 0: none
+	tornBytes  int // bytes that a failing write leaves
+	broken     bool
 }
 
 type faultyFile struct {
@@ -57,12 +57,12 @@
 }
 
 // next tells whether the operation that begins fails.
-func (fs *faultyFS) next() error {
-	fs.count++
+func (fs *faultyFS) nextOperation() error {
+	fs.operations++
 	switch {
 	case fs.full:
 		return syscall.ENOSPC
-	case fs.broken, fs.count == fs.failAt:
+	case fs.broken, fs.operations == fs.failAt:
 		return syscall.EIO
 	}
 	return nil
@@ -71,13 +71,13 @@
 // powerLoss keeps what was synced, and of the rest each byte by chance.
 func (fs *faultyFS) powerLoss() {
 	for _, f := range fs.files {
-		f.settle(2)
+		f.writeBack(2)
 		copy(f.cache, f.durable)
 	}
 }
 
 // settle puts one in so many of the dirty bytes on the medium and calls all of them clean.
-func (f *faultyFile) settle(oneIn int) {
+func (f *faultyFile) writeBack(oneIn int) {
 	for _, r := range f.dirty {
 		for i := r[0]; i < r[1]; i++ {
 			if f.fs.rng.Intn(oneIn) == 0 {
@@ -97,9 +97,9 @@
 }
 
 func (f *faultyFile) WriteAt(b []byte, at int64) (int, error) {
-	err := f.fs.next()
+	err := f.fs.nextOperation()
 	if err != nil {
-		b = b[:min(f.fs.torn, len(b))]
+		b = b[:min(f.fs.tornBytes, len(b))]
 	}
 	copy(f.cache[at:], b)
 	f.dirty = append(f.dirty, [2]int{int(at), int(at) + len(b)})
@@ -107,11 +107,11 @@
 }
 
 func (f *faultyFile) Sync() error {
-	if err := f.fs.next(); err != nil {
-		f.settle(3)
+	if err := f.fs.nextOperation(); err != nil {
+		f.writeBack(3)
 		return err
 	}
-	f.settle(1)
+	f.writeBack(1)
 	return nil
 }
 
@@ -128,7 +128,7 @@
 
 var errKinds = []error{wal.ErrCorrupt, wal.ErrVersion, wal.ErrLayout, wal.ErrDisk}
 
-func typed(err error) bool {
+func isTyped(err error) bool {
 	for _, kind := range errKinds {
 		if errors.Is(err, kind) {
 			return true
--- a/wal/record.go
+++ b/wal/record.go
@@ -5,109 +5,131 @@
 	"hash/crc32"
 )
 
-// A file begins with a header: magic, generation, where the file before it ended, a
-// checksum. Records follow, each at a multiple of 8: length, checksum, the position up
-// to which everything was synced when it was written, kind, data. Numbers are
-// little-endian. A record's checksum covers generation and offset as well, so that one
-// of an earlier turn of the ring is never taken for one of this.
+// The layout of headers and records; doc.go gives it byte by byte.
 const (
 	magic       = "VTRING01"
-	magicFamily = "VTRING"
-	headerLen   = 32
-	recordLen   = 20
-	alignment   = 8
+	magicPrefix = "VTRING" // of every version
+
+	headerBytes       = 32
+	headerSequence    = 8
+	headerPreviousEnd = 16
+	headerChecksum    = 24
+
+	recordHeaderBytes = 20
+	recordChecksum    = 4
+	recordSynced      = 8
+	recordTypeOffset  = 16
+	recordAlignment   = 8
 )
 
-type recordKind byte
+// recordType is stored: its numbers must not change.
+type recordType byte
 
 const (
-	kindData recordKind = 1 + iota
-	kindBegin
-	kindCheckpoint
-	kindEnd
+	typeData recordType = 1 + iota
+	typeCheckpointBegin
+	typeCheckpointData
+	typeCheckpointEnd
 )
 
+func (t recordType) valid() bool { return typeData <= t && t <= typeCheckpointEnd }
+
+// String names the type, for debugging.
+func (t recordType) String() string {
+	if !t.valid() {
+		return "invalid"
+	}
+	return [...]string{"data", "checkpoint begin", "checkpoint data", "checkpoint end"}[t-typeData]
+}
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // record is one record as found.
 type record struct {
-	kind   recordKind
-	gen    uint64
-	synced uint64
-	data   []byte
+	recordType recordType
+	sequence   uint64 // of the segment that it is in
+	synced     uint64 // position up to which everything was synced when it was written
+	data       []byte
 }
 
-// span is what a record with so many bytes of data takes.
-func span(dataLen int) int64 {
-	return (int64(recordLen+dataLen) + alignment - 1) &^ (alignment - 1)
+// recordBytes is what a record with so many bytes of data takes in a segment.
+func recordBytes(dataBytes int) int64 {
+	return (int64(recordHeaderBytes+dataBytes) + recordAlignment - 1) &^ (recordAlignment - 1)
 }
 
-// encodeRecord lays a record out as it stands at an offset of a generation's file.
-func encodeRecord(kind recordKind, gen uint64, offset int64, synced uint64, data []byte) []byte {
-	out := make([]byte, span(len(data)))
-	binary.LittleEndian.PutUint32(out, uint32(len(data)))
-	binary.LittleEndian.PutUint64(out[8:], synced)
-	out[16] = byte(kind)
-	copy(out[recordLen:], data)
-	binary.LittleEndian.PutUint32(out[4:], checksum(gen, offset, out[:recordLen], data))
+// encodeRecord lays a record out as it stands at an offset of a segment.
+func encodeRecord(rec record, offset int64) []byte {
+	out := make([]byte, recordBytes(len(rec.data)))
+	binary.LittleEndian.PutUint32(out, uint32(len(rec.data)))
+	binary.LittleEndian.PutUint64(out[recordSynced:], rec.synced)
+	out[recordTypeOffset] = byte(rec.recordType)
+	copy(out[recordHeaderBytes:], rec.data)
+	sum := checksum(rec.sequence, offset, out[:recordHeaderBytes], rec.data)
+	binary.LittleEndian.PutUint32(out[recordChecksum:], sum)
 	return out
 }
 
-// decodeRecord reads the record at an offset of a generation's file; its data is a copy.
-func decodeRecord(file []byte, gen uint64, offset int64) (record, bool) {
-	if offset+recordLen > int64(len(file)) {
+// decodeRecord reads the record at an offset of a segment; its data is a copy. It returns
+// false if there is no record with a right checksum.
+func decodeRecord(segment []byte, sequence uint64, offset int64) (record, bool) {
+	if offset+recordHeaderBytes > int64(len(segment)) {
 		return record{}, false
 	}
-	head := file[offset : offset+recordLen]
-	end := offset + recordLen + int64(binary.LittleEndian.Uint32(head))
-	kind := recordKind(head[16])
-	if kind < kindData || kind > kindEnd || end > int64(len(file)) {
+	header := segment[offset : offset+recordHeaderBytes]
+	end := offset + recordHeaderBytes + int64(binary.LittleEndian.Uint32(header))
+	found := recordType(header[recordTypeOffset])
+	if !found.valid() || end > int64(len(segment)) {
 		return record{}, false
 	}
-	data := file[offset+recordLen : end]
-	if binary.LittleEndian.Uint32(head[4:]) != checksum(gen, offset, head, data) {
+	data := segment[offset+recordHeaderBytes : end]
+	if binary.LittleEndian.Uint32(header[recordChecksum:]) != checksum(sequence, offset, header, data) {
 		return record{}, false
 	}
-	return record{kind, gen, binary.LittleEndian.Uint64(head[8:]), append([]byte(nil), data...)}, true
+	synced := binary.LittleEndian.Uint64(header[recordSynced:])
+	return record{found, sequence, synced, append([]byte(nil), data...)}, true
 }
 
-func checksum(gen uint64, offset int64, head, data []byte) uint32 {
+// checksum covers a record's place as well as its content, so that one of an earlier
+// segment in the same file never passes for one of this.
+func checksum(sequence uint64, offset int64, header, data []byte) uint32 {
 	var place [16]byte
-	binary.LittleEndian.PutUint64(place[:], gen)
+	binary.LittleEndian.PutUint64(place[:], sequence)
 	binary.LittleEndian.PutUint64(place[8:], uint64(offset))
 	sum := crc32.Update(0, castagnoli, place[:])
-	sum = crc32.Update(sum, castagnoli, head[:4])
-	sum = crc32.Update(sum, castagnoli, head[8:])
+	sum = crc32.Update(sum, castagnoli, header[:recordChecksum])
+	sum = crc32.Update(sum, castagnoli, header[recordSynced:])
 	return crc32.Update(sum, castagnoli, data)
 }
 
-func encodeHeader(gen uint64, prevEnd int64) []byte {
-	out := make([]byte, headerLen)
+func encodeHeader(sequence uint64, previousEnd int64) []byte {
+	out := make([]byte, headerBytes)
 	copy(out, magic)
-	binary.LittleEndian.PutUint64(out[8:], gen)
-	binary.LittleEndian.PutUint64(out[16:], uint64(prevEnd))
-	binary.LittleEndian.PutUint32(out[24:], crc32.Checksum(out[:24], castagnoli))
+	binary.LittleEndian.PutUint64(out[headerSequence:], sequence)
+	binary.LittleEndian.PutUint64(out[headerPreviousEnd:], uint64(previousEnd))
+	binary.LittleEndian.PutUint32(out[headerChecksum:], crc32.Checksum(out[:headerChecksum], castagnoli))
 	return out
 }
 
-// decodeHeader reads a file's header; ok is false for a blank or damaged one.
-func decodeHeader(file []byte) (gen uint64, prevEnd int64, ok bool) {
-	gen = binary.LittleEndian.Uint64(file[8:])
-	prevEnd = int64(binary.LittleEndian.Uint64(file[16:]))
-	return gen, prevEnd, gen != 0 && string(encodeHeader(gen, prevEnd)) == string(file[:headerLen])
+// decodeHeader reads a segment's header; ok is false for a blank or damaged one.
+func decodeHeader(segment []byte) (sequence uint64, previousEnd int64, ok bool) {
+	sequence = binary.LittleEndian.Uint64(segment[headerSequence:])
+	previousEnd = int64(binary.LittleEndian.Uint64(segment[headerPreviousEnd:]))
+	ok = sequence != 0 && string(encodeHeader(sequence, previousEnd)) == string(segment[:headerBytes])
+	return sequence, previousEnd, ok
 }
 
-// newerFormat tells whether a whole header is marked by another version.
-func newerFormat(file []byte) bool {
-	if string(file[:len(magicFamily)]) != magicFamily || string(file[:len(magic)]) == magic {
+// isOtherVersion reports whether a header with a right checksum is of another version of
+// this format.
+func isOtherVersion(segment []byte) bool {
+	if string(segment[:len(magicPrefix)]) != magicPrefix || string(segment[:len(magic)]) == magic {
 		return false
 	}
-	return crc32.Checksum(file[:24], castagnoli) == binary.LittleEndian.Uint32(file[24:])
+	return crc32.Checksum(segment[:headerChecksum], castagnoli) == binary.LittleEndian.Uint32(segment[headerChecksum:])
 }
 
-func blank(b []byte) bool {
-	for _, x := range b {
-		if x != 0 {
+func isZero(content []byte) bool {
+	for _, value := range content {
+		if value != 0 {
 			return false
 		}
 	}
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -6,179 +6,187 @@
 	"io"
 )
 
-// volume is one file as found: its records, where reading them stopped, and the
-// highest synced position that a record behind that place still names.
-type volume struct {
-	records []record
-	end     int64
-	prevEnd int64 // where the file before this one ended
-	beyond  uint64
+// foundSegment is one segment as found.
+type foundSegment struct {
+	records      []record
+	end          int64  // where reading its records stopped
+	previousEnd  int64  // where the segment before it ended, as its header says
+	syncedBeyond uint64 // highest synced position that a record behind end names, 0 for none
 }
 
-// found is all files as found.
-type found struct {
-	volumes map[uint64]volume // by generation
-	lowest  uint64
-	highest uint64
-	image   []byte // the bytes of the highest generation's file up to its end
+// foundSegments is all files as found.
+type foundSegments struct {
+	bySequence map[uint64]foundSegment
+	oldest     uint64 // sequence number, 0 if no file has a header
+	newest     uint64
+	tail       []byte // the bytes of the newest segment up to its end
 }
 
-// recover reads the ring and returns the records from the newest whole checkpoint on.
+// recover reads the files and returns the records from the newest complete checkpoint on.
 // Nothing is written.
 func (l *Log) recover() ([][]byte, error) {
-	all, err := l.readFiles()
+	found, err := l.readSegments()
 	if err != nil {
 		return nil, err
 	}
-	if all.highest == 0 {
+	if found.newest == 0 {
 		return nil, nil
 	}
 	var records []record
-	for gen := all.lowest; gen <= all.highest; gen++ {
-		records = append(records, all.volumes[gen].records...)
+	for sequence := found.oldest; sequence <= found.newest; sequence++ {
+		records = append(records, found.bySequence[sequence].records...)
 	}
-	from, to := lastCheckpoint(records)
-	l.keep = all.lowest
-	if from >= 0 {
-		l.keep = records[from].gen
-	} else if all.lowest > 1 {
-		return nil, corrupt(l.index(all.lowest), headerLen, "lacks the checkpoint that it follows")
+	begin, end := newestCheckpoint(records)
+	l.oldestNeeded = found.oldest
+	if begin >= 0 {
+		l.oldestNeeded = records[begin].sequence
+	} else if found.oldest > 1 {
+		return nil, &CorruptionError{l.fileIndex(found.oldest), headerBytes, "lacks the checkpoint that it follows"}
 	}
-	if err := l.checkChain(all); err != nil {
+	if err := l.checkContinuity(found); err != nil {
 		return nil, err
 	}
-	l.gen, l.off, l.image = all.highest, all.volumes[all.highest].end, all.image
-	return replayOrder(records, from, to), nil
+	l.sequence, l.offset, l.tail = found.newest, found.bySequence[found.newest].end, found.tail
+	return replayOrder(records, begin, end), nil
 }
 
-// checkChain proves that nothing synced is gone. A later record that names a synced
-// position past the place where reading stopped proves that something is; without one
-// it is a torn tail. A file with a successor was synced whole.
-func (l *Log) checkChain(all found) error {
-	for gen := l.keep; gen <= all.highest; gen++ {
-		v, ok := all.volumes[gen]
+// checkContinuity proves that nothing synced is gone from the needed segments. A later
+// record that names a synced position past the place where reading stopped proves that
+// something is; without one it is a torn tail. A segment with a successor was synced whole.
+func (l *Log) checkContinuity(found foundSegments) error {
+	for sequence := l.oldestNeeded; sequence <= found.newest; sequence++ {
+		segment, ok := found.bySequence[sequence]
 		if !ok {
-			return corrupt(l.index(gen), 0, "lacks its header")
+			return &CorruptionError{l.fileIndex(sequence), 0, "lacks its header"}
 		}
-		next, more := all.volumes[gen+1]
-		if v.beyond > l.position(gen, v.end) || more && next.prevEnd != v.end {
-			return corrupt(l.index(gen), v.end, "holds synced data that fails its checksum")
+		next, hasNext := found.bySequence[sequence+1]
+		if segment.syncedBeyond > l.position(sequence, segment.end) || hasNext && next.previousEnd != segment.end {
+			return &CorruptionError{l.fileIndex(sequence), segment.end, "holds synced data that fails its checksum"}
 		}
 	}
 	return nil
 }
 
-func (l *Log) readFiles() (found, error) {
-	all := found{volumes: map[uint64]volume{}}
-	buf := make([]byte, l.plan.SegmentBytes)
-	for i, file := range l.files {
-		if err := readWhole(file, buf); err != nil {
-			return all, err
+// readSegments reads all files. Those without a valid header are left out.
+func (l *Log) readSegments() (foundSegments, error) {
+	found := foundSegments{bySequence: map[uint64]foundSegment{}}
+	content := make([]byte, l.config.SegmentBytes)
+	for index, file := range l.files {
+		if err := readFull(file, content); err != nil {
+			return found, err
 		}
-		if newerFormat(buf) {
-			return all, otherFormat(i, string(buf[:len(magic)]))
+		if isOtherVersion(content) {
+			return found, &VersionError{index, string(content[:len(magic)])}
 		}
-		gen, prevEnd, ok := decodeHeader(buf)
+		sequence, previousEnd, ok := decodeHeader(content)
 		if !ok {
 			continue
 		}
-		if l.index(gen) != i {
-			return all, otherSizes(i, "is one of a ring with another count of files")
-		}
-		v := l.scan(buf, gen)
-		v.prevEnd = prevEnd
-		all.volumes[gen] = v
-		if gen > all.highest {
-			all.highest = gen
-			all.image = append(all.image[:0], buf[:v.end]...)
-		}
-		if all.lowest == 0 || gen < all.lowest {
-			all.lowest = gen
+		if l.fileIndex(sequence) != index {
+			return found, &LayoutError{index, "is one of a ring with another count of files"}
 		}
+		segment := scanSegment(content, sequence)
+		segment.previousEnd = previousEnd
+		found.add(sequence, segment, content)
+	}
+	return found, l.checkUnbegun(found.newest, content)
+}
+
+func (f *foundSegments) add(sequence uint64, segment foundSegment, content []byte) {
+	f.bySequence[sequence] = segment
+	if sequence > f.newest {
+		f.newest = sequence
+		f.tail = append(f.tail[:0], content[:segment.end]...)
+	}
+	if f.oldest == 0 || sequence < f.oldest {
+		f.oldest = sequence
 	}
-	return all, l.checkUnwritten(all.highest, buf)
 }
 
-// checkUnwritten looks for records of generations that were not begun yet, as far as the
+// checkUnbegun looks for records of segments that were not begun yet, as far as the
 // headers tell. A header that was cut off in the midst of being written has none behind
-// it; where there is one, the header of a file that was synced is damaged.
-func (l *Log) checkUnwritten(highest uint64, buf []byte) error {
-	for gen := highest + 1; gen <= highest+uint64(l.plan.SegmentCount); gen++ {
-		index := l.index(gen)
-		if err := readFirstRecord(l.files[index], buf); err != nil {
+// it; where there is one, the header of a segment that was synced is damaged.
+func (l *Log) checkUnbegun(newest uint64, buffer []byte) error {
+	for sequence := newest + 1; sequence <= newest+uint64(l.config.SegmentCount); sequence++ {
+		index := l.fileIndex(sequence)
+		if err := readFirstRecord(l.files[index], buffer); err != nil {
 			return err
 		}
-		if _, ok := decodeRecord(buf, gen, headerLen); ok {
-			return corrupt(index, 0, "holds records behind a damaged header")
+		if _, ok := decodeRecord(buffer, sequence, headerBytes); ok {
+			return &CorruptionError{index, 0, "holds records behind a damaged header"}
 		}
 	}
 	return nil
 }
 
-// readFirstRecord reads as much of a file as its first record takes, if it has one.
-func readFirstRecord(file File, buf []byte) error {
-	if err := readWhole(file, buf[:headerLen+recordLen]); err != nil {
+// readFirstRecord reads as much of a file as its first record takes, if it has one. What
+// follows in the buffer is of another file.
+func readFirstRecord(file File, buffer []byte) error {
+	if err := readFull(file, buffer[:headerBytes+recordHeaderBytes]); err != nil {
 		return err
 	}
-	end := headerLen + recordLen + int64(binary.LittleEndian.Uint32(buf[headerLen:]))
-	kind := recordKind(buf[headerLen+16])
-	if kind < kindData || kind > kindEnd || end > int64(len(buf)) {
+	end := headerBytes + recordHeaderBytes + int64(binary.LittleEndian.Uint32(buffer[headerBytes:]))
+	if !recordType(buffer[headerBytes+recordTypeOffset]).valid() || end > int64(len(buffer)) {
 		return nil
 	}
-	return readWhole(file, buf[:end])
+	return readFull(file, buffer[:end])
 }
 
-func readWhole(file File, buf []byte) error {
-	if _, err := file.ReadAt(buf, 0); err != nil && !errors.Is(err, io.EOF) {
+// readFull reads the beginning of a file into the buffer.
+func readFull(file File, buffer []byte) error {
+	if _, err := file.ReadAt(buffer, 0); err != nil && !errors.Is(err, io.EOF) {
 		return &DiskError{"read", err}
 	}
 	return nil
 }
 
-func (l *Log) scan(buf []byte, gen uint64) volume {
-	v := volume{end: headerLen}
+// scanSegment takes the records up to the first that fails its checksum, and looks for
+// any behind that one.
+func scanSegment(content []byte, sequence uint64) foundSegment {
+	segment := foundSegment{end: headerBytes}
 	for {
-		rec, ok := decodeRecord(buf, gen, v.end)
+		rec, ok := decodeRecord(content, sequence, segment.end)
 		if !ok {
 			break
 		}
-		v.records = append(v.records, rec)
-		v.end += span(len(rec.data))
+		segment.records = append(segment.records, rec)
+		segment.end += recordBytes(len(rec.data))
 	}
-	for offset := v.end + alignment; offset+recordLen <= l.plan.SegmentBytes; offset += alignment {
-		if rec, ok := decodeRecord(buf, gen, offset); ok {
-			v.beyond = max(v.beyond, rec.synced)
+	last := int64(len(content)) - recordHeaderBytes
+	for offset := segment.end + recordAlignment; offset <= last; offset += recordAlignment {
+		if rec, ok := decodeRecord(content, sequence, offset); ok {
+			segment.syncedBeyond = max(segment.syncedBeyond, rec.synced)
 		}
 	}
-	return v
+	return segment
 }
 
-// lastCheckpoint is where the newest whole checkpoint begins and ends, -1 for none.
-func lastCheckpoint(records []record) (from, to int) {
-	to = -1
+// newestCheckpoint is where the newest complete checkpoint begins and ends, -1 for none.
+func newestCheckpoint(records []record) (begin, end int) {
+	end = -1
 	for i := len(records) - 1; i >= 0; i-- {
 		switch {
-		case records[i].kind == kindEnd && to < 0:
-			to = i
-		case records[i].kind == kindBegin && to >= 0:
-			return i, to
+		case records[i].recordType == typeCheckpointEnd && end < 0:
+			end = i
+		case records[i].recordType == typeCheckpointBegin && end >= 0:
+			return i, end
 		}
 	}
 	return -1, -1
 }
 
-// replayOrder lists what to replay. A checkpoint stands for the state at its beginning:
-// what was appended between its parts comes after all of it.
-func replayOrder(records []record, from, to int) [][]byte {
+// replayOrder lists the records to apply. A checkpoint stands for the state at its
+// beginning: what was appended between its parts comes after all of it.
+func replayOrder(records []record, begin, end int) [][]byte {
 	var out [][]byte
-	first := max(from, 0)
-	for i := first; i <= to; i++ {
-		if records[i].kind == kindCheckpoint {
+	first := max(begin, 0)
+	for i := first; i <= end; i++ {
+		if records[i].recordType == typeCheckpointData {
 			out = append(out, records[i].data)
 		}
 	}
 	for _, rec := range records[first:] {
-		if rec.kind == kindData {
+		if rec.recordType == typeData {
 			out = append(out, rec.data)
 		}
 	}
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -1,9 +1,3 @@
-// Package wal is a write-ahead log: it keeps records in a ring of preallocated files.
-//
-// Records are appended and synced in order. A checkpoint restates everything
-// that still matters, after which the files before it are used again. What a
-// sync has not covered may be lost; anything else that can't be read back makes
-// the ring refuse to open (design §5).
 package wal
 
 import (
@@ -12,55 +6,62 @@
 	"github.com/gravitational/trace"
 )
 
-// Plan sets the ring's sizes.
+// Config is the size of a log. It can't change while the files are in use.
 type Config struct {
+	// SegmentCount is the number of segment files, at least 3. A state of a given size
+	// needs more of them the longer a checkpoint takes; Append says how many stay free.
 	SegmentCount int
+	// SegmentBytes is the length of each file in bytes, at least 4096. No record may be
+	// larger than a segment without its header.
 	SegmentBytes int64
 }
 
 const (
-	leastFiles = 3
-	leastSize  = 4096
+	minSegmentCount = 3
+	minSegmentBytes = 4096
 )
 
-func (p Config) check() error {
-	if p.SegmentCount < leastFiles || p.SegmentBytes < leastSize {
-		return trace.BadParameter("a ring needs at least %d files of %d bytes; raise ring_files or ring_bytes", leastFiles, leastSize)
+func (c Config) check() error {
+	if c.SegmentCount < minSegmentCount || c.SegmentBytes < minSegmentBytes {
+		return trace.BadParameter("a ring needs at least %d files of %d bytes; raise ring_files or ring_bytes", minSegmentCount, minSegmentBytes)
 	}
 	return nil
 }
 
-// Log is not safe for concurrent use.
+// Log is an open write-ahead log. It is not safe for concurrent use.
 //
-// After a write or sync that failed nothing is known of what was not synced: it may be
-// on the medium, in part, or not at all, and a later sync that succeeds does not cover
-// it. Every later call fails with the same error until Reopen has read the ring anew.
+// After a write or sync that failed every call fails with the same error until Reopen
+// has read the files anew; the package comment says why.
 type Log struct {
 	fs     FS
-	plan   Config
-	files  []File
-	gen    uint64 // generation being written; its file is gen%Files
-	off    int64
-	keep   uint64 // oldest generation still needed
-	under  bool   // a checkpoint is being written
-	begun  uint64 // generation in which the checkpoint under way begins
-	synced uint64 // position up to which everything is synced
-	dirty  bool   // the file being written has bytes that no sync has covered
-	failed error
-	image  []byte // after reading: the bytes of the file being written
-}
-
-// Open reads the ring and returns the records from the newest whole checkpoint on.
+	config Config
+	files  []File // by index
+
+	sequence uint64 // of the segment being written
+	offset   int64  // in it, of the next record
+	synced   uint64 // position up to which everything is synced
+	unsynced bool   // the segment being written has bytes that no sync has covered
+	failure  error  // of the first write or sync that failed
+
+	oldestNeeded       uint64 // sequence number of the oldest segment that recovery needs
+	checkpointing      bool   // a checkpoint is under way
+	checkpointSequence uint64 // of the segment in which it began
+
+	tail []byte // after recovery: the bytes of the segment being written
+}
+
+// Open reads the files, making those that are missing, and returns the records to apply,
+// in order: those from the newest complete checkpoint on (see Recovery above).
 //
-// The file being written is written and synced once more before that: what a process
-// read may come from a cache that a failed sync of an earlier process left behind.
-// If the disk refuses this, the records are returned beside an error that is ErrDisk;
-// there is no Log then, and Open may be tried again.
-func Open(fs FS, plan Config) (*Log, [][]byte, error) {
-	if err := plan.check(); err != nil {
+// If the disk refuses to write the newest segment anew, the records are returned beside
+// an error that matches ErrDisk; there is no Log then, and Open may be tried again. Other
+// errors match ErrDisk, ErrCorrupt, ErrVersion or ErrLayout, or are a
+// trace.BadParameter for a Config out of bounds.
+func Open(fs FS, config Config) (*Log, [][]byte, error) {
+	if err := config.check(); err != nil {
 		return nil, nil, err
 	}
-	l := &Log{fs: fs, plan: plan}
+	l := &Log{fs: fs, config: config}
 	records, err := l.open(0)
 	if err != nil {
 		return nil, records, err
@@ -68,167 +69,179 @@
 	return l, records, nil
 }
 
-// Reopen reads the ring anew after a failure, as Open does after a restart. Everything
-// that was synced must be found again, or it fails with ErrCorrupt; what was not may be
-// among the records or not, and is synced if it is.
+// Reopen reads the files anew after a failure, as Open does after a restart, with the
+// same errors. Everything that was synced must be found again, or it fails with
+// ErrCorrupt; what was not may be among the records or not, and is synced if it is.
 func (l *Log) Reopen() ([][]byte, error) {
 	_ = closeFiles(l.files) // they failed already
-	next := &Log{fs: l.fs, plan: l.plan}
+	next := &Log{fs: l.fs, config: l.config}
 	records, err := next.open(l.synced)
 	if err != nil {
-		l.files, l.failed = nil, err
+		l.files, l.failure = nil, err
 		return records, err
 	}
 	*l = *next
 	return records, nil
 }
 
-// open reads the ring, which must reach up to a position that is known to be synced.
+// open reads the log, which must reach up to a position that is known to be synced.
 func (l *Log) open(known uint64) ([][]byte, error) {
-	if err := checkSizes(l.fs, l.plan); err != nil {
+	if err := checkLayout(l.fs, l.config); err != nil {
 		return nil, err
 	}
-	files, err := openFiles(l.fs, l.plan)
+	files, err := openFiles(l.fs, l.config)
 	if err != nil {
 		return nil, err
 	}
 	l.files = files
 	records, err := l.recover()
-	if err == nil && l.position(l.gen, l.off) < known {
-		err = corrupt(l.index(l.gen), l.off, "lacks what was synced behind it")
+	if err == nil && l.position(l.sequence, l.offset) < known {
+		err = &CorruptionError{l.fileIndex(l.sequence), l.offset, "lacks what was synced behind it"}
 		records = nil
 	}
 	if err == nil {
-		err = l.restate()
+		err = l.rewriteNewest()
 	}
 	if err != nil {
 		_ = closeFiles(files)
 		return records, err
 	}
-	l.synced = l.position(l.gen, l.off)
+	l.synced = l.position(l.sequence, l.offset)
 	return records, nil
 }
 
-// restate writes the file being written as it was read, with nothing behind it: a torn
-// tail can't be mistaken for later records then, and all that was read is synced.
-func (l *Log) restate() error {
-	if l.gen == 0 {
-		return l.start(1, 0)
+// rewriteNewest writes the newest segment as it was read, with zeros behind it: remains
+// of a torn tail can't pass for later records then, and all that was read is synced.
+func (l *Log) rewriteNewest() error {
+	if l.sequence == 0 {
+		return l.beginSegment(1, 0)
 	}
-	whole := make([]byte, l.plan.SegmentBytes)
-	copy(whole, l.image)
-	l.image = nil
-	return l.writeWhole(l.gen, whole)
+	content := make([]byte, l.config.SegmentBytes)
+	copy(content, l.tail)
+	l.tail = nil
+	return l.writeSegment(l.sequence, content)
 }
 
-// start makes gen the generation being written.
-func (l *Log) start(gen uint64, prevEnd int64) error {
-	whole := make([]byte, l.plan.SegmentBytes)
-	copy(whole, encodeHeader(gen, prevEnd))
-	if err := l.writeWhole(gen, whole); err != nil {
+// beginSegment writes an empty segment and makes it the one being written.
+func (l *Log) beginSegment(sequence uint64, previousEnd int64) error {
+	content := make([]byte, l.config.SegmentBytes)
+	copy(content, encodeHeader(sequence, previousEnd))
+	if err := l.writeSegment(sequence, content); err != nil {
 		return err
 	}
-	l.gen, l.off = gen, headerLen
-	if l.keep == 0 {
-		l.keep = gen
+	l.sequence, l.offset = sequence, headerBytes
+	if l.oldestNeeded == 0 {
+		l.oldestNeeded = sequence
 	}
 	return nil
 }
 
-func (l *Log) writeWhole(gen uint64, whole []byte) error {
-	if err := l.write(gen, whole, 0); err != nil {
+// writeSegment writes and syncs a whole segment.
+func (l *Log) writeSegment(sequence uint64, content []byte) error {
+	if err := l.write(sequence, content, 0); err != nil {
 		return err
 	}
-	return l.sync(gen)
+	return l.sync(sequence)
 }
 
-func (l *Log) write(gen uint64, data []byte, offset int64) error {
-	if _, err := l.file(gen).WriteAt(data, offset); err != nil {
-		l.failed = &DiskError{"write", err}
+func (l *Log) write(sequence uint64, data []byte, offset int64) error {
+	if _, err := l.file(sequence).WriteAt(data, offset); err != nil {
+		l.failure = &DiskError{"write", err}
 	}
-	return l.failed
+	return l.failure
 }
 
-func (l *Log) sync(gen uint64) error {
-	if err := l.file(gen).Sync(); err != nil {
-		l.failed = &DiskError{"sync", err}
+func (l *Log) sync(sequence uint64) error {
+	if err := l.file(sequence).Sync(); err != nil {
+		l.failure = &DiskError{"sync", err}
 	}
-	return l.failed
+	return l.failure
 }
 
-func (l *Log) index(gen uint64) int { return int(gen % uint64(l.plan.SegmentCount)) }
+// fileIndex is the index of the file in which a segment lies.
+func (l *Log) fileIndex(sequence uint64) int { return int(sequence % uint64(l.config.SegmentCount)) }
 
-func (l *Log) file(gen uint64) File { return l.files[l.index(gen)] }
+func (l *Log) file(sequence uint64) File { return l.files[l.fileIndex(sequence)] }
 
-func (l *Log) position(gen uint64, offset int64) uint64 {
-	return gen*uint64(l.plan.SegmentBytes) + uint64(offset)
+// position is a place in the whole log, in bytes from the start of segment 0.
+func (l *Log) position(sequence uint64, offset int64) uint64 {
+	return sequence*uint64(l.config.SegmentBytes) + uint64(offset)
 }
 
-// Append writes a record; it lasts once Sync has returned.
+// Append writes a record; it lasts once Sync has returned. It fails with ErrFull if that
+// would take a segment that must stay free, and with ErrDisk.
 //
-// Two fifths of the ring stay free until the next checkpoint begins. While one is being
-// written a quarter does, which is for its parts, or for another that is begun anew if the
-// process ends in the midst of this one.
+// Two fifths of the segments stay free until the next checkpoint begins. While one is
+// being written a quarter does, which is for its records, or for another that is begun
+// anew if the process ends in the midst of this one.
 func (l *Log) Append(data []byte) error {
-	if l.under {
-		return l.put(kindData, data, max(1, l.plan.SegmentCount/4))
+	if l.checkpointing {
+		return l.put(typeData, data, max(1, l.config.SegmentCount/4))
 	}
-	return l.put(kindData, data, max(1, l.plan.SegmentCount*2/5))
+	return l.put(typeData, data, max(1, l.config.SegmentCount*2/5))
 }
 
-// put writes a record and leaves so many files free.
-func (l *Log) put(kind recordKind, data []byte, spare int) error {
-	if l.failed != nil {
-		return l.failed
+// put writes a record and leaves so many segments free.
+func (l *Log) put(recordType recordType, data []byte, keepFree int) error {
+	if l.failure != nil {
+		return l.failure
 	}
-	size := span(len(data))
-	if size > l.plan.SegmentBytes-headerLen {
-		return ringFull(fmt.Sprintf("a record of %d bytes does not fit a file of %d", len(data), l.plan.SegmentBytes), "raise ring_bytes, with an empty data_dir")
+	size := recordBytes(len(data))
+	if size > l.config.SegmentBytes-headerBytes {
+		return &FullError{
+			Detail: fmt.Sprintf("a record of %d bytes does not fit a file of %d", len(data), l.config.SegmentBytes),
+			Remedy: "raise ring_bytes, with an empty data_dir",
+		}
 	}
-	if l.off+size > l.plan.SegmentBytes {
-		if err := l.advance(spare); err != nil {
+	if l.offset+size > l.config.SegmentBytes {
+		if err := l.nextSegment(keepFree); err != nil {
 			return err
 		}
 	}
-	if err := l.write(l.gen, encodeRecord(kind, l.gen, l.off, l.synced, data), l.off); err != nil {
+	encoded := encodeRecord(record{recordType, l.sequence, l.synced, data}, l.offset)
+	if err := l.write(l.sequence, encoded, l.offset); err != nil {
 		return err
 	}
-	l.off += size
-	l.dirty = true
+	l.offset += size
+	l.unsynced = true
 	return nil
 }
 
-// advance goes on to the next file, if that leaves so many free.
-func (l *Log) advance(spare int) error {
-	if l.gen+2-l.keep > uint64(l.plan.SegmentCount-spare) {
-		return ringFull("no file is free before the next checkpoint", "raise ring_files, with an empty data_dir")
+// nextSegment goes on to the next segment, if that leaves so many free.
+func (l *Log) nextSegment(keepFree int) error {
+	if l.sequence+2-l.oldestNeeded > uint64(l.config.SegmentCount-keepFree) {
+		return &FullError{
+			Detail: "no file is free before the next checkpoint",
+			Remedy: "raise ring_files, with an empty data_dir",
+		}
 	}
 	if err := l.Sync(); err != nil {
 		return err
 	}
-	return l.start(l.gen+1, l.off)
+	return l.beginSegment(l.sequence+1, l.offset)
 }
 
-// Sync makes everything appended last.
+// Sync makes everything appended last. It fails with ErrDisk.
 func (l *Log) Sync() error {
-	if l.failed != nil {
-		return l.failed
+	if l.failure != nil {
+		return l.failure
 	}
-	if l.dirty {
-		if err := l.sync(l.gen); err != nil {
+	if l.unsynced {
+		if err := l.sync(l.sequence); err != nil {
 			return err
 		}
-		l.dirty = false
+		l.unsynced = false
 	}
-	l.synced = l.position(l.gen, l.off)
+	l.synced = l.position(l.sequence, l.offset)
 	return nil
 }
 
-// Used tells which part of the ring is taken, in thousandths.
+// UsedPermille is the part of the log that is taken, in thousandths: what was written
+// since the segment in which the newest checkpoint began.
 func (l *Log) UsedPermille() int {
-	used := (l.gen-l.keep)*uint64(l.plan.SegmentBytes) + uint64(l.off)
-	return int(used * 1000 / (uint64(l.plan.SegmentCount) * uint64(l.plan.SegmentBytes)))
+	used := (l.sequence-l.oldestNeeded)*uint64(l.config.SegmentBytes) + uint64(l.offset)
+	return int(used * 1000 / (uint64(l.config.SegmentCount) * uint64(l.config.SegmentBytes)))
 }
 
-// Close closes the files.
+// Close closes the files. What was not synced may be lost.
 func (l *Log) Close() error { return closeFiles(l.files) }
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -11,66 +11,66 @@
 	"violetthread/wal/osdisk"
 )
 
-func open(t *testing.T, fs wal.FS, p wal.Config) (*wal.Log, []string) {
+func open(t *testing.T, fs wal.FS, config wal.Config) (*wal.Log, []string) {
 	t.Helper()
-	r, raw, err := wal.Open(fs, p)
+	log, raw, err := wal.Open(fs, config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out []string
-	for _, b := range raw {
-		out = append(out, string(b))
+	for _, data := range raw {
+		out = append(out, string(data))
 	}
-	return r, out
+	return log, out
 }
 
-var plan = wal.Config{SegmentCount: 5, SegmentBytes: 4096}
+var testConfig = wal.Config{SegmentCount: 5, SegmentBytes: 4096}
 
 // TestPowerLoss: whatever was synced is read back in order, however the power
-// goes, over many turns of the ring.
+// goes, over many reuses of its segments.
 func TestPowerLoss(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
-		w := sim.NewWorld(seed)
-		d := sim.NewDisk(w)
-		r, _ := open(t, d, plan)
+		world := sim.NewWorld(seed)
+		disk := sim.NewDisk(world)
+		log, _ := open(t, disk, testConfig)
 		rng := rand.New(rand.NewSource(seed))
 		var live []string // what must be found: since the last checkpoint, at least the synced
-		synced, n := 0, 0
+		synced, count := 0, 0
 		var parts [][]byte // still to come of the checkpoint under way
-		under, since := false, 0
+		checkpointing, from := false, 0
 		for step := 0; step < 300; step++ {
-			if under && rng.Intn(2) == 0 {
+			if checkpointing && rng.Intn(2) == 0 {
 				if len(parts) > 0 {
-					if err := r.AppendCheckpoint(parts[:1]); err != nil {
+					if err := log.AppendCheckpoint(parts[:1]); err != nil {
 						t.Fatalf("seed %d: %v", seed, err)
 					}
 					parts = parts[1:]
 				} else {
-					if err := r.EndCheckpoint(); err != nil {
+					if err := log.EndCheckpoint(); err != nil {
 						t.Fatalf("seed %d: %v", seed, err)
 					}
-					live, under = live[since:], false
+					live, checkpointing = live[from:], false
 					synced = len(live)
 				}
 			}
-			switch k := rng.Intn(20); {
-			case k < 14:
-				n++
-				x := fmt.Sprintf("%d-%s", n, make([]byte, rng.Intn(120)))
-				if err := r.Append([]byte(x)); err != nil {
+			switch choice := rng.Intn(20); {
+			case choice < 14:
+				count++
+				text := fmt.Sprintf("%d-%s", count, make([]byte, rng.Intn(120)))
+				if err := log.Append([]byte(text)); err != nil {
 					t.Fatalf("seed %d: %v", seed, err)
 				}
-				live = append(live, x)
-			case k < 18:
-				if err := r.Sync(); err != nil {
+				live = append(live, text)
+			case choice < 18:
+				if err := log.Sync(); err != nil {
 					t.Fatal(err)
 				}
 				synced = len(live)
 			default:
-				d.PowerLoss()
+				disk.PowerLoss()
 				var got []string
-				r, got = open(t, d, plan)
-				under = false // what was written of a checkpoint counts for nothing
+				log, got = open(t, disk, testConfig)
+				checkpointing = false // what was written of a checkpoint counts for nothing
 				if len(got) < synced || len(got) > len(live) {
 					t.Fatalf("seed %d: %d records, %d synced of %d", seed, len(got), synced, len(live))
 				}
@@ -81,18 +81,18 @@
 				}
 				live, synced = got, len(got)
 			}
-			if r.UsedPermille() > 250 && !under {
+			if log.UsedPermille() > 250 && !checkpointing {
 				// Keep the last few, as a checkpoint would restate live state;
 				// others are appended between its parts.
-				since = max(0, len(live)-4)
+				from = max(0, len(live)-4)
 				parts = nil
-				for _, x := range live[since:] {
-					parts = append(parts, []byte(x))
+				for _, text := range live[from:] {
+					parts = append(parts, []byte(text))
 				}
-				if err := r.BeginCheckpoint(); err != nil {
+				if err := log.BeginCheckpoint(); err != nil {
 					t.Fatalf("seed %d: %v", seed, err)
 				}
-				under = true
+				checkpointing = true
 			}
 		}
 	}
@@ -101,27 +101,27 @@
 // TestFlippedBit: a bit that flips in synced data is found, never passed on and
 // never taken for a torn tail, as long as something was synced after it.
 func TestFlippedBit(t *testing.T) {
-	w := sim.NewWorld(1)
+	world := sim.NewWorld(1)
 	rng := rand.New(rand.NewSource(7))
 	found := 0
 	for i := 0; i < 300; i++ {
-		d := sim.NewDisk(w)
-		r, _ := open(t, d, plan)
+		disk := sim.NewDisk(world)
+		log, _ := open(t, disk, testConfig)
 		var want []string
 		for j := 0; j < 40; j++ {
-			x := fmt.Sprintf("record %d", j)
-			want = append(want, x)
-			if r.Append([]byte(x)) != nil || r.Sync() != nil {
+			text := fmt.Sprintf("record %d", j)
+			want = append(want, text)
+			if log.Append([]byte(text)) != nil || log.Sync() != nil {
 				t.Fatal("append")
 			}
 		}
-		f, _ := d.Open("ring-001", plan.SegmentBytes)
-		b := make([]byte, 1)
-		at := int64(32 + rng.Intn(39*32)) // not in the last record
-		_, _ = f.ReadAt(b, at)
-		b[0] ^= 1 << rng.Intn(8)
-		_, _ = f.WriteAt(b, at)
-		_, raw, err := wal.Open(d, plan)
+		file, _ := disk.Open("ring-001", testConfig.SegmentBytes)
+		buffer := make([]byte, 1)
+		offset := int64(32 + rng.Intn(39*32)) // not in the last record
+		_, _ = file.ReadAt(buffer, offset)
+		buffer[0] ^= 1 << rng.Intn(8)
+		_, _ = file.WriteAt(buffer, offset)
+		_, raw, err := wal.Open(disk, testConfig)
 		switch {
 		case errors.Is(err, wal.ErrCorrupt):
 			found++
@@ -129,13 +129,13 @@
 			t.Fatal(err)
 		default:
 			// Only padding may flip unnoticed.
-			for j, x := range raw {
-				if string(x) != want[j] {
-					t.Fatalf("bit at %d: record %d came back as %q", at, j, x)
+			for j, text := range raw {
+				if string(text) != want[j] {
+					t.Fatalf("bit at %d: record %d came back as %q", offset, j, text)
 				}
 			}
 			if len(raw) != len(want) {
-				t.Fatalf("bit at %d: %d of %d records came back without a word", at, len(raw), len(want))
+				t.Fatalf("bit at %d: %d of %d records came back without a word", offset, len(raw), len(want))
 			}
 		}
 	}
@@ -144,91 +144,91 @@
 	}
 }
 
-// TestFull: a ring without room refuses and keeps what it has; a checkpoint
+// TestFull: a log without room refuses and keeps what it has; a checkpoint
 // still fits, and makes room again.
 func TestFull(t *testing.T) {
-	d := sim.NewDisk(sim.NewWorld(1))
-	r, _ := open(t, d, plan)
-	n := 0
+	disk := sim.NewDisk(sim.NewWorld(1))
+	log, _ := open(t, disk, testConfig)
+	count := 0
 	var err error
-	for ; err == nil; n++ {
-		err = r.Append(make([]byte, 500))
+	for ; err == nil; count++ {
+		err = log.Append(make([]byte, 500))
 	}
-	if !errors.Is(err, wal.ErrFull) || n < 15 {
-		t.Fatalf("after %d: %v", n, err)
+	if !errors.Is(err, wal.ErrFull) || count < 15 {
+		t.Fatalf("after %d: %v", count, err)
 	}
-	if err := r.Checkpoint([][]byte{[]byte("all")}); err != nil {
+	if err := log.Checkpoint([][]byte{[]byte("all")}); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Append([]byte("more")); err != nil {
+	if err := log.Append([]byte("more")); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Sync(); err != nil {
+	if err := log.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	if _, got := open(t, d, plan); fmt.Sprint(got) != "[all more]" {
+	if _, got := open(t, disk, testConfig); fmt.Sprint(got) != "[all more]" {
 		t.Fatalf("read back %q", got)
 	}
 }
 
-// TestFailedSync: after one failed sync nothing of this ring is trusted again.
+// TestFailedSync: after one failed sync nothing of this log is trusted again.
 func TestFailedSync(t *testing.T) {
-	d := sim.NewDisk(sim.NewWorld(1))
-	r, _ := open(t, d, plan)
-	_ = r.Append([]byte("a"))
-	d.Fail = true
-	if err := r.Sync(); !errors.Is(err, wal.ErrDisk) {
+	disk := sim.NewDisk(sim.NewWorld(1))
+	log, _ := open(t, disk, testConfig)
+	_ = log.Append([]byte("a"))
+	disk.Fail = true
+	if err := log.Sync(); !errors.Is(err, wal.ErrDisk) {
 		t.Fatalf("failed sync: %v", err)
 	}
-	d.Fail = false
-	if err := r.Append([]byte("b")); !errors.Is(err, wal.ErrDisk) {
+	disk.Fail = false
+	if err := log.Append([]byte("b")); !errors.Is(err, wal.ErrDisk) {
 		t.Fatalf("append after a failed sync: %v", err)
 	}
-	if err := r.Sync(); !errors.Is(err, wal.ErrDisk) {
+	if err := log.Sync(); !errors.Is(err, wal.ErrDisk) {
 		t.Fatalf("sync after a failed sync: %v", err)
 	}
 }
 
 // TestFolder: the same on a real folder.
-func TestFolder(t *testing.T) {
-	f := osdisk.Directory{Path: t.TempDir() + "/ring"}
-	r, _ := open(t, f, plan)
-	_ = r.Append([]byte("kept"))
-	if err := r.Sync(); err != nil {
+func TestDirectory(t *testing.T) {
+	directory := osdisk.Directory{Path: t.TempDir() + "/ring"}
+	log, _ := open(t, directory, testConfig)
+	_ = log.Append([]byte("kept"))
+	if err := log.Sync(); err != nil {
 		t.Fatal(err)
 	}
-	_ = r.Close()
-	l, err := f.Lock()
+	_ = log.Close()
+	lock, err := directory.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Lock(); err == nil {
+	if _, err := directory.Lock(); err == nil {
 		t.Fatal("two processes may use one folder")
 	}
-	_ = l.Close()
-	if _, got := open(t, f, plan); fmt.Sprint(got) != "[kept]" {
+	_ = lock.Close()
+	if _, got := open(t, directory, testConfig); fmt.Sprint(got) != "[kept]" {
 		t.Fatalf("read back %q", got)
 	}
 }
 
 // FuzzOpen: whatever a disk holds, opening it ends in records or an error.
 func FuzzOpen(f *testing.F) {
-	d := sim.NewDisk(sim.NewWorld(1))
-	r, _, _ := wal.Open(d, plan)
-	_ = r.Append([]byte("seed"))
-	_ = r.Sync()
-	file, _ := d.Open("ring-001", plan.SegmentBytes)
-	b := make([]byte, 256)
-	_, _ = file.ReadAt(b, 0)
-	f.Add(b)
-	f.Fuzz(func(t *testing.T, b []byte) {
-		d := sim.NewDisk(sim.NewWorld(1))
-		for i := 0; i < plan.SegmentCount; i++ {
-			g, _ := d.Open(fmt.Sprintf("ring-%03d", i), plan.SegmentBytes)
-			_, _ = g.WriteAt(b[:min(len(b), int(plan.SegmentBytes))], 0)
+	disk := sim.NewDisk(sim.NewWorld(1))
+	log, _, _ := wal.Open(disk, testConfig)
+	_ = log.Append([]byte("seed"))
+	_ = log.Sync()
+	file, _ := disk.Open("ring-001", testConfig.SegmentBytes)
+	content := make([]byte, 256)
+	_, _ = file.ReadAt(content, 0)
+	f.Add(content)
+	f.Fuzz(func(t *testing.T, content []byte) {
+		disk := sim.NewDisk(sim.NewWorld(1))
+		for i := 0; i < testConfig.SegmentCount; i++ {
+			opened, _ := disk.Open(fmt.Sprintf("ring-%03d", i), testConfig.SegmentBytes)
+			_, _ = opened.WriteAt(content[:min(len(content), int(testConfig.SegmentBytes))], 0)
 		}
-		if r, _, err := wal.Open(d, plan); err == nil {
-			if err := r.Append([]byte("x")); err != nil && !errors.Is(err, wal.ErrFull) {
+		if log, _, err := wal.Open(disk, testConfig); err == nil {
+			if err := log.Append([]byte("x")); err != nil && !errors.Is(err, wal.ErrFull) {
 				t.Fatal(err)
 			}
 		}
