--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -7,13 +7,18 @@
 
 // Order is an engine as its owner lets this proxy use it.
 type Order struct {
-	Engine, Addr, Site, Weights string
-	Store                       bool
-	ID, Epoch                   uint64
-	Room, Queue                 int
-	SlowUS                      int64
-	Age                         int64
-	Grades                      map[uint64]int
+	Engine  string         `json:"Engine"`
+	Addr    string         `json:"Addr"`
+	Site    string         `json:"Site"`
+	Weights string         `json:"Weights"`
+	Store   bool           `json:"Store"`
+	ID      uint64         `json:"ID"`
+	Epoch   uint64         `json:"Epoch"`
+	Room    int            `json:"Room"`
+	Queue   int            `json:"Queue"`
+	SlowUS  int64          `json:"SlowUS"`
+	Age     int64          `json:"Age"`
+	Grades  map[uint64]int `json:"Grades"`
 }
 
 type lane struct {
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -11,19 +11,19 @@
 
 // Ticket is a call that passed the checks at the door.
 type Ticket struct {
-	Ref     uint64 // this proxy's own number for it
-	ID      string
-	Own     bool   // the id is the caller's own, and may come again
-	Era     uint64 // that the caller named with it
-	Group   string
-	Kind    string
-	Digest  string // of the key it came with
-	Due     int64  // time since boot
-	Prompt  string
-	Chain   []hint.Key // under the plan's weights and the group's domain
-	Hints   []hint.Hint
-	Weights string
-	Domain  string
+	Ref     uint64      `json:"Ref"` // this proxy's own number for it
+	ID      string      `json:"ID"`
+	Own     bool        `json:"Own"` // the id is the caller's own, and may come again
+	Era     uint64      `json:"Era"` // that the caller named with it
+	Group   string      `json:"Group"`
+	Kind    string      `json:"Kind"`
+	Digest  string      `json:"Digest"` // of the key it came with
+	Due     int64       `json:"Due"`    // time since boot
+	Prompt  string      `json:"Prompt"`
+	Chain   []hint.Key  `json:"Chain"` // under the plan's weights and the group's domain
+	Hints   []hint.Hint `json:"Hints"`
+	Weights string      `json:"Weights"`
+	Domain  string      `json:"Domain"`
 }
 
 type work struct {
@@ -90,8 +90,8 @@
 
 // Refusal is why a ticket was turned away at the door.
 type Refusal struct {
-	Reason string
-	Back   int64
+	Reason string `json:"Reason"`
+	Back   int64  `json:"Back"`
 }
 
 // Arrive takes a ticket in, or refuses it at once.
--- a/hint/key.go
+++ b/hint/key.go
@@ -14,8 +14,9 @@
 // weights' version and the prefix up to the part's end. Check repeats domain
 // and weights alone, and is compared again wherever a key is used.
 type Key struct {
-	Hi, Lo uint64
-	Check  uint32
+	Hi    uint64 `json:"Hi"`
+	Lo    uint64 `json:"Lo"`
+	Check uint32 `json:"Check"`
 }
 
 // Block is how many bytes of prompt one part adds; MaxParts bounds a chain.
--- a/hint/table.go
+++ b/hint/table.go
@@ -140,8 +140,8 @@
 
 // Hint is the longest hinted part of a chain.
 type Hint struct {
-	Part int // index into the chain
-	Node uint64
+	Part int    `json:"Part"` // index into the chain
+	Node uint64 `json:"Node"`
 }
 
 // Longest looks a chain up from its longest part down and returns the first
--- a/index/duties.go
+++ b/index/duties.go
@@ -21,9 +21,9 @@
 
 // DutyAsk is an operation on a duty's lease that must be carried out.
 type DutyAsk struct {
-	Key   string
-	Epoch uint64 // of the lease held so far
-	Free  bool
+	Key   string `json:"Key"`
+	Epoch uint64 `json:"Epoch"` // of the lease held so far
+	Free  bool   `json:"Free"`
 }
 
 // The keys of duties begin with what is owned.
--- a/index/keeper.go
+++ b/index/keeper.go
@@ -33,15 +33,20 @@
 // Custodian is a live index node, with the duties it said it holds and how it reaches
 // engines.
 type Custodian struct {
-	Name, Site, Addr string
-	Duties           []string
+	Name   string   `json:"Name"`
+	Site   string   `json:"Site"`
+	Addr   string   `json:"Addr"`
+	Duties []string `json:"Duties"`
 	Reach
 }
 
 // Listed is an engine or the store as the platform lists it.
 type Listed struct {
-	Name, Addr, Site string
-	Store, Leaving   bool
+	Name    string `json:"Name"`
+	Addr    string `json:"Addr"`
+	Site    string `json:"Site"`
+	Store   bool   `json:"Store"`
+	Leaving bool   `json:"Leaving"`
 }
 
 // Keeper is not safe for concurrent use.
--- a/index/orders.go
+++ b/index/orders.go
@@ -11,28 +11,31 @@
 
 // Import is an import that a proxy ordered.
 type Import struct {
-	Attempt, Engine string
-	Peer            uint64
-	Total           int
-	Parts           []hint.Key
+	Attempt string     `json:"Attempt"`
+	Engine  string     `json:"Engine"`
+	Peer    uint64     `json:"Peer"`
+	Total   int        `json:"Total"`
+	Parts   []hint.Key `json:"Parts"`
 }
 
 // Seen is how a proxy's attempts at an engine went.
 type Seen struct {
-	Engine          string
-	Problems, Dones int
+	Engine   string `json:"Engine"`
+	Problems int    `json:"Problems"`
+	Dones    int    `json:"Dones"`
 }
 
 // Order is what one proxy may send one engine.
 type Order struct {
 	Listed
-	ID, Epoch uint64
-	Room      int
-	Weights   string
-	Queue     int
-	SlowUS    int64
-	Age       int64
-	Grades    map[uint64]int
+	ID      uint64         `json:"ID"`
+	Epoch   uint64         `json:"Epoch"`
+	Room    int            `json:"Room"`
+	Weights string         `json:"Weights"`
+	Queue   int            `json:"Queue"`
+	SlowUS  int64          `json:"SlowUS"`
+	Age     int64          `json:"Age"`
+	Grades  map[uint64]int `json:"Grades"`
 }
 
 type proxy struct {
@@ -64,11 +67,12 @@
 
 // Ask is what a proxy tells when it asks for its orders.
 type Ask struct {
-	Proxy, Site string
-	Want        map[string]int // waiting and running, by group
-	Active      int
-	Imports     []Import
-	Seen        []Seen
+	Proxy   string         `json:"Proxy"`
+	Site    string         `json:"Site"`
+	Want    map[string]int `json:"Want"` // waiting and running, by group
+	Active  int            `json:"Active"`
+	Imports []Import       `json:"Imports"`
+	Seen    []Seen         `json:"Seen"`
 }
 
 // Orders takes in a proxy's demand and answers with its standing orders.
--- a/index/reach.go
+++ b/index/reach.go
@@ -23,11 +23,11 @@
 // learn it from here and one of them takes the engine over (design §10).
 type Reach struct {
 	// ListStale: the platform's list is too old here to give any order by.
-	ListStale bool
+	ListStale bool `json:"ListStale"`
 	// Silent are engines that were asked and have not answered for a while.
-	Silent []string
+	Silent []string `json:"Silent"`
 	// Reached are engines of other owners that answered a moment ago.
-	Reached []string
+	Reached []string `json:"Reached"`
 }
 
 // contact is how an engine answers this node.
--- /dev/null
+++ b/index/recorded_test.go
@@ -0,0 +1,85 @@
+package index
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/datadriven"
+
+	"violetthread/dispatch"
+)
+
+// TestRecordedForm compares the JSON form of everything that recordings and the engines'
+// page contain with testdata/recorded: stored recordings are replayed by these names,
+// whatever the fields are called in the code.
+func TestRecordedForm(t *testing.T) {
+	recorded := map[string]any{
+		"dispatch grant":      &dispatch.Order{},
+		"dispatch request":    &dispatch.Ticket{},
+		"dispatch rejection":  &dispatch.Refusal{},
+		"index lease op":      &DutyAsk{},
+		"index peer":          &Custodian{},
+		"index listed engine": &Listed{},
+		"index grant":         &Order{},
+		"index grant request": &Ask{},
+		"index report":        &Report{},
+		"index poll":          &Poll{},
+		"index weight update": &Turn{},
+		"index engine status": &Engine{},
+	}
+	datadriven.RunTest(t, "testdata/recorded", func(t *testing.T, d *datadriven.TestData) string {
+		name := strings.TrimSpace(d.Input)
+		value, known := recorded[name]
+		if !known {
+			d.Fatalf(t, "no recorded type %q", name)
+		}
+		delete(recorded, name)
+		n := 0
+		fill(t, reflect.ValueOf(value).Elem(), &n)
+		form, err := json.Marshal(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(form) + "\n"
+	})
+	for name := range recorded {
+		t.Errorf("testdata/recorded does not show the form of %s", name)
+	}
+}
+
+// fill gives every field below v a value of its own: a field left out of the form, or one
+// that took another's name, shows.
+func fill(t *testing.T, v reflect.Value, n *int) {
+	t.Helper()
+	*n++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(t, v.Field(i), n)
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		fill(t, v.Index(0), n)
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(t, key, n)
+		fill(t, value, n)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.String:
+		v.SetString(fmt.Sprint("s", *n))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(*n))
+	case reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(*n))
+	case reflect.Float64:
+		v.SetFloat(float64(*n))
+	default:
+		t.Fatalf("no value for a %s", v.Type())
+	}
+}
--- a/index/reports.go
+++ b/index/reports.go
@@ -10,23 +10,25 @@
 
 // Event is one thing an engine told.
 type Event struct {
-	Seq     uint64
-	Keep    bool
-	Drop    bool
-	Ran     string
-	Filled  uint64
-	Part    hint.Key
-	HasPart bool
+	Seq     uint64   `json:"Seq"`
+	Keep    bool     `json:"Keep"`
+	Drop    bool     `json:"Drop"`
+	Ran     string   `json:"Ran"`
+	Filled  uint64   `json:"Filled"`
+	Part    hint.Key `json:"Part"`
+	HasPart bool     `json:"HasPart"`
 }
 
 // Report is what an engine told of itself.
 type Report struct {
-	Inc                  uint64
-	Weights              string
-	Running, Queue, Room int
-	SlowUS               int64
-	Last                 uint64
-	Events               []Event
+	Inc     uint64  `json:"Inc"`
+	Weights string  `json:"Weights"`
+	Running int     `json:"Running"`
+	Queue   int     `json:"Queue"`
+	Room    int     `json:"Room"`
+	SlowUS  int64   `json:"SlowUS"`
+	Last    uint64  `json:"Last"`
+	Events  []Event `json:"Events"`
 }
 
 type engine struct {
@@ -55,10 +57,12 @@
 
 // Poll says where to ask an engine for its report, and from which event on.
 type Poll struct {
-	Engine, Addr string
-	Epoch        uint64
-	Inc, After   uint64
-	Whole        bool // its keeps must be read whole first
+	Engine string `json:"Engine"`
+	Addr   string `json:"Addr"`
+	Epoch  uint64 `json:"Epoch"`
+	Inc    uint64 `json:"Inc"`
+	After  uint64 `json:"After"`
+	Whole  bool   `json:"Whole"` // its keeps must be read whole first
 }
 
 // Polls lists the engines to ask now: those owned here, and those of others that are
@@ -197,13 +201,20 @@
 
 // Engine is an engine as this custodian sees it, for operators.
 type Engine struct {
-	Name, Addr, Site, Weights string
-	Epoch                     uint64
-	Leaving, Store, Known     bool
-	Running, Queue, Room      int
-	Kept                      int
-	ReportAge                 int64
-	HandOver                  map[string]int
+	Name      string         `json:"Name"`
+	Addr      string         `json:"Addr"`
+	Site      string         `json:"Site"`
+	Weights   string         `json:"Weights"`
+	Epoch     uint64         `json:"Epoch"`
+	Leaving   bool           `json:"Leaving"`
+	Store     bool           `json:"Store"`
+	Known     bool           `json:"Known"`
+	Running   int            `json:"Running"`
+	Queue     int            `json:"Queue"`
+	Room      int            `json:"Room"`
+	Kept      int            `json:"Kept"`
+	ReportAge int64          `json:"ReportAge"`
+	HandOver  map[string]int `json:"HandOver"`
 }
 
 // Engines lists the engines owned now.
--- a/index/weights.go
+++ b/index/weights.go
@@ -15,8 +15,10 @@
 
 // Turn tells an engine to change to other weights.
 type Turn struct {
-	Engine, Addr, Weights string
-	Epoch                 uint64
+	Engine  string `json:"Engine"`
+	Addr    string `json:"Addr"`
+	Weights string `json:"Weights"`
+	Epoch   uint64 `json:"Epoch"`
 }
 
 // late is for how long an engine has run weights that are not the newest: since the
