--- a/agent/agent.go
+++ b/agent/agent.go
@@ -54,10 +54,10 @@
 }
 
 // Feed answers the proxy with plan, orders and news, and takes its own in.
-func (g *Agent) Feed(now int64, h *plan.Held, era uint64, a *fb.FeedAskT) *fb.FeedTellT {
+func (g *Agent) Feed(now int64, h *plan.Cached, era uint64, a *fb.FeedAskT) *fb.FeedTellT {
 	g.ask, g.at, g.heard = *a, now, true
-	t := &fb.FeedTellT{Rev: h.Rev, Age: h.Age(now), Fresh: h.Known, Era: era}
-	if h.Rev != a.Have {
+	t := &fb.FeedTellT{Rev: h.Revision, Age: h.Age(now), Fresh: h.Known, Era: era}
+	if h.Revision != a.Have {
 		t.Plan = h.Raw
 	}
 	for _, n := range g.names() {
--- a/index/recorded_test.go
+++ b/index/recorded_test.go
@@ -17,18 +17,18 @@
 // whatever the fields are called in the code.
 func TestRecordedForm(t *testing.T) {
 	recorded := map[string]any{
-		"dispatch grant":      &dispatch.Order{},
-		"dispatch request":    &dispatch.Ticket{},
-		"dispatch rejection":  &dispatch.Refusal{},
-		"index lease op":      &DutyAsk{},
-		"index peer":          &Custodian{},
-		"index listed engine": &Listed{},
-		"index grant":         &Order{},
-		"index grant request": &Ask{},
+		"dispatch grant":      &dispatch.EngineGrant{},
+		"dispatch request":    &dispatch.Request{},
+		"dispatch rejection":  &dispatch.Rejection{},
+		"index lease op":      &LeaseOp{},
+		"index peer":          &Peer{},
+		"index listed engine": &ListedEngine{},
+		"index grant":         &EngineGrant{},
+		"index grant request": &GrantRequest{},
 		"index report":        &Report{},
 		"index poll":          &Poll{},
-		"index weight update": &Turn{},
-		"index engine status": &Engine{},
+		"index weight update": &WeightUpdate{},
+		"index engine status": &EngineStatus{},
 	}
 	datadriven.RunTest(t, "testdata/recorded", func(t *testing.T, d *datadriven.TestData) string {
 		name := strings.TrimSpace(d.Input)
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -73,7 +73,7 @@
 	link.Serve(d.Group, l, r.handle)
 	r.ses.Run()
 	d.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(period), r.round) })
-	d.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(r.ses.View().Rev) })
+	d.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(r.ses.View().Revision) })
 	d.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(r.ses.View().Age(clock.Now())) })
 	d.SetReady("")
 	return d, nil
@@ -84,7 +84,7 @@
 	case f.FeedAsk != nil && f.FeedAsk.Node != nil:
 		return &fb.FrameT{FeedTell: r.feed(f.FeedAsk)}
 	case f.OpAsk != nil:
-		t, err := r.ses.Op(ctx, f.OpAsk, 1_900_000)
+		t, err := r.ses.Propose(ctx, f.OpAsk, 1_900_000)
 		if err != nil {
 			r.d.Log.Info("op_unanswered", "key", f.OpAsk.Key, "cause", err.Error())
 			t = &fb.OpTellT{Status: byte(quorum.Unknown)}
@@ -99,7 +99,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.ses.View()
-	return r.g.Feed(clock.Now(), &v.Held, v.Era, a)
+	return r.g.Feed(clock.Now(), &v.Cached, v.Generation, a)
 }
 
 // round asks every index node for orders, each on its own.
--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -46,7 +46,7 @@
 	r.d.Gauge("state_bytes", "bytes of live control state", func() float64 { return float64(r.stats.Load().size) })
 	r.d.Gauge("ring_used_permille", "part of the disk ring in use", func() float64 { return float64(r.storage.used.Load()) })
 	r.d.Gauge("era", "newest era of claims known to be open", func() float64 { return float64(r.era.Load()) })
-	r.d.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(r.cache.Load().Rev) })
+	r.d.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(r.cache.Load().Revision) })
 	r.d.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(r.cache.Load().Age(clock.Now())) })
 }
 
@@ -62,7 +62,7 @@
 		default:
 			w.Header().Set("ETag", etag(a.Rev))
 			w.Header().Set("Content-Type", "application/json")
-			_, raw, err := plan.Open(a.Val)
+			_, raw, err := plan.Decode(a.Val)
 			if err != nil {
 				base.JSON(w, http.StatusInternalServerError, Problems{Reason: "unreadable", Remedy: err.Error()})
 				return
@@ -86,8 +86,8 @@
 	}
 	c := plan.Change{Body: body, Patch: q.Method == http.MethodPatch}
 	if m := strings.Trim(q.Header.Get("If-Match"), `"`); m != "" && m != "*" {
-		c.If = true
-		if c.Rev, err = strconv.ParseUint(m, 10, 64); err != nil {
+		c.Conditional = true
+		if c.ExpectedRevision, err = strconv.ParseUint(m, 10, 64); err != nil {
 			base.JSON(w, http.StatusBadRequest, Problems{Reason: "bad-precondition", Remedy: "give If-Match the revision that ETag showed"})
 			return
 		}
@@ -99,7 +99,7 @@
 			unsettled(w, at)
 			return
 		}
-		sealed, _, err := c.On(at.Rev, at.Val)
+		sealed, _, err := c.Apply(at.Rev, at.Val)
 		if err != nil {
 			declined(w, err)
 			return
@@ -114,7 +114,7 @@
 		case quorum.Conflict:
 			// Another operator's change came between reading and writing: without a
 			// precondition this one goes on top of what is there now.
-			if !c.If {
+			if !c.Conditional {
 				continue
 			}
 			conflict(w, a.Rev)
@@ -130,13 +130,13 @@
 // declined tells an operator why a change does not apply.
 func declined(w http.ResponseWriter, err error) {
 	switch e := err.(type) {
-	case plan.OtherRevision:
-		conflict(w, e.Rev)
-	case plan.NoPlan:
+	case plan.RevisionConflictError:
+		conflict(w, e.Revision)
+	case plan.NoPlanError:
 		base.JSON(w, http.StatusNotFound, Problems{Reason: "no-plan", Remedy: e.Error()})
-	case plan.BadPatch:
+	case plan.PatchError:
 		base.JSON(w, http.StatusBadRequest, Problems{Reason: "bad-patch", Remedy: e.Error()})
-	case plan.BadPlan:
+	case plan.InvalidPlanError:
 		base.JSON(w, http.StatusBadRequest, Problems{Reason: "bad-plan", Remedy: e.Error(), Findings: e.Findings})
 	default:
 		base.JSON(w, http.StatusInternalServerError, Problems{Reason: "unreadable", Remedy: err.Error()})
@@ -273,7 +273,7 @@
 func (r *Node) fleetHTTP(w http.ResponseWriter, _ *http.Request) {
 	now := clock.Now()
 	c := r.cache.Load()
-	f := Fleet{Registrar: r.s.Name, Plan: PlanState{c.Rev, c.Age(now)}, Slots: []SlotState{}, Nodes: []NodeState{}}
+	f := Fleet{Registrar: r.s.Name, Plan: PlanState{c.Revision, c.Age(now)}, Slots: []SlotState{}, Nodes: []NodeState{}}
 	for i, s := range r.stats.Load().slots {
 		f.Slots = append(f.Slots, SlotState{i, s.Owner, s.Epoch, s.Count})
 	}
--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -61,7 +61,7 @@
 	waiting map[uint64]chan quorum.Answer
 	ops     uint64
 	roll    *membership.Roll
-	cache   atomic.Pointer[plan.Held]
+	cache   atomic.Pointer[plan.Cached]
 	era     atomic.Uint64 // the newest that is known to be open
 	stats   atomic.Pointer[stats]
 	up      atomic.Bool // the voter runs
@@ -107,7 +107,7 @@
 		senders: map[string]chan *fb.FrameT{}, waiting: map[uint64]chan quorum.Answer{}, roll: membership.New(s.Name)}
 	r.book = link.NewBook(d.Group)
 	r.stats.Store(&stats{})
-	r.cache.Store(&plan.Held{})
+	r.cache.Store(&plan.Cached{})
 	r.initStorage()
 	l, err := net.Listen("tcp", s.Wire)
 	if err != nil {
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -102,7 +102,7 @@
 	defer stop()
 	c := r.cache.Load()
 	at := clock.Now()
-	q := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: c.Rev}
+	q := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: c.Revision}
 	t := r.op(ctx, q)
 	if quorum.Status(t.Status) != quorum.Done {
 		// The way to the owner may be cut here and not elsewhere. The age counts
@@ -117,7 +117,7 @@
 		}
 	}
 	if quorum.Status(t.Status) == quorum.Done {
-		n, _, _ := c.Take(plan.Word{Rev: t.Rev, Raw: t.Val, Fresh: true}, at)
+		n, _, _ := c.Apply(plan.Update{Revision: t.Rev, Raw: t.Val, Confirmed: true}, at)
 		r.cache.Store(&n)
 	}
 }
@@ -138,8 +138,8 @@
 
 func (r *Node) beatTell(now int64, have uint64) *fb.BeatTellT {
 	c := r.cache.Load()
-	t := &fb.BeatTellT{Rev: c.Rev, Age: c.Age(now), Fresh: c.Known, Nodes: r.roll.Live(now), Era: r.era.Load()}
-	if c.Rev != have {
+	t := &fb.BeatTellT{Rev: c.Revision, Age: c.Age(now), Fresh: c.Known, Nodes: r.roll.Live(now), Era: r.era.Load()}
+	if c.Revision != have {
 		t.Plan = c.Raw
 	}
 	if f := r.found.Load(); f != nil {
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-logr/logr"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/taskgroup"
 	"violetthread/rollout"
@@ -79,8 +79,8 @@
 	askedFirst int64
 
 	readers  map[string]*reader
-	outbox   *hint.Outbox
-	holdings map[uint64]map[hint.Key]bool // what each engine and store keeps
+	outbox   *cacheindex.UpdateLog
+	holdings map[uint64]map[cacheindex.Key]bool // what each engine and store keeps
 	proxies  map[string]*proxy
 }
 
@@ -112,11 +112,11 @@
 		mapRev:      1,
 		startedAt:   clock.Now(),
 		readers:     map[string]*reader{},
-		holdings:    map[uint64]map[hint.Key]bool{},
+		holdings:    map[uint64]map[cacheindex.Key]bool{},
 		proxies:     map[string]*proxy{},
 	}
 	t.duty.lease.Store(&rollout.Lease{})
-	t.outbox = hint.NewOutbox(incarnation, 1<<13, t.allKept)
+	t.outbox = cacheindex.NewUpdateLog(incarnation, 1<<13, t.allKept)
 	return t
 }
 
--- a/internal/app/directory/news.go
+++ b/internal/app/directory/news.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/taskgroup"
 	"violetthread/placement"
@@ -52,16 +52,16 @@
 // forget drops all that a holder held. Called under the lock.
 func (t *Directory) forget(node uint64) {
 	for k := range t.holdings[node] {
-		t.outbox.Add(hint.News{Key: k, Node: node, Op: hint.Drop})
+		t.outbox.Append(cacheindex.Update{Key: k, Node: node, Op: cacheindex.OpRemove})
 	}
 	delete(t.holdings, node)
 }
 
-func (t *Directory) allKept() []hint.News {
-	var ns []hint.News
+func (t *Directory) allKept() []cacheindex.Update {
+	var ns []cacheindex.Update
 	for n, ks := range t.holdings {
 		for k := range ks {
-			ns = append(ns, hint.News{Key: k, Node: n, Op: hint.Load})
+			ns = append(ns, cacheindex.Update{Key: k, Node: n, Op: cacheindex.OpAdd})
 		}
 	}
 	return ns
@@ -124,26 +124,26 @@
 	r.since = p.Next
 	ks := t.holdings[r.node]
 	if ks == nil {
-		ks = map[hint.Key]bool{}
+		ks = map[cacheindex.Key]bool{}
 		t.holdings[r.node] = ks
 	}
 	for _, c := range p.Changes {
-		k := hint.PartKey(c.Salt, c.Model, c.Part)
+		k := cacheindex.BlockKey(c.Salt, c.Model, c.Part)
 		if c.Kept == ks[k] {
 			continue
 		}
-		op := hint.Load
+		op := cacheindex.OpAdd
 		if c.Kept {
 			ks[k] = true
 		} else {
 			delete(ks, k)
-			op = hint.Drop
+			op = cacheindex.OpRemove
 		}
-		t.outbox.Add(hint.News{Key: k, Node: r.node, Op: op})
+		t.outbox.Append(cacheindex.Update{Key: k, Node: r.node, Op: op})
 	}
 }
 
-func (t *Directory) restOf(q *fb.MapAskT) []hint.News {
+func (t *Directory) restOf(q *fb.MapAskT) []cacheindex.Update {
 	if q.Node == nil || t.proxies[q.Node.Name] == nil {
 		return nil
 	}
@@ -151,21 +151,21 @@
 }
 
 // news is the next page for a proxy. Called under the lock.
-func (t *Directory) news(q *fb.MapAskT) hint.Batch {
+func (t *Directory) news(q *fb.MapAskT) cacheindex.UpdateBatch {
 	var x *proxy
 	if q.Node != nil {
 		x = t.proxies[q.Node.Name]
 	}
 	if x != nil && len(x.rest) > 0 && q.NewsInc == t.incarnation {
-		b := hint.Batch{Inc: q.NewsInc, Next: q.NewsSince, News: x.rest[:min(newsPage, len(x.rest))]}
-		x.rest = x.rest[len(b.News):]
+		b := cacheindex.UpdateBatch{Incarnation: q.NewsInc, Next: q.NewsSince, Updates: x.rest[:min(newsPage, len(x.rest))]}
+		x.rest = x.rest[len(b.Updates):]
 		return b
 	}
 	b := t.outbox.Since(q.NewsInc, q.NewsSince, newsPage)
 	if x != nil {
 		x.rest = nil
-		if b.Reset && len(b.News) > newsPage {
-			b.News, x.rest = b.News[:newsPage], b.News[newsPage:]
+		if b.Reset && len(b.Updates) > newsPage {
+			b.Updates, x.rest = b.Updates[:newsPage], b.Updates[newsPage:]
 		}
 	}
 	return b
--- a/tape/reel/keeper.go
+++ b/tape/reel/keeper.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/index"
 	"violetthread/plan"
 	"violetthread/tape"
@@ -13,12 +13,12 @@
 // plans, members, listings, leases, reports and demands in; lease operations,
 // turns to other weights and standing orders out.
 type Keeper struct {
-	*index.Keeper
+	*index.Node
 	W *tape.Writer
 }
 
 type heldIn struct {
-	Ask   index.DutyAsk
+	Ask   index.LeaseOp
 	Asked int64
 	OK    bool
 	Epoch uint64
@@ -33,85 +33,85 @@
 type wholeIn struct {
 	Engine   string
 	Inc, Seq uint64
-	Parts    []hint.Key
+	Parts    []cacheindex.Key
 }
 
 type listIn struct {
 	At     int64
-	List   []index.Listed
+	List   []index.ListedEngine
 	Stands bool `json:",omitempty"`
 }
 
 // Plan records and passes on.
-func (r *Keeper) Plan(now int64, h *plan.Held) {
-	in := planIn{Rev: h.Rev, At: h.At}
-	if r.W != nil && r.Keeper.PlanRev() != h.Rev {
+func (r *Keeper) ApplyPlan(now int64, h *plan.Cached) {
+	in := planIn{Rev: h.Revision, At: h.ConfirmedAt}
+	if r.W != nil && r.Node.PlanRevision() != h.Revision {
 		in.Raw = string(h.Raw)
 	}
-	r.Keeper.Plan(h.Plan, h.At)
+	r.Node.ApplyPlan(h.Plan, h.ConfirmedAt)
 	r.W.Put(now, "plan", in, nil)
 }
 
 // Peers records and passes on.
-func (r *Keeper) Peers(now int64, cs []index.Custodian) {
-	r.Keeper.Peers(cs)
-	r.W.Put(now, "peers", cs, r.Keeper.Placement())
+func (r *Keeper) SetPeers(now int64, cs []index.Peer) {
+	r.Node.SetPeers(cs)
+	r.W.Put(now, "peers", cs, r.Node.Placement())
 }
 
 // Listing records and passes on.
-func (r *Keeper) Listing(now, at int64, ls []index.Listed) {
-	r.Keeper.Listing(at, ls)
+func (r *Keeper) SetListing(now, at int64, ls []index.ListedEngine) {
+	r.Node.SetListing(at, ls)
 	r.W.Put(now, "listing", listIn{At: at, List: ls}, nil)
 }
 
 // ListingStands records and passes on.
-func (r *Keeper) ListingStands(now, at int64) {
-	r.Keeper.ListingStands(at)
+func (r *Keeper) ConfirmListing(now, at int64) {
+	r.Node.ConfirmListing(at)
 	r.W.Put(now, "listing", listIn{At: at, Stands: true}, nil)
 }
 
 // Want records and passes on.
-func (r *Keeper) Want(now int64) []index.DutyAsk {
-	as := r.Keeper.Want(now)
+func (r *Keeper) LeaseOps(now int64) []index.LeaseOp {
+	as := r.Node.LeaseOps(now)
 	r.W.Put(now, "want", nil, as)
 	return as
 }
 
 // Held records and passes on.
-func (r *Keeper) Held(now int64, a index.DutyAsk, asked int64, ok bool, epoch uint64) {
-	r.Keeper.Held(now, a, asked, ok, epoch)
+func (r *Keeper) LeaseAnswered(now int64, a index.LeaseOp, asked int64, ok bool, epoch uint64) {
+	r.Node.LeaseAnswered(now, a, asked, ok, epoch)
 	r.W.Put(now, "held", heldIn{a, asked, ok, epoch}, nil)
 }
 
 // Polls records and passes on: asking an engine first makes it known.
 func (r *Keeper) Polls(now int64) []index.Poll {
-	ps := r.Keeper.Polls(now)
+	ps := r.Node.Polls(now)
 	r.W.Put(now, "polls", nil, ps)
 	return ps
 }
 
 // Turns records and passes on.
-func (r *Keeper) Turns(now int64) []index.Turn {
-	ts := r.Keeper.Turns(now)
+func (r *Keeper) WeightUpdates(now int64) []index.WeightUpdate {
+	ts := r.Node.WeightUpdates(now)
 	r.W.Put(now, "turns", nil, ts)
 	return ts
 }
 
 // Whole records and passes on.
-func (r *Keeper) Whole(now int64, name string, inc, seq uint64, parts []hint.Key) {
-	r.Keeper.Whole(now, name, inc, seq, parts)
+func (r *Keeper) ResetHoldings(now int64, name string, inc, seq uint64, parts []cacheindex.Key) {
+	r.Node.ResetHoldings(now, name, inc, seq, parts)
 	r.W.Put(now, "whole", wholeIn{name, inc, seq, parts}, nil)
 }
 
 // Reported records and passes on.
-func (r *Keeper) Reported(now, asked int64, name string, x index.Report) {
-	r.Keeper.Reported(now, asked, name, x)
+func (r *Keeper) ApplyReport(now, asked int64, name string, x index.Report) {
+	r.Node.ApplyReport(now, asked, name, x)
 	r.W.Put(now, "reported", reportIn{asked, name, x}, nil)
 }
 
 // Orders records and passes on.
-func (r *Keeper) Orders(now int64, a index.Ask) []index.Order {
-	os := r.Keeper.Orders(now, a)
+func (r *Keeper) IssueGrants(now int64, a index.GrantRequest) []index.EngineGrant {
+	os := r.Node.IssueGrants(now, a)
 	r.W.Put(now, "orders", a, os)
 	return os
 }
@@ -125,7 +125,7 @@
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		h := &plan.Held{Rev: in.Rev, At: in.At, Plan: r.PlanHeld()}
+		h := &plan.Cached{Revision: in.Rev, ConfirmedAt: in.At, Plan: r.CurrentPlan()}
 		if len(in.Raw) > 0 {
 			p, err := plan.Load([]byte(in.Raw), in.Rev)
 			if err != nil {
@@ -133,13 +133,13 @@
 			}
 			h.Plan = p
 		}
-		r.Plan(l.At, h)
+		r.ApplyPlan(l.At, h)
 	case "peers":
-		var cs []index.Custodian
+		var cs []index.Peer
 		if err := get(&cs); err != nil {
 			return nil, err
 		}
-		r.Peers(l.At, cs)
+		r.SetPeers(l.At, cs)
 		return r.Placement(), nil
 	case "listing":
 		var in listIn
@@ -147,40 +147,40 @@
 			return nil, err
 		}
 		if in.Stands {
-			r.ListingStands(l.At, in.At)
+			r.ConfirmListing(l.At, in.At)
 		} else {
-			r.Listing(l.At, in.At, in.List)
+			r.SetListing(l.At, in.At, in.List)
 		}
 	case "want":
-		return r.Want(l.At), nil
+		return r.LeaseOps(l.At), nil
 	case "held":
 		var in heldIn
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		r.Held(l.At, in.Ask, in.Asked, in.OK, in.Epoch)
+		r.LeaseAnswered(l.At, in.Ask, in.Asked, in.OK, in.Epoch)
 	case "polls":
 		return r.Polls(l.At), nil
 	case "turns":
-		return r.Turns(l.At), nil
+		return r.WeightUpdates(l.At), nil
 	case "whole":
 		var in wholeIn
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		r.Whole(l.At, in.Engine, in.Inc, in.Seq, in.Parts)
+		r.ResetHoldings(l.At, in.Engine, in.Inc, in.Seq, in.Parts)
 	case "reported":
 		var in reportIn
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		r.Reported(l.At, in.Asked, in.Engine, in.Report)
+		r.ApplyReport(l.At, in.Asked, in.Engine, in.Report)
 	case "orders":
-		var in index.Ask
+		var in index.GrantRequest
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		return r.Orders(l.At, in), nil
+		return r.IssueGrants(l.At, in), nil
 	}
 	return nil, nil
 }
--- a/tape/reel/replay.go
+++ b/tape/reel/replay.go
@@ -19,10 +19,10 @@
 	err = tape.Read(r, func(h tape.Head) error {
 		switch h.Part {
 		case "desk":
-			d := &Desk{Desk: dispatch.New(h.Name, h.Site, h.Inc)}
+			d := &Desk{Dispatcher: dispatch.New(h.Name, h.Site, h.Inc)}
 			feed = func(l tape.Line) (any, error) { return feedDesk(d, l) }
 		case "keeper":
-			k := &Keeper{Keeper: index.New(h.Name, h.Site, h.Inc)}
+			k := &Keeper{Node: index.New(h.Name, h.Site, h.Inc)}
 			feed = func(l tape.Line) (any, error) { return feedKeeper(k, l) }
 		default:
 			return trace.BadParameter("the tape is of a %q, which this program does not know", h.Part)
