--- a/cmd/compliance/main.go
+++ b/cmd/compliance/main.go
@@ -14,7 +14,7 @@
 	"github.com/integrii/flaggy"
 
 	"violetthread/internal/app/control"
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/plan"
 	"violetthread/plancheck"
@@ -26,7 +26,7 @@
 	var asJSON, offline bool
 	p := flaggy.NewParser("compliance")
 	p.Description = "Checks a plan against the fleet as it is. Exit code 0: no findings, 1: findings, 2: could not check."
-	p.Version, p.ShowCompletion = base.Version, false
+	p.Version, p.ShowCompletion = daemon.Version, false
 	p.String(&at, "a", "at", "IP:port of registrars' HTTP sides, with commas")
 	p.String(&platform, "p", "platform", "IP:port of the platform's list of engines")
 	p.String(&without, "w", "without", "check as if this voter were taken away")
@@ -34,12 +34,12 @@
 	p.Bool(&offline, "o", "offline", "check the structure only, without a fleet")
 	p.AddPositionalValue(&file, "FILE", 1, false, "the plan as JSON; without it the plan in force is checked")
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
-		base.Exit("compliance", err)
+		daemon.Exit("compliance", err)
 	}
 	g := gatherer{c: engineapi.NewClient(), at: strings.Split(at, ","), platform: platform}
 	fs, err := g.check(file, offline, without)
 	if err != nil {
-		base.Exit("compliance", err)
+		daemon.Exit("compliance", err)
 	}
 	if asJSON {
 		b, _ := json.MarshalIndent(fs, "", "  ")
@@ -120,14 +120,14 @@
 
 func (g gatherer) fleet(p *plan.Plan) (f plancheck.Fleet, err error) {
 	f.Up, f.BackEnds = map[string]bool{}, map[string]bool{}
-	var fl control.Fleet
+	var fl control.FleetStatus
 	if err := g.ask("/v1/fleet", &fl); err != nil {
 		return f, err
 	}
-	f.VotersRecovered = fl.Firm
+	f.VotersRecovered = fl.ChangeAllowed
 	for _, v := range fl.Voters {
 		f.Voters = append(f.Voters, v.Name)
-		f.Up[v.Name] = listens(v.Wire)
+		f.Up[v.Name] = listens(v.Addr)
 	}
 	type owned struct {
 		Name, Weights string
--- a/cmd/custodian/main.go
+++ b/cmd/custodian/main.go
@@ -5,15 +5,15 @@
 	"os"
 
 	"violetthread/internal/app/indexnode"
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 )
 
 func main() {
 	s := indexnode.Defaults()
-	if err := base.Load("custodian", "An index node of violetthread: owns shards of the hint index and engines.", &s, os.Args[1:]); err != nil {
-		base.Exit("custodian", err)
+	if err := daemon.LoadSettings("custodian", "An index node of violetthread: owns shards of the hint index and engines.", &s, os.Args[1:]); err != nil {
+		daemon.Exit("custodian", err)
 	}
 	if err := indexnode.Run(s); err != nil {
-		base.Exit("custodian", err)
+		daemon.Exit("custodian", err)
 	}
 }
--- a/cmd/dealer/main.go
+++ b/cmd/dealer/main.go
@@ -16,9 +16,9 @@
 	"github.com/gravitational/trace"
 	"github.com/integrii/flaggy"
 
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 	"violetthread/plan"
-	"violetthread/tape/reel"
+	"violetthread/recording/replay"
 )
 
 type tool struct {
@@ -33,7 +33,7 @@
 func main() {
 	t := &tool{http: &http.Client{Timeout: 8 * time.Second}, wait: 60}
 	p := flaggy.NewParser("dealer")
-	p.Description, p.Version, p.ShowCompletion = "The operators' tool of violetthread.", base.Version, false
+	p.Description, p.Version, p.ShowCompletion = "The operators' tool of violetthread.", daemon.Version, false
 	p.String(&t.at, "a", "at", "IP:port of any registrar's HTTP side; with commas to try several")
 	pl := sub("plan", "read or change the plan")
 	p.AttachSubcommand(pl, 1)
@@ -84,13 +84,13 @@
 		p.AttachSubcommand(c, 1)
 	}
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
-		base.Exit("dealer", err)
+		daemon.Exit("dealer", err)
 	}
 	var err error
 	for c, f := range views {
 		if c.Used {
 			if err := t.show(f()); err != nil {
-				base.Exit("dealer", err)
+				daemon.Exit("dealer", err)
 			}
 			return
 		}
@@ -121,7 +121,7 @@
 		p.ShowHelpAndExit("name one of the commands below")
 	}
 	if err != nil {
-		base.Exit("dealer", err)
+		daemon.Exit("dealer", err)
 	}
 }
 
@@ -268,7 +268,7 @@
 		return trace.BadParameter("%v; give a file that a daemon wrote with --tape", err)
 	}
 	defer f.Close()
-	n, err := reel.Replay(f)
+	n, err := replay.Replay(f)
 	if err != nil {
 		return err
 	}
--- a/cmd/rehearsal/main.go
+++ b/cmd/rehearsal/main.go
@@ -7,7 +7,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 	"violetthread/internal/standin/backend"
 	"violetthread/internal/standin/callers"
 	"violetthread/internal/standin/engine"
@@ -45,26 +45,26 @@
 		}},
 	}
 	p := flaggy.NewParser("rehearsal")
-	p.Description, p.Version, p.ShowCompletion = "Stand-ins for everything around a violetthread fleet.", base.Version, false
+	p.Description, p.Version, p.ShowCompletion = "Stand-ins for everything around a violetthread fleet.", daemon.Version, false
 	subs := make([]*flaggy.Subcommand, len(parts))
 	for i, x := range parts {
 		subs[i] = flaggy.NewSubcommand(x.name)
 		subs[i].Description = x.about
-		base.Flags(subs[i], x.settings)
+		daemon.DeclareFlags(subs[i], x.settings)
 		p.AttachSubcommand(subs[i], 1)
 	}
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
-		base.Exit("rehearsal", err)
+		daemon.Exit("rehearsal", err)
 	}
 	for i, x := range parts {
 		if !subs[i].Used {
 			continue
 		}
-		if err := base.Fill(x.settings, base.Given(x.settings)); err != nil {
-			base.Exit("rehearsal "+x.name, err)
+		if err := daemon.FillSettings(x.settings, daemon.DeclaredFlags(x.settings)); err != nil {
+			daemon.Exit("rehearsal "+x.name, err)
 		}
 		if err := x.run(); err != nil {
-			base.Exit("rehearsal "+x.name, err)
+			daemon.Exit("rehearsal "+x.name, err)
 		}
 		return
 	}
--- a/cmd/remisier/main.go
+++ b/cmd/remisier/main.go
@@ -5,15 +5,15 @@
 	"os"
 
 	"violetthread/internal/app/gateway"
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 )
 
 func main() {
 	s := gateway.Defaults()
-	if err := base.Load("remisier", "The proxy of violetthread: takes callers' tickets and runs them on engines.", &s, os.Args[1:]); err != nil {
-		base.Exit("remisier", err)
+	if err := daemon.LoadSettings("remisier", "The proxy of violetthread: takes callers' tickets and runs them on engines.", &s, os.Args[1:]); err != nil {
+		daemon.Exit("remisier", err)
 	}
 	if err := gateway.Run(s); err != nil {
-		base.Exit("remisier", err)
+		daemon.Exit("remisier", err)
 	}
 }
--- a/cmd/runner/main.go
+++ b/cmd/runner/main.go
@@ -5,15 +5,15 @@
 	"os"
 
 	"violetthread/internal/app/agent"
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 )
 
 func main() {
 	s := agent.Defaults()
-	if err := base.Load("runner", "The agent beside a remisier: keeps its link to the core.", &s, os.Args[1:]); err != nil {
-		base.Exit("runner", err)
+	if err := daemon.LoadSettings("runner", "The agent beside a remisier: keeps its link to the core.", &s, os.Args[1:]); err != nil {
+		daemon.Exit("runner", err)
 	}
 	if err := agent.Run(s); err != nil {
-		base.Exit("runner", err)
+		daemon.Exit("runner", err)
 	}
 }
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -7,7 +7,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 	"violetthread/internal/scale"
 )
 
@@ -22,7 +22,7 @@
 	s, f, c, p := scale.Defaults(), scale.FitDefaults(), scale.FitDefaults(), scale.FitDefaults()
 	parts := []part{
 		{"run", "play hollow proxies and engines beside real nodes, and measure", &s, func() error {
-			a, err := scale.Measure(s, base.Log("scale", s.Label))
+			a, err := scale.Measure(s, daemon.NewLogger("scale", s.Label))
 			if err != nil {
 				return err
 			}
@@ -34,27 +34,27 @@
 		{"plot", "draw each sweep, what was measured and what was fitted", &p, func() error { return scale.Plot(p) }},
 	}
 	x := flaggy.NewParser("scale")
-	x.Description, x.Version, x.ShowCompletion = "Measures what a larger fleet costs.", base.Version, false
+	x.Description, x.Version, x.ShowCompletion = "Measures what a larger fleet costs.", daemon.Version, false
 	subs := make([]*flaggy.Subcommand, len(parts))
 	for i, p := range parts {
 		subs[i] = flaggy.NewSubcommand(p.name)
 		subs[i].Description = p.about
-		base.Flags(subs[i], p.settings)
+		daemon.DeclareFlags(subs[i], p.settings)
 		x.AttachSubcommand(subs[i], 1)
 	}
 	if err := x.ParseArgs(os.Args[1:]); err != nil {
-		base.Exit("scale", err)
+		daemon.Exit("scale", err)
 	}
 	for i, p := range parts {
 		if !subs[i].Used {
 			continue
 		}
-		err := base.Fill(p.settings, base.Given(p.settings))
+		err := daemon.FillSettings(p.settings, daemon.DeclaredFlags(p.settings))
 		if err == nil {
 			err = p.run()
 		}
 		if err != nil {
-			base.Exit("scale "+p.name, err)
+			daemon.Exit("scale "+p.name, err)
 		}
 		return
 	}
--- a/cmd/violetthread/main.go
+++ b/cmd/violetthread/main.go
@@ -9,13 +9,13 @@
 	"github.com/gravitational/trace"
 	"github.com/integrii/flaggy"
 
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 	"violetthread/platform"
 )
 
 func main() {
 	p := flaggy.NewParser("violetthread")
-	p.Description, p.Version, p.ShowCompletion = "A node of a violetthread fleet on a platform with a settings file of its own.", base.Version, false
+	p.Description, p.Version, p.ShowCompletion = "A node of a violetthread fleet on a platform with a settings file of its own.", daemon.Version, false
 	boot := platform.BootPath()
 	p.String(&boot, "b", "boot", "settings file that the platform wrote")
 	verb := func(name, about string) *flaggy.Subcommand {
@@ -28,7 +28,7 @@
 	control := verb("control", "keep the control state, follow the engines, answer operators")
 	check := verb("check", "read the settings file, list every mistake and end")
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
-		base.Exit("violetthread", trace.BadParameter("flags: %v; see --help", err))
+		daemon.Exit("violetthread", trace.BadParameter("flags: %v; see --help", err))
 	}
 	b, err := platform.ReadBoot(boot)
 	if err == nil {
@@ -44,6 +44,6 @@
 		}
 	}
 	if err != nil {
-		base.Exit("violetthread", err)
+		daemon.Exit("violetthread", err)
 	}
 }
--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -20,9 +20,9 @@
 	"violetthread/attempt"
 	"violetthread/cacheindex"
 	"violetthread/dispatch"
-	"violetthread/internal/base"
 	"violetthread/internal/callerapi"
 	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/internal/taskgroup"
 	"violetthread/plan"
@@ -132,7 +132,7 @@
 		g.reject(w, http.StatusServiceUnavailable, "claim-unavailable", 1_000_000)
 		return
 	}
-	base.JSON(w, http.StatusOK, callerapi.Generation{Generation: e})
+	daemon.WriteJSON(w, http.StatusOK, callerapi.Generation{Generation: e})
 }
 
 // refuse answers a ticket that was turned away before anything was queued.
@@ -143,12 +143,12 @@
 	if back > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((back+999_999)/1_000_000, 10))
 	}
-	base.JSON(w, status, callerapi.Frame{Frame: "refused", Generation: g.generation.Load(), Reason: reason, Remedy: callerapi.Remedy(reason), RetryAfterUS: back})
+	daemon.WriteJSON(w, status, callerapi.Frame{Frame: "refused", Generation: g.generation.Load(), Reason: reason, Remedy: callerapi.Remedy(reason), RetryAfterUS: back})
 }
 
 func (g *gateway) serveRequest(w http.ResponseWriter, q *http.Request) {
 	if q.Method != http.MethodPost {
-		base.JSON(w, http.StatusMethodNotAllowed, base.Wrong{Reason: "no-such-method", Remedy: "use POST"})
+		daemon.WriteJSON(w, http.StatusMethodNotAllowed, daemon.ErrorResponse{Reason: "no-such-method", Remedy: "use POST"})
 		return
 	}
 	arrived := clock.Now()
@@ -194,7 +194,7 @@
 		return
 	}
 	// A caller that reads too slowly is cut off a little after the due.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Micros(t.DueUS + 2_000_000)))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Duration(t.DueUS + 2_000_000)))
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.Header().Set("X-Ticket-Id", x.ID)
 	c.writeFrameLocked(callerapi.Frame{Frame: "accepted", Ticket: x.ID, Node: g.settings.Name, Generation: g.generation.Load()}, false)
@@ -383,7 +383,7 @@
 	}
 	e, ok := p.RouteFor(q.URL.Path)
 	if !ok {
-		base.JSON(w, http.StatusNotFound, base.Wrong{Reason: "no-entry", Remedy: "the plan has no entry for this path; check the path, or have an operator add it"})
+		daemon.WriteJSON(w, http.StatusNotFound, daemon.ErrorResponse{Reason: "no-entry", Remedy: "the plan has no entry for this path; check the path, or have an operator add it"})
 		return
 	}
 	g.plainCalls.Add(1)
@@ -393,7 +393,7 @@
 		g.reject(w, http.StatusRequestEntityTooLarge, "too-large", 0)
 		return
 	}
-	ctx, stop := context.WithTimeout(q.Context(), clock.Micros(e.TimeoutUS))
+	ctx, stop := context.WithTimeout(q.Context(), clock.Duration(e.TimeoutUS))
 	defer stop()
 	safe := q.Method == http.MethodGet || q.Method == http.MethodHead || q.Method == http.MethodOptions
 	if id := q.Header.Get("X-Ticket-Id"); id != "" && !safe {
@@ -404,7 +404,7 @@
 		}
 		if reason := g.claimPlain(ctx, era, group, id); reason != "" {
 			if reason == "duplicate" || reason == "era-closed" {
-				base.JSON(w, http.StatusConflict, callerapi.Frame{Frame: "unknown", Ticket: id, Reason: reason, Remedy: callerapi.Remedy(reason)})
+				daemon.WriteJSON(w, http.StatusConflict, callerapi.Frame{Frame: "unknown", Ticket: id, Reason: reason, Remedy: callerapi.Remedy(reason)})
 			} else {
 				g.reject(w, http.StatusServiceUnavailable, reason, 1_000_000)
 			}
@@ -424,7 +424,7 @@
 		case (safe || !sent) && try == 0 && ctx.Err() == nil && g.spendPlainRetry():
 			continue
 		case sent:
-			base.JSON(w, http.StatusBadGateway, callerapi.Frame{Frame: "unknown", Reason: "backend-lost", Remedy: callerapi.Remedy("backend-lost")})
+			daemon.WriteJSON(w, http.StatusBadGateway, callerapi.Frame{Frame: "unknown", Reason: "backend-lost", Remedy: callerapi.Remedy("backend-lost")})
 			return
 		default:
 			g.reject(w, http.StatusServiceUnavailable, "backend-unreachable", 1_000_000)
@@ -448,7 +448,7 @@
 	done := make(chan string, 1)
 	a := dispatch.Action{ClaimKey: dispatch.ClaimKey(era, group, "plain:"+id), ClaimNonce: fmt.Sprintf("%s/%x/p%d", g.settings.Name, g.incarnation, g.lastRef.Add(1))}
 	g.daemon.Group.Go("claim.plain", func(ctx context.Context) { done <- g.askClaim(ctx, a) })
-	s, ok := taskgroup.Wait(ctx, done)
+	s, ok := taskgroup.Receive(ctx, done)
 	if !ok {
 		return "claim-unavailable"
 	}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -18,37 +18,37 @@
 	"violetthread/attempt"
 	"violetthread/cacheindex"
 	"violetthread/dispatch"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
+	"violetthread/internal/codec"
+	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
+	"violetthread/internal/transport"
 	"violetthread/plan"
 	"violetthread/quorum"
+	"violetthread/recording"
+	"violetthread/recording/replay"
 	"violetthread/schema/fb"
-	"violetthread/tape"
-	"violetthread/tape/reel"
 )
 
 // Settings of a remisier.
 type Settings struct {
-	base.Node
+	daemon.NodeSettings
 	Agent string `json:"runner" validate:"required,ipport" help:"loopback IP:port of the runner beside it"`
 	Hints int    `json:"hints" validate:"min=64,max=16777216" help:"entries in the hint table"`
 	Index bool   `json:"index" help:"false leaves the hint table unused, to measure what it is worth"`
-	base.Taped
+	daemon.RecordingSettings
 }
 
 // Defaults of the settings.
 func Defaults() Settings {
-	return Settings{Node: base.Node{Drain: 12_000_000}, Hints: 1 << 16, Index: true, Taped: base.TapeDefaults}
+	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 12_000_000}, Hints: 1 << 16, Index: true, RecordingSettings: daemon.RecordingDefaults}
 }
 
 type gateway struct {
 	settings    Settings
-	daemon      *base.Daemon
+	daemon      *daemon.Daemon
 	incarnation uint64
-	agent       *link.Peer
+	agent       *transport.Peer
 	table       *cacheindex.Table
 	engineHTTP  *http.Client
 	// plan is swapped whole; tickets read it without a lock.
@@ -56,10 +56,10 @@
 	lastRef          atomic.Uint64
 	generation       atomic.Uint64 // newest era of claims known here
 	mu               sync.Mutex
-	dispatcher       *reel.Desk
+	dispatcher       *replay.Dispatcher
 	calls            map[uint64]*call
 	plainCalls       atomic.Int64 // plain calls under way
-	updateCursor     wire.Cursor
+	updateCursor     codec.Cursor
 	claimLatency     latencySum
 	plainRetryBudget attempt.Budget // for calls to app back ends; under mu
 }
@@ -79,12 +79,12 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
-	d := base.Start("remisier", s.Name, s.HTTP, s.Drain)
+func New(s Settings) (*daemon.Daemon, error) {
+	d := daemon.New("remisier", s.Name, s.HTTPAddr, s.DrainUS)
 	// A proxy keeps little and makes much garbage: rarer collections cost it a few
 	// megabytes and save processor time, for which its machines are paid.
 	debug.SetGCPercent(400)
-	if err := d.Profile(s.CPU); err != nil {
+	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
 	var b [8]byte
@@ -93,17 +93,17 @@
 	}
 	r := &gateway{settings: s, daemon: d, incarnation: binary.LittleEndian.Uint64(b[:])>>24 | 1, table: cacheindex.NewTable(s.Hints), calls: map[uint64]*call{}}
 	r.plan.Store(&plan.Cached{})
-	r.dispatcher = &reel.Desk{Dispatcher: dispatch.New(s.Name, s.Site, r.incarnation)}
-	if s.Tape != "" {
-		w, err := tape.Create(s.Tape, tape.Head{Part: "desk", Name: s.Name, Site: s.Site, Inc: r.incarnation}, s.TapeBytes)
+	r.dispatcher = &replay.Dispatcher{Dispatcher: dispatch.New(s.Name, s.Zone, r.incarnation)}
+	if s.Recording != "" {
+		w, err := recording.Create(s.Recording, recording.Header{Component: "desk", Name: s.Name, Zone: s.Zone, Incarnation: r.incarnation}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
-		w.Full = func() { d.Log.Info("tape_full", "file", s.Tape, "bytes", s.TapeBytes) }
-		r.dispatcher.W = w
+		w.OnFull = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
+		r.dispatcher.Writer = w
 		d.OnStop(func() { _ = w.Close() })
 	}
-	r.agent = link.NewBook(d.Group).At(s.Agent)
+	r.agent = transport.NewPeerPool(d.Group).Get(s.Agent)
 	// No connection is used twice: a broken idle one would leave it open
 	// whether an attempt began (design §6).
 	dial := &net.Dialer{Timeout: 400 * time.Millisecond}
@@ -112,9 +112,9 @@
 	d.Handle("/v1/tickets", r.serveRequest)
 	d.Handle("/v1/era", r.serveGeneration)
 	d.HandlePrefix("/", r.serveRoute)
-	d.Group.Go("feed", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(100_000), r.feed) })
+	d.Group.Go("feed", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(100_000), r.feed) })
 	d.Group.Go("tick", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Micros(dispatch.TickInterval), func(context.Context) {
+		taskgroup.Every(ctx, clock.Duration(dispatch.TickInterval), func(context.Context) {
 			r.step(func(now int64) []dispatch.Action { return r.dispatcher.Tick(now) })
 		})
 	})
@@ -133,10 +133,10 @@
 
 // feed asks the agent for plan, orders and news, and tells it this proxy's need.
 func (g *gateway) feed(ctx context.Context) {
-	q := &fb.FeedAskT{Node: &fb.NodeT{Name: g.settings.Name, Role: "remisier", Site: g.settings.Site, Http: g.settings.HTTP, Inc: g.incarnation, Ready: g.daemon.Ready()},
+	q := &fb.FeedAskT{Node: &fb.NodeT{Name: g.settings.Name, Role: "remisier", Site: g.settings.Zone, Http: g.settings.HTTPAddr, Inc: g.incarnation, Ready: g.daemon.Ready()},
 		Have: g.plan.Load().Revision, NewsInc: g.updateCursor.Inc, NewsSince: g.updateCursor.Next}
 	g.mu.Lock()
-	wire.FeedAsk(g.dispatcher.Dispatcher, q)
+	codec.FillFeedRequest(g.dispatcher.Dispatcher, q)
 	g.mu.Unlock()
 	at := clock.Now()
 	f, err := g.agent.Call(ctx, &fb.FrameT{FeedAsk: q}, 500_000)
@@ -175,7 +175,7 @@
 		g.daemon.Log.Info("plan", "rev", n.Revision, "age_us", n.Age(clock.Now()))
 	}
 	// Ages count from the question: the answer may have been long on its way.
-	os := wire.Orders(t.Orders, clock.Now()-at)
+	os := codec.UnpackGrants(t.Orders, clock.Now()-at)
 	g.step(func(now int64) []dispatch.Action {
 		var acts []dispatch.Action
 		if n.Plan != nil {
@@ -186,7 +186,7 @@
 	if t.Era > g.generation.Load() {
 		g.generation.Store(t.Era)
 	}
-	g.updateCursor = wire.TakeNews(g.table, g.updateCursor, t)
+	g.updateCursor = codec.ApplyUpdates(g.table, g.updateCursor, t)
 }
 
 // carry hands the desk's acts to those who do them. The lock is held, so that
@@ -258,7 +258,7 @@
 // drain lets running tickets finish, then ends the rest explicitly.
 func (g *gateway) drain(ctx context.Context) {
 	for g.inFlight() > 0 {
-		if !taskgroup.Pause(ctx, 20_000) {
+		if !taskgroup.Sleep(ctx, 20_000) {
 			break
 		}
 	}
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -18,40 +18,40 @@
 	"violetthread/cacheindex"
 	"violetthread/index"
 	"violetthread/internal/app/session"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
-	"violetthread/internal/link"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
+	"violetthread/internal/transport"
 	"violetthread/quorum"
+	"violetthread/recording"
+	"violetthread/recording/replay"
 	"violetthread/schema/fb"
-	"violetthread/tape"
-	"violetthread/tape/reel"
 )
 
 // Settings of a custodian.
 type Settings struct {
-	base.Node
+	daemon.NodeSettings
 	Platform string `json:"platform" validate:"required,ipport" help:"IP:port of the platform's list of engines"`
-	base.Taped
+	daemon.RecordingSettings
 }
 
 // Defaults of the settings.
 func Defaults() Settings {
-	return Settings{Node: base.Node{Drain: 3_000_000}, Taped: base.TapeDefaults}
+	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 3_000_000}, RecordingSettings: daemon.RecordingDefaults}
 }
 
 type indexNode struct {
 	settings        Settings
-	daemon          *base.Daemon
-	book            *link.Book
+	daemon          *daemon.Daemon
+	book            *transport.PeerPool
 	session         *session.Session
 	incarnation     uint64
 	leaseHolder     string
 	http            *engineapi.Client
 	mu              sync.Mutex
-	node            *reel.Keeper
+	node            *replay.IndexNode
 	running         map[string]bool
 	prefetchCursors map[string]index.Cursor
 }
@@ -66,42 +66,42 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
-	if s.Wire == "" || len(s.Seeds) == 0 {
+func New(s Settings) (*daemon.Daemon, error) {
+	if s.TransportAddr == "" || len(s.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the registrars' addresses")
 	}
-	d := base.Start("custodian", s.Name, s.HTTP, s.Drain)
-	if err := d.Profile(s.CPU); err != nil {
+	d := daemon.New("custodian", s.Name, s.HTTPAddr, s.DrainUS)
+	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	c := &indexNode{settings: s, daemon: d, book: link.NewBook(d.Group), incarnation: binary.LittleEndian.Uint64(b[:])>>24 | 1,
+	c := &indexNode{settings: s, daemon: d, book: transport.NewPeerPool(d.Group), incarnation: binary.LittleEndian.Uint64(b[:])>>24 | 1,
 		http: engineapi.NewClient(), running: map[string]bool{}, prefetchCursors: map[string]index.Cursor{}}
 	c.leaseHolder = fmt.Sprintf("%s#%x", s.Name, c.incarnation)
-	c.node = &reel.Keeper{Node: index.New(s.Name, s.Site, c.incarnation)}
-	if s.Tape != "" {
-		w, err := tape.Create(s.Tape, tape.Head{Part: "keeper", Name: s.Name, Site: s.Site, Inc: c.incarnation}, s.TapeBytes)
+	c.node = &replay.IndexNode{Node: index.New(s.Name, s.Zone, c.incarnation)}
+	if s.Recording != "" {
+		w, err := recording.Create(s.Recording, recording.Header{Component: "keeper", Name: s.Name, Zone: s.Zone, Incarnation: c.incarnation}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
-		w.Full = func() { d.Log.Info("tape_full", "file", s.Tape, "bytes", s.TapeBytes) }
-		c.node.W = w
+		w.OnFull = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
+		c.node.Writer = w
 		d.OnStop(func() { _ = w.Close() })
 	}
 	c.session = session.New(d.Group, c.book, s.Seeds, c.self)
-	l, err := net.Listen("tcp", s.Wire)
+	l, err := net.Listen("tcp", s.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.Wire)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.TransportAddr)
 	}
-	link.Serve(d.Group, l, c.handle)
+	transport.Serve(d.Group, l, c.handle)
 	c.session.Run()
-	d.Group.Go("list", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(200_000), c.refreshListing) })
-	d.Group.Go("duties", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(100_000), c.renewLeases) })
-	d.Group.Go("engines", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(150_000), c.pollEngines) })
-	d.Group.Go("news", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(200_000), c.followPeers) })
+	d.Group.Go("list", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(200_000), c.refreshListing) })
+	d.Group.Go("duties", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(100_000), c.renewLeases) })
+	d.Group.Go("engines", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(150_000), c.pollEngines) })
+	d.Group.Go("news", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(200_000), c.followPeers) })
 	c.registerMetrics()
 	d.OnDrain(c.releaseLeases)
 	d.SetReady("")
@@ -111,12 +111,12 @@
 func (n *indexNode) self() *fb.NodeT {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	status := &fb.NodeT{Name: n.settings.Name, Role: "custodian", Site: n.settings.Site, Addr: n.settings.Wire, Http: n.settings.HTTP, Inc: n.incarnation, Ready: n.daemon.Ready()}
-	return wire.TellIndexNode(n.node.Node, clock.Now(), status)
+	status := &fb.NodeT{Name: n.settings.Name, Role: "custodian", Site: n.settings.Zone, Addr: n.settings.TransportAddr, Http: n.settings.HTTPAddr, Inc: n.incarnation, Ready: n.daemon.Ready()}
+	return codec.AddIndexNodeStatus(n.node.Node, clock.Now(), status)
 }
 
 // with runs f on the keeper, which is not safe for concurrent use.
-func (n *indexNode) withNode(f func(now int64, k *reel.Keeper)) {
+func (n *indexNode) withNode(f func(now int64, k *replay.IndexNode)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(clock.Now(), n.node)
@@ -154,7 +154,7 @@
 			return index.ListedEngine{Name: x.Name, Addr: x.Addr, Zone: x.Zone, Store: x.Kind == "store", Leaving: x.Leaving}
 		})
 	}
-	n.withNode(func(now int64, k *reel.Keeper) {
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		switch {
 		case err == nil:
 			k.SetListing(now, at, last)
@@ -171,11 +171,11 @@
 	}
 	v := n.session.View()
 	var as []index.LeaseOp
-	n.withNode(func(now int64, k *reel.Keeper) {
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		if v.Plan != nil {
 			k.ApplyPlan(now, &v.Cached)
 		}
-		cs, me := wire.Custodians(v.Nodes, n.settings.Name)
+		cs, me := codec.ReadyIndexNodes(v.Nodes, n.settings.Name)
 		if !me {
 			return // not a member yet: this node's duties may be another's by now
 		}
@@ -194,7 +194,7 @@
 	}
 	at := clock.Now()
 	t, err := n.session.Propose(ctx, &fb.OpAskT{Kind: byte(kind), Key: a.Key, Expect: a.Token, Holder: n.leaseHolder, Term: index.LeaseDuration}, 1_000_000)
-	n.withNode(func(now int64, k *reel.Keeper) {
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		if err != nil {
 			k.LeaseAnswered(now, a, at, false, 0)
 			return
@@ -210,14 +210,14 @@
 // leave gives every duty back, so that others need not wait the leases out: the
 // shards at once, the engines when no order is in use any more (design §10).
 func (n *indexNode) releaseLeases(ctx context.Context) {
-	n.withNode(func(now int64, k *reel.Keeper) { k.SetPeers(now, nil) })
+	n.withNode(func(now int64, k *replay.IndexNode) { k.SetPeers(now, nil) })
 	for idle := false; !idle; {
 		var as []index.LeaseOp
-		n.withNode(func(now int64, k *reel.Keeper) { as, idle = k.LeaseOps(now), k.HoldsNoLeases() })
+		n.withNode(func(now int64, k *replay.IndexNode) { as, idle = k.LeaseOps(now), k.HoldsNoLeases() })
 		for _, a := range as {
 			n.daemon.Group.Go("duty.free", func(ctx context.Context) { n.carryLeaseOp(ctx, a) })
 		}
-		if !idle && !taskgroup.Pause(ctx, 50_000) {
+		if !idle && !taskgroup.Sleep(ctx, 50_000) {
 			return
 		}
 	}
@@ -228,7 +228,7 @@
 func (n *indexNode) pollEngines(context.Context) {
 	var ps []index.Poll
 	var ts []index.WeightUpdate
-	n.withNode(func(now int64, k *reel.Keeper) {
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		ps = k.Polls(now)
 		ts = k.WeightUpdates(now)
 	})
@@ -247,7 +247,7 @@
 			return
 		}
 		parts := lo.FilterMap(w.Blocks, func(s string, _ int) (cacheindex.Key, bool) { return engineapi.ParseKey(s) })
-		n.withNode(func(now int64, k *reel.Keeper) { k.ResetHoldings(now, p.Engine, w.Incarnation, w.Seq, parts) })
+		n.withNode(func(now int64, k *replay.IndexNode) { k.ResetHoldings(now, p.Engine, w.Incarnation, w.Seq, parts) })
 		p.Incarnation, p.AfterSeq = w.Incarnation, w.Seq
 	}
 	at := clock.Now()
@@ -264,13 +264,13 @@
 		v.Block, v.HasBlock = engineapi.ParseKey(e.Block)
 		x.Events = append(x.Events, v)
 	}
-	n.withNode(func(now int64, k *reel.Keeper) { k.ApplyReport(now, at, p.Engine, x) })
+	n.withNode(func(now int64, k *replay.IndexNode) { k.ApplyReport(now, at, p.Engine, x) })
 }
 
 func (n *indexNode) updateWeights(ctx context.Context, t index.WeightUpdate) {
 	// Held still? The engine rejects a lower epoch, but it need not come to that.
 	ok := false
-	n.withNode(func(now int64, k *reel.Keeper) {
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		ep, held := k.HoldsLease(now, index.EngineRole(t.Engine))
 		ok = held && ep == t.FencingToken
 	})
@@ -299,7 +299,7 @@
 	if p.Name == n.settings.Name {
 		return n.answerFeed(q), true
 	}
-	f, err := n.book.At(p.Addr).Call(ctx, &fb.FrameT{NewsAsk: q}, 800_000)
+	f, err := n.book.Get(p.Addr).Call(ctx, &fb.FrameT{NewsAsk: q}, 800_000)
 	if err != nil || f.NewsTell == nil {
 		return nil, false
 	}
@@ -310,12 +310,12 @@
 	var mine []uint16
 	var cur index.Cursor
 	var sites, pushes []string
-	n.withNode(func(now int64, k *reel.Keeper) {
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		mine, cur, sites, pushes = k.HeldShards(now), k.HoldingsCursor(p.Name), k.ServedZones(), k.PrefetchZones(now)
 	})
 	if len(mine) > 0 {
-		if t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: wire.HoldsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}); ok {
-			n.withNode(func(now int64, k *reel.Keeper) { wire.TakeHolds(k.Node, now, p.Name, t) })
+		if t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}); ok {
+			n.withNode(func(now int64, k *replay.IndexNode) { codec.ApplyHoldings(k.Node, now, p.Name, t) })
 		}
 	}
 	for _, s := range pushes {
@@ -323,15 +323,17 @@
 	}
 	for _, s := range sites {
 		var sc index.Cursor
-		n.withNode(func(_ int64, k *reel.Keeper) { sc = *k.ZoneCursor(s, p.Name) })
-		if t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: wire.SiteFeed, Site: s, Inc: sc.Incarnation, Since: sc.Next}); ok {
-			n.withNode(func(_ int64, k *reel.Keeper) { k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), wire.Batch(t)) })
+		n.withNode(func(_ int64, k *replay.IndexNode) { sc = *k.ZoneCursor(s, p.Name) })
+		if t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: sc.Incarnation, Since: sc.Next}); ok {
+			n.withNode(func(_ int64, k *replay.IndexNode) {
+				k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
+			})
 		}
 	}
 }
 
 func (n *indexNode) answerFeed(q *fb.NewsAskT) (t *fb.NewsTellT) {
-	n.withNode(func(_ int64, k *reel.Keeper) { t = wire.NewsTell(k.Node, q) })
+	n.withNode(func(_ int64, k *replay.IndexNode) { t = codec.AnswerUpdates(k.Node, q) })
 	return t
 }
 
@@ -341,14 +343,14 @@
 	n.mu.Lock()
 	cur := n.prefetchCursors[site+"|"+p.Name]
 	n.mu.Unlock()
-	t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: wire.PushFeed, Site: site, Inc: cur.Incarnation, Since: cur.Next})
+	t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.PushFeed, Site: site, Inc: cur.Incarnation, Since: cur.Next})
 	if !ok {
 		return
 	}
 	var ps []index.Prefetch
-	n.withNode(func(now int64, k *reel.Keeper) {
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		n.prefetchCursors[site+"|"+p.Name] = index.Cursor{Incarnation: t.Inc, Next: t.Next}
-		ps = k.Prefetches(now, site, wire.Batch(t), wire.Places(t))
+		ps = k.Prefetches(now, site, codec.UnpackBatch(t), codec.UnpackPlaces(t))
 	})
 	for _, x := range ps {
 		_ = n.http.Post(ctx, x.Addr, "/v1/import", 500_000, engineapi.ImportRequest{Block: engineapi.FormatKey(x.Block), From: x.From, FencingToken: x.FencingToken, WaitUS: 300_000, Weights: x.Weights}, nil)
@@ -374,10 +376,10 @@
 // does not reach itself.
 func (n *indexNode) relay(ctx context.Context, f *fb.FrameT) *fb.FrameT {
 	to, ok := lo.Find(n.session.View().Nodes, func(n *fb.NodeT) bool { return n.Name == f.RoomAsk.To && n.Role == "custodian" })
-	if !ok || to.Addr == n.settings.Wire {
+	if !ok || to.Addr == n.settings.TransportAddr {
 		return nil
 	}
-	answer, err := n.book.At(to.Addr).Call(ctx, &fb.FrameT{RoomAsk: f.RoomAsk}, relayTimeout)
+	answer, err := n.book.Get(to.Addr).Call(ctx, &fb.FrameT{RoomAsk: f.RoomAsk}, relayTimeout)
 	if err != nil || answer.RoomTell == nil {
 		return nil
 	}
@@ -385,29 +387,29 @@
 }
 
 func (n *indexNode) issueGrants(q *fb.RoomAskT) (t *fb.RoomTellT) {
-	n.withNode(func(now int64, k *reel.Keeper) { t = wire.RoomTell(k, now, n.settings.Name, q) })
+	n.withNode(func(now int64, k *replay.IndexNode) { t = codec.AnswerCapacity(k, now, n.settings.Name, q) })
 	return t
 }
 
 func (n *indexNode) registerMetrics() {
-	g := func(name, help string, f func(now int64, k *reel.Keeper) float64) {
+	g := func(name, help string, f func(now int64, k *replay.IndexNode) float64) {
 		n.daemon.Gauge(name, help, func() (v float64) {
-			n.withNode(func(now int64, k *reel.Keeper) { v = f(now, k) })
+			n.withNode(func(now int64, k *replay.IndexNode) { v = f(now, k) })
 			return v
 		})
 	}
-	g("duties_held", "leases held now", func(now int64, k *reel.Keeper) float64 { return float64(len(k.HeldRoles(now))) })
-	g("parts_known", "parts in the shards held here", func(_ int64, k *reel.Keeper) float64 { return float64(k.Directory().Len()) })
-	g("takeovers", "leases newly won", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counters.Takeovers) })
-	g("pushes", "parts ordered to be fetched ahead of need", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counters.Prefetches) })
-	g("resyncs", "times an engine's keeps were read whole", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counters.Resyncs) })
-	g("hand_overs_good", "hand-overs learnt to have worked", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counters.TransfersOK) })
-	g("hand_overs_bad", "hand-overs learnt to have been recomputed", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counters.TransfersFailed) })
-	g("news_changes", "changes to what is kept, at shards held here", func(_ int64, k *reel.Keeper) float64 { return float64(k.Directory().Changes) })
-	g("news_sent", "pieces of hint news queued for followers", func(_ int64, k *reel.Keeper) float64 { return float64(k.UpdatesSent()) })
+	g("duties_held", "leases held now", func(now int64, k *replay.IndexNode) float64 { return float64(len(k.HeldRoles(now))) })
+	g("parts_known", "parts in the shards held here", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Directory().Len()) })
+	g("takeovers", "leases newly won", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.Takeovers) })
+	g("pushes", "parts ordered to be fetched ahead of need", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.Prefetches) })
+	g("resyncs", "times an engine's keeps were read whole", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.Resyncs) })
+	g("hand_overs_good", "hand-overs learnt to have worked", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.TransfersOK) })
+	g("hand_overs_bad", "hand-overs learnt to have been recomputed", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.TransfersFailed) })
+	g("news_changes", "changes to what is kept, at shards held here", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Directory().Changes) })
+	g("news_sent", "pieces of hint news queued for followers", func(_ int64, k *replay.IndexNode) float64 { return float64(k.UpdatesSent()) })
 	n.daemon.Handle("/v1/engines", func(w http.ResponseWriter, _ *http.Request) {
 		var es []index.EngineStatus
-		n.withNode(func(now int64, k *reel.Keeper) { es = k.Engines(now) })
-		base.JSON(w, 200, es)
+		n.withNode(func(now int64, k *replay.IndexNode) { es = k.Engines(now) })
+		daemon.WriteJSON(w, 200, es)
 	})
 }
--- a/internal/app/proxy/export_test.go
+++ b/internal/app/proxy/export_test.go
@@ -8,8 +8,8 @@
 
 	"violetthread/attempt"
 	"violetthread/cacheindex"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
 	"violetthread/placement"
 	"violetthread/route"
 )
@@ -76,8 +76,8 @@
 	u.c.view.Store(&v)
 }
 
-func quietDaemon() *base.Daemon {
-	d := base.Start("proxy", "unattached", "127.0.0.1:0", 0)
+func quietDaemon() *daemon.Daemon {
+	d := daemon.New("proxy", "unattached", "127.0.0.1:0", 0)
 	d.Log = logr.Discard()
 	return d
 }
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -7,8 +7,8 @@
 
 	"violetthread/cacheindex"
 	"violetthread/internal/clock"
+	frames "violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	frames "violetthread/internal/wire"
 	"violetthread/placement"
 	"violetthread/route"
 	"violetthread/schema/fb"
@@ -81,7 +81,7 @@
 		if v.named != nil {
 			named = v.named.Clone()
 		}
-		named.Take(frames.Namings(t, at))
+		named.Take(frames.UnpackVersionAges(t, at))
 		v.named = named
 		v.next = &nextMap{t.Inc, t.Engines, at}
 	}
@@ -111,7 +111,7 @@
 // use, else once the node has looked at the platform's list again. A node that has just
 // started and read no list knows of no engines.
 func (v *view) hearMap(from uint64, at, listAge int64) (engines []*fb.MapEngineT, use bool) {
-	if listAge >= frames.NeverRead {
+	if listAge >= frames.AgeNeverRead {
 		return nil, false
 	}
 	listedAt := at - listAge
@@ -174,7 +174,7 @@
 
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !f.ask(ctx) && !taskgroup.Pause(ctx, 30_000) {
+		if !f.ask(ctx) && !taskgroup.Sleep(ctx, 30_000) {
 			return
 		}
 	}
@@ -247,7 +247,7 @@
 		hold = retryHold
 	}
 	q := &fb.MapAskT{Node: f.c.self(), Inc: f.inc, Have: f.have, Map: f.mapRev, NewsInc: f.newsInc, NewsSince: f.newsNext, Hold: hold, Loads: f.c.loads()}
-	r, err := f.c.book.At(a).Call(ctx, &fb.FrameT{MapAsk: q}, hold+followPatient)
+	r, err := f.c.book.Get(a).Call(ctx, &fb.FrameT{MapAsk: q}, hold+followPatient)
 	if ctx.Err() != nil {
 		return false
 	}
@@ -376,7 +376,7 @@
 			}
 		}
 		l = append(l, &placement.Engine{Keep: keep, ID: e.Id, Pool: e.Pool, Addr: e.Addr, Site: e.Site, Draining: e.Draining,
-			Turning: e.Turning, Down: e.Down, Slots: int(e.Slots), Weights: frames.Weights(e.Weights)})
+			Turning: e.Turning, Down: e.Down, Slots: int(e.Slots), Weights: frames.UnpackWeights(e.Weights)})
 	}
 	c.mu.Lock()
 	c.pick.Map(l, ss)
--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	frames "violetthread/internal/wire"
+	frames "violetthread/internal/codec"
 	"violetthread/placement"
 	"violetthread/route"
 	"violetthread/schema/fb"
@@ -70,8 +70,8 @@
 	use("nothing new", stands(2, 200_000), 101*second+100_000, "")
 	use("a third's older list", told(3, 9*second, "three", 0, 1), 102*second, "")
 	use("the platform is down", stands(3, 13*second), 102*second+nextMapWait+1, "three")
-	use("a node that just started", told(4, frames.NeverRead, "none", 0, 1), 107*second, "")
-	use("and after a while", stands(4, frames.NeverRead), 117*second, "")
+	use("a node that just started", told(4, frames.AgeNeverRead, "none", 0, 1), 107*second, "")
+	use("and after a while", stands(4, frames.AgeNeverRead), 117*second, "")
 	use("once it has looked", told(4, 0, "four", 0, 1), 118*second, "four")
 }
 
@@ -100,7 +100,7 @@
 		config, named int64
 		want          bool
 	}{
-		{true, 300_000, 300_000, false}, {true, 2 * second, 0, true}, {true, 0, 2 * second, true}, {false, 0, 0, true}, {true, 0, frames.NeverRead, true},
+		{true, 300_000, 300_000, false}, {true, 2 * second, 0, true}, {true, 0, 2 * second, true}, {false, 0, 0, true}, {true, 0, frames.AgeNeverRead, true},
 	} {
 		if got := behind(&fb.MapTellT{Known: c.known, Age: c.config, NamedAge: c.named}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
--- a/internal/app/proxy/refusal.go
+++ b/internal/app/proxy/refusal.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"strconv"
 
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 )
 
 // Why a request was refused, lost or cut off. The reason is told to the caller together
@@ -61,5 +61,5 @@
 	if c.d.Stopping() {
 		w.Header().Set("Connection", "close")
 	}
-	base.JSON(w, status, base.Wrong{Reason: reason, Remedy: remedies[reason]})
+	daemon.WriteJSON(w, status, daemon.ErrorResponse{Reason: reason, Remedy: remedies[reason]})
 }
--- a/internal/app/session/session.go
+++ b/internal/app/session/session.go
@@ -12,8 +12,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/plan"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
@@ -35,7 +35,7 @@
 // Session is a node's tie to the control nodes.
 type Session struct {
 	group        *taskgroup.Group
-	book         *link.Book
+	book         *transport.PeerPool
 	self         func() *fb.NodeT
 	seeds        []string
 	mu           sync.Mutex
@@ -45,7 +45,7 @@
 }
 
 // New makes a session; Run starts it. Self tells of this node at each beat.
-func New(c *taskgroup.Group, book *link.Book, seeds []string, self func() *fb.NodeT) *Session {
+func New(c *taskgroup.Group, book *transport.PeerPool, seeds []string, self func() *fb.NodeT) *Session {
 	s := &Session{group: c, book: book, seeds: seeds, self: self}
 	s.view.Store(&View{})
 	return s
@@ -57,7 +57,7 @@
 // Run keeps the session up until the group stops.
 func (s *Session) Run() {
 	s.group.Go("session", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Micros(heartbeatInterval), s.heartbeat)
+		taskgroup.Every(ctx, clock.Duration(heartbeatInterval), s.heartbeat)
 	})
 }
 
@@ -95,7 +95,7 @@
 	for _, a := range s.candidates() {
 		v := s.view.Load()
 		at := clock.Now()
-		r, err := s.book.At(a).Call(ctx, &fb.FrameT{BeatAsk: &fb.BeatAskT{Node: s.self(), Have: v.Revision}}, heartbeatTimeout)
+		r, err := s.book.Get(a).Call(ctx, &fb.FrameT{BeatAsk: &fb.BeatAskT{Node: s.self(), Have: v.Revision}}, heartbeatTimeout)
 		if ctx.Err() != nil {
 			return
 		}
@@ -149,7 +149,7 @@
 			break
 		}
 		cp := *op
-		r, err := s.book.At(as[i%len(as)]).Call(ctx, &fb.FrameT{OpAsk: &cp}, max(1000, min(end-clock.Now(), us/2+1000)))
+		r, err := s.book.Get(as[i%len(as)]).Call(ctx, &fb.FrameT{OpAsk: &cp}, max(1000, min(end-clock.Now(), us/2+1000)))
 		switch {
 		case err != nil:
 			last = err
@@ -165,7 +165,7 @@
 		default:
 			return r.OpTell, nil
 		}
-		if !taskgroup.Pause(ctx, 20_000) {
+		if !taskgroup.Sleep(ctx, 20_000) {
 			break
 		}
 	}
--- a/internal/wire/check.go
+++ b/internal/codec/check.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"encoding/binary"
@@ -25,7 +25,7 @@
 }
 
 // Check verifies that b holds a table shaped like the object type t.
-func Check(b []byte, t reflect.Type) error {
+func Verify(b []byte, t reflect.Type) error {
 	c := &checker{b: b, left: 1 + len(b)/4}
 	if len(b) < 8 {
 		return bad("too short")
--- a/internal/wire/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,5 @@
 // Package wire turns messages into frames and back.
-package wire
+package codec
 
 import (
 	"encoding/binary"
@@ -17,7 +17,7 @@
 )
 
 // MaxFrame bounds a frame before anything is allocated for it.
-const MaxFrame = 32 << 20
+const MaxFrameBytes = 32 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -34,21 +34,21 @@
 
 // Decode unpacks the body of a frame.
 func Decode(d []byte) (*fb.FrameT, error) {
-	if err := Check(d, frameType); err != nil {
+	if err := Verify(d, frameType); err != nil {
 		return nil, err
 	}
 	return fb.GetRootAsFrame(d, 0).UnPack(), nil
 }
 
 // Read takes one frame from r.
-func Read(r io.Reader) (*fb.FrameT, error) {
+func ReadFrame(r io.Reader) (*fb.FrameT, error) {
 	var h [8]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		return nil, err
 	}
 	n := binary.LittleEndian.Uint32(h[:])
-	if n > MaxFrame {
-		return nil, trace.LimitExceeded("a frame of %d bytes is over %d; this is no wire of ours", n, MaxFrame)
+	if n > MaxFrameBytes {
+		return nil, trace.LimitExceeded("a frame of %d bytes is over %d; this is no wire of ours", n, MaxFrameBytes)
 	}
 	d, err := readBody(r, int(n))
 	if err != nil {
@@ -107,7 +107,7 @@
 }
 
 // Settle packs a voters' message.
-func Settle(m quorum.Msg) *fb.FrameT {
+func PackMessage(m quorum.Msg) *fb.FrameT {
 	return &fb.FrameT{Settle: &fb.SettleT{Kind: byte(m.Kind), From: m.From, Inc: m.Inc, Roster: m.Roster,
 		Slot: m.Slot, Epoch: m.Epoch, At: m.At, Prev: ver(m.Prev), Mark: ver(m.Mark), Settled: ver(m.Settled),
 		Joined: m.Joined, First: m.First, Keys: m.Keys, Promised: m.Promised, Era: m.Era, More: m.More,
@@ -118,7 +118,7 @@
 }
 
 // Unsettle unpacks a voters' message.
-func Unsettle(t *fb.SettleT) quorum.Msg {
+func UnpackMessage(t *fb.SettleT) quorum.Msg {
 	return quorum.Msg{Kind: quorum.Kind(t.Kind), From: t.From, Inc: t.Inc, Roster: t.Roster,
 		Slot: t.Slot, Epoch: t.Epoch, At: t.At, Prev: unver(t.Prev), Mark: unver(t.Mark), Settled: unver(t.Settled),
 		Joined: t.Joined, First: t.First, Keys: t.Keys, Promised: t.Promised, Era: t.Era, More: t.More,
@@ -129,13 +129,13 @@
 }
 
 // Rec packs a record for the disk.
-func Rec(r quorum.Rec) []byte {
+func PackRecord(r quorum.Rec) []byte {
 	t := &fb.RecT{Kind: byte(r.Kind), Slot: r.Slot, Epoch: r.Epoch, Mark: ver(r.Mark), Settled: ver(r.Settled)}
 	if r.Kind == quorum.RecEntry || r.Kind == quorum.RecDrop {
 		t.Entry = entry(r.Entry)
 	}
 	if r.Roster != nil {
-		t.Founding = Roster(*r.Roster, 0)
+		t.Founding = PackVoterSet(*r.Roster, 0)
 	}
 	return packRec(t)
 }
@@ -150,11 +150,11 @@
 const kindFounding = 200
 
 // Founding packs the record that tells which fleet a ring belongs to.
-func Founding(f *fb.FoundingT) []byte { return packRec(&fb.RecT{Kind: kindFounding, Founding: f}) }
+func PackFounding(f *fb.FoundingT) []byte { return packRec(&fb.RecT{Kind: kindFounding, Founding: f}) }
 
 // Unrec unpacks what the disk held; founding is set on that record alone.
-func Unrec(d []byte) (r quorum.Rec, founding *fb.FoundingT, err error) {
-	if err := Check(d, recType); err != nil {
+func UnpackRecord(d []byte) (r quorum.Rec, founding *fb.FoundingT, err error) {
+	if err := Verify(d, recType); err != nil {
 		return r, nil, err
 	}
 	t := fb.GetRootAsRec(d, 0).UnPack()
@@ -165,7 +165,7 @@
 		return r, t.Founding, nil
 	}
 	if t.Founding != nil {
-		ro := Unroster(t.Founding)
+		ro := UnpackVoterSet(t.Founding)
 		r.Roster = &ro
 	}
 	return quorum.Rec{Roster: r.Roster, Kind: quorum.RecKind(t.Kind), Slot: t.Slot, Epoch: t.Epoch, Mark: unver(t.Mark),
@@ -173,14 +173,14 @@
 }
 
 // Roster packs a roster, with the incarnation of the disk it lies on.
-func Roster(ro quorum.Roster, inc uint64) *fb.FoundingT {
+func PackVoterSet(ro quorum.Roster, inc uint64) *fb.FoundingT {
 	return &fb.FoundingT{Fleet: ro.Fleet(), Inc: inc, Rev: ro.Rev, Seats: ro.Seats, Voters: lo.Map(ro.Voters, func(v quorum.Voter, _ int) *fb.VoterT {
 		return &fb.VoterT{Name: v.Name, Addr: v.Addr, Inc: v.Inc, Num: v.Num}
 	})}
 }
 
 // Unroster unpacks a roster.
-func Unroster(f *fb.FoundingT) quorum.Roster {
+func UnpackVoterSet(f *fb.FoundingT) quorum.Roster {
 	return quorum.Roster{Rev: f.Rev, Seats: f.Seats, Voters: lo.Map(f.Voters, func(v *fb.VoterT, _ int) quorum.Voter {
 		return quorum.Voter{Name: v.Name, Addr: v.Addr, Inc: v.Inc, Num: v.Num}
 	})}
--- a/internal/wire/desk.go
+++ b/internal/codec/desk.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"slices"
@@ -13,14 +13,14 @@
 
 // The kinds of news feed between index nodes.
 const (
-	HoldsFeed = 1
-	SiteFeed  = 2
-	PushFeed  = 3
+	HoldingsFeed = 1
+	ZoneFeed     = 2
+	PushFeed     = 3
 )
 
 // Custodians picks the ready index nodes out of the members, and tells whether
 // the one named me is among them.
-func Custodians(ns []*fb.NodeT, me string) (cs []index.Peer, in bool) {
+func ReadyIndexNodes(ns []*fb.NodeT, me string) (cs []index.Peer, in bool) {
 	for _, n := range ns {
 		if n.Role == "custodian" && n.Ready {
 			in = in || n.Name == me
@@ -32,7 +32,7 @@
 }
 
 // TellIndexNode adds what an index node's session says of its duties and engines.
-func TellIndexNode(k *index.Node, now int64, n *fb.NodeT) *fb.NodeT {
+func AddIndexNodeStatus(k *index.Node, now int64, n *fb.NodeT) *fb.NodeT {
 	r := k.Reachability(now)
 	n.Duties, n.ListStale, n.Silent, n.Reached = k.HeldRoles(now), r.ListStale, r.Silent, r.Reached
 	return n
@@ -41,12 +41,12 @@
 func key(n *fb.NewsT) cacheindex.Key { return cacheindex.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check} }
 
 // Batch unpacks a feed's answer.
-func Batch(t *fb.NewsTellT) cacheindex.UpdateBatch {
-	return cacheindex.UpdateBatch{Incarnation: t.Inc, Next: t.Next, Reset: t.Reset, Updates: News(t.News)}
+func UnpackBatch(t *fb.NewsTellT) cacheindex.UpdateBatch {
+	return cacheindex.UpdateBatch{Incarnation: t.Inc, Next: t.Next, Reset: t.Reset, Updates: UnpackUpdates(t.News)}
 }
 
 // News unpacks hint news.
-func News(ns []*fb.NewsT) []cacheindex.Update {
+func UnpackUpdates(ns []*fb.NewsT) []cacheindex.Update {
 	return lo.Map(ns, func(n *fb.NewsT, _ int) cacheindex.Update {
 		return cacheindex.Update{Key: key(n), Node: n.Node, Op: cacheindex.UpdateOp(n.Op)}
 	})
@@ -59,11 +59,11 @@
 }
 
 // NewsTell answers another index node out of a keeper's feeds.
-func NewsTell(k *index.Node, q *fb.NewsAskT) *fb.NewsTellT {
+func AnswerUpdates(k *index.Node, q *fb.NewsAskT) *fb.NewsTellT {
 	var b cacheindex.UpdateBatch
 	var ps []index.HolderLocation
 	switch q.Kind {
-	case HoldsFeed:
+	case HoldingsFeed:
 		b, ps = k.HoldingsFeed(q.From, q.Shards, q.Inc, q.Since)
 	case PushFeed:
 		b, ps = k.PrefetchFeed(q.Site, q.Inc, q.Since)
@@ -77,25 +77,25 @@
 }
 
 // TakeHolds gives a keeper the answer of another's holds feed.
-func TakeHolds(k *index.Node, now int64, from string, t *fb.NewsTellT) {
-	k.ApplyHoldings(now, from, Batch(t), Places(t))
+func ApplyHoldings(k *index.Node, now int64, from string, t *fb.NewsTellT) {
+	k.ApplyHoldings(now, from, UnpackBatch(t), UnpackPlaces(t))
 }
 
 // Places unpacks where holders lie.
-func Places(t *fb.NewsTellT) []index.HolderLocation {
+func UnpackPlaces(t *fb.NewsTellT) []index.HolderLocation {
 	return lo.Map(t.Places, func(x *fb.PlaceT, _ int) index.HolderLocation {
 		return index.HolderLocation{NodeID: x.Id, Engine: x.Engine, Zone: x.Site, Store: x.Store}
 	})
 }
 
 // Orderer is a keeper, recorded or not.
-type Orderer interface {
+type GrantSource interface {
 	IssueGrants(now int64, a index.GrantRequest) []index.EngineGrant
 	ProxyFeed(site string, inc, since uint64) (cacheindex.UpdateBatch, bool)
 }
 
 // RoomTell answers a proxy's agent out of a keeper.
-func RoomTell(k Orderer, now int64, name string, q *fb.RoomAskT) *fb.RoomTellT {
+func AnswerCapacity(k GrantSource, now int64, name string, q *fb.RoomAskT) *fb.RoomTellT {
 	a := index.GrantRequest{Proxy: q.Proxy, Zone: q.Site, Demand: map[string]int{}, Active: int(q.Active)}
 	for _, w := range q.Wants {
 		a.Demand[w.Group] += int(w.N)
@@ -129,7 +129,7 @@
 }
 
 // Orders unpacks standing orders; lag is added to the age of each.
-func Orders(os []*fb.OrderT, lag int64) []dispatch.EngineGrant {
+func UnpackGrants(os []*fb.OrderT, lag int64) []dispatch.EngineGrant {
 	return lo.Map(os, func(o *fb.OrderT, _ int) dispatch.EngineGrant {
 		g := map[uint64]int{}
 		for _, x := range o.Grades {
@@ -141,7 +141,7 @@
 }
 
 // FeedAsk packs what a proxy's desk tells its agent.
-func FeedAsk(d *dispatch.Dispatcher, q *fb.FeedAskT) *fb.FeedAskT {
+func FillFeedRequest(d *dispatch.Dispatcher, q *fb.FeedAskT) *fb.FeedAskT {
 	w, a := d.Demand()
 	is, seen := d.TakeReport()
 	q.Active = uint32(a)
@@ -167,7 +167,7 @@
 type Cursor struct{ Inc, Next uint64 }
 
 // TakeNews applies a feed's news to a proxy's table, in order or not at all.
-func TakeNews(t *cacheindex.Table, c Cursor, f *fb.FeedTellT) Cursor {
+func ApplyUpdates(t *cacheindex.Table, c Cursor, f *fb.FeedTellT) Cursor {
 	if f.NewsReset {
 		t.Clear()
 	} else if f.NewsInc != c.Inc || f.NewsAt != c.Next {
--- a/internal/wire/directory.go
+++ b/internal/codec/directory.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"math"
@@ -9,11 +9,11 @@
 
 // NeverRead is the age of what a directory node has not read yet, in microseconds. It is
 // longer than any machine runs.
-const NeverRead = 1 << 50
+const AgeNeverRead = 1 << 50
 
 // Namings reads the ages of weights that a directory node tells. It left that node no
 // sooner than at, in the reader's time, so that no age is taken for less than it is.
-func Namings(t *fb.MapTellT, at int64) *route.Namings {
+func UnpackVersionAges(t *fb.MapTellT, at int64) *route.Namings {
 	n := &route.Namings{}
 	n.Begin(t.NamedEpoch, math.MinInt64)
 	for _, named := range t.Named {
@@ -23,7 +23,7 @@
 }
 
 // Weights reads the version of each model that a map tells of an engine.
-func Weights(told []*fb.ModelAtT) map[string]uint64 {
+func UnpackWeights(told []*fb.ModelAtT) map[string]uint64 {
 	weights := map[string]uint64{}
 	for _, m := range told {
 		weights[m.Model] = m.Version
--- a/internal/wire/record_test.go
+++ b/internal/codec/record_test.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"math/rand"
@@ -13,28 +13,28 @@
 	roster := quorum.Roster{Rev: quorum.Found(5), Voters: []quorum.Voter{{Name: "a", Addr: "10.0.0.1:1", Inc: 3, Num: 1}}}
 	entry := quorum.Entry{Key: "plan", Ver: quorum.Ver{Epoch: 3, Seq: 9}, Rev: 4, Val: []byte("{}")}
 	return [][]byte{
-		Rec(quorum.Rec{Kind: quorum.RecPromise, Slot: 1, Epoch: 65537}),
-		Rec(quorum.Rec{Kind: quorum.RecEntry, Slot: 2, Epoch: 3, Mark: quorum.Ver{Epoch: 3, Seq: 9}, Settled: quorum.Ver{Epoch: 3, Seq: 8}, Entry: entry}),
-		Rec(quorum.Rec{Kind: quorum.RecDrop, Slot: 2, Entry: quorum.Entry{Key: "gone"}}),
-		Rec(quorum.Rec{Kind: quorum.RecJoin, Slot: 2, Epoch: 4, Mark: quorum.Ver{Epoch: 4}}),
-		Rec(quorum.Rec{Kind: quorum.RecRoster, Roster: &roster}),
-		Founding(Roster(roster, 3)),
-		Founding(&fb.FoundingT{Inc: 8}),
+		PackRecord(quorum.Rec{Kind: quorum.RecPromise, Slot: 1, Epoch: 65537}),
+		PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 2, Epoch: 3, Mark: quorum.Ver{Epoch: 3, Seq: 9}, Settled: quorum.Ver{Epoch: 3, Seq: 8}, Entry: entry}),
+		PackRecord(quorum.Rec{Kind: quorum.RecDrop, Slot: 2, Entry: quorum.Entry{Key: "gone"}}),
+		PackRecord(quorum.Rec{Kind: quorum.RecJoin, Slot: 2, Epoch: 4, Mark: quorum.Ver{Epoch: 4}}),
+		PackRecord(quorum.Rec{Kind: quorum.RecRoster, Roster: &roster}),
+		PackFounding(PackVoterSet(roster, 3)),
+		PackFounding(&fb.FoundingT{Inc: 8}),
 	}
 }
 
 // readRecord takes a record of any content in, and a founding's roster with it.
 func readRecord(b []byte) error {
-	rec, founding, err := Unrec(b)
+	rec, founding, err := UnpackRecord(b)
 	if err != nil {
 		return err
 	}
 	if founding != nil {
-		_ = Unroster(founding)
-		_ = Founding(founding)
+		_ = UnpackVoterSet(founding)
+		_ = PackFounding(founding)
 		return nil
 	}
-	_ = Rec(rec)
+	_ = PackRecord(rec)
 	return nil
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/codec/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package codec
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 func samples() []*fb.FrameT {
 	e := quorum.Entry{Key: "plan", Ver: quorum.Ver{Epoch: 3, Seq: 9}, Rev: 4, Val: []byte(`{"weights":"w1"}`)}
 	return []*fb.FrameT{
-		Settle(quorum.Msg{Kind: quorum.SeekOK, From: "a", Inc: 7, Roster: 1, Slot: 3, Epoch: 65537, Mark: quorum.Ver{Epoch: 1, Seq: 2}, Entries: []quorum.Entry{e, e}, Keys: []string{"x", "yy"}}),
-		Settle(quorum.Msg{Kind: quorum.Beat, From: "b", At: -5, Marks: []quorum.Mark{{Slot: 1, Epoch: 2, Last: quorum.Ver{Epoch: 2, Seq: 1}}}}),
+		PackMessage(quorum.Msg{Kind: quorum.SeekOK, From: "a", Inc: 7, Roster: 1, Slot: 3, Epoch: 65537, Mark: quorum.Ver{Epoch: 1, Seq: 2}, Entries: []quorum.Entry{e, e}, Keys: []string{"x", "yy"}}),
+		PackMessage(quorum.Msg{Kind: quorum.Beat, From: "b", At: -5, Marks: []quorum.Mark{{Slot: 1, Epoch: 2, Last: quorum.Ver{Epoch: 2, Seq: 1}}}}),
 		{Ref: 5, RoomTell: &fb.RoomTellT{Custodian: "c", Orders: []*fb.OrderT{{Engine: "e", Addr: "1.2.3.4:5", Room: 3, Grades: []*fb.GradeT{{Peer: 1, Worth: 2}}}}, News: []*fb.NewsT{{Hi: 1, Lo: 2, Op: 1}}}},
 		{BeatTell: &fb.BeatTellT{Rev: 3, Plan: []byte("{}"), Nodes: []*fb.NodeT{{Name: "n", Duties: []string{"duty/shard/1"}}}, Registrars: []string{"a", "b"}}},
 		{NewsAsk: &fb.NewsAskT{From: "x", Shards: []uint16{1, 2, 3}}},
@@ -32,15 +32,15 @@
 	m := quorum.Msg{Kind: quorum.Fill, From: "a", Inc: 1, Roster: 2, Slot: 3, Epoch: 4, At: -5, Prev: quorum.Ver{Epoch: 1}, Mark: quorum.Ver{Seq: 2},
 		Settled: quorum.Ver{Epoch: 8, Seq: 8}, Joined: 6, First: true, Entries: []quorum.Entry{e}, Keys: []string{"q"},
 		Marks: []quorum.Mark{{Slot: 1, Epoch: 2, Last: quorum.Ver{Epoch: 1, Seq: 1}, Settled: quorum.Ver{Epoch: 1, Seq: 0}}}, Promised: 9}
-	f, err := Read(bytes.NewReader(Encode(Settle(m))))
+	f, err := ReadFrame(bytes.NewReader(Encode(PackMessage(m))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := Unsettle(f.Settle); !reflect.DeepEqual(g, m) {
+	if g := UnpackMessage(f.Settle); !reflect.DeepEqual(g, m) {
 		t.Fatalf("%+v became %+v", m, g)
 	}
 	c := quorum.Rec{Kind: quorum.RecEntry, Slot: 5, Epoch: 6, Mark: quorum.Ver{Epoch: 1, Seq: 2}, Settled: quorum.Ver{Epoch: 1, Seq: 1}, Entry: e}
-	if g, _, err := Unrec(Rec(c)); err != nil || !reflect.DeepEqual(g, c) {
+	if g, _, err := UnpackRecord(PackRecord(c)); err != nil || !reflect.DeepEqual(g, c) {
 		t.Fatalf("%+v became %+v, %v", c, g, err)
 	}
 }
@@ -83,11 +83,11 @@
 func TestFrames(t *testing.T) {
 	b := Encode(samples()[0])
 	b[4] ^= 1
-	if _, err := Read(bytes.NewReader(b)); err == nil {
+	if _, err := ReadFrame(bytes.NewReader(b)); err == nil {
 		t.Fatal("a wrong checksum passed")
 	}
 	b[3] = 0xff
-	if n := testing.AllocsPerRun(10, func() { _, _ = Read(bytes.NewReader(b)) }); n > 20 {
+	if n := testing.AllocsPerRun(10, func() { _, _ = ReadFrame(bytes.NewReader(b)) }); n > 20 {
 		t.Fatalf("%v allocations", n)
 	}
 }
@@ -105,17 +105,17 @@
 
 // TestLengthCostsNothing: a length that nothing follows takes no memory, whatever it says.
 func TestLengthCostsNothing(t *testing.T) {
-	b := binary.LittleEndian.AppendUint32(nil, MaxFrame)
+	b := binary.LittleEndian.AppendUint32(nil, MaxFrameBytes)
 	b = append(b, 1, 2, 3, 4, 5)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 10 {
-		if _, err := Read(bytes.NewReader(b)); err == nil {
+		if _, err := ReadFrame(bytes.NewReader(b)); err == nil {
 			t.Fatal("a frame of 1 byte passed for one of 32 MiB")
 		}
 	}
 	runtime.ReadMemStats(&after)
-	if n := after.TotalAlloc - before.TotalAlloc; n > MaxFrame {
+	if n := after.TotalAlloc - before.TotalAlloc; n > MaxFrameBytes {
 		t.Fatalf("%d bytes were allocated for frames of which one byte came", n)
 	}
 }
@@ -125,13 +125,13 @@
 func TestTornFrame(t *testing.T) {
 	whole := Encode(samples()[0])
 	for n := range whole {
-		_, err := Read(bytes.NewReader(whole[:n]))
+		_, err := ReadFrame(bytes.NewReader(whole[:n]))
 		if err == nil || n > 0 && err == io.EOF {
 			t.Errorf("after %d of %d bytes: %v", n, len(whole), err)
 		}
 	}
 	large := Encode(&fb.FrameT{RoomTell: &fb.RoomTellT{Custodian: strings.Repeat("x", 3<<20)}})
-	f, err := Read(iotest.OneByteReader(bytes.NewReader(large)))
+	f, err := ReadFrame(iotest.OneByteReader(bytes.NewReader(large)))
 	if err != nil || len(f.RoomTell.Custodian) != 3<<20 {
 		t.Fatalf("a frame that comes byte by byte: %v", err)
 	}
@@ -144,16 +144,16 @@
 		f.Add(Encode(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		x, err := Read(bytes.NewReader(b))
+		x, err := ReadFrame(bytes.NewReader(b))
 		if err != nil {
 			return
 		}
-		y, err := Read(bytes.NewReader(Encode(x)))
+		y, err := ReadFrame(bytes.NewReader(Encode(x)))
 		if err != nil || !bytes.Equal(Encode(x), Encode(y)) {
 			t.Fatalf("%+v became %+v, %v", x, y, err)
 		}
 		if x.Settle != nil {
-			_ = Settle(Unsettle(x.Settle))
+			_ = PackMessage(UnpackMessage(x.Settle))
 		}
 	})
 }
--- a/internal/base/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-package base
+package daemon
 
 import (
 	"context"
@@ -25,8 +25,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 )
 
 // bareKeys and bareWords find quotes that the library writes and nobody needs;
@@ -37,7 +37,7 @@
 )
 
 // Log makes the log: one line of key=value pairs for each event, on stderr.
-func Log(program, node string) logr.Logger {
+func NewLogger(program, node string) logr.Logger {
 	var mu sync.Mutex
 	return funcr.New(func(_, args string) {
 		mu.Lock()
@@ -72,7 +72,7 @@
 	Program, Name string
 	Group         *taskgroup.Group
 	Log           logr.Logger
-	Vitals        *prometheus.Registry
+	Metrics       *prometheus.Registry
 	srv           *khttp.Server
 	app           atomic.Pointer[kratos.App]
 	ready         atomic.Pointer[string] // why it is not ready; nil when it is
@@ -84,41 +84,41 @@
 }
 
 // Start makes a daemon that will serve HTTP at addr.
-func Start(program, name, addr string, drainUS int64) *Daemon {
-	d := &Daemon{Program: program, Name: name, Log: Log(program, name), Vitals: prometheus.NewRegistry(), drainFor: clock.Micros(drainUS)}
+func New(program, name, addr string, drainUS int64) *Daemon {
+	d := &Daemon{Program: program, Name: name, Log: NewLogger(program, name), Metrics: prometheus.NewRegistry(), drainFor: clock.Duration(drainUS)}
 	d.Group = taskgroup.New(context.Background(), d.Log)
 	d.SetReady("starting")
 	// The library's default of one second would cut streams.
 	d.srv = khttp.NewServer(khttp.Address(addr), khttp.Timeout(0), khttp.NotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		JSON(w, http.StatusNotFound, Wrong{"no-such-path", "see the API page for the paths there are"})
+		WriteJSON(w, http.StatusNotFound, ErrorResponse{"no-such-path", "see the API page for the paths there are"})
 	})), khttp.MethodNotAllowedHandler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		JSON(w, http.StatusMethodNotAllowed, Wrong{"no-such-method", "see the API page for the methods of this path"})
+		WriteJSON(w, http.StatusMethodNotAllowed, ErrorResponse{"no-such-method", "see the API page for the methods of this path"})
 	})))
 	d.srv.ReadHeaderTimeout = 5 * time.Second
 	d.srv.IdleTimeout = 90 * time.Second
 	d.srv.MaxHeaderBytes = 32 << 10
-	d.Handle("/healthz", func(w http.ResponseWriter, _ *http.Request) { JSON(w, 200, map[string]string{"vitals": "ok"}) })
+	d.Handle("/healthz", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, 200, map[string]string{"vitals": "ok"}) })
 	d.Handle("/readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if why := d.ready.Load(); why != nil {
-			JSON(w, http.StatusServiceUnavailable, Wrong{"not-ready", *why})
+			WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{"not-ready", *why})
 			return
 		}
-		JSON(w, 200, map[string]string{"ready": "yes"})
+		WriteJSON(w, 200, map[string]string{"ready": "yes"})
 	})
 	d.traffic()
-	d.Handle("/metrics", promhttp.HandlerFor(d.Vitals, promhttp.HandlerOpts{}).ServeHTTP)
+	d.Handle("/metrics", promhttp.HandlerFor(d.Metrics, promhttp.HandlerOpts{}).ServeHTTP)
 	return d
 }
 
 // traffic shows what went over the process's own wires.
 func (d *Daemon) traffic() {
-	n := func(name, help string, f func(link.Traffic) int64) {
-		d.Counter(name, help, func() float64 { return float64(f(link.Total())) })
+	n := func(name, help string, f func(transport.Traffic) int64) {
+		d.Counter(name, help, func() float64 { return float64(f(transport.TotalTraffic())) })
 	}
-	n("link_sent_bytes_total", "bytes sent to other nodes", func(t link.Traffic) int64 { return t.BytesOut })
-	n("link_received_bytes_total", "bytes taken in from other nodes", func(t link.Traffic) int64 { return t.BytesIn })
-	n("link_sent_frames_total", "frames sent to other nodes", func(t link.Traffic) int64 { return t.FramesOut })
-	n("link_received_frames_total", "frames taken in from other nodes", func(t link.Traffic) int64 { return t.FramesIn })
+	n("link_sent_bytes_total", "bytes sent to other nodes", func(t transport.Traffic) int64 { return t.BytesSent })
+	n("link_received_bytes_total", "bytes taken in from other nodes", func(t transport.Traffic) int64 { return t.BytesReceived })
+	n("link_sent_frames_total", "frames sent to other nodes", func(t transport.Traffic) int64 { return t.FramesSent })
+	n("link_received_frames_total", "frames taken in from other nodes", func(t transport.Traffic) int64 { return t.FramesReceived })
 }
 
 // Handle serves a path.
@@ -129,12 +129,12 @@
 
 // Gauge shows a value as a metric.
 func (d *Daemon) Gauge(name, help string, f func() float64) {
-	d.Vitals.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "violetthread", Name: name, Help: help}, f))
+	d.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "violetthread", Name: name, Help: help}, f))
 }
 
 // Counter shows a growing count as a metric.
 func (d *Daemon) Counter(name, help string, f func() float64) {
-	d.Vitals.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "violetthread", Name: name, Help: help}, f))
+	d.Metrics.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "violetthread", Name: name, Help: help}, f))
 }
 
 // SetReady tells the platform that this process is ready, or why it is not.
@@ -159,7 +159,7 @@
 func (d *Daemon) OnDrain(f func(ctx context.Context)) { d.drain = append(d.drain, f) }
 
 // Failed is why the process ends by itself, nil if it does not.
-func (d *Daemon) Failed() error {
+func (d *Daemon) Failure() error {
 	if failure := d.failure.Load(); failure != nil {
 		return *failure
 	}
@@ -167,7 +167,7 @@
 }
 
 // Profile writes a processor profile until the daemon has stopped.
-func (d *Daemon) Profile(path string) error {
+func (d *Daemon) ProfileCPU(path string) error {
 	if path == "" {
 		return nil
 	}
@@ -206,7 +206,7 @@
 	d.app.Store(app)
 	d.Log.Info("started", "version", Version)
 	var err error
-	if d.Failed() == nil {
+	if d.Failure() == nil {
 		err = app.Run()
 	}
 	d.Group.Stop()
@@ -214,7 +214,7 @@
 		f()
 	}
 	d.Log.Info("stopped")
-	if failure := d.Failed(); failure != nil {
+	if failure := d.Failure(); failure != nil {
 		return failure
 	}
 	return err
@@ -239,13 +239,13 @@
 }
 
 // Wrong is what an HTTP caller gets when it erred or was refused.
-type Wrong struct {
+type ErrorResponse struct {
 	Reason string `json:"reason"`
 	Remedy string `json:"remedy"`
 }
 
 // JSON writes v as the answer.
-func JSON(w http.ResponseWriter, status int, v any) {
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		status, b = 500, []byte(`{"reason":"internal","remedy":"report this"}`)
--- a/internal/base/settings.go
+++ b/internal/daemon/settings.go
@@ -1,5 +1,5 @@
 // Package base is what every program shares: settings, log, HTTP and stopping.
-package base
+package daemon
 
 import (
 	"bytes"
@@ -22,25 +22,25 @@
 const Version = "0.1.0"
 
 // Node is what every daemon must be told.
-type Node struct {
-	Name  string   `json:"name" validate:"required,name" help:"this node's name, unlike any other's"`
-	Site  string   `json:"site" validate:"required,name" help:"the site it stands in"`
-	HTTP  string   `json:"http" validate:"required,ipport" help:"IP:port for HTTP"`
-	Wire  string   `json:"wire" validate:"omitempty,ipport" help:"IP:port for the fleet's own wires"`
-	Seeds []string `json:"seeds" validate:"max=3,dive,ipport" help:"up to three IP:port of registrars, with commas"`
-	Data  string   `json:"data_dir" help:"folder for this node's files"`
-	CPU   string   `json:"cpu_profile" help:"file to write a processor profile to, until the process stops"`
-	Drain int64    `json:"drain_us" validate:"min=0,max=120000000" help:"longest wait for running work on a polite stop"`
+type NodeSettings struct {
+	Name          string   `json:"name" validate:"required,name" help:"this node's name, unlike any other's"`
+	Zone          string   `json:"site" validate:"required,name" help:"the site it stands in"`
+	HTTPAddr      string   `json:"http" validate:"required,ipport" help:"IP:port for HTTP"`
+	TransportAddr string   `json:"wire" validate:"omitempty,ipport" help:"IP:port for the fleet's own wires"`
+	Seeds         []string `json:"seeds" validate:"max=3,dive,ipport" help:"up to three IP:port of registrars, with commas"`
+	DataDir       string   `json:"data_dir" help:"folder for this node's files"`
+	CPUProfile    string   `json:"cpu_profile" help:"file to write a processor profile to, until the process stops"`
+	DrainUS       int64    `json:"drain_us" validate:"min=0,max=120000000" help:"longest wait for running work on a polite stop"`
 }
 
 // Taped is what a daemon that can record a tape must be told.
-type Taped struct {
-	Tape      string `json:"tape" help:"file to record events and decisions on, for dealer replay"`
-	TapeBytes int64  `json:"tape_bytes" validate:"min=4096,max=17179869184" help:"the tape stops at this size"`
+type RecordingSettings struct {
+	Recording      string `json:"tape" help:"file to record events and decisions on, for dealer replay"`
+	RecordingBytes int64  `json:"tape_bytes" validate:"min=4096,max=17179869184" help:"the tape stops at this size"`
 }
 
 // TapeDefaults are the defaults of Taped.
-var TapeDefaults = Taped{TapeBytes: 256 << 20}
+var RecordingDefaults = RecordingSettings{RecordingBytes: 256 << 20}
 
 var nameRE = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
@@ -72,15 +72,15 @@
 // Load fills s, a pointer to a struct with defaults set, from --settings and
 // then from flags. It prints help or the version and leaves when asked to; every
 // mistake is listed in the error.
-func Load(program, about string, s any, args []string) error {
+func LoadSettings(program, about string, s any, args []string) error {
 	p := flaggy.NewParser(program)
 	p.Description, p.Version = about, Version
 	p.ShowCompletion = false
-	Flags(&p.Subcommand, s)
+	DeclareFlags(&p.Subcommand, s)
 	if err := p.ParseArgs(args); err != nil {
 		return trace.BadParameter("flags: %v; see --help", err)
 	}
-	return Fill(s, given[s])
+	return FillSettings(s, given[s])
 }
 
 // FlagSet holds what Flags declared for one settings struct, and what the command line gave.
@@ -92,7 +92,7 @@
 var given = map[any]*FlagSet{}
 
 // Flags declares a flag for every setting of s on a command.
-func Flags(c *flaggy.Subcommand, s any) {
+func DeclareFlags(c *flaggy.Subcommand, s any) {
 	g := &FlagSet{texts: map[string]*string{}}
 	given[s] = g
 	c.String(&g.file, "s", "settings", "JSON file with settings; flags go before it")
@@ -109,7 +109,7 @@
 }
 
 // Given returns what Flags declared for s, for Fill.
-func Given(s any) *FlagSet { return given[s] }
+func DeclaredFlags(s any) *FlagSet { return given[s] }
 
 func show(v reflect.Value) string {
 	if v.IsZero() {
@@ -119,7 +119,7 @@
 }
 
 // Fill reads the file, then the flags, and checks the whole.
-func Fill(s any, g *FlagSet) error {
+func FillSettings(s any, g *FlagSet) error {
 	var wrong []string
 	if g.file != "" {
 		b, err := os.ReadFile(g.file)
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -20,15 +20,15 @@
 	"violetthread/internal/app/control"
 	"violetthread/internal/app/gateway"
 	"violetthread/internal/app/indexnode"
-	"violetthread/internal/base"
 	"violetthread/internal/callerapi"
+	"violetthread/internal/daemon"
 	"violetthread/internal/standin/backend"
 	"violetthread/internal/standin/engine"
 	"violetthread/internal/standin/platform"
 	"violetthread/internal/taskgroup"
 	"violetthread/plan"
 	"violetthread/quorum"
-	"violetthread/tape/reel"
+	"violetthread/recording/replay"
 	"violetthread/wal"
 )
 
@@ -128,12 +128,12 @@
 	platform   string
 	backend    string
 	tapes      []string
-	stop       map[string]*base.Daemon
+	stop       map[string]*daemon.Daemon
 	wg         sync.WaitGroup
 	disks      []*sick // of the registrars
 }
 
-func (r *rig) run(name string, d *base.Daemon, err error) {
+func (r *rig) run(name string, d *daemon.Daemon, err error) {
 	r.t.Helper()
 	if err != nil {
 		r.t.Fatalf("%s: %v", name, err)
@@ -148,7 +148,7 @@
 }
 
 func newRig(t *testing.T) *rig {
-	r := &rig{t: t, stop: map[string]*base.Daemon{}}
+	r := &rig{t: t, stop: map[string]*daemon.Daemon{}}
 	p := ports(t, 32)
 	next := func() string { a := p[0]; p = p[1:]; return a }
 	dir := t.TempDir()
@@ -159,53 +159,53 @@
 	sites := []string{"north", "east", "south", "west"}
 	for i := 0; i < 4; i++ {
 		s := control.Defaults()
-		s.Name, s.Site, s.HTTP, s.Wire, s.Found, s.Data = fmt.Sprint("registrar", i), sites[i], next(), wires[i], true, fmt.Sprintf("%s/r%d", dir, i)
-		s.RingFiles, s.RingBytes, s.Drain = 8, 256<<10, 0
+		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Bootstrap, s.DataDir = fmt.Sprint("registrar", i), sites[i], next(), wires[i], true, fmt.Sprintf("%s/r%d", dir, i)
+		s.LogSegments, s.LogSegmentBytes, s.DrainUS = 8, 256<<10, 0
 		s.Seeds = wires[:3] // the fourth joins
 		s.Disk = func(fs wal.FS) wal.FS {
 			r.disks = append(r.disks, newSick(fs))
 			return r.disks[len(r.disks)-1]
 		}
-		r.registrars = append(r.registrars, s.HTTP)
-		d, err := control.New(s)
+		r.registrars = append(r.registrars, s.HTTPAddr)
+		d, err := control.NewDaemon(s)
 		r.run(s.Name, d, err)
 	}
 	var list []string
 	for i := 0; i < 3; i++ {
 		s := engine.Defaults()
-		s.Name, s.Site, s.HTTP, s.PieceUS, s.FillUS, s.LoadUS, s.Drain = fmt.Sprint("e", i), sites[i], next(), 3_000, 500, 50_000, 0
-		r.engines = append(r.engines, s.HTTP)
-		list = append(list, fmt.Sprintf("%s=%s@%s", s.Name, s.HTTP, s.Site))
+		s.Name, s.Zone, s.HTTPAddr, s.PieceUS, s.FillUS, s.LoadUS, s.DrainUS = fmt.Sprint("e", i), sites[i], next(), 3_000, 500, 50_000, 0
+		r.engines = append(r.engines, s.HTTPAddr)
+		list = append(list, fmt.Sprintf("%s=%s@%s", s.Name, s.HTTPAddr, s.Zone))
 		d, err := engine.New(s)
 		r.run(s.Name, d, err)
 	}
 	r.platform, r.backend = next(), next()
 	ps := platform.Defaults()
-	ps.Name, ps.Site, ps.HTTP, ps.Engines = "platform", "core", r.platform, list
+	ps.Name, ps.Zone, ps.HTTPAddr, ps.Engines = "platform", "core", r.platform, list
 	d, err := platform.New(ps)
 	r.run("platform", d, err)
 	bs := backend.Defaults()
-	bs.Name, bs.Site, bs.HTTP = "backend", "core", r.backend
+	bs.Name, bs.Zone, bs.HTTPAddr = "backend", "core", r.backend
 	d, err = backend.New(bs)
 	r.run("backend", d, err)
 	for i := 0; i < 2; i++ {
 		s := indexnode.Defaults()
-		s.Name, s.Site, s.HTTP, s.Wire, s.Seeds, s.Platform, s.Drain = fmt.Sprint("custodian", i), sites[i], next(), next(), wires[:3], r.platform, 500_000
-		s.Tape = fmt.Sprintf("%s/c%d.tape", dir, i)
-		r.tapes = append(r.tapes, s.Tape)
+		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Seeds, s.Platform, s.DrainUS = fmt.Sprint("custodian", i), sites[i], next(), next(), wires[:3], r.platform, 500_000
+		s.Recording = fmt.Sprintf("%s/c%d.tape", dir, i)
+		r.tapes = append(r.tapes, s.Recording)
 		d, err := indexnode.New(s)
 		r.run(s.Name, d, err)
 	}
 	for i := 0; i < 2; i++ {
 		a := agent.Defaults()
-		a.Name, a.Site, a.HTTP, a.Wire, a.Seeds, a.Drain = fmt.Sprint("remisier", i), sites[i], next(), next(), wires[:3], 0
-		d, err := agent.New(a)
+		a.Name, a.Zone, a.HTTPAddr, a.TransportAddr, a.Seeds, a.DrainUS = fmt.Sprint("remisier", i), sites[i], next(), next(), wires[:3], 0
+		d, err := agent.NewDaemon(a)
 		r.run(a.Name+"-runner", d, err)
 		s := gateway.Defaults()
-		s.Name, s.Site, s.HTTP, s.Agent, s.Drain = a.Name, a.Site, next(), a.Wire, 3_000_000
-		s.Tape = fmt.Sprintf("%s/p%d.tape", dir, i)
-		r.tapes = append(r.tapes, s.Tape)
-		r.proxies = append(r.proxies, s.HTTP)
+		s.Name, s.Zone, s.HTTPAddr, s.Agent, s.DrainUS = a.Name, a.Zone, next(), a.TransportAddr, 3_000_000
+		s.Recording = fmt.Sprintf("%s/p%d.tape", dir, i)
+		r.tapes = append(r.tapes, s.Recording)
+		r.proxies = append(r.proxies, s.HTTPAddr)
 		d, err = gateway.New(s)
 		r.run(s.Name, d, err)
 	}
@@ -490,7 +490,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := reel.Replay(h)
+		n, err := replay.Replay(h)
 		_ = h.Close()
 		if err != nil || n < 20 {
 			t.Errorf("%s: %d events: %v", f, n, err)
@@ -511,11 +511,11 @@
 	r.until("a plan is taken", func() bool { st, _ := r.send("PUT", r.registrars[1]+"/v1/plan", "", nil, body); return st == 200 })
 	owner := func() int {
 		for _, a := range r.registrars {
-			var f control.Fleet
+			var f control.FleetStatus
 			if _, b := r.get(a + "/v1/fleet"); json.Unmarshal([]byte(b), &f) != nil || len(f.Slots) == 0 {
 				continue
 			}
-			o := f.Slots[quorum.SlotOf("plan", len(f.Slots))].Owner
+			o := f.Slots[quorum.SlotOf("plan", len(f.Slots))].Leader
 			for k := range r.registrars {
 				if o == fmt.Sprint("registrar", k) && r.stop[o] != nil {
 					return k
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -22,7 +22,7 @@
 	c := newCore(t, 3)
 	c.until("the fleet is whole", time.Now(), func() bool { return c.whole("a", "b", "c") })
 	c.kill("a")
-	c.m["a"].s.Drain = 1_000_000
+	c.m["a"].s.DrainUS = 1_000_000
 	c.start("a", false)
 	c.until("it is back", time.Now(), func() bool { return c.whole("a", "b", "c") })
 	c.put("b", "plan", "v1")
@@ -38,7 +38,7 @@
 	at = time.Now()
 	c.bound("one of the rest is lost", c.until("its slots are owned", at, func() bool { return c.owned("z") }), 4*time.Second)
 	c.put("z", "plan", "v2")
-	if a := c.m["c"].node.Once(t.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: "plan"}); string(a.Val) != "v2" {
+	if a := c.m["c"].node.ExecuteOnce(t.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: "plan"}); string(a.Val) != "v2" {
 		t.Fatalf("read back: %q, status %d", a.Val, a.Status)
 	}
 }
--- a/internal/scale/index_test.go
+++ b/internal/scale/index_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"violetthread/cacheindex"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/schema/fb"
 )
 
@@ -104,17 +104,17 @@
 	f := snapshot()
 	b.ResetTimer()
 	for range b.N {
-		_ = wire.Encode(f)
+		_ = codec.Encode(f)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/snapshotNews, "ns/news")
-	b.ReportMetric(float64(len(wire.Encode(f)))/snapshotNews, "B/news")
+	b.ReportMetric(float64(len(codec.Encode(f)))/snapshotNews, "B/news")
 }
 
 func BenchmarkTake(b *testing.B) {
-	d := wire.Encode(snapshot())[8:]
+	d := codec.Encode(snapshot())[8:]
 	b.ResetTimer()
 	for range b.N {
-		if _, err := wire.Decode(d); err != nil {
+		if _, err := codec.Decode(d); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -16,8 +16,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 )
 
 // Sample is what one run showed. Figures of a role are a mean over its processes.
@@ -40,7 +40,7 @@
 	if len(s.Controls) != len(s.ControlPids) || len(s.Fronts) != len(s.FrontPids) {
 		return nil, trace.BadParameter("give as many --control-pids as --controls, and as many --front-pids as --fronts")
 	}
-	ctx, stop := context.WithTimeout(context.Background(), clock.Micros(startMost+changeMost+s.Seconds*3_000_000))
+	ctx, stop := context.WithTimeout(context.Background(), clock.Duration(startMost+changeMost+s.Seconds*3_000_000))
 	defer stop()
 	c := taskgroup.New(ctx, log)
 	defer c.Stop()
@@ -68,7 +68,7 @@
 		if f() {
 			return true
 		}
-		if !taskgroup.Pause(ctx, 20_000) {
+		if !taskgroup.Sleep(ctx, 20_000) {
 			return false
 		}
 	}
@@ -97,7 +97,7 @@
 	for i := range s.Proxies {
 		p := NewProxy(r.c, i, fmt.Sprintf("hollow-%04d", i), fmt.Sprintf("zone-%02d", i%zones), s.Wires, r.board, nodes, s.UnderWay)
 		r.c.Go("proxy", p.Run)
-		taskgroup.Pause(ctx, stagger)
+		taskgroup.Sleep(ctx, stagger)
 	}
 	r.c.Go("events", func(ctx context.Context) { r.engines.Run(ctx, s.Events) })
 	whole := until(ctx, startMost, func() bool { return r.board.Ready() == s.Proxies })
@@ -105,7 +105,7 @@
 	if !whole && s.Role != "limit" {
 		return nil, trace.LimitExceeded("%d of %d hollow proxies know all after %d s; give smaller sizes, or --role limit", r.board.Ready(), s.Proxies, startMost/1_000_000)
 	}
-	taskgroup.Pause(ctx, calm)
+	taskgroup.Sleep(ctx, calm)
 	return r.window(ctx, float64(ready)/1000)
 }
 
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l0, e0, p0, v0 := link.Total(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
+	l0, e0, p0, v0 := transport.TotalTraffic(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
 	t0 := clock.Now()
 	var ack, known []int64
 	steps := max(1, s.Changes, s.MapChanges)
@@ -142,10 +142,10 @@
 			}
 		}
 		if d := t0 + s.Seconds*1_000_000*int64(i+1)/int64(steps) - clock.Now(); d > 0 {
-			taskgroup.Pause(ctx, d)
+			taskgroup.Sleep(ctx, d)
 		}
 	}
-	l1, e1, p1, v1 := link.Total(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
+	l1, e1, p1, v1 := transport.TotalTraffic(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
 	t1 := clock.Now()
 	z, err := r.looks(ctx)
 	if err != nil {
@@ -160,7 +160,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n, k := float64(s.Proxies), float64(len(s.Controls))
-	f["hollow.in_bytes_s"], f["hollow.out_bytes_s"] = float64(l1.BytesIn-l0.BytesIn)/sec/n, float64(l1.BytesOut-l0.BytesOut)/sec/n
+	f["hollow.in_bytes_s"], f["hollow.out_bytes_s"] = float64(l1.BytesReceived-l0.BytesReceived)/sec/n, float64(l1.BytesSent-l0.BytesSent)/sec/n
 	f["hollow.asks_s"], f["hollow.news_s"] = float64(b.asks)/sec/n, float64(b.news)/sec/n
 	f["hollow.resets_s"], f["hollow.failed_s"] = float64(b.reset)/sec/n, float64(b.bad)/sec/n
 	f["hollow.ready_ms"], f[configSize] = readyMS, float64(b.bytes)
@@ -225,7 +225,7 @@
 
 // change sends an operator's change to one control node.
 func (r *run) change(ctx context.Context, i int, method string, body []byte) error {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(3_000_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(3_000_000))
 	defer stop()
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+r.s.Controls[i%len(r.s.Controls)]+"/configuration", bytes.NewReader(body))
 	if err != nil {
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -11,8 +11,8 @@
 
 	"violetthread/cacheindex"
 	"violetthread/internal/clock"
-	"violetthread/internal/link"
 	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
 	"violetthread/schema/fb"
 )
 
@@ -23,7 +23,7 @@
 	name, site string
 	inc        uint64
 	seeds      []string
-	book       *link.Book
+	book       *transport.PeerPool
 	board      *Board
 	fars       map[string]*far
 	cur        string
@@ -48,7 +48,7 @@
 
 // NewProxy makes hollow proxy num with under requests under way at engines nodes.
 func NewProxy(c *taskgroup.Group, num int, name, site string, seeds []string, b *Board, nodes []uint64, under int) *Proxy {
-	p := &Proxy{num: num, name: name, site: site, inc: rand.Uint64()>>24 | 1, seeds: seeds, book: link.NewBook(c), board: b, fars: map[string]*far{}}
+	p := &Proxy{num: num, name: name, site: site, inc: rand.Uint64()>>24 | 1, seeds: seeds, book: transport.NewPeerPool(c), board: b, fars: map[string]*far{}}
 	for range under {
 		p.nodes = append(p.nodes, nodes[rand.Intn(len(nodes))])
 	}
@@ -61,7 +61,7 @@
 // Run follows until ctx ends.
 func (p *Proxy) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !p.once(ctx) && !taskgroup.Pause(ctx, afterBad) {
+		if !p.once(ctx) && !taskgroup.Sleep(ctx, afterBad) {
 			return
 		}
 	}
@@ -146,7 +146,7 @@
 	case x.failedLately(now):
 		q.Hold = retryHold
 	}
-	r, err := p.book.At(a).Call(ctx, &fb.FrameT{MapAsk: &q}, q.Hold+followPatient)
+	r, err := p.book.Get(a).Call(ctx, &fb.FrameT{MapAsk: &q}, q.Hold+followPatient)
 	if ctx.Err() != nil {
 		return false
 	}
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -9,14 +9,14 @@
 	"strings"
 	"sync"
 
-	"violetthread/internal/base"
+	"violetthread/internal/daemon"
 )
 
 // Settings of the stand-in back end.
-type Settings struct{ base.Node }
+type Settings struct{ daemon.NodeSettings }
 
 // Defaults of the settings.
-func Defaults() Settings { return Settings{base.Node{}} }
+func Defaults() Settings { return Settings{daemon.NodeSettings{}} }
 
 // Run runs the stand-in until it is told to stop.
 func Run(s Settings) error {
@@ -28,14 +28,14 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
-	d := base.Start("backend", s.Name, s.HTTP, s.Drain)
+func New(s Settings) (*daemon.Daemon, error) {
+	d := daemon.New("backend", s.Name, s.HTTPAddr, s.DrainUS)
 	var mu sync.Mutex
 	calls := map[string]int{}
 	d.Handle("/seen", func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		base.JSON(w, 200, calls)
+		daemon.WriteJSON(w, 200, calls)
 	})
 	d.HandlePrefix("/", func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(io.LimitReader(q.Body, 1<<20))
@@ -45,7 +45,7 @@
 		if strings.HasSuffix(q.URL.Path, "/breaks") {
 			panic(http.ErrAbortHandler) // a back end that struggles: it breaks off
 		}
-		base.JSON(w, 200, map[string]any{"method": q.Method, "path": q.URL.Path, "bytes": len(b)})
+		daemon.WriteJSON(w, 200, map[string]any{"method": q.Method, "path": q.URL.Path, "bytes": len(b)})
 	})
 	d.SetReady("")
 	return d, nil
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -23,8 +23,8 @@
 	"github.com/samber/lo"
 
 	"violetthread/client"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/internal/standin/engine"
 	"violetthread/internal/taskgroup"
@@ -114,7 +114,7 @@
 // Run plays a load and reports. Broken says which must-nevers were broken.
 func Run(s Settings) (*Report, error) {
 	l := &load{s: s, sc: scenarios[s.Scenario], http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	c := taskgroup.New(context.Background(), base.Log("rehearsal", "callers"))
+	c := taskgroup.New(context.Background(), daemon.NewLogger("rehearsal", "callers"))
 	defer c.Stop()
 	rng := rand.New(rand.NewSource(s.Seed))
 	prefix := map[string]string{}
@@ -153,7 +153,7 @@
 			}
 			l.send(ctx, t, prompt)
 		})
-		taskgroup.Pause(c.Context(), int64(rng.ExpFloat64()*1e6/float64(s.Rate)))
+		taskgroup.Sleep(c.Context(), int64(rng.ExpFloat64()*1e6/float64(s.Rate)))
 	}
 	wg.Wait()
 	return l.report()
@@ -231,7 +231,7 @@
 }
 
 func (l *load) call(ctx context.Context, t *Told, prompt string, began int64) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(t.DueUS+10_000_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(t.DueUS+10_000_000))
 	defer stop()
 	ua, err := l.agent(t.Proxy, Key(t.Group))
 	if err != nil {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -15,15 +15,15 @@
 	"sync"
 
 	"violetthread/cacheindex"
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/internal/taskgroup"
 )
 
 // Settings of a stand-in engine or store.
 type Settings struct {
-	base.Node
+	daemon.NodeSettings
 	Store    bool   `json:"store" help:"be the shared store"`
 	StoreAt  string `json:"store_at" help:"IP:port of the store that dropped parts go to"`
 	Room     int    `json:"room" validate:"min=1,max=4096" help:"runs at a time"`
@@ -41,7 +41,7 @@
 
 // Defaults of the settings.
 func Defaults() Settings {
-	return Settings{Node: base.Node{Drain: 5_000_000}, Room: 16, Keep: 4096, FillUS: 4000, MoveUS: 700, PieceUS: 15_000, LoadUS: 1_000_000, Weights: "w1"}
+	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 5_000_000}, Room: 16, Keep: 4096, FillUS: 4000, MoveUS: 700, PieceUS: 15_000, LoadUS: 1_000_000, Weights: "w1"}
 }
 
 // Pieces is how many pieces a run of a kind has; others have eight.
@@ -71,7 +71,7 @@
 
 type engine struct {
 	s       Settings
-	d       *base.Daemon
+	d       *daemon.Daemon
 	http    *engineapi.Client
 	inc     uint64
 	mu      sync.Mutex
@@ -98,7 +98,7 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
+func New(s Settings) (*daemon.Daemon, error) {
 	e, err := newEngine(s)
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	e := &engine{s: s, d: base.Start("engine", s.Name, s.HTTP, s.Drain), http: engineapi.NewClient(), inc: binary.LittleEndian.Uint64(b[:]) >> 1,
+	e := &engine{s: s, d: daemon.New("engine", s.Name, s.HTTPAddr, s.DrainUS), http: engineapi.NewClient(), inc: binary.LittleEndian.Uint64(b[:]) >> 1,
 		kept: map[string]*part{}, lru: list.New(), weights: s.Weights, rng: uint64(s.Seed)*2654435761 + 88172645463325252}
 	e.seen.Name = s.Name
 	e.d.Handle("/v1/run", e.run)
@@ -124,7 +124,7 @@
 	e.d.Handle("/v1/seen", func(w http.ResponseWriter, _ *http.Request) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		base.JSON(w, 200, e.seen)
+		daemon.WriteJSON(w, 200, e.seen)
 	})
 	e.d.SetReady("")
 	return e, nil
@@ -178,17 +178,17 @@
 func (e *engine) put(w http.ResponseWriter, q *http.Request) {
 	var s stored
 	if json.NewDecoder(q.Body).Decode(&s) != nil {
-		base.JSON(w, 400, engineapi.Rejection{Reason: "malformed"})
+		daemon.WriteJSON(w, 400, engineapi.Rejection{Reason: "malformed"})
 		return
 	}
 	e.mu.Lock()
 	e.keep(s.Part, s.Domain, s.Weights)
 	e.mu.Unlock()
-	base.JSON(w, 200, "ok")
+	daemon.WriteJSON(w, 200, "ok")
 }
 
 func (e *engine) refuse(w http.ResponseWriter, status int, why string) {
-	base.JSON(w, status, engineapi.Rejection{Reason: why})
+	daemon.WriteJSON(w, status, engineapi.Rejection{Reason: why})
 }
 
 func (e *engine) run(w http.ResponseWriter, q *http.Request) {
@@ -245,7 +245,7 @@
 			taken, have = n-have, n
 		}
 	}
-	if !taskgroup.Pause(q.Context(), int64(len(r.Blocks)-have)*e.s.FillUS) {
+	if !taskgroup.Sleep(q.Context(), int64(len(r.Blocks)-have)*e.s.FillUS) {
 		return
 	}
 	e.mu.Lock()
@@ -261,7 +261,7 @@
 		n = 8
 	}
 	for i := 0; i < n; i++ {
-		if !taskgroup.Pause(q.Context(), e.s.PieceUS) {
+		if !taskgroup.Sleep(q.Context(), e.s.PieceUS) {
 			return
 		}
 		// Each piece names its run, so that an observer sees a stitched answer.
@@ -333,10 +333,10 @@
 		return
 	}
 	n, _ := strconv.ParseInt(q.URL.Query().Get("parts"), 10, 64)
-	if !taskgroup.Pause(q.Context(), n*e.s.MoveUS) {
+	if !taskgroup.Sleep(q.Context(), n*e.s.MoveUS) {
 		return
 	}
-	base.JSON(w, 200, stored{p.name, p.domain, p.weights})
+	daemon.WriteJSON(w, 200, stored{p.name, p.domain, p.weights})
 }
 
 func (e *engine) imports(w http.ResponseWriter, q *http.Request) {
@@ -353,7 +353,7 @@
 			e.keep(s.Part, s.Domain, s.Weights)
 		}
 		e.mu.Unlock()
-		base.JSON(w, 200, "ok")
+		daemon.WriteJSON(w, 200, "ok")
 	}
 }
 
@@ -376,7 +376,7 @@
 		}
 	}
 	e.mu.Unlock()
-	base.JSON(w, 200, r)
+	daemon.WriteJSON(w, 200, r)
 }
 
 func (e *engine) keeps(w http.ResponseWriter, _ *http.Request) {
@@ -386,7 +386,7 @@
 		k.Blocks = append(k.Blocks, n)
 	}
 	e.mu.Unlock()
-	base.JSON(w, 200, k)
+	daemon.WriteJSON(w, 200, k)
 }
 
 // turn changes weights: nothing new begins, what runs ends under the weights it
@@ -406,7 +406,7 @@
 	}
 	e.epoch = t.FencingToken
 	if t.Weights == e.weights && e.turning == "" || t.Weights == e.turning {
-		base.JSON(w, 200, "ok")
+		daemon.WriteJSON(w, 200, "ok")
 		return
 	}
 	first := e.turning == ""
@@ -414,7 +414,7 @@
 	if first {
 		e.d.Group.Go("turn", e.load)
 	}
-	base.JSON(w, 200, "ok")
+	daemon.WriteJSON(w, 200, "ok")
 }
 
 func (e *engine) load(ctx context.Context) {
@@ -422,7 +422,7 @@
 		e.mu.Lock()
 		name := e.turning
 		e.mu.Unlock()
-		if !taskgroup.Pause(ctx, e.s.LoadUS) {
+		if !taskgroup.Sleep(ctx, e.s.LoadUS) {
 			return
 		}
 		for {
@@ -431,7 +431,7 @@
 				break
 			}
 			e.mu.Unlock()
-			if !taskgroup.Pause(ctx, 5000) {
+			if !taskgroup.Sleep(ctx, 5000) {
 				return
 			}
 		}
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -11,22 +11,22 @@
 
 	"github.com/gravitational/trace"
 
-	"violetthread/internal/base"
 	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/internal/taskgroup"
 )
 
 // Settings of the stand-in platform.
 type Settings struct {
-	base.Node
+	daemon.NodeSettings
 	Engines []string `json:"engines" help:"name=IP:port@site of each engine, with commas"`
 	Store   string   `json:"store" help:"name=IP:port@site of the store"`
 	Nodes   []string `json:"nodes" help:"IP:port of the HTTP side of each node to ask for readiness"`
 }
 
 // Defaults of the settings.
-func Defaults() Settings { return Settings{Node: base.Node{Drain: 0}} }
+func Defaults() Settings { return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 0}} }
 
 type platform struct {
 	mu    sync.Mutex
@@ -54,7 +54,7 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*base.Daemon, error) {
+func New(s Settings) (*daemon.Daemon, error) {
 	p := &platform{since: map[string]int64{}, ready: map[string]bool{}}
 	for _, x := range s.Engines {
 		l, err := listed(x, "engine")
@@ -70,17 +70,17 @@
 		}
 		p.list = append(p.list, l)
 	}
-	d := base.Start("platform", s.Name, s.HTTP, s.Drain)
+	d := daemon.New("platform", s.Name, s.HTTPAddr, s.DrainUS)
 	d.Handle("/v1/engines", p.engines)
 	d.Handle("/v1/mark", p.mark)
 	d.Handle("/v1/ready", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		base.JSON(w, 200, p.ready)
+		daemon.WriteJSON(w, 200, p.ready)
 	})
 	c := engineapi.NewClient()
 	d.Group.Go("ready", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Micros(500_000), func(ctx context.Context) {
+		taskgroup.Every(ctx, clock.Duration(500_000), func(ctx context.Context) {
 			for _, n := range s.Nodes {
 				ok := c.Get(ctx, n, "/readyz", 300_000, nil) == nil
 				p.mu.Lock()
@@ -96,7 +96,7 @@
 func (p *platform) engines(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	base.JSON(w, 200, engineapi.EngineList{Engines: p.list})
+	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: p.list})
 }
 
 // Mark is the body of POST /v1/mark: what became of an engine.
@@ -111,7 +111,7 @@
 func (p *platform) mark(w http.ResponseWriter, q *http.Request) {
 	var m Mark
 	if json.NewDecoder(q.Body).Decode(&m) != nil || m.Name == "" {
-		base.JSON(w, 400, base.Wrong{Reason: "malformed", Remedy: "send name and leaving, gone, or addr and site"})
+		daemon.WriteJSON(w, 400, daemon.ErrorResponse{Reason: "malformed", Remedy: "send name and leaving, gone, or addr and site"})
 		return
 	}
 	p.mu.Lock()
@@ -138,5 +138,5 @@
 		out = append(out, engineapi.ListedEngine{Name: m.Name, Addr: m.Addr, Zone: m.Site, Kind: "engine", Leaving: m.Leaving})
 	}
 	p.list = out
-	base.JSON(w, 200, engineapi.EngineList{Engines: out})
+	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: out})
 }
--- a/internal/link/link.go
+++ b/internal/transport/link.go
@@ -2,7 +2,7 @@
 // sent once and never again: what became of one without an answer is for its sender to find
 // out. An answer reaches the question whose number it bears, on the connection that the
 // question went out on, and no other.
-package link
+package transport
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/schema/fb"
 )
 
@@ -30,12 +30,12 @@
 }
 
 // Traffic counts what this process sent and took in over all of its connections.
-type Traffic struct{ FramesIn, FramesOut, BytesIn, BytesOut int64 }
+type Traffic struct{ FramesReceived, FramesSent, BytesReceived, BytesSent int64 }
 
 var framesIn, framesOut, bytesIn, bytesOut atomic.Int64
 
 // Total is the traffic since the process began.
-func Total() Traffic {
+func TotalTraffic() Traffic {
 	return Traffic{framesIn.Load(), framesOut.Load(), bytesIn.Load(), bytesOut.Load()}
 }
 
@@ -65,7 +65,7 @@
 func writeAll(ctx context.Context, stop func(), conn net.Conn, out <-chan outgoing) {
 	defer stop()
 	for {
-		next, ok := taskgroup.Wait(ctx, out)
+		next, ok := taskgroup.Receive(ctx, out)
 		if !ok {
 			return
 		}
@@ -86,5 +86,5 @@
 func withRef(f *fb.FrameT, ref uint64) []byte {
 	numbered := *f
 	numbered.Ref = ref
-	return wire.Encode(&numbered)
+	return codec.Encode(&numbered)
 }
--- a/internal/link/link_test.go
+++ b/internal/transport/link_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"github.com/go-logr/logr"
 
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/schema/fb"
 )
 
@@ -85,7 +85,7 @@
 func (e *farEnd) serve(c *farConn) {
 	defer c.Close()
 	for !c.over {
-		q, err := wire.Read(c.br)
+		q, err := codec.ReadFrame(c.br)
 		if err != nil {
 			return
 		}
@@ -158,7 +158,7 @@
 				continue
 			}
 			e := newFarEnd(t, g, func(c *farConn, q *fb.FrameT, before int) {
-				whole := wire.Encode(answerTo(q))
+				whole := codec.Encode(answerTo(q))
 				if before > 0 {
 					c.say(whole)
 					return
@@ -196,10 +196,10 @@
 	length := len(withRef(answerTo(question("q-000")), 1))
 	for offset := range length {
 		e := newFarEnd(t, g, func(c *farConn, q *fb.FrameT, before int) {
-			b := wire.Encode(answerTo(q))
+			b := codec.Encode(answerTo(q))
 			if before == 0 {
 				b[offset] ^= 0x55
-				b = append(b, wire.Encode(answerTo(&fb.FrameT{Ref: q.Ref, NewsAsk: &fb.NewsAskT{From: "forged"}}))...)
+				b = append(b, codec.Encode(answerTo(&fb.FrameT{Ref: q.Ref, NewsAsk: &fb.NewsAskT{From: "forged"}}))...)
 			}
 			c.say(b)
 		})
@@ -232,7 +232,7 @@
 			return
 		}
 		for i := len(held) - 1; i >= 0; i-- {
-			c.say(wire.Encode(answerTo(held[i])))
+			c.say(codec.Encode(answerTo(held[i])))
 			c.say(withRef(answerTo(held[0]), held[i].Ref)) // another's, as a second answer
 		}
 	})
@@ -260,7 +260,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, f := range former {
-			c.say(wire.Encode(answerTo(f)))
+			c.say(codec.Encode(answerTo(f)))
 		}
 		former = append(former, q)
 		if before%2 == 0 {
@@ -269,7 +269,7 @@
 			}
 			return // silence
 		}
-		c.say(wire.Encode(answerTo(q)))
+		c.say(codec.Encode(answerTo(q)))
 	})
 	p := NewPeer(g, e.addr)
 	answeredOnes := 0
@@ -297,7 +297,7 @@
 	shared := question("shared")
 	var done sync.WaitGroup
 	for i := range 8 {
-		e := newFarEnd(t, g, func(c *farConn, q *fb.FrameT, _ int) { c.say(wire.Encode(answerTo(q))) })
+		e := newFarEnd(t, g, func(c *farConn, q *fb.FrameT, _ int) { c.say(codec.Encode(answerTo(q))) })
 		p := NewPeer(g, e.addr)
 		done.Add(1)
 		g.Go("ask", func(context.Context) {
@@ -346,12 +346,12 @@
 // A question that was given up meanwhile is not put later.
 func TestNothingWaitsForADial(t *testing.T) {
 	g := newGroup(t)
-	e := newFarEnd(t, g, func(c *farConn, q *fb.FrameT, _ int) { c.say(wire.Encode(answerTo(q))) })
+	e := newFarEnd(t, g, func(c *farConn, q *fb.FrameT, _ int) { c.say(codec.Encode(answerTo(q))) })
 	p := NewPeer(g, e.addr)
 	dialled, release := make(chan struct{}), make(chan struct{})
 	p.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		close(dialled)
-		_, _ = taskgroup.Wait(ctx, release)
+		_, _ = taskgroup.Receive(ctx, release)
 		return dialTCP(ctx, addr)
 	}
 	p.Send(&fb.FrameT{})
@@ -407,7 +407,7 @@
 		changed[n] ^= 0x55
 		send(changed)
 	}
-	for _, length := range []uint32{0, 1, 7, wire.MaxFrame, wire.MaxFrame + 1, 1<<32 - 1} {
+	for _, length := range []uint32{0, 1, 7, codec.MaxFrameBytes, codec.MaxFrameBytes + 1, 1<<32 - 1} {
 		b := append([]byte(nil), whole...)
 		binary.LittleEndian.PutUint32(b, length)
 		send(b)
--- a/internal/link/peer.go
+++ b/internal/transport/peer.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/schema/fb"
 )
 
@@ -103,7 +103,7 @@
 func (s *session) read(conn net.Conn) {
 	r := bufio.NewReaderSize(counted{conn}, readBufferBytes)
 	for {
-		f, err := wire.Read(r)
+		f, err := codec.ReadFrame(r)
 		if err != nil {
 			return
 		}
@@ -137,7 +137,7 @@
 func (p *Peer) Send(f *fb.FrameT) {
 	s, err := p.session()
 	if err == nil {
-		taskgroup.Offer(s.out, outgoing{wire.Encode(f), s.ctx})
+		taskgroup.TrySend(s.out, outgoing{codec.Encode(f), s.ctx})
 	}
 }
 
@@ -149,14 +149,14 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(us))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(us))
 	defer stop()
 	defer context.AfterFunc(s.ctx, stop)() // a connection that ended answers nothing more
 	ref, began := p.newRef(), clock.Now()
 	answer := s.await(ref)
 	defer s.forget(ref)
-	if taskgroup.Give(ctx, s.out, outgoing{withRef(f, ref), ctx}) {
-		if a, ok := taskgroup.Wait(ctx, answer); ok {
+	if taskgroup.Send(ctx, s.out, outgoing{withRef(f, ref), ctx}) {
+		if a, ok := taskgroup.Receive(ctx, answer); ok {
 			return answered(a)
 		}
 	}
@@ -192,17 +192,17 @@
 }
 
 // Book keeps one Peer for each address.
-type Book struct {
+type PeerPool struct {
 	group *taskgroup.Group
 	mu    sync.Mutex
 	peers map[string]*Peer
 }
 
 // NewBook makes an empty book.
-func NewBook(g *taskgroup.Group) *Book { return &Book{group: g, peers: map[string]*Peer{}} }
+func NewPeerPool(g *taskgroup.Group) *PeerPool { return &PeerPool{group: g, peers: map[string]*Peer{}} }
 
 // At returns the peer at addr.
-func (b *Book) At(addr string) *Peer {
+func (b *PeerPool) Get(addr string) *Peer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.peers[addr]
--- a/internal/link/server.go
+++ b/internal/transport/server.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bufio"
@@ -7,8 +7,8 @@
 	"io"
 	"net"
 
+	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
-	"violetthread/internal/wire"
 	"violetthread/schema/fb"
 )
 
@@ -45,7 +45,7 @@
 	r := bufio.NewReaderSize(counted{conn}, readBufferBytes)
 	room := make(chan struct{}, answersAtOnce)
 	for {
-		f, err := wire.Read(r)
+		f, err := codec.ReadFrame(r)
 		if err != nil {
 			if ctx.Err() == nil && !isGone(err) {
 				g.Log().Info("wire_closed", "peer", conn.RemoteAddr().String(), "cause", err.Error())
@@ -57,7 +57,7 @@
 			h(ctx, f) // in order
 			continue
 		}
-		if !taskgroup.Give(ctx, room, struct{}{}) {
+		if !taskgroup.Send(ctx, room, struct{}{}) {
 			return
 		}
 		g.Go("link.answer", func(context.Context) {
@@ -66,7 +66,7 @@
 			if answer == nil {
 				answer = &fb.FrameT{Problem: &fb.ProblemT{Kind: "unhandled", Text: "this process does not answer that"}}
 			}
-			taskgroup.Give(ctx, out, outgoing{withRef(answer, f.Ref), ctx})
+			taskgroup.Send(ctx, out, outgoing{withRef(answer, f.Ref), ctx})
 		})
 	}
 }
--- a/tape/reel/desk.go
+++ b/recording/replay/desk.go
@@ -1,5 +1,5 @@
 // Package reel puts deciding parts on tape and feeds tapes back to them.
-package reel
+package replay
 
 import (
 	"encoding/json"
@@ -8,13 +8,13 @@
 	"violetthread/cacheindex"
 	"violetthread/dispatch"
 	"violetthread/plan"
-	"violetthread/tape"
+	"violetthread/recording"
 )
 
 // Desk is a proxy's desk that records what goes in and what comes out.
-type Desk struct {
+type Dispatcher struct {
 	*dispatch.Dispatcher
-	W *tape.Writer
+	Writer *recording.Writer
 }
 
 // act is a decision as a tape shows it: no prompt, and keys as a count.
@@ -74,80 +74,80 @@
 }
 
 // Plan records and passes on.
-func (r *Desk) ApplyPlan(now int64, h *plan.Cached) []dispatch.Action {
+func (r *Dispatcher) ApplyPlan(now int64, h *plan.Cached) []dispatch.Action {
 	in := planIn{Rev: h.Revision, At: h.ConfirmedAt}
-	if r.W != nil && r.planRev() != h.Revision {
+	if r.Writer != nil && r.planRev() != h.Revision {
 		in.Raw = string(h.Raw)
 	}
 	as := r.Dispatcher.ApplyPlan(now, h.Plan, h.ConfirmedAt)
-	r.W.Put(now, "plan", in, show(as))
+	r.Writer.Record(now, "plan", in, show(as))
 	return as
 }
 
-func (r *Desk) planRev() uint64 { return r.Dispatcher.PlanRevision() }
+func (r *Dispatcher) planRev() uint64 { return r.Dispatcher.PlanRevision() }
 
 // Orders records and passes on.
-func (r *Desk) ApplyGrants(now int64, os []dispatch.EngineGrant) []dispatch.Action {
+func (r *Dispatcher) ApplyGrants(now int64, os []dispatch.EngineGrant) []dispatch.Action {
 	as := r.Dispatcher.ApplyGrants(now, os)
-	r.W.Put(now, "orders", os, show(as))
+	r.Writer.Record(now, "orders", os, show(as))
 	return as
 }
 
 // Arrive records and passes on.
-func (r *Desk) Admit(now int64, t dispatch.Request) ([]dispatch.Action, *dispatch.Rejection) {
+func (r *Dispatcher) Admit(now int64, t dispatch.Request) ([]dispatch.Action, *dispatch.Rejection) {
 	as, no := r.Dispatcher.Admit(now, t)
-	if r.W != nil {
+	if r.Writer != nil {
 		d := show(as)
 		d.Refused = no
 		in := ticketIn{Request: t, Rows: len(t.Chain)}
 		in.Chain = nil
-		r.W.Put(now, "arrive", in, d)
+		r.Writer.Record(now, "arrive", in, d)
 	}
 	return as, no
 }
 
 // Claimed records and passes on.
-func (r *Desk) ClaimAnswered(now int64, ref uint64, c attempt.Claim) []dispatch.Action {
+func (r *Dispatcher) ClaimAnswered(now int64, ref uint64, c attempt.Claim) []dispatch.Action {
 	as := r.Dispatcher.ClaimAnswered(now, ref, c)
-	r.W.Put(now, "claimed", noteIn{Ref: ref, Claim: c}, show(as))
+	r.Writer.Record(now, "claimed", noteIn{Ref: ref, Claim: c}, show(as))
 	return as
 }
 
 // Note records and passes on.
-func (r *Desk) AttemptProgressed(now int64, ref uint64, attempt string, s attempt.State, cause string) []dispatch.Action {
+func (r *Dispatcher) AttemptProgressed(now int64, ref uint64, attempt string, s attempt.State, cause string) []dispatch.Action {
 	as := r.Dispatcher.AttemptProgressed(now, ref, attempt, s, cause)
-	r.W.Put(now, "note", noteIn{ref, attempt, s, 0, cause}, show(as))
+	r.Writer.Record(now, "note", noteIn{ref, attempt, s, 0, cause}, show(as))
 	return as
 }
 
 // Out records and passes on.
-func (r *Desk) AllowFirstByte(now int64, ref uint64, attempt string) bool {
+func (r *Dispatcher) AllowFirstByte(now int64, ref uint64, attempt string) bool {
 	ok := r.Dispatcher.AllowFirstByte(ref, attempt)
-	r.W.Put(now, "out", noteIn{Ref: ref, Attempt: attempt}, decided{Allowed: ok})
+	r.Writer.Record(now, "out", noteIn{Ref: ref, Attempt: attempt}, decided{Allowed: ok})
 	return ok
 }
 
 // Stop records and passes on.
-func (r *Desk) Stop(now int64, ref uint64, why string) []dispatch.Action {
+func (r *Dispatcher) Stop(now int64, ref uint64, why string) []dispatch.Action {
 	as := r.Dispatcher.Stop(now, ref, why)
-	r.W.Put(now, "stop", noteIn{Ref: ref, Why: why}, show(as))
+	r.Writer.Record(now, "stop", noteIn{Ref: ref, Why: why}, show(as))
 	return as
 }
 
 // Tick records and passes on.
-func (r *Desk) Tick(now int64) []dispatch.Action {
+func (r *Dispatcher) Tick(now int64) []dispatch.Action {
 	as := r.Dispatcher.Tick(now)
-	r.W.Put(now, "tick", nil, show(as))
+	r.Writer.Record(now, "tick", nil, show(as))
 	return as
 }
 
 // feedDesk gives a recorded event to a desk again.
-func feedDesk(r *Desk, l tape.Line) (decided, error) {
+func feedDesk(r *Dispatcher, l recording.Event) (decided, error) {
 	var n noteIn
-	switch l.Kind {
+	switch l.Type {
 	case "plan":
 		var in planIn
-		if err := json.Unmarshal(l.In, &in); err != nil {
+		if err := json.Unmarshal(l.Input, &in); err != nil {
 			return decided{}, err
 		}
 		h := &plan.Cached{Revision: in.Rev, ConfirmedAt: in.At, Plan: r.CurrentPlan()}
@@ -158,36 +158,36 @@
 			}
 			h.Plan = p
 		}
-		return show(r.ApplyPlan(l.At, h)), nil
+		return show(r.ApplyPlan(l.TimeUS, h)), nil
 	case "orders":
 		var os []dispatch.EngineGrant
-		if err := json.Unmarshal(l.In, &os); err != nil {
+		if err := json.Unmarshal(l.Input, &os); err != nil {
 			return decided{}, err
 		}
-		return show(r.ApplyGrants(l.At, os)), nil
+		return show(r.ApplyGrants(l.TimeUS, os)), nil
 	case "arrive":
 		var in ticketIn
-		if err := json.Unmarshal(l.In, &in); err != nil {
+		if err := json.Unmarshal(l.Input, &in); err != nil {
 			return decided{}, err
 		}
 		in.Request.Chain = make([]cacheindex.Key, in.Rows)
-		as, no := r.Admit(l.At, in.Request)
+		as, no := r.Admit(l.TimeUS, in.Request)
 		d := show(as)
 		d.Refused = no
 		return d, nil
 	case "tick":
-		return show(r.Tick(l.At)), nil
+		return show(r.Tick(l.TimeUS)), nil
 	}
-	if err := json.Unmarshal(l.In, &n); err != nil {
+	if err := json.Unmarshal(l.Input, &n); err != nil {
 		return decided{}, err
 	}
-	switch l.Kind {
+	switch l.Type {
 	case "claimed":
-		return show(r.ClaimAnswered(l.At, n.Ref, n.Claim)), nil
+		return show(r.ClaimAnswered(l.TimeUS, n.Ref, n.Claim)), nil
 	case "note":
-		return show(r.AttemptProgressed(l.At, n.Ref, n.Attempt, n.State, n.Why)), nil
+		return show(r.AttemptProgressed(l.TimeUS, n.Ref, n.Attempt, n.State, n.Why)), nil
 	case "out":
-		return decided{Allowed: r.AllowFirstByte(l.At, n.Ref, n.Attempt)}, nil
+		return decided{Allowed: r.AllowFirstByte(l.TimeUS, n.Ref, n.Attempt)}, nil
 	}
-	return show(r.Stop(l.At, n.Ref, n.Why)), nil
+	return show(r.Stop(l.TimeUS, n.Ref, n.Why)), nil
 }
--- a/tape/reel/keeper.go
+++ b/recording/replay/keeper.go
@@ -1,4 +1,4 @@
-package reel
+package replay
 
 import (
 	"encoding/json"
@@ -6,15 +6,15 @@
 	"violetthread/cacheindex"
 	"violetthread/index"
 	"violetthread/plan"
-	"violetthread/tape"
+	"violetthread/recording"
 )
 
 // Keeper is an index node's keeper that records what moves its decisions:
 // plans, members, listings, leases, reports and demands in; lease operations,
 // turns to other weights and standing orders out.
-type Keeper struct {
+type IndexNode struct {
 	*index.Node
-	W *tape.Writer
+	Writer *recording.Writer
 }
 
 type heldIn struct {
@@ -43,83 +43,83 @@
 }
 
 // Plan records and passes on.
-func (r *Keeper) ApplyPlan(now int64, h *plan.Cached) {
+func (r *IndexNode) ApplyPlan(now int64, h *plan.Cached) {
 	in := planIn{Rev: h.Revision, At: h.ConfirmedAt}
-	if r.W != nil && r.Node.PlanRevision() != h.Revision {
+	if r.Writer != nil && r.Node.PlanRevision() != h.Revision {
 		in.Raw = string(h.Raw)
 	}
 	r.Node.ApplyPlan(h.Plan, h.ConfirmedAt)
-	r.W.Put(now, "plan", in, nil)
+	r.Writer.Record(now, "plan", in, nil)
 }
 
 // Peers records and passes on.
-func (r *Keeper) SetPeers(now int64, cs []index.Peer) {
+func (r *IndexNode) SetPeers(now int64, cs []index.Peer) {
 	r.Node.SetPeers(cs)
-	r.W.Put(now, "peers", cs, r.Node.Placement())
+	r.Writer.Record(now, "peers", cs, r.Node.Placement())
 }
 
 // Listing records and passes on.
-func (r *Keeper) SetListing(now, at int64, ls []index.ListedEngine) {
+func (r *IndexNode) SetListing(now, at int64, ls []index.ListedEngine) {
 	r.Node.SetListing(at, ls)
-	r.W.Put(now, "listing", listIn{At: at, List: ls}, nil)
+	r.Writer.Record(now, "listing", listIn{At: at, List: ls}, nil)
 }
 
 // ListingStands records and passes on.
-func (r *Keeper) ConfirmListing(now, at int64) {
+func (r *IndexNode) ConfirmListing(now, at int64) {
 	r.Node.ConfirmListing(at)
-	r.W.Put(now, "listing", listIn{At: at, Stands: true}, nil)
+	r.Writer.Record(now, "listing", listIn{At: at, Stands: true}, nil)
 }
 
 // Want records and passes on.
-func (r *Keeper) LeaseOps(now int64) []index.LeaseOp {
+func (r *IndexNode) LeaseOps(now int64) []index.LeaseOp {
 	as := r.Node.LeaseOps(now)
-	r.W.Put(now, "want", nil, as)
+	r.Writer.Record(now, "want", nil, as)
 	return as
 }
 
 // Held records and passes on.
-func (r *Keeper) LeaseAnswered(now int64, a index.LeaseOp, asked int64, ok bool, epoch uint64) {
+func (r *IndexNode) LeaseAnswered(now int64, a index.LeaseOp, asked int64, ok bool, epoch uint64) {
 	r.Node.LeaseAnswered(now, a, asked, ok, epoch)
-	r.W.Put(now, "held", heldIn{a, asked, ok, epoch}, nil)
+	r.Writer.Record(now, "held", heldIn{a, asked, ok, epoch}, nil)
 }
 
 // Polls records and passes on: asking an engine first makes it known.
-func (r *Keeper) Polls(now int64) []index.Poll {
+func (r *IndexNode) Polls(now int64) []index.Poll {
 	ps := r.Node.Polls(now)
-	r.W.Put(now, "polls", nil, ps)
+	r.Writer.Record(now, "polls", nil, ps)
 	return ps
 }
 
 // Turns records and passes on.
-func (r *Keeper) WeightUpdates(now int64) []index.WeightUpdate {
+func (r *IndexNode) WeightUpdates(now int64) []index.WeightUpdate {
 	ts := r.Node.WeightUpdates(now)
-	r.W.Put(now, "turns", nil, ts)
+	r.Writer.Record(now, "turns", nil, ts)
 	return ts
 }
 
 // Whole records and passes on.
-func (r *Keeper) ResetHoldings(now int64, name string, inc, seq uint64, parts []cacheindex.Key) {
+func (r *IndexNode) ResetHoldings(now int64, name string, inc, seq uint64, parts []cacheindex.Key) {
 	r.Node.ResetHoldings(now, name, inc, seq, parts)
-	r.W.Put(now, "whole", wholeIn{name, inc, seq, parts}, nil)
+	r.Writer.Record(now, "whole", wholeIn{name, inc, seq, parts}, nil)
 }
 
 // Reported records and passes on.
-func (r *Keeper) ApplyReport(now, asked int64, name string, x index.Report) {
+func (r *IndexNode) ApplyReport(now, asked int64, name string, x index.Report) {
 	r.Node.ApplyReport(now, asked, name, x)
-	r.W.Put(now, "reported", reportIn{asked, name, x}, nil)
+	r.Writer.Record(now, "reported", reportIn{asked, name, x}, nil)
 }
 
 // Orders records and passes on.
-func (r *Keeper) IssueGrants(now int64, a index.GrantRequest) []index.EngineGrant {
+func (r *IndexNode) IssueGrants(now int64, a index.GrantRequest) []index.EngineGrant {
 	os := r.Node.IssueGrants(now, a)
-	r.W.Put(now, "orders", a, os)
+	r.Writer.Record(now, "orders", a, os)
 	return os
 }
 
 // feedKeeper gives a recorded event to a keeper again.
-func feedKeeper(r *Keeper, l tape.Line) (any, error) {
-	get := func(v any) error { return json.Unmarshal(l.In, v) }
-	switch l.Kind {
+func feedKeeper(r *IndexNode, l recording.Event) (any, error) {
+	get := func(v any) error { return json.Unmarshal(l.Input, v) }
+	switch l.Type {
 	case "plan":
 		var in planIn
 		if err := get(&in); err != nil {
@@ -133,13 +133,13 @@
 			}
 			h.Plan = p
 		}
-		r.ApplyPlan(l.At, h)
+		r.ApplyPlan(l.TimeUS, h)
 	case "peers":
 		var cs []index.Peer
 		if err := get(&cs); err != nil {
 			return nil, err
 		}
-		r.SetPeers(l.At, cs)
+		r.SetPeers(l.TimeUS, cs)
 		return r.Placement(), nil
 	case "listing":
 		var in listIn
@@ -147,40 +147,40 @@
 			return nil, err
 		}
 		if in.Stands {
-			r.ConfirmListing(l.At, in.At)
+			r.ConfirmListing(l.TimeUS, in.At)
 		} else {
-			r.SetListing(l.At, in.At, in.List)
+			r.SetListing(l.TimeUS, in.At, in.List)
 		}
 	case "want":
-		return r.LeaseOps(l.At), nil
+		return r.LeaseOps(l.TimeUS), nil
 	case "held":
 		var in heldIn
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		r.LeaseAnswered(l.At, in.Ask, in.Asked, in.OK, in.Epoch)
+		r.LeaseAnswered(l.TimeUS, in.Ask, in.Asked, in.OK, in.Epoch)
 	case "polls":
-		return r.Polls(l.At), nil
+		return r.Polls(l.TimeUS), nil
 	case "turns":
-		return r.WeightUpdates(l.At), nil
+		return r.WeightUpdates(l.TimeUS), nil
 	case "whole":
 		var in wholeIn
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		r.ResetHoldings(l.At, in.Engine, in.Inc, in.Seq, in.Parts)
+		r.ResetHoldings(l.TimeUS, in.Engine, in.Inc, in.Seq, in.Parts)
 	case "reported":
 		var in reportIn
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		r.ApplyReport(l.At, in.Asked, in.Engine, in.Report)
+		r.ApplyReport(l.TimeUS, in.Asked, in.Engine, in.Report)
 	case "orders":
 		var in index.GrantRequest
 		if err := get(&in); err != nil {
 			return nil, err
 		}
-		return r.IssueGrants(l.At, in), nil
+		return r.IssueGrants(l.TimeUS, in), nil
 	}
 	return nil, nil
 }
--- a/sim/core.go
+++ b/sim/core.go
@@ -4,7 +4,7 @@
 	"errors"
 	"fmt"
 
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 	"violetthread/wal"
@@ -15,7 +15,7 @@
 	w      *World
 	ro     quorum.Roster
 	Nodes  []*Registrar
-	rings  wal.Plan
+	rings  wal.Config
 	era    int64                 // how long an era of claims is the newest
 	term   int64                 // of a slot owner's lease, 0 for the default
 	onNew  func(*Registrar)      // what a fleet adds to a machine
@@ -64,7 +64,7 @@
 }
 
 // A small ring, so that core days write checkpoints.
-var smallRing = wal.Plan{Files: 10, Size: 18 << 10}
+var smallRing = wal.Config{SegmentCount: 10, SegmentBytes: 18 << 10}
 
 // NewCore adds n control nodes.
 func NewCore(w *World, n int) *Core {
@@ -120,7 +120,7 @@
 	r.ring = ring
 	var recs []quorum.Rec
 	for _, b := range raw {
-		c, _, err := wire.Unrec(b)
+		c, _, err := codec.UnpackRecord(b)
 		if err != nil {
 			r.die(err)
 			return
@@ -132,7 +132,7 @@
 	if r.core.term > 0 {
 		p.Term = r.core.term
 	}
-	p.Limit = int(int64(r.core.rings.Files) * r.core.rings.Size / 4)
+	p.Limit = int(int64(r.core.rings.SegmentCount) * r.core.rings.SegmentBytes / 4)
 	r.node = nil
 	if len(r.ro.Voters) > 0 {
 		r.node = quorum.New(p, r.ro, r.Clock(), recs)
@@ -155,7 +155,7 @@
 	}
 	r.Every(p.Beat/4, func() {
 		if r.Dead == nil && r.node != nil {
-			r.node.Tight(r.ring.Used() > 750)
+			r.node.Tight(r.ring.UsedPermille() > 750)
 			r.out(r.node.Tick(r.Clock()))
 			if r.node != nil {
 				r.era = r.node.Open()
@@ -263,7 +263,7 @@
 // in the midst of it: then the old state stands, and it is told again.
 func (r *Registrar) retire() {
 	inc := r.core.newInc()
-	if err := r.ring.Checkpoint([][]byte{wire.Founding(&fb.FoundingT{Inc: inc})}); err != nil {
+	if err := r.ring.Checkpoint([][]byte{codec.PackFounding(&fb.FoundingT{Inc: inc})}); err != nil {
 		r.die(err)
 		return
 	}
@@ -281,7 +281,7 @@
 }
 
 func (r *Registrar) die(err error) {
-	if errors.Is(err, wal.ErrRingFull) && r.node != nil {
+	if errors.Is(err, wal.ErrFull) && r.node != nil {
 		// As the daemon's voter: it begins anew from its disk, with a checkpoint first.
 		r.core.w.Note("%s begins anew: %v", r.Name, err)
 		r.node = nil
@@ -303,7 +303,7 @@
 		r.core.w.Note("%s %s", r.Name, e)
 	}
 	for _, c := range o.Recs {
-		if err := r.ring.Append(wire.Rec(c)); err != nil {
+		if err := r.ring.Append(codec.PackRecord(c)); err != nil {
 			r.die(err)
 			return
 		}
@@ -344,12 +344,12 @@
 	if r.node == nil || r.Dead != nil || r.core.drop != nil && r.core.drop(m) {
 		return
 	}
-	f, err := wire.Decode(wire.Encode(wire.Settle(m))[8:])
+	f, err := codec.Decode(codec.Encode(codec.PackMessage(m))[8:])
 	if err != nil {
 		r.core.w.Wrong("codec", "%v", err)
 		return
 	}
-	r.out(r.node.Recv(r.Clock(), wire.Unsettle(f.Settle)))
+	r.out(r.node.Recv(r.Clock(), codec.UnpackMessage(f.Settle)))
 }
 
 func (r *Registrar) sync() {
@@ -384,12 +384,12 @@
 // makeRoom restates the state before anything else is written, as the daemon does at its
 // start, if the process ended in the midst of a checkpoint.
 func (r *Registrar) makeRoom() error {
-	if r.ring.Used() <= 350 {
+	if r.ring.UsedPermille() <= 350 {
 		return nil
 	}
 	var parts [][]byte
 	for _, c := range r.node.Checkpoint() {
-		parts = append(parts, wire.Rec(c))
+		parts = append(parts, codec.PackRecord(c))
 	}
 	return r.ring.Checkpoint(parts)
 }
@@ -401,14 +401,14 @@
 		return nil
 	}
 	if !r.under {
-		if r.ring.Used() <= 350 {
+		if r.ring.UsedPermille() <= 350 {
 			return nil
 		}
 		r.under, r.parts = true, r.node.Checkpoint()
 		r.core.w.Note("%s begins a checkpoint of %d", r.Name, len(r.parts))
 		r.Ckpts++
 		r.whole = len(r.parts)
-		return r.ring.Begin()
+		return r.ring.BeginCheckpoint()
 	}
 	k := min(len(r.parts), 40)
 	if r.core.checkpointing != nil {
@@ -419,14 +419,14 @@
 	}
 	var recs [][]byte
 	for _, c := range r.parts[:k] {
-		recs = append(recs, wire.Rec(c))
+		recs = append(recs, codec.PackRecord(c))
 	}
 	r.parts = r.parts[k:]
-	if err := r.ring.Part(recs); err != nil || len(r.parts) > 0 {
+	if err := r.ring.AppendCheckpoint(recs); err != nil || len(r.parts) > 0 {
 		return err
 	}
 	r.under = false
-	return r.ring.End()
+	return r.ring.EndCheckpoint()
 }
 
 // PowerLoss cuts a node's power and loses what its disk had not synced.
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -9,7 +9,7 @@
 	"violetthread/cacheindex"
 	"violetthread/dispatch"
 	"violetthread/index"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/quorum"
@@ -59,7 +59,7 @@
 
 // side is what a registrar does beside voting: sessions and the plan's cache.
 type side struct {
-	roll *membership.Roll
+	roll *membership.Sessions
 	held plan.Cached
 }
 
@@ -73,7 +73,7 @@
 	w := NewWorld(seed)
 	f := &Fleet{W: w, Core: NewCore(w, 4), side: map[*Registrar]*side{}}
 	f.Core.era = 4_000_000
-	f.Core.rings = wal.Plan{Files: 16, Size: 64 << 10}
+	f.Core.rings = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
 	f.judge = newJudge(f)
 	f.Platform = w.NewHost("platform", "north", func() {})
 	f.Platform.Start()
@@ -142,7 +142,7 @@
 			})
 		})
 		r.Every(300_000, func() {
-			t := s.roll.Tell(r.Clock())
+			t := s.roll.Announcement(r.Clock())
 			if r.node == nil {
 				return // in no roster yet
 			}
@@ -150,7 +150,7 @@
 				if _, in := r.node.Roster().Find(o.Name); in && o != r {
 					r.Send(o.Host, func() {
 						if x := f.side[o]; x != nil {
-							x.roll.Hear(o.Clock(), t)
+							x.roll.Merge(o.Clock(), t)
 						}
 					})
 				}
@@ -190,7 +190,7 @@
 				return
 			}
 			now := r.Clock()
-			s.roll.Beat(now, q.Node)
+			s.roll.Heartbeat(now, q.Node)
 			t := &fb.BeatTellT{Rev: s.held.Revision, Age: s.held.Age(now), Fresh: s.held.Known, Nodes: s.roll.Live(now), Era: r.era}
 			if t.Rev != q.Have {
 				t.Plan = s.held.Raw
@@ -263,7 +263,7 @@
 	k := c.k
 	f.beat(c.Host, &c.m, func() *fb.NodeT {
 		n := &fb.NodeT{Name: c.Name, Role: "custodian", Site: c.Site, Addr: c.Name, Inc: inc, Ready: !c.leaving}
-		return wire.TellIndexNode(k, c.Clock(), n)
+		return codec.AddIndexNodeStatus(k, c.Clock(), n)
 	}, nil)
 	c.Every(200_000, func() {
 		at := c.Clock()
@@ -279,7 +279,7 @@
 		if c.m.held.Plan != nil {
 			k.ApplyPlan(c.m.held.Plan, c.m.held.ConfirmedAt)
 		}
-		cs, me := wire.Custodians(c.m.nodes, c.Name)
+		cs, me := codec.ReadyIndexNodes(c.m.nodes, c.Name)
 		if !me && !c.leaving {
 			return
 		}
@@ -316,7 +316,7 @@
 // room answers an agent, or passes its question on to the index node that it is for.
 func (c *Custodian) room(q *fb.RoomAskT, reply func(*fb.RoomTellT)) {
 	if q.To == "" || q.To == c.Name {
-		reply(wire.RoomTell(c.k, c.Clock(), c.Name, q))
+		reply(codec.AnswerCapacity(c.k, c.Clock(), c.Name, q))
 		return
 	}
 	if o := c.f.custodian(q.To); o != nil {
@@ -353,7 +353,7 @@
 }
 
 func (c *Custodian) news(k *index.Node) {
-	cs, _ := wire.Custodians(c.m.nodes, c.Name)
+	cs, _ := codec.ReadyIndexNodes(c.m.nodes, c.Name)
 	for _, p := range cs {
 		o := c.f.custodian(p.Name)
 		if o == nil || c.f.W.Rng.Intn(1000) < c.f.MuteNews {
@@ -361,21 +361,21 @@
 		}
 		ask := func(q *fb.NewsAskT, got func(*fb.NewsTellT)) {
 			q.From = c.Name
-			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(wire.NewsTell(o.k, q)) }, got, func() {})
+			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(codec.AnswerUpdates(o.k, q)) }, got, func() {})
 		}
 		if mine := k.HeldShards(c.Clock()); len(mine) > 0 {
 			cur := k.HoldingsCursor(p.Name)
-			ask(&fb.NewsAskT{Kind: wire.HoldsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
 				if k.HoldingsCursor(p.Name) == cur {
-					wire.TakeHolds(k, c.Clock(), p.Name, t)
+					codec.ApplyHoldings(k, c.Clock(), p.Name, t)
 				}
 			})
 		}
 		for _, s := range k.ServedZones() {
 			cur := *k.ZoneCursor(s, p.Name)
-			ask(&fb.NewsAskT{Kind: wire.SiteFeed, Site: s, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
 				if *k.ZoneCursor(s, p.Name) == cur {
-					k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), wire.Batch(t))
+					k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
 				}
 			})
 		}
@@ -416,16 +416,16 @@
 	g := r.g
 	r.f.beat(r.Host, &r.m, func() *fb.NodeT { return r.node }, nil)
 	r.Every(120_000, func() {
-		for _, a := range g.Asks(r.Clock(), r.m.nodes) {
+		for _, a := range g.Queries(r.Clock(), r.m.nodes) {
 			c, at := r.f.custodian(a.Via), r.Clock()
-			Call(r.Host, c.Host, a.Room, 700_000, c.room, func(t *fb.RoomTellT) {
+			Call(r.Host, c.Host, a.Request, 700_000, c.room, func(t *fb.RoomTellT) {
 				if r.f.Unlearnt {
 					for _, o := range t.Orders {
 						o.Grades = nil
 					}
 				}
-				g.Told(a, at, t)
-			}, func() { g.Told(a, at, nil) })
+				g.HandleReply(a, at, t)
+			}, func() { g.HandleReply(a, at, nil) })
 		}
 	})
 }
@@ -438,7 +438,7 @@
 	d      *dispatch.Dispatcher
 	held   plan.Cached
 	table  *cacheindex.Table
-	cur    wire.Cursor
+	cur    codec.Cursor
 	inc    uint64
 	refs   uint64
 	calls  map[uint64]*send
@@ -464,10 +464,10 @@
 func (p *Proxy) start() {
 	f := p.f
 	p.inc = uint64(f.W.Rng.Int63()) >> 24
-	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Cached{}, cacheindex.NewTable(4096), wire.Cursor{}, map[uint64]*send{}
+	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Cached{}, cacheindex.NewTable(4096), codec.Cursor{}, map[uint64]*send{}
 	d := p.d
 	p.Every(100_000, func() {
-		q := wire.FeedAsk(d, &fb.FeedAskT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Site: p.Site, Inc: p.inc, Ready: true},
+		q := codec.FillFeedRequest(d, &fb.FeedAskT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Site: p.Site, Inc: p.inc, Ready: true},
 			Have: p.held.Revision, NewsInc: p.cur.Inc, NewsSince: p.cur.Next})
 		at := p.Clock()
 		r := p.runner
@@ -483,8 +483,8 @@
 			if p.held.Plan != nil {
 				p.carry(d.ApplyPlan(p.Clock(), p.held.Plan, p.held.ConfirmedAt))
 			}
-			p.carry(d.ApplyGrants(p.Clock(), wire.Orders(t.Orders, p.Clock()-at)))
-			p.cur = wire.TakeNews(p.table, p.cur, t)
+			p.carry(d.ApplyGrants(p.Clock(), codec.UnpackGrants(t.Orders, p.Clock()-at)))
+			p.cur = codec.ApplyUpdates(p.table, p.cur, t)
 			f.callerEra = max(f.callerEra, t.Era)
 		}, func() {})
 	})
