--- a/recording/replay/keeper.go
+++ b/recording/replay/indexnode.go
@@ -18,28 +18,29 @@
 }
 
 type heldIn struct {
-	Ask   index.LeaseOp
-	Asked int64
-	OK    bool
-	Epoch uint64
+	Ask   index.LeaseOp `json:"Ask"`
+	Asked int64         `json:"Asked"`
+	OK    bool          `json:"OK"`
+	Epoch uint64        `json:"Epoch"`
 }
 
 type reportIn struct {
-	Asked  int64
-	Engine string
-	Report index.Report
+	Asked  int64        `json:"Asked"`
+	Engine string       `json:"Engine"`
+	Report index.Report `json:"Report"`
 }
 
 type wholeIn struct {
-	Engine   string
-	Inc, Seq uint64
-	Parts    []cacheindex.Key
+	Engine string           `json:"Engine"`
+	Inc    uint64           `json:"Inc"`
+	Seq    uint64           `json:"Seq"`
+	Parts  []cacheindex.Key `json:"Parts"`
 }
 
 type listIn struct {
-	At     int64
-	List   []index.ListedEngine
-	Stands bool `json:",omitempty"`
+	At     int64                `json:"At"`
+	List   []index.ListedEngine `json:"List"`
+	Stands bool                 `json:"Stands,omitempty"`
 }
 
 // Plan records and passes on.
