--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -236,12 +236,12 @@
 		return "claim-unavailable"
 	}
 	switch quorum.Status(f.OpTell.Status) {
-	case quorum.Done:
+	case quorum.StatusDone:
 		g.claimLatency.add(clock.Now() - at)
 		return ""
-	case quorum.Conflict:
+	case quorum.StatusConflict:
 		return "duplicate"
-	case quorum.Closed:
+	case quorum.StatusGenerationClosed:
 		return "era-closed"
 	}
 	return "claim-unavailable"
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -188,9 +188,9 @@
 }
 
 func (n *indexNode) carryLeaseOp(ctx context.Context, a index.LeaseOp) {
-	kind := quorum.OpHold
+	kind := quorum.OpAcquire
 	if a.Release {
-		kind = quorum.OpFree
+		kind = quorum.OpRelease
 	}
 	at := clock.Now()
 	t, err := n.session.Propose(ctx, &fb.OpAskT{Kind: byte(kind), Key: a.Key, Expect: a.Token, Holder: n.leaseHolder, Term: index.LeaseDuration}, 1_000_000)
@@ -199,7 +199,7 @@
 			k.LeaseAnswered(now, a, at, false, 0)
 			return
 		}
-		ok := quorum.Status(t.Status) == quorum.Done
+		ok := quorum.Status(t.Status) == quorum.StatusDone
 		if ok && a.Token != t.Rev && !a.Release {
 			n.daemon.Log.Info("duty", "key", a.Key, "epoch", t.Rev)
 		}
