--- a/internal/app/proxy/export_test.go
+++ b/internal/app/proxy/export_test.go
@@ -7,7 +7,7 @@
 	"github.com/go-logr/logr"
 
 	"violetthread/attempt"
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/placement"
@@ -37,7 +37,7 @@
 		d:      quietDaemon(),
 		door:   door,
 		pool:   newPool(),
-		hints:  hint.NewHolders(64),
+		hints:  cacheindex.NewHolderTable(64),
 		window: map[string]*attempt.Window{},
 		allow:  1e9,
 	}
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sort"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	frames "violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
@@ -351,11 +351,11 @@
 		h.Clear()
 	}
 	for _, n := range t.News {
-		k := hint.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check}
-		if hint.Op(n.Op) == hint.Load {
+		k := cacheindex.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check}
+		if cacheindex.UpdateOp(n.Op) == cacheindex.OpAdd {
 			h.Put(k, n.Node)
 		} else {
-			h.Drop(k, n.Node)
+			h.Remove(k, n.Node)
 		}
 	}
 }
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -17,7 +17,7 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/attempt"
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
@@ -45,7 +45,7 @@
 	inc    uint64
 	view   atomic.Pointer[view]
 	pool   *pool
-	hints  *hint.Holders
+	hints  *cacheindex.HolderTable
 	hintMu sync.Mutex
 	mu     sync.Mutex // of pick and window
 	pick   *placement.Picker
@@ -74,7 +74,7 @@
 	grace := max(s.Bounds.GraceUS-700_000, 1_000_000)
 	d := daemon.New("carrier", s.Name, s.HTTP, grace)
 	c := &carrier{s: s, d: d, door: door, book: transport.NewPeerPool(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
-		pool: newPool(), hints: hint.NewHolders(s.Hints)}
+		pool: newPool(), hints: cacheindex.NewHolderTable(s.Hints)}
 	c.pick = placement.New(s.Site, c.hints)
 	c.window, c.allow = map[string]*attempt.Window{}, 1
 	c.view.Store(&view{})
