--- a/dispatch/desk.go
+++ b/dispatch/desk.go
@@ -76,7 +76,7 @@
 	engineByNode     map[uint64]*engineState
 	requests         map[uint64]*trackedRequest
 	queue            *fairqueue.Queue
-	retryBudget      attempt.Budget
+	retryBudget      attempt.RetryBudget
 	typicalRunUS     map[string]int64
 	claimSeq         uint64
 	Counters         Counters
@@ -122,8 +122,8 @@
 		if r == "" {
 			r = d.updateDomain(w)
 		}
-		if r != "" && w.ledger.Stop == "" {
-			w.ledger.Stop = r
+		if r != "" && w.ledger.StopReason == "" {
+			w.ledger.StopReason = r
 			acts = append(acts, d.advance(now, w)...)
 		}
 	}
@@ -198,7 +198,7 @@
 		}
 		switch {
 		case w.ledger.Ended:
-			if w.ledger.Claim == attempt.Asked && now-w.claimAskedAt > 30_000_000 {
+			if w.ledger.Claim == attempt.ClaimRequested && now-w.claimAskedAt > 30_000_000 {
 				delete(d.requests, w.Ref)
 			}
 			continue
@@ -209,10 +209,10 @@
 		case w.queued && hopeless[ref]:
 			// Given up: answered now, not when its due is near (design §8).
 			acts = append(acts, d.Stop(now, w.Ref, "due-unreachable")...)
-		case w.ledger.Claim == attempt.Asked && now-w.claimAskedAt > claimTimeout:
+		case w.ledger.Claim == attempt.ClaimRequested && now-w.claimAskedAt > claimTimeout:
 			// The claim may yet be granted; this ticket will not use it, and it
 			// stays taken, which errs on the safe side.
-			w.ledger.Claim = attempt.Doubtful
+			w.ledger.Claim = attempt.ClaimUnknown
 			acts = append(acts, d.advance(now, w)...)
 		case w.queued:
 			acts = append(acts, d.advance(now, w)...)
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -126,9 +126,9 @@
 		d.outcomes[l.Engine] = e
 	}
 	switch s {
-	case attempt.Began:
+	case attempt.Started:
 		e.StartUS = now - w.startedAt
-	case attempt.Finished:
+	case attempt.Completed:
 		l.failuresInRow = 0
 		e.Successes++
 	default:
--- a/dispatch/ticket.go
+++ b/dispatch/ticket.go
@@ -28,7 +28,7 @@
 
 type trackedRequest struct {
 	Request
-	ledger        attempt.Ledger
+	ledger        attempt.History
 	claimNonce    string
 	engine        *engineState
 	queued        bool
@@ -55,7 +55,7 @@
 	if !ok || !d.plan.MaySend(w.Group, w.Kind) {
 		return "kind-taken"
 	}
-	if k.Once && !w.ledger.Once && len(w.ledger.Attempts) == 0 {
+	if k.Once && !w.ledger.OnceOnly && len(w.ledger.Attempts) == 0 {
 		d.requireOnce(w)
 		if w.IDFromCaller && w.Generation == 0 {
 			return "era-missing" // its kind became a once-only one while it waited
@@ -67,9 +67,9 @@
 // once makes a ticket run once at most. An id that this proxy made up can't come
 // again, so that it needs no claim: the ledger alone sees to it.
 func (d *Dispatcher) requireOnce(w *trackedRequest) {
-	w.ledger.Once = true
+	w.ledger.OnceOnly = true
 	if !w.IDFromCaller {
-		w.ledger.Claim = attempt.Needless
+		w.ledger.Claim = attempt.ClaimNotNeeded
 	}
 }
 
@@ -80,7 +80,7 @@
 	if d.plan.CacheDomain(w.Group, w.Weights) == w.Domain {
 		return ""
 	}
-	a, live := w.ledger.Live()
+	a, live := w.ledger.InFlight()
 	if live && a.State == attempt.Sent {
 		return "wall-changed"
 	}
@@ -119,7 +119,7 @@
 	if ahead := d.queue.EstimateWait(t.Group, t.Deadline, d.steadyCapacity(room)); now+ahead*5/4+w.expectedUS*2 > t.Deadline && (ahead > 0 || now+w.expectedUS > t.Deadline) {
 		return nil, &Rejection{"due-unreachable", max(ahead, 100_000)}
 	}
-	d.retryBudget.Earn()
+	d.retryBudget.CountRequest()
 	d.claimSeq++
 	w.claimNonce = d.name + "/" + strconv.FormatUint(d.incarnation, 36) + "/" + strconv.FormatUint(d.claimSeq, 36)
 	d.requests[t.Ref] = w
@@ -139,39 +139,39 @@
 	}
 }
 
-func (d *Dispatcher) facts(now int64, w *trackedRequest) attempt.Facts {
+func (d *Dispatcher) facts(now int64, w *trackedRequest) attempt.Conditions {
 	need := int64(1000)
 	if w.queued {
 		need = w.expectedUS
 	}
-	return attempt.Facts{Time: now+need < w.Deadline, Budget: d.retryBudget.Has()}
+	return attempt.Conditions{TimeLeft: now+need < w.Deadline, RetryAllowed: d.retryBudget.Allows()}
 }
 
 // move carries out what the ledger says comes next.
 func (d *Dispatcher) advance(now int64, w *trackedRequest) []Action {
-	if d.plan != nil && w.ledger.Stop == "" {
+	if d.plan != nil && w.ledger.StopReason == "" {
 		if len(w.ledger.Attempts) == 0 && d.PlanAge(now) > MaxPlanAge {
-			w.ledger.Stop = "plan-not-fresh"
+			w.ledger.StopReason = "plan-not-fresh"
 		}
 	}
 	m := w.ledger.Next(d.facts(now, w))
-	switch m.Do {
-	case attempt.Ask:
+	switch m.Action {
+	case attempt.RequestClaim:
 		if w.engine == nil {
 			return nil // still waiting its turn
 		}
-		w.ledger.Claim, w.claimAskedAt = attempt.Asked, now
+		w.ledger.Claim, w.claimAskedAt = attempt.ClaimRequested, now
 		d.Counters.Claims++
 		return []Action{{Type: ActionClaim, Ref: w.Ref, Group: w.Group, RequestID: w.ID, ClaimNonce: w.claimNonce, ClaimKey: w.claimKey()}}
 	case attempt.Assign:
 		return d.startAttempt(now, w, m)
-	case attempt.End:
+	case attempt.Finish:
 		return d.finish(now, w, m)
 	}
 	return nil
 }
 
-func (d *Dispatcher) startAttempt(now int64, w *trackedRequest, m attempt.Move) []Action {
+func (d *Dispatcher) startAttempt(now int64, w *trackedRequest, m attempt.Decision) []Action {
 	if w.engine == nil {
 		if w.queued {
 			return nil
@@ -196,13 +196,13 @@
 	if now-l.confirmedAt > MaxGrantAge || d.PlanAge(now) > MaxPlanAge {
 		d.releaseEngine(w)
 		if d.PlanAge(now) > MaxPlanAge {
-			w.ledger.Stop = "plan-not-fresh"
+			w.ledger.StopReason = "plan-not-fresh"
 			return d.advance(now, w)
 		}
 		return d.startAttempt(now, w, m)
 	}
-	if m.Retry {
-		d.retryBudget.Spend()
+	if m.SpendsRetry {
+		d.retryBudget.CountRetry()
 		d.Counters.Retries++
 	}
 	d.Counters.Attempts++
@@ -238,25 +238,25 @@
 	}
 }
 
-func (d *Dispatcher) finish(now int64, w *trackedRequest, m attempt.Move) []Action {
+func (d *Dispatcher) finish(now int64, w *trackedRequest, m attempt.Decision) []Action {
 	w.ledger.Ended = true
 	var acts []Action
-	if m.Cancel != "" {
-		acts = append(acts, Action{Type: ActionCancelAttempt, Ref: w.Ref, AttemptID: m.Cancel})
+	if m.CancelAttempt != "" {
+		acts = append(acts, Action{Type: ActionCancelAttempt, Ref: w.Ref, AttemptID: m.CancelAttempt})
 	}
-	if m.Release {
+	if m.ReleaseClaim {
 		acts = append(acts, Action{Type: ActionReleaseClaim, Ref: w.Ref, Group: w.Group, RequestID: w.ID, ClaimNonce: w.claimNonce, ClaimKey: w.claimKey()})
 	}
 	switch m.Outcome {
 	case attempt.Done:
 		d.Counters.Done++
-	case attempt.Refused:
+	case attempt.Rejected:
 		d.Counters.Refused++
 	default:
 		d.Counters.Unknown++
 	}
 	end := Action{Type: ActionFinish, Ref: w.Ref, RequestID: w.ID, Outcome: m.Outcome, Reason: m.Reason}
-	if m.Outcome == attempt.Refused {
+	if m.Outcome == attempt.Rejected {
 		end.RetryAfterUS = max(100_000, d.queue.EstimateWait(w.Group, w.Deadline, max(1, d.Capacity(now))))
 	}
 	acts = append(acts, end)
@@ -266,22 +266,22 @@
 		d.queue.Release(w.Group)
 		w.holdsSlot = false
 	}
-	if w.ledger.Claim != attempt.Asked {
+	if w.ledger.Claim != attempt.ClaimRequested {
 		delete(d.requests, w.Ref)
 	}
 	return append(acts, d.fillCapacity(now)...)
 }
 
 // Claimed takes in the answer to a claim.
-func (d *Dispatcher) ClaimAnswered(now int64, ref uint64, c attempt.Claim) []Action {
+func (d *Dispatcher) ClaimAnswered(now int64, ref uint64, c attempt.ClaimState) []Action {
 	w := d.requests[ref]
-	if w == nil || w.ledger.Claim != attempt.Asked {
+	if w == nil || w.ledger.Claim != attempt.ClaimRequested {
 		return nil
 	}
 	w.ledger.Claim = c
 	if w.ledger.Ended {
 		delete(d.requests, ref)
-		if c == attempt.Held {
+		if c == attempt.ClaimGranted {
 			return []Action{{Type: ActionReleaseClaim, Ref: ref, Group: w.Group, RequestID: w.ID, ClaimNonce: w.claimNonce, ClaimKey: w.claimKey()}}
 		}
 		return nil
@@ -292,18 +292,18 @@
 // Note takes in how far an attempt has come.
 func (d *Dispatcher) AttemptProgressed(now int64, ref uint64, id string, s attempt.State, cause string) []Action {
 	w := d.requests[ref]
-	if w == nil || !w.ledger.Note(id, s, cause) {
+	if w == nil || !w.ledger.Record(id, s, cause) {
 		return nil
 	}
 	l := w.engine
 	if l != nil {
 		d.recordOutcome(now, l, w, s, cause)
 	}
-	if s == attempt.Began {
+	if s == attempt.Started {
 		return nil
 	}
 	d.releaseEngine(w)
-	if s == attempt.Finished {
+	if s == attempt.Completed {
 		t := now - w.startedAt
 		if o := d.typicalRunUS[w.Kind]; o > 0 {
 			t = o + (t-o)/8
@@ -320,19 +320,19 @@
 	if w == nil || w.ledger.Ended {
 		return false
 	}
-	if a, ok := w.ledger.Live(); !ok || a.ID != attempt {
+	if a, ok := w.ledger.InFlight(); !ok || a.ID != attempt {
 		return false
 	}
-	w.ledger.Out = true
+	w.ledger.ResponseStarted = true
 	return true
 }
 
 // Stop ends a ticket for a reason.
 func (d *Dispatcher) Stop(now int64, ref uint64, why string) []Action {
 	w := d.requests[ref]
-	if w == nil || w.ledger.Ended || w.ledger.Stop != "" {
+	if w == nil || w.ledger.Ended || w.ledger.StopReason != "" {
 		return nil
 	}
-	w.ledger.Stop = why
+	w.ledger.StopReason = why
 	return d.advance(now, w)
 }
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -68,7 +68,7 @@
 	table          *route.Table
 	rolloutState   rollout.State
 	newestVersions map[string]uint64 // newest version named of each model
-	namings        route.Namings
+	namings        route.Announcements
 
 	listedEngines []Engine
 	listReadAt    int64
--- a/internal/app/directory/news.go
+++ b/internal/app/directory/news.go
@@ -24,11 +24,11 @@
 	node := map[string]uint64{}
 	if d.table != nil {
 		for _, p := range d.table.Stores() {
-			want[storeID(p.Store)], node[storeID(p.Store)] = p.Store, placement.StoreNode(p.Store)
+			want[storeID(p.StoreAddr)], node[storeID(p.StoreAddr)] = p.StoreAddr, placement.StoreHolderID(p.StoreAddr)
 		}
 		for _, e := range d.listedEngines {
 			if p := d.table.Pool(e.Pool); p != nil && len(p.Models) > 0 {
-				want[e.ID], node[e.ID] = e.Addr, placement.EngineNode(e.ID)
+				want[e.ID], node[e.ID] = e.Addr, placement.EngineHolderID(e.ID)
 			}
 		}
 	}
--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -284,7 +284,7 @@
 	}
 	b, err := json.Marshal(body)
 	if err != nil {
-		note(attempt.NeverBegan, "unencodable")
+		note(attempt.NotStarted, "unencodable")
 		return
 	}
 	var wired atomic.Bool // from here on bytes may have gone out
@@ -292,21 +292,21 @@
 	// A reader that can't be rewound keeps the library from sending twice.
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Grant.Addr+"/v1/run", io.NopCloser(bytes.NewReader(b)))
 	if err != nil {
-		note(attempt.NeverBegan, "bad-address")
+		note(attempt.NotStarted, "bad-address")
 		return
 	}
 	q.ContentLength = int64(len(b))
 	q.Header.Set("Content-Type", "application/json")
 	if clock.Now() > a.StartBefore {
-		note(attempt.NeverBegan, "woke-late")
+		note(attempt.NotStarted, "woke-late")
 		return
 	}
 	s, err := g.engineHTTP.Do(q)
 	if err != nil {
 		if !wired.Load() {
-			note(attempt.NeverBegan, "unreachable")
+			note(attempt.NotStarted, "unreachable")
 		} else {
-			note(attempt.Broken, "engine-lost")
+			note(attempt.Interrupted, "engine-lost")
 		}
 		return
 	}
@@ -315,17 +315,17 @@
 		x, _ := io.ReadAll(io.LimitReader(s.Body, 4096))
 		var no engineapi.Rejection
 		if json.Unmarshal(x, &no) == nil && no.Reason != "" {
-			note(attempt.NeverBegan, no.Reason)
+			note(attempt.NotStarted, no.Reason)
 		} else {
-			note(attempt.Broken, "engine-error-"+strconv.Itoa(s.StatusCode))
+			note(attempt.Interrupted, "engine-error-"+strconv.Itoa(s.StatusCode))
 		}
 		return
 	}
 	cause := g.streamRun(c, a, s.Body, note)
 	if cause == "" {
-		note(attempt.Finished, "")
+		note(attempt.Completed, "")
 	} else {
-		note(attempt.Broken, cause)
+		note(attempt.Interrupted, cause)
 	}
 }
 
@@ -345,7 +345,7 @@
 		switch {
 		case l.Began && !began && l.Piece == nil && !l.Done:
 			began = true
-			note(attempt.Began, "")
+			note(attempt.Started, "")
 		case !began || l.Began:
 			return "engine-malformed"
 		case l.Piece != nil && !l.Done:
@@ -413,7 +413,7 @@
 	}
 	g.mu.Lock()
 	g.plainRetryBudget.Permille = p.Limits.RetryPermille
-	g.plainRetryBudget.Earn()
+	g.plainRetryBudget.CountRequest()
 	g.mu.Unlock()
 	for try := 0; ; try++ {
 		s, sent, err := g.sendPlain(ctx, q, e, body)
@@ -437,10 +437,10 @@
 func (g *gateway) spendPlainRetry() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.plainRetryBudget.Has() {
+	if !g.plainRetryBudget.Allows() {
 		return false
 	}
-	g.plainRetryBudget.Spend()
+	g.plainRetryBudget.CountRetry()
 	return true
 }
 
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -61,7 +61,7 @@
 	plainCalls       atomic.Int64 // plain calls under way
 	updateCursor     codec.Cursor
 	claimLatency     latencySum
-	plainRetryBudget attempt.Budget // for calls to app back ends; under mu
+	plainRetryBudget attempt.RetryBudget // for calls to app back ends; under mu
 }
 
 // lats sums how long something took.
@@ -224,7 +224,7 @@
 }
 
 func (g *gateway) claim(ctx context.Context, a dispatch.Action) {
-	s := map[string]attempt.Claim{"": attempt.Held, "duplicate": attempt.Taken, "era-closed": attempt.Closed, "claim-unavailable": attempt.Doubtful}[g.askClaim(ctx, a)]
+	s := map[string]attempt.ClaimState{"": attempt.ClaimGranted, "duplicate": attempt.ClaimTaken, "era-closed": attempt.ClaimClosed, "claim-unavailable": attempt.ClaimUnknown}[g.askClaim(ctx, a)]
 	g.step(func(now int64) []dispatch.Action { return g.dispatcher.ClaimAnswered(now, a.Ref, s) })
 }
 
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -95,7 +95,7 @@
 }
 
 func document(version uint64) []byte {
-	return (&route.Document{Version: version, Text: fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[]}`, version)}).Bytes()
+	return (&route.Document{Version: version, Text: fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[]}`, version)}).Encode()
 }
 
 // TestHollowAsksAsARealOne: a real proxy and a hollow one ask two scripted control nodes
@@ -159,7 +159,7 @@
 		return func() {}
 	})
 	actual := run("real", func(c *taskgroup.Group) func() {
-		d, err := proxy.New(proxy.Settings{Name: "proxy-1", Site: "north", HTTP: free(t), Listen: free(t), Seeds: addrs, Bounds: route.DefaultBounds(), Hints: 64}, platform.Door{})
+		d, err := proxy.New(proxy.Settings{Name: "proxy-1", Zone: "north", HTTP: free(t), Listen: free(t), Seeds: addrs, Bounds: route.DefaultBounds(), HintEntries: 64}, platform.Door{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/recording/replay/dispatcher.go
+++ b/recording/replay/dispatcher.go
@@ -60,11 +60,11 @@
 }
 
 type noteIn struct {
-	Ref     uint64        `json:"ref"`
-	Attempt string        `json:"attempt,omitempty"`
-	State   attempt.State `json:"state,omitempty"`
-	Claim   attempt.Claim `json:"claim,omitempty"`
-	Why     string        `json:"why,omitempty"`
+	Ref     uint64             `json:"ref"`
+	Attempt string             `json:"attempt,omitempty"`
+	State   attempt.State      `json:"state,omitempty"`
+	Claim   attempt.ClaimState `json:"claim,omitempty"`
+	Why     string             `json:"why,omitempty"`
 }
 
 type ticketIn struct {
@@ -107,7 +107,7 @@
 }
 
 // Claimed records and passes on.
-func (r *Dispatcher) ClaimAnswered(now int64, ref uint64, c attempt.Claim) []dispatch.Action {
+func (r *Dispatcher) ClaimAnswered(now int64, ref uint64, c attempt.ClaimState) []dispatch.Action {
 	as := r.Dispatcher.ClaimAnswered(now, ref, c)
 	r.Writer.Record(now, "claimed", noteIn{Ref: ref, Claim: c}, show(as))
 	return as
--- a/sim/engines.go
+++ b/sim/engines.go
@@ -194,7 +194,7 @@
 // broke tells the proxy that the wire broke off.
 func (r *run) broke() {
 	r.ended = true
-	r.reply(500, func() { r.end(attempt.Broken, "engine-lost") })
+	r.reply(500, func() { r.end(attempt.Interrupted, "engine-lost") })
 }
 
 func (r *run) end(s attempt.State, cause string) {
@@ -241,7 +241,7 @@
 		why = "busy"
 	}
 	if why != "" {
-		r.reply(400, func() { r.end(attempt.NeverBegan, why) })
+		r.reply(400, func() { r.end(attempt.NotStarted, why) })
 		return
 	}
 	e.epoch = a.Grant.FencingToken
@@ -282,7 +282,7 @@
 	e.f.Seen.Taken += have - own
 	r.reply(400, func() {
 		if !r.over {
-			r.p.note(a, attempt.Began, "")
+			r.p.note(a, attempt.Started, "")
 		}
 	})
 	fill := vain + int64(len(a.Chain)-have)*4_000
@@ -323,5 +323,5 @@
 		return
 	}
 	r.stop()
-	r.reply(400, func() { r.end(attempt.Finished, "") })
+	r.reply(400, func() { r.end(attempt.Completed, "") })
 }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -528,7 +528,7 @@
 	now := p.Clock()
 	s.due = f.W.now + dueUS // it counts from arrival
 	c := p.held.Plan
-	refused := func(why string) { f.ended(s, attempt.Refused, why) }
+	refused := func(why string) { f.ended(s, attempt.Rejected, why) }
 	if c == nil || p.held.Age(now) > dispatch.MaxPlanAge {
 		refused("plan-not-fresh")
 		return
@@ -606,14 +606,14 @@
 		if a.Type != dispatch.ActionClaim {
 			return
 		}
-		c := map[quorum.Status]attempt.Claim{quorum.StatusDone: attempt.Held, quorum.StatusConflict: attempt.Taken, quorum.StatusGenerationClosed: attempt.Closed}[ans.Status]
-		if c == attempt.Missing {
-			c = attempt.Doubtful
+		c := map[quorum.Status]attempt.ClaimState{quorum.StatusDone: attempt.ClaimGranted, quorum.StatusConflict: attempt.ClaimTaken, quorum.StatusGenerationClosed: attempt.ClaimClosed}[ans.Status]
+		if c == attempt.ClaimNotRequested {
+			c = attempt.ClaimUnknown
 		}
 		p.carry(p.d.ClaimAnswered(p.Clock(), a.Ref, c))
 	}, func() {
 		if a.Type == dispatch.ActionClaim {
-			p.carry(p.d.ClaimAnswered(p.Clock(), a.Ref, attempt.Doubtful))
+			p.carry(p.d.ClaimAnswered(p.Clock(), a.Ref, attempt.ClaimUnknown))
 		}
 	})
 }
@@ -628,15 +628,15 @@
 	s.attempts = append(s.attempts, a.AttemptID)
 	e := f.engine(a.Grant.Addr)
 	if p.Clock() > a.StartBefore {
-		p.After(1, func() { p.note(a, attempt.NeverBegan, "woke-late") })
+		p.After(1, func() { p.note(a, attempt.NotStarted, "woke-late") })
 		return
 	}
 	if e == nil || !e.up {
-		p.After(300, func() { p.note(a, attempt.NeverBegan, "unreachable") })
+		p.After(300, func() { p.note(a, attempt.NotStarted, "unreachable") })
 		return
 	}
 	if e.frozen || f.W.cut[[2]string{p.Name, e.Name}] || f.W.cut[[2]string{e.Name, p.Name}] {
-		p.After(400_000, func() { p.note(a, attempt.NeverBegan, "unreachable") })
+		p.After(400_000, func() { p.note(a, attempt.NotStarted, "unreachable") })
 		return
 	}
 	r := &run{f: f, s: s, p: p, a: a, e: e, life: e.life, plife: p.life}
--- a/sim/judge.go
+++ b/sim/judge.go
@@ -168,7 +168,7 @@
 		if j.done[k]++; onceKinds[s.kind] && j.done[k] > 1 {
 			f.W.Wrong("done twice", "%s", k)
 		}
-	case attempt.Refused:
+	case attempt.Rejected:
 		f.Seen.Refused++
 		if s.pieces > 0 {
 			f.W.Wrong("refused late", "%s was refused after a piece", k)
