--- a/attempt/example_test.go
+++ b/attempt/example_test.go
@@ -7,7 +7,7 @@
 )
 
 // A once-only ticket: claimed, sent, turned away with proof, sent again, lost.
-func ExampleLedger_Next() {
+func ExampleHistory_Next() {
 	l := attempt.History{OnceOnly: true}
 	f := attempt.Conditions{TimeLeft: true, RetryAllowed: true}
 	fmt.Println(l.Next(f).Action == attempt.RequestClaim)
