--- a/index/reports.go
+++ b/index/reports.go
@@ -201,13 +201,20 @@
 
 // Engine is an engine as this custodian sees it, for operators.
 type EngineStatus struct {
-	Name, Addr, Zone, Weights        string
-	FencingToken                     uint64
-	Leaving, Store, HoldingsComplete bool
-	Running, QueueLength, Capacity   int
-	Holdings                         int
-	ReportAge                        int64
-	TransferScores                   map[string]int
+	Name             string         `json:"Name"`
+	Addr             string         `json:"Addr"`
+	Zone             string         `json:"Site"`
+	Weights          string         `json:"Weights"`
+	FencingToken     uint64         `json:"Epoch"`
+	Leaving          bool           `json:"Leaving"`
+	Store            bool           `json:"Store"`
+	HoldingsComplete bool           `json:"Known"`
+	Running          int            `json:"Running"`
+	QueueLength      int            `json:"Queue"`
+	Capacity         int            `json:"Room"`
+	Holdings         int            `json:"Kept"`
+	ReportAge        int64          `json:"ReportAge"`
+	TransferScores   map[string]int `json:"HandOver"`
 }
 
 // Engines lists the engines owned now.
