--- a/attempt/example_test.go
+++ b/attempt/example_test.go
@@ -6,20 +6,20 @@
 	"violetthread/attempt"
 )
 
-// A once-only ticket: claimed, sent, turned away with proof, sent again, lost.
+// A once-only request: claimed, sent, rejected with proof, sent again, lost.
 func ExampleHistory_Next() {
-	l := attempt.History{OnceOnly: true}
-	f := attempt.Conditions{TimeLeft: true, RetryAllowed: true}
-	fmt.Println(l.Next(f).Action == attempt.RequestClaim)
-	l.Claim = attempt.ClaimGranted
-	l.Attempts = append(l.Attempts, attempt.Attempt{ID: "1", State: attempt.Sent})
-	l.Record("1", attempt.NotStarted, "busy")
-	m := l.Next(f)
-	fmt.Println(m.Action == attempt.Assign, m.SpendsRetry)
-	l.Attempts = append(l.Attempts, attempt.Attempt{ID: "2", State: attempt.Sent})
-	l.Record("2", attempt.Interrupted, "engine-lost")
-	m = l.Next(f)
-	fmt.Println(m.Action == attempt.Finish, m.Outcome, m.Reason)
+	h := attempt.History{OnceOnly: true}
+	conditions := attempt.Conditions{TimeLeft: true, RetryAllowed: true}
+	fmt.Println(h.Next(conditions).Action == attempt.RequestClaim)
+	h.Claim = attempt.ClaimGranted
+	h.Attempts = append(h.Attempts, attempt.Attempt{ID: "1", State: attempt.Sent})
+	h.Record("1", attempt.NotStarted, "busy")
+	decision := h.Next(conditions)
+	fmt.Println(decision.Action == attempt.Assign, decision.SpendsRetry)
+	h.Attempts = append(h.Attempts, attempt.Attempt{ID: "2", State: attempt.Sent})
+	h.Record("2", attempt.Interrupted, "engine-lost")
+	decision = h.Next(conditions)
+	fmt.Println(decision.Action == attempt.Finish, decision.Outcome, decision.Reason)
 	// Output:
 	// true
 	// true true
