--- a/route/namings.go
+++ b/route/announcements.go
@@ -5,34 +5,36 @@
 	"slices"
 )
 
-// namingsKept is how many versions of a model are kept: who lags behind an older naming
-// is late by that one, whatever was named since.
+// maxAnnouncedVersions is how many versions of a model are remembered: an engine that lags
+// behind an older version is late by that one, whatever was announced since.
 const maxAnnouncedVersions = 8
 
-// Namings holds since when versions of weights are known to be named, in the time of the
-// node that keeps it. An age that is too small would let requests begin on weights that
-// are out of date, so that within an epoch the earliest time that was heard stays.
+// Announcements tell since when versions of weights are known to be announced, in the time of
+// the node that keeps it (monotonic microseconds). An age that is too small would let requests
+// begin on outdated weights, so that within a term the earliest time that was observed stays.
 //
-// An epoch is a hold of the duty of weights. When the duty changes hands the core was
-// unsettled, and the bound on weights counts anew from there.
+// A term is one lease of the singleton role that leads the rollout of weights. While the role
+// changes hands the core has no leader, and the bound on weights counts anew from there.
+//
+// The zero value knows no versions.
 type Announcements struct {
 	term   uint64
-	models map[string]map[uint64]int64
+	models map[string]map[uint64]int64 // announcement time by model and version
 }
 
-// Epoch is the epoch that the times count in.
+// Term is the term that the times count in.
 func (a *Announcements) Term() uint64 { return a.term }
 
 // Clone is a copy that shares nothing.
 func (a *Announcements) Clone() *Announcements {
-	c := &Announcements{term: a.term, models: map[string]map[uint64]int64{}}
+	clone := &Announcements{term: a.term, models: map[string]map[uint64]int64{}}
 	for model, versions := range a.models {
-		c.models[model] = maps.Clone(versions)
+		clone.models[model] = maps.Clone(versions)
 	}
-	return c
+	return clone
 }
 
-// Hear takes in that a version was named no later than at. The earliest time stays.
+// Observe takes in that a version was announced no later than at. The earliest time stays.
 func (a *Announcements) Observe(model string, version uint64, at int64) {
 	versions := a.models[model]
 	if versions == nil {
@@ -50,8 +52,8 @@
 	}
 }
 
-// Begin starts a later epoch, which counts nothing from before since. An epoch that is
-// not later changes nothing.
+// StartTerm starts a later term, which counts nothing from before since. A term that is not
+// later changes nothing.
 func (a *Announcements) StartTerm(term uint64, since int64) {
 	if term <= a.term {
 		return
@@ -64,24 +66,16 @@
 	}
 }
 
-// Take takes over what another node tells. Its times stand if its epoch is later. From
-// an earlier epoch only versions are taken that were not known.
+// Merge takes over what another node knows. Its times replace those here if its term is later.
+// From an earlier term only versions are taken that were not known.
 func (a *Announcements) Merge(other *Announcements) {
 	switch {
 	case other.term > a.term:
 		a.term = other.term
-		for model, versions := range other.models {
-			for version := range versions {
-				delete(a.models[model], version)
-			}
-		}
+		a.forget(other)
 	case other.term < a.term:
 		other = other.Clone()
-		for model, versions := range a.models {
-			for version := range versions {
-				delete(other.models[model], version)
-			}
-		}
+		other.forget(a)
 	}
 	for model, versions := range other.models {
 		for version, at := range versions {
@@ -90,7 +84,16 @@
 	}
 }
 
-// At is since when a version is known to be named, and whether it is.
+// forget drops the versions that other knows.
+func (a *Announcements) forget(other *Announcements) {
+	for model, versions := range other.models {
+		for version := range versions {
+			delete(a.models[model], version)
+		}
+	}
+}
+
+// AnnouncedAt is since when a version is known to be announced, and whether it is.
 func (a *Announcements) AnnouncedAt(model string, version uint64) (at int64, ok bool) {
 	at, ok = a.models[model][version]
 	return at, ok
@@ -106,8 +109,9 @@
 	}
 }
 
-// Oldest is the oldest version of a model that may still be begun at a time: the newest
-// of those that were named for longer than within.
+// OldestAllowed is the oldest version of a model on which a request may still begin at the
+// time now: the newest of those that were announced longer than within microseconds ago; 0 if
+// there is none.
 func (a *Announcements) OldestAllowed(now int64, model string, within int64) (oldest uint64) {
 	for version, at := range a.models[model] {
 		if now-at > within {
--- /dev/null
+++ b/route/announcements_test.go
@@ -0,0 +1,105 @@
+package route
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// announced makes one in a term, of one model.
+func announced(term uint64, at map[uint64]int64) *Announcements {
+	a := &Announcements{}
+	a.StartTerm(term, 0)
+	for version, t := range at {
+		a.Observe("m", version, t)
+	}
+	return a
+}
+
+func TestAnnouncementsMerge(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		mine, other *Announcements
+		term        uint64
+		want        map[uint64]int64
+	}{
+		{"who heard late", announced(3, map[uint64]int64{1: 100}), announced(3, map[uint64]int64{1: 900}), 3, map[uint64]int64{1: 100}},
+		{"who heard earlier", announced(3, map[uint64]int64{1: 900}), announced(3, map[uint64]int64{1: 100}), 3, map[uint64]int64{1: 100}},
+		{"of another version", announced(3, map[uint64]int64{1: 100}), announced(3, map[uint64]int64{2: 50}), 3, map[uint64]int64{1: 100, 2: 50}},
+		{"of a later term", announced(3, map[uint64]int64{1: 100}), announced(4, map[uint64]int64{1: 500, 2: 600}), 4, map[uint64]int64{1: 500, 2: 600}},
+		{"of a later term, unheard", announced(3, map[uint64]int64{2: 100}), announced(4, map[uint64]int64{1: 500}), 4, map[uint64]int64{1: 500, 2: 100}},
+		{"of an earlier term", announced(4, map[uint64]int64{1: 500}), announced(3, map[uint64]int64{1: 100, 2: 200}), 4, map[uint64]int64{1: 500, 2: 200}},
+		{"of nothing", announced(4, map[uint64]int64{1: 500}), &Announcements{}, 4, map[uint64]int64{1: 500}},
+		{"into nothing", &Announcements{}, announced(4, map[uint64]int64{1: 500}), 4, map[uint64]int64{1: 500}},
+	} {
+		c.mine.Merge(c.other)
+		if c.mine.Term() != c.term {
+			t.Errorf("%s: term %d, not %d", c.name, c.mine.Term(), c.term)
+		}
+		count := 0
+		c.mine.Each(func(_ string, version uint64, at int64) {
+			count++
+			if c.want[version] != at {
+				t.Errorf("%s: version %d since %d, not %d", c.name, version, at, c.want[version])
+			}
+		})
+		if count != len(c.want) {
+			t.Errorf("%s: %d versions, not %d", c.name, count, len(c.want))
+		}
+	}
+}
+
+func TestAnnouncementsStartTerm(t *testing.T) {
+	a := announced(3, map[uint64]int64{1: 100, 2: 900})
+	a.StartTerm(4, 500)
+	a.StartTerm(4, 800) // the same lease, noticed again
+	a.StartTerm(2, 950)
+	for version, want := range map[uint64]int64{1: 500, 2: 900} {
+		if at, ok := a.AnnouncedAt("m", version); !ok || at != want {
+			t.Errorf("version %d counts from %d, not %d", version, at, want)
+		}
+	}
+	if got := a.OldestAllowed(1_000, "m", 400); got != 1 {
+		t.Errorf("%d is the oldest that is allowed", got)
+	}
+}
+
+// Whoever a proxy asks, in whatever order, and whenever each of them heard: within an
+// term no version's age falls, and none is kept for less than the earliest that was known.
+func TestAnnouncementsNeverGrowYounger(t *testing.T) {
+	for seed := range uint64(200) {
+		r := rand.New(rand.NewPCG(seed, 1))
+		proxy := &Announcements{}
+		for range 60 {
+			other := &Announcements{}
+			other.StartTerm(1+uint64(r.IntN(3)), 0)
+			for version := uint64(1); version <= 5; version++ {
+				if r.IntN(2) == 0 {
+					other.Observe("m", version, r.Int64N(1_000))
+				}
+			}
+			before := proxy.Clone()
+			proxy.Merge(other)
+			proxy.Each(func(model string, version uint64, at int64) {
+				was, known := before.AnnouncedAt(model, version)
+				if known && at > was && proxy.Term() == before.Term() {
+					t.Fatalf("seed %d: version %d counted from %d, now from %d", seed, version, was, at)
+				}
+				if now, ok := other.AnnouncedAt(model, version); ok && other.Term() == proxy.Term() && at > now {
+					t.Fatalf("seed %d: version %d was known from %d, counts from %d", seed, version, now, at)
+				}
+			})
+		}
+	}
+}
+
+func TestAnnouncementsAreBounded(t *testing.T) {
+	a := &Announcements{}
+	for version := uint64(1); version <= 3*maxAnnouncedVersions; version++ {
+		a.Observe("m", version, int64(version))
+	}
+	count := 0
+	a.Each(func(string, uint64, int64) { count++ })
+	if _, ok := a.AnnouncedAt("m", 3*maxAnnouncedVersions); count != maxAnnouncedVersions || !ok {
+		t.Errorf("%d versions are kept, the newest %v", count, ok)
+	}
+}
--- a/route/bounds.go
+++ b/route/bounds.go
@@ -1,42 +1,57 @@
 package route
 
-// Bounds are the figures that an operator's rules set for a whole fleet. Times
-// are microseconds (design §3).
+// Bounds are the figures that an operator's rules set for a whole fleet (docs/design.md §3).
+// Fields that end in US are microseconds.
 type Bounds struct {
-	SeedStaleUS       int64   // a list of nodes may be this much behind
-	AddressReuseUS    int64   // until an engine's address may be another pool's
-	ContactUS         int64   // unbroken calm after which a node counts as in touch
-	AckUS             int64   // a proper change is acknowledged within this
+	SeedStaleUS       int64   // a list of seed nodes may be this much out of date
+	AddressReuseUS    int64   // until an engine's address may be given to another pool's
+	ContactUS         int64   // unbroken contact after which a node counts as in touch
+	AckUS             int64   // a valid change is acknowledged within this
 	SyncUS            int64   // a node counts as lost this long after it returns
 	DrainUS           int64   // no request reaches a leaving engine later than this
-	GraceUS           int64   // from a polite stop to the end by force
+	GraceUS           int64   // from a graceful stop to the end by force
 	LossSlackUS       int64   // a connection may end this late after a request's last byte
 	ConfigApplyUS     int64   // a configuration is in force everywhere
-	DowngradeUS       int64   // a request this late is not handled by an older one
-	ExtensionUS       int64   // an unsettled core stretches ConfigApplyUS by this at most
-	RevocationUS      int64   // a key that was taken away is dead
+	DowngradeUS       int64   // a request this late is not handled under an older configuration
+	ExtensionUS       int64   // a core without a leader stretches ConfigApplyUS by this at most
+	RevocationUS      int64   // a revoked key is refused everywhere
 	VersionApplyUS    int64   // no request begins on older weights
-	RetryWindowUS     int64   // over which further tries are counted
-	RecoveryUS        int64   // after a closing fault
+	RetryWindowUS     int64   // window over which retries are counted
+	RecoveryUS        int64   // back in service after the last fault
 	TransitUS         int64   // an event's way from engine to caller
-	LeaseUS           int64   // between orders of two holders to one engine
-	UnfreezeUS        int64   // orders this soon after a thaw are forgiven
-	RetryRatio        float64 // further tries for each request
-	RetryAllowance    int64   // further tries on top of that, in each window
+	LeaseUS           int64   // between orders of two lease holders to one engine
+	UnfreezeUS        int64   // orders this soon after a suspended machine resumes are forgiven
+	RetryRatio        float64 // retries for each request
+	RetryAllowance    int64   // retries on top of that, in each window of the whole fleet
 	RevocationGlobal  bool    // RevocationUS holds for nodes out of touch, too
-	EnginesCheckFence bool    // engines refuse a lower fence themselves
+	EnginesCheckFence bool    // engines refuse a lower fencing token themselves
 }
 
-// DefaultBounds are used for figures that nobody set. The two that say who
-// enforces something are set to what asks the most of us, and further tries to
-// few.
+// DefaultBounds are used for figures that nobody set. The two that say who enforces something
+// default to what asks the most of this software, and the retry figures to few retries.
 func DefaultBounds() Bounds {
-	const ms, s = 1000, 1_000_000
+	const millisecond, second = 1000, 1_000_000
 	return Bounds{
-		SeedStaleUS: 3 * s, AddressReuseUS: 2 * s, ContactUS: 3 * s, AckUS: 4 * s, SyncUS: 4 * s,
-		DrainUS: 3 * s, GraceUS: 8 * s, LossSlackUS: 200 * ms, ConfigApplyUS: 2 * s, DowngradeUS: 250 * ms,
-		ExtensionUS: 5 * s, RevocationUS: 5 * s, VersionApplyUS: 12 * s, RetryWindowUS: 10 * s, RecoveryUS: 12 * s,
-		TransitUS: 120 * ms, LeaseUS: 3 * s, UnfreezeUS: 300 * ms, RetryRatio: 0.1, RetryAllowance: 10,
+		SeedStaleUS:      3 * second,
+		AddressReuseUS:   2 * second,
+		ContactUS:        3 * second,
+		AckUS:            4 * second,
+		SyncUS:           4 * second,
+		DrainUS:          3 * second,
+		GraceUS:          8 * second,
+		LossSlackUS:      200 * millisecond,
+		ConfigApplyUS:    2 * second,
+		DowngradeUS:      250 * millisecond,
+		ExtensionUS:      5 * second,
+		RevocationUS:     5 * second,
+		VersionApplyUS:   12 * second,
+		RetryWindowUS:    10 * second,
+		RecoveryUS:       12 * second,
+		TransitUS:        120 * millisecond,
+		LeaseUS:          3 * second,
+		UnfreezeUS:       300 * millisecond,
+		RetryRatio:       0.1,
+		RetryAllowance:   10,
 		RevocationGlobal: true,
 	}
 }
--- a/route/change_rapid_test.go
+++ b/route/change_property_test.go
@@ -8,12 +8,12 @@
 )
 
 // changeMachine sends changes to a document in any order, again and again, and knows
-// which were taken.
+// which were accepted.
 type changeMachine struct {
-	current *Document
-	sent    []Change
-	taken   map[string]bool // by what makes a change the very same
-	bases   map[uint64]bool // that a change was taken on
+	current  *Document
+	sent     []Change
+	accepted map[string]bool // by what makes a change the very same
+	bases    map[uint64]bool // that a change was accepted on
 }
 
 func identity(c Change) string { return fmt.Sprint(c.Replace, c.Base, string(c.Body)) }
@@ -31,16 +31,16 @@
 	was := m.version()
 	next, outcome, findings := c.Apply(m.current, plain, words)
 	switch {
-	case m.taken[identity(c)]:
+	case m.accepted[identity(c)]:
 		if outcome != Duplicate {
-			t.Fatalf("%s, which was taken, is %v", identity(c), outcome)
+			t.Fatalf("%s, which was accepted, is %v", identity(c), outcome)
 		}
 	case c.Base != was:
 		if outcome != Stale {
 			t.Fatalf("%s on version %d is %v", identity(c), was, outcome)
 		}
 	case outcome == Accepted:
-		m.take(t, c, next)
+		m.accept(t, c, next)
 	case outcome != Invalid || len(findings) == 0:
 		t.Fatalf("%s on version %d is %v, %v", identity(c), was, outcome, findings)
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func (m *changeMachine) take(t *rapid.T, c Change, next *Document) {
+func (m *changeMachine) accept(t *rapid.T, c Change, next *Document) {
 	if m.bases[c.Base] {
 		t.Fatalf("a second change on version %d", c.Base)
 	}
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	m.current = back
-	m.taken[identity(c)], m.bases[c.Base] = true, true
+	m.accepted[identity(c)], m.bases[c.Base] = true, true
 }
 
 func (m *changeMachine) draw(t *rapid.T) Change {
@@ -78,11 +78,11 @@
 }
 
 // TestChangesAnyOrder: whatever is sent, in whatever order and however often, a change is
-// taken once, one is taken on a version, versions rise, and a sender who sends again
-// learns whether its change was taken.
+// accepted once, one is accepted on a version, versions rise, and a sender who sends again
+// learns whether its change was accepted.
 func TestChangesAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &changeMachine{taken: map[string]bool{}, bases: map[uint64]bool{}}
+		m := &changeMachine{accepted: map[string]bool{}, bases: map[uint64]bool{}}
 		t.Repeat(map[string]func(*rapid.T){
 			"send": func(t *rapid.T) {
 				c := m.draw(t)
--- a/route/document_test.go
+++ b/route/document_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Of two changes on one base exactly one is taken, whatever the order, and both
+// Of two changes on one base exactly one is accepted, whatever the order, and both
 // senders learn the same when they send again.
 func TestRaceOfChanges(t *testing.T) {
 	first, _, _ := whole(0, `{"v":1}`).Apply(nil, plain, words)
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestTakenIsBounded(t *testing.T) {
+func TestAcceptedIsBounded(t *testing.T) {
 	var cur *Document
 	at := func(v uint64) Change { return whole(v-1, fmt.Sprintf(`{"v":%d}`, v)) }
 	const n = MaxAccepted + 10
@@ -127,7 +127,7 @@
 		cur = next
 	}
 	if len(cur.Accepted) != MaxAccepted {
-		t.Fatalf("%d are remembered", len(cur.Accepted))
+		t.Fatalf("%d changes are remembered", len(cur.Accepted))
 	}
 	for v, want := range map[uint64]Outcome{n: Duplicate, n - MaxAccepted + 1: Duplicate, n - MaxAccepted: Undecidable, 1: Undecidable} {
 		if _, out, _ := at(v).Apply(cur, plain, words); out != want {
@@ -137,12 +137,12 @@
 }
 
 // Hundreds of changes, whole ones and patches, each with a rival on the same base, some
-// under the same number. Whatever was taken is never refused when it is sent again,
-// however many came after it, also if it could not be taken any more; a rival is never
+// under the same number. Whatever was accepted is never rejected when it is sent again,
+// however many came after it, also if it could not be accepted any more; a rival is never
 // acknowledged.
 func TestResendAfterHundredsOfChanges(t *testing.T) {
 	var cur *Document
-	var taken, rivals []Change
+	var accepted, rivals []Change
 	for v := uint64(1); v <= MaxAccepted+200; v++ {
 		change := whole(v-1, fmt.Sprintf(`{"v":%d,"pools":[{"id":"a%d"},{"id":"gone"}]}`, v, v))
 		rival := whole(v-1, fmt.Sprintf(`{"v":%d,"pools":[]}`, v))
@@ -155,13 +155,13 @@
 			t.Fatalf("version %d is %v, %v", v, outcome, findings)
 		}
 		cur = next
-		taken, rivals = append(taken, change), append(rivals, rival)
+		accepted, rivals = append(accepted, change), append(rivals, rival)
 	}
 	counts := map[Outcome]int{}
-	for i := range taken {
-		_, outcome, _ := taken[i].Apply(cur, plain, words)
+	for i := range accepted {
+		_, outcome, _ := accepted[i].Apply(cur, plain, words)
 		if outcome != Duplicate && outcome != Undecidable {
-			t.Fatalf("version %d, which was taken, is %v when it is sent again", i+1, outcome)
+			t.Fatalf("version %d, which was accepted, is %v when it is sent again", i+1, outcome)
 		}
 		counts[outcome]++
 		if _, outcome, _ = rivals[i].Apply(cur, plain, words); outcome != Stale && outcome != Undecidable {
@@ -169,13 +169,13 @@
 		}
 	}
 	if counts[Duplicate] != MaxAccepted {
-		t.Errorf("%d are known as taken, not %d", counts[Duplicate], MaxAccepted)
+		t.Errorf("%d are known as accepted, not %d", counts[Duplicate], MaxAccepted)
 	}
 }
 
 // A decision must leave the document that it was made on alone: a lost race
 // decides anew on another.
-func TestOnKeepsCurrent(t *testing.T) {
+func TestApplyKeepsCurrent(t *testing.T) {
 	cur, _, _ := whole(0, `{"v":1,"pools":[{"id":"a"},{"id":"b"}]}`).Apply(nil, plain, words)
 	was := cur.Encode()
 	for _, c := range []Change{patch(1, `{"v":2,"set":{"pools":[{"id":"a","x":1}]},"drop":{"pools":["b"]}}`), whole(1, `{"v":2}`)} {
@@ -185,25 +185,25 @@
 	}
 }
 
-func TestReadDocumentRefuses(t *testing.T) {
+func TestDecodeDocumentRefuses(t *testing.T) {
 	d := Document{Version: 7, Text: []byte(strings.Repeat(`{"v":7}`, 50)), Accepted: []AcceptedChange{{Version: 7, Base: 5}}}
 	b := d.Encode()
 	for i := range b {
 		if _, err := DecodeDocument(b[:i]); err == nil {
-			t.Errorf("%d of %d bytes were taken for a document", i, len(b))
+			t.Errorf("%d of %d bytes were accepted for a document", i, len(b))
 		}
 		c := slices.Clone(b)
 		c[i] ^= 1
 		if _, err := DecodeDocument(c); err == nil {
-			t.Errorf("a document with byte %d changed was taken", i)
+			t.Errorf("a document with byte %d changed was accepted", i)
 		}
 	}
 	if _, err := DecodeDocument((&WeightVersions{}).Encode()); err == nil {
-		t.Error("weights were taken for a document")
+		t.Error("weights were accepted for a document")
 	}
 }
 
-func FuzzReadDocument(f *testing.F) {
+func FuzzDecodeDocument(f *testing.F) {
 	d := Document{Version: 7, Text: []byte(`{"v":7}`), Accepted: []AcceptedChange{{Version: 5, Base: 0}, {Version: 7, Base: 5}}}
 	b := d.Encode()
 	f.Add(b[1 : len(b)-4])
--- a/route/merge_test.go
+++ b/route/merge_test.go
@@ -12,7 +12,7 @@
 func TestMerge(t *testing.T) {
 	for _, c := range []struct{ name, base, patch, want string }{
 		{"version only", `{"v":1,"x":[{"id":"a"}]}`, `{"v":2}`, `{"v":2,"x":[{"id":"a"}]}`},
-		{"replaced where it stands, wholly", `{"v":1,"x":[{"id":"a","n":1,"m":2},{"id":"b"}]}`,
+		{"replaced where it stands, completely", `{"v":1,"x":[{"id":"a","n":1,"m":2},{"id":"b"}]}`,
 			`{"v":2,"set":{"x":[{"id":"a","n":3}]}}`, `{"v":2,"x":[{"id":"a","n":3},{"id":"b"}]}`},
 		{"added at the end, in order", `{"v":1,"x":[{"id":"a"}]}`, `{"v":2,"set":{"x":[{"id":"c"},{"id":"b"}]}}`,
 			`{"v":2,"x":[{"id":"a"},{"id":"c"},{"id":"b"}]}`},
--- a/route/table.go
+++ b/route/table.go
@@ -12,67 +12,87 @@
 // Table is a configuration made ready for look-ups. It never changes.
 type Table struct {
 	Config
-	Revision    uint64 // of the register that held it
-	hosts       map[string][]*Route
+	Revision    uint64              // of the register that held it
+	hosts       map[string][]*Route // by host in lower case, longest prefix first
 	keys        map[string]*Tenant
 	pools       map[string]*Pool
-	cacheScopes map[string]string
-	priorities  int // of routes
+	cacheScopes map[string]string // by tenant; "" for none
+	priorities  int               // number of the routes' priorities
 }
 
-// Compile makes a table of a configuration that Check found in order.
+// Compile makes a table of a configuration that Validate found in order.
 func Compile(config Config, revision uint64) *Table {
-	t := &Table{Config: config, Revision: revision, hosts: map[string][]*Route{}, keys: map[string]*Tenant{}, pools: map[string]*Pool{}, cacheScopes: map[string]string{}}
-	for i := range config.Routes {
-		r := &t.Config.Routes[i]
+	t := &Table{
+		Config:   config,
+		Revision: revision,
+		hosts:    map[string][]*Route{},
+		keys:     map[string]*Tenant{},
+		pools:    map[string]*Pool{},
+	}
+	for i := range t.Routes {
+		r := &t.Routes[i]
+		host := strings.ToLower(r.Host)
 		t.priorities = max(t.priorities, r.Priority+1)
-		t.hosts[strings.ToLower(r.Host)] = append(t.hosts[strings.ToLower(r.Host)], r)
+		t.hosts[host] = append(t.hosts[host], r)
 	}
-	for _, rs := range t.hosts {
-		sort.SliceStable(rs, func(i, j int) bool { return len(rs[i].Prefix) > len(rs[j].Prefix) })
+	for _, routes := range t.hosts {
+		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
-	for i := range config.Pools {
-		t.pools[config.Pools[i].Name] = &t.Config.Pools[i]
+	for i := range t.Pools {
+		t.pools[t.Pools[i].Name] = &t.Pools[i]
 	}
-	var isolated []string
-	for i := range config.Tenants {
-		n := &t.Config.Tenants[i]
-		for _, k := range n.Keys {
-			t.keys[k] = n
+	for i := range t.Tenants {
+		for _, key := range t.Tenants[i].Keys {
+			t.keys[key] = &t.Tenants[i]
 		}
-		if n.Isolated {
-			isolated = append(isolated, n.Name)
+	}
+	t.cacheScopes = cacheScopes(t.Tenants)
+	return t
+}
+
+// cacheScopes names the scope of cached prompt blocks of each tenant. Isolated tenants have
+// one each; all others share one.
+func cacheScopes(tenants []Tenant) map[string]string {
+	var isolated []string
+	for i := range tenants {
+		if tenants[i].Isolated {
+			isolated = append(isolated, tenants[i].Name)
 		}
 	}
-	// The commons are named by who is walled off from them: whoever comes to be
-	// isolated later left parts there that the others must not find any more.
+	// The shared scope is named by who is isolated from it: whoever comes to be isolated
+	// later left blocks there that the others must not find any more.
 	sort.Strings(isolated)
-	var b []byte
-	for _, n := range isolated {
-		b = binary.AppendUvarint(b, uint64(len(n))) // no name can pass for two
-		b = append(b, n...)
+	var names []byte
+	for _, name := range isolated {
+		names = binary.AppendUvarint(names, uint64(len(name))) // no name can pass for two
+		names = append(names, name...)
 	}
-	h := sha256.Sum256(b)
-	shared := "c" + hex.EncodeToString(h[:6])
-	t.cacheScopes[""] = shared
-	for i := range config.Tenants {
-		if n := &config.Tenants[i]; n.Isolated {
-			w := sha256.Sum256([]byte(n.Name))
-			t.cacheScopes[n.Name] = "w" + hex.EncodeToString(w[:6])
+	shared := scopeName("c", names)
+	scopes := map[string]string{"": shared}
+	for i := range tenants {
+		if name := tenants[i].Name; tenants[i].Isolated {
+			scopes[name] = scopeName("w", []byte(name))
 		} else {
-			t.cacheScopes[n.Name] = shared
+			scopes[name] = shared
 		}
 	}
-	return t
+	return scopes
+}
+
+// scopeName is part of the keys under which engines cache blocks, and must not change.
+func scopeName(kind string, of []byte) string {
+	sum := sha256.Sum256(of)
+	return kind + hex.EncodeToString(sum[:6])
 }
 
-// Find is the route with the longest prefix that begins the path, or nil.
+// Match is the route with the longest prefix that begins the path, or nil. A port in the host
+// is ignored unless a route names it.
 func (t *Table) Match(host, path string) *Route {
-	h := strings.ToLower(host)
-	if x, _, err := net.SplitHostPort(h); err == nil && t.hosts[h] == nil {
-		h = x
+	host = strings.ToLower(host)
+	if name, _, err := net.SplitHostPort(host); err == nil && t.hosts[host] == nil {
+		host = name
 	}
-	for _, r := range t.hosts[h] {
+	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -80,7 +100,7 @@
 	return nil
 }
 
-// TenantOf is the tenant that holds a key, or nil.
+// TenantByKey is the tenant that holds a key, or nil.
 func (t *Table) TenantByKey(key string) *Tenant {
 	if key == "" {
 		return nil
@@ -88,34 +108,36 @@
 	return t.keys[key]
 }
 
-// Keyed reports whether requests carry keys at all.
+// RequiresKeys reports whether requests carry keys at all.
 func (t *Table) RequiresKeys() bool { return len(t.Tenants) > 0 }
 
 // Pool is the pool of that name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
-// Stores lists the stores of kept parts.
-func (t *Table) Stores() (out []*Pool) {
-	for i := range t.Config.Pools {
-		if p := &t.Config.Pools[i]; p.StoreAddr != "" {
-			out = append(out, p)
+// Stores lists the stores of cached prompt blocks.
+func (t *Table) Stores() (stores []*Pool) {
+	for i := range t.Pools {
+		if pool := &t.Pools[i]; pool.StoreAddr != "" {
+			stores = append(stores, pool)
 		}
 	}
-	return out
+	return stores
 }
 
-// Wall names the parts that a tenant's requests may share; "" is no tenant.
+// CacheScope names the cached prompt blocks that a tenant's requests may share; "" is no
+// tenant.
 func (t *Table) CacheScope(tenant string) string {
-	if w, ok := t.cacheScopes[tenant]; ok {
-		return w
+	if scope, ok := t.cacheScopes[tenant]; ok {
+		return scope
 	}
 	return t.cacheScopes[""]
 }
 
-// Rank joins a tenant's rank and a route's, the tenant's first; 0 is the highest.
-func (t *Table) Priority(n *Tenant, r *Route) int {
-	if n == nil {
+// Priority joins a tenant's priority and a route's, the tenant's first; 0 is the highest. A
+// nil tenant is a request without a key.
+func (t *Table) Priority(tenant *Tenant, r *Route) int {
+	if tenant == nil {
 		return r.Priority
 	}
-	return n.Priority*t.priorities + r.Priority
+	return tenant.Priority*t.priorities + r.Priority
 }
--- a/route/check_test.go
+++ b/route/validate_test.go
@@ -20,12 +20,12 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		have uint64
-		do   func(*Config)
-		want []string // path and reason
+		name    string
+		current uint64
+		change  func(*Config)
+		want    []string // path and reason
 	}{
 		{"sound", 6, func(*Config) {}, nil},
 		{"first", 0, func(*Config) {}, nil},
@@ -60,9 +60,9 @@
 		{"kind", 6, func(c *Config) { c.Routes[0].Semantics = 0 }, []string{"routes[0].kind unknown-kind"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := sound()
-			c.do(&x)
-			fs := Validate(x, c.have)
+			config := sound()
+			c.change(&config)
+			fs := Validate(config, c.current)
 			if got := lo.Map(fs, func(f Finding, _ int) string { return f.Path + " " + f.Reason }); !slices.Equal(got, c.want) {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
--- a/route/weights_test.go
+++ b/route/weightversions_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-func FuzzReadWeights(f *testing.F) {
+func FuzzDecodeWeights(f *testing.F) {
 	d := WeightVersions{Models: []ModelVersions{{"b", []uint64{2}}, {"m", []uint64{1, 4}}}}
 	b := d.Encode()
 	f.Add(b[1 : len(b)-4])
