--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -110,8 +110,8 @@
 	for _, r := range d.readers {
 		a.Complete = a.Complete && r.answered
 	}
-	a.NewsInc, a.NewsNext, a.NewsReset = b.Inc, b.Next, b.Reset
-	for _, n := range b.News {
+	a.NewsInc, a.NewsNext, a.NewsReset = b.Incarnation, b.Next, b.Reset
+	for _, n := range b.Updates {
 		a.News = append(a.News, &fb.NewsT{Hi: n.Key.Hi, Lo: n.Key.Lo, Check: n.Key.Check, Node: n.Node, Op: byte(n.Op)})
 	}
 	return a
--- a/internal/app/proxy/export_test.go
+++ b/internal/app/proxy/export_test.go
@@ -7,7 +7,7 @@
 	"github.com/go-logr/logr"
 
 	"violetthread/attempt"
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/placement"
@@ -37,7 +37,7 @@
 		daemon:         quietDaemon(),
 		adapter:        door,
 		pool:           newConnPool(),
-		hints:          hint.NewHolders(64),
+		hints:          cacheindex.NewHolderTable(64),
 		retryWindows:   map[string]*attempt.RetryWindow{},
 		retryAllowance: 1e9,
 	}
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sort"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	frames "violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
@@ -351,11 +351,11 @@
 		hints.Clear()
 	}
 	for _, update := range state.News {
-		key := hint.Key{Hi: update.Hi, Lo: update.Lo, Check: update.Check}
-		if hint.Op(update.Op) == hint.Load {
+		key := cacheindex.Key{Hi: update.Hi, Lo: update.Lo, Check: update.Check}
+		if cacheindex.UpdateOp(update.Op) == cacheindex.OpAdd {
 			hints.Put(key, update.Node)
 		} else {
-			hints.Drop(key, update.Node)
+			hints.Remove(key, update.Node)
 		}
 	}
 }
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -17,7 +17,7 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/attempt"
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
@@ -45,7 +45,7 @@
 	incarnation    uint64
 	view           atomic.Pointer[view]
 	pool           *connPool
-	hints          *hint.Holders
+	hints          *cacheindex.HolderTable
 	hintMu         sync.Mutex
 	mu             sync.Mutex // of pick and window
 	picker         *placement.Picker
@@ -74,7 +74,7 @@
 	grace := max(settings.Bounds.GraceUS-700_000, 1_000_000)
 	daemon := daemon.New("carrier", settings.Name, settings.HTTP, grace)
 	s := &server{settings: settings, daemon: daemon, adapter: door, controlNodes: transport.NewPeerPool(daemon.Group), incarnation: binary.LittleEndian.Uint64(b[:])>>24 | 1,
-		pool: newConnPool(), hints: hint.NewHolders(settings.HintEntries)}
+		pool: newConnPool(), hints: cacheindex.NewHolderTable(settings.HintEntries)}
 	s.picker = placement.New(settings.Zone, s.hints)
 	s.retryWindows, s.retryAllowance = map[string]*attempt.RetryWindow{}, 1
 	s.view.Store(&view{})
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -8,7 +8,7 @@
 	"hash/fnv"
 	"sort"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 )
 
 // Engine is an engine as the map of the fleet shows it.
@@ -60,7 +60,7 @@
 	TransferTokens int // tokens that it is told to take from Source
 	CachedTokens   int // tokens hinted to be there already
 	MemoryTokens   int // that its memory holds for the request
-	BlockKeys      []hint.Key
+	BlockKeys      []cacheindex.Key
 }
 
 // Figures are what the choice is made by. Times are microseconds.
@@ -116,18 +116,18 @@
 	stores        []Store
 	states        map[string]*engineState
 	othersAt      int64 // when the others' loads were told
-	hints         *hint.Holders
+	hints         *cacheindex.HolderTable
 	holderBuf     []uint64
 }
 
 // StoreNode is the holder that stands for a store.
-func StoreHolderID(addr string) uint64 { return hint.NodeID("store "+addr, 0) }
+func StoreHolderID(addr string) uint64 { return cacheindex.NodeID("store "+addr, 0) }
 
 // EngineNode is the holder that stands for one life of an engine.
-func EngineHolderID(id string) uint64 { return hint.NodeID(id, 0) }
+func EngineHolderID(id string) uint64 { return cacheindex.NodeID(id, 0) }
 
 // New makes a picker for a proxy at site; hints may be written meanwhile.
-func New(zone string, hints *hint.Holders) *Picker {
+func New(zone string, hints *cacheindex.HolderTable) *Picker {
 	return &Picker{Cost: DefaultCostModel(), zone: zone, hints: hints, states: map[string]*engineState{}}
 }
 
@@ -192,7 +192,7 @@
 }
 
 // held tells for each part which holders are hinted to keep it, under one salt.
-func (p *Picker) holdersOf(ks []hint.Key) []map[uint64]bool {
+func (p *Picker) holdersOf(ks []cacheindex.Key) []map[uint64]bool {
 	out := make([]map[uint64]bool, len(ks))
 	for i, k := range ks {
 		p.holderBuf = p.hints.Get(k, p.holderBuf[:0])
@@ -226,10 +226,10 @@
 func sharedBlocks(r *Request) int { return max(0, len(r.Blocks)-1) }
 
 // Keys are the hint keys of a request's parts under a salt.
-func BlockKeys(r *Request, salt string) []hint.Key {
-	ks := make([]hint.Key, 0, len(r.Blocks))
+func BlockKeys(r *Request, salt string) []cacheindex.Key {
+	ks := make([]cacheindex.Key, 0, len(r.Blocks))
 	for _, x := range r.Blocks {
-		ks = append(ks, hint.PartKey(salt, r.Model, x.ID))
+		ks = append(ks, cacheindex.BlockKey(salt, r.Model, x.ID))
 	}
 	return ks
 }
@@ -237,7 +237,7 @@
 // Pick chooses an engine, or none.
 func (p *Picker) Pick(now int64, r *Request) (Choice, bool) {
 	type salted struct {
-		ks   []hint.Key
+		ks   []cacheindex.Key
 		held []map[uint64]bool
 		salt string
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/route"
 )
 
@@ -14,13 +14,13 @@
 
 type fix struct {
 	*Picker
-	h  *hint.Holders
+	h  *cacheindex.HolderTable
 	es []*Engine
 	ss []Store
 }
 
 func fixture(n int) *fix {
-	f := &fix{h: hint.NewHolders(1 << 12)}
+	f := &fix{h: cacheindex.NewHolderTable(1 << 12)}
 	f.Picker = New("north", f.h)
 	f.HintsComplete = true
 	for i := range n {
@@ -36,7 +36,7 @@
 
 func (f *fix) keeps(node uint64, wall string, v uint64, ids ...string) {
 	for _, id := range ids {
-		f.h.Put(hint.PartKey(CacheSalt(wall, v), model, id), node)
+		f.h.Put(cacheindex.BlockKey(CacheSalt(wall, v), model, id), node)
 	}
 }
 
