--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -209,18 +209,20 @@
 	r.readAt(node, func(bool) {})
 }
 
+// registerValue is a register as a node answers for it.
+type registerValue struct {
+	value []byte
+	ok    bool
+}
+
 // readAt reads at one node, and tells whether there was an answer.
 func (r *ConfigReader) readAt(node *Registrar, done func(ok bool)) {
-	type answer struct {
-		value []byte
-		ok    bool
-	}
 	from := r.core.w.now
 	Call(r.Host, node.Host, 0, operatorSilence,
-		func(_ int, reply func(answer)) {
-			node.Read(route.ConfigKey, func(value []byte, _ uint64, ok bool) { reply(answer{value, ok}) })
+		func(_ int, reply func(registerValue)) {
+			node.Read(route.ConfigKey, func(value []byte, _ uint64, ok bool) { reply(registerValue{value, ok}) })
 		},
-		func(a answer) {
+		func(a registerValue) {
 			if a.ok {
 				r.history.read(from, a.value)
 			}
--- a/sim/core.go
+++ b/sim/core.go
@@ -316,6 +316,7 @@
 		for _, p := range r.core.Nodes {
 			if p.Name == s.To {
 				m := s.Msg
+				r.core.w.observe("frame", r.Name, p.Name, m)
 				r.Send(p.Host, func() { p.recv(m) })
 				if r.core.echo != nil {
 					r.core.echo(p, m)
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -148,6 +148,7 @@
 			}
 			for _, o := range f.Core.Nodes {
 				if _, in := r.node.Roster().Find(o.Name); in && o != r {
+					w.observe("sessions", r.Name, o.Name, t)
 					r.Send(o.Host, func() {
 						if x := f.side[o]; x != nil {
 							x.roll.Hear(o.Clock(), t)
@@ -289,7 +290,9 @@
 				return
 			}
 		}
-		for _, a := range k.Want(now) {
+		asks := k.Want(now)
+		w.orderDuties(asks)
+		for _, a := range asks {
 			op := quorum.Op{Kind: quorum.OpHold, Key: a.Key, Expect: a.Epoch, Holder: holder, Term: index.DutyTerm}
 			if a.Free {
 				op.Kind = quorum.OpFree
@@ -306,6 +309,7 @@
 		}
 		for _, t := range k.Turns(now) {
 			if e := f.engine(t.Engine); e != nil {
+				w.observe("turn", c.Name, e.Name, t)
 				c.Send(e.Host, func() { e.turn(t.Weights, t.Epoch) })
 			}
 		}
@@ -316,7 +320,9 @@
 // room answers an agent, or passes its question on to the index node that it is for.
 func (c *Custodian) room(q *fb.RoomAskT, reply func(*fb.RoomTellT)) {
 	if q.To == "" || q.To == c.Name {
-		reply(wire.RoomTell(c.k, c.Clock(), c.Name, q))
+		t := wire.RoomTell(c.k, c.Clock(), c.Name, q)
+		c.f.W.orderNews(t.News, t.NewsReset)
+		reply(t)
 		return
 	}
 	if o := c.f.custodian(q.To); o != nil {
@@ -327,6 +333,12 @@
 // relayPatience is how long an index node waits for an answer that it passes on.
 const relayPatience = 500_000
 
+// engineParts are all parts that an engine keeps, as of a number of its reports.
+type engineParts struct {
+	inc, seq uint64
+	parts    []hint.Key
+}
+
 func (c *Custodian) poll(k *index.Keeper, p index.Poll) {
 	e := c.f.engine(p.Engine)
 	if e == nil {
@@ -341,12 +353,8 @@
 		ask(p.Inc, p.After)
 		return
 	}
-	type whole struct {
-		inc, seq uint64
-		parts    []hint.Key
-	}
-	Call(c.Host, e.Host, 0, 800_000, func(_ int, rep func(whole)) { rep(whole{e.inc, e.seq, e.keeps()}) },
-		func(x whole) {
+	Call(c.Host, e.Host, 0, 800_000, func(_ int, rep func(engineParts)) { rep(engineParts{e.inc, e.seq, e.keeps()}) },
+		func(x engineParts) {
 			k.Whole(c.Clock(), p.Engine, x.inc, x.seq, x.parts)
 			ask(x.inc, x.seq)
 		}, func() {})
@@ -361,7 +369,7 @@
 		}
 		ask := func(q *fb.NewsAskT, got func(*fb.NewsTellT)) {
 			q.From = c.Name
-			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(wire.NewsTell(o.k, q)) }, got, func() {})
+			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(o.newsTell(q)) }, got, func() {})
 		}
 		if mine := k.MyShards(c.Clock()); len(mine) > 0 {
 			cur := k.HoldsCursor(p.Name)
@@ -382,6 +390,14 @@
 	}
 }
 
+// newsTell answers another index node.
+func (c *Custodian) newsTell(q *fb.NewsAskT) *fb.NewsTellT {
+	t := wire.NewsTell(c.k, q)
+	c.f.W.orderNews(t.News, t.Reset)
+	c.f.W.orderPlaces(t.Places)
+	return t
+}
+
 func (f *Fleet) engine(n string) *Engine {
 	for _, e := range f.Engines {
 		if e.Name == n {
@@ -565,6 +581,7 @@
 func (p *Proxy) carry(acts []dispatch.Act) {
 	f := p.f
 	for _, a := range acts {
+		f.W.observe("act", p.Name, "", a)
 		s := p.calls[a.Ref]
 		switch a.Do {
 		case dispatch.DoClaim, dispatch.DoRelease:
@@ -618,7 +635,14 @@
 	})
 }
 
+// attemptNote is what an observer is told of an attempt's course.
+type attemptNote struct {
+	state attempt.State
+	cause string
+}
+
 func (p *Proxy) note(a dispatch.Act, st attempt.State, cause string) {
+	p.f.W.observe("attempt", p.Name, a.Attempt, attemptNote{st, cause})
 	p.carry(p.d.Note(p.Clock(), a.Ref, a.Attempt, st, cause))
 }
 
@@ -649,6 +673,7 @@
 
 // out passes a piece on to the caller.
 func (p *Proxy) out(r *run, n int) {
+	p.f.W.observe("piece", p.Name, r.a.Attempt, n)
 	s := r.s
 	if s.ended || p.calls[r.a.Ref] != s {
 		return
@@ -664,11 +689,18 @@
 	p.f.judge.piece(s)
 }
 
+// ticketEnd is what an observer is told of a ticket's end.
+type ticketEnd struct {
+	outcome attempt.Outcome
+	reason  string
+}
+
 // ended is what the caller is told last.
 func (f *Fleet) ended(s *send, o attempt.Outcome, why string) {
 	if s.ended {
 		f.W.Wrong("two ends", "%s/%s", s.group, s.id)
 	}
+	f.W.observe("ended", s.group, s.id, ticketEnd{o, why})
 	s.ended = true
 	s.why = why
 	f.judge.told(s, o, why)
--- /dev/null
+++ b/sim/golden_digests_test.go
@@ -0,0 +1,486 @@
+package sim
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+
+	"violetthread/dispatch"
+	"violetthread/hint"
+	"violetthread/index"
+	"violetthread/internal/wire"
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+)
+
+// The golden digests tell whether a change of source changed what the system does. Each
+// is of one simulated day, over every frame, disk write, call and decision with its
+// time, in order. Values go in as encoded bytes, field by field, so that the name of a
+// type, field or function never enters; log lines, notes and the texts of Events do not
+// either. The names of hosts, keys and roles do: they are in frames and records.
+//
+// VT_GOLDEN=write writes the digests anew, which only a change of behaviour calls for.
+// VT_GOLDEN_TRACE=<folder> writes what each digest is made of, one observation a line:
+// traces of two versions can be compared to find the first difference.
+const (
+	goldenFile     = "testdata/golden_digests.json"
+	goldenEnv      = "VT_GOLDEN"
+	goldenTraceEnv = "VT_GOLDEN_TRACE"
+	goldenSeed     = 7_700_000 // the first one; no other test uses these seeds
+)
+
+// goldenDigest is what the file holds of a day.
+type goldenDigest struct {
+	Digest string `json:"digest"`
+	Frames int    `json:"frames"`
+	Writes int    `json:"disk_writes"`
+	Calls  int    `json:"calls"`
+	Other  int    `json:"decisions"`
+}
+
+// goldenDay is a day with a digest.
+type goldenDay struct {
+	name string
+	run  func(t *testing.T, seed int64) (wrong []string)
+}
+
+func goldenDays() []goldenDay {
+	var days []goldenDay
+	add := func(name string, run func(t *testing.T, seed int64) []string) {
+		days = append(days, goldenDay{name, run})
+	}
+	for _, fault := range CoreFaults {
+		add("core/"+string(fault), func(_ *testing.T, seed int64) []string {
+			return RunCore(seed, fault, 5_000_000).Wrong
+		})
+	}
+	for _, day := range Days {
+		add("fleet/"+string(day), func(_ *testing.T, seed int64) []string {
+			return RunFleet(seed, day, 8_000_000, small).Wrong
+		})
+	}
+	for _, setback := range Setbacks {
+		add("catch-up/"+string(setback), func(_ *testing.T, seed int64) []string {
+			return RunCatchup(seed, 4, 60, setback, platformTexts).Wrong
+		})
+	}
+	for _, partition := range []Partition{PartitionSilent, PartitionReset, PartitionFrozen, PartitionForgot} {
+		add("cut-off/"+string(partition), func(_ *testing.T, seed int64) []string {
+			return RunCutoff(seed, 4, []Partition{partition}, platformTexts).Wrong
+		})
+	}
+	add("messages", func(_ *testing.T, seed int64) []string {
+		return RunMessages(seed, 5, 4_000_000).Wrong
+	})
+	for i, trouble := range RaceTroubles() {
+		if i%2 == 1 {
+			continue // they differ only in which message is lost
+		}
+		add("races/"+string(trouble), func(_ *testing.T, seed int64) []string {
+			return RunRaces(seed, controlSizes[i/2%2], 2, trouble, 4_000_000, platformTexts).Wrong
+		})
+	}
+	for i, prelude := range Preludes {
+		add("second-loss/"+string(prelude), func(_ *testing.T, seed int64) []string {
+			return RunSecondLoss(seed, SecondLoss{controlSizes[i%2], prelude, Losses[i%len(Losses)], 500_000}).Wrong
+		})
+	}
+	for i, change := range changes {
+		add("membership/"+string(change), func(_ *testing.T, seed int64) []string {
+			d := newMembershipDay(seed, coreSizes[i%3])
+			d.w.Run(d.bring(changes[i%(len(changes)-1)]))
+			d.strike(losses[i%len(losses)])
+			return d.w.wrong
+		})
+	}
+	add("snapshot", func(t *testing.T, seed int64) []string {
+		d := newSnapshotDay(t, seed, 60)
+		r := d.alive()[0]
+		r.Kill()
+		r.lose()
+		d.w.Run(d.w.now + 1_000_000)
+		r.Start()
+		d.until(d.size.sync, func() bool { return d.caughtUp(r) })
+		return d.w.wrong
+	})
+	for _, fault := range []string{"the owner of most engines dies in a roll-out", "a site is lost"} {
+		add("last-fault/"+fault, func(_ *testing.T, seed int64) []string {
+			_, wrong := RunLast(seed, fault, small)
+			return wrong
+		})
+	}
+	return days
+}
+
+// TestGoldenDigests runs fixed days and compares what they did with what they did before.
+// It is not parallel itself, so that no other test makes worlds while it observes them.
+func TestGoldenDigests(t *testing.T) {
+	days := goldenDays()
+	observers := map[int64]*goldenObserver{}
+	for i, day := range days {
+		observers[goldenSeed+int64(i)] = newGoldenObserver(t, day.name)
+	}
+	observeWorld = func(w *World) observer {
+		if o := observers[w.Seed]; o != nil {
+			o.world = w
+			return o.observe
+		}
+		return nil
+	}
+	defer func() { observeWorld = nil }()
+	var mu sync.Mutex
+	got := map[string]goldenDigest{}
+	t.Run("days", func(t *testing.T) {
+		for i, day := range days {
+			t.Run(day.name, func(t *testing.T) {
+				t.Parallel()
+				seed := goldenSeed + int64(i)
+				failDay(t, seed, day.run(t, seed), nil)
+				digest := observers[seed].digest(t)
+				mu.Lock()
+				got[day.name] = digest
+				mu.Unlock()
+			})
+		}
+	})
+	if t.Failed() || len(got) < len(days) { // -run chose some of them
+		return
+	}
+	compareGolden(t, got)
+}
+
+func compareGolden(t *testing.T, got map[string]goldenDigest) {
+	t.Helper()
+	if os.Getenv(goldenEnv) == "write" {
+		text, err := json.MarshalIndent(got, "", "  ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(goldenFile, append(text, '\n'), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		t.Logf("%d digests written to %s", len(got), goldenFile)
+		return
+	}
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want map[string]goldenDigest
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range sortedNames(want) {
+		if _, ok := got[name]; !ok {
+			t.Errorf("%s: there is a digest and no such day", name)
+		}
+	}
+	for _, name := range sortedNames(got) {
+		if got[name] != want[name] {
+			t.Errorf("%s: behaves otherwise:\n got %+v\nwant %+v", name, got[name], want[name])
+		}
+	}
+}
+
+// goldenObserver sums up one day.
+type goldenObserver struct {
+	name   string
+	world  *World
+	sum    hash.Hash
+	trace  *os.File
+	counts goldenDigest
+	failed string
+	buffer []byte
+}
+
+func newGoldenObserver(t *testing.T, name string) *goldenObserver {
+	o := &goldenObserver{name: name, sum: sha256.New()}
+	if folder := os.Getenv(goldenTraceEnv); folder != "" {
+		file, err := os.Create(filepath.Join(folder, strings.ReplaceAll(strings.ReplaceAll(name, "/", "-"), " ", "-")))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = file.Close() })
+		o.trace = file
+	}
+	return o
+}
+
+func (o *goldenObserver) digest(t *testing.T) goldenDigest {
+	t.Helper()
+	if o.failed != "" {
+		t.Fatal(o.failed)
+	}
+	if o.counts.Frames+o.counts.Calls == 0 || o.counts.Writes == 0 {
+		t.Fatalf("nothing was observed: %+v", o.counts)
+	}
+	o.counts.Digest = hex.EncodeToString(o.sum.Sum(nil))
+	return o.counts
+}
+
+func (o *goldenObserver) observe(kind, from, to string, value any) {
+	switch kind {
+	case "frame":
+		o.counts.Frames++
+	case "write", "sync":
+		o.counts.Writes++
+	case "ask", "answer":
+		o.counts.Calls++
+	default:
+		o.counts.Other++
+	}
+	e := goldenEncoder{o.buffer[:0]}
+	e.number(o.world.now)
+	e.text(kind)
+	e.text(from)
+	e.text(to)
+	if !e.value(value) && o.failed == "" {
+		o.failed = fmt.Sprintf("%s: no encoding for a %T", kind, value)
+	}
+	o.buffer = e.out
+	_, _ = o.sum.Write(e.out)
+	if o.trace != nil {
+		_, _ = fmt.Fprintf(o.trace, "%d %s %s %s %x\n", o.world.now, kind, from, to, sha256.Sum256(e.out))
+	}
+}
+
+// goldenEncoder lays values out in a fixed order of fields.
+type goldenEncoder struct{ out []byte }
+
+func (e *goldenEncoder) number(n int64) { e.out = binary.LittleEndian.AppendUint64(e.out, uint64(n)) }
+
+func (e *goldenEncoder) unsigned(n uint64) { e.out = binary.LittleEndian.AppendUint64(e.out, n) }
+
+func (e *goldenEncoder) flag(b bool) {
+	if b {
+		e.out = append(e.out, 1)
+		return
+	}
+	e.out = append(e.out, 0)
+}
+
+func (e *goldenEncoder) bytes(b []byte) {
+	e.number(int64(len(b)))
+	e.out = append(e.out, b...)
+}
+
+func (e *goldenEncoder) text(s string) {
+	e.number(int64(len(s)))
+	e.out = append(e.out, s...)
+}
+
+func (e *goldenEncoder) frame(f *fb.FrameT) { e.bytes(wire.Encode(f)) }
+
+func (e *goldenEncoder) part(k hint.Key) {
+	e.unsigned(k.Hi)
+	e.unsigned(k.Lo)
+	e.unsigned(uint64(k.Check))
+}
+
+// value lays out whatever is observed; it returns false for what it does not know.
+func (e *goldenEncoder) value(value any) bool {
+	switch v := value.(type) {
+	case int:
+		e.number(int64(v))
+	case uint64:
+		e.unsigned(v)
+	case quorum.Msg:
+		e.frame(wire.Settle(v))
+	case quorum.Op:
+		e.operation(v)
+	case quorum.Answer:
+		e.unsigned(v.ID)
+		e.unsigned(uint64(v.Status))
+		e.unsigned(v.Rev)
+		e.bytes(v.Val)
+		e.text(v.Owner)
+	case quorum.Roster:
+		e.bytes(wire.Founding(wire.Roster(v, 0)))
+	case diskWrite:
+		e.number(v.offset)
+		e.bytes(v.data)
+	case registerValue:
+		e.bytes(v.value)
+		e.flag(v.ok)
+	case Reply:
+		e.unsigned(uint64(v.Outcome))
+		e.unsigned(v.Version)
+	case *Order:
+		e.number(int64(v.id))
+		e.flag(v.change.Whole)
+		e.unsigned(v.change.Base)
+		e.flag(v.change.HasBase)
+		e.bytes(v.change.Body)
+		e.unsigned(v.version)
+	case words:
+		e.word(v.config)
+		e.word(v.weights)
+		e.number(v.configAge)
+		e.number(v.weightsAge)
+	default:
+		return e.frameValue(value) || e.fleetValue(value)
+	}
+	return true
+}
+
+func (e *goldenEncoder) operation(o quorum.Op) {
+	e.unsigned(o.ID)
+	e.unsigned(uint64(o.Kind))
+	e.text(o.Key)
+	e.bytes(o.Val)
+	e.unsigned(o.Expect)
+	e.text(o.Holder)
+	e.number(o.Term)
+}
+
+func (e *goldenEncoder) word(w word) {
+	e.flag(w.known)
+	e.unsigned(w.revision)
+	e.unsigned(w.version)
+	e.number(w.at)
+}
+
+// frameValue lays out what the daemons send as a frame.
+func (e *goldenEncoder) frameValue(value any) bool {
+	switch v := value.(type) {
+	case *fb.BeatAskT:
+		e.frame(&fb.FrameT{BeatAsk: v})
+	case *fb.BeatTellT:
+		e.frame(&fb.FrameT{BeatTell: v})
+	case *fb.RollTellT:
+		e.frame(&fb.FrameT{RollTell: v})
+	case *fb.RoomAskT:
+		e.frame(&fb.FrameT{RoomAsk: v})
+	case *fb.RoomTellT:
+		e.frame(&fb.FrameT{RoomTell: v})
+	case *fb.NewsAskT:
+		e.frame(&fb.FrameT{NewsAsk: v})
+	case *fb.NewsTellT:
+		e.frame(&fb.FrameT{NewsTell: v})
+	case *fb.FeedAskT:
+		e.frame(&fb.FrameT{FeedAsk: v})
+	case *fb.FeedTellT:
+		e.frame(&fb.FrameT{FeedTell: v})
+	default:
+		return false
+	}
+	return true
+}
+
+// fleetValue lays out what engines report and what proxies and index nodes decide.
+func (e *goldenEncoder) fleetValue(value any) bool {
+	switch v := value.(type) {
+	case index.Report:
+		e.report(v)
+	case engineParts:
+		e.unsigned(v.inc)
+		e.unsigned(v.seq)
+		e.parts(v.parts)
+	case []index.Listed:
+		e.number(int64(len(v)))
+		for _, l := range v {
+			e.text(l.Name)
+			e.text(l.Addr)
+			e.text(l.Site)
+			e.flag(l.Store)
+			e.flag(l.Leaving)
+		}
+	case index.Turn:
+		e.text(v.Engine)
+		e.text(v.Addr)
+		e.text(v.Weights)
+		e.unsigned(v.Epoch)
+	case dispatch.Act:
+		e.act(v)
+	case attemptNote:
+		e.unsigned(uint64(v.state))
+		e.text(v.cause)
+	case ticketEnd:
+		e.text(string(v.outcome))
+		e.text(v.reason)
+	default:
+		return false
+	}
+	return true
+}
+
+func (e *goldenEncoder) parts(parts []hint.Key) {
+	e.number(int64(len(parts)))
+	for _, p := range parts {
+		e.part(p)
+	}
+}
+
+func (e *goldenEncoder) report(r index.Report) {
+	e.unsigned(r.Inc)
+	e.text(r.Weights)
+	e.number(int64(r.Running))
+	e.number(int64(r.Queue))
+	e.number(int64(r.Room))
+	e.number(r.SlowUS)
+	e.unsigned(r.Last)
+	e.number(int64(len(r.Events)))
+	for _, v := range r.Events {
+		e.unsigned(v.Seq)
+		e.flag(v.Keep)
+		e.flag(v.Drop)
+		e.text(v.Ran)
+		e.unsigned(v.Filled)
+		e.part(v.Part)
+		e.flag(v.HasPart)
+	}
+}
+
+func (e *goldenEncoder) act(a dispatch.Act) {
+	e.unsigned(uint64(a.Do))
+	e.unsigned(a.Ref)
+	for _, s := range []string{a.Group, a.ID, a.Nonce, a.Claim, a.Attempt} {
+		e.text(s)
+	}
+	e.order(a.Order)
+	for _, s := range []string{a.Domain, a.Weights, a.Kind, a.Prompt} {
+		e.text(s)
+	}
+	e.parts(a.Chain)
+	e.number(int64(a.Take))
+	e.unsigned(a.Peer)
+	e.text(a.PeerAt)
+	e.number(a.WaitUS)
+	e.number(a.Due)
+	e.number(a.Until)
+	e.text(string(a.Outcome))
+	e.text(a.Reason)
+	e.number(a.Back)
+}
+
+func (e *goldenEncoder) order(o dispatch.Order) {
+	for _, s := range []string{o.Engine, o.Addr, o.Site, o.Weights} {
+		e.text(s)
+	}
+	e.flag(o.Store)
+	e.unsigned(o.ID)
+	e.unsigned(o.Epoch)
+	e.number(int64(o.Room))
+	e.number(int64(o.Queue))
+	e.number(o.SlowUS)
+	e.number(o.Age)
+	e.number(int64(len(o.Grades)))
+	peers := make([]uint64, 0, len(o.Grades))
+	for peer := range o.Grades {
+		peers = append(peers, peer)
+	}
+	slices.Sort(peers)
+	for _, peer := range peers {
+		e.unsigned(peer)
+		e.number(int64(o.Grades[peer]))
+	}
+}
--- /dev/null
+++ b/sim/observed_order.go
@@ -0,0 +1,53 @@
+package sim
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+
+	"violetthread/index"
+	"violetthread/schema/fb"
+)
+
+// An index node iterates over maps where no order matters to it: over the parts that a
+// feed restates, over where holders lie, and over duties that it gives back. These put
+// what comes of it into one order, so that an observed day is the same each time. In
+// other days the order stays as it comes.
+
+// orderNews sorts hint news by part. What befell one part stays in its order, unless the
+// feed restates everything.
+func (w *World) orderNews(news []*fb.NewsT, restated bool) {
+	if w.observer == nil {
+		return
+	}
+	slices.SortStableFunc(news, func(a, b *fb.NewsT) int {
+		order := cmp.Or(cmp.Compare(a.Hi, b.Hi), cmp.Compare(a.Lo, b.Lo), cmp.Compare(a.Check, b.Check))
+		if restated {
+			order = cmp.Or(order, cmp.Compare(a.Node, b.Node))
+		}
+		return order
+	})
+}
+
+// orderPlaces sorts where holders lie.
+func (w *World) orderPlaces(places []*fb.PlaceT) {
+	if w.observer != nil {
+		slices.SortFunc(places, func(a, b *fb.PlaceT) int { return cmp.Compare(a.Id, b.Id) })
+	}
+}
+
+// orderDuties sorts the duties that are given back, which come before those asked for.
+func (w *World) orderDuties(asks []index.DutyAsk) {
+	if w.observer == nil {
+		return
+	}
+	back := asks[:0:0]
+	for _, a := range asks {
+		if !a.Free {
+			break
+		}
+		back = append(back, a)
+	}
+	slices.SortFunc(back, func(a, b index.DutyAsk) int { return strings.Compare(a.Key, b.Key) })
+	copy(asks, back)
+}
--- a/sim/world.go
+++ b/sim/world.go
@@ -56,11 +56,30 @@
 	note      []string
 	Steps     uint64
 	after     []func() // checked after every event
+	observer  observer // nil if nobody looks on
 }
 
+// observer is told of each message, disk write and decision of a world, in order. It
+// must not change what it is given, nor keep it.
+type observer func(kind, from, to string, value any)
+
+// observeWorld picks the observer of a new world. Tests alone set it, while no world runs.
+var observeWorld func(*World) observer
+
 // NewWorld makes an empty world.
 func NewWorld(seed int64) *World {
-	return &World{Seed: seed, Rng: rand.New(rand.NewSource(seed)), cut: map[[2]string]bool{}, reset: map[[2]string]bool{}, slow: map[[2]string]int64{}, seen: map[string]bool{}}
+	w := &World{Seed: seed, Rng: rand.New(rand.NewSource(seed)), cut: map[[2]string]bool{}, reset: map[[2]string]bool{}, slow: map[[2]string]int64{}, seen: map[string]bool{}}
+	if observeWorld != nil {
+		w.observer = observeWorld(w)
+	}
+	return w
+}
+
+// observe tells the observer, if there is one.
+func (w *World) observe(kind, from, to string, value any) {
+	if w.observer != nil {
+		w.observer(kind, from, to, value)
+	}
 }
 
 // Now is true time; hosts see their own clocks.
@@ -274,8 +293,10 @@
 			fail()
 		}
 	}
+	h.w.observe("ask", h.Name, to.Name, q)
 	h.Send(to, func() {
 		serve(q, func(a A) {
+			h.w.observe("answer", to.Name, h.Name, a)
 			to.Send(h, func() {
 				if !over && h.life == life { // an answer to a former life reaches nobody
 					over = true
@@ -313,6 +334,7 @@
 
 type diskFile struct {
 	d       *Disk
+	name    string
 	durable []byte
 	cache   []byte
 	dirty   [][2]int64
@@ -335,7 +357,7 @@
 func (d *Disk) Open(name string, size int64) (wal.File, error) {
 	f := d.files[name]
 	if f == nil {
-		f = &diskFile{d: d, durable: make([]byte, size), cache: make([]byte, size)}
+		f = &diskFile{d: d, name: name, durable: make([]byte, size), cache: make([]byte, size)}
 		d.files[name] = f
 	}
 	return f, nil
@@ -349,6 +371,7 @@
 	if f.d.Fail {
 		return 0, errDisk
 	}
+	f.d.w.observe("write", f.name, "", diskWrite{o, b})
 	copy(f.cache[o:], b)
 	f.dirty = append(f.dirty, [2]int64{o, o + int64(len(b))})
 	return len(b), nil
@@ -359,6 +382,7 @@
 	if f.d.Fail {
 		return errDisk
 	}
+	f.d.w.observe("sync", f.name, "", len(f.dirty))
 	for _, r := range f.dirty {
 		copy(f.durable[r[0]:r[1]], f.cache[r[0]:r[1]])
 	}
@@ -369,6 +393,12 @@
 // Close does nothing: a file ends with its disk.
 func (f *diskFile) Close() error { return nil }
 
+// diskWrite is what an observer is told of a write.
+type diskWrite struct {
+	offset int64
+	data   []byte
+}
+
 const sector = 512
 
 // PowerLoss keeps what was synced, and of the rest each sector by chance.
