--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -17,7 +17,7 @@
 	"violetthread/dispatch"
 	"violetthread/hint"
 	"violetthread/index"
-	"violetthread/internal/wire"
+	"violetthread/internal/codec"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -278,7 +278,7 @@
 	e.out = append(e.out, s...)
 }
 
-func (e *goldenEncoder) frame(f *fb.FrameT) { e.bytes(wire.Encode(f)) }
+func (e *goldenEncoder) frame(f *fb.FrameT) { e.bytes(codec.Encode(f)) }
 
 func (e *goldenEncoder) part(k hint.Key) {
 	e.unsigned(k.Hi)
@@ -294,7 +294,7 @@
 	case uint64:
 		e.unsigned(v)
 	case quorum.Msg:
-		e.frame(wire.Settle(v))
+		e.frame(codec.PackMessage(v))
 	case quorum.Op:
 		e.operation(v)
 	case quorum.Answer:
@@ -304,7 +304,7 @@
 		e.bytes(v.Val)
 		e.text(v.Owner)
 	case quorum.Roster:
-		e.bytes(wire.Founding(wire.Roster(v, 0)))
+		e.bytes(codec.PackFounding(codec.PackVoterSet(v, 0)))
 	case diskWrite:
 		e.number(v.offset)
 		e.bytes(v.data)
