--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -14,8 +14,8 @@
 	"sync"
 	"testing"
 
+	"violetthread/cacheindex"
 	"violetthread/dispatch"
-	"violetthread/hint"
 	"violetthread/index"
 	"violetthread/internal/codec"
 	"violetthread/quorum"
@@ -280,7 +280,7 @@
 
 func (e *goldenEncoder) frame(f *fb.FrameT) { e.bytes(codec.Encode(f)) }
 
-func (e *goldenEncoder) part(k hint.Key) {
+func (e *goldenEncoder) part(k cacheindex.Key) {
 	e.unsigned(k.Hi)
 	e.unsigned(k.Lo)
 	e.unsigned(uint64(k.Check))
@@ -293,17 +293,17 @@
 		e.number(int64(v))
 	case uint64:
 		e.unsigned(v)
-	case quorum.Msg:
+	case quorum.Message:
 		e.frame(codec.PackMessage(v))
-	case quorum.Op:
+	case quorum.Operation:
 		e.operation(v)
-	case quorum.Answer:
+	case quorum.Result:
 		e.unsigned(v.ID)
 		e.unsigned(uint64(v.Status))
-		e.unsigned(v.Rev)
-		e.bytes(v.Val)
-		e.text(v.Owner)
-	case quorum.Roster:
+		e.unsigned(v.Revision)
+		e.bytes(v.Value)
+		e.text(v.Leader)
+	case quorum.VoterSet:
 		e.bytes(codec.PackFounding(codec.PackVoterSet(v, 0)))
 	case diskWrite:
 		e.number(v.offset)
@@ -316,7 +316,7 @@
 		e.unsigned(v.Version)
 	case *Order:
 		e.number(int64(v.id))
-		e.flag(v.change.Whole)
+		e.flag(v.change.Replace)
 		e.unsigned(v.change.Base)
 		e.flag(v.change.HasBase)
 		e.bytes(v.change.Body)
@@ -332,14 +332,14 @@
 	return true
 }
 
-func (e *goldenEncoder) operation(o quorum.Op) {
+func (e *goldenEncoder) operation(o quorum.Operation) {
 	e.unsigned(o.ID)
-	e.unsigned(uint64(o.Kind))
+	e.unsigned(uint64(o.Type))
 	e.text(o.Key)
-	e.bytes(o.Val)
-	e.unsigned(o.Expect)
+	e.bytes(o.Value)
+	e.unsigned(o.ExpectedRevision)
 	e.text(o.Holder)
-	e.number(o.Term)
+	e.number(o.LeaseDuration)
 }
 
 func (e *goldenEncoder) word(w word) {
@@ -385,21 +385,21 @@
 		e.unsigned(v.inc)
 		e.unsigned(v.seq)
 		e.parts(v.parts)
-	case []index.Listed:
+	case []index.ListedEngine:
 		e.number(int64(len(v)))
 		for _, l := range v {
 			e.text(l.Name)
 			e.text(l.Addr)
-			e.text(l.Site)
+			e.text(l.Zone)
 			e.flag(l.Store)
 			e.flag(l.Leaving)
 		}
-	case index.Turn:
+	case index.WeightUpdate:
 		e.text(v.Engine)
 		e.text(v.Addr)
 		e.text(v.Weights)
-		e.unsigned(v.Epoch)
-	case dispatch.Act:
+		e.unsigned(v.FencingToken)
+	case dispatch.Action:
 		e.act(v)
 	case attemptNote:
 		e.unsigned(uint64(v.state))
@@ -413,7 +413,7 @@
 	return true
 }
 
-func (e *goldenEncoder) parts(parts []hint.Key) {
+func (e *goldenEncoder) parts(parts []cacheindex.Key) {
 	e.number(int64(len(parts)))
 	for _, p := range parts {
 		e.part(p)
@@ -421,66 +421,66 @@
 }
 
 func (e *goldenEncoder) report(r index.Report) {
-	e.unsigned(r.Inc)
+	e.unsigned(r.Incarnation)
 	e.text(r.Weights)
 	e.number(int64(r.Running))
-	e.number(int64(r.Queue))
-	e.number(int64(r.Room))
+	e.number(int64(r.QueueLength))
+	e.number(int64(r.Capacity))
 	e.number(r.SlowUS)
-	e.unsigned(r.Last)
+	e.unsigned(r.LastSeq)
 	e.number(int64(len(r.Events)))
 	for _, v := range r.Events {
 		e.unsigned(v.Seq)
-		e.flag(v.Keep)
-		e.flag(v.Drop)
-		e.text(v.Ran)
-		e.unsigned(v.Filled)
-		e.part(v.Part)
-		e.flag(v.HasPart)
+		e.flag(v.Added)
+		e.flag(v.Removed)
+		e.text(v.FinishedAttempt)
+		e.unsigned(v.RecomputedBytes)
+		e.part(v.Block)
+		e.flag(v.HasBlock)
 	}
 }
 
-func (e *goldenEncoder) act(a dispatch.Act) {
-	e.unsigned(uint64(a.Do))
+func (e *goldenEncoder) act(a dispatch.Action) {
+	e.unsigned(uint64(a.Type))
 	e.unsigned(a.Ref)
-	for _, s := range []string{a.Group, a.ID, a.Nonce, a.Claim, a.Attempt} {
+	for _, s := range []string{a.Group, a.RequestID, a.ClaimNonce, a.ClaimKey, a.AttemptID} {
 		e.text(s)
 	}
-	e.order(a.Order)
+	e.order(a.Grant)
 	for _, s := range []string{a.Domain, a.Weights, a.Kind, a.Prompt} {
 		e.text(s)
 	}
 	e.parts(a.Chain)
-	e.number(int64(a.Take))
-	e.unsigned(a.Peer)
-	e.text(a.PeerAt)
-	e.number(a.WaitUS)
-	e.number(a.Due)
-	e.number(a.Until)
+	e.number(int64(a.TransferBlock))
+	e.unsigned(a.TransferNode)
+	e.text(a.TransferAddr)
+	e.number(a.TransferWaitUS)
+	e.number(a.Deadline)
+	e.number(a.StartBefore)
 	e.text(string(a.Outcome))
 	e.text(a.Reason)
-	e.number(a.Back)
+	e.number(a.RetryAfterUS)
 }
 
-func (e *goldenEncoder) order(o dispatch.Order) {
-	for _, s := range []string{o.Engine, o.Addr, o.Site, o.Weights} {
+func (e *goldenEncoder) order(o dispatch.EngineGrant) {
+	for _, s := range []string{o.Engine, o.Addr, o.Zone, o.Weights} {
 		e.text(s)
 	}
 	e.flag(o.Store)
-	e.unsigned(o.ID)
-	e.unsigned(o.Epoch)
-	e.number(int64(o.Room))
-	e.number(int64(o.Queue))
+	e.unsigned(o.NodeID)
+	e.unsigned(o.FencingToken)
+	e.number(int64(o.Capacity))
+	e.number(int64(o.QueueLength))
 	e.number(o.SlowUS)
 	e.number(o.Age)
-	e.number(int64(len(o.Grades)))
-	peers := make([]uint64, 0, len(o.Grades))
-	for peer := range o.Grades {
+	e.number(int64(len(o.TransferScores)))
+	peers := make([]uint64, 0, len(o.TransferScores))
+	for peer := range o.TransferScores {
 		peers = append(peers, peer)
 	}
 	slices.Sort(peers)
 	for _, peer := range peers {
 		e.unsigned(peer)
-		e.number(int64(o.Grades[peer]))
+		e.number(int64(o.TransferScores[peer]))
 	}
 }
--- a/sim/judge.go
+++ b/sim/judge.go
@@ -90,8 +90,8 @@
 	if j.runs[k] == nil {
 		j.runs[k] = map[string]int{}
 	}
-	j.runs[k][r.a.Attempt]++
-	if onceKinds[s.kind] && len(j.runs[k]) > 1 || j.runs[k][r.a.Attempt] > 1 {
+	j.runs[k][r.a.AttemptID]++
+	if onceKinds[s.kind] && len(j.runs[k]) > 1 || j.runs[k][r.a.AttemptID] > 1 {
 		f.W.Wrong("ran twice", "%s (%s): %v", k, s.kind, j.runs[k])
 	}
 	j.key(s, "began")
@@ -105,7 +105,7 @@
 		f.Seen.WorstLeave = max(f.Seen.WorstLeave, f.W.now-at)
 	}
 	if s.ended {
-		f.W.Wrong("ran after its end", "%s attempt %s", k, r.a.Attempt)
+		f.W.Wrong("ran after its end", "%s attempt %s", k, r.a.AttemptID)
 	}
 }
 
@@ -168,7 +168,7 @@
 		if j.done[k]++; onceKinds[s.kind] && j.done[k] > 1 {
 			f.W.Wrong("done twice", "%s", k)
 		}
-	case attempt.Refused:
+	case attempt.Rejected:
 		f.Seen.Refused++
 		if s.pieces > 0 {
 			f.W.Wrong("refused late", "%s was refused after a piece", k)
@@ -197,7 +197,7 @@
 		if !c.up {
 			continue
 		}
-		for _, d := range c.k.Duties(c.Clock()) {
+		for _, d := range c.k.HeldRoles(c.Clock()) {
 			if o := owner[d]; o != "" {
 				f.W.Wrong("two owners", "%s: %s and %s", d, o, c.Name)
 			}
@@ -253,7 +253,7 @@
 // Groups of a simulated deployment; the walled ones share nothing.
 var simGroups = []string{"desk", "east", "west", "walled"}
 
-func simKey(g string, n int) string { return plan.Digest(fmt.Sprintf("%s-%d", g, n)) }
+func simKey(g string, n int) string { return plan.KeyDigest(fmt.Sprintf("%s-%d", g, n)) }
 
 // Script is what operators and the platform do on a day.
 type Script struct {
@@ -288,7 +288,7 @@
 		if s.gone[g] {
 			continue
 		}
-		p.Groups[g] = plan.Group{Share: float64(4 - i), Wall: !s.open[g], Keys: []string{simKey(g, s.keys[g])}}
+		p.Groups[g] = plan.Group{Share: float64(4 - i), Isolated: !s.open[g], Keys: []string{simKey(g, s.keys[g])}}
 	}
 	b, _ := json.Marshal(p)
 	if _, fs := plan.Parse(b); len(fs) > 0 {
@@ -307,20 +307,20 @@
 	var try func(i int)
 	again := func(i int) { s.op.After(50_000, func() { try(i + 1) }) }
 	try = func(i int) {
-		s.ask(i, quorum.Op{Kind: quorum.OpGet, Key: planKey}, again, func(at quorum.Answer) {
-			v, err := plan.Sealed(at.Val, b, at.Rev+1)
+		s.ask(i, quorum.Operation{Type: quorum.OpGet, Key: planKey}, again, func(at quorum.Result) {
+			v, err := plan.Encode(at.Value, b, at.Revision+1)
 			if err != nil {
 				s.f.W.Wrong("plan", "%v", err)
 				return
 			}
-			s.ask(i, quorum.Op{Kind: quorum.OpPut, Key: planKey, Val: v, Expect: at.Rev}, again, func(a quorum.Answer) {
+			s.ask(i, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: v, ExpectedRevision: at.Revision}, again, func(a quorum.Result) {
 				s.busy = false
-				s.f.judge.acks = append(s.f.judge.acks, ack{s.f.W.now, a.Rev})
+				s.f.judge.acks = append(s.f.judge.acks, ack{s.f.W.now, a.Revision})
 				s.f.Seen.PlanAcks++
-				if a.Rev <= s.rev {
-					s.f.W.Wrong("lost plan", "revision %d was given after %d", a.Rev, s.rev)
+				if a.Revision <= s.rev {
+					s.f.W.Wrong("lost plan", "revision %d was given after %d", a.Revision, s.rev)
 				}
-				s.rev = a.Rev
+				s.rev = a.Revision
 				if then != nil {
 					then()
 				}
@@ -331,11 +331,11 @@
 }
 
 // ask carries an operator's operation to a control node.
-func (s *Script) ask(i int, op quorum.Op, no func(int), yes func(quorum.Answer)) {
+func (s *Script) ask(i int, op quorum.Operation, no func(int), yes func(quorum.Result)) {
 	r := s.f.Core.Nodes[i%len(s.f.Core.Nodes)] // an operator tries all that ever were
-	Call(s.op, r.Host, op, 1_500_000, func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) },
-		func(a quorum.Answer) {
-			if a.Status != quorum.Done {
+	Call(s.op, r.Host, op, 1_500_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) },
+		func(a quorum.Result) {
+			if a.Status != quorum.StatusDone {
 				no(i)
 				return
 			}
--- a/sim/observed_order.go
+++ b/sim/observed_order.go
@@ -37,17 +37,17 @@
 }
 
 // orderDuties sorts the duties that are given back, which come before those asked for.
-func (w *World) orderDuties(asks []index.DutyAsk) {
+func (w *World) orderDuties(asks []index.LeaseOp) {
 	if w.observer == nil {
 		return
 	}
 	back := asks[:0:0]
 	for _, a := range asks {
-		if !a.Free {
+		if !a.Release {
 			break
 		}
 		back = append(back, a)
 	}
-	slices.SortFunc(back, func(a, b index.DutyAsk) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(back, func(a, b index.LeaseOp) int { return strings.Compare(a.Key, b.Key) })
 	copy(asks, back)
 }
