--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -95,7 +95,7 @@
 	r.plan.Store(&plan.Cached{})
 	r.dispatcher = &replay.Dispatcher{Dispatcher: dispatch.New(s.Name, s.Zone, r.incarnation)}
 	if s.Recording != "" {
-		w, err := recording.Create(s.Recording, recording.Header{Component: "desk", Name: s.Name, Zone: s.Zone, Incarnation: r.incarnation}, s.RecordingBytes)
+		w, err := recording.Create(s.Recording, recording.Header{Component: recording.ComponentDispatcher, Name: s.Name, Zone: s.Zone, Incarnation: r.incarnation}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -83,7 +83,7 @@
 	c.leaseHolder = fmt.Sprintf("%s#%x", s.Name, c.incarnation)
 	c.node = &replay.IndexNode{Node: index.New(s.Name, s.Zone, c.incarnation)}
 	if s.Recording != "" {
-		w, err := recording.Create(s.Recording, recording.Header{Component: "keeper", Name: s.Name, Zone: s.Zone, Incarnation: c.incarnation}, s.RecordingBytes)
+		w, err := recording.Create(s.Recording, recording.Header{Component: recording.ComponentIndexNode, Name: s.Name, Zone: s.Zone, Incarnation: c.incarnation}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
--- a/recording/replay/dispatcher.go
+++ b/recording/replay/dispatcher.go
@@ -1,9 +1,6 @@
-// Package reel puts deciding parts on tape and feeds tapes back to them.
 package replay
 
 import (
-	"encoding/json"
-
 	"violetthread/attempt"
 	"violetthread/cacheindex"
 	"violetthread/dispatch"
@@ -11,183 +8,220 @@
 	"violetthread/recording"
 )
 
-// Desk is a proxy's desk that records what goes in and what comes out.
+// Types of the dispatcher's events. The values are stored.
+const (
+	eventPlan              = "plan" // of both components
+	eventGrants            = "orders"
+	eventAdmit             = "arrive"
+	eventClaimAnswered     = "claimed"
+	eventAttemptProgressed = "note"
+	eventAllowFirstByte    = "out"
+	eventStop              = "stop"
+	eventTick              = "tick"
+)
+
+// Dispatcher is a gateway's dispatcher whose calls are recorded. Its methods take the
+// time since boot in microseconds, as those of dispatch.Dispatcher, and pass everything on.
 type Dispatcher struct {
 	*dispatch.Dispatcher
-	Writer *recording.Writer
-}
-
-// act is a decision as a tape shows it: no prompt, and keys as a count.
-type act struct {
-	Do      dispatch.ActionType `json:"do"`
-	Ref     uint64              `json:"ref,omitempty"`
-	ID      string              `json:"id,omitempty"`
-	Attempt string              `json:"attempt,omitempty"`
-	Engine  string              `json:"engine,omitempty"`
-	Epoch   uint64              `json:"epoch,omitempty"`
-	Weights string              `json:"weights,omitempty"`
-	Parts   int                 `json:"parts,omitempty"`
-	Take    int                 `json:"take,omitempty"` // part and 1; 0 for none
-	Peer    uint64              `json:"peer,omitempty"`
-	Outcome attempt.Outcome     `json:"outcome,omitempty"`
-	Reason  string              `json:"reason,omitempty"`
-	Back    int64               `json:"back,omitempty"`
-	Until   int64               `json:"until,omitempty"`
-}
-
-type decided struct {
-	Acts    []act               `json:"acts,omitempty"`
-	Refused *dispatch.Rejection `json:"refused,omitempty"`
-	Allowed bool                `json:"allowed,omitempty"`
-}
-
-func show(as []dispatch.Action) decided {
-	var d decided
-	for _, a := range as {
-		x := act{Do: a.Type, Ref: a.Ref, ID: a.RequestID, Attempt: a.AttemptID, Outcome: a.Outcome, Reason: a.Reason, Back: a.RetryAfterUS, Until: a.StartBefore}
-		if a.Type == dispatch.ActionStartAttempt {
-			x.Engine, x.Epoch, x.Weights, x.Parts, x.Take, x.Peer = a.Grant.Engine, a.Grant.FencingToken, a.Weights, len(a.Chain), a.TransferBlock+1, a.TransferNode
-		}
-		d.Acts = append(d.Acts, x)
+	Writer *recording.Writer // nil records nothing
+}
+
+// action is a dispatch.Action as recordings show it: without the prompt, and with the
+// number of its blocks in place of their keys.
+type action struct {
+	Type          dispatch.ActionType `json:"do"`
+	Ref           uint64              `json:"ref,omitempty"`
+	RequestID     string              `json:"id,omitempty"`
+	AttemptID     string              `json:"attempt,omitempty"`
+	Engine        string              `json:"engine,omitempty"`
+	FencingToken  uint64              `json:"epoch,omitempty"`
+	Weights       string              `json:"weights,omitempty"`
+	Blocks        int                 `json:"parts,omitempty"`
+	TransferBlock int                 `json:"take,omitempty"` // index of the block plus 1, 0 for none
+	TransferNode  uint64              `json:"peer,omitempty"`
+	Outcome       attempt.Outcome     `json:"outcome,omitempty"`
+	Reason        string              `json:"reason,omitempty"`
+	RetryAfterUS  int64               `json:"back,omitempty"`
+	StartBefore   int64               `json:"until,omitempty"` // time since boot in microseconds
+}
+
+func newAction(decided dispatch.Action) action {
+	a := action{
+		Type:         decided.Type,
+		Ref:          decided.Ref,
+		RequestID:    decided.RequestID,
+		AttemptID:    decided.AttemptID,
+		Outcome:      decided.Outcome,
+		Reason:       decided.Reason,
+		RetryAfterUS: decided.RetryAfterUS,
+		StartBefore:  decided.StartBefore,
+	}
+	if decided.Type == dispatch.ActionStartAttempt {
+		a.Engine = decided.Grant.Engine
+		a.FencingToken = decided.Grant.FencingToken
+		a.Weights = decided.Weights
+		a.Blocks = len(decided.Chain)
+		a.TransferBlock = decided.TransferBlock + 1
+		a.TransferNode = decided.TransferNode
 	}
-	return d
+	return a
 }
 
-type planIn struct {
-	Rev uint64 `json:"rev"`
-	At  int64  `json:"at"`
-	Raw string `json:"plan,omitempty"` // the register's value, seal and all
+// dispatcherOutput is what any call of the dispatcher decided.
+type dispatcherOutput struct {
+	Actions   []action            `json:"acts,omitempty"`
+	Rejection *dispatch.Rejection `json:"refused,omitempty"`
+	Allowed   bool                `json:"allowed,omitempty"`
 }
 
-type noteIn struct {
-	Ref     uint64             `json:"ref"`
-	Attempt string             `json:"attempt,omitempty"`
-	State   attempt.State      `json:"state,omitempty"`
-	Claim   attempt.ClaimState `json:"claim,omitempty"`
-	Why     string             `json:"why,omitempty"`
+func newOutput(actions []dispatch.Action) dispatcherOutput {
+	var output dispatcherOutput
+	for _, decided := range actions {
+		output.Actions = append(output.Actions, newAction(decided))
+	}
+	return output
 }
 
-type ticketIn struct {
+// requestInput is a request as recordings show it: without the caller's words, and with
+// the number of its blocks in place of their keys, which are not needed to decide.
+type requestInput struct {
 	dispatch.Request
-	Prompt *string `json:"Prompt,omitempty"` // hides the caller's words
-	Rows   int     `json:"Rows"`             // length of the chain; its keys are not needed to decide
+	Prompt *string `json:"Prompt,omitempty"` // always nil: hides Request.Prompt
+	Blocks int     `json:"Rows"`
 }
 
-// Plan records and passes on.
-func (r *Dispatcher) ApplyPlan(now int64, h *plan.Cached) []dispatch.Action {
-	in := planIn{Rev: h.Revision, At: h.ConfirmedAt}
-	if r.Writer != nil && r.planRev() != h.Revision {
-		in.Raw = string(h.Raw)
-	}
-	as := r.Dispatcher.ApplyPlan(now, h.Plan, h.ConfirmedAt)
-	r.Writer.Record(now, "plan", in, show(as))
-	return as
+// attemptInput is news of a request or of one of its attempts.
+type attemptInput struct {
+	Ref       uint64             `json:"ref"`
+	AttemptID string             `json:"attempt,omitempty"`
+	State     attempt.State      `json:"state,omitempty"`
+	Claim     attempt.ClaimState `json:"claim,omitempty"`
+	Cause     string             `json:"why,omitempty"`
 }
 
-func (r *Dispatcher) planRev() uint64 { return r.Dispatcher.PlanRevision() }
+// ApplyPlan records and passes on.
+func (d *Dispatcher) ApplyPlan(now int64, cached *plan.Cached) []dispatch.Action {
+	isNew := d.Writer != nil && d.PlanRevision() != cached.Revision
+	input := newPlanInput(cached, isNew)
+	actions := d.Dispatcher.ApplyPlan(now, cached.Plan, cached.ConfirmedAt)
+	d.Writer.Record(now, eventPlan, input, newOutput(actions))
+	return actions
+}
 
-// Orders records and passes on.
-func (r *Dispatcher) ApplyGrants(now int64, os []dispatch.EngineGrant) []dispatch.Action {
-	as := r.Dispatcher.ApplyGrants(now, os)
-	r.Writer.Record(now, "orders", os, show(as))
-	return as
+// ApplyGrants records and passes on.
+func (d *Dispatcher) ApplyGrants(now int64, grants []dispatch.EngineGrant) []dispatch.Action {
+	actions := d.Dispatcher.ApplyGrants(now, grants)
+	d.Writer.Record(now, eventGrants, grants, newOutput(actions))
+	return actions
 }
 
-// Arrive records and passes on.
-func (r *Dispatcher) Admit(now int64, t dispatch.Request) ([]dispatch.Action, *dispatch.Rejection) {
-	as, no := r.Dispatcher.Admit(now, t)
-	if r.Writer != nil {
-		d := show(as)
-		d.Refused = no
-		in := ticketIn{Request: t, Rows: len(t.Chain)}
-		in.Chain = nil
-		r.Writer.Record(now, "arrive", in, d)
+// Admit records and passes on.
+func (d *Dispatcher) Admit(now int64, request dispatch.Request) ([]dispatch.Action, *dispatch.Rejection) {
+	actions, rejection := d.Dispatcher.Admit(now, request)
+	if d.Writer == nil {
+		return actions, rejection
 	}
-	return as, no
+	output := newOutput(actions)
+	output.Rejection = rejection
+	input := requestInput{Request: request, Blocks: len(request.Chain)}
+	input.Chain = nil
+	d.Writer.Record(now, eventAdmit, input, output)
+	return actions, rejection
 }
 
-// Claimed records and passes on.
-func (r *Dispatcher) ClaimAnswered(now int64, ref uint64, c attempt.ClaimState) []dispatch.Action {
-	as := r.Dispatcher.ClaimAnswered(now, ref, c)
-	r.Writer.Record(now, "claimed", noteIn{Ref: ref, Claim: c}, show(as))
-	return as
+// ClaimAnswered records and passes on.
+func (d *Dispatcher) ClaimAnswered(now int64, ref uint64, claim attempt.ClaimState) []dispatch.Action {
+	actions := d.Dispatcher.ClaimAnswered(now, ref, claim)
+	d.Writer.Record(now, eventClaimAnswered, attemptInput{Ref: ref, Claim: claim}, newOutput(actions))
+	return actions
 }
 
-// Note records and passes on.
-func (r *Dispatcher) AttemptProgressed(now int64, ref uint64, attempt string, s attempt.State, cause string) []dispatch.Action {
-	as := r.Dispatcher.AttemptProgressed(now, ref, attempt, s, cause)
-	r.Writer.Record(now, "note", noteIn{ref, attempt, s, 0, cause}, show(as))
-	return as
+// AttemptProgressed records and passes on.
+func (d *Dispatcher) AttemptProgressed(now int64, ref uint64, attemptID string, state attempt.State, cause string) []dispatch.Action {
+	actions := d.Dispatcher.AttemptProgressed(now, ref, attemptID, state, cause)
+	input := attemptInput{Ref: ref, AttemptID: attemptID, State: state, Cause: cause}
+	d.Writer.Record(now, eventAttemptProgressed, input, newOutput(actions))
+	return actions
 }
 
-// Out records and passes on.
-func (r *Dispatcher) AllowFirstByte(now int64, ref uint64, attempt string) bool {
-	ok := r.Dispatcher.AllowFirstByte(ref, attempt)
-	r.Writer.Record(now, "out", noteIn{Ref: ref, Attempt: attempt}, decided{Allowed: ok})
-	return ok
+// AllowFirstByte records and passes on.
+func (d *Dispatcher) AllowFirstByte(now int64, ref uint64, attemptID string) bool {
+	allowed := d.Dispatcher.AllowFirstByte(ref, attemptID)
+	d.Writer.Record(now, eventAllowFirstByte, attemptInput{Ref: ref, AttemptID: attemptID}, dispatcherOutput{Allowed: allowed})
+	return allowed
 }
 
 // Stop records and passes on.
-func (r *Dispatcher) Stop(now int64, ref uint64, why string) []dispatch.Action {
-	as := r.Dispatcher.Stop(now, ref, why)
-	r.Writer.Record(now, "stop", noteIn{Ref: ref, Why: why}, show(as))
-	return as
+func (d *Dispatcher) Stop(now int64, ref uint64, cause string) []dispatch.Action {
+	actions := d.Dispatcher.Stop(now, ref, cause)
+	d.Writer.Record(now, eventStop, attemptInput{Ref: ref, Cause: cause}, newOutput(actions))
+	return actions
 }
 
 // Tick records and passes on.
-func (r *Dispatcher) Tick(now int64) []dispatch.Action {
-	as := r.Dispatcher.Tick(now)
-	r.Writer.Record(now, "tick", nil, show(as))
-	return as
-}
-
-// feedDesk gives a recorded event to a desk again.
-func feedDesk(r *Dispatcher, l recording.Event) (decided, error) {
-	var n noteIn
-	switch l.Type {
-	case "plan":
-		var in planIn
-		if err := json.Unmarshal(l.Input, &in); err != nil {
-			return decided{}, err
-		}
-		h := &plan.Cached{Revision: in.Rev, ConfirmedAt: in.At, Plan: r.CurrentPlan()}
-		if len(in.Raw) > 0 {
-			p, err := plan.Load([]byte(in.Raw), in.Rev)
-			if err != nil {
-				return decided{}, err
-			}
-			h.Plan = p
+func (d *Dispatcher) Tick(now int64) []dispatch.Action {
+	actions := d.Dispatcher.Tick(now)
+	d.Writer.Record(now, eventTick, nil, newOutput(actions))
+	return actions
+}
+
+// replay makes a recorded call again.
+func (d *Dispatcher) replay(event recording.Event) (dispatcherOutput, error) {
+	switch event.Type {
+	case eventPlan:
+		return d.replayPlan(event)
+	case eventGrants:
+		grants, err := decodeInput[[]dispatch.EngineGrant](event)
+		if err != nil {
+			return dispatcherOutput{}, err
 		}
-		return show(r.ApplyPlan(l.TimeUS, h)), nil
-	case "orders":
-		var os []dispatch.EngineGrant
-		if err := json.Unmarshal(l.Input, &os); err != nil {
-			return decided{}, err
-		}
-		return show(r.ApplyGrants(l.TimeUS, os)), nil
-	case "arrive":
-		var in ticketIn
-		if err := json.Unmarshal(l.Input, &in); err != nil {
-			return decided{}, err
-		}
-		in.Request.Chain = make([]cacheindex.Key, in.Rows)
-		as, no := r.Admit(l.TimeUS, in.Request)
-		d := show(as)
-		d.Refused = no
-		return d, nil
-	case "tick":
-		return show(r.Tick(l.TimeUS)), nil
+		return newOutput(d.ApplyGrants(event.TimeUS, grants)), nil
+	case eventAdmit:
+		return d.replayAdmit(event)
+	case eventTick:
+		return newOutput(d.Tick(event.TimeUS)), nil
+	}
+	return d.replayAttempt(event)
+}
+
+func (d *Dispatcher) replayPlan(event recording.Event) (dispatcherOutput, error) {
+	input, err := decodeInput[planInput](event)
+	if err != nil {
+		return dispatcherOutput{}, err
+	}
+	cached, err := input.cached(d.CurrentPlan())
+	if err != nil {
+		return dispatcherOutput{}, err
+	}
+	return newOutput(d.ApplyPlan(event.TimeUS, cached)), nil
+}
+
+func (d *Dispatcher) replayAdmit(event recording.Event) (dispatcherOutput, error) {
+	input, err := decodeInput[requestInput](event)
+	if err != nil {
+		return dispatcherOutput{}, err
 	}
-	if err := json.Unmarshal(l.Input, &n); err != nil {
-		return decided{}, err
+	input.Chain = make([]cacheindex.Key, input.Blocks)
+	actions, rejection := d.Admit(event.TimeUS, input.Request)
+	output := newOutput(actions)
+	output.Rejection = rejection
+	return output, nil
+}
+
+// replayAttempt makes a call again that is about a request or one of its attempts.
+func (d *Dispatcher) replayAttempt(event recording.Event) (dispatcherOutput, error) {
+	input, err := decodeInput[attemptInput](event)
+	if err != nil {
+		return dispatcherOutput{}, err
 	}
-	switch l.Type {
-	case "claimed":
-		return show(r.ClaimAnswered(l.TimeUS, n.Ref, n.Claim)), nil
-	case "note":
-		return show(r.AttemptProgressed(l.TimeUS, n.Ref, n.Attempt, n.State, n.Why)), nil
-	case "out":
-		return decided{Allowed: r.AllowFirstByte(l.TimeUS, n.Ref, n.Attempt)}, nil
+	switch event.Type {
+	case eventClaimAnswered:
+		return newOutput(d.ClaimAnswered(event.TimeUS, input.Ref, input.Claim)), nil
+	case eventAttemptProgressed:
+		return newOutput(d.AttemptProgressed(event.TimeUS, input.Ref, input.AttemptID, input.State, input.Cause)), nil
+	case eventAllowFirstByte:
+		return dispatcherOutput{Allowed: d.AllowFirstByte(event.TimeUS, input.Ref, input.AttemptID)}, nil
 	}
-	return show(r.Stop(l.TimeUS, n.Ref, n.Why)), nil
+	return newOutput(d.Stop(event.TimeUS, input.Ref, input.Cause)), nil
 }
--- a/recording/replay/indexnode.go
+++ b/recording/replay/indexnode.go
@@ -1,187 +1,206 @@
 package replay
 
 import (
-	"encoding/json"
-
 	"violetthread/cacheindex"
 	"violetthread/index"
 	"violetthread/plan"
 	"violetthread/recording"
 )
 
-// Keeper is an index node's keeper that records what moves its decisions:
-// plans, members, listings, leases, reports and demands in; lease operations,
-// turns to other weights and standing orders out.
+// Types of the index node's events, beside eventPlan. The values are stored.
+const (
+	eventPeers         = "peers"
+	eventListing       = "listing"
+	eventLeaseOps      = "want"
+	eventLeaseAnswered = "held"
+	eventPolls         = "polls"
+	eventWeightUpdates = "turns"
+	eventResetHoldings = "whole"
+	eventReport        = "reported"
+	eventIssueGrants   = "orders"
+)
+
+// IndexNode is an index node whose calls are recorded as far as they move its decisions:
+// plans, peers, listings, leases, reports and demands in; lease operations, polls, weight
+// updates and grants out. Its methods take the time since boot in microseconds, as those
+// of index.Node, and pass everything on.
 type IndexNode struct {
 	*index.Node
-	Writer *recording.Writer
+	Writer *recording.Writer // nil records nothing
 }
 
-type heldIn struct {
-	Ask   index.LeaseOp `json:"Ask"`
-	Asked int64         `json:"Asked"`
-	OK    bool          `json:"OK"`
-	Epoch uint64        `json:"Epoch"`
+// listingInput is the platform's list of engines, or that the last one still stands.
+type listingInput struct {
+	ListedAt  int64                `json:"At"` // time since boot in microseconds
+	Engines   []index.ListedEngine `json:"List"`
+	Unchanged bool                 `json:"Stands,omitempty"`
 }
 
-type reportIn struct {
-	Asked  int64        `json:"Asked"`
-	Engine string       `json:"Engine"`
-	Report index.Report `json:"Report"`
+// leaseInput is the answer to a lease operation.
+type leaseInput struct {
+	Op      index.LeaseOp `json:"Ask"`
+	AskedAt int64         `json:"Asked"` // time since boot in microseconds
+	OK      bool          `json:"OK"`
+	Token   uint64        `json:"Epoch"`
 }
 
-type wholeIn struct {
-	Engine string           `json:"Engine"`
-	Inc    uint64           `json:"Inc"`
-	Seq    uint64           `json:"Seq"`
-	Parts  []cacheindex.Key `json:"Parts"`
+// holdingsInput is all blocks that an engine holds.
+type holdingsInput struct {
+	Engine      string           `json:"Engine"`
+	Incarnation uint64           `json:"Inc"`
+	Seq         uint64           `json:"Seq"`
+	Blocks      []cacheindex.Key `json:"Parts"`
 }
 
-type listIn struct {
-	At     int64                `json:"At"`
-	List   []index.ListedEngine `json:"List"`
-	Stands bool                 `json:"Stands,omitempty"`
+// reportInput is an engine's answer to a poll.
+type reportInput struct {
+	AskedAt int64        `json:"Asked"` // time since boot in microseconds
+	Engine  string       `json:"Engine"`
+	Report  index.Report `json:"Report"`
 }
 
-// Plan records and passes on.
-func (r *IndexNode) ApplyPlan(now int64, h *plan.Cached) {
-	in := planIn{Rev: h.Revision, At: h.ConfirmedAt}
-	if r.Writer != nil && r.Node.PlanRevision() != h.Revision {
-		in.Raw = string(h.Raw)
-	}
-	r.Node.ApplyPlan(h.Plan, h.ConfirmedAt)
-	r.Writer.Record(now, "plan", in, nil)
+// ApplyPlan records and passes on.
+func (n *IndexNode) ApplyPlan(now int64, cached *plan.Cached) {
+	isNew := n.Writer != nil && n.PlanRevision() != cached.Revision
+	input := newPlanInput(cached, isNew)
+	n.Node.ApplyPlan(cached.Plan, cached.ConfirmedAt)
+	n.Writer.Record(now, eventPlan, input, nil)
 }
 
-// Peers records and passes on.
-func (r *IndexNode) SetPeers(now int64, cs []index.Peer) {
-	r.Node.SetPeers(cs)
-	r.Writer.Record(now, "peers", cs, r.Node.Placement())
+// SetPeers records and passes on. What it moves is the placement of roles.
+func (n *IndexNode) SetPeers(now int64, peers []index.Peer) {
+	n.Node.SetPeers(peers)
+	n.Writer.Record(now, eventPeers, peers, n.Placement())
 }
 
-// Listing records and passes on.
-func (r *IndexNode) SetListing(now, at int64, ls []index.ListedEngine) {
-	r.Node.SetListing(at, ls)
-	r.Writer.Record(now, "listing", listIn{At: at, List: ls}, nil)
+// SetListing records and passes on.
+func (n *IndexNode) SetListing(now, listedAt int64, engines []index.ListedEngine) {
+	n.Node.SetListing(listedAt, engines)
+	n.Writer.Record(now, eventListing, listingInput{ListedAt: listedAt, Engines: engines}, nil)
 }
 
-// ListingStands records and passes on.
-func (r *IndexNode) ConfirmListing(now, at int64) {
-	r.Node.ConfirmListing(at)
-	r.Writer.Record(now, "listing", listIn{At: at, Stands: true}, nil)
+// ConfirmListing records and passes on.
+func (n *IndexNode) ConfirmListing(now, listedAt int64) {
+	n.Node.ConfirmListing(listedAt)
+	n.Writer.Record(now, eventListing, listingInput{ListedAt: listedAt, Unchanged: true}, nil)
 }
 
-// Want records and passes on.
-func (r *IndexNode) LeaseOps(now int64) []index.LeaseOp {
-	as := r.Node.LeaseOps(now)
-	r.Writer.Record(now, "want", nil, as)
-	return as
+// LeaseOps records and passes on.
+func (n *IndexNode) LeaseOps(now int64) []index.LeaseOp {
+	ops := n.Node.LeaseOps(now)
+	n.Writer.Record(now, eventLeaseOps, nil, ops)
+	return ops
 }
 
-// Held records and passes on.
-func (r *IndexNode) LeaseAnswered(now int64, a index.LeaseOp, asked int64, ok bool, epoch uint64) {
-	r.Node.LeaseAnswered(now, a, asked, ok, epoch)
-	r.Writer.Record(now, "held", heldIn{a, asked, ok, epoch}, nil)
+// LeaseAnswered records and passes on.
+func (n *IndexNode) LeaseAnswered(now int64, op index.LeaseOp, askedAt int64, ok bool, token uint64) {
+	n.Node.LeaseAnswered(now, op, askedAt, ok, token)
+	n.Writer.Record(now, eventLeaseAnswered, leaseInput{op, askedAt, ok, token}, nil)
 }
 
-// Polls records and passes on: asking an engine first makes it known.
-func (r *IndexNode) Polls(now int64) []index.Poll {
-	ps := r.Node.Polls(now)
-	r.Writer.Record(now, "polls", nil, ps)
-	return ps
+// Polls records and passes on: an engine that is polled for the first time becomes known.
+func (n *IndexNode) Polls(now int64) []index.Poll {
+	polls := n.Node.Polls(now)
+	n.Writer.Record(now, eventPolls, nil, polls)
+	return polls
 }
 
-// Turns records and passes on.
-func (r *IndexNode) WeightUpdates(now int64) []index.WeightUpdate {
-	ts := r.Node.WeightUpdates(now)
-	r.Writer.Record(now, "turns", nil, ts)
-	return ts
+// WeightUpdates records and passes on.
+func (n *IndexNode) WeightUpdates(now int64) []index.WeightUpdate {
+	updates := n.Node.WeightUpdates(now)
+	n.Writer.Record(now, eventWeightUpdates, nil, updates)
+	return updates
 }
 
-// Whole records and passes on.
-func (r *IndexNode) ResetHoldings(now int64, name string, inc, seq uint64, parts []cacheindex.Key) {
-	r.Node.ResetHoldings(now, name, inc, seq, parts)
-	r.Writer.Record(now, "whole", wholeIn{name, inc, seq, parts}, nil)
+// ResetHoldings records and passes on.
+func (n *IndexNode) ResetHoldings(now int64, engine string, incarnation, seq uint64, blocks []cacheindex.Key) {
+	n.Node.ResetHoldings(now, engine, incarnation, seq, blocks)
+	n.Writer.Record(now, eventResetHoldings, holdingsInput{engine, incarnation, seq, blocks}, nil)
 }
 
-// Reported records and passes on.
-func (r *IndexNode) ApplyReport(now, asked int64, name string, x index.Report) {
-	r.Node.ApplyReport(now, asked, name, x)
-	r.Writer.Record(now, "reported", reportIn{asked, name, x}, nil)
+// ApplyReport records and passes on.
+func (n *IndexNode) ApplyReport(now, askedAt int64, engine string, report index.Report) {
+	n.Node.ApplyReport(now, askedAt, engine, report)
+	n.Writer.Record(now, eventReport, reportInput{askedAt, engine, report}, nil)
 }
 
-// Orders records and passes on.
-func (r *IndexNode) IssueGrants(now int64, a index.GrantRequest) []index.EngineGrant {
-	os := r.Node.IssueGrants(now, a)
-	r.Writer.Record(now, "orders", a, os)
-	return os
+// IssueGrants records and passes on.
+func (n *IndexNode) IssueGrants(now int64, request index.GrantRequest) []index.EngineGrant {
+	grants := n.Node.IssueGrants(now, request)
+	n.Writer.Record(now, eventIssueGrants, request, grants)
+	return grants
 }
 
-// feedKeeper gives a recorded event to a keeper again.
-func feedKeeper(r *IndexNode, l recording.Event) (any, error) {
-	get := func(v any) error { return json.Unmarshal(l.Input, v) }
-	switch l.Type {
-	case "plan":
-		var in planIn
-		if err := get(&in); err != nil {
-			return nil, err
-		}
-		h := &plan.Cached{Revision: in.Rev, ConfirmedAt: in.At, Plan: r.CurrentPlan()}
-		if len(in.Raw) > 0 {
-			p, err := plan.Load([]byte(in.Raw), in.Rev)
-			if err != nil {
-				return nil, err
+// replay makes a recorded call again.
+func (n *IndexNode) replay(event recording.Event) (output any, err error) {
+	now := event.TimeUS
+	switch event.Type {
+	case eventPeers:
+		err = replayCall(event, func(peers []index.Peer) { n.SetPeers(now, peers) })
+		return n.Placement(), err
+	case eventLeaseOps:
+		return n.LeaseOps(now), nil
+	case eventPolls:
+		return n.Polls(now), nil
+	case eventWeightUpdates:
+		return n.WeightUpdates(now), nil
+	case eventIssueGrants:
+		var grants []index.EngineGrant
+		err = replayCall(event, func(request index.GrantRequest) { grants = n.IssueGrants(now, request) })
+		return grants, err
+	}
+	return nil, n.replayInput(event)
+}
+
+// replayInput makes a call again that decides nothing by itself.
+func (n *IndexNode) replayInput(event recording.Event) error {
+	now := event.TimeUS
+	switch event.Type {
+	case eventPlan:
+		return n.replayPlan(event)
+	case eventListing:
+		return replayCall(event, func(input listingInput) {
+			if input.Unchanged {
+				n.ConfirmListing(now, input.ListedAt)
+			} else {
+				n.SetListing(now, input.ListedAt, input.Engines)
 			}
-			h.Plan = p
-		}
-		r.ApplyPlan(l.TimeUS, h)
-	case "peers":
-		var cs []index.Peer
-		if err := get(&cs); err != nil {
-			return nil, err
-		}
-		r.SetPeers(l.TimeUS, cs)
-		return r.Placement(), nil
-	case "listing":
-		var in listIn
-		if err := get(&in); err != nil {
-			return nil, err
-		}
-		if in.Stands {
-			r.ConfirmListing(l.TimeUS, in.At)
-		} else {
-			r.SetListing(l.TimeUS, in.At, in.List)
-		}
-	case "want":
-		return r.LeaseOps(l.TimeUS), nil
-	case "held":
-		var in heldIn
-		if err := get(&in); err != nil {
-			return nil, err
-		}
-		r.LeaseAnswered(l.TimeUS, in.Ask, in.Asked, in.OK, in.Epoch)
-	case "polls":
-		return r.Polls(l.TimeUS), nil
-	case "turns":
-		return r.WeightUpdates(l.TimeUS), nil
-	case "whole":
-		var in wholeIn
-		if err := get(&in); err != nil {
-			return nil, err
-		}
-		r.ResetHoldings(l.TimeUS, in.Engine, in.Inc, in.Seq, in.Parts)
-	case "reported":
-		var in reportIn
-		if err := get(&in); err != nil {
-			return nil, err
-		}
-		r.ApplyReport(l.TimeUS, in.Asked, in.Engine, in.Report)
-	case "orders":
-		var in index.GrantRequest
-		if err := get(&in); err != nil {
-			return nil, err
-		}
-		return r.IssueGrants(l.TimeUS, in), nil
+		})
+	case eventLeaseAnswered:
+		return replayCall(event, func(input leaseInput) {
+			n.LeaseAnswered(now, input.Op, input.AskedAt, input.OK, input.Token)
+		})
+	case eventResetHoldings:
+		return replayCall(event, func(input holdingsInput) {
+			n.ResetHoldings(now, input.Engine, input.Incarnation, input.Seq, input.Blocks)
+		})
+	case eventReport:
+		return replayCall(event, func(input reportInput) {
+			n.ApplyReport(now, input.AskedAt, input.Engine, input.Report)
+		})
+	}
+	return nil
+}
+
+func (n *IndexNode) replayPlan(event recording.Event) error {
+	input, err := decodeInput[planInput](event)
+	if err != nil {
+		return err
+	}
+	cached, err := input.cached(n.CurrentPlan())
+	if err != nil {
+		return err
+	}
+	n.ApplyPlan(event.TimeUS, cached)
+	return nil
+}
+
+// replayCall makes a call with the recorded input, unless that can't be decoded.
+func replayCall[T any](event recording.Event, call func(input T)) error {
+	input, err := decodeInput[T](event)
+	if err != nil {
+		return err
 	}
-	return nil, nil
+	call(input)
+	return nil
 }
