--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -58,7 +58,7 @@
 	if h, _, _ := net.SplitHostPort(s.TransportAddr); !net.ParseIP(h).IsLoopback() {
 		return nil, trace.BadParameter("wire must be on loopback, beside its proxy; give --wire 127.0.0.1:port")
 	}
-	d := daemon.New("runner", s.Name+"-runner", s.HTTPAddr, s.DrainUS)
+	d := daemon.New("violetthread-agent", s.Name+"-agent", s.HTTPAddr, s.DrainUS)
 	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -70,7 +70,7 @@
 	if s.TransportAddr == "" || len(s.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the registrars' addresses")
 	}
-	d := daemon.New("custodian", s.Name, s.HTTPAddr, s.DrainUS)
+	d := daemon.New("violetthread-index", s.Name, s.HTTPAddr, s.DrainUS)
 	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/daemon/programs_test.go
@@ -0,0 +1,96 @@
+package daemon_test
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"violetthread/internal/app/agent"
+	"violetthread/internal/app/control"
+	"violetthread/internal/app/gateway"
+	"violetthread/internal/app/indexnode"
+	"violetthread/internal/daemon"
+)
+
+// TestExampleSettings: every file in examples/settings is a complete file of its program.
+func TestExampleSettings(t *testing.T) {
+	settings := map[string]any{
+		"agent.json":   ptr(agent.Defaults()),
+		"control.json": ptr(control.Defaults()),
+		"gateway.json": ptr(gateway.Defaults()),
+		"index.json":   ptr(indexnode.Defaults()),
+	}
+	files, err := os.ReadDir("../../examples/settings")
+	if err != nil || len(files) != len(settings) {
+		t.Fatalf("%d examples for %d programs, %v", len(files), len(settings), err)
+	}
+	for name, s := range settings {
+		t.Run(name, func(t *testing.T) {
+			if err := daemon.LoadSettings("test", "", s, []string{"--settings", filepath.Join("../../examples/settings", name)}); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// TestFormerSettings: settings files and flags of the programs' earlier versions mean the
+// same as those of today.
+func TestFormerSettings(t *testing.T) {
+	const node = `{"name":"n","site":"z","http":"10.0.0.1:1","wire":"127.0.0.1:2","seeds":["10.0.0.2:2"]`
+	for _, c := range []struct {
+		name         string
+		defaults     func() any
+		former, file string
+		formerFlags  []string
+		flags        []string
+	}{
+		{"gateway", func() any { return ptr(gateway.Defaults()) },
+			`,"runner":"127.0.0.1:3","tape":"f","tape_bytes":8192}`, `,"agent":"127.0.0.1:3","recording":"f","recording_bytes":8192}`,
+			[]string{"--runner", "127.0.0.1:4", "--tape", "g"}, []string{"--agent", "127.0.0.1:4", "--recording", "g"}},
+		{"index node", func() any { return ptr(indexnode.Defaults()) },
+			`,"platform":"10.0.0.3:1","tape":"f","tape_bytes":8192}`, `,"platform":"10.0.0.3:1","recording":"f","recording_bytes":8192}`,
+			[]string{"--tape-bytes", "9000"}, []string{"--recording-bytes", "9000"}},
+		{"control node", func() any { return ptr(control.Defaults()) },
+			`,"era_us":3000000,"eras":4}`, `,"generation_us":3000000,"generations":4}`,
+			[]string{"--era-us", "2000000", "--eras", "3"}, []string{"--generation-us", "2000000", "--generations", "3"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			for _, given := range []struct {
+				name                string
+				former, now         string
+				formerArgs, nowArgs []string
+			}{
+				{"file", node + c.former, node + c.file, nil, nil},
+				{"flags", node + c.file, node + c.file, c.formerFlags, c.flags},
+			} {
+				t.Run(given.name, func(t *testing.T) {
+					former, now := c.defaults(), c.defaults()
+					mustLoad(t, former, given.former, given.formerArgs)
+					mustLoad(t, now, given.now, given.nowArgs)
+					if !reflect.DeepEqual(former, now) {
+						t.Errorf("former names gave %+v, not %+v", former, now)
+					}
+					if reflect.DeepEqual(former, c.defaults()) {
+						t.Error("nothing was set")
+					}
+				})
+			}
+		})
+	}
+}
+
+// mustLoad loads a settings file with this text, then flags. A file that both name a
+// setting in, and a flag, is no conflict: the flag counts.
+func mustLoad(t *testing.T, settings any, text string, args []string) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "settings.json")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := daemon.LoadSettings("test", "", settings, append([]string{"--settings", path}, args...)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func ptr[T any](v T) *T { return &v }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -159,7 +159,7 @@
 	sites := []string{"north", "east", "south", "west"}
 	for i := 0; i < 4; i++ {
 		s := control.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Found, s.DataDir = fmt.Sprint("registrar", i), sites[i], next(), wires[i], true, fmt.Sprintf("%s/r%d", dir, i)
+		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Found, s.DataDir = fmt.Sprint("control", i), sites[i], next(), wires[i], true, fmt.Sprintf("%s/r%d", dir, i)
 		s.RingFiles, s.RingBytes, s.DrainUS = 8, 256<<10, 0
 		s.Seeds = wires[:3] // the fourth joins
 		s.Disk = func(fs wal.FS) wal.FS {
@@ -190,20 +190,20 @@
 	r.run("backend", d, err)
 	for i := 0; i < 2; i++ {
 		s := indexnode.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Seeds, s.Platform, s.DrainUS = fmt.Sprint("custodian", i), sites[i], next(), next(), wires[:3], r.platform, 500_000
-		s.Recording = fmt.Sprintf("%s/c%d.tape", dir, i)
+		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Seeds, s.Platform, s.DrainUS = fmt.Sprint("index", i), sites[i], next(), next(), wires[:3], r.platform, 500_000
+		s.Recording = fmt.Sprintf("%s/index%d.recording", dir, i)
 		r.tapes = append(r.tapes, s.Recording)
 		d, err := indexnode.New(s)
 		r.run(s.Name, d, err)
 	}
 	for i := 0; i < 2; i++ {
 		a := agent.Defaults()
-		a.Name, a.Zone, a.HTTPAddr, a.TransportAddr, a.Seeds, a.DrainUS = fmt.Sprint("remisier", i), sites[i], next(), next(), wires[:3], 0
+		a.Name, a.Zone, a.HTTPAddr, a.TransportAddr, a.Seeds, a.DrainUS = fmt.Sprint("gateway", i), sites[i], next(), next(), wires[:3], 0
 		d, err := agent.New(a)
-		r.run(a.Name+"-runner", d, err)
+		r.run(a.Name+"-agent", d, err)
 		s := gateway.Defaults()
 		s.Name, s.Zone, s.HTTPAddr, s.Runner, s.DrainUS = a.Name, a.Zone, next(), a.TransportAddr, 3_000_000
-		s.Recording = fmt.Sprintf("%s/p%d.tape", dir, i)
+		s.Recording = fmt.Sprintf("%s/gateway%d.recording", dir, i)
 		r.tapes = append(r.tapes, s.Recording)
 		r.proxies = append(r.proxies, s.HTTPAddr)
 		d, err = gateway.New(s)
@@ -477,8 +477,8 @@
 		}
 	})
 	t.Run("a polite stop", func(t *testing.T) {
-		d := r.stop["remisier1"]
-		delete(r.stop, "remisier1")
+		d := r.stop["gateway1"]
+		delete(r.stop, "gateway1")
 		d.Stop()
 		if d.Ready() {
 			t.Fatal("ready after a stop")
@@ -517,7 +517,7 @@
 			}
 			o := f.Slots[quorum.SlotOf("plan", len(f.Slots))].Owner
 			for k := range r.registrars {
-				if o == fmt.Sprint("registrar", k) && r.stop[o] != nil {
+				if o == fmt.Sprint("control", k) && r.stop[o] != nil {
 					return k
 				}
 			}
@@ -532,7 +532,7 @@
 		r.until("a plan is acknowledged beside a stalled disk", func() bool { return put(other, n) })
 	}
 	r.disks[sickly].turn("failing") // and now it is gone for good
-	r.until("its registrar votes no more", func() bool { return !r.stop[fmt.Sprint("registrar", sickly)].Ready() })
+	r.until("its registrar votes no more", func() bool { return !r.stop[fmt.Sprint("control", sickly)].Ready() })
 	serves := func(i int) bool { st, _ := r.get(r.registrars[i] + "/healthz"); return st == 200 }
 	if !serves(sickly) {
 		t.Fatal("the registrar of a failing disk has ended")
@@ -558,7 +558,7 @@
 			left = i
 		}
 	}
-	r.until("the full one votes no more", func() bool { put(left, 7); return !r.stop[fmt.Sprint("registrar", full)].Ready() })
+	r.until("the full one votes no more", func() bool { put(left, 7); return !r.stop[fmt.Sprint("control", full)].Ready() })
 	if put(left, 8) {
 		t.Fatal("two of four acknowledged a plan")
 	}
@@ -569,7 +569,7 @@
 	r.disks[full].turn("")
 	r.disks[sickly].turn("")
 	for _, i := range []int{sickly, full} {
-		r.until("it votes again", func() bool { return r.stop[fmt.Sprint("registrar", i)].Ready() })
+		r.until("it votes again", func() bool { return r.stop[fmt.Sprint("control", i)].Ready() })
 	}
 	r.until("a plan is acknowledged again", func() bool { return put(full, 9) })
 	for i := range r.registrars {
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -114,7 +114,7 @@
 // Run plays a load and reports. Broken says which must-nevers were broken.
 func Run(s Settings) (*Report, error) {
 	l := &load{s: s, sc: scenarios[s.Scenario], http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	c := taskgroup.New(context.Background(), daemon.NewLogger("rehearsal", "callers"))
+	c := taskgroup.New(context.Background(), daemon.NewLogger("violetthread-standin", "callers"))
 	defer c.Stop()
 	rng := rand.New(rand.NewSource(s.Seed))
 	prefix := map[string]string{}
--- a/internal/standin/probe/probe.go
+++ b/internal/standin/probe/probe.go
@@ -121,7 +121,7 @@
 
 // Rollout measures how long an acknowledged plan takes to be in force everywhere.
 type Rollout struct {
-	Registrars []string `json:"registrars" validate:"required,min=1,dive,ipport" help:"IP:port of registrars' HTTP sides"`
+	Registrars []string `json:"controls" old:"registrars" validate:"required,min=1,dive,ipport" help:"IP:port of control nodes' HTTP sides"`
 	Proxies    []string `json:"proxies" validate:"required,min=1,dive,ipport" help:"IP:port of the remisiers"`
 	Times      int      `json:"times" validate:"min=1,max=10000" help:"changes to make"`
 }
