--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -16,11 +16,11 @@
 		{Name: "i2", Role: "custodian", Addr: "addr2"},
 		{Name: "i3", Role: "custodian", Addr: "addr3"},
 	}
-	ask := func(now int64) map[string]Ask {
+	ask := func(now int64) map[string]Query {
 		g.Feed(now, &plan.Held{}, 0, &fb.FeedAskT{})
-		out := map[string]Ask{}
-		for _, a := range g.Asks(now, nodes) {
-			out[a.Custodian] = a
+		out := map[string]Query{}
+		for _, a := range g.Queries(now, nodes) {
+			out[a.IndexNode] = a
 			if a.Addr != "addr"+a.Via[1:] {
 				t.Fatalf("%+v", a)
 			}
@@ -30,16 +30,16 @@
 	now := int64(1_000_000)
 	as := ask(now)
 	for _, n := range []string{"i1", "i2", "i3"} {
-		if a := as[n]; a.Via != n || a.Room.To != "" {
+		if a := as[n]; a.Via != n || a.Request.To != "" {
 			t.Fatalf("%+v", a)
 		}
 	}
-	g.Told(as["i1"], now, nil)
-	g.Told(as["i2"], now, &fb.RoomTellT{})
+	g.HandleReply(as["i1"], now, nil)
+	g.HandleReply(as["i2"], now, &fb.RoomTellT{})
 	asked := now
 	now += 100_000
 	as = ask(now)
-	if a := as["i1"]; a.Via != "i2" && a.Via != "i3" || a.Room.To != "i1" {
+	if a := as["i1"]; a.Via != "i2" && a.Via != "i3" || a.Request.To != "i1" {
 		t.Fatalf("%+v", a)
 	}
 	if a := as["i2"]; a.Via != "i2" {
@@ -48,11 +48,11 @@
 	if _, busy := as["i3"]; busy {
 		t.Fatal("i3 was asked twice at a time")
 	}
-	g.Told(as["i1"], now, &fb.RoomTellT{Orders: []*fb.OrderT{{Engine: "e", Age: 7}}})
+	g.HandleReply(as["i1"], now, &fb.RoomTellT{Orders: []*fb.OrderT{{Engine: "e", Age: 7}}})
 	if f := g.Feed(now+50, &plan.Held{}, 0, &fb.FeedAskT{}); len(f.Orders) != 1 || f.Orders[0].Age != 57 {
 		t.Fatalf("%+v", f.Orders)
 	}
-	if a := ask(asked + relayFor)["i1"]; a.Via != "i1" || a.Room.To != "" {
+	if a := ask(asked + relayDuration)["i1"]; a.Via != "i1" || a.Request.To != "" {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -62,11 +62,11 @@
 	g := New("proxy", "north")
 	nodes := []*fb.NodeT{{Name: "i1", Role: "custodian", Addr: "addr1"}, {Name: "i2", Role: "custodian", Addr: "addr2"}}
 	g.Feed(0, &plan.Held{}, 0, &fb.FeedAskT{})
-	for _, a := range g.Asks(0, nodes) {
-		g.Told(a, 0, nil)
+	for _, a := range g.Queries(0, nodes) {
+		g.HandleReply(a, 0, nil)
 	}
-	for _, a := range g.Asks(100, nodes) {
-		if a.Via != a.Custodian {
+	for _, a := range g.Queries(100, nodes) {
+		if a.Via != a.IndexNode {
 			t.Fatalf("%+v", a)
 		}
 	}
--- a/cmd/violetthread-ctl/main.go
+++ b/cmd/violetthread-ctl/main.go
@@ -18,7 +18,7 @@
 
 	"violetthread/internal/daemon"
 	"violetthread/plan"
-	"violetthread/tape/reel"
+	"violetthread/recording/replay"
 )
 
 type tool struct {
@@ -268,7 +268,7 @@
 		return trace.BadParameter("%v; give a file that a daemon wrote with --tape", err)
 	}
 	defer f.Close()
-	n, err := reel.Replay(f)
+	n, err := replay.Replay(f)
 	if err != nil {
 		return err
 	}
--- a/cmd/violetthread-ctl/views.go
+++ b/cmd/violetthread-ctl/views.go
@@ -16,14 +16,14 @@
 
 	"violetthread/index"
 	"violetthread/internal/app/control"
-	"violetthread/tape"
+	"violetthread/recording"
 )
 
 // row is one line of a view: the same for people and for programs.
 type row map[string]any
 
 // fleet asks a registrar for the members.
-func (t *tool) fleet() (f control.Fleet, err error) {
+func (t *tool) fleet() (f control.FleetStatus, err error) {
 	r, b, err := t.do(http.MethodGet, "/v1/fleet", nil)
 	if err != nil {
 		return f, err
@@ -87,8 +87,8 @@
 	for i := 0; i < index.Shards; i++ {
 		r := row{"shard": i, "owner": "nobody"}
 		for _, n := range f.Nodes {
-			if slices.Contains(n.Duties, index.ShardDuty(i)) {
-				r["owner"], r["site"] = n.Name, n.Site
+			if slices.Contains(n.SingletonRoles, index.ShardDuty(i)) {
+				r["owner"], r["site"] = n.Name, n.Zone
 			}
 		}
 		rows = append(rows, r)
@@ -107,7 +107,7 @@
 		if n.Role != "remisier" {
 			continue
 		}
-		r := row{"proxy": n.Name, "site": n.Site, "ready": n.Ready}
+		r := row{"proxy": n.Name, "site": n.Zone, "ready": n.Ready}
 		b, err := t.ask(n.HTTP, "/metrics")
 		if err != nil {
 			r["problem"] = "does not answer: " + err.Error()
@@ -213,15 +213,15 @@
 			fmt.Print(string(x))
 			continue
 		}
-		var l tape.Line
+		var l recording.Event
 		if err := json.Unmarshal(x, &l); err != nil {
 			return trace.BadParameter("line %d is broken: %v; the tape was changed or its disk is failing", n, err)
 		}
 		if first == 0 {
-			first = l.At
+			first = l.TimeUS
 		}
-		if s := string(l.Out); s != "" && s != "{}" && s != "null" || t.all {
-			fmt.Printf("%10.3fs %-9s %.200s\n%22s%.400s\n", float64(l.At-first)/1e6, l.Kind, l.In, "-> ", s)
+		if s := string(l.Output); s != "" && s != "{}" && s != "null" || t.all {
+			fmt.Printf("%10.3fs %-9s %.200s\n%22s%.400s\n", float64(l.TimeUS-first)/1e6, l.Type, l.Input, "-> ", s)
 		}
 	}
 }
--- a/cmd/violetthread-validate/main.go
+++ b/cmd/violetthread-validate/main.go
@@ -120,14 +120,14 @@
 
 func (g gatherer) fleet(p *plan.Plan) (f compliance.Fleet, err error) {
 	f.Up, f.BackEnds = map[string]bool{}, map[string]bool{}
-	var fl control.Fleet
+	var fl control.FleetStatus
 	if err := g.ask("/v1/fleet", &fl); err != nil {
 		return f, err
 	}
-	f.Firm = fl.Firm
+	f.Firm = fl.ChangeAllowed
 	for _, v := range fl.Voters {
 		f.Voters = append(f.Voters, v.Name)
-		f.Up[v.Name] = listens(v.Wire)
+		f.Up[v.Name] = listens(v.Addr)
 	}
 	type owned struct {
 		Name, Weights string
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -26,24 +26,24 @@
 // Defaults of the settings.
 func Defaults() Settings { return Settings{daemon.NodeSettings{DrainUS: 500_000}} }
 
-type runner struct {
-	s    Settings
-	d    *daemon.Daemon
-	book *transport.PeerPool
-	ses  *session.Session
-	node atomic.Pointer[fb.NodeT]
-	mu   sync.Mutex
-	g    *agent.Agent
+type server struct {
+	settings  Settings
+	daemon    *daemon.Daemon
+	peers     *transport.PeerPool
+	session   *session.Session
+	proxyNode atomic.Pointer[fb.NodeT]
+	mu        sync.Mutex
+	agent     *agent.Agent
 }
 
 const (
-	period   = 120_000
-	patience = 700_000
+	queryInterval = 120_000
+	queryTimeout  = 700_000
 )
 
 // Run runs a runner until it is told to stop.
-func Run(s Settings) error {
-	d, err := New(s)
+func Run(settings Settings) error {
+	d, err := NewDaemon(settings)
 	if err != nil {
 		return err
 	}
@@ -51,42 +51,42 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*daemon.Daemon, error) {
-	if s.TransportAddr == "" || len(s.Seeds) == 0 {
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
+	if settings.TransportAddr == "" || len(settings.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire a loopback IP:port and --seeds the registrars' addresses")
 	}
-	if h, _, _ := net.SplitHostPort(s.TransportAddr); !net.ParseIP(h).IsLoopback() {
+	if h, _, _ := net.SplitHostPort(settings.TransportAddr); !net.ParseIP(h).IsLoopback() {
 		return nil, trace.BadParameter("wire must be on loopback, beside its proxy; give --wire 127.0.0.1:port")
 	}
-	d := daemon.New("violetthread-agent", s.Name+"-agent", s.HTTPAddr, s.DrainUS)
-	if err := d.ProfileCPU(s.CPUProfile); err != nil {
+	daemon := daemon.New("violetthread-agent", settings.Name+"-agent", settings.HTTPAddr, settings.DrainUS)
+	if err := daemon.ProfileCPU(settings.CPUProfile); err != nil {
 		return nil, err
 	}
-	r := &runner{s: s, d: d, g: agent.New(s.Name, s.Zone)}
-	r.node.Store(&fb.NodeT{Name: s.Name, Role: "remisier", Site: s.Zone, Addr: s.TransportAddr})
-	r.book = transport.NewPeerPool(d.Group)
-	r.ses = session.New(d.Group, r.book, s.Seeds, func() *fb.NodeT { return r.node.Load() })
-	l, err := net.Listen("tcp", s.TransportAddr)
+	s := &server{settings: settings, daemon: daemon, agent: agent.New(settings.Name, settings.Zone)}
+	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: "remisier", Site: settings.Zone, Addr: settings.TransportAddr})
+	s.peers = transport.NewPeerPool(daemon.Group)
+	s.session = session.New(daemon.Group, s.peers, settings.Seeds, func() *fb.NodeT { return s.proxyNode.Load() })
+	l, err := net.Listen("tcp", settings.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free loopback IP:port", s.TransportAddr)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free loopback IP:port", settings.TransportAddr)
 	}
-	transport.Serve(d.Group, l, r.handle)
-	r.ses.Run()
-	d.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(period), r.round) })
-	d.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(r.ses.View().Rev) })
-	d.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(r.ses.View().Age(clock.Now())) })
-	d.SetReady("")
-	return d, nil
+	transport.Serve(daemon.Group, l, s.handleFrame)
+	s.session.Run()
+	daemon.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(queryInterval), s.queryIndexNodes) })
+	daemon.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(s.session.View().Rev) })
+	daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(s.session.View().Age(clock.Now())) })
+	daemon.SetReady("")
+	return daemon, nil
 }
 
-func (r *runner) handle(ctx context.Context, f *fb.FrameT) *fb.FrameT {
+func (s *server) handleFrame(ctx context.Context, f *fb.FrameT) *fb.FrameT {
 	switch {
 	case f.FeedAsk != nil && f.FeedAsk.Node != nil:
-		return &fb.FrameT{FeedTell: r.feed(f.FeedAsk)}
+		return &fb.FrameT{FeedTell: s.feedProxy(f.FeedAsk)}
 	case f.OpAsk != nil:
-		t, err := r.ses.Op(ctx, f.OpAsk, 1_900_000)
+		t, err := s.session.Op(ctx, f.OpAsk, 1_900_000)
 		if err != nil {
-			r.d.Log.Info("op_unanswered", "key", f.OpAsk.Key, "cause", err.Error())
+			s.daemon.Log.Info("op_unanswered", "key", f.OpAsk.Key, "cause", err.Error())
 			t = &fb.OpTellT{Status: byte(quorum.Unknown)}
 		}
 		return &fb.FrameT{OpTell: t}
@@ -94,30 +94,30 @@
 	return nil
 }
 
-func (r *runner) feed(a *fb.FeedAskT) *fb.FeedTellT {
-	r.node.Store(a.Node)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	v := r.ses.View()
-	return r.g.Feed(clock.Now(), &v.Held, v.Era, a)
+func (s *server) feedProxy(a *fb.FeedAskT) *fb.FeedTellT {
+	s.proxyNode.Store(a.Node)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	v := s.session.View()
+	return s.agent.Feed(clock.Now(), &v.Held, v.Era, a)
 }
 
 // round asks every index node for orders, each on its own.
-func (r *runner) round(context.Context) {
-	r.mu.Lock()
-	as := r.g.Asks(clock.Now(), r.ses.View().Nodes)
-	r.mu.Unlock()
+func (s *server) queryIndexNodes(context.Context) {
+	s.mu.Lock()
+	as := s.agent.Queries(clock.Now(), s.session.View().Nodes)
+	s.mu.Unlock()
 	for _, a := range as {
-		r.d.Group.Go("orders.ask", func(ctx context.Context) {
+		s.daemon.Group.Go("orders.ask", func(ctx context.Context) {
 			at := clock.Now()
-			f, err := r.book.Get(a.Addr).Call(ctx, &fb.FrameT{RoomAsk: a.Room}, patience)
+			f, err := s.peers.Get(a.Addr).Call(ctx, &fb.FrameT{RoomAsk: a.Request}, queryTimeout)
 			var t *fb.RoomTellT
 			if err == nil {
 				t = f.RoomTell
 			}
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			r.g.Told(a, at, t)
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.agent.HandleReply(a, at, t)
 		})
 	}
 }
--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -17,99 +17,99 @@
 )
 
 // Problems is what an operator gets for a plan that is not in order.
-type Problems struct {
+type ErrorResponse struct {
 	Reason   string         `json:"reason"`
 	Remedy   string         `json:"remedy"`
 	Findings []plan.Finding `json:"findings,omitempty"`
-	Rev      uint64         `json:"rev,omitempty"`
+	Revision uint64         `json:"rev,omitempty"`
 }
 
 // Accepted is what an operator gets for a plan in force.
-type Accepted struct {
-	Rev uint64 `json:"rev"`
+type PlanAccepted struct {
+	Revision uint64 `json:"rev"`
 }
 
-func (r *Node) routes() {
-	r.d.Handle("/v1/plan", r.planHTTP)
-	r.d.Handle("/v1/fleet", r.fleetHTTP)
-	r.d.Handle("/v1/roster", r.rosterHTTP)
+func (n *Node) registerRoutes() {
+	n.daemon.Handle("/v1/plan", n.servePlan)
+	n.daemon.Handle("/v1/fleet", n.serveFleet)
+	n.daemon.Handle("/v1/roster", n.serveVoterSetChange)
 	own := func() float64 {
-		n := 0
-		for _, s := range r.stats.Load().slots {
+		count := 0
+		for _, s := range n.status.Load().slots {
 			if s.Mine {
-				n++
+				count++
 			}
 		}
-		return float64(n)
+		return float64(count)
 	}
-	r.d.Gauge("slots_owned", "slots whose keys this node owns under a live lease", own)
-	r.d.Gauge("state_bytes", "bytes of live control state", func() float64 { return float64(r.stats.Load().size) })
-	r.d.Gauge("ring_used_permille", "part of the disk ring in use", func() float64 { return float64(r.storage.used.Load()) })
-	r.d.Gauge("era", "newest era of claims known to be open", func() float64 { return float64(r.era.Load()) })
-	r.d.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(r.cache.Load().Rev) })
-	r.d.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(r.cache.Load().Age(clock.Now())) })
+	n.daemon.Gauge("slots_owned", "slots whose keys this node owns under a live lease", own)
+	n.daemon.Gauge("state_bytes", "bytes of live control state", func() float64 { return float64(n.status.Load().stateBytes) })
+	n.daemon.Gauge("ring_used_permille", "part of the disk ring in use", func() float64 { return float64(n.storage.usedPermille.Load()) })
+	n.daemon.Gauge("era", "newest era of claims known to be open", func() float64 { return float64(n.generation.Load()) })
+	n.daemon.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(n.plan.Load().Rev) })
+	n.daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(n.plan.Load().Age(clock.Now())) })
 }
 
-func (r *Node) planHTTP(w http.ResponseWriter, q *http.Request) {
+func (n *Node) servePlan(w http.ResponseWriter, q *http.Request) {
 	switch q.Method {
 	case http.MethodGet:
-		a := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
+		a := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
 		switch {
 		case quorum.Status(a.Status) != quorum.Done:
-			unsettled(w, a)
+			writeNotCommitted(w, a)
 		case a.Rev == 0:
-			daemon.WriteJSON(w, http.StatusNotFound, Problems{Reason: "no-plan", Remedy: "send a whole plan first, with dealer plan put"})
+			daemon.WriteJSON(w, http.StatusNotFound, ErrorResponse{Reason: "no-plan", Remedy: "send a whole plan first, with dealer plan put"})
 		default:
 			w.Header().Set("ETag", etag(a.Rev))
 			w.Header().Set("Content-Type", "application/json")
 			_, raw, err := plan.Open(a.Val)
 			if err != nil {
-				daemon.WriteJSON(w, http.StatusInternalServerError, Problems{Reason: "unreadable", Remedy: err.Error()})
+				daemon.WriteJSON(w, http.StatusInternalServerError, ErrorResponse{Reason: "unreadable", Remedy: err.Error()})
 				return
 			}
 			_, _ = w.Write(raw) // to the byte what was sent
 		}
 	case http.MethodPut, http.MethodPatch:
-		r.change(w, q)
+		n.changePlan(w, q)
 	default:
-		daemon.WriteJSON(w, http.StatusMethodNotAllowed, Problems{Reason: "no-such-method", Remedy: "use GET, PUT or PATCH"})
+		daemon.WriteJSON(w, http.StatusMethodNotAllowed, ErrorResponse{Reason: "no-such-method", Remedy: "use GET, PUT or PATCH"})
 	}
 }
 
 func etag(rev uint64) string { return fmt.Sprintf("%q", strconv.FormatUint(rev, 10)) }
 
-func (r *Node) change(w http.ResponseWriter, q *http.Request) {
+func (n *Node) changePlan(w http.ResponseWriter, q *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, plan.MaxBytes+1))
 	if err != nil {
-		daemon.WriteJSON(w, http.StatusRequestEntityTooLarge, Problems{Reason: "too-large", Remedy: fmt.Sprintf("keep a plan within %d bytes", plan.MaxBytes)})
+		daemon.WriteJSON(w, http.StatusRequestEntityTooLarge, ErrorResponse{Reason: "too-large", Remedy: fmt.Sprintf("keep a plan within %d bytes", plan.MaxBytes)})
 		return
 	}
 	c := plan.Change{Body: body, Patch: q.Method == http.MethodPatch}
 	if m := strings.Trim(q.Header.Get("If-Match"), `"`); m != "" && m != "*" {
 		c.If = true
 		if c.Rev, err = strconv.ParseUint(m, 10, 64); err != nil {
-			daemon.WriteJSON(w, http.StatusBadRequest, Problems{Reason: "bad-precondition", Remedy: "give If-Match the revision that ETag showed"})
+			daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-precondition", Remedy: "give If-Match the revision that ETag showed"})
 			return
 		}
 	}
 	for try := 0; try < 50; try++ {
 		// What is in force is read first in any case: the seal follows from it.
-		at := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
+		at := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
 		if quorum.Status(at.Status) != quorum.Done {
-			unsettled(w, at)
+			writeNotCommitted(w, at)
 			return
 		}
 		sealed, _, err := c.On(at.Rev, at.Val)
 		if err != nil {
-			declined(w, err)
+			writeChangeError(w, err)
 			return
 		}
-		a := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: planKey, Val: sealed, Expect: at.Rev})
+		a := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: planKey, Val: sealed, Expect: at.Rev})
 		switch quorum.Status(a.Status) {
 		case quorum.Done:
-			r.d.Log.Info("plan_accepted", "rev", a.Rev, "method", q.Method, "from", q.RemoteAddr)
+			n.daemon.Log.Info("plan_accepted", "rev", a.Rev, "method", q.Method, "from", q.RemoteAddr)
 			w.Header().Set("ETag", etag(a.Rev))
-			daemon.WriteJSON(w, http.StatusOK, Accepted{a.Rev})
+			daemon.WriteJSON(w, http.StatusOK, PlanAccepted{a.Rev})
 			return
 		case quorum.Conflict:
 			// Another operator's change came between reading and writing: without a
@@ -117,68 +117,68 @@
 			if !c.If {
 				continue
 			}
-			conflict(w, a.Rev)
+			writeRevisionConflict(w, a.Rev)
 			return
 		default:
-			unsettled(w, a)
+			writeNotCommitted(w, a)
 			return
 		}
 	}
-	daemon.WriteJSON(w, http.StatusConflict, Problems{Reason: "too-busy", Remedy: "many operators change the plan at once; send the patch again"})
+	daemon.WriteJSON(w, http.StatusConflict, ErrorResponse{Reason: "too-busy", Remedy: "many operators change the plan at once; send the patch again"})
 }
 
 // declined tells an operator why a change does not apply.
-func declined(w http.ResponseWriter, err error) {
+func writeChangeError(w http.ResponseWriter, err error) {
 	switch e := err.(type) {
 	case plan.OtherRevision:
-		conflict(w, e.Rev)
+		writeRevisionConflict(w, e.Rev)
 	case plan.NoPlan:
-		daemon.WriteJSON(w, http.StatusNotFound, Problems{Reason: "no-plan", Remedy: e.Error()})
+		daemon.WriteJSON(w, http.StatusNotFound, ErrorResponse{Reason: "no-plan", Remedy: e.Error()})
 	case plan.BadPatch:
-		daemon.WriteJSON(w, http.StatusBadRequest, Problems{Reason: "bad-patch", Remedy: e.Error()})
+		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-patch", Remedy: e.Error()})
 	case plan.BadPlan:
-		daemon.WriteJSON(w, http.StatusBadRequest, Problems{Reason: "bad-plan", Remedy: e.Error(), Findings: e.Findings})
+		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-plan", Remedy: e.Error(), Findings: e.Findings})
 	default:
-		daemon.WriteJSON(w, http.StatusInternalServerError, Problems{Reason: "unreadable", Remedy: err.Error()})
+		daemon.WriteJSON(w, http.StatusInternalServerError, ErrorResponse{Reason: "unreadable", Remedy: err.Error()})
 	}
 }
 
-func conflict(w http.ResponseWriter, rev uint64) {
-	daemon.WriteJSON(w, http.StatusPreconditionFailed, Problems{Reason: "other-revision", Remedy: "read the plan again and decide anew; nothing was changed", Rev: rev})
+func writeRevisionConflict(w http.ResponseWriter, rev uint64) {
+	daemon.WriteJSON(w, http.StatusPreconditionFailed, ErrorResponse{Reason: "other-revision", Remedy: "read the plan again and decide anew; nothing was changed", Revision: rev})
 }
 
-func unsettled(w http.ResponseWriter, a *fb.OpTellT) {
+func writeNotCommitted(w http.ResponseWriter, a *fb.OpTellT) {
 	w.Header().Set("Retry-After", "1")
 	switch quorum.Status(a.Status) {
 	case quorum.NotOwner:
-		daemon.WriteJSON(w, http.StatusServiceUnavailable, Problems{Reason: "no-owner", Remedy: "nothing was changed; a majority of registrars must be up, then send again"})
+		daemon.WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Reason: "no-owner", Remedy: "nothing was changed; a majority of registrars must be up, then send again"})
 	case quorum.Full:
-		daemon.WriteJSON(w, http.StatusInsufficientStorage, Problems{Reason: "state-full", Remedy: "nothing was changed; raise ring_files on every registrar"})
+		daemon.WriteJSON(w, http.StatusInsufficientStorage, ErrorResponse{Reason: "state-full", Remedy: "nothing was changed; raise ring_files on every registrar"})
 	default:
-		daemon.WriteJSON(w, http.StatusGatewayTimeout, Problems{Reason: "unknown", Remedy: "the change may or may not be in force; read the plan before sending again"})
+		daemon.WriteJSON(w, http.StatusGatewayTimeout, ErrorResponse{Reason: "unknown", Remedy: "the change may or may not be in force; read the plan before sending again"})
 	}
 }
 
 // Change is the body of POST /v1/roster: Old leaves, the empty registrar that
 // listens at Addr comes; either may be left out. Step must be the roster's.
-type Change struct {
-	Old  string `json:"old,omitempty"`
-	Addr string `json:"addr,omitempty"`
-	Step uint64 `json:"step"`
+type VoterSetChange struct {
+	Leaving     string `json:"old,omitempty"`
+	JoiningAddr string `json:"addr,omitempty"`
+	Step        uint64 `json:"step"`
 }
 
-func (r *Node) rosterHTTP(w http.ResponseWriter, q *http.Request) {
-	var c Change
+func (n *Node) serveVoterSetChange(w http.ResponseWriter, q *http.Request) {
+	var c VoterSetChange
 	d := json.NewDecoder(http.MaxBytesReader(w, q.Body, 4096))
 	d.DisallowUnknownFields()
-	if q.Method != http.MethodPost || d.Decode(&c) != nil || c.Old == "" && c.Addr == "" {
-		daemon.WriteJSON(w, http.StatusBadRequest, Problems{Reason: "malformed", Remedy: "POST old, addr or both, and the step that GET /v1/fleet shows"})
+	if q.Method != http.MethodPost || d.Decode(&c) != nil || c.Leaving == "" && c.JoiningAddr == "" {
+		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "malformed", Remedy: "POST old, addr or both, and the step that GET /v1/fleet shows"})
 		return
 	}
 	no := func(status int, reason, remedy string) {
-		daemon.WriteJSON(w, status, Problems{Reason: reason, Remedy: remedy + "; nothing was changed"})
+		daemon.WriteJSON(w, status, ErrorResponse{Reason: reason, Remedy: remedy + "; nothing was changed"})
 	}
-	f := r.found.Load()
+	f := n.voterSet.Load()
 	if f == nil {
 		no(http.StatusServiceUnavailable, "not-in-fleet", "ask a registrar that is in the roster")
 		return
@@ -189,8 +189,8 @@
 		return
 	}
 	var come *quorum.Voter
-	if c.Addr != "" {
-		a, err := r.book.Get(c.Addr).Call(q.Context(), &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: r.s.Name, Addr: r.s.TransportAddr, Inc: r.Inc()}}, 1_000_000)
+	if c.JoiningAddr != "" {
+		a, err := n.peers.Get(c.JoiningAddr).Call(q.Context(), &fb.FrameT{FoundAsk: &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation()}}, 1_000_000)
 		if err != nil || a.FoundTell == nil || a.FoundTell.Inc == 0 {
 			no(http.StatusBadGateway, "newcomer-unreachable", "start the new registrar first, and give its wire address as IP:port")
 			return
@@ -199,93 +199,93 @@
 			no(http.StatusConflict, "newcomer-not-empty", "its disk belongs to a roster already; give it an empty data_dir")
 			return
 		}
-		come = &quorum.Voter{Name: a.FoundTell.Name, Addr: c.Addr, Inc: a.FoundTell.Inc}
+		come = &quorum.Voter{Name: a.FoundTell.Name, Addr: c.JoiningAddr, Inc: a.FoundTell.Inc}
 	}
-	n, err := ro.Next(c.Old, come)
+	next, err := ro.Next(c.Leaving, come)
 	if err != nil {
 		no(http.StatusBadRequest, "no-such-step", err.Error())
 		return
 	}
-	at := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.RosterKey})
+	at := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.RosterKey})
 	if quorum.Status(at.Status) != quorum.Done {
-		unsettled(w, at)
+		writeNotCommitted(w, at)
 		return
 	}
-	a := r.Op(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.RosterKey, Val: n.Bytes(), Expect: at.Rev})
+	a := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.RosterKey, Val: next.Bytes(), Expect: at.Rev})
 	switch quorum.Status(a.Status) {
 	case quorum.Done:
-		r.d.Log.Info("roster_changed", "step", n.Step(), "old", c.Old, "addr", c.Addr)
-		daemon.WriteJSON(w, http.StatusOK, map[string]any{"step": n.Step(), "voters": n.Voters})
+		n.daemon.Log.Info("roster_changed", "step", next.Step(), "old", c.Leaving, "addr", c.JoiningAddr)
+		daemon.WriteJSON(w, http.StatusOK, map[string]any{"step": next.Step(), "voters": next.Voters})
 	case quorum.Conflict:
 		no(http.StatusConflict, "not-now", string(a.Val))
 	default:
-		unsettled(w, a)
+		writeNotCommitted(w, a)
 	}
 }
 
 // Fleet is what GET /v1/fleet tells.
-type Fleet struct {
-	Registrar string       `json:"registrar"`
-	Plan      PlanState    `json:"plan"`
-	Slots     []SlotState  `json:"slots"`
-	Nodes     []NodeState  `json:"nodes"`
-	Voters    []VoterState `json:"voters"`
+type FleetStatus struct {
+	ControlNode string        `json:"registrar"`
+	Plan        PlanStatus    `json:"plan"`
+	Slots       []SlotStatus  `json:"slots"`
+	Nodes       []NodeStatus  `json:"nodes"`
+	Voters      []VoterStatus `json:"voters"`
 	// Step counts the roster's changes; Firm says that the next may be made.
-	Step uint64 `json:"roster_step"`
-	Firm bool   `json:"roster_firm"`
+	VoterSetStep  uint64 `json:"roster_step"`
+	ChangeAllowed bool   `json:"roster_firm"`
 	// Disk is this node's own.
-	Disk DiskState `json:"disk"`
+	Disk DiskStatus `json:"disk"`
 }
 
 // PlanState is the plan as this registrar last heard it vouched for.
-type PlanState struct {
-	Rev   uint64 `json:"rev"`
-	AgeUS int64  `json:"age_us"`
+type PlanStatus struct {
+	Revision uint64 `json:"rev"`
+	AgeUS    int64  `json:"age_us"`
 }
 
 // SlotState is a slot of the control state.
-type SlotState struct {
-	Slot  int    `json:"slot"`
-	Owner string `json:"owner"`
-	Epoch uint64 `json:"epoch"`
-	Keys  int    `json:"keys"`
+type SlotStatus struct {
+	Slot   int    `json:"slot"`
+	Leader string `json:"owner"`
+	Term   uint64 `json:"epoch"`
+	Keys   int    `json:"keys"`
 }
 
 // NodeState is a member.
-type NodeState struct {
-	Name   string   `json:"name"`
-	Role   string   `json:"role"`
-	Site   string   `json:"site"`
-	HTTP   string   `json:"http"`
-	Wire   string   `json:"wire"`
-	Ready  bool     `json:"ready"`
-	Via    string   `json:"via"`
-	AgeUS  int64    `json:"age_us"`
-	Duties []string `json:"duties,omitempty"`
+type NodeStatus struct {
+	Name           string   `json:"name"`
+	Role           string   `json:"role"`
+	Zone           string   `json:"site"`
+	HTTP           string   `json:"http"`
+	Addr           string   `json:"wire"`
+	Ready          bool     `json:"ready"`
+	ControlNode    string   `json:"via"`
+	AgeUS          int64    `json:"age_us"`
+	SingletonRoles []string `json:"duties,omitempty"`
 }
 
 // VoterState is a member of the roster.
-type VoterState struct {
+type VoterStatus struct {
 	Name string `json:"name"`
-	Wire string `json:"wire"`
+	Addr string `json:"wire"`
 }
 
-func (r *Node) fleetHTTP(w http.ResponseWriter, _ *http.Request) {
+func (n *Node) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	now := clock.Now()
-	c := r.cache.Load()
-	f := Fleet{Registrar: r.s.Name, Plan: PlanState{c.Rev, c.Age(now)}, Slots: []SlotState{}, Nodes: []NodeState{}}
-	for i, s := range r.stats.Load().slots {
-		f.Slots = append(f.Slots, SlotState{i, s.Owner, s.Epoch, s.Count})
+	c := n.plan.Load()
+	f := FleetStatus{ControlNode: n.settings.Name, Plan: PlanStatus{c.Rev, c.Age(now)}, Slots: []SlotStatus{}, Nodes: []NodeStatus{}}
+	for i, s := range n.status.Load().slots {
+		f.Slots = append(f.Slots, SlotStatus{i, s.Owner, s.Epoch, s.Count})
 	}
-	for _, n := range r.roll.Live(now) {
-		f.Nodes = append(f.Nodes, NodeState{n.Name, n.Role, n.Site, n.Http, n.Addr, n.Ready, n.Registrar, n.Age, n.Duties})
+	for _, member := range n.sessions.Live(now) {
+		f.Nodes = append(f.Nodes, NodeStatus{member.Name, member.Role, member.Site, member.Http, member.Addr, member.Ready, member.Registrar, member.Age, member.Duties})
 	}
-	f.Firm = r.stats.Load().firm
-	f.Disk = r.Disk()
-	if x := r.found.Load(); x != nil {
-		f.Step = codec.UnpackVoterSet(x).Step()
+	f.ChangeAllowed = n.status.Load().changeAllowed
+	f.Disk = n.DiskStatus()
+	if x := n.voterSet.Load(); x != nil {
+		f.VoterSetStep = codec.UnpackVoterSet(x).Step()
 		for _, v := range x.Voters {
-			f.Voters = append(f.Voters, VoterState{v.Name, v.Addr})
+			f.Voters = append(f.Voters, VoterStatus{v.Name, v.Addr})
 		}
 	}
 	daemon.WriteJSON(w, http.StatusOK, f)
--- a/internal/app/control/embed.go
+++ b/internal/app/control/embed.go
@@ -14,27 +14,27 @@
 )
 
 // Daemon is the process around the node.
-func (r *Node) Daemon() *daemon.Daemon { return r.d }
+func (n *Node) Daemon() *daemon.Daemon { return n.daemon }
 
 // Name is the node's name.
-func (r *Node) Name() string { return r.s.Name }
+func (n *Node) Name() string { return n.settings.Name }
 
 // Inc is the incarnation of the node's disk; another one once it was retired.
-func (r *Node) Inc() uint64 { return r.inc.Load() }
+func (n *Node) Incarnation() uint64 { return n.incarnation.Load() }
 
 // Up reports whether this node votes.
-func (r *Node) Up() bool { return r.up.Load() }
+func (n *Node) Voting() bool { return n.voting.Load() }
 
 // Book holds the node's wires to others.
-func (r *Node) Book() *transport.PeerPool { return r.book }
+func (n *Node) Peers() *transport.PeerPool { return n.peers }
 
 // Live lists the members whose sessions stand.
-func (r *Node) Live(now int64) []*fb.NodeT { return r.roll.Live(now) }
+func (n *Node) LiveNodes(now int64) []*fb.NodeT { return n.sessions.Live(now) }
 
 // Voters are the wire addresses of the roster in force here, this node's among them;
 // none while this disk is in no roster.
-func (r *Node) Voters() []string {
-	f := r.found.Load()
+func (n *Node) VoterAddrs() []string {
+	f := n.voterSet.Load()
 	if f == nil {
 		return nil
 	}
@@ -42,16 +42,16 @@
 }
 
 // contactLook is how often contact with a majority is looked at during a call.
-const contactLook = 50_000
+const contactInterval = 50_000
 
 // HearsMajority reports whether this node heard a majority of the voters within
 // muteAfter, itself among them. A node that does not vote can't tell, and says yes.
-func (r *Node) HearsMajority() bool {
-	f := r.found.Load()
-	if f == nil || !r.up.Load() {
+func (n *Node) HearsMajority() bool {
+	f := n.voterSet.Load()
+	if f == nil || !n.voting.Load() {
 		return true
 	}
-	return hearsMajority(f.Voters, r.stats.Load().mute)
+	return hearsMajority(f.Voters, n.status.Load().silent)
 }
 
 // hearsMajority tells whether most of the voters are not mute.
@@ -63,11 +63,11 @@
 // WhileHearingMajority is a context that ends with ctx, or once this node hears no
 // majority: nothing can be read or changed from here then, and whoever asks does better
 // elsewhere.
-func (r *Node) WhileHearingMajority(ctx context.Context) (context.Context, context.CancelFunc) {
+func (n *Node) WithMajorityContact(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
-	r.d.Group.Go("contact", func(context.Context) {
-		for r.HearsMajority() {
-			if !taskgroup.Pause(ctx, contactLook) {
+	n.daemon.Group.Go("contact", func(context.Context) {
+		for n.HearsMajority() {
+			if !taskgroup.Sleep(ctx, contactInterval) {
 				break
 			}
 		}
@@ -78,32 +78,32 @@
 
 // Frames adds a handler that is asked before the node's own; nil from it means that
 // the frame is not its own.
-func (r *Node) Frames(h func(ctx context.Context, f *fb.FrameT) *fb.FrameT) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (n *Node) AddHandler(h func(ctx context.Context, f *fb.FrameT) *fb.FrameT) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	var hs []transport.Handler
-	if p := r.frames.Load(); p != nil {
+	if p := n.handlers.Load(); p != nil {
 		hs = append(hs, *p...)
 	}
 	hs = append(hs, h)
-	r.frames.Store(&hs)
+	n.handlers.Store(&hs)
 }
 
 // Once carries an operation out with one try.
-func (r *Node) Once(ctx context.Context, t *fb.OpAskT) *fb.OpTellT { return r.op(ctx, t) }
+func (n *Node) ExecuteOnce(ctx context.Context, t *fb.OpAskT) *fb.OpTellT { return n.execute(ctx, t) }
 
 // Op carries an operation out, trying again while it provably did nothing, or while
 // doing it twice is the same as once, for as long as Settings.Patience.
-func (r *Node) Op(ctx context.Context, t *fb.OpAskT) *fb.OpTellT {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(lo.Ternary(r.s.Patience > 0, r.s.Patience, Defaults().Patience)))
+func (n *Node) Execute(ctx context.Context, t *fb.OpAskT) *fb.OpTellT {
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(lo.Ternary(n.settings.OperationTimeout > 0, n.settings.OperationTimeout, Defaults().OperationTimeout)))
 	defer stop()
 	doubt := false
 	for {
 		c := *t
-		a := r.op(ctx, &c)
+		a := n.execute(ctx, &c)
 		again := false
-		a, doubt, again = verdict(quorum.OpKind(t.Kind), a, doubt)
-		if !again || !taskgroup.Pause(ctx, 30_000) {
+		a, doubt, again = judgeAttempt(quorum.OpKind(t.Kind), a, doubt)
+		if !again || !taskgroup.Sleep(ctx, 30_000) {
 			return a
 		}
 	}
@@ -111,18 +111,18 @@
 
 // harmless tells the operations that may be carried out twice: a read, and a claim or
 // lease that its very holder asks for again (design §4.5, §6).
-func harmless(k quorum.OpKind) bool {
+func idempotent(k quorum.OpKind) bool {
 	return k == quorum.OpGet || k == quorum.OpClaim || k == quorum.OpHold
 }
 
 // verdict is what the caller may be told after a try, whether one of the tries may
 // still take effect, and whether to try again. After a try in doubt only an answer
 // that holds whatever became of it counts; a read is never in doubt.
-func verdict(k quorum.OpKind, a *fb.OpTellT, doubt bool) (tell *fb.OpTellT, doubtful, again bool) {
+func judgeAttempt(k quorum.OpKind, a *fb.OpTellT, doubt bool) (tell *fb.OpTellT, doubtful, again bool) {
 	switch st := quorum.Status(a.Status); {
 	case st == quorum.Done || st == quorum.Conflict || st == quorum.Closed:
 		return a, doubt, false
-	case st == quorum.Unknown && !harmless(k):
+	case st == quorum.Unknown && !idempotent(k):
 		return a, true, false
 	case st == quorum.Unknown:
 		return a, doubt || k != quorum.OpGet, true
@@ -134,18 +134,18 @@
 }
 
 // Heard keeps a node that asked here a member (design §4.7).
-func (r *Node) Heard(now int64, n *fb.NodeT) { r.roll.Beat(now, n) }
+func (n *Node) RecordHeartbeat(now int64, node *fb.NodeT) { n.sessions.Heartbeat(now, node) }
 
 // Tell sends a frame to the other voters; it may be lost.
-func (r *Node) Tell(f *fb.FrameT) {
-	for _, a := range r.Voters() {
-		if a != r.s.TransportAddr {
-			r.book.Get(a).Send(f)
+func (n *Node) Broadcast(f *fb.FrameT) {
+	for _, a := range n.VoterAddrs() {
+		if a != n.settings.TransportAddr {
+			n.peers.Get(a).Send(f)
 		}
 	}
 }
 
 // Ask asks the control node at an address and waits for its answer.
-func (r *Node) Ask(ctx context.Context, addr string, f *fb.FrameT, us int64) (*fb.FrameT, error) {
-	return r.book.Get(addr).Call(ctx, f, us)
+func (n *Node) Call(ctx context.Context, addr string, f *fb.FrameT, us int64) (*fb.FrameT, error) {
+	return n.peers.Get(addr).Call(ctx, f, us)
 }
--- a/internal/app/control/embed_test.go
+++ b/internal/app/control/embed_test.go
@@ -33,7 +33,7 @@
 		{quorum.OpHold, quorum.Unknown, false, quorum.Unknown, true, false},
 		{quorum.OpHold, quorum.NotOwner, true, quorum.Unknown, true, false},
 	} {
-		a, d, again := verdict(c.kind, &fb.OpTellT{Status: byte(c.st)}, c.doubt)
+		a, d, again := judgeAttempt(c.kind, &fb.OpTellT{Status: byte(c.st)}, c.doubt)
 		if quorum.Status(a.Status) != c.want || d != c.doubts || again == c.once {
 			t.Errorf("kind %d status %d doubt %v: told %d, doubt %v, again %v", c.kind, c.st, c.doubt, a.Status, d, again)
 		}
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	maxHops   = 2
-	muteAfter = 400_000 // without word from an owner nothing is passed to it
+	maxHops        = 2
+	contactTimeout = 400_000 // without word from an owner nothing is passed to it
 )
 
 // pass hands an operation on. One that may be repeated is not waited for long: its
 // owner may be gone, and whoever asked tries again (Node.Op).
-func (r *Node) pass(ctx context.Context, addr string, t *fb.OpAskT) *fb.OpTellT {
+func (n *Node) forward(ctx context.Context, addr string, t *fb.OpAskT) *fb.OpTellT {
 	c := *t
 	c.Hops++
-	f, err := r.book.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](harmless(quorum.OpKind(t.Kind)), 500_000, 2_000_000))
+	f, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](idempotent(quorum.OpKind(t.Kind)), 500_000, 2_000_000))
 	if err != nil || f.OpTell == nil {
 		return &fb.OpTellT{Status: byte(quorum.Unknown)}
 	}
@@ -31,20 +31,20 @@
 }
 
 // op carries an operation to the owner of its key, which may be this node.
-func (r *Node) op(ctx context.Context, t *fb.OpAskT) *fb.OpTellT {
-	if !r.up.Load() {
-		if via := r.another(); via != "" && t.Hops < maxHops {
-			return r.pass(ctx, via, t)
+func (n *Node) execute(ctx context.Context, t *fb.OpAskT) *fb.OpTellT {
+	if !n.voting.Load() {
+		if via := n.nextPeer(); via != "" && t.Hops < maxHops {
+			return n.forward(ctx, via, t)
 		}
 		return &fb.OpTellT{Status: byte(quorum.NotOwner)}
 	}
-	a, ok := r.do(ctx, quorum.Op{Kind: quorum.OpKind(t.Kind), Key: t.Key, Val: t.Val, Expect: t.Expect, Holder: t.Holder, Term: t.Term})
+	a, ok := n.propose(ctx, quorum.Op{Kind: quorum.OpKind(t.Kind), Key: t.Key, Val: t.Val, Expect: t.Expect, Holder: t.Holder, Term: t.Term})
 	if !ok {
 		return &fb.OpTellT{Status: byte(quorum.Unknown)}
 	}
-	if a.Status == quorum.NotOwner && a.Owner != "" && a.Owner != r.s.Name && t.Hops < maxHops {
-		f := r.found.Load()
-		if f == nil || r.stats.Load().mute[a.Owner] {
+	if a.Status == quorum.NotOwner && a.Owner != "" && a.Owner != n.settings.Name && t.Hops < maxHops {
+		f := n.voterSet.Load()
+		if f == nil || n.status.Load().silent[a.Owner] {
 			// Nothing was sent, so that it is safe to say so and try again.
 			return &fb.OpTellT{Status: byte(quorum.NotOwner)}
 		}
@@ -52,7 +52,7 @@
 		if !ok {
 			return &fb.OpTellT{Status: byte(quorum.NotOwner)}
 		}
-		return r.pass(ctx, v.Addr, t)
+		return n.forward(ctx, v.Addr, t)
 	}
 	out := &fb.OpTellT{Status: byte(a.Status), Rev: a.Rev, Val: a.Val, Owner: a.Owner}
 	if t.Have != 0 && t.Have == a.Rev {
@@ -62,8 +62,8 @@
 }
 
 // handle answers frames from other processes.
-func (r *Node) handle(ctx context.Context, f *fb.FrameT) *fb.FrameT {
-	if p := r.frames.Load(); p != nil {
+func (n *Node) handleFrame(ctx context.Context, f *fb.FrameT) *fb.FrameT {
+	if p := n.handlers.Load(); p != nil {
 		for _, h := range *p {
 			if a := h(ctx, f); a != nil {
 				return a
@@ -73,23 +73,23 @@
 	now := clock.Now()
 	switch {
 	case f.Settle != nil:
-		if r.up.Load() {
+		if n.voting.Load() {
 			m := codec.UnpackMessage(f.Settle)
-			taskgroup.Give(ctx, r.in, func(now int64) { r.out(r.node.Recv(now, m)) })
+			taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Recv(now, m)) })
 		}
 		return nil
 	case f.RollTell != nil:
-		r.roll.Hear(now, f.RollTell)
+		n.sessions.Merge(now, f.RollTell)
 		return nil
 	case f.FoundAsk != nil:
-		return &fb.FrameT{FoundTell: r.foundTell(f.FoundAsk)}
+		return &fb.FrameT{FoundTell: n.voterSetReply(f.FoundAsk)}
 	case f.BeatAsk != nil && f.BeatAsk.Node != nil:
-		r.roll.Beat(now, f.BeatAsk.Node)
-		return &fb.FrameT{BeatTell: r.beatTell(now, f.BeatAsk.Have)}
+		n.sessions.Heartbeat(now, f.BeatAsk.Node)
+		return &fb.FrameT{BeatTell: n.heartbeatReply(now, f.BeatAsk.Have)}
 	case f.OpAsk != nil:
-		ctx, stop := context.WithTimeout(ctx, clock.Micros(5_000_000))
+		ctx, stop := context.WithTimeout(ctx, clock.Duration(5_000_000))
 		defer stop()
-		return &fb.FrameT{OpTell: r.op(ctx, f.OpAsk)}
+		return &fb.FrameT{OpTell: n.execute(ctx, f.OpAsk)}
 	}
 	return nil
 }
@@ -97,52 +97,52 @@
 const planKey = "plan"
 
 // refresh asks the plan's owner anew; the age counts from before the question.
-func (r *Node) refresh(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(700_000))
+func (n *Node) refreshPlan(ctx context.Context) {
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(700_000))
 	defer stop()
-	c := r.cache.Load()
+	c := n.plan.Load()
 	at := clock.Now()
 	q := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: c.Rev}
-	t := r.op(ctx, q)
+	t := n.execute(ctx, q)
 	if quorum.Status(t.Status) != quorum.Done {
 		// The way to the owner may be cut here and not elsewhere. The age counts
 		// from the first question all the same.
-		if via := r.another(); via != "" {
-			ctx, stop := context.WithTimeout(r.d.Group.Context(), clock.Micros(700_000))
+		if via := n.nextPeer(); via != "" {
+			ctx, stop := context.WithTimeout(n.daemon.Group.Context(), clock.Duration(700_000))
 			defer stop()
 			q.Hops = 1
-			if f, err := r.book.Get(via).Call(ctx, &fb.FrameT{OpAsk: q}, 600_000); err == nil && f.OpTell != nil {
+			if f, err := n.peers.Get(via).Call(ctx, &fb.FrameT{OpAsk: q}, 600_000); err == nil && f.OpTell != nil {
 				t = f.OpTell
 			}
 		}
 	}
 	if quorum.Status(t.Status) == quorum.Done {
-		n, _, _ := c.Take(plan.Word{Rev: t.Rev, Raw: t.Val, Fresh: true}, at)
-		r.cache.Store(&n)
+		updated, _, _ := c.Take(plan.Word{Rev: t.Rev, Raw: t.Val, Fresh: true}, at)
+		n.plan.Store(&updated)
 	}
 }
 
 // another is the address of another voter, one after the other.
-func (r *Node) another() string {
+func (n *Node) nextPeer() string {
 	var as []string
-	if f := r.found.Load(); f != nil {
-		as = lo.Without(addrs(f), r.s.TransportAddr)
+	if f := n.voterSet.Load(); f != nil {
+		as = lo.Without(voterAddrs(f), n.settings.TransportAddr)
 	} else {
-		as = r.knows()
+		as = n.candidateAddrs()
 	}
 	if len(as) == 0 {
 		return ""
 	}
-	return as[r.turns.Add(1)%uint64(len(as))]
+	return as[n.peerTurn.Add(1)%uint64(len(as))]
 }
 
-func (r *Node) beatTell(now int64, have uint64) *fb.BeatTellT {
-	c := r.cache.Load()
-	t := &fb.BeatTellT{Rev: c.Rev, Age: c.Age(now), Fresh: c.Known, Nodes: r.roll.Live(now), Era: r.era.Load()}
+func (n *Node) heartbeatReply(now int64, have uint64) *fb.BeatTellT {
+	c := n.plan.Load()
+	t := &fb.BeatTellT{Rev: c.Rev, Age: c.Age(now), Fresh: c.Known, Nodes: n.sessions.Live(now), Era: n.generation.Load()}
 	if c.Rev != have {
 		t.Plan = c.Raw
 	}
-	if f := r.found.Load(); f != nil {
+	if f := n.voterSet.Load(); f != nil {
 		t.Registrars = lo.Map(f.Voters, func(v *fb.VoterT, _ int) string { return v.Addr })
 	}
 	return t
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -28,33 +28,33 @@
 // again, another voter begins from what was synced, exactly as after a restart of the
 // process; so a disk in trouble needs no rule of its own (design §5).
 type storage struct {
-	folder  osdisk.Folder
-	fs      wal.FS
-	lock    io.Closer
-	log     *wal.Log
-	io      *taskgroup.Group // operations that a stalled disk may hold up for ever
-	pending chan batch       // records that the voter wants on disk
-	written chan struct{}    // told once the writer of this voter has ended
-	started atomic.Int64     // number of the writer's operation under way; 0: none
-	stuck   stallWatch
-	lost    bool          // a batch was dropped: this voter's records are incomplete
-	synced  atomic.Uint64 // records of this voter on disk
-	wants   atomic.Bool   // the ring wants a checkpoint
-	restate atomic.Bool   // a checkpoint is queued or being written
-	used    atomic.Int64  // thousandths of the ring
-	usable  int64         // since when it is, or last was
-	pause   int64         // before the next try to use a disk in trouble
-	health  atomic.Pointer[DiskState]
-	trouble atomic.Uint64 // times that the disk stopped this node
+	folder           osdisk.Directory
+	fs               wal.FS
+	lock             io.Closer
+	log              *wal.Log
+	operations       *taskgroup.Group // operations that a stalled disk may hold up for ever
+	pending          chan batch       // records that the voter wants on disk
+	writerDone       chan struct{}    // told once the writer of this voter has ended
+	activeOperation  atomic.Int64     // number of the writer's operation under way; 0: none
+	stall            stallWatch
+	recordsLost      bool          // a batch was dropped: this voter's records are incomplete
+	syncedRecords    atomic.Uint64 // records of this voter on disk
+	checkpointWanted atomic.Bool   // the ring wants a checkpoint
+	checkpointQueued atomic.Bool   // a checkpoint is queued or being written
+	usedPermille     atomic.Int64  // thousandths of the ring
+	usableSince      int64         // since when it is, or last was
+	retryDelay       int64         // before the next try to use a disk in trouble
+	status           atomic.Pointer[DiskStatus]
+	troubleCount     atomic.Uint64 // times that the disk stopped this node
 }
 
 const causeStarting = "starting"
 
 // DiskState is the disk as operators see it.
-type DiskState struct {
-	Usable bool   `json:"usable"`
-	Cause  string `json:"cause,omitempty"` // why it is not, with the remedy
-	since  int64
+type DiskStatus struct {
+	Usable  bool   `json:"usable"`
+	Cause   string `json:"cause,omitempty"` // why it is not, with the remedy
+	sinceUS int64
 }
 
 var (
@@ -64,42 +64,42 @@
 )
 
 const (
-	openAfter    = 5_000_000 // an opening that takes longer counts as stalled
-	closeWithin  = 500_000   // when the node stops, for an operation under way
-	retryAtFirst = 100_000   // between tries to use a disk in trouble, doubled each time
-	retryAtMost  = 800_000
-	steadyFor    = 10_000_000 // usable for so long, a disk is tried again at once
-	maxPending   = 4096       // batches
+	diskTimeout       = 5_000_000 // an opening that takes longer counts as stalled
+	closeTimeout      = 500_000   // when the node stops, for an operation under way
+	minRetryDelay     = 100_000   // between tries to use a disk in trouble, doubled each time
+	maxRetryDelay     = 800_000
+	steadyAfter       = 10_000_000 // usable for so long, a disk is tried again at once
+	maxPendingBatches = 4096       // batches
 )
 
-func (r *Node) initStorage() {
-	st := &r.storage
-	st.folder = osdisk.Folder{Dir: filepath.Join(r.s.DataDir, "ring")}
+func (n *Node) initStorage() {
+	st := &n.storage
+	st.folder = osdisk.Directory{Path: filepath.Join(n.settings.DataDir, "ring")}
 	st.fs = st.folder
-	if r.s.Disk != nil {
-		st.fs = r.s.Disk(st.fs)
+	if n.settings.Disk != nil {
+		st.fs = n.settings.Disk(st.fs)
 	}
-	st.io = taskgroup.New(context.Background(), r.d.Log) // waited for within bounds alone
-	st.pause = retryAtFirst
-	st.pending = make(chan batch, maxPending)
-	st.health.Store(&DiskState{Cause: causeStarting, since: clock.Now()})
-	r.d.OnStop(r.closeStorage)
-	r.d.Gauge("disk_usable", "1 while this node's disk takes writes, 0 while it is full, stalled or failing", func() float64 {
-		if st.health.Load().Usable {
+	st.operations = taskgroup.New(context.Background(), n.daemon.Log) // waited for within bounds alone
+	st.retryDelay = minRetryDelay
+	st.pending = make(chan batch, maxPendingBatches)
+	st.status.Store(&DiskStatus{Cause: causeStarting, sinceUS: clock.Now()})
+	n.daemon.OnStop(n.closeStorage)
+	n.daemon.Gauge("disk_usable", "1 while this node's disk takes writes, 0 while it is full, stalled or failing", func() float64 {
+		if st.status.Load().Usable {
 			return 1
 		}
 		return 0
 	})
-	r.d.Counter("disk_troubles_total", "times that the disk stopped this node from voting", func() float64 { return float64(st.trouble.Load()) })
+	n.daemon.Counter("disk_troubles_total", "times that the disk stopped this node from voting", func() float64 { return float64(st.troubleCount.Load()) })
 }
 
 // closeStorage gives the folder back. While an operation is stalled no other may use the
 // folder: this returns without that then, and it is given back when the operation ends.
-func (r *Node) closeStorage() {
-	st := &r.storage
+func (n *Node) closeStorage() {
+	st := &n.storage
 	ended := make(chan struct{}, 1)
-	taskgroup.New(context.Background(), r.d.Log).Go("disk.close", func(context.Context) {
-		st.io.Stop()
+	taskgroup.New(context.Background(), n.daemon.Log).Go("disk.close", func(context.Context) {
+		st.operations.Stop()
 		if st.log != nil {
 			_ = st.log.Close()
 		}
@@ -108,74 +108,74 @@
 		}
 		ended <- struct{}{}
 	})
-	ctx, stop := context.WithTimeout(context.Background(), clock.Micros(closeWithin))
+	ctx, stop := context.WithTimeout(context.Background(), clock.Duration(closeTimeout))
 	defer stop()
-	taskgroup.Wait(ctx, ended)
+	taskgroup.Receive(ctx, ended)
 }
 
 // Disk is the state of this node's disk.
-func (r *Node) Disk() DiskState { return *r.storage.health.Load() }
+func (n *Node) DiskStatus() DiskStatus { return *n.storage.status.Load() }
 
 // passes tells whether a failure may pass by itself, so that waiting is worth it.
-func passes(err error) bool {
-	return errors.Is(err, wal.ErrDisk) || errors.Is(err, errStalled) || errors.Is(err, errBacklog) || errors.Is(err, wal.ErrRingFull)
+func isTransient(err error) bool {
+	return errors.Is(err, wal.ErrDisk) || errors.Is(err, errStalled) || errors.Is(err, errBacklog) || errors.Is(err, wal.ErrFull)
 }
 
 // openStorage opens the log, or opens it anew after trouble, and waits for as long as the
 // disk can't be used. It returns false when the node ends.
-func (r *Node) openStorage(ctx context.Context) bool {
+func (n *Node) openStorage(ctx context.Context) bool {
 	for {
-		image, err := r.tryDisk(ctx, r.readDisk)
+		image, err := n.runDiskOperation(ctx, n.readDisk)
 		switch {
 		case ctx.Err() != nil:
 			return false
 		case err == nil:
-			r.takeImage(image)
-			r.diskUsable()
+			n.loadImage(image)
+			n.markDiskUsable()
 			return true
-		case !passes(err) || errors.Is(err, wal.ErrRingFull):
-			r.d.Fail(err)
+		case !isTransient(err) || errors.Is(err, wal.ErrFull):
+			n.daemon.Fail(err)
 			return false
 		}
-		r.diskTrouble(err)
-		if !r.storage.backOff(ctx) {
+		n.markDiskUnusable(err)
+		if !n.storage.backOff(ctx) {
 			return false
 		}
 	}
 }
 
 // again waits before a disk that was usable is tried again, unless it was so for a while.
-func (st *storage) again(ctx context.Context) bool {
-	if clock.Now()-st.usable > steadyFor {
-		st.pause = retryAtFirst
+func (s *storage) retryAfterTrouble(ctx context.Context) bool {
+	if clock.Now()-s.usableSince > steadyAfter {
+		s.retryDelay = minRetryDelay
 		return ctx.Err() == nil
 	}
-	return st.backOff(ctx)
+	return s.backOff(ctx)
 }
 
 // backOff waits before the disk is tried again, longer each time until it has been usable
 // for a while.
-func (st *storage) backOff(ctx context.Context) bool {
-	ok := taskgroup.Pause(ctx, st.pause)
-	st.pause = min(2*st.pause, retryAtMost)
+func (s *storage) backOff(ctx context.Context) bool {
+	ok := taskgroup.Sleep(ctx, s.retryDelay)
+	s.retryDelay = min(2*s.retryDelay, maxRetryDelay)
 	return ok
 }
 
 // tryDisk runs an operation on the disk, and tells operators if it stalls. It returns
 // without the operation's end when the node ends.
-func (r *Node) tryDisk(ctx context.Context, operation func() (*diskImage, error)) (*diskImage, error) {
+func (n *Node) runDiskOperation(ctx context.Context, operation func() (*diskImage, error)) (*diskImage, error) {
 	type result struct {
 		image *diskImage
 		err   error
 	}
 	done := make(chan result, 1)
-	r.startIO("disk.try", func() {
+	n.startDiskOperation("disk.try", func() {
 		image, err := operation()
 		done <- result{image, err}
 	})
 	for {
-		patience, stop := context.WithTimeout(ctx, clock.Micros(openAfter))
-		res, ok := taskgroup.Wait(patience, done)
+		patience, stop := context.WithTimeout(ctx, clock.Duration(diskTimeout))
+		res, ok := taskgroup.Receive(patience, done)
 		stop()
 		if ok {
 			return res.image, res.err
@@ -183,78 +183,78 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		r.diskTrouble(errStalled)
+		n.markDiskUnusable(errStalled)
 	}
 }
 
-func (r *Node) startIO(name string, operation func()) {
-	r.storage.io.Go(name, func(context.Context) { operation() })
+func (n *Node) startDiskOperation(name string, operation func()) {
+	n.storage.operations.Go(name, func(context.Context) { operation() })
 }
 
 // diskTrouble tells operators that the disk can't be used, once for each spell of it.
-func (r *Node) diskTrouble(err error) {
-	st := &r.storage
-	was := st.health.Load()
-	state := &DiskState{Cause: err.Error(), since: was.since}
+func (n *Node) markDiskUnusable(err error) {
+	st := &n.storage
+	was := st.status.Load()
+	state := &DiskStatus{Cause: err.Error(), sinceUS: was.sinceUS}
 	if was.Usable || was.Cause == causeStarting {
-		state.since = clock.Now()
-		st.trouble.Add(1)
-		r.d.Log.Info("disk_problem", "cause", state.Cause)
+		state.sinceUS = clock.Now()
+		st.troubleCount.Add(1)
+		n.daemon.Log.Info("disk_problem", "cause", state.Cause)
 	}
-	st.health.Store(state)
-	r.d.SetReady("this node does not vote: " + state.Cause)
+	st.status.Store(state)
+	n.daemon.SetReady("this node does not vote: " + state.Cause)
 }
 
 // diskUsable tells operators that the disk takes writes.
-func (r *Node) diskUsable() {
-	st := &r.storage
-	was := st.health.Load()
+func (n *Node) markDiskUsable() {
+	st := &n.storage
+	was := st.status.Load()
 	if was.Usable {
 		return
 	}
 	now := clock.Now()
-	st.usable = now
-	st.health.Store(&DiskState{Usable: true, since: now})
+	st.usableSince = now
+	st.status.Store(&DiskStatus{Usable: true, sinceUS: now})
 	if was.Cause != causeStarting {
-		r.d.SetReady("starting")
-		r.d.Log.Info("disk_usable", "after_us", now-was.since)
+		n.daemon.SetReady("starting")
+		n.daemon.Log.Info("disk_usable", "after_us", now-was.sinceUS)
 	}
 }
 
 // diskImage is what the disk holds.
 type diskImage struct {
-	inc      uint64
-	founding *fb.FoundingT // nil while this disk is in no roster
-	known    []string      // whom to ask then
-	recs     []quorum.Rec
-	count    int
+	incarnation uint64
+	voterSet    *fb.FoundingT // nil while this disk is in no roster
+	knownAddrs  []string      // whom to ask then
+	records     []quorum.Rec
+	recordCount int
 }
 
 // readDisk locks the folder, reads the ring and makes sure that it can be written. What
 // the ring holds may serve to find other nodes also when it can't.
-func (r *Node) readDisk() (*diskImage, error) {
-	if err := r.lockFolder(); err != nil {
+func (n *Node) readDisk() (*diskImage, error) {
+	if err := n.lockFolder(); err != nil {
 		return nil, err
 	}
-	raw, err := r.readLog()
+	raw, err := n.readLog()
 	image, decodeErr := decodeImage(raw)
 	if decodeErr != nil {
 		return nil, decodeErr
 	}
 	if err != nil {
-		r.learn(image.addresses())
+		n.addKnownAddrs(image.addresses())
 		return nil, err
 	}
-	if image.inc == 0 {
-		if err := r.drawIncarnation(image); err != nil {
+	if image.incarnation == 0 {
+		if err := n.drawIncarnation(image); err != nil {
 			return nil, err
 		}
 	}
-	return image, r.makeRoom(image)
+	return image, n.checkpointIfFull(image)
 }
 
-func (r *Node) lockFolder() error {
-	st := &r.storage
+func (n *Node) lockFolder() error {
+	st := &n.storage
 	if st.lock != nil {
 		return nil
 	}
@@ -269,12 +269,12 @@
 	return &wal.DiskError{Op: "open", Err: err}
 }
 
-func (r *Node) readLog() ([][]byte, error) {
-	st := &r.storage
+func (n *Node) readLog() ([][]byte, error) {
+	st := &n.storage
 	if st.log != nil {
 		return st.log.Reopen()
 	}
-	log, raw, err := wal.Open(st.fs, wal.Plan{Files: r.s.RingFiles, Size: r.s.RingBytes})
+	log, raw, err := wal.Open(st.fs, wal.Config{SegmentCount: n.settings.LogSegments, SegmentBytes: n.settings.LogSegmentBytes})
 	if err == nil {
 		st.log = log
 	}
@@ -283,7 +283,7 @@
 
 // decodeImage reads the records of a ring.
 func decodeImage(raw [][]byte) (*diskImage, error) {
-	image := &diskImage{count: len(raw)}
+	image := &diskImage{recordCount: len(raw)}
 	for _, b := range raw {
 		rec, founding, err := codec.UnpackRecord(b)
 		if err != nil {
@@ -299,45 +299,45 @@
 func (i *diskImage) add(rec quorum.Rec, founding *fb.FoundingT) error {
 	switch {
 	case founding != nil && founding.Rev == 0: // of a disk in no roster
-		i.inc, i.known = founding.Inc, addrs(founding)
+		i.incarnation, i.knownAddrs = founding.Inc, voterAddrs(founding)
 		return nil
 	case founding != nil:
-		i.inc = founding.Inc
-		return i.follow(founding)
+		i.incarnation = founding.Inc
+		return i.adoptVoterSet(founding)
 	case rec.Roster != nil:
-		i.recs = append(i.recs, rec)
-		return i.follow(codec.PackVoterSet(*rec.Roster, i.inc))
+		i.records = append(i.records, rec)
+		return i.adoptVoterSet(codec.PackVoterSet(*rec.Roster, i.incarnation))
 	}
-	i.recs = append(i.recs, rec)
+	i.records = append(i.records, rec)
 	return nil
 }
 
 // follow takes in a roster, which must be of the same fleet as those before.
-func (i *diskImage) follow(f *fb.FoundingT) error {
-	if i.founding != nil && codec.UnpackVoterSet(i.founding).Fleet() != codec.UnpackVoterSet(f).Fleet() {
+func (i *diskImage) adoptVoterSet(f *fb.FoundingT) error {
+	if i.voterSet != nil && codec.UnpackVoterSet(i.voterSet).Fleet() != codec.UnpackVoterSet(f).Fleet() {
 		return trace.BadParameter("the ring holds records of fleets %d and %d; move data_dir aside and rejoin as an empty node",
-			codec.UnpackVoterSet(i.founding).Fleet(), codec.UnpackVoterSet(f).Fleet())
+			codec.UnpackVoterSet(i.voterSet).Fleet(), codec.UnpackVoterSet(f).Fleet())
 	}
-	i.founding = f
+	i.voterSet = f
 	return nil
 }
 
 func (i *diskImage) addresses() []string {
-	if i.founding != nil {
-		return addrs(i.founding)
+	if i.voterSet != nil {
+		return voterAddrs(i.voterSet)
 	}
-	return i.known
+	return i.knownAddrs
 }
 
 // drawIncarnation names a disk that has none. The name is on the disk before anyone hears
 // of it: the same one never stands for two lives of this disk.
-func (r *Node) drawIncarnation(image *diskImage) error {
+func (n *Node) drawIncarnation(image *diskImage) error {
 	inc, err := randomIncarnation()
 	if err != nil {
 		return err
 	}
-	image.inc = inc
-	return r.keep(&fb.FoundingT{Inc: inc})
+	image.incarnation = inc
+	return n.persistVoterSet(&fb.FoundingT{Inc: inc})
 }
 
 func randomIncarnation() (uint64, error) {
@@ -349,23 +349,23 @@
 }
 
 // keep appends and syncs one founding.
-func (r *Node) keep(f *fb.FoundingT) error {
-	if err := r.storage.log.Append(codec.PackFounding(f)); err != nil {
+func (n *Node) persistVoterSet(f *fb.FoundingT) error {
+	if err := n.storage.log.Append(codec.PackFounding(f)); err != nil {
 		return err
 	}
-	return r.storage.log.Sync()
+	return n.storage.log.Sync()
 }
 
 // makeRoom restates the state if the ring is full enough for that: a voter that begins
 // with a ring without room would stop at its first record.
-func (r *Node) makeRoom(image *diskImage) error {
-	log := r.storage.log
-	if log.Used() <= checkpointAt || image.founding == nil || !heldBy(image.founding, r.s.Name, image.inc) {
+func (n *Node) checkpointIfFull(image *diskImage) error {
+	log := n.storage.log
+	if log.UsedPermille() <= checkpointAtPermille || image.voterSet == nil || !containsDisk(image.voterSet, n.settings.Name, image.incarnation) {
 		return nil
 	}
-	node := r.newVoter(image.founding, image.inc, image.recs)
-	founding := *image.founding
-	founding.Inc = image.inc
+	node := n.newVoter(image.voterSet, image.incarnation, image.records)
+	founding := *image.voterSet
+	founding.Inc = image.incarnation
 	parts := [][]byte{codec.PackFounding(&founding)}
 	for _, rec := range node.Checkpoint() {
 		parts = append(parts, codec.PackRecord(rec))
@@ -377,14 +377,14 @@
 }
 
 // takeImage begins from what the disk holds.
-func (r *Node) takeImage(image *diskImage) {
-	r.inc.Store(image.inc)
-	r.found.Store(image.founding)
-	if image.founding == nil {
-		r.learn(image.known)
+func (n *Node) loadImage(image *diskImage) {
+	n.incarnation.Store(image.incarnation)
+	n.voterSet.Store(image.voterSet)
+	if image.voterSet == nil {
+		n.addKnownAddrs(image.knownAddrs)
 	}
-	r.recs = image.recs
-	used := r.storage.log.Used()
-	r.storage.used.Store(int64(used))
-	r.d.Log.Info("ring_open", "records", image.count, "used_permille", used, "inc", image.inc)
+	n.records = image.records
+	used := n.storage.log.UsedPermille()
+	n.storage.usedPermille.Store(int64(used))
+	n.daemon.Log.Info("ring_open", "records", image.recordCount, "used_permille", used, "inc", image.incarnation)
 }
--- a/internal/app/control/storage_test.go
+++ b/internal/app/control/storage_test.go
@@ -17,15 +17,15 @@
 func TestRoomAtStart(t *testing.T) {
 	s := Defaults()
 	s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.DataDir = "a", "north", "127.0.0.1:0", "127.0.0.1:0", t.TempDir()
-	s.RingFiles, s.RingBytes = 8, 64<<10
-	node, err := Make(s)
+	s.LogSegments, s.LogSegmentBytes = 8, 64<<10
+	node, err := NewNode(s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	node.Daemon().Group.Stop()
 	node.closeStorage()
 
-	log, _, err := wal.Open(node.storage.fs, wal.Plan{Files: s.RingFiles, Size: s.RingBytes})
+	log, _, err := wal.Open(node.storage.fs, wal.Config{SegmentCount: s.LogSegments, SegmentBytes: s.LogSegmentBytes})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	if err := log.Append(codec.PackFounding(founding)); err != nil {
 		t.Fatal(err)
 	}
-	if err := log.Begin(); err != nil {
+	if err := log.BeginCheckpoint(); err != nil {
 		t.Fatal(err)
 	}
 	written := 0
@@ -43,7 +43,7 @@
 		entry := quorum.Entry{Key: fmt.Sprint("key", written%10), Ver: version, Rev: uint64(written), Val: make([]byte, 2000)}
 		err = log.Append(codec.PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 3, Epoch: 1, Mark: version, Entry: entry}))
 	}
-	if !errors.Is(err, wal.ErrRingFull) {
+	if !errors.Is(err, wal.ErrFull) {
 		t.Fatal(err)
 	}
 	if err := errors.Join(log.Sync(), log.Close()); err != nil {
@@ -55,10 +55,10 @@
 	if err != nil {
 		t.Fatalf("a ring that is %d records full does not open: %v", written, err)
 	}
-	if used := node.storage.log.Used(); used > tightAt {
+	if used := node.storage.log.UsedPermille(); used > tightAtPermille {
 		t.Fatalf("%d thousandths are used after the start", used)
 	}
-	if err := node.keep(founding); err != nil {
+	if err := node.persistVoterSet(founding); err != nil {
 		t.Fatal(err)
 	}
 	again, err := node.storage.log.Reopen()
@@ -66,11 +66,11 @@
 		t.Fatal(err)
 	}
 	after, err := decodeImage(again)
-	if err != nil || after.inc != image.inc || after.founding == nil {
+	if err != nil || after.incarnation != image.incarnation || after.voterSet == nil {
 		t.Fatalf("%+v, %v", after, err)
 	}
-	before := node.newVoter(image.founding, image.inc, image.recs).Slots(0)
-	for i, slot := range node.newVoter(after.founding, after.inc, after.recs).Slots(0) {
+	before := node.newVoter(image.voterSet, image.incarnation, image.records).Slots(0)
+	for i, slot := range node.newVoter(after.voterSet, after.incarnation, after.records).Slots(0) {
 		if slot.Count != before[i].Count || slot.Mark != before[i].Mark {
 			t.Fatalf("slot %d has %+v, had %+v", i, slot, before[i])
 		}
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -13,26 +13,26 @@
 )
 
 // handOverFor is how long word of slots given up may take to go out.
-const handOverFor = 100_000
+const stepDownGrace = 100_000
 
 // vote runs the voter until a newer roster does not hold this disk, or the disk can't be
 // used: one loop for its state, one for its disk, one to each peer. It returns which.
-func (r *Node) vote(ctx context.Context) error {
-	r.c = taskgroup.New(ctx, r.d.Log)
-	r.node = r.newVoter(r.found.Load(), r.Inc(), r.recs)
-	r.recs = nil
-	r.startWriter(r.c.Context())
-	r.startLoops()
-	r.up.Store(true)
-	r.d.SetReady("")
-	why, ok := taskgroup.Wait(ctx, r.ended)
-	r.up.Store(false)
+func (n *Node) runVoter(ctx context.Context) error {
+	n.voterGroup = taskgroup.New(ctx, n.daemon.Log)
+	n.voter = n.newVoter(n.voterSet.Load(), n.Incarnation(), n.records)
+	n.records = nil
+	n.startWriter(n.voterGroup.Context())
+	n.startLoops()
+	n.voting.Store(true)
+	n.daemon.SetReady("")
+	why, ok := taskgroup.Receive(ctx, n.stopReason)
+	n.voting.Store(false)
 	if ok && !errors.Is(why, errRetired) {
-		r.diskTrouble(why)
-		r.handOver(ctx)
+		n.markDiskUnusable(why)
+		n.stepDown(ctx)
 	}
-	r.c.Stop()
-	taskgroup.Wait(ctx, r.storage.written) // a stalled operation may still be under way
+	n.voterGroup.Stop()
+	taskgroup.Receive(ctx, n.storage.writerDone) // a stalled operation may still be under way
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -40,101 +40,101 @@
 }
 
 // newVoter makes a voter from what a disk holds.
-func (r *Node) newVoter(f *fb.FoundingT, inc uint64, recs []quorum.Rec) *quorum.Node {
-	p := quorum.Defaults(r.s.Name, inc)
-	p.EraTerm, p.Eras, p.Term = r.s.EraTerm, r.s.Eras, r.s.Term
-	p.Limit = int(int64(r.s.RingFiles) * r.s.RingBytes / 4)
+func (n *Node) newVoter(f *fb.FoundingT, inc uint64, recs []quorum.Rec) *quorum.Node {
+	p := quorum.Defaults(n.settings.Name, inc)
+	p.EraTerm, p.Eras, p.Term = n.settings.GenerationDuration, n.settings.OpenGenerations, n.settings.LeaseDuration
+	p.Limit = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / 4)
 	return quorum.New(p, codec.UnpackVoterSet(f), clock.Now(), recs)
 }
 
-func (r *Node) startLoops() {
+func (n *Node) startLoops() {
 	tick := quorum.Defaults("", 0).Beat / 4
-	r.c.Go("voter", func(ctx context.Context) {
-		taskgroup.Serve(ctx, r.in, clock.Micros(tick), func(f func(int64)) { f(clock.Now()) }, r.tick)
+	n.voterGroup.Go("voter", func(ctx context.Context) {
+		taskgroup.Serve(ctx, n.commands, clock.Duration(tick), func(f func(int64)) { f(clock.Now()) }, n.tickVoter)
 	})
-	r.c.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(probeEvery), r.probe) })
-	r.c.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(planEvery), r.refresh) })
-	r.c.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(rollEvery), r.tellRoll) })
+	n.voterGroup.Go("probe", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(probeInterval), n.probeSilentVoters) })
+	n.voterGroup.Go("plan", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(planInterval), n.refreshPlan) })
+	n.voterGroup.Go("roll", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(sessionsInterval), n.broadcastSessions) })
 }
 
 const (
-	planEvery = 150_000
-	rollEvery = 300_000
+	planInterval     = 150_000
+	sessionsInterval = 300_000
 )
 
 // tick is a few times a beat.
-func (r *Node) tick() {
+func (n *Node) tickVoter() {
 	now := clock.Now()
-	if r.storage.stuck.stalled(r.storage.started.Load()) {
-		r.endVote(errStalled)
+	if n.storage.stall.stalled(n.storage.activeOperation.Load()) {
+		n.stopVoter(errStalled)
 	}
-	r.onDisk(now)
-	r.noteRoom()
-	r.out(r.node.Tick(now))
-	r.era.Store(r.node.Open())
+	n.recordsSynced(now)
+	n.updateLogPressure()
+	n.processReady(n.voter.Tick(now))
+	n.generation.Store(n.voter.Open())
 	mute := map[string]bool{}
-	for _, v := range r.node.Roster().Voters {
-		mute[v.Name] = r.node.Silence(now, v.Name) > muteAfter
+	for _, v := range n.voter.Roster().Voters {
+		mute[v.Name] = n.voter.Silence(now, v.Name) > contactTimeout
 	}
-	r.stats.Store(&stats{r.node.Slots(now), r.node.Size(), r.node.Firm(), mute})
+	n.status.Store(&voterStatus{n.voter.Slots(now), n.voter.Size(), n.voter.Firm(), mute})
 }
 
 // noteRoom has the voter refuse new changes while the ring has little room.
-func (r *Node) noteRoom() {
-	used := r.storage.used.Load()
-	tight := used > tightAt
-	if tight == r.tight {
+func (n *Node) updateLogPressure() {
+	used := n.storage.usedPermille.Load()
+	tight := used > tightAtPermille
+	if tight == n.logTight {
 		return
 	}
-	r.tight = tight
-	r.node.Tight(tight)
-	r.d.Log.Info("ring_tight", "tight", tight, "used_permille", used)
+	n.logTight = tight
+	n.voter.Tight(tight)
+	n.daemon.Log.Info("ring_tight", "tight", tight, "used_permille", used)
 }
 
 // tellRoll tells the other voters of this node's sessions.
-func (r *Node) tellRoll(context.Context) {
-	m := &fb.FrameT{RollTell: r.roll.Tell(clock.Now())}
-	taskgroup.Offer(r.in, func(int64) {
-		for _, v := range r.node.Roster().Voters {
-			r.give(v.Name, m)
+func (n *Node) broadcastSessions(context.Context) {
+	m := &fb.FrameT{RollTell: n.sessions.Announcement(clock.Now())}
+	taskgroup.TrySend(n.commands, func(int64) {
+		for _, v := range n.voter.Roster().Voters {
+			n.sendTo(v.Name, m)
 		}
 	})
 }
 
 // handOver gives the slots up because of the disk, and lets the word go out. Answers that
 // wait for the disk are given up with them.
-func (r *Node) handOver(ctx context.Context) {
+func (n *Node) stepDown(ctx context.Context) {
 	done := make(chan struct{})
-	if taskgroup.Give(ctx, r.in, func(now int64) {
-		r.out(r.node.StepDown(now))
+	if taskgroup.Send(ctx, n.commands, func(now int64) {
+		n.processReady(n.voter.StepDown(now))
 		close(done)
 	}) {
-		taskgroup.Wait(ctx, done)
-		taskgroup.Pause(ctx, handOverFor)
+		taskgroup.Receive(ctx, done)
+		taskgroup.Sleep(ctx, stepDownGrace)
 	}
 }
 
 // out carries a step's effects out.
-func (r *Node) out(o quorum.Out) {
+func (n *Node) processReady(o quorum.Out) {
 	for _, e := range o.Events {
 		if !strings.HasPrefix(e, "unheard") {
-			r.d.Log.Info("settle", "what", e)
+			n.daemon.Log.Info("settle", "what", e)
 		}
 	}
-	r.record(o.Recs)
+	n.queueRecords(o.Recs)
 	if o.Roster != nil {
-		f := codec.PackVoterSet(*o.Roster, r.Inc())
-		r.found.Store(f)
-		if !r.holds(f) {
-			r.endVote(errRetired)
+		f := codec.PackVoterSet(*o.Roster, n.Incarnation())
+		n.voterSet.Store(f)
+		if !n.isVoter(f) {
+			n.stopVoter(errRetired)
 		}
 	}
 	for _, s := range o.Sends {
-		r.give(s.To, codec.PackMessage(s.Msg))
+		n.sendTo(s.To, codec.PackMessage(s.Msg))
 	}
 	for _, a := range o.Answers {
-		if ch := r.waiting[a.ID]; ch != nil {
-			delete(r.waiting, a.ID)
+		if ch := n.results[a.ID]; ch != nil {
+			delete(n.results, a.ID)
 			ch <- a
 		}
 	}
@@ -142,22 +142,22 @@
 
 // give queues a frame for another voter, on a sender of its own so that a slow
 // one holds up nobody. Called from the voter's loop alone.
-func (r *Node) give(name string, m *fb.FrameT) {
-	if name == r.s.Name {
+func (n *Node) sendTo(name string, m *fb.FrameT) {
+	if name == n.settings.Name {
 		return
 	}
-	v, ok := r.node.Roster().Find(name)
+	v, ok := n.voter.Roster().Find(name)
 	if !ok {
 		return
 	}
-	ch := r.senders[v.Addr] // a name may come back at another address
+	ch := n.senders[v.Addr] // a name may come back at another address
 	if ch == nil {
 		ch = make(chan *fb.FrameT, 4096)
-		r.senders[v.Addr] = ch
-		p := r.book.Get(v.Addr)
-		r.c.Go("peer", func(ctx context.Context) {
+		n.senders[v.Addr] = ch
+		p := n.peers.Get(v.Addr)
+		n.voterGroup.Go("peer", func(ctx context.Context) {
 			for {
-				m, ok := taskgroup.Wait(ctx, ch)
+				m, ok := taskgroup.Receive(ctx, ch)
 				if !ok {
 					return
 				}
@@ -165,19 +165,19 @@
 			}
 		})
 	}
-	taskgroup.Offer(ch, m)
+	taskgroup.TrySend(ch, m)
 }
 
 // do starts an operation here and waits for its answer.
-func (r *Node) do(ctx context.Context, op quorum.Op) (quorum.Answer, bool) {
+func (n *Node) propose(ctx context.Context, op quorum.Op) (quorum.Answer, bool) {
 	ch := make(chan quorum.Answer, 1)
-	if !taskgroup.Give(ctx, r.in, func(now int64) {
-		r.ops++
-		op.ID = r.ops
-		r.waiting[op.ID] = ch
-		r.out(r.node.Do(now, op))
+	if !taskgroup.Send(ctx, n.commands, func(now int64) {
+		n.lastOperation++
+		op.ID = n.lastOperation
+		n.results[op.ID] = ch
+		n.processReady(n.voter.Do(now, op))
 	}) {
 		return quorum.Answer{}, false
 	}
-	return taskgroup.Wait(ctx, ch)
+	return taskgroup.Receive(ctx, ch)
 }
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	checkpointPart = 1024 // records written between other changes
-	checkpointAt   = 350  // thousandths of the ring in use
-	tightAt        = 750  // from here on new changes are refused until a checkpoint made room
-	maxBatches     = 512  // that one sync covers
-	stallTicks     = 80   // ticks of the voter, two seconds, that one write and sync may take
+	checkpointPartRecords = 1024 // records written between other changes
+	checkpointAtPermille  = 350  // thousandths of the ring in use
+	tightAtPermille       = 750  // from here on new changes are refused until a checkpoint made room
+	maxBatchesPerSync     = 512  // that one sync covers
+	stallTicks            = 80   // ticks of the voter, two seconds, that one write and sync may take
 )
 
 // batch is what the voter wants on disk.
 type batch struct {
-	recs       [][]byte
+	records    [][]byte
 	checkpoint []quorum.Rec // or: the state at this point, to be restated
 }
 
 // record queues records for the disk. The voter never waits for it: one that falls this
 // far behind is stopped.
-func (r *Node) record(recs []quorum.Rec) {
-	if len(recs) == 0 || r.storage.lost {
+func (n *Node) queueRecords(recs []quorum.Rec) {
+	if len(recs) == 0 || n.storage.recordsLost {
 		return
 	}
-	b := batch{recs: make([][]byte, 0, len(recs))}
+	b := batch{records: make([][]byte, 0, len(recs))}
 	for _, rec := range recs {
-		b.recs = append(b.recs, codec.PackRecord(rec))
+		b.records = append(b.records, codec.PackRecord(rec))
 	}
-	if !taskgroup.Offer(r.storage.pending, b) {
-		r.storage.lost = true
-		r.endVote(errBacklog)
+	if !taskgroup.TrySend(n.storage.pending, b) {
+		n.storage.recordsLost = true
+		n.stopVoter(errBacklog)
 	}
 }
 
 // startWriter starts the loop that keeps the voter's records.
-func (r *Node) startWriter(ctx context.Context) {
-	st := &r.storage
+func (n *Node) startWriter(ctx context.Context) {
+	st := &n.storage
 	done := make(chan struct{}, 1)
-	st.written = done
-	w := &writer{log: st.log, node: r}
-	r.startIO("disk.write", func() {
+	st.writerDone = done
+	w := &writer{log: st.log, node: n}
+	n.startDiskOperation("disk.write", func() {
 		if err := w.run(ctx); err != nil {
-			r.endVote(err)
+			n.stopVoter(err)
 		}
 		done <- struct{}{}
 	})
@@ -56,11 +56,11 @@
 // writer appends what has gathered, syncs once for all of it, and says so. A checkpoint
 // goes out in parts between, so that it holds no change up for long.
 type writer struct {
-	node       *Node
-	log        *wal.Log
-	checkpoint []quorum.Rec // still to be written
-	under      bool         // a checkpoint has begun
-	operations int64
+	node          *Node
+	log           *wal.Log
+	remaining     []quorum.Rec // still to be written
+	checkpointing bool         // a checkpoint has begun
+	operation     int64
 }
 
 func (w *writer) run(ctx context.Context) error {
@@ -69,10 +69,10 @@
 		if !ok {
 			return nil
 		}
-		w.operations++
-		w.node.storage.started.Store(w.operations)
+		w.operation++
+		w.node.storage.activeOperation.Store(w.operation)
 		err := w.write(batches)
-		w.node.storage.started.Store(0)
+		w.node.storage.activeOperation.Store(0)
 		if err != nil {
 			return err
 		}
@@ -83,14 +83,14 @@
 func (w *writer) gather(ctx context.Context) ([]batch, bool) {
 	var batches []batch
 	pending := w.node.storage.pending
-	if !w.under {
-		b, ok := taskgroup.Wait(ctx, pending)
+	if !w.checkpointing {
+		b, ok := taskgroup.Receive(ctx, pending)
 		if !ok {
 			return nil, false
 		}
 		batches = append(batches, b)
 	}
-	for len(pending) > 0 && len(batches) < maxBatches {
+	for len(pending) > 0 && len(batches) < maxBatchesPerSync {
 		batches = append(batches, <-pending)
 	}
 	return batches, ctx.Err() == nil
@@ -102,7 +102,7 @@
 		if err := w.append(b); err != nil {
 			return err
 		}
-		count += uint64(len(b.recs))
+		count += uint64(len(b.records))
 	}
 	if err := w.continueCheckpoint(); err != nil {
 		return err
@@ -111,13 +111,13 @@
 		return err
 	}
 	st := &w.node.storage
-	st.synced.Add(count)
-	st.used.Store(int64(w.log.Used()))
-	if w.log.Used() > checkpointAt && !w.under {
-		st.wants.Store(true)
+	st.syncedRecords.Add(count)
+	st.usedPermille.Store(int64(w.log.UsedPermille()))
+	if w.log.UsedPermille() > checkpointAtPermille && !w.checkpointing {
+		st.checkpointWanted.Store(true)
 	}
 	// A word that finds no room is not missed: each tick looks as well.
-	taskgroup.Offer(w.node.in, w.node.onDisk)
+	taskgroup.TrySend(w.node.commands, w.node.recordsSynced)
 	return nil
 }
 
@@ -125,7 +125,7 @@
 	if b.checkpoint != nil {
 		return w.beginCheckpoint(b.checkpoint)
 	}
-	for _, data := range b.recs {
+	for _, data := range b.records {
 		if err := w.log.Append(data); err != nil {
 			return err
 		}
@@ -134,55 +134,55 @@
 }
 
 func (w *writer) beginCheckpoint(state []quorum.Rec) error {
-	founding := *w.node.found.Load()
-	founding.Inc = w.node.Inc()
-	if err := w.log.Begin(); err != nil {
+	founding := *w.node.voterSet.Load()
+	founding.Inc = w.node.Incarnation()
+	if err := w.log.BeginCheckpoint(); err != nil {
 		return err
 	}
-	w.checkpoint, w.under = state, true
-	return w.log.Part([][]byte{codec.PackFounding(&founding)})
+	w.remaining, w.checkpointing = state, true
+	return w.log.AppendCheckpoint([][]byte{codec.PackFounding(&founding)})
 }
 
 func (w *writer) continueCheckpoint() error {
-	if !w.under {
+	if !w.checkpointing {
 		return nil
 	}
-	count := min(len(w.checkpoint), checkpointPart)
+	count := min(len(w.remaining), checkpointPartRecords)
 	part := make([][]byte, 0, count)
-	for _, rec := range w.checkpoint[:count] {
+	for _, rec := range w.remaining[:count] {
 		part = append(part, codec.PackRecord(rec))
 	}
-	if err := w.log.Part(part); err != nil {
+	if err := w.log.AppendCheckpoint(part); err != nil {
 		return err
 	}
-	if w.checkpoint = w.checkpoint[count:]; len(w.checkpoint) > 0 {
+	if w.remaining = w.remaining[count:]; len(w.remaining) > 0 {
 		return nil
 	}
 	return w.endCheckpoint()
 }
 
 func (w *writer) endCheckpoint() error {
-	if err := w.log.End(); err != nil {
+	if err := w.log.EndCheckpoint(); err != nil {
 		return err
 	}
-	w.under = false
-	w.node.d.Log.Info("checkpoint", "used_permille", w.log.Used())
-	w.node.storage.wants.Store(false)
-	w.node.storage.restate.Store(false)
+	w.checkpointing = false
+	w.node.daemon.Log.Info("checkpoint", "used_permille", w.log.UsedPermille())
+	w.node.storage.checkpointWanted.Store(false)
+	w.node.storage.checkpointQueued.Store(false)
 	return nil
 }
 
 // onDisk tells the voter what is synced, and queues a checkpoint that is wanted.
-func (r *Node) onDisk(now int64) {
-	st := &r.storage
-	if st.lost {
+func (n *Node) recordsSynced(now int64) {
+	st := &n.storage
+	if st.recordsLost {
 		return // what was dropped never comes to lie on the disk, whatever is written after it
 	}
-	r.out(r.node.Synced(now, st.synced.Load()))
-	if st.wants.Load() && st.restate.CompareAndSwap(false, true) {
+	n.processReady(n.voter.Synced(now, st.syncedRecords.Load()))
+	if st.checkpointWanted.Load() && st.checkpointQueued.CompareAndSwap(false, true) {
 		// Behind all records that the state follows from.
-		if !taskgroup.Offer(st.pending, batch{checkpoint: r.node.Checkpoint()}) {
-			st.restate.Store(false)
+		if !taskgroup.TrySend(st.pending, batch{checkpoint: n.voter.Checkpoint()}) {
+			st.checkpointQueued.Store(false)
 		}
 	}
 }
--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -12,53 +12,53 @@
 )
 
 // Handle answers proxies and other nodes. Anything else is not its own.
-func (t *Directory) Handle(ctx context.Context, f *fb.FrameT) *fb.FrameT {
+func (d *Directory) Handle(ctx context.Context, f *fb.FrameT) *fb.FrameT {
 	now := clock.Now()
 	switch {
 	case f.LoadTell != nil:
-		t.hearLoads(now, f.LoadTell)
+		d.mergeLoads(now, f.LoadTell)
 		return nil
 	case f.MapAsk == nil:
 		return nil
 	}
 	if f.MapAsk.Node != nil {
-		t.hearProxy(now, f.MapAsk)
+		d.recordProxy(now, f.MapAsk)
 	}
-	if !t.awaitChange(ctx, now, f.MapAsk) {
+	if !d.awaitChange(ctx, now, f.MapAsk) {
 		return nil
 	}
-	return &fb.FrameT{MapTell: t.tell(f.MapAsk, now)}
+	return &fb.FrameT{MapTell: d.reply(f.MapAsk, now)}
 }
 
 // hearProxy takes in what a proxy tells of itself as it asks.
-func (t *Directory) hearProxy(now int64, q *fb.MapAskT) {
-	t.control.Heard(now, q.Node)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	p := &proxy{at: now, direct: true, loads: q.Loads}
-	if known := t.proxies[q.Node.Name]; known != nil && known.direct {
-		p.rest = known.rest
-	}
-	t.proxies[q.Node.Name] = p
+func (d *Directory) recordProxy(now int64, q *fb.MapAskT) {
+	d.control.RecordHeartbeat(now, q.Node)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	p := &proxyState{heardAt: now, direct: true, loads: q.Loads}
+	if known := d.proxies[q.Node.Name]; known != nil && known.direct {
+		p.unsent = known.unsent
+	}
+	d.proxies[q.Node.Name] = p
 }
 
 // awaitChange holds a question that came at a time until there is something new to tell,
 // or it was held for long enough. It returns false if whoever asked is gone.
-func (t *Directory) awaitChange(ctx context.Context, asked int64, q *fb.MapAskT) bool {
-	end := asked + min(max(q.Hold, 0), holdMost)
+func (d *Directory) awaitChange(ctx context.Context, asked int64, q *fb.MapAskT) bool {
+	end := asked + min(max(q.Hold, 0), maxReplyDelay)
 	for {
-		t.mu.Lock()
-		changed, urgent := t.changed, t.hasNews(q, asked)
-		if q.Map != t.mapRev {
-			end = min(end, asked+mapPause) // changes of the map come in lots
+		d.mu.Lock()
+		changed, urgent := d.changed, d.hasUrgentChange(q, asked)
+		if q.Map != d.mapRevision {
+			end = min(end, asked+mapBatchDelay) // changes of the map come in lots
 		}
-		t.mu.Unlock()
+		d.mu.Unlock()
 		left := end - clock.Now()
 		if urgent || left <= 0 {
 			return true
 		}
-		wait, stop := context.WithTimeout(ctx, clock.Micros(left))
-		taskgroup.Wait(wait, changed)
+		wait, stop := context.WithTimeout(ctx, clock.Duration(left))
+		taskgroup.Receive(wait, changed)
 		stop()
 		if ctx.Err() != nil {
 			return false
@@ -67,47 +67,47 @@
 }
 
 // hasNews reports whether a question is answered at once. Called under the lock.
-func (t *Directory) hasNews(q *fb.MapAskT, asked int64) bool {
+func (d *Directory) hasUrgentChange(q *fb.MapAskT, asked int64) bool {
 	switch {
-	case t.config.known && q.Have != t.config.rev:
+	case d.config.known && q.Have != d.config.revision:
 		return true
-	case q.Inc != t.incarnation || q.NewsInc != t.incarnation || len(t.restOf(q)) > 0:
+	case q.Inc != d.incarnation || q.NewsInc != d.incarnation || len(d.unsentEvents(q)) > 0:
 		return true
 	}
-	return q.Map != t.mapRev && clock.Now()-asked >= mapPause
+	return q.Map != d.mapRevision && clock.Now()-asked >= mapBatchDelay
 }
 
-func (t *Directory) tell(q *fb.MapAskT, asked int64) *fb.MapTellT {
-	voters, live := t.control.Voters(), t.control.Live(clock.Now())
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (d *Directory) reply(q *fb.MapAskT, asked int64) *fb.MapTellT {
+	voters, live := d.control.VoterAddrs(), d.control.LiveNodes(clock.Now())
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := clock.Now()
-	a := &fb.MapTellT{Inc: t.incarnation, Site: t.settings.Site, Held: now - asked, Known: t.config.known, Rev: t.config.rev, Age: now - t.config.at,
-		Map: t.mapRev, ListAge: ageSince(now, t.listAt), Voters: voters}
-	if q.Have != t.config.rev {
-		a.Config = t.config.val
+	a := &fb.MapTellT{Inc: d.incarnation, Site: d.settings.Zone, Held: now - asked, Known: d.config.known, Rev: d.config.revision, Age: now - d.config.readAt,
+		Map: d.mapRevision, ListAge: ageSince(now, d.listReadAt), Voters: voters}
+	if q.Have != d.config.revision {
+		a.Config = d.config.value
 	}
 	for _, n := range live {
 		if n.Role == "carrier" {
 			a.Proxies++
 		}
 	}
-	if q.Inc != t.incarnation || q.Map != t.mapRev {
+	if q.Inc != d.incarnation || q.Map != d.mapRevision {
 		a.Whole = true
-		a.Engines = t.engines()
+		a.Engines = d.mapEngines()
 	}
 	if a.Whole || q.Node == nil {
-		a.Named = t.named(now)
-		a.NamedEpoch = t.namings.Epoch()
+		a.Named = d.namedVersions(now)
+		a.NamedEpoch = d.namings.Epoch()
 	}
-	a.NamedAge = ageSince(now, min(t.weights.at, t.rollout.at))
+	a.NamedAge = ageSince(now, min(d.weights.readAt, d.rollout.readAt))
 	if q.Node == nil {
 		return a // another node, who follows the engines itself
 	}
-	a.Loads = t.others(now, q.Node.Name)
-	b := t.news(q)
-	a.Complete = len(t.readers) > 0 && len(t.restOf(q)) == 0
-	for _, r := range t.readers {
+	a.Loads = d.loadsOfOthers(now, q.Node.Name)
+	b := d.nextEvents(q)
+	a.Complete = len(d.readers) > 0 && len(d.unsentEvents(q)) == 0
+	for _, r := range d.readers {
 		a.Complete = a.Complete && r.answered
 	}
 	a.NewsInc, a.NewsNext, a.NewsReset = b.Inc, b.Next, b.Reset
@@ -126,19 +126,19 @@
 }
 
 // engines is the map as proxies see it, stores included.
-func (t *Directory) engines() (out []*fb.MapEngineT) {
-	down := func(id string) bool { r := t.readers[id]; return r != nil && r.failures >= downAfter }
-	for _, e := range t.listed {
-		x := &fb.MapEngineT{Id: e.ID, Pool: e.Pool, Addr: e.Addr, Site: e.Site, Draining: e.Draining, Slots: uint32(e.Slots), Down: down(e.ID)}
+func (d *Directory) mapEngines() (out []*fb.MapEngineT) {
+	down := func(id string) bool { r := d.readers[id]; return r != nil && r.failures >= failuresUntilDown }
+	for _, e := range d.listedEngines {
+		x := &fb.MapEngineT{Id: e.ID, Pool: e.Pool, Addr: e.Addr, Site: e.Zone, Draining: e.Draining, Slots: uint32(e.Slots), Down: down(e.ID)}
 		ms := slices.Sorted(maps.Keys(e.Weights))
 		for _, m := range ms {
-			x.Weights = append(x.Weights, &fb.ModelAtT{Model: m, Version: t.state.Version(e.ID, m, e.Weights[m])})
+			x.Weights = append(x.Weights, &fb.ModelAtT{Model: m, Version: d.rolloutState.Version(e.ID, m, e.Weights[m])})
 		}
-		_, x.Turning = t.state.Turns[e.ID]
+		_, x.Turning = d.rolloutState.Updates[e.ID]
 		out = append(out, x)
 	}
-	if t.table != nil {
-		for _, p := range t.table.Stores() {
+	if d.table != nil {
+		for _, p := range d.table.Stores() {
 			out = append(out, &fb.MapEngineT{Id: storeID(p.Store), Addr: p.Store, Site: p.Site, Store: true, Down: down(storeID(p.Store))})
 		}
 	}
@@ -146,8 +146,8 @@
 }
 
 // named tells how long ago each version of weights was named. Called under the lock.
-func (t *Directory) named(now int64) (out []*fb.NamedT) {
-	t.namings.Each(func(model string, version uint64, at int64) {
+func (d *Directory) namedVersions(now int64) (out []*fb.NamedT) {
+	d.namings.Each(func(model string, version uint64, at int64) {
 		out = append(out, &fb.NamedT{Model: model, Version: version, Age: now - at})
 	})
 	return out
--- a/internal/app/directory/conduct_test.go
+++ b/internal/app/directory/conduct_test.go
@@ -38,9 +38,11 @@
 	c.revs[key]++
 }
 
-func (c *fakeControl) Op(ctx context.Context, q *fb.OpAskT) *fb.OpTellT { return c.Once(ctx, q) }
+func (c *fakeControl) Execute(ctx context.Context, q *fb.OpAskT) *fb.OpTellT {
+	return c.ExecuteOnce(ctx, q)
+}
 
-func (c *fakeControl) Once(_ context.Context, q *fb.OpAskT) *fb.OpTellT {
+func (c *fakeControl) ExecuteOnce(_ context.Context, q *fb.OpAskT) *fb.OpTellT {
 	if quorum.OpKind(q.Kind) == quorum.OpFree {
 		c.onFree()
 	}
@@ -64,11 +66,11 @@
 	return &fb.OpTellT{Status: byte(quorum.Done), Rev: c.revs[q.Key], Val: c.values[q.Key]}
 }
 
-func (c *fakeControl) Voters() []string       { return c.voters }
-func (c *fakeControl) Live(int64) []*fb.NodeT { return nil }
-func (c *fakeControl) Heard(int64, *fb.NodeT) {}
-func (c *fakeControl) Tell(*fb.FrameT)        {}
-func (c *fakeControl) Ask(context.Context, string, *fb.FrameT, int64) (*fb.FrameT, error) {
+func (c *fakeControl) VoterAddrs() []string             { return c.voters }
+func (c *fakeControl) LiveNodes(int64) []*fb.NodeT      { return nil }
+func (c *fakeControl) RecordHeartbeat(int64, *fb.NodeT) {}
+func (c *fakeControl) Broadcast(*fb.FrameT)             {}
+func (c *fakeControl) Call(context.Context, string, *fb.FrameT, int64) (*fb.FrameT, error) {
 	return &fb.FrameT{MapTell: c.first}, nil
 }
 
@@ -79,28 +81,30 @@
 	release  func() bool
 }
 
-func (p *fakePlatform) Order(context.Context, Order) Taken {
+func (p *fakePlatform) UpdateWeights(context.Context, UpdateRequest) UpdateResult {
 	p.orders.Add(1)
 	p.underWay.Add(1)
 	defer p.underWay.Add(-1)
 	for !p.release() {
-		taskgroup.Pause(context.Background(), 100)
+		taskgroup.Sleep(context.Background(), 100)
 	}
-	return Doing
+	return ResultStarted
 }
 
-func (p *fakePlatform) List(context.Context) ([]Listed, error) { return nil, nil }
-func (p *fakePlatform) Running(context.Context, string) (map[string]uint64, bool, error) {
+func (p *fakePlatform) ListEngines(context.Context) ([]Engine, error) { return nil, nil }
+func (p *fakePlatform) RunningWeights(context.Context, string) (map[string]uint64, bool, error) {
 	return nil, true, nil
 }
-func (p *fakePlatform) News(context.Context, string, string, int64) (Page, error) { return Page{}, nil }
+func (p *fakePlatform) CacheEvents(context.Context, string, string, int64) (CacheEventPage, error) {
+	return CacheEventPage{}, nil
+}
 
 // newTestDirectory makes a directory whose loops do not run.
 func newTestDirectory(t *testing.T) (*Directory, *fakeControl, *fakePlatform) {
 	control, platform := newFakeControl(), &fakePlatform{release: func() bool { return true }}
 	group := taskgroup.New(t.Context(), logr.Discard())
 	t.Cleanup(group.Stop)
-	s := Settings{Name: "core-1", Wire: "b:1", Bounds: route.DefaultBounds(), ListEvery: 1_000_000, Parse: func([]byte, uint64) *route.Table { return nil }}
+	s := Settings{Name: "core-1", ControlAddr: "b:1", Bounds: route.DefaultBounds(), ListInterval: 1_000_000, Parse: func([]byte, uint64) *route.Table { return nil }}
 	return newDirectory(group, s, control, platform), control, platform
 }
 
@@ -108,17 +112,17 @@
 // who may have been ordered by the last conductor would be forgotten.
 func TestConductWaitsForTheList(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
-	kept := rollout.State{Turns: map[string]rollout.Turn{"i-1": {Model: "m", Version: 2, Phase: rollout.Ordered}},
-		Done: map[string]map[string]uint64{"i-2": {"m": 2}}}
-	control.set(RolloutKey, kept.Bytes())
-	d.conduct(t.Context())
-	state, err := rollout.Read(control.values[RolloutKey])
-	if err != nil || len(state.Turns) != 1 || len(state.Done) != 1 {
+	kept := rollout.State{Updates: map[string]rollout.Update{"i-1": {Model: "m", Version: 2, Phase: rollout.PhaseRequested}},
+		Applied: map[string]map[string]uint64{"i-2": {"m": 2}}}
+	control.set(RolloutKey, kept.Marshal())
+	d.runRollout(t.Context())
+	state, err := rollout.UnmarshalState(control.values[RolloutKey])
+	if err != nil || len(state.Updates) != 1 || len(state.Applied) != 1 {
 		t.Fatalf("%+v, %v is left of %+v", state, err, kept)
 	}
-	d.takeList(clock.Now(), []Listed{{ID: "i-1", Weights: map[string]uint64{"m": 1}}})
-	d.conduct(t.Context())
-	if state, err = rollout.Read(control.values[RolloutKey]); err != nil || len(state.Turns) != 1 || len(state.Done) != 0 {
+	d.adoptList(clock.Now(), []Engine{{ID: "i-1", Weights: map[string]uint64{"m": 1}}})
+	d.runRollout(t.Context())
+	if state, err = rollout.UnmarshalState(control.values[RolloutKey]); err != nil || len(state.Updates) != 1 || len(state.Applied) != 0 {
 		t.Fatalf("%+v, %v once the list is known", state, err)
 	}
 }
@@ -127,12 +131,12 @@
 // one: another node may have held it, and ordered, in between.
 func TestOrderUnderAnEarlierHold(t *testing.T) {
 	d, _, platform := newTestDirectory(t)
-	d.duty.lease.Store(&rollout.Lease{Fence: 9, Until: clock.Now() + 60_000_000})
-	d.order(t.Context(), rollout.Order{Engine: "i-1"}, 7)
+	d.role.lease.Store(&rollout.Lease{FencingToken: 9, ExpiresAt: clock.Now() + 60_000_000})
+	d.sendUpdate(t.Context(), rollout.UpdateRequest{Engine: "i-1"}, 7)
 	if n := platform.orders.Load(); n != 0 {
 		t.Fatalf("%d orders went out", n)
 	}
-	d.order(t.Context(), rollout.Order{Engine: "i-1"}, 9)
+	d.sendUpdate(t.Context(), rollout.UpdateRequest{Engine: "i-1"}, 9)
 	if n := platform.orders.Load(); n != 1 {
 		t.Fatalf("%d orders went out under the hold that stands", n)
 	}
@@ -148,18 +152,18 @@
 			t.Errorf("the duty was given back with %d orders under way", n)
 		}
 	}
-	leaving := func() bool { return d.duty.lease.Load().Until == 0 }
+	leaving := func() bool { return d.role.lease.Load().ExpiresAt == 0 }
 	platform.release = leaving
-	d.duty.lease.Store(&rollout.Lease{Fence: 1, Until: clock.Now() + 60_000_000})
-	d.send([]rollout.Order{{Engine: "i-1"}}, 1)
+	d.role.lease.Store(&rollout.Lease{FencingToken: 1, ExpiresAt: clock.Now() + 60_000_000})
+	d.sendUpdates([]rollout.UpdateRequest{{Engine: "i-1"}}, 1)
 	for platform.underWay.Load() == 0 {
-		taskgroup.Pause(t.Context(), 100)
+		taskgroup.Sleep(t.Context(), 100)
 	}
 	d.Leave(t.Context())
 	if !freed {
 		t.Fatal("the duty was not given back")
 	}
-	d.conduct(t.Context())
+	d.runRollout(t.Context())
 	if !leaving() {
 		t.Fatal("the duty was taken again by a node that leaves")
 	}
--- a/internal/app/directory/list.go
+++ b/internal/app/directory/list.go
@@ -15,39 +15,39 @@
 // platform, whose calls are dear; the others ask that one, and the platform only if it
 // has nothing fresh to tell. A list that was pushed would be taken for new by whoever
 // thaws or whose wire heals (design §3), so it is asked for, and its age counts from then.
-func (t *Directory) list(ctx context.Context) {
+func (d *Directory) refreshList(ctx context.Context) {
 	now := clock.Now()
-	t.mu.Lock()
-	at := t.listAt
-	t.mu.Unlock()
-	if now-at < t.settings.ListEvery {
+	d.mu.Lock()
+	at := d.listReadAt
+	d.mu.Unlock()
+	if now-at < d.settings.ListInterval {
 		return
 	}
-	place, first := placeInLine(t.control.Voters(), t.settings.Wire)
-	if place > 0 && now-t.askedFirst >= t.settings.ListEvery/2 {
-		t.askedFirst = now
-		t.listFrom(ctx, first)
+	place, first := listPosition(d.control.VoterAddrs(), d.settings.ControlAddr)
+	if place > 0 && now-d.firstAskedAt >= d.settings.ListInterval/2 {
+		d.firstAskedAt = now
+		d.copyListFrom(ctx, first)
 		now = clock.Now()
 	}
-	t.mu.Lock()
-	at = t.listAt
-	t.mu.Unlock()
-	if now-at < t.settings.ListEvery+place*listTurn {
+	d.mu.Lock()
+	at = d.listReadAt
+	d.mu.Unlock()
+	if now-at < d.settings.ListInterval+place*listStagger {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(900_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(900_000))
 	defer stop()
-	if l, err := t.platform.List(ctx); err == nil {
-		t.takeList(now, l)
+	if l, err := d.platform.ListEngines(ctx); err == nil {
+		d.adoptList(now, l)
 	}
 }
 
 // listTurn is how much longer than the one before it a node goes without a list
 // before it asks the platform itself.
-const listTurn = 300_000
+const listStagger = 300_000
 
 // placeInLine is a node's place in line for asking the platform, and who is first.
-func placeInLine(voters []string, self string) (place int64, first string) {
+func listPosition(voters []string, self string) (place int64, first string) {
 	if len(voters) == 0 {
 		return 0, ""
 	}
@@ -56,51 +56,51 @@
 }
 
 // listFrom takes over the list that another node has.
-func (t *Directory) listFrom(ctx context.Context, addr string) {
+func (d *Directory) copyListFrom(ctx context.Context, addr string) {
 	at := clock.Now()
-	f, err := t.control.Ask(ctx, addr, &fb.FrameT{MapAsk: &fb.MapAskT{Inc: t.firstInc, Map: t.firstMap, NewsInc: 1}}, 400_000)
+	f, err := d.control.Call(ctx, addr, &fb.FrameT{MapAsk: &fb.MapAskT{Inc: d.firstIncarnation, Map: d.firstRevision, NewsInc: 1}}, 400_000)
 	if err != nil || f.MapTell == nil {
 		return
 	}
 	a := f.MapTell
-	t.mu.Lock()
-	t.namings.Take(codec.UnpackVersionAges(a, at))
-	t.mu.Unlock()
+	d.mu.Lock()
+	d.namings.Take(codec.UnpackVersionAges(a, at))
+	d.mu.Unlock()
 	if !a.Whole {
-		t.mu.Lock()
-		t.listAt = max(t.listAt, at-a.ListAge) // it stands
-		t.mu.Unlock()
+		d.mu.Lock()
+		d.listReadAt = max(d.listReadAt, at-a.ListAge) // it stands
+		d.mu.Unlock()
 		return
 	}
-	var l []Listed
+	var l []Engine
 	for _, e := range a.Engines {
 		if e.Store {
 			continue
 		}
-		l = append(l, Listed{ID: e.Id, Pool: e.Pool, Addr: e.Addr, Site: e.Site, Draining: e.Draining,
+		l = append(l, Engine{ID: e.Id, Pool: e.Pool, Addr: e.Addr, Zone: e.Site, Draining: e.Draining,
 			Slots: int(e.Slots), Weights: codec.UnpackWeights(e.Weights)})
 	}
-	if t.takeList(at-a.ListAge, l) {
-		t.firstInc, t.firstMap = a.Inc, a.Map
+	if d.adoptList(at-a.ListAge, l) {
+		d.firstIncarnation, d.firstRevision = a.Inc, a.Map
 	}
 }
 
 // takeList puts a list in force that was asked for at time at.
-func (t *Directory) takeList(at int64, l []Listed) bool {
+func (d *Directory) adoptList(at int64, l []Engine) bool {
 	sort.Slice(l, func(i, j int) bool { return l[i].ID < l[j].ID })
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if at <= t.listAt {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if at <= d.listReadAt {
 		return false
 	}
-	t.listAt, t.firstInc = at, 0
-	if !slices.EqualFunc(l, t.listed, func(a, b Listed) bool {
+	d.listReadAt, d.firstIncarnation = at, 0
+	if !slices.EqualFunc(l, d.listedEngines, func(a, b Engine) bool {
 		return a.ID == b.ID && a.Addr == b.Addr && a.Pool == b.Pool && a.Draining == b.Draining && maps.Equal(a.Weights, b.Weights)
 	}) {
-		t.listed = l
-		t.mapRev++
-		t.notify()
+		d.listedEngines = l
+		d.mapRevision++
+		d.notify()
 	}
-	t.followHolders()
+	d.syncReaders()
 	return true
 }
--- a/internal/app/directory/news.go
+++ b/internal/app/directory/news.go
@@ -12,54 +12,54 @@
 
 // newsPage bounds the news in one answer: proxies' links are narrow, and an answer that
 // takes too long is given up and asked of another node, who would begin anew.
-const newsPage = 1500
+const maxEventsPerReply = 1500
 
 // storeID names a store in the map.
 func storeID(addr string) string { return "store " + addr }
 
 // followHolders makes sure that every engine and store has a reader, and nobody else.
 // Called under the lock.
-func (t *Directory) followHolders() {
+func (d *Directory) syncReaders() {
 	want := map[string]string{}
 	node := map[string]uint64{}
-	if t.table != nil {
-		for _, p := range t.table.Stores() {
+	if d.table != nil {
+		for _, p := range d.table.Stores() {
 			want[storeID(p.Store)], node[storeID(p.Store)] = p.Store, placement.StoreNode(p.Store)
 		}
-		for _, e := range t.listed {
-			if p := t.table.Pool(e.Pool); p != nil && len(p.Models) > 0 {
+		for _, e := range d.listedEngines {
+			if p := d.table.Pool(e.Pool); p != nil && len(p.Models) > 0 {
 				want[e.ID], node[e.ID] = e.Addr, placement.EngineNode(e.ID)
 			}
 		}
 	}
-	for id, r := range t.readers {
+	for id, r := range d.readers {
 		if _, ok := want[id]; !ok {
 			r.stop()
-			delete(t.readers, id)
-			t.forget(r.node)
+			delete(d.readers, id)
+			d.dropCached(r.node)
 		}
 	}
 	for id, addr := range want {
-		if t.readers[id] == nil {
-			ctx, stop := context.WithCancel(t.group.Context())
-			r := &reader{t: t, id: id, addr: addr, node: node[id], stop: stop}
-			t.readers[id] = r
-			t.group.Go("directory.news", func(context.Context) { r.run(ctx) })
+		if d.readers[id] == nil {
+			ctx, stop := context.WithCancel(d.group.Context())
+			r := &eventReader{directory: d, id: id, addr: addr, node: node[id], stop: stop}
+			d.readers[id] = r
+			d.group.Go("directory.news", func(context.Context) { r.run(ctx) })
 		}
 	}
 }
 
 // forget drops all that a holder held. Called under the lock.
-func (t *Directory) forget(node uint64) {
-	for k := range t.holdings[node] {
-		t.outbox.Add(hint.News{Key: k, Node: node, Op: hint.Drop})
+func (d *Directory) dropCached(node uint64) {
+	for k := range d.cachedBlocks[node] {
+		d.events.Add(hint.News{Key: k, Node: node, Op: hint.Drop})
 	}
-	delete(t.holdings, node)
+	delete(d.cachedBlocks, node)
 }
 
-func (t *Directory) allKept() []hint.News {
+func (d *Directory) cacheSnapshot() []hint.News {
 	var ns []hint.News
-	for n, ks := range t.holdings {
+	for n, ks := range d.cachedBlocks {
 		for k := range ks {
 			ns = append(ns, hint.News{Key: k, Node: n, Op: hint.Load})
 		}
@@ -68,104 +68,104 @@
 }
 
 // reader follows what one engine or store keeps.
-type reader struct {
-	t        *Directory
-	id       string
-	addr     string
-	node     uint64
-	stop     context.CancelFunc
-	epoch    string
-	since    string
-	failures int // questions in a row that failed
-	answered bool
+type eventReader struct {
+	directory *Directory
+	id        string
+	addr      string
+	node      uint64
+	stop      context.CancelFunc
+	epoch     string
+	cursor    string
+	failures  int // questions in a row that failed
+	answered  bool
 }
 
-func (r *reader) run(ctx context.Context) {
+func (r *eventReader) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		q, stop := context.WithTimeout(ctx, clock.Micros(newsHold+400_000))
-		p, err := r.t.platform.News(q, r.addr, r.since, newsHold)
+		q, stop := context.WithTimeout(ctx, clock.Duration(eventPollTimeout+400_000))
+		p, err := r.directory.platform.CacheEvents(q, r.addr, r.cursor, eventPollTimeout)
 		stop()
 		if ctx.Err() != nil {
 			return
 		}
-		r.t.mu.Lock()
-		was := r.failures >= downAfter
+		r.directory.mu.Lock()
+		was := r.failures >= failuresUntilDown
 		r.answered = true
 		if err != nil {
 			r.failures++
 		} else {
 			r.failures = 0
-			r.take(p)
+			r.apply(p)
 		}
-		if is := r.failures >= downAfter; is != was {
-			r.t.mapRev++
-			r.t.notify()
+		if is := r.failures >= failuresUntilDown; is != was {
+			r.directory.mapRevision++
+			r.directory.notify()
 		}
-		r.t.mu.Unlock()
-		if !taskgroup.Pause(ctx, newsPause) {
+		r.directory.mu.Unlock()
+		if !taskgroup.Sleep(ctx, eventPollPause) {
 			return
 		}
 	}
 }
 
-func (r *reader) take(p Page) {
-	t := r.t
+func (r *eventReader) apply(p CacheEventPage) {
+	t := r.directory
 	if p.Epoch != r.epoch {
 		if r.epoch != "" {
-			t.forget(r.node) // another life of it
+			t.dropCached(r.node) // another life of it
 		}
-		if r.epoch != "" && len(p.Changes) == 0 && r.since != "" {
+		if r.epoch != "" && len(p.Events) == 0 && r.cursor != "" {
 			// Its numbers began anew: ask from the start.
-			r.epoch, r.since = p.Epoch, ""
+			r.epoch, r.cursor = p.Epoch, ""
 			return
 		}
 		r.epoch = p.Epoch
 	}
-	r.since = p.Next
-	ks := t.holdings[r.node]
+	r.cursor = p.Next
+	ks := t.cachedBlocks[r.node]
 	if ks == nil {
 		ks = map[hint.Key]bool{}
-		t.holdings[r.node] = ks
+		t.cachedBlocks[r.node] = ks
 	}
-	for _, c := range p.Changes {
-		k := hint.PartKey(c.Salt, c.Model, c.Part)
-		if c.Kept == ks[k] {
+	for _, c := range p.Events {
+		k := hint.PartKey(c.Salt, c.Model, c.Block)
+		if c.Cached == ks[k] {
 			continue
 		}
 		op := hint.Load
-		if c.Kept {
+		if c.Cached {
 			ks[k] = true
 		} else {
 			delete(ks, k)
 			op = hint.Drop
 		}
-		t.outbox.Add(hint.News{Key: k, Node: r.node, Op: op})
+		t.events.Add(hint.News{Key: k, Node: r.node, Op: op})
 	}
 }
 
-func (t *Directory) restOf(q *fb.MapAskT) []hint.News {
-	if q.Node == nil || t.proxies[q.Node.Name] == nil {
+func (d *Directory) unsentEvents(q *fb.MapAskT) []hint.News {
+	if q.Node == nil || d.proxies[q.Node.Name] == nil {
 		return nil
 	}
-	return t.proxies[q.Node.Name].rest
+	return d.proxies[q.Node.Name].unsent
 }
 
 // news is the next page for a proxy. Called under the lock.
-func (t *Directory) news(q *fb.MapAskT) hint.Batch {
-	var x *proxy
+func (d *Directory) nextEvents(q *fb.MapAskT) hint.Batch {
+	var x *proxyState
 	if q.Node != nil {
-		x = t.proxies[q.Node.Name]
+		x = d.proxies[q.Node.Name]
 	}
-	if x != nil && len(x.rest) > 0 && q.NewsInc == t.incarnation {
-		b := hint.Batch{Inc: q.NewsInc, Next: q.NewsSince, News: x.rest[:min(newsPage, len(x.rest))]}
-		x.rest = x.rest[len(b.News):]
+	if x != nil && len(x.unsent) > 0 && q.NewsInc == d.incarnation {
+		b := hint.Batch{Inc: q.NewsInc, Next: q.NewsSince, News: x.unsent[:min(maxEventsPerReply, len(x.unsent))]}
+		x.unsent = x.unsent[len(b.News):]
 		return b
 	}
-	b := t.outbox.Since(q.NewsInc, q.NewsSince, newsPage)
+	b := d.events.Since(q.NewsInc, q.NewsSince, maxEventsPerReply)
 	if x != nil {
-		x.rest = nil
-		if b.Reset && len(b.News) > newsPage {
-			b.News, x.rest = b.News[:newsPage], b.News[newsPage:]
+		x.unsent = nil
+		if b.Reset && len(b.News) > maxEventsPerReply {
+			b.News, x.unsent = b.News[:maxEventsPerReply], b.News[maxEventsPerReply:]
 		}
 	}
 	return b
--- a/internal/app/directory/port.go
+++ b/internal/app/directory/port.go
@@ -10,19 +10,19 @@
 )
 
 // Listed is an engine as the platform lists it.
-type Listed struct {
-	ID, Pool, Addr, Site string
+type Engine struct {
+	ID, Pool, Addr, Zone string
 	Draining             bool
 	Slots                int
 	Weights              map[string]uint64
 }
 
 // Order tells an engine to change its weights. Holder and Fence are the duty's.
-type Order struct {
+type UpdateRequest struct {
 	Engine, Addr, Model string
 	Version             uint64
-	Holder              string
-	Fence               uint64
+	Leader              string
+	FencingToken        uint64
 	// Permit is asked at the last moment before the order is written, and tells why it
 	// must not be: the process may have been paused since the order was decided. Nil
 	// permits always.
@@ -30,58 +30,58 @@
 }
 
 // Taken is how an engine answered an order.
-type Taken uint8
+type UpdateResult uint8
 
 // Unheard: no answer, it may have been taken. Doing: under way. Holds: in force already.
 // Busy: another order is under way. Fenced: a higher fence was seen. Refused: not this
 // engine, or no such order. Withheld: it was not permitted any more, and never sent.
 const (
-	Unheard Taken = iota
-	Doing
-	Holds
-	Busy
-	Fenced
-	Refused
-	Withheld
+	ResultUnknown UpdateResult = iota
+	ResultStarted
+	ResultCurrent
+	ResultBusy
+	ResultFenced
+	ResultRefused
+	ResultNotSent
 )
 
-func (t Taken) String() string {
+func (t UpdateResult) String() string {
 	return [...]string{"unheard", "doing", "holds", "busy", "fenced", "refused", "withheld"}[t]
 }
 
 // Change is one piece of an engine's news about what it keeps.
-type Change struct {
-	Kept              bool
-	Salt, Part, Model string
+type CacheEvent struct {
+	Cached             bool
+	Salt, Block, Model string
 }
 
 // Page is an engine's answer to a question for news.
-type Page struct {
+type CacheEventPage struct {
 	Epoch   string
 	Next    string
 	Missing bool
-	Changes []Change
+	Events  []CacheEvent
 }
 
 // Platform is what the platform and its engines are asked for.
 type Platform interface {
-	List(ctx context.Context) ([]Listed, error)
-	Order(ctx context.Context, o Order) Taken
+	ListEngines(ctx context.Context) ([]Engine, error)
+	UpdateWeights(ctx context.Context, o UpdateRequest) UpdateResult
 	// Running is an engine's own word on its weights, and whether it is changing them.
-	Running(ctx context.Context, addr string) (weights map[string]uint64, busy bool, err error)
+	RunningWeights(ctx context.Context, addr string) (weights map[string]uint64, busy bool, err error)
 	// News asks an engine or store for what changed after since, and may be held for wait.
-	News(ctx context.Context, addr, since string, waitUS int64) (Page, error)
+	CacheEvents(ctx context.Context, addr, since string, waitUS int64) (CacheEventPage, error)
 }
 
 // Control is the control node beside it.
 type Control interface {
-	Op(ctx context.Context, t *fb.OpAskT) *fb.OpTellT
-	Once(ctx context.Context, t *fb.OpAskT) *fb.OpTellT
-	Voters() []string
-	Live(now int64) []*fb.NodeT
-	Heard(now int64, n *fb.NodeT)
+	Execute(ctx context.Context, t *fb.OpAskT) *fb.OpTellT
+	ExecuteOnce(ctx context.Context, t *fb.OpAskT) *fb.OpTellT
+	VoterAddrs() []string
+	LiveNodes(now int64) []*fb.NodeT
+	RecordHeartbeat(now int64, n *fb.NodeT)
 	// Ask asks another control node.
-	Ask(ctx context.Context, addr string, f *fb.FrameT, us int64) (*fb.FrameT, error)
+	Call(ctx context.Context, addr string, f *fb.FrameT, us int64) (*fb.FrameT, error)
 	// Tell sends a frame to the other control nodes; nobody answers.
-	Tell(f *fb.FrameT)
+	Broadcast(f *fb.FrameT)
 }
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -12,62 +12,62 @@
 
 // register is a key of the control state as last vouched for.
 type register struct {
-	known bool
-	rev   uint64
-	val   []byte
-	at    int64
+	known    bool
+	revision uint64
+	value    []byte
+	readAt   int64
 }
 
 // refreshDue refreshes when it is time to; after a start that is sooner.
-func (t *Directory) refreshDue(ctx context.Context) {
-	t.mu.Lock()
-	due := !t.config.known || clock.Now()-t.refreshAt >= refreshEvery-refreshFirst/2
-	t.mu.Unlock()
+func (d *Directory) refreshDue(ctx context.Context) {
+	d.mu.Lock()
+	due := !d.config.known || clock.Now()-d.refreshedAt >= refreshInterval-firstRefreshInterval/2
+	d.mu.Unlock()
 	if due {
-		t.Refresh(ctx)
+		d.Refresh(ctx)
 	}
 }
 
 // Refresh reads the registers anew; ages count from before the question.
-func (t *Directory) Refresh(ctx context.Context) {
-	t.mu.Lock()
-	t.refreshAt = clock.Now()
-	t.mu.Unlock()
-	t.read(ctx, route.ConfigKey, &t.config, func(v []byte, rev uint64, _ int64) {
-		if tab := t.settings.Parse(v, rev); tab != nil {
-			t.table = tab
+func (d *Directory) Refresh(ctx context.Context) {
+	d.mu.Lock()
+	d.refreshedAt = clock.Now()
+	d.mu.Unlock()
+	d.readRegister(ctx, route.ConfigKey, &d.config, func(v []byte, rev uint64, _ int64) {
+		if tab := d.settings.Parse(v, rev); tab != nil {
+			d.table = tab
 		}
 	})
-	t.read(ctx, route.WeightsKey, &t.weights, t.takeWeights)
-	t.read(ctx, WeightsDuty, &t.dutyRegister, t.takeDuty)
-	t.read(ctx, RolloutKey, &t.rollout, func(v []byte, _ uint64, _ int64) {
-		if s, err := rollout.Read(v); err == nil {
-			t.state = s
+	d.readRegister(ctx, route.WeightsKey, &d.weights, d.applyWeights)
+	d.readRegister(ctx, WeightsRoleKey, &d.roleRegister, d.applyRoleChange)
+	d.readRegister(ctx, RolloutKey, &d.rollout, func(v []byte, _ uint64, _ int64) {
+		if s, err := rollout.UnmarshalState(v); err == nil {
+			d.rolloutState = s
 		}
 	})
 }
 
 // takeWeights takes in a new value of the register of weights, which it has had since the
 // given time at the earliest. Called under the lock.
-func (t *Directory) takeWeights(val []byte, _ uint64, since int64) {
+func (d *Directory) applyWeights(val []byte, _ uint64, since int64) {
 	doc, err := route.ReadWeights(val)
 	if err != nil {
 		return
 	}
-	t.newest = newestOf(doc)
+	d.newestVersions = newestOf(doc)
 	for _, m := range doc.Models {
-		for _, version := range m.Versions[max(0, len(m.Versions)-namedKept):] {
-			if _, known := t.namings.At(m.Model, version); !known {
-				t.namings.Hear(m.Model, version, since)
+		for _, version := range m.Versions[max(0, len(m.Versions)-namedVersionsKept):] {
+			if _, known := d.namings.At(m.Model, version); !known {
+				d.namings.Hear(m.Model, version, since)
 			}
 		}
 	}
 }
 
 // takeDuty takes in that the duty of weights changed hands. Called under the lock.
-func (t *Directory) takeDuty(_ []byte, rev uint64, since int64) {
+func (d *Directory) applyRoleChange(_ []byte, rev uint64, since int64) {
 	if rev > 1 { // the first holder followed nobody
-		t.namings.Begin(rev, since-unsettledFor)
+		d.namings.Begin(rev, since-takeoverWindow)
 	}
 }
 
@@ -76,41 +76,41 @@
 // for long was cut off or stood still, or the core was without a majority. The bounds of
 // weights count from the end of such trouble, which was not long ago.
 func changedSince(lastRead, now int64) int64 {
-	return max(lastRead, now-unsettledFor)
+	return max(lastRead, now-takeoverWindow)
 }
 
 // read reads one register, and hands a new value to take, with the earliest time at which
 // it can have come there.
-func (t *Directory) read(ctx context.Context, key string, r *register, take func(val []byte, rev uint64, since int64)) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(700_000))
+func (d *Directory) readRegister(ctx context.Context, key string, r *register, take func(val []byte, rev uint64, since int64)) {
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(700_000))
 	defer stop()
-	t.mu.Lock()
-	have := r.rev
-	t.mu.Unlock()
+	d.mu.Lock()
+	have := r.revision
+	d.mu.Unlock()
 	at := clock.Now()
-	a := t.control.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key, Have: have})
+	a := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key, Have: have})
 	if quorum.Status(a.Status) != quorum.Done {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if r.known && a.Rev < r.rev {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if r.known && a.Rev < r.revision {
 		return
 	}
-	fresh := a.Rev != r.rev && len(a.Val) > 0
-	if a.Rev != r.rev && !fresh {
+	fresh := a.Rev != r.revision && len(a.Val) > 0
+	if a.Rev != r.revision && !fresh {
 		return // its value did not come along
 	}
-	lastRead := r.at
+	lastRead := r.readAt
 	if !r.known {
-		lastRead = t.startedAt
+		lastRead = d.startedAt
 	}
-	r.known, r.rev, r.at = true, a.Rev, max(r.at, at)
+	r.known, r.revision, r.readAt = true, a.Rev, max(r.readAt, at)
 	if fresh {
-		r.val = a.Val
+		r.value = a.Val
 		take(a.Val, a.Rev, changedSince(lastRead, clock.Now()))
-		t.mapRev++
-		t.notify()
+		d.mapRevision++
+		d.notify()
 	}
 }
 
--- a/internal/app/directory/registers_test.go
+++ b/internal/app/directory/registers_test.go
@@ -21,7 +21,7 @@
 // toldAge is how long ago a proxy is told that a version was named.
 func toldAge(t *testing.T, d *Directory, version uint64) int64 {
 	t.Helper()
-	a := d.tell(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, clock.Now())
+	a := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, clock.Now())
 	for _, n := range a.Named {
 		if n.Version == version {
 			return n.Age
@@ -38,7 +38,7 @@
 	control.name(1)
 	lastLook := clock.Now()
 	d.Refresh(t.Context())
-	d.weights.at -= 2_000_000 // the look was two seconds ago
+	d.weights.readAt -= 2_000_000 // the look was two seconds ago
 	lastLook -= 2_000_000
 	control.name(2)
 	d.Refresh(t.Context())
@@ -53,8 +53,8 @@
 	const now = 100_000_000
 	for _, c := range []struct{ lastRead, want int64 }{
 		{now - 150_000, now - 150_000},
-		{now - unsettledFor + 1, now - unsettledFor + 1},
-		{now - 20_000_000, now - unsettledFor},
+		{now - takeoverWindow + 1, now - takeoverWindow + 1},
+		{now - 20_000_000, now - takeoverWindow},
 	} {
 		if got := changedSince(c.lastRead, now); got != c.want {
 			t.Errorf("read at %d: %d, not %d", c.lastRead, got, c.want)
@@ -73,18 +73,18 @@
 func TestAgesCountFromTheDuty(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.name(1)
-	control.set(WeightsDuty, nil)
+	control.set(WeightsRoleKey, nil)
 	d.Refresh(t.Context())
 	d.namings.Hear("m", 1, clock.Now()-60_000_000)
 	if age := toldAge(t, d, 1); age < 60_000_000 {
 		t.Fatalf("told %d us", age)
 	}
-	control.set(WeightsDuty, []byte("another's"))
+	control.set(WeightsRoleKey, []byte("another's"))
 	d.Refresh(t.Context())
-	if age := toldAge(t, d, 1); age < unsettledFor || age > 3*unsettledFor {
+	if age := toldAge(t, d, 1); age < takeoverWindow || age > 3*takeoverWindow {
 		t.Errorf("told %d us after the duty changed hands", age)
 	}
-	if got := d.tell(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0).NamedEpoch; got != control.revs[WeightsDuty] {
+	if got := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0).NamedEpoch; got != control.revs[WeightsRoleKey] {
 		t.Errorf("epoch %d is told", got)
 	}
 }
@@ -95,7 +95,7 @@
 	control.name(1)
 	d.Refresh(t.Context())
 	control.first = &fb.MapTellT{Named: []*fb.NamedT{{Model: "m", Version: 1, Age: 30_000_000}}, ListAge: 1_000_000}
-	d.listFrom(t.Context(), "a:1")
+	d.copyListFrom(t.Context(), "a:1")
 	if age := toldAge(t, d, 1); age < 30_000_000 {
 		t.Errorf("told %d us, the first in line knows 30 s", age)
 	}
@@ -106,10 +106,10 @@
 	d, control, _ := newTestDirectory(t)
 	control.name(1)
 	d.Refresh(t.Context())
-	d.weights.at -= 5_000_000
+	d.weights.readAt -= 5_000_000
 	control.silent = true
 	d.Refresh(t.Context())
-	if a := d.tell(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0); a.NamedAge < 5_000_000 {
+	if a := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0); a.NamedAge < 5_000_000 {
 		t.Errorf("an age of %d us is told of weights last vouched for 5 s ago", a.NamedAge)
 	}
 }
--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -194,7 +194,7 @@
 		return
 	}
 	// A caller that reads too slowly is cut off a little after the due.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Micros(t.DueUS + 2_000_000)))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Duration(t.DueUS + 2_000_000)))
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.Header().Set("X-Ticket-Id", x.ID)
 	c.write(callerapi.Frame{Frame: "accepted", Ticket: x.ID, Node: r.s.Name, Era: r.era.Load()}, false)
@@ -391,7 +391,7 @@
 		r.refuse(w, http.StatusRequestEntityTooLarge, "too-large", 0)
 		return
 	}
-	ctx, stop := context.WithTimeout(q.Context(), clock.Micros(e.DueUS))
+	ctx, stop := context.WithTimeout(q.Context(), clock.Duration(e.DueUS))
 	defer stop()
 	safe := q.Method == http.MethodGet || q.Method == http.MethodHead || q.Method == http.MethodOptions
 	if id := q.Header.Get("X-Ticket-Id"); id != "" && !safe {
@@ -446,7 +446,7 @@
 	done := make(chan string, 1)
 	a := dispatch.Act{Claim: dispatch.ClaimKey(era, group, "plain:"+id), Nonce: fmt.Sprintf("%s/%x/p%d", r.s.Name, r.inc, r.refs.Add(1))}
 	r.d.Group.Go("claim.plain", func(ctx context.Context) { done <- r.claimWord(ctx, a) })
-	s, ok := taskgroup.Wait(ctx, done)
+	s, ok := taskgroup.Receive(ctx, done)
 	if !ok {
 		return "claim-unavailable"
 	}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -25,9 +25,9 @@
 	"violetthread/internal/transport"
 	"violetthread/plan"
 	"violetthread/quorum"
+	"violetthread/recording"
+	"violetthread/recording/replay"
 	"violetthread/schema/fb"
-	"violetthread/tape"
-	"violetthread/tape/reel"
 )
 
 // Settings of a remisier.
@@ -56,7 +56,7 @@
 	refs   atomic.Uint64
 	era    atomic.Uint64 // newest era of claims known here
 	mu     sync.Mutex
-	desk   *reel.Desk
+	desk   *replay.Dispatcher
 	calls  map[uint64]*call
 	plain  atomic.Int64 // plain calls under way
 	newsAt codec.Cursor
@@ -93,14 +93,14 @@
 	}
 	r := &remisier{s: s, d: d, inc: binary.LittleEndian.Uint64(b[:])>>24 | 1, table: hint.NewTable(s.Hints), calls: map[uint64]*call{}}
 	r.plan.Store(&plan.Held{})
-	r.desk = &reel.Desk{Desk: dispatch.New(s.Name, s.Zone, r.inc)}
+	r.desk = &replay.Dispatcher{Desk: dispatch.New(s.Name, s.Zone, r.inc)}
 	if s.Recording != "" {
-		w, err := tape.Create(s.Recording, tape.Head{Part: "desk", Name: s.Name, Site: s.Zone, Inc: r.inc}, s.RecordingBytes)
+		w, err := recording.Create(s.Recording, recording.Header{Component: "desk", Name: s.Name, Zone: s.Zone, Incarnation: r.inc}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
-		w.Full = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
-		r.desk.W = w
+		w.OnFull = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
+		r.desk.Writer = w
 		d.OnStop(func() { _ = w.Close() })
 	}
 	r.agent = transport.NewPeerPool(d.Group).Get(s.Runner)
@@ -112,9 +112,9 @@
 	d.Handle("/v1/tickets", r.ticketHTTP)
 	d.Handle("/v1/era", r.eraHTTP)
 	d.HandlePrefix("/", r.entryHTTP)
-	d.Group.Go("feed", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(100_000), r.feed) })
+	d.Group.Go("feed", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(100_000), r.feed) })
 	d.Group.Go("tick", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Micros(dispatch.TickEvery), func(context.Context) {
+		taskgroup.Every(ctx, clock.Duration(dispatch.TickEvery), func(context.Context) {
 			r.step(func(now int64) []dispatch.Act { return r.desk.Tick(now) })
 		})
 	})
@@ -258,7 +258,7 @@
 // drain lets running tickets finish, then ends the rest explicitly.
 func (r *remisier) drain(ctx context.Context) {
 	for r.load() > 0 {
-		if !taskgroup.Pause(ctx, 20_000) {
+		if !taskgroup.Sleep(ctx, 20_000) {
 			break
 		}
 	}
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -25,9 +25,9 @@
 	"violetthread/internal/taskgroup"
 	"violetthread/internal/transport"
 	"violetthread/quorum"
+	"violetthread/recording"
+	"violetthread/recording/replay"
 	"violetthread/schema/fb"
-	"violetthread/tape"
-	"violetthread/tape/reel"
 )
 
 // Settings of a custodian.
@@ -51,7 +51,7 @@
 	holder string
 	http   *engineapi.Client
 	mu     sync.Mutex
-	k      *reel.Keeper
+	k      *replay.IndexNode
 	busy   map[string]bool
 	pushAt map[string]index.Cursor
 }
@@ -81,14 +81,14 @@
 	c := &custodian{s: s, d: d, book: transport.NewPeerPool(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
 		http: engineapi.NewClient(), busy: map[string]bool{}, pushAt: map[string]index.Cursor{}}
 	c.holder = fmt.Sprintf("%s#%x", s.Name, c.inc)
-	c.k = &reel.Keeper{Keeper: index.New(s.Name, s.Zone, c.inc)}
+	c.k = &replay.IndexNode{Keeper: index.New(s.Name, s.Zone, c.inc)}
 	if s.Recording != "" {
-		w, err := tape.Create(s.Recording, tape.Head{Part: "keeper", Name: s.Name, Site: s.Zone, Inc: c.inc}, s.RecordingBytes)
+		w, err := recording.Create(s.Recording, recording.Header{Component: "keeper", Name: s.Name, Zone: s.Zone, Incarnation: c.inc}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
-		w.Full = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
-		c.k.W = w
+		w.OnFull = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
+		c.k.Writer = w
 		d.OnStop(func() { _ = w.Close() })
 	}
 	c.ses = session.New(d.Group, c.book, s.Seeds, c.self)
@@ -98,10 +98,10 @@
 	}
 	transport.Serve(d.Group, l, c.handle)
 	c.ses.Run()
-	d.Group.Go("list", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(200_000), c.list) })
-	d.Group.Go("duties", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(100_000), c.duties) })
-	d.Group.Go("engines", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(150_000), c.engines) })
-	d.Group.Go("news", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(200_000), c.news) })
+	d.Group.Go("list", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(200_000), c.list) })
+	d.Group.Go("duties", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(100_000), c.duties) })
+	d.Group.Go("engines", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(150_000), c.engines) })
+	d.Group.Go("news", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(200_000), c.news) })
 	c.vitals()
 	d.OnDrain(c.leave)
 	d.SetReady("")
@@ -116,7 +116,7 @@
 }
 
 // with runs f on the keeper, which is not safe for concurrent use.
-func (c *custodian) with(f func(now int64, k *reel.Keeper)) {
+func (c *custodian) with(f func(now int64, k *replay.IndexNode)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(clock.Now(), c.k)
@@ -154,7 +154,7 @@
 			return index.Listed{Name: x.Name, Addr: x.Addr, Site: x.Site, Store: x.Kind == "store", Leaving: x.Leaving}
 		})
 	}
-	c.with(func(now int64, k *reel.Keeper) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		switch {
 		case err == nil:
 			k.Listing(now, at, last)
@@ -171,7 +171,7 @@
 	}
 	v := c.ses.View()
 	var as []index.DutyAsk
-	c.with(func(now int64, k *reel.Keeper) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		if v.Plan != nil {
 			k.Plan(now, &v.Held)
 		}
@@ -194,7 +194,7 @@
 	}
 	at := clock.Now()
 	t, err := c.ses.Op(ctx, &fb.OpAskT{Kind: byte(kind), Key: a.Key, Expect: a.Epoch, Holder: c.holder, Term: index.DutyTerm}, 1_000_000)
-	c.with(func(now int64, k *reel.Keeper) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		if err != nil {
 			k.Held(now, a, at, false, 0)
 			return
@@ -210,14 +210,14 @@
 // leave gives every duty back, so that others need not wait the leases out: the
 // shards at once, the engines when no order is in use any more (design §10).
 func (c *custodian) leave(ctx context.Context) {
-	c.with(func(now int64, k *reel.Keeper) { k.Peers(now, nil) })
+	c.with(func(now int64, k *replay.IndexNode) { k.Peers(now, nil) })
 	for idle := false; !idle; {
 		var as []index.DutyAsk
-		c.with(func(now int64, k *reel.Keeper) { as, idle = k.Want(now), k.Idle() })
+		c.with(func(now int64, k *replay.IndexNode) { as, idle = k.Want(now), k.Idle() })
 		for _, a := range as {
 			c.d.Group.Go("duty.free", func(ctx context.Context) { c.hold(ctx, a) })
 		}
-		if !idle && !taskgroup.Pause(ctx, 50_000) {
+		if !idle && !taskgroup.Sleep(ctx, 50_000) {
 			return
 		}
 	}
@@ -228,7 +228,7 @@
 func (c *custodian) engines(context.Context) {
 	var ps []index.Poll
 	var ts []index.Turn
-	c.with(func(now int64, k *reel.Keeper) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		ps = k.Polls(now)
 		ts = k.Turns(now)
 	})
@@ -247,7 +247,7 @@
 			return
 		}
 		parts := lo.FilterMap(w.Parts, func(s string, _ int) (hint.Key, bool) { return engineapi.Key(s) })
-		c.with(func(now int64, k *reel.Keeper) { k.Whole(now, p.Engine, w.Inc, w.Seq, parts) })
+		c.with(func(now int64, k *replay.IndexNode) { k.Whole(now, p.Engine, w.Inc, w.Seq, parts) })
 		p.Inc, p.After = w.Inc, w.Seq
 	}
 	at := clock.Now()
@@ -264,13 +264,13 @@
 		v.Part, v.HasPart = engineapi.Key(e.Part)
 		x.Events = append(x.Events, v)
 	}
-	c.with(func(now int64, k *reel.Keeper) { k.Reported(now, at, p.Engine, x) })
+	c.with(func(now int64, k *replay.IndexNode) { k.Reported(now, at, p.Engine, x) })
 }
 
 func (c *custodian) turn(ctx context.Context, t index.Turn) {
 	// Held still? The engine rejects a lower epoch, but it need not come to that.
 	ok := false
-	c.with(func(now int64, k *reel.Keeper) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		ep, held := k.Holds(now, index.EngineDuty(t.Engine))
 		ok = held && ep == t.Epoch
 	})
@@ -310,12 +310,12 @@
 	var mine []uint16
 	var cur index.Cursor
 	var sites, pushes []string
-	c.with(func(now int64, k *reel.Keeper) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		mine, cur, sites, pushes = k.MyShards(now), k.HoldsCursor(p.Name), k.MySites(), k.PushSites(now)
 	})
 	if len(mine) > 0 {
 		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}); ok {
-			c.with(func(now int64, k *reel.Keeper) { codec.ApplyHoldings(k.Keeper, now, p.Name, t) })
+			c.with(func(now int64, k *replay.IndexNode) { codec.ApplyHoldings(k.Keeper, now, p.Name, t) })
 		}
 	}
 	for _, s := range pushes {
@@ -323,15 +323,15 @@
 	}
 	for _, s := range sites {
 		var sc index.Cursor
-		c.with(func(_ int64, k *reel.Keeper) { sc = *k.SiteCursor(s, p.Name) })
+		c.with(func(_ int64, k *replay.IndexNode) { sc = *k.SiteCursor(s, p.Name) })
 		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: sc.Inc, Since: sc.Next}); ok {
-			c.with(func(_ int64, k *reel.Keeper) { k.SiteNews(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t)) })
+			c.with(func(_ int64, k *replay.IndexNode) { k.SiteNews(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t)) })
 		}
 	}
 }
 
 func (c *custodian) tellNews(q *fb.NewsAskT) (t *fb.NewsTellT) {
-	c.with(func(_ int64, k *reel.Keeper) { t = codec.AnswerUpdates(k.Keeper, q) })
+	c.with(func(_ int64, k *replay.IndexNode) { t = codec.AnswerUpdates(k.Keeper, q) })
 	return t
 }
 
@@ -346,7 +346,7 @@
 		return
 	}
 	var ps []index.Push
-	c.with(func(now int64, k *reel.Keeper) {
+	c.with(func(now int64, k *replay.IndexNode) {
 		c.pushAt[site+"|"+p.Name] = index.Cursor{Inc: t.Inc, Next: t.Next}
 		ps = k.Pushes(now, site, codec.UnpackBatch(t), codec.UnpackPlaces(t))
 	})
@@ -385,29 +385,29 @@
 }
 
 func (c *custodian) room(q *fb.RoomAskT) (t *fb.RoomTellT) {
-	c.with(func(now int64, k *reel.Keeper) { t = codec.AnswerCapacity(k, now, c.s.Name, q) })
+	c.with(func(now int64, k *replay.IndexNode) { t = codec.AnswerCapacity(k, now, c.s.Name, q) })
 	return t
 }
 
 func (c *custodian) vitals() {
-	g := func(name, help string, f func(now int64, k *reel.Keeper) float64) {
+	g := func(name, help string, f func(now int64, k *replay.IndexNode) float64) {
 		c.d.Gauge(name, help, func() (v float64) {
-			c.with(func(now int64, k *reel.Keeper) { v = f(now, k) })
+			c.with(func(now int64, k *replay.IndexNode) { v = f(now, k) })
 			return v
 		})
 	}
-	g("duties_held", "leases held now", func(now int64, k *reel.Keeper) float64 { return float64(len(k.Duties(now))) })
-	g("parts_known", "parts in the shards held here", func(_ int64, k *reel.Keeper) float64 { return float64(k.Directory().Len()) })
-	g("takeovers", "leases newly won", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counts.Takeovers) })
-	g("pushes", "parts ordered to be fetched ahead of need", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counts.Pushes) })
-	g("resyncs", "times an engine's keeps were read whole", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counts.Resyncs) })
-	g("hand_overs_good", "hand-overs learnt to have worked", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counts.HandOK) })
-	g("hand_overs_bad", "hand-overs learnt to have been recomputed", func(_ int64, k *reel.Keeper) float64 { return float64(k.Counts.HandBad) })
-	g("news_changes", "changes to what is kept, at shards held here", func(_ int64, k *reel.Keeper) float64 { return float64(k.Directory().Changes) })
-	g("news_sent", "pieces of hint news queued for followers", func(_ int64, k *reel.Keeper) float64 { return float64(k.NewsSent()) })
+	g("duties_held", "leases held now", func(now int64, k *replay.IndexNode) float64 { return float64(len(k.Duties(now))) })
+	g("parts_known", "parts in the shards held here", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Directory().Len()) })
+	g("takeovers", "leases newly won", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Takeovers) })
+	g("pushes", "parts ordered to be fetched ahead of need", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Pushes) })
+	g("resyncs", "times an engine's keeps were read whole", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Resyncs) })
+	g("hand_overs_good", "hand-overs learnt to have worked", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.HandOK) })
+	g("hand_overs_bad", "hand-overs learnt to have been recomputed", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.HandBad) })
+	g("news_changes", "changes to what is kept, at shards held here", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Directory().Changes) })
+	g("news_sent", "pieces of hint news queued for followers", func(_ int64, k *replay.IndexNode) float64 { return float64(k.NewsSent()) })
 	c.d.Handle("/v1/engines", func(w http.ResponseWriter, _ *http.Request) {
 		var es []index.Engine
-		c.with(func(now int64, k *reel.Keeper) { es = k.Engines(now) })
+		c.with(func(now int64, k *replay.IndexNode) { es = k.Engines(now) })
 		daemon.WriteJSON(w, 200, es)
 	})
 }
--- a/internal/app/proxy/admission.go
+++ b/internal/app/proxy/admission.go
@@ -57,7 +57,7 @@
 // readBody reads a request's body whole. If it can't, it has answered.
 func (c *carrier) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(clock.Micros(bodyReadTimeoutUS)))
+	_ = control.SetReadDeadline(time.Now().Add(clock.Duration(bodyReadTimeoutUS)))
 	limit := c.view.Load().table.Limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultBodyBytes
--- a/internal/app/proxy/answer.go
+++ b/internal/app/proxy/answer.go
@@ -68,7 +68,7 @@
 	if answer.StatusCode == http.StatusMisdirectedRequest {
 		end.cause = causeOther
 	}
-	_ = a.conn.SetReadDeadline(time.Now().Add(clock.Micros(skipBodyUS)))
+	_ = a.conn.SetReadDeadline(time.Now().Add(clock.Duration(skipBodyUS)))
 	if !discard(answer.Body, skipBodyBytes) {
 		return end, nil
 	}
--- a/internal/app/proxy/connpool.go
+++ b/internal/app/proxy/connpool.go
@@ -96,7 +96,7 @@
 
 // dial makes a new connection. A far end that falls silent is noticed by the kernel.
 func (p *pool) dial(ctx context.Context, addr string) (*engineConn, error) {
-	d := net.Dialer{Timeout: clock.Micros(p.dialTimeoutUS), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: clock.Micros(1_000_000), Interval: clock.Micros(1_000_000), Count: 2},
+	d := net.Dialer{Timeout: clock.Duration(p.dialTimeoutUS), KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: clock.Duration(1_000_000), Interval: clock.Duration(1_000_000), Count: 2},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, 2000)
--- a/internal/app/proxy/engineattempt.go
+++ b/internal/app/proxy/engineattempt.go
@@ -90,7 +90,7 @@
 	case now >= p.deadline:
 		return unreachable, nil
 	}
-	_ = a.conn.SetDeadline(time.Now().Add(clock.Micros(p.deadline + lateAnswerUS - now)))
+	_ = a.conn.SetDeadline(time.Now().Add(clock.Duration(p.deadline + lateAnswerUS - now)))
 	c.counts.sends.Add(1)
 	_, writeErr := a.conn.Write(a.message(now))
 	answer, word, end := a.readHead()
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -174,7 +174,7 @@
 
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !f.ask(ctx) && !taskgroup.Pause(ctx, 30_000) {
+		if !f.ask(ctx) && !taskgroup.Sleep(ctx, 30_000) {
 			return
 		}
 	}
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -80,9 +80,9 @@
 	c.view.Store(&view{})
 	f := newFollower(c)
 	d.Group.Go("follow", f.run)
-	d.Group.Go("ready", func(ctx context.Context) { taskgroup.Every(ctx, clock.Micros(40_000), c.watch) })
+	d.Group.Go("ready", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(40_000), c.watch) })
 	d.Group.Go("sweep", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Micros(1_000_000), func(context.Context) { c.pool.sweep(func(string) bool { return true }) })
+		taskgroup.Every(ctx, clock.Duration(1_000_000), func(context.Context) { c.pool.sweep(func(string) bool { return true }) })
 	})
 	d.OnDrain(c.drain)
 	c.gauges()
@@ -158,7 +158,7 @@
 
 // serveCallers takes callers' requests from a listener.
 func (c *carrier) serveCallers(ln net.Listener, l route.Limits) {
-	s := &http.Server{Handler: http.HandlerFunc(c.serve), ReadHeaderTimeout: clock.Micros(l.HeaderUS), IdleTimeout: idleUnbounded,
+	s := &http.Server{Handler: http.HandlerFunc(c.serve), ReadHeaderTimeout: clock.Duration(l.HeaderUS), IdleTimeout: idleUnbounded,
 		MaxHeaderBytes: int(l.HeaderBytes), ErrorLog: log.New(io.Discard, "", 0), ConnContext: withCallerConn, ConnState: noteState}
 	if l.HeaderUS <= 0 {
 		s.ReadHeaderTimeout = 5 * time.Second
@@ -179,7 +179,7 @@
 // idleLimit is how long a caller's connection may rest under the configuration in force.
 func (c *carrier) idleLimit() time.Duration {
 	if t := c.view.Load().table; t != nil && t.Limits.IdleUS > 0 {
-		return clock.Micros(t.Limits.IdleUS)
+		return clock.Duration(t.Limits.IdleUS)
 	}
 	return idleDefault
 }
@@ -195,7 +195,7 @@
 	if s == nil {
 		return
 	}
-	taskgroup.Pause(ctx, awayUS)
+	taskgroup.Sleep(ctx, awayUS)
 	_ = s.Shutdown(ctx)
 	c.pool.closeIdle()
 }
--- a/internal/app/proxy/relay.go
+++ b/internal/app/proxy/relay.go
@@ -174,7 +174,7 @@
 		h.Set("Connection", "close")
 	}
 	left := max(0, p.deadline-clock.Now()) + lateWriteUS
-	_ = http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(clock.Micros(left)))
+	_ = http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(clock.Duration(left)))
 	p.ledger.Out = true
 	p.w.WriteHeader(answer.StatusCode)
 }
--- a/internal/app/proxy/standin_test.go
+++ b/internal/app/proxy/standin_test.go
@@ -349,7 +349,7 @@
 func await(ch <-chan struct{}) bool {
 	ctx, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
-	_, _ = taskgroup.Wait(ctx, ch)
+	_, _ = taskgroup.Receive(ctx, ch)
 	return ctx.Err() == nil
 }
 
--- a/internal/app/session/session.go
+++ b/internal/app/session/session.go
@@ -57,7 +57,7 @@
 // Run keeps the session up until the group stops.
 func (s *Session) Run() {
 	s.c.Go("session", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Micros(period), s.beat)
+		taskgroup.Every(ctx, clock.Duration(period), s.beat)
 	})
 }
 
@@ -165,7 +165,7 @@
 		default:
 			return r.OpTell, nil
 		}
-		if !taskgroup.Pause(ctx, 20_000) {
+		if !taskgroup.Sleep(ctx, 20_000) {
 			break
 		}
 	}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -18,4 +18,4 @@
 }
 
 // Micros turns whole microseconds into a duration for the library's timers.
-func Micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func Duration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -85,7 +85,7 @@
 
 // Start makes a daemon that will serve HTTP at addr.
 func New(program, name, addr string, drainUS int64) *Daemon {
-	d := &Daemon{Program: program, Name: name, Log: NewLogger(program, name), Metrics: prometheus.NewRegistry(), drainFor: clock.Micros(drainUS)}
+	d := &Daemon{Program: program, Name: name, Log: NewLogger(program, name), Metrics: prometheus.NewRegistry(), drainFor: clock.Duration(drainUS)}
 	d.Group = taskgroup.New(context.Background(), d.Log)
 	d.SetReady("starting")
 	// The library's default of one second would cut streams.
--- a/internal/e2e/core_test.go
+++ b/internal/e2e/core_test.go
@@ -61,7 +61,7 @@
 func (c *core) machine(name string) {
 	s := control.Defaults()
 	s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.DataDir, s.DrainUS = name, "north", c.port(), c.port(), c.t.TempDir(), 0
-	s.RingFiles, s.RingBytes, s.Patience = 16, 2<<20, 2_500_000
+	s.LogSegments, s.LogSegmentBytes, s.OperationTimeout = 16, 2<<20, 2_500_000
 	m := &machine{s: s, disk: newSick(nil)}
 	m.s.Disk = func(fs wal.FS) wal.FS {
 		m.disk.FS = fs
@@ -73,8 +73,8 @@
 func (c *core) start(name string, found bool) {
 	c.t.Helper()
 	m := c.m[name]
-	m.s.Found, m.s.Seeds = found, c.seeds
-	n, err := control.Make(m.s)
+	m.s.Bootstrap, m.s.Seeds = found, c.seeds
+	n, err := control.NewNode(m.s)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 		case <-end:
 			for n, m := range c.m {
 				if m.node != nil {
-					c.t.Logf("%s: up %v, %s", n, m.node.Up(), c.fleet(m.s.HTTPAddr))
+					c.t.Logf("%s: up %v, %s", n, m.node.Voting(), c.fleet(m.s.HTTPAddr))
 				}
 			}
 			c.t.Fatalf("waited in vain until %s", what)
@@ -146,12 +146,12 @@
 func (c *core) whole(names ...string) bool {
 	for _, n := range names {
 		x := c.m[n].node
-		if !x.Up() || len(x.Voters()) != len(names) {
+		if !x.Voting() || len(x.VoterAddrs()) != len(names) {
 			return false
 		}
 		for _, n := range names {
 			in := false
-			for _, a := range x.Voters() {
+			for _, a := range x.VoterAddrs() {
 				in = in || a == c.m[n].s.TransportAddr
 			}
 			if !in {
@@ -170,7 +170,7 @@
 	for i := 0; len(seen) < 16; i++ {
 		k := fmt.Sprint("key", i)
 		if s := quorum.SlotOf(k, 16); !seen[s] {
-			if a := c.m[name].node.Once(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: k}); quorum.Status(a.Status) != quorum.Done {
+			if a := c.m[name].node.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: k}); quorum.Status(a.Status) != quorum.Done {
 				return false
 			}
 			seen[s] = true
@@ -181,14 +181,14 @@
 
 func (c *core) put(name, key, val string) {
 	c.t.Helper()
-	if a := c.m[name].node.Op(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: key, Val: []byte(val), Expect: quorum.AnyRev}); quorum.Status(a.Status) != quorum.Done {
+	if a := c.m[name].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: key, Val: []byte(val), Expect: quorum.AnyRev}); quorum.Status(a.Status) != quorum.Done {
 		c.t.Fatalf("putting %s at %s ended in %d", key, name, a.Status)
 	}
 }
 
 func (c *core) reads(name, key, val string) {
 	c.t.Helper()
-	if a := c.m[name].node.Op(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key}); quorum.Status(a.Status) != quorum.Done || string(a.Val) != val {
+	if a := c.m[name].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key}); quorum.Status(a.Status) != quorum.Done || string(a.Val) != val {
 		c.t.Fatalf("reading %s at %s ended in %d: %q, not %q", key, name, a.Status, a.Val, val)
 	}
 }
@@ -217,13 +217,13 @@
 			c.put("b", "plan", "v1")
 
 			for _, x := range []string{"c", "a"} {
-				inc := c.m[x].node.Inc()
+				inc := c.m[x].node.Incarnation()
 				c.kill(x)
 				c.wipe(x)
 				at = time.Now()
 				c.start(x, false)
 				c.bound("a wiped machine is back", c.until("the wiped one is back", at, func() bool { return c.whole(all...) }), 3*time.Second)
-				if c.m[x].node.Inc() == inc {
+				if c.m[x].node.Incarnation() == inc {
 					t.Fatal("an emptied disk has its former incarnation")
 				}
 				c.reads(x, "plan", "v1")
@@ -242,7 +242,7 @@
 			c.kill("b")
 			c.bound("one was killed and its slots are owned", c.until("its slots are owned", at, func() bool { return c.owned("a") }), 3*time.Second)
 			c.put("a", "plan", "v3")
-			if len(c.m["a"].node.Voters()) != n {
+			if len(c.m["a"].node.VoterAddrs()) != n {
 				t.Fatal("a voter was removed for its silence alone")
 			}
 			at = time.Now()
@@ -263,7 +263,7 @@
 			all := []string{"a", "b", "c", "d"}[:n]
 			c.until("the fleet is whole", time.Now(), func() bool { return c.whole(all...) })
 			c.put("b", "plan", "v1")
-			inc := c.m["a"].node.Inc()
+			inc := c.m["a"].node.Incarnation()
 			c.kill("a")
 			c.machine("z")
 			at := time.Now()
@@ -277,22 +277,22 @@
 			c.start("a", false)
 			now = append(now, "a")
 			c.bound("the former one joins anew", c.until("the former one joins anew", at, func() bool { return c.whole(now...) }), 3*time.Second)
-			if c.m["a"].node.Inc() == inc {
+			if c.m["a"].node.Incarnation() == inc {
 				t.Fatal("it votes with its former number")
 			}
 			c.reads("a", "plan", "v2")
 			for _, x := range now {
-				if c.m[x].node.Live(clock.Now()) != nil {
+				if c.m[x].node.LiveNodes(clock.Now()) != nil {
 					t.Fatal("members out of nowhere")
 				}
 			}
 			// The retired disk keeps its new number over a restart.
-			inc = c.m["a"].node.Inc()
+			inc = c.m["a"].node.Incarnation()
 			c.kill("a")
 			at = time.Now()
 			c.start("a", false)
 			c.bound("it is back after a restart", c.until("it is back", at, func() bool { return c.whole(now...) }), 3*time.Second)
-			if c.m["a"].node.Inc() != inc {
+			if c.m["a"].node.Incarnation() != inc {
 				t.Fatal("a retired disk changed its number once more")
 			}
 		})
--- a/internal/e2e/disk_test.go
+++ b/internal/e2e/disk_test.go
@@ -29,15 +29,15 @@
 	return a.StatusCode, string(b)
 }
 
-func (c *core) diskState(name string) control.DiskState {
-	var f control.Fleet
+func (c *core) diskState(name string) control.DiskStatus {
+	var f control.FleetStatus
 	_ = json.Unmarshal([]byte(c.fleet(c.m[name].s.HTTPAddr)), &f)
 	return f.Disk
 }
 
 // try puts a value and returns how that ended.
 func (c *core) try(name, key, val string) quorum.Status {
-	a := c.m[name].node.Op(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: key, Val: []byte(val), Expect: quorum.AnyRev})
+	a := c.m[name].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: key, Val: []byte(val), Expect: quorum.AnyRev})
 	return quorum.Status(a.Status)
 }
 
@@ -49,12 +49,12 @@
 
 // ownsNothing tells whether no slot has this owner, as another machine sees it.
 func (c *core) ownsNothing(name, seenBy string) bool {
-	var f control.Fleet
+	var f control.FleetStatus
 	if json.Unmarshal([]byte(c.fleet(c.m[seenBy].s.HTTPAddr)), &f) != nil || len(f.Slots) == 0 {
 		return false
 	}
 	for _, s := range f.Slots {
-		if s.Owner == name {
+		if s.Leader == name {
 			return false
 		}
 	}
@@ -68,7 +68,7 @@
 	_, metrics := c.page(name, "/metrics")
 	disk := c.diskState(name)
 	return alive == 200 && ready == 503 && strings.Contains(why, cause) && !disk.Usable && strings.Contains(disk.Cause, cause) &&
-		strings.Contains(metrics, "violetthread_disk_usable 0") && !c.m[name].node.Up()
+		strings.Contains(metrics, "violetthread_disk_usable 0") && !c.m[name].node.Voting()
 }
 
 var four = []string{"a", "b", "c", "d"}
@@ -89,7 +89,7 @@
 			c := newCore(t, 4)
 			c.until("the fleet is whole", time.Now(), func() bool { return c.whole(four...) })
 			c.putSoon("b", "plan", "v1")
-			inc := c.m["a"].node.Inc()
+			inc := c.m["a"].node.Incarnation()
 			at := time.Now()
 			c.m["a"].disk.turn(sickness.how)
 			for i := 0; !c.saysWhy("a", sickness.cause); i++ {
@@ -105,7 +105,7 @@
 			at = time.Now()
 			c.m["a"].disk.turn("")
 			c.bound("it is back", c.until("it is back", at, func() bool { return c.whole(four...) }), 8*time.Second)
-			if c.m["a"].node.Inc() != inc {
+			if c.m["a"].node.Incarnation() != inc {
 				t.Fatal("it came back as another")
 			}
 			if _, m := c.page("a", "/metrics"); !strings.Contains(m, "violetthread_disk_usable 1") || strings.Contains(m, "violetthread_disk_troubles_total 0") {
@@ -145,7 +145,7 @@
 	}
 	c.bound("all are back", c.until("all are back", at, func() bool { return c.whole(all...) }), 10*time.Second)
 	// What was answered "unknown" may have taken effect, nothing else.
-	a := c.m["a"].node.Op(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: "plan"})
+	a := c.m["a"].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: "plan"})
 	if v := string(a.Val); quorum.Status(a.Status) != quorum.Done || v != "v1" && v != "never" {
 		t.Fatalf("read %d %q", a.Status, v)
 	}
@@ -167,7 +167,7 @@
 			c := newCore(t, 4)
 			c.until("the fleet is whole", time.Now(), func() bool { return c.whole(four...) })
 			c.putSoon("b", "plan", "v1")
-			inc := c.m["d"].node.Inc()
+			inc := c.m["d"].node.Incarnation()
 			c.kill("d", "c")
 			c.wipe("c")
 			for _, n := range []string{"d", "c"} {
@@ -182,8 +182,8 @@
 			}
 			at := time.Now()
 			c.m["d"].disk.turn("")
-			c.bound("it votes", c.until("it votes", at, func() bool { return c.m["d"].node.Up() }), 8*time.Second)
-			if c.m["d"].node.Inc() != inc {
+			c.bound("it votes", c.until("it votes", at, func() bool { return c.m["d"].node.Voting() }), 8*time.Second)
+			if c.m["d"].node.Incarnation() != inc {
 				t.Fatal("it came back as another")
 			}
 			c.until("three own all", time.Now(), func() bool { return c.owned("a") })
@@ -203,7 +203,7 @@
 	all := four[:3]
 	c.until("the fleet is whole", time.Now(), func() bool { return c.whole(all...) })
 	c.m["a"].disk.turn("stalled")
-	for i := 0; c.m["a"].node.Up(); i++ {
+	for i := 0; c.m["a"].node.Voting(); i++ {
 		c.try("b", fmt.Sprint("key", i%32), "x")
 	}
 	at := time.Now()
@@ -242,7 +242,7 @@
 	c.putSoon("b", "plan", "v1")
 	m := c.m["c"]
 	m.disk.turn("failing")
-	for i := 0; m.node.Up(); i++ {
+	for i := 0; m.node.Voting(); i++ {
 		c.try("b", fmt.Sprint("key", i%32), "x")
 	}
 	whole, err := os.ReadFile(c.ringFile("c", 1))
@@ -284,7 +284,7 @@
 			c.start("c", false)
 			m := c.m["c"]
 			m.over.Wait()
-			if m.err == nil || !strings.Contains(m.err.Error(), damage.remedy) || m.node.Up() {
+			if m.err == nil || !strings.Contains(m.err.Error(), damage.remedy) || m.node.Voting() {
 				t.Fatalf("it ended with %v", m.err)
 			}
 			m.node = nil
@@ -324,7 +324,7 @@
 	other.until("the other fleet is whole", time.Now(), func() bool { return other.whole(all...) })
 	c.putSoon("a", "plan", "v1")
 	other.putSoon("a", "plan", "foreign")
-	inc := c.m["c"].node.Inc()
+	inc := c.m["c"].node.Incarnation()
 	for name, seeds := range map[string][]string{
 		"itself":        {c.m["c"].s.TransportAddr},
 		"dead":          {c.port(), c.port()},
@@ -336,7 +336,7 @@
 			c.start("c", false)
 			c.until("it is back in its fleet", time.Now(), func() bool { return c.whole(all...) })
 			c.reads("c", "plan", "v1")
-			if c.m["c"].node.Inc() != inc || len(other.m["a"].node.Voters()) != 3 {
+			if c.m["c"].node.Incarnation() != inc || len(other.m["a"].node.VoterAddrs()) != 3 {
 				t.Fatal("it joined another fleet")
 			}
 			// Alone with such seeds it neither votes with others nor answers for them.
@@ -361,7 +361,7 @@
 				st, why := c.page("blank", "/readyz")
 				return st == 503 && strings.Contains(why, "no founded fleet is reachable")
 			})
-			if c.m["blank"].node.Up() || c.m["blank"].node.Voters() != nil {
+			if c.m["blank"].node.Voting() || c.m["blank"].node.VoterAddrs() != nil {
 				t.Fatal("it votes in a fleet of its own")
 			}
 			c.kill("blank")
@@ -376,12 +376,12 @@
 	all := four[:3]
 	c.until("the fleet is whole", time.Now(), func() bool { return c.whole(all...) })
 	c.putSoon("b", "plan", "v1")
-	inc := c.m["c"].node.Inc()
+	inc := c.m["c"].node.Incarnation()
 	c.kill("c")
 	must(t, os.Remove(c.ringFile("c", 1)))
 	c.start("c", false)
 	c.until("it joined anew", time.Now(), func() bool { return c.whole(all...) })
-	if c.m["c"].node.Inc() == inc {
+	if c.m["c"].node.Incarnation() == inc {
 		t.Fatal("it votes with its former number")
 	}
 	c.reads("c", "plan", "v1")
@@ -395,7 +395,7 @@
 	c.until("the fleet is whole", time.Now(), func() bool { return c.whole(all...) })
 	c.putSoon("a", "plan", "v1")
 	former := c.m["b"]
-	inc := former.node.Inc()
+	inc := former.node.Incarnation()
 	c.kill("b")
 	c.machine("b")
 	c.start("b", false)
@@ -403,7 +403,7 @@
 	c.m["former"] = former
 	c.start("former", false)
 	c.until("the former has dropped its number", time.Now(), func() bool {
-		now := former.node.Inc()
+		now := former.node.Incarnation()
 		return now != 0 && now != inc
 	})
 	c.kill("former")
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -28,7 +28,7 @@
 	"violetthread/internal/taskgroup"
 	"violetthread/plan"
 	"violetthread/quorum"
-	"violetthread/tape/reel"
+	"violetthread/recording/replay"
 	"violetthread/wal"
 )
 
@@ -159,15 +159,15 @@
 	sites := []string{"north", "east", "south", "west"}
 	for i := 0; i < 4; i++ {
 		s := control.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Found, s.DataDir = fmt.Sprint("control", i), sites[i], next(), wires[i], true, fmt.Sprintf("%s/r%d", dir, i)
-		s.RingFiles, s.RingBytes, s.DrainUS = 8, 256<<10, 0
+		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Bootstrap, s.DataDir = fmt.Sprint("control", i), sites[i], next(), wires[i], true, fmt.Sprintf("%s/r%d", dir, i)
+		s.LogSegments, s.LogSegmentBytes, s.DrainUS = 8, 256<<10, 0
 		s.Seeds = wires[:3] // the fourth joins
 		s.Disk = func(fs wal.FS) wal.FS {
 			r.disks = append(r.disks, newSick(fs))
 			return r.disks[len(r.disks)-1]
 		}
 		r.registrars = append(r.registrars, s.HTTPAddr)
-		d, err := control.New(s)
+		d, err := control.NewDaemon(s)
 		r.run(s.Name, d, err)
 	}
 	var list []string
@@ -199,7 +199,7 @@
 	for i := 0; i < 2; i++ {
 		a := agent.Defaults()
 		a.Name, a.Zone, a.HTTPAddr, a.TransportAddr, a.Seeds, a.DrainUS = fmt.Sprint("gateway", i), sites[i], next(), next(), wires[:3], 0
-		d, err := agent.New(a)
+		d, err := agent.NewDaemon(a)
 		r.run(a.Name+"-agent", d, err)
 		s := gateway.Defaults()
 		s.Name, s.Zone, s.HTTPAddr, s.Runner, s.DrainUS = a.Name, a.Zone, next(), a.TransportAddr, 3_000_000
@@ -490,7 +490,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := reel.Replay(h)
+		n, err := replay.Replay(h)
 		_ = h.Close()
 		if err != nil || n < 20 {
 			t.Errorf("%s: %d events: %v", f, n, err)
@@ -511,11 +511,11 @@
 	r.until("a plan is taken", func() bool { st, _ := r.send("PUT", r.registrars[1]+"/v1/plan", "", nil, body); return st == 200 })
 	owner := func() int {
 		for _, a := range r.registrars {
-			var f control.Fleet
+			var f control.FleetStatus
 			if _, b := r.get(a + "/v1/fleet"); json.Unmarshal([]byte(b), &f) != nil || len(f.Slots) == 0 {
 				continue
 			}
-			o := f.Slots[quorum.SlotOf("plan", len(f.Slots))].Owner
+			o := f.Slots[quorum.SlotOf("plan", len(f.Slots))].Leader
 			for k := range r.registrars {
 				if o == fmt.Sprint("control", k) && r.stop[o] != nil {
 					return k
--- a/internal/lincheck/lincheck.go
+++ b/internal/lincheck/lincheck.go
@@ -14,13 +14,13 @@
 
 // Op is one operation as its client saw it. Times may be of any unit; an operation
 // that was confirmed took effect at an instant between them.
-type Op struct {
-	Client   int
-	Put      bool // else a read
-	Known    bool // confirmed; a change that was not may take effect at any time after From, or never
-	From, To int64
-	Rev      uint64 // revision that was made or read, when known
-	Val      string
+type Operation struct {
+	Client            int
+	Write             bool // else a read
+	Confirmed         bool // confirmed; a change that was not may take effect at any time after From, or never
+	Invoked, Returned int64
+	Revision          uint64 // revision that was made or read, when known
+	Value             string
 }
 
 // state is a register: every change adds one to its revision. Reads counts those of
@@ -43,7 +43,7 @@
 const patience = 30 * time.Second
 
 // Check reports an error when no order of the operations explains what clients saw.
-func Check(ops []Op) error {
+func Check(ops []Operation) error {
 	h := history{made: map[uint64]bool{}, read: map[uint64]string{}, reads: map[uint64]int{}}
 	for _, o := range ops {
 		h.add(o)
@@ -54,7 +54,7 @@
 	}
 	var all []porcupine.Operation
 	for _, o := range ops {
-		all = append(all, porcupine.Operation{ClientId: o.Client, Input: o, Output: o, Call: o.From, Return: o.To})
+		all = append(all, porcupine.Operation{ClientId: o.Client, Input: o, Output: o, Call: o.Invoked, Return: o.Returned})
 	}
 	switch porcupine.CheckOperationsTimeout(h.model(), all, patience) {
 	case porcupine.Ok:
@@ -65,17 +65,17 @@
 	return fmt.Errorf("no verdict on %d operations within %v", len(all), patience)
 }
 
-func (h *history) add(o Op) {
+func (h *history) add(o Operation) {
 	switch {
-	case !o.Known:
+	case !o.Confirmed:
 		return
-	case o.Put:
-		h.made[o.Rev] = true
+	case o.Write:
+		h.made[o.Revision] = true
 	default:
-		h.read[o.Rev] = o.Val
-		h.reads[o.Rev]++
+		h.read[o.Revision] = o.Value
+		h.reads[o.Revision]++
 	}
-	h.last = max(h.last, o.Rev)
+	h.last = max(h.last, o.Revision)
 }
 
 // complete gives each revision that no confirmed change made to a change that was not
@@ -83,17 +83,17 @@
 // was read belongs to the change of its value. Those that nobody read may be given to the
 // earliest changes in their order, since any that began in time will do; trying them all
 // would take exponential time.
-func (h *history) complete(ops []Op) ([]Op, error) {
-	var out, open []Op
+func (h *history) complete(ops []Operation) ([]Operation, error) {
+	var out, open []Operation
 	for _, o := range ops {
 		switch {
-		case o.Known:
+		case o.Confirmed:
 			out = append(out, o)
-		case o.Put:
+		case o.Write:
 			open = append(open, o)
 		}
 	}
-	slices.SortStableFunc(open, func(a, b Op) int { return cmp.Compare(a.From, b.From) })
+	slices.SortStableFunc(open, func(a, b Operation) int { return cmp.Compare(a.Invoked, b.Invoked) })
 	seen := map[string]bool{}
 	for _, v := range h.read {
 		seen[v] = true
@@ -103,13 +103,13 @@
 			continue
 		}
 		val, read := h.read[rev]
-		i := slices.IndexFunc(open, func(o Op) bool { return read && o.Val == val || !read && !seen[o.Val] })
+		i := slices.IndexFunc(open, func(o Operation) bool { return read && o.Value == val || !read && !seen[o.Value] })
 		if i < 0 {
 			return nil, fmt.Errorf("nobody made revision %d (%q)", rev, val)
 		}
 		o := open[i]
 		open = slices.Delete(open, i, i+1)
-		o.Rev, o.To = rev, math.MaxInt64
+		o.Revision, o.Returned = rev, math.MaxInt64
 		out = append(out, o)
 	}
 	return out, nil
@@ -118,16 +118,16 @@
 func (h *history) model() porcupine.Model {
 	return porcupine.Model{
 		Init:  func() any { return state{} },
-		Step:  func(s, in, _ any) (bool, any) { return h.step(s.(state), in.(Op)) },
+		Step:  func(s, in, _ any) (bool, any) { return h.step(s.(state), in.(Operation)) },
 		Equal: func(a, b any) bool { return a == b },
 	}
 }
 
 // step takes a change only when all reads of the revision before were taken: they could
 // never be taken later.
-func (h *history) step(s state, o Op) (bool, any) {
-	if !o.Put {
-		return o.Rev == s.rev && o.Val == s.val, state{s.rev, s.val, s.reads + 1}
+func (h *history) step(s state, o Operation) (bool, any) {
+	if !o.Write {
+		return o.Revision == s.rev && o.Value == s.val, state{s.rev, s.val, s.reads + 1}
 	}
-	return o.Rev == s.rev+1 && s.reads == h.reads[s.rev], state{rev: o.Rev, val: o.Val}
+	return o.Revision == s.rev+1 && s.reads == h.reads[s.rev], state{rev: o.Revision, val: o.Value}
 }
--- a/internal/scale/engines.go
+++ b/internal/scale/engines.go
@@ -121,7 +121,7 @@
 }
 
 func serve(c *taskgroup.Group, name string, l net.Listener, h http.Handler) {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: clock.Micros(5_000_000)}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: clock.Duration(5_000_000)}
 	c.Go(name, func(context.Context) { _ = s.Serve(l) })
 	c.Go(name+".close", func(ctx context.Context) {
 		<-ctx.Done()
@@ -132,7 +132,7 @@
 // Run brings events about, rate a second, half of them parts kept and half parts dropped.
 func (es *Engines) Run(ctx context.Context, rate int) {
 	last := clock.Now()
-	taskgroup.Every(ctx, clock.Micros(eventTick), func(context.Context) {
+	taskgroup.Every(ctx, clock.Duration(eventTick), func(context.Context) {
 		now := clock.Now()
 		es.owed += float64(rate) * float64(now-last) / 1e6
 		last = now
@@ -215,7 +215,7 @@
 	e := es.asked(q)
 	since, _ := strconv.Atoi(q.URL.Query().Get("since"))
 	hold, _ := strconv.ParseInt(q.Header.Get("Wait-Ms"), 10, 64)
-	ctx, stop := context.WithTimeout(q.Context(), clock.Micros(hold*1000))
+	ctx, stop := context.WithTimeout(q.Context(), clock.Duration(hold*1000))
 	defer stop()
 	for {
 		e.mu.Lock()
@@ -224,7 +224,7 @@
 		if n > since || ctx.Err() != nil {
 			break
 		}
-		taskgroup.Wait(ctx, bell)
+		taskgroup.Receive(ctx, bell)
 	}
 	e.mu.Lock()
 	since = min(max(since, 0), len(e.log))
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -198,14 +198,14 @@
 	}
 	pf := platform.NewEngines(list)
 	es.Toggle(1)
-	l, err := pf.List(context.Background())
+	l, err := pf.ListEngines(context.Background())
 	if err != nil || len(l) != 3 || l[0].Draining || !l[1].Draining || l[2].Slots == 0 || l[2].Weights["model-02"] != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
 	kept := map[string]map[hint.Key]bool{}
 	epoch, since := map[string]string{}, map[string]string{}
 	read := func(a string) {
-		p, err := pf.News(context.Background(), a, since[a], 0)
+		p, err := pf.CacheEvents(context.Background(), a, since[a], 0)
 		if err != nil || p.Missing || epoch[a] != "" && p.Epoch != epoch[a] {
 			t.Fatalf("%+v, %v", p, err)
 		}
@@ -213,12 +213,12 @@
 			kept[a] = map[hint.Key]bool{}
 		}
 		epoch[a], since[a] = p.Epoch, p.Next
-		for _, x := range p.Changes {
-			k := hint.PartKey(x.Salt, x.Model, x.Part)
-			if kept[a][k] == x.Kept {
+		for _, x := range p.Events {
+			k := hint.PartKey(x.Salt, x.Model, x.Block)
+			if kept[a][k] == x.Cached {
 				t.Fatalf("%s told %+v twice", a, x)
 			}
-			if kept[a][k] = x.Kept; !x.Kept {
+			if kept[a][k] = x.Cached; !x.Cached {
 				delete(kept[a], k)
 			}
 		}
@@ -254,10 +254,10 @@
 			}
 		}
 	}
-	if r := pf.Order(context.Background(), directory.Order{Engine: l[0].ID, Addr: l[0].Addr, Model: "model-00", Version: 2}); r != directory.Doing {
+	if r := pf.UpdateWeights(context.Background(), directory.UpdateRequest{Engine: l[0].ID, Addr: l[0].Addr, Model: "model-00", Version: 2}); r != directory.ResultStarted {
 		t.Errorf("an order was answered %v", r)
 	}
-	if w, busy, err := pf.Running(context.Background(), l[0].Addr); err != nil || busy || !reflect.DeepEqual(w, map[string]uint64{"model-00": 1}) {
+	if w, busy, err := pf.RunningWeights(context.Background(), l[0].Addr); err != nil || busy || !reflect.DeepEqual(w, map[string]uint64{"model-00": 1}) {
 		t.Errorf("it runs %v, %v, %v", w, busy, err)
 	}
 }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -40,7 +40,7 @@
 	if len(s.Controls) != len(s.ControlPids) || len(s.Fronts) != len(s.FrontPids) {
 		return nil, trace.BadParameter("give as many --control-pids as --controls, and as many --front-pids as --fronts")
 	}
-	ctx, stop := context.WithTimeout(context.Background(), clock.Micros(startMost+changeMost+s.Seconds*3_000_000))
+	ctx, stop := context.WithTimeout(context.Background(), clock.Duration(startMost+changeMost+s.Seconds*3_000_000))
 	defer stop()
 	c := taskgroup.New(ctx, log)
 	defer c.Stop()
@@ -68,7 +68,7 @@
 		if f() {
 			return true
 		}
-		if !taskgroup.Pause(ctx, 20_000) {
+		if !taskgroup.Sleep(ctx, 20_000) {
 			return false
 		}
 	}
@@ -97,7 +97,7 @@
 	for i := range s.Proxies {
 		p := NewProxy(r.c, i, fmt.Sprintf("hollow-%04d", i), fmt.Sprintf("zone-%02d", i%zones), s.Wires, r.board, nodes, s.UnderWay)
 		r.c.Go("proxy", p.Run)
-		taskgroup.Pause(ctx, stagger)
+		taskgroup.Sleep(ctx, stagger)
 	}
 	r.c.Go("events", func(ctx context.Context) { r.engines.Run(ctx, s.Events) })
 	whole := until(ctx, startMost, func() bool { return r.board.Ready() == s.Proxies })
@@ -105,7 +105,7 @@
 	if !whole && s.Role != "limit" {
 		return nil, trace.LimitExceeded("%d of %d hollow proxies know all after %d s; give smaller sizes, or --role limit", r.board.Ready(), s.Proxies, startMost/1_000_000)
 	}
-	taskgroup.Pause(ctx, calm)
+	taskgroup.Sleep(ctx, calm)
 	return r.window(ctx, float64(ready)/1000)
 }
 
@@ -142,7 +142,7 @@
 			}
 		}
 		if d := t0 + s.Seconds*1_000_000*int64(i+1)/int64(steps) - clock.Now(); d > 0 {
-			taskgroup.Pause(ctx, d)
+			taskgroup.Sleep(ctx, d)
 		}
 	}
 	l1, e1, p1, v1 := transport.TotalTraffic(), r.engines.Bytes.Load(), r.engines.Listed.Load(), r.engines.Events.Load()
@@ -225,7 +225,7 @@
 
 // change sends an operator's change to one control node.
 func (r *run) change(ctx context.Context, i int, method string, body []byte) error {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(3_000_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(3_000_000))
 	defer stop()
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+r.s.Controls[i%len(r.s.Controls)]+"/configuration", bytes.NewReader(body))
 	if err != nil {
--- a/internal/scale/proc.go
+++ b/internal/scale/proc.go
@@ -57,7 +57,7 @@
 
 // metrics reads a node's own counters.
 func metrics(ctx context.Context, addr string) (map[string]float64, error) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(3_000_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(3_000_000))
 	defer stop()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/metrics", nil)
 	if err != nil {
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -61,7 +61,7 @@
 // Run follows until ctx ends.
 func (p *Proxy) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !p.once(ctx) && !taskgroup.Pause(ctx, afterBad) {
+		if !p.once(ctx) && !taskgroup.Sleep(ctx, afterBad) {
 			return
 		}
 	}
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -153,7 +153,7 @@
 			}
 			l.send(ctx, t, prompt)
 		})
-		taskgroup.Pause(c.Context(), int64(rng.ExpFloat64()*1e6/float64(s.Rate)))
+		taskgroup.Sleep(c.Context(), int64(rng.ExpFloat64()*1e6/float64(s.Rate)))
 	}
 	wg.Wait()
 	return l.report()
@@ -231,7 +231,7 @@
 }
 
 func (l *load) call(ctx context.Context, t *Told, prompt string, began int64) {
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(t.DueUS+10_000_000))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(t.DueUS+10_000_000))
 	defer stop()
 	ua, err := l.agent(t.Proxy, Key(t.Group))
 	if err != nil {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -245,7 +245,7 @@
 			taken, have = n-have, n
 		}
 	}
-	if !taskgroup.Pause(q.Context(), int64(len(r.Parts)-have)*e.s.FillUS) {
+	if !taskgroup.Sleep(q.Context(), int64(len(r.Parts)-have)*e.s.FillUS) {
 		return
 	}
 	e.mu.Lock()
@@ -261,7 +261,7 @@
 		n = 8
 	}
 	for i := 0; i < n; i++ {
-		if !taskgroup.Pause(q.Context(), e.s.PieceUS) {
+		if !taskgroup.Sleep(q.Context(), e.s.PieceUS) {
 			return
 		}
 		// Each piece names its run, so that an observer sees a stitched answer.
@@ -333,7 +333,7 @@
 		return
 	}
 	n, _ := strconv.ParseInt(q.URL.Query().Get("parts"), 10, 64)
-	if !taskgroup.Pause(q.Context(), n*e.s.MoveUS) {
+	if !taskgroup.Sleep(q.Context(), n*e.s.MoveUS) {
 		return
 	}
 	daemon.WriteJSON(w, 200, stored{p.name, p.domain, p.weights})
@@ -422,7 +422,7 @@
 		e.mu.Lock()
 		name := e.turning
 		e.mu.Unlock()
-		if !taskgroup.Pause(ctx, e.s.LoadUS) {
+		if !taskgroup.Sleep(ctx, e.s.LoadUS) {
 			return
 		}
 		for {
@@ -431,7 +431,7 @@
 				break
 			}
 			e.mu.Unlock()
-			if !taskgroup.Pause(ctx, 5000) {
+			if !taskgroup.Sleep(ctx, 5000) {
 				return
 			}
 		}
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -80,7 +80,7 @@
 	})
 	c := engineapi.NewClient()
 	d.Group.Go("ready", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Micros(500_000), func(ctx context.Context) {
+		taskgroup.Every(ctx, clock.Duration(500_000), func(ctx context.Context) {
 			for _, n := range s.Nodes {
 				ok := c.Get(ctx, n, "/readyz", 300_000, nil) == nil
 				p.mu.Lock()
--- a/internal/standin/probe/probe.go
+++ b/internal/standin/probe/probe.go
@@ -160,7 +160,7 @@
 				if rev >= a.Rev {
 					break
 				}
-				taskgroup.Pause(context.Background(), 2_000)
+				taskgroup.Sleep(context.Background(), 2_000)
 			}
 		}
 		all = append(all, clock.Now()-done)
--- a/internal/taskgroup/taskgroup.go
+++ b/internal/taskgroup/taskgroup.go
@@ -84,7 +84,7 @@
 }
 
 // Wait returns the next of ch, or false once ctx ends.
-func Wait[T any](ctx context.Context, ch <-chan T) (v T, ok bool) {
+func Receive[T any](ctx context.Context, ch <-chan T) (v T, ok bool) {
 	select {
 	case v, ok = <-ch:
 		return v, ok
@@ -94,7 +94,7 @@
 }
 
 // Offer puts v on ch unless that would block.
-func Offer[T any](ch chan<- T, v T) bool {
+func TrySend[T any](ch chan<- T, v T) bool {
 	select {
 	case ch <- v:
 		return true
@@ -104,7 +104,7 @@
 }
 
 // Give puts v on ch, or returns false once ctx ends.
-func Give[T any](ctx context.Context, ch chan<- T, v T) bool {
+func Send[T any](ctx context.Context, ch chan<- T, v T) bool {
 	select {
 	case ch <- v:
 		return true
@@ -114,7 +114,7 @@
 }
 
 // Pause waits for us microseconds, or returns false once ctx ends.
-func Pause(ctx context.Context, us int64) bool {
+func Sleep(ctx context.Context, us int64) bool {
 	t := time.NewTimer(time.Duration(us) * time.Microsecond)
 	defer t.Stop()
 	select {
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -65,7 +65,7 @@
 func writeAll(ctx context.Context, stop func(), conn net.Conn, out <-chan outgoing) {
 	defer stop()
 	for {
-		next, ok := taskgroup.Wait(ctx, out)
+		next, ok := taskgroup.Receive(ctx, out)
 		if !ok {
 			return
 		}
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -351,7 +351,7 @@
 	dialled, release := make(chan struct{}), make(chan struct{})
 	p.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 		close(dialled)
-		_, _ = taskgroup.Wait(ctx, release)
+		_, _ = taskgroup.Receive(ctx, release)
 		return dialTCP(ctx, addr)
 	}
 	p.Send(&fb.FrameT{})
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -137,7 +137,7 @@
 func (p *Peer) Send(f *fb.FrameT) {
 	s, err := p.session()
 	if err == nil {
-		taskgroup.Offer(s.out, outgoing{codec.Encode(f), s.ctx})
+		taskgroup.TrySend(s.out, outgoing{codec.Encode(f), s.ctx})
 	}
 }
 
@@ -149,14 +149,14 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(ctx, clock.Micros(us))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(us))
 	defer stop()
 	defer context.AfterFunc(s.ctx, stop)() // a connection that ended answers nothing more
 	ref, began := p.newRef(), clock.Now()
 	answer := s.await(ref)
 	defer s.forget(ref)
-	if taskgroup.Give(ctx, s.out, outgoing{withRef(f, ref), ctx}) {
-		if a, ok := taskgroup.Wait(ctx, answer); ok {
+	if taskgroup.Send(ctx, s.out, outgoing{withRef(f, ref), ctx}) {
+		if a, ok := taskgroup.Receive(ctx, answer); ok {
 			return answered(a)
 		}
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -57,7 +57,7 @@
 			h(ctx, f) // in order
 			continue
 		}
-		if !taskgroup.Give(ctx, room, struct{}{}) {
+		if !taskgroup.Send(ctx, room, struct{}{}) {
 			return
 		}
 		g.Go("link.answer", func(context.Context) {
@@ -66,7 +66,7 @@
 			if answer == nil {
 				answer = &fb.FrameT{Problem: &fb.ProblemT{Kind: "unhandled", Text: "this process does not answer that"}}
 			}
-			taskgroup.Give(ctx, out, outgoing{withRef(answer, f.Ref), ctx})
+			taskgroup.Send(ctx, out, outgoing{withRef(answer, f.Ref), ctx})
 		})
 	}
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -7,14 +7,14 @@
 )
 
 // tell carries a control node's list to others.
-func tell(now int64, from *Roll, to ...*Roll) {
-	t := from.Tell(now)
+func tell(now int64, from *Sessions, to ...*Sessions) {
+	t := from.Announcement(now)
 	for _, r := range to {
-		r.Hear(now, t)
+		r.Merge(now, t)
 	}
 }
 
-func has(r *Roll, now int64, name string) bool {
+func has(r *Sessions, now int64, name string) bool {
 	for _, n := range r.Live(now) {
 		if n.Name == name {
 			return true
@@ -30,7 +30,7 @@
 	now := int64(0)
 	step := func(cut bool) {
 		now += 300_000
-		a.Beat(now, &fb.NodeT{Name: "node"})
+		a.Heartbeat(now, &fb.NodeT{Name: "node"})
 		tell(now, a, b)
 		tell(now, c, b)
 		if !cut {
@@ -42,7 +42,7 @@
 	for range 5 {
 		step(false)
 	}
-	if n := len(b.Tell(now).Nodes); n > 0 {
+	if n := len(b.Announcement(now).Nodes); n > 0 {
 		t.Fatalf("%d sessions are passed on, and all hear each other", n)
 	}
 	for range 30 {
@@ -53,7 +53,7 @@
 	for range 5 {
 		step(false)
 	}
-	if n := len(b.Tell(now).Nodes); n > 0 {
+	if n := len(b.Announcement(now).Nodes); n > 0 {
 		t.Fatalf("%d sessions are passed on after the link was mended", n)
 	}
 }
@@ -62,22 +62,22 @@
 // that the sessions of a dead one end in time however long a list is under way.
 func TestPassedOnSessionsEnd(t *testing.T) {
 	a, b, c, d := New("a"), New("b"), New("c"), New("d")
-	a.Beat(0, &fb.NodeT{Name: "node"})
+	a.Heartbeat(0, &fb.NodeT{Name: "node"})
 	tell(0, a, b)
-	for now := int64(0); now < 2*Term; now += 100_000 {
+	for now := int64(0); now < 2*SessionTimeout; now += 100_000 {
 		// Each list takes as long as the time between two.
-		fromB, fromC, fromD := b.Tell(now), c.Tell(now), d.Tell(now)
-		for _, r := range []*Roll{b, c, d} {
+		fromB, fromC, fromD := b.Announcement(now), c.Announcement(now), d.Announcement(now)
+		for _, r := range []*Sessions{b, c, d} {
 			for _, t := range []*fb.RollTellT{fromB, fromC, fromD} {
-				if t.Registrar != r.me {
-					r.Hear(now+100_000, t)
+				if t.Registrar != r.self {
+					r.Merge(now+100_000, t)
 				}
 			}
 		}
 	}
-	for _, r := range []*Roll{b, c, d} {
-		if has(r, 2*Term, "node") {
-			t.Fatalf("%s keeps a session that ended long ago", r.me)
+	for _, r := range []*Sessions{b, c, d} {
+		if has(r, 2*SessionTimeout, "node") {
+			t.Fatalf("%s keeps a session that ended long ago", r.self)
 		}
 	}
 }
@@ -86,12 +86,12 @@
 // what another passes on.
 func TestFirsthandGoesBefore(t *testing.T) {
 	a := New("a")
-	a.Beat(0, &fb.NodeT{Name: "node"})
-	a.Hear(1000, &fb.RollTellT{Registrar: "b", Nodes: []*fb.NodeT{{Name: "node", Registrar: "a"}}})
+	a.Heartbeat(0, &fb.NodeT{Name: "node"})
+	a.Merge(1000, &fb.RollTellT{Registrar: "b", Nodes: []*fb.NodeT{{Name: "node", Registrar: "a"}}})
 	if n := a.Live(1000); len(n) != 1 || n[0].Age != 1000 {
 		t.Fatalf("%+v", n[0])
 	}
-	a.Hear(2000, &fb.RollTellT{Registrar: "b", Nodes: []*fb.NodeT{{Name: "node", Registrar: "b"}}})
+	a.Merge(2000, &fb.RollTellT{Registrar: "b", Nodes: []*fb.NodeT{{Name: "node", Registrar: "b"}}})
 	if n := a.Live(2000); n[0].Age != 0 || n[0].Registrar != "b" {
 		t.Fatalf("a node that went over to b: %+v", n[0])
 	}
--- a/quorum/explore_linearizable_test.go
+++ b/quorum/explore_linearizable_test.go
@@ -3,23 +3,23 @@
 import "violetthread/internal/lincheck"
 
 // operations are what clients saw of one register.
-func (j *judge) operations(key string) []lincheck.Op {
-	var ops []lincheck.Op
-	add := func(p asking, o lincheck.Op) {
-		o.Client, o.Put, o.From = p.machine, p.op.Kind == OpPut, p.at
-		if o.Put {
-			o.Val = string(p.op.Val)
+func (j *judge) operations(key string) []lincheck.Operation {
+	var ops []lincheck.Operation
+	add := func(p asking, o lincheck.Operation) {
+		o.Client, o.Write, o.Invoked = p.machine, p.op.Kind == OpPut, p.at
+		if o.Write {
+			o.Value = string(p.op.Val)
 		}
 		ops = append(ops, o)
 	}
 	for _, o := range j.history {
 		if o.op.Key == key {
-			add(o.asking, lincheck.Op{Known: o.known, To: o.to, Rev: o.rev, Val: o.val})
+			add(o.asking, lincheck.Operation{Confirmed: o.known, Returned: o.to, Revision: o.rev, Value: o.val})
 		}
 	}
 	for _, p := range j.pending {
 		if p.op.Key == key {
-			add(p, lincheck.Op{})
+			add(p, lincheck.Operation{})
 		}
 	}
 	return ops
--- a/tape/reel/desk.go
+++ b/recording/replay/desk.go
@@ -1,5 +1,5 @@
 // Package reel puts deciding parts on tape and feeds tapes back to them.
-package reel
+package replay
 
 import (
 	"encoding/json"
@@ -8,13 +8,13 @@
 	"violetthread/dispatch"
 	"violetthread/hint"
 	"violetthread/plan"
-	"violetthread/tape"
+	"violetthread/recording"
 )
 
 // Desk is a proxy's desk that records what goes in and what comes out.
-type Desk struct {
+type Dispatcher struct {
 	*dispatch.Desk
-	W *tape.Writer
+	Writer *recording.Writer
 }
 
 // act is a decision as a tape shows it: no prompt, and keys as a count.
@@ -74,80 +74,80 @@
 }
 
 // Plan records and passes on.
-func (r *Desk) Plan(now int64, h *plan.Held) []dispatch.Act {
+func (r *Dispatcher) Plan(now int64, h *plan.Held) []dispatch.Act {
 	in := planIn{Rev: h.Rev, At: h.At}
-	if r.W != nil && r.planRev() != h.Rev {
+	if r.Writer != nil && r.planRev() != h.Rev {
 		in.Raw = string(h.Raw)
 	}
 	as := r.Desk.Plan(now, h.Plan, h.At)
-	r.W.Put(now, "plan", in, show(as))
+	r.Writer.Record(now, "plan", in, show(as))
 	return as
 }
 
-func (r *Desk) planRev() uint64 { return r.Desk.PlanRev() }
+func (r *Dispatcher) planRev() uint64 { return r.Desk.PlanRev() }
 
 // Orders records and passes on.
-func (r *Desk) Orders(now int64, os []dispatch.Order) []dispatch.Act {
+func (r *Dispatcher) Orders(now int64, os []dispatch.Order) []dispatch.Act {
 	as := r.Desk.Orders(now, os)
-	r.W.Put(now, "orders", os, show(as))
+	r.Writer.Record(now, "orders", os, show(as))
 	return as
 }
 
 // Arrive records and passes on.
-func (r *Desk) Arrive(now int64, t dispatch.Ticket) ([]dispatch.Act, *dispatch.Refusal) {
+func (r *Dispatcher) Arrive(now int64, t dispatch.Ticket) ([]dispatch.Act, *dispatch.Refusal) {
 	as, no := r.Desk.Arrive(now, t)
-	if r.W != nil {
+	if r.Writer != nil {
 		d := show(as)
 		d.Refused = no
 		in := ticketIn{Ticket: t, Rows: len(t.Chain)}
 		in.Chain = nil
-		r.W.Put(now, "arrive", in, d)
+		r.Writer.Record(now, "arrive", in, d)
 	}
 	return as, no
 }
 
 // Claimed records and passes on.
-func (r *Desk) Claimed(now int64, ref uint64, c attempt.Claim) []dispatch.Act {
+func (r *Dispatcher) Claimed(now int64, ref uint64, c attempt.Claim) []dispatch.Act {
 	as := r.Desk.Claimed(now, ref, c)
-	r.W.Put(now, "claimed", noteIn{Ref: ref, Claim: c}, show(as))
+	r.Writer.Record(now, "claimed", noteIn{Ref: ref, Claim: c}, show(as))
 	return as
 }
 
 // Note records and passes on.
-func (r *Desk) Note(now int64, ref uint64, attempt string, s attempt.State, cause string) []dispatch.Act {
+func (r *Dispatcher) Note(now int64, ref uint64, attempt string, s attempt.State, cause string) []dispatch.Act {
 	as := r.Desk.Note(now, ref, attempt, s, cause)
-	r.W.Put(now, "note", noteIn{ref, attempt, s, 0, cause}, show(as))
+	r.Writer.Record(now, "note", noteIn{ref, attempt, s, 0, cause}, show(as))
 	return as
 }
 
 // Out records and passes on.
-func (r *Desk) Out(now int64, ref uint64, attempt string) bool {
+func (r *Dispatcher) Out(now int64, ref uint64, attempt string) bool {
 	ok := r.Desk.Out(ref, attempt)
-	r.W.Put(now, "out", noteIn{Ref: ref, Attempt: attempt}, decided{Allowed: ok})
+	r.Writer.Record(now, "out", noteIn{Ref: ref, Attempt: attempt}, decided{Allowed: ok})
 	return ok
 }
 
 // Stop records and passes on.
-func (r *Desk) Stop(now int64, ref uint64, why string) []dispatch.Act {
+func (r *Dispatcher) Stop(now int64, ref uint64, why string) []dispatch.Act {
 	as := r.Desk.Stop(now, ref, why)
-	r.W.Put(now, "stop", noteIn{Ref: ref, Why: why}, show(as))
+	r.Writer.Record(now, "stop", noteIn{Ref: ref, Why: why}, show(as))
 	return as
 }
 
 // Tick records and passes on.
-func (r *Desk) Tick(now int64) []dispatch.Act {
+func (r *Dispatcher) Tick(now int64) []dispatch.Act {
 	as := r.Desk.Tick(now)
-	r.W.Put(now, "tick", nil, show(as))
+	r.Writer.Record(now, "tick", nil, show(as))
 	return as
 }
 
 // feedDesk gives a recorded event to a desk again.
-func feedDesk(r *Desk, l tape.Line) (decided, error) {
+func feedDesk(r *Dispatcher, l recording.Event) (decided, error) {
 	var n noteIn
-	switch l.Kind {
+	switch l.Type {
 	case "plan":
 		var in planIn
-		if err := json.Unmarshal(l.In, &in); err != nil {
+		if err := json.Unmarshal(l.Input, &in); err != nil {
 			return decided{}, err
 		}
 		h := &plan.Held{Rev: in.Rev, At: in.At, Plan: r.PlanHeld()}
@@ -158,36 +158,36 @@
 			}
 			h.Plan = p
 		}
-		return show(r.Plan(l.At, h)), nil
+		return show(r.Plan(l.TimeUS, h)), nil
 	case "orders":
 		var os []dispatch.Order
-		if err := json.Unmarshal(l.In, &os); err != nil {
+		if err := json.Unmarshal(l.Input, &os); err != nil {
 			return decided{}, err
 		}
-		return show(r.Orders(l.At, os)), nil
+		return show(r.Orders(l.TimeUS, os)), nil
 	case "arrive":
 		var in ticketIn
-		if err := json.Unmarshal(l.In, &in); err != nil {
+		if err := json.Unmarshal(l.Input, &in); err != nil {
 			return decided{}, err
 		}
 		in.Ticket.Chain = make([]hint.Key, in.Rows)
-		as, no := r.Arrive(l.At, in.Ticket)
+		as, no := r.Arrive(l.TimeUS, in.Ticket)
 		d := show(as)
 		d.Refused = no
 		return d, nil
 	case "tick":
-		return show(r.Tick(l.At)), nil
+		return show(r.Tick(l.TimeUS)), nil
 	}
-	if err := json.Unmarshal(l.In, &n); err != nil {
+	if err := json.Unmarshal(l.Input, &n); err != nil {
 		return decided{}, err
 	}
-	switch l.Kind {
+	switch l.Type {
 	case "claimed":
-		return show(r.Claimed(l.At, n.Ref, n.Claim)), nil
+		return show(r.Claimed(l.TimeUS, n.Ref, n.Claim)), nil
 	case "note":
-		return show(r.Note(l.At, n.Ref, n.Attempt, n.State, n.Why)), nil
+		return show(r.Note(l.TimeUS, n.Ref, n.Attempt, n.State, n.Why)), nil
 	case "out":
-		return decided{Allowed: r.Out(l.At, n.Ref, n.Attempt)}, nil
+		return decided{Allowed: r.Out(l.TimeUS, n.Ref, n.Attempt)}, nil
 	}
-	return show(r.Stop(l.At, n.Ref, n.Why)), nil
+	return show(r.Stop(l.TimeUS, n.Ref, n.Why)), nil
 }
--- a/tape/reel/replay.go
+++ b/recording/replay/replay.go
@@ -1,4 +1,4 @@
-package reel
+package replay
 
 import (
 	"bytes"
@@ -9,26 +9,26 @@
 
 	"violetthread/dispatch"
 	"violetthread/index"
-	"violetthread/tape"
+	"violetthread/recording"
 )
 
 // Replay feeds a tape to the same code and stops at the first decision that
 // comes out otherwise. It returns how many events it fed.
 func Replay(r io.Reader) (n int, err error) {
-	var feed func(l tape.Line) (any, error)
-	err = tape.Read(r, func(h tape.Head) error {
-		switch h.Part {
+	var feed func(l recording.Event) (any, error)
+	err = recording.Read(r, func(h recording.Header) error {
+		switch h.Component {
 		case "desk":
-			d := &Desk{Desk: dispatch.New(h.Name, h.Site, h.Inc)}
-			feed = func(l tape.Line) (any, error) { return feedDesk(d, l) }
+			d := &Dispatcher{Desk: dispatch.New(h.Name, h.Zone, h.Incarnation)}
+			feed = func(l recording.Event) (any, error) { return feedDesk(d, l) }
 		case "keeper":
-			k := &Keeper{Keeper: index.New(h.Name, h.Site, h.Inc)}
-			feed = func(l tape.Line) (any, error) { return feedKeeper(k, l) }
+			k := &IndexNode{Keeper: index.New(h.Name, h.Zone, h.Incarnation)}
+			feed = func(l recording.Event) (any, error) { return feedKeeper(k, l) }
 		default:
-			return trace.BadParameter("the tape is of a %q, which this program does not know", h.Part)
+			return trace.BadParameter("the tape is of a %q, which this program does not know", h.Component)
 		}
 		return nil
-	}, func(line int, l tape.Line) error {
+	}, func(line int, l recording.Event) error {
 		out, err := feed(l)
 		if err != nil {
 			return trace.BadParameter("line %d can't be fed: %v; the tape was changed", line, err)
@@ -40,8 +40,8 @@
 				return err
 			}
 		}
-		if !bytes.Equal(b, l.Out) {
-			return trace.CompareFailed("line %d (%s at %d) was decided as\n  %s\nand is now\n  %s\nif the rules were changed on purpose, record a new tape", line, l.Kind, l.At, l.Out, b)
+		if !bytes.Equal(b, l.Output) {
+			return trace.CompareFailed("line %d (%s at %d) was decided as\n  %s\nand is now\n  %s\nif the rules were changed on purpose, record a new tape", line, l.Type, l.TimeUS, l.Output, b)
 		}
 		return nil
 	})
--- a/tape/tape.go
+++ b/recording/tape.go
@@ -1,7 +1,7 @@
 // Package tape records what went into a deciding part and what came out, one
 // JSON object a line, in bounded files that a person can read and the same code
 // can be fed again (design §11).
-package tape
+package recording
 
 import (
 	"bufio"
@@ -19,39 +19,39 @@
 const Version = 2
 
 // Head is a tape's first line.
-type Head struct {
-	Tape int    `json:"tape"`
-	Part string `json:"part"` // desk or keeper
-	Name string `json:"name"`
-	Site string `json:"site"`
-	Inc  uint64 `json:"inc"`
+type Header struct {
+	Version     int    `json:"tape"`
+	Component   string `json:"part"` // desk or keeper
+	Name        string `json:"name"`
+	Zone        string `json:"site"`
+	Incarnation uint64 `json:"inc"`
 }
 
 // Line is one event and what was decided on it. At is the recorder's own time.
-type Line struct {
-	At   int64           `json:"at"`
-	Kind string          `json:"kind"`
-	In   json.RawMessage `json:"in,omitempty"`
-	Out  json.RawMessage `json:"out,omitempty"`
+type Event struct {
+	TimeUS int64           `json:"at"`
+	Type   string          `json:"kind"`
+	Input  json.RawMessage `json:"in,omitempty"`
+	Output json.RawMessage `json:"out,omitempty"`
 }
 
 // Writer appends to a tape until its bound; what comes after is not recorded,
 // because a tape without its beginning can't be replayed.
 type Writer struct {
-	f    *os.File
-	b    *bufio.Writer
-	left int64
-	Full func() // called once when the bound is reached
+	f      *os.File
+	b      *bufio.Writer
+	left   int64
+	OnFull func() // called once when the bound is reached
 }
 
 // Create starts a tape of at most most bytes; a file that is there is replaced.
-func Create(path string, h Head, most int64) (*Writer, error) {
+func Create(path string, h Header, most int64) (*Writer, error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return nil, trace.Wrap(err, "can't write the tape; give --tape a file in a folder that exists")
 	}
 	w := &Writer{f: f, b: bufio.NewWriterSize(f, 64<<10), left: most}
-	h.Tape = Version
+	h.Version = Version
 	return w, w.put(h)
 }
 
@@ -63,9 +63,9 @@
 	if w.left -= int64(len(b)) + 1; w.left < 0 {
 		w.left = -1
 		_ = w.b.Flush()
-		if w.Full != nil {
-			w.Full()
-			w.Full = nil
+		if w.OnFull != nil {
+			w.OnFull()
+			w.OnFull = nil
 		}
 		return nil
 	}
@@ -74,17 +74,17 @@
 }
 
 // Put records one event. A nil writer records nothing.
-func (w *Writer) Put(at int64, kind string, in, out any) {
+func (w *Writer) Record(at int64, kind string, in, out any) {
 	if w == nil || w.left < 0 {
 		return
 	}
-	l := Line{At: at, Kind: kind}
+	l := Event{TimeUS: at, Type: kind}
 	var err1, err2 error
 	if in != nil {
-		l.In, err1 = json.Marshal(in)
+		l.Input, err1 = json.Marshal(in)
 	}
 	if out != nil {
-		l.Out, err2 = json.Marshal(out)
+		l.Output, err2 = json.Marshal(out)
 	}
 	if errors.Join(err1, err2) == nil {
 		_ = w.put(l)
@@ -108,7 +108,7 @@
 
 // Read calls f for every line after the head, which it returns. A last line that
 // was cut off is left out.
-func Read(r io.Reader, head func(Head) error, f func(n int, l Line) error) error {
+func Read(r io.Reader, head func(Header) error, f func(n int, l Event) error) error {
 	b := bufio.NewReaderSize(r, 1<<20)
 	for n := 1; ; n++ {
 		x, err := b.ReadBytes('\n')
@@ -123,19 +123,19 @@
 		}
 		d := json.NewDecoder(bytes.NewReader(x))
 		if n == 1 {
-			var h Head
-			if err := d.Decode(&h); err != nil || h.Tape == 0 {
+			var h Header
+			if err := d.Decode(&h); err != nil || h.Version == 0 {
 				return trace.BadParameter("this is no tape; give a file that a daemon wrote with --tape")
 			}
-			if h.Tape != Version {
-				return trace.BadParameter("the tape has version %d and this program replays %d; use the program that wrote it", h.Tape, Version)
+			if h.Version != Version {
+				return trace.BadParameter("the tape has version %d and this program replays %d; use the program that wrote it", h.Version, Version)
 			}
 			if err := head(h); err != nil {
 				return err
 			}
 			continue
 		}
-		var l Line
+		var l Event
 		if err := d.Decode(&l); err != nil {
 			return trace.BadParameter("line %d is broken: %v; the tape was changed or its disk is failing", n, err)
 		}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -54,11 +54,11 @@
 	es      map[string]*machine
 	listed  []Engine
 	listAt  int64
-	con     *Conductor
+	con     *Scheduler
 	by      int    // number of the conductor
 	kept    []byte // the register
 	last    map[string]sent
-	named   map[string][]naming // all of them
+	named   map[string][]target // all of them
 	turns   func() int64
 	looked  map[string]int64
 	judge   bool // of the bound
@@ -70,31 +70,31 @@
 }
 
 func newWorld(t testing.TB, seed int64, n int, models ...string) *world {
-	w := &world{t: t, rnd: rand.New(rand.NewSource(seed)), now: 100 * second, es: map[string]*machine{}, last: map[string]sent{}, named: map[string][]naming{},
+	w := &world{t: t, rnd: rand.New(rand.NewSource(seed)), now: 100 * second, es: map[string]*machine{}, last: map[string]sent{}, named: map[string][]target{},
 		looked: map[string]int64{}, judge: true, within: within}
 	w.turns = func() int64 { return 800*ms + w.rnd.Int63n(1000*ms) }
 	for range n {
 		w.come(models...)
 	}
 	for _, m := range models {
-		w.named[m] = []naming{{1, 0}}
+		w.named[m] = []target{{1, 0}}
 	}
 	w.list()
-	w.con = New(Defaults(within, lease), w.now, w.now-within, State{})
+	w.con = New(DefaultConfig(within, lease), w.now, w.now-within, State{})
 	return w
 }
 
 // bound makes it another bound than the usual one.
 func (w *world) bound(us int64) {
 	w.within = us
-	w.con = New(Defaults(us, lease), w.now, w.now-us, State{})
+	w.con = New(DefaultConfig(us, lease), w.now, w.now-us, State{})
 }
 
 func (w *world) come(models ...string) *machine {
 	m := &machine{weights: map[string]uint64{}, born: w.now, newest: map[string]uint64{}}
 	m.ID = fmt.Sprintf("i-%04x", w.next*7919%65536)
 	w.next++
-	m.Addr, m.Pool, m.Site = "addr-"+m.ID, "p", []string{"a", "b", "c"}[w.next%3]
+	m.Addr, m.Pool, m.Zone = "addr-"+m.ID, "p", []string{"a", "b", "c"}[w.next%3]
 	for _, x := range models {
 		m.weights[x] = 1
 		if l := w.named[x]; len(l) > 0 {
@@ -106,7 +106,7 @@
 }
 
 func (w *world) name(model string, v uint64) {
-	w.named[model] = append(w.named[model], naming{v, w.now})
+	w.named[model] = append(w.named[model], target{v, w.now})
 }
 
 func (w *world) fail(f string, a ...any) {
@@ -176,15 +176,15 @@
 	}
 	for x, l := range w.named {
 		for _, n := range l {
-			if v, runs := m.weights[x]; runs && v < n.version && w.now > max(n.at, m.born)+w.within {
-				w.fail("%s runs version %d of %s, %d was named %d ms ago", m.ID, m.weights[x], x, n.version, (w.now-n.at)/ms)
+			if v, runs := m.weights[x]; runs && v < n.version && w.now > max(n.announcedAt, m.born)+w.within {
+				w.fail("%s runs version %d of %s, %d was named %d ms ago", m.ID, m.weights[x], x, n.version, (w.now-n.announcedAt)/ms)
 			}
 		}
 	}
 }
 
 func (w *world) state() State {
-	s, err := Read(w.kept)
+	s, err := UnmarshalState(w.kept)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 			continue
 		}
 		all++
-		if _, ok := w.con.S.Turns[e.ID]; ok && w.es[e.ID] != nil && w.es[e.ID].gone == 0 {
+		if _, ok := w.con.State.Updates[e.ID]; ok && w.es[e.ID] != nil && w.es[e.ID].gone == 0 {
 			n++
 		}
 	}
@@ -212,7 +212,7 @@
 	c := w.con
 	for x, l := range w.named {
 		n := l[len(l)-1]
-		c.Name(x, n.version, n.at)
+		c.Announce(x, n.version, n.announcedAt)
 	}
 	was := map[string]int{}
 	for _, p := range pools {
@@ -220,12 +220,12 @@
 	}
 	orders, look, changed := c.Step(w.now, w.listed)
 	if changed {
-		w.kept = c.S.Bytes()
+		w.kept = c.State.Marshal()
 	}
 	for _, p := range pools {
 		// The share is each pool's own: a large pool must not use up a small one's.
 		n, all := w.turning(p)
-		if n > was[p] && n > (all*c.F.Most+999)/1000 {
+		if n > was[p] && n > (all*c.Config.MaxConcurrentPermille+999)/1000 {
 			w.fail("%d engines of %d in pool %s are turning at once", n, all, p)
 		}
 		w.mostAt = max(w.mostAt, n)
@@ -235,7 +235,7 @@
 	}
 	kept := w.state()
 	for _, o := range orders {
-		if t, ok := kept.Turns[o.Engine]; !ok || t.Phase != Ordered || t.Version != o.Version || t.Model != o.Model {
+		if t, ok := kept.Updates[o.Engine]; !ok || t.Phase != PhaseRequested || t.Version != o.Version || t.Model != o.Model {
 			w.fail("%s is ordered to %d of %s, kept is %+v", o.Engine, o.Version, o.Model, t)
 		}
 		w.order(o)
@@ -244,13 +244,13 @@
 		if m := w.es[id]; m != nil && m.gone == 0 && m.job == nil && w.now-w.looked[id] >= everyLook {
 			w.looked[id] = w.now
 			for x, v := range m.weights {
-				c.Seen(id, x, v)
+				c.Observe(id, x, v)
 			}
 		}
 	}
 }
 
-func (w *world) order(o Order) {
+func (w *world) order(o UpdateRequest) {
 	w.orders++
 	if l, ok := w.last[o.Engine]; ok {
 		if l.by != w.by && w.now-l.at < lease {
@@ -268,9 +268,9 @@
 	m.newest[o.Model] = o.Version
 	switch {
 	case m.job != nil:
-		w.con.Refused(w.now, o.Engine)
+		w.con.Postpone(w.now, o.Engine)
 	case m.weights[o.Model] >= o.Version:
-		w.con.Seen(o.Engine, o.Model, o.Version)
+		w.con.Observe(o.Engine, o.Model, o.Version)
 	default:
 		m.job = &job{o.Model, o.Version, w.now + w.turns()}
 	}
@@ -279,7 +279,7 @@
 // succeed makes another the conductor, from what is kept.
 func (w *world) succeed() {
 	w.by++
-	w.con = New(w.con.F, w.now, w.now-4*second, w.state())
+	w.con = New(w.con.Config, w.now, w.now-4*second, w.state())
 }
 
 func (w *world) run(us int64, on func()) {
@@ -322,8 +322,8 @@
 			if w.problem == "" && (w.behind() > 0 || w.orders != n) {
 				t.Errorf("%d engines are behind, %d orders went to %d engines", w.behind(), w.orders, n)
 			}
-			if len(w.con.S.Turns) != 0 {
-				t.Errorf("%d are still turning", len(w.con.S.Turns))
+			if len(w.con.State.Updates) != 0 {
+				t.Errorf("%d are still turning", len(w.con.State.Updates))
 			}
 		})
 	}
@@ -373,7 +373,7 @@
 			m.Pool = "q"
 			few = append(few, m)
 		}
-		w.named["n"] = []naming{{1, 0}}
+		w.named["n"] = []target{{1, 0}}
 		w.list()
 		w.run(2*second, nil)
 		w.name([]string{"n", "m"}[seed%2], 2)
@@ -381,7 +381,7 @@
 		w.run(within, func() {
 			n := 0
 			for _, m := range few {
-				if _, ok := w.con.S.Turns[m.ID]; ok {
+				if _, ok := w.con.State.Updates[m.ID]; ok {
 					n++
 				}
 			}
@@ -458,12 +458,12 @@
 				live[e.ID] = true
 			}
 			s := w.state()
-			for id := range s.Turns {
+			for id := range s.Updates {
 				if !live[id] {
 					t.Errorf("%s is gone and still turns", id)
 				}
 			}
-			for id := range s.Done {
+			for id := range s.Applied {
 				if !live[id] {
 					t.Errorf("%s is gone and still kept", id)
 				}
@@ -499,7 +499,7 @@
 			w.run(40*second, nil)
 			w.verdict("succession")
 			if w.problem == "" && w.behind() > 0 {
-				t.Errorf("%d are behind, turning %v", w.behind(), w.con.S.Turns)
+				t.Errorf("%d are behind, turning %v", w.behind(), w.con.State.Updates)
 			}
 		})
 	}
@@ -527,22 +527,22 @@
 		w.run(30*second, nil)
 		w.verdict(fmt.Sprint("seed ", seed))
 		if w.problem == "" && w.behind() > 0 {
-			t.Errorf("seed %d: %d are behind, turning %v", seed, w.behind(), w.con.S.Turns)
+			t.Errorf("seed %d: %d are behind, turning %v", seed, w.behind(), w.con.State.Updates)
 		}
 	}
 }
 
 // TestStateReads: a state is read back as it was kept, and damage is told.
 func TestStateReads(t *testing.T) {
-	s := State{Turns: map[string]Turn{"i": {Model: "m", Version: 3, Phase: Ordered}}, Done: map[string]map[string]uint64{"j": {"m": 2}}}
-	got, err := Read(s.Bytes())
-	if err != nil || got.Turns["i"] != s.Turns["i"] || got.Version("j", "m", 1) != 2 || got.Version("j", "m", 3) != 3 || got.Version("k", "m", 1) != 1 {
+	s := State{Updates: map[string]Update{"i": {Model: "m", Version: 3, Phase: PhaseRequested}}, Applied: map[string]map[string]uint64{"j": {"m": 2}}}
+	got, err := UnmarshalState(s.Marshal())
+	if err != nil || got.Updates["i"] != s.Updates["i"] || got.Version("j", "m", 1) != 2 || got.Version("j", "m", 3) != 3 || got.Version("k", "m", 1) != 1 {
 		t.Fatalf("%+v %v", got, err)
 	}
-	if _, err := Read([]byte("{")); err == nil {
+	if _, err := UnmarshalState([]byte("{")); err == nil {
 		t.Fatal("what can't be read was read")
 	}
-	if s, err := Read(nil); err != nil || len(s.Turns) != 0 {
+	if s, err := UnmarshalState(nil); err != nil || len(s.Updates) != 0 {
 		t.Fatal("an empty register is no empty state")
 	}
 }
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -18,7 +18,7 @@
 	w := NewWorld(5)
 	c := NewCore(w, 4)
 	c.era = era
-	c.rings = wal.Plan{Files: 32, Size: 64 << 10}
+	c.rings = wal.Config{SegmentCount: 32, SegmentBytes: 64 << 10}
 	c.Start()
 	h := w.NewHost("desk", "north", func() {})
 	h.Start()
@@ -55,7 +55,7 @@
 	if len(w.wrong) > 0 {
 		t.Fatal(w.wrong)
 	}
-	room := int(int64(c.rings.Files)*c.rings.Size) / 4 * 3 / 4
+	room := int(int64(c.rings.SegmentCount)*c.rings.SegmentBytes) / 4 * 3 / 4
 	t.Logf("%d claims: %v; asked for again: %v; %d eras; at most %d of %d bytes; a claim's record takes %d bytes",
 		n, got, late, c.newest(), most, room, len(codec.PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 9, Epoch: 1 << 18, Mark: quorum.Ver{Epoch: 1 << 18, Seq: 1 << 20},
 			Settled: quorum.Ver{Epoch: 1 << 18, Seq: 1 << 20}, Entry: quorum.Entry{Key: "claim/12345/dealing-desk/order-00000001", Ver: quorum.Ver{Epoch: 1 << 18, Seq: 1 << 20}, Rev: 1, Val: []byte("remisier4/k3f9a2b1c/ffffff")}})))
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -18,7 +18,7 @@
 )
 
 // configRing has room for configurations of some hundred routes.
-var configRing = wal.Plan{Files: 10, Size: 64 << 10}
+var configRing = wal.Config{SegmentCount: 10, SegmentBytes: 64 << 10}
 
 // tolerates is how many of n control nodes may be lost at once, as the platform's
 // deployments ask: one of four, two of five and of eight.
--- a/sim/core.go
+++ b/sim/core.go
@@ -15,7 +15,7 @@
 	w      *World
 	ro     quorum.Roster
 	Nodes  []*Registrar
-	rings  wal.Plan
+	rings  wal.Config
 	era    int64                 // how long an era of claims is the newest
 	term   int64                 // of a slot owner's lease, 0 for the default
 	onNew  func(*Registrar)      // what a fleet adds to a machine
@@ -64,7 +64,7 @@
 }
 
 // A small ring, so that core days write checkpoints.
-var smallRing = wal.Plan{Files: 10, Size: 18 << 10}
+var smallRing = wal.Config{SegmentCount: 10, SegmentBytes: 18 << 10}
 
 // NewCore adds n control nodes.
 func NewCore(w *World, n int) *Core {
@@ -132,7 +132,7 @@
 	if r.core.term > 0 {
 		p.Term = r.core.term
 	}
-	p.Limit = int(int64(r.core.rings.Files) * r.core.rings.Size / 4)
+	p.Limit = int(int64(r.core.rings.SegmentCount) * r.core.rings.SegmentBytes / 4)
 	r.node = nil
 	if len(r.ro.Voters) > 0 {
 		r.node = quorum.New(p, r.ro, r.Clock(), recs)
@@ -155,7 +155,7 @@
 	}
 	r.Every(p.Beat/4, func() {
 		if r.Dead == nil && r.node != nil {
-			r.node.Tight(r.ring.Used() > 750)
+			r.node.Tight(r.ring.UsedPermille() > 750)
 			r.out(r.node.Tick(r.Clock()))
 			if r.node != nil {
 				r.era = r.node.Open()
@@ -281,7 +281,7 @@
 }
 
 func (r *Registrar) die(err error) {
-	if errors.Is(err, wal.ErrRingFull) && r.node != nil {
+	if errors.Is(err, wal.ErrFull) && r.node != nil {
 		// As the daemon's voter: it begins anew from its disk, with a checkpoint first.
 		r.core.w.Note("%s begins anew: %v", r.Name, err)
 		r.node = nil
@@ -384,7 +384,7 @@
 // makeRoom restates the state before anything else is written, as the daemon does at its
 // start, if the process ended in the midst of a checkpoint.
 func (r *Registrar) makeRoom() error {
-	if r.ring.Used() <= 350 {
+	if r.ring.UsedPermille() <= 350 {
 		return nil
 	}
 	var parts [][]byte
@@ -401,14 +401,14 @@
 		return nil
 	}
 	if !r.under {
-		if r.ring.Used() <= 350 {
+		if r.ring.UsedPermille() <= 350 {
 			return nil
 		}
 		r.under, r.parts = true, r.node.Checkpoint()
 		r.core.w.Note("%s begins a checkpoint of %d", r.Name, len(r.parts))
 		r.Ckpts++
 		r.whole = len(r.parts)
-		return r.ring.Begin()
+		return r.ring.BeginCheckpoint()
 	}
 	k := min(len(r.parts), 40)
 	if r.core.checkpointing != nil {
@@ -422,11 +422,11 @@
 		recs = append(recs, codec.PackRecord(c))
 	}
 	r.parts = r.parts[k:]
-	if err := r.ring.Part(recs); err != nil || len(r.parts) > 0 {
+	if err := r.ring.AppendCheckpoint(recs); err != nil || len(r.parts) > 0 {
 		return err
 	}
 	r.under = false
-	return r.ring.End()
+	return r.ring.EndCheckpoint()
 }
 
 // PowerLoss cuts a node's power and loses what its disk had not synced.
--- a/sim/day_catchup.go
+++ b/sim/day_catchup.go
@@ -35,8 +35,8 @@
 
 // catchupRing has room for a row of configurations beside a checkpoint that is written
 // record by record; a configuration remembers the changes that led to it.
-func catchupRing(changes int) wal.Plan {
-	return wal.Plan{Files: 24, Size: int64(20<<10 + changes*48)}
+func catchupRing(changes int) wal.Config {
+	return wal.Config{SegmentCount: 24, SegmentBytes: int64(20<<10 + changes*48)}
 }
 
 // CatchupResult is what a day of many changes came to.
