--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -59,7 +59,7 @@
 
 // side is what a registrar does beside voting: sessions and the plan's cache.
 type side struct {
-	roll *membership.Roll
+	roll *membership.Sessions
 	held plan.Held
 }
 
@@ -73,7 +73,7 @@
 	w := NewWorld(seed)
 	f := &Fleet{W: w, Core: NewCore(w, 4), side: map[*Registrar]*side{}}
 	f.Core.era = 4_000_000
-	f.Core.rings = wal.Plan{Files: 16, Size: 64 << 10}
+	f.Core.rings = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
 	f.judge = newJudge(f)
 	f.Platform = w.NewHost("platform", "north", func() {})
 	f.Platform.Start()
@@ -142,7 +142,7 @@
 			})
 		})
 		r.Every(300_000, func() {
-			t := s.roll.Tell(r.Clock())
+			t := s.roll.Announcement(r.Clock())
 			if r.node == nil {
 				return // in no roster yet
 			}
@@ -150,7 +150,7 @@
 				if _, in := r.node.Roster().Find(o.Name); in && o != r {
 					r.Send(o.Host, func() {
 						if x := f.side[o]; x != nil {
-							x.roll.Hear(o.Clock(), t)
+							x.roll.Merge(o.Clock(), t)
 						}
 					})
 				}
@@ -190,7 +190,7 @@
 				return
 			}
 			now := r.Clock()
-			s.roll.Beat(now, q.Node)
+			s.roll.Heartbeat(now, q.Node)
 			t := &fb.BeatTellT{Rev: s.held.Rev, Age: s.held.Age(now), Fresh: s.held.Known, Nodes: s.roll.Live(now), Era: r.era}
 			if t.Rev != q.Have {
 				t.Plan = s.held.Raw
@@ -416,16 +416,16 @@
 	g := r.g
 	r.f.beat(r.Host, &r.m, func() *fb.NodeT { return r.node }, nil)
 	r.Every(120_000, func() {
-		for _, a := range g.Asks(r.Clock(), r.m.nodes) {
+		for _, a := range g.Queries(r.Clock(), r.m.nodes) {
 			c, at := r.f.custodian(a.Via), r.Clock()
-			Call(r.Host, c.Host, a.Room, 700_000, c.room, func(t *fb.RoomTellT) {
+			Call(r.Host, c.Host, a.Request, 700_000, c.room, func(t *fb.RoomTellT) {
 				if r.f.Unlearnt {
 					for _, o := range t.Orders {
 						o.Grades = nil
 					}
 				}
-				g.Told(a, at, t)
-			}, func() { g.Told(a, at, nil) })
+				g.HandleReply(a, at, t)
+			}, func() { g.HandleReply(a, at, nil) })
 		}
 	})
 }
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -17,10 +17,10 @@
 	changes int // of a hundred operations
 	count   int
 	seen    uint64 // newest revision it was told of
-	ops     *[]lincheck.Op
+	ops     *[]lincheck.Operation
 }
 
-func newRecorder(c *Core, client int, key string, changes int, ops *[]lincheck.Op) *recorder {
+func newRecorder(c *Core, client int, key string, changes int, ops *[]lincheck.Operation) *recorder {
 	r := &recorder{core: c, key: key, client: client, changes: changes, ops: ops}
 	r.Host = c.w.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.act) })
 	return r
@@ -30,12 +30,12 @@
 	w := r.core.w
 	node := r.core.Nodes[w.Rng.Intn(len(r.core.Nodes))]
 	r.count++
-	seen := lincheck.Op{Client: r.client, From: w.now}
+	seen := lincheck.Operation{Client: r.client, Invoked: w.now}
 	op := quorum.Op{Kind: quorum.OpGet, Key: r.key}
 	if w.Rng.Intn(100) < r.changes {
-		seen.Put, seen.Val = true, fmt.Sprintf("%d-%d", r.client, r.count)
+		seen.Write, seen.Value = true, fmt.Sprintf("%d-%d", r.client, r.count)
 		// A request that the network repeats must not change the key twice.
-		op.Kind, op.Expect, op.Val = quorum.OpPut, r.seen, []byte(seen.Val)
+		op.Kind, op.Expect, op.Val = quorum.OpPut, r.seen, []byte(seen.Value)
 	}
 	Call(r.Host, node.Host, op, 900_000, func(q quorum.Op, reply func(quorum.Answer)) { node.Op(q, 0, reply) },
 		func(a quorum.Answer) { r.answered(seen, a) },
@@ -44,17 +44,17 @@
 
 // answered takes all but a confirmation as unknown: where requests are repeated, one may
 // be refused although its twin took effect.
-func (r *recorder) answered(seen lincheck.Op, a quorum.Answer) {
+func (r *recorder) answered(seen lincheck.Operation, a quorum.Answer) {
 	if a.Status == quorum.Done || a.Status == quorum.Conflict {
 		r.seen = max(r.seen, a.Rev)
 	}
 	if a.Status == quorum.Done {
-		seen.Known, seen.To, seen.Rev, seen.Val = true, r.core.w.now, a.Rev, string(a.Val)
+		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.w.now, a.Rev, string(a.Val)
 	}
 	r.keep(seen)
 }
 
-func (r *recorder) keep(seen lincheck.Op) { *r.ops = append(*r.ops, seen) }
+func (r *recorder) keep(seen lincheck.Operation) { *r.ops = append(*r.ops, seen) }
 
 // TestLinearizable: what operators see of a key on core days, answers lost and unknown
 // ones included, is explained by one order of their operations.
@@ -69,7 +69,7 @@
 						t.Fatalf("seed %d: %s: %v", seed, key, err)
 					}
 					for _, o := range ops {
-						if o.Known {
+						if o.Confirmed {
 							confirmed++
 						} else {
 							unknown++
@@ -86,12 +86,12 @@
 }
 
 // recordedDay is a core day with operators at a busy key and at one seldom changed.
-func recordedDay(seed int64, f Fault) map[string][]lincheck.Op {
+func recordedDay(seed int64, f Fault) map[string][]lincheck.Operation {
 	const length = 8_000_000
 	w := NewWorld(seed)
 	c := NewCore(w, 4)
 	c.Start()
-	plan, rare := &[]lincheck.Op{}, &[]lincheck.Op{}
+	plan, rare := &[]lincheck.Operation{}, &[]lincheck.Operation{}
 	for i := range 3 {
 		newRecorder(c, i, "plan", 60, plan).Start()
 	}
@@ -100,5 +100,5 @@
 	}
 	c.Plague(f, length)
 	w.Run(length + 3_000_000)
-	return map[string][]lincheck.Op{"plan": *plan, "rare": *rare}
+	return map[string][]lincheck.Operation{"plan": *plan, "rare": *rare}
 }
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -127,7 +127,7 @@
 	for seed := int64(1); seed <= seeds; seed++ {
 		w := NewWorld(seed)
 		c := NewCore(w, 4)
-		c.rings.Size = 64 << 10 // plans are larger than claims
+		c.rings.SegmentBytes = 64 << 10 // plans are larger than claims
 		c.Start()
 		r := &race{c: c, h: NewHistory(w, planKey), texts: map[uint64][]byte{}, base: map[uint64][]byte{}, how: map[uint64]plan.Change{}, done: map[string]int{}}
 		for i := 0; i < 4; i++ {
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -26,7 +26,7 @@
 	c := NewCore(w, 4)
 	c.heals = true
 	c.era = 60_000_000
-	c.rings.Size = 2 << 20
+	c.rings.SegmentBytes = 2 << 20
 	c.Start()
 	d := &snapshotDay{membershipDay: &membershipDay{Core: c, size: coreSizes[1], h: NewHistory(w, planKey)}, every: 10_000}
 	c.drop = func(m quorum.Msg) bool {
--- a/wal/checkpoint.go
+++ b/wal/checkpoint.go
@@ -3,7 +3,7 @@
 // Begin begins a checkpoint: the records that Part then adds restate everything
 // before it. Other records may be appended and synced meanwhile; one checkpoint
 // at a time.
-func (l *Log) Begin() error {
+func (l *Log) BeginCheckpoint() error {
 	if err := l.put(kindBegin, nil, 0); err != nil {
 		return err
 	}
@@ -12,7 +12,7 @@
 }
 
 // Part adds records to the checkpoint.
-func (l *Log) Part(records [][]byte) error {
+func (l *Log) AppendCheckpoint(records [][]byte) error {
 	for _, data := range records {
 		if err := l.put(kindCheckpoint, data, 0); err != nil {
 			return err
@@ -22,7 +22,7 @@
 }
 
 // End ends the checkpoint, syncs, and frees the files that came before it.
-func (l *Log) End() error {
+func (l *Log) EndCheckpoint() error {
 	if err := l.put(kindEnd, nil, 0); err != nil {
 		return err
 	}
@@ -35,11 +35,11 @@
 
 // Checkpoint writes a whole checkpoint in one go.
 func (l *Log) Checkpoint(records [][]byte) error {
-	if err := l.Begin(); err != nil {
+	if err := l.BeginCheckpoint(); err != nil {
 		return err
 	}
-	if err := l.Part(records); err != nil {
+	if err := l.AppendCheckpoint(records); err != nil {
 		return err
 	}
-	return l.End()
+	return l.EndCheckpoint()
 }
--- a/wal/damage_test.go
+++ b/wal/damage_test.go
@@ -15,7 +15,7 @@
 )
 
 // tryOpen is open for a ring that may be refused.
-func tryOpen(fs wal.FS, plan wal.Plan) ([]string, error) {
+func tryOpen(fs wal.FS, plan wal.Config) ([]string, error) {
 	_, raw, err := wal.Open(fs, plan)
 	var out []string
 	for _, b := range raw {
@@ -25,10 +25,10 @@
 }
 
 // smallest is the smallest ring.
-var smallest = wal.Plan{Files: 3, Size: 4096}
+var smallest = wal.Config{SegmentCount: 3, SegmentBytes: 4096}
 
 // written is a ring that holds so many synced records, and those that must be read back.
-func written(t *testing.T, plan wal.Plan, n int) (*faultyFS, []string) {
+func written(t *testing.T, plan wal.Config, n int) (*faultyFS, []string) {
 	t.Helper()
 	fs := newFaultyFS(1)
 	log, _ := open(t, fs, plan)
@@ -53,7 +53,7 @@
 	whole, want := written(t, smallest, 30) // two of its files
 	last := len(want) - 1
 	for name := range whole.files {
-		for i := 0; i < int(smallest.Size); i++ {
+		for i := 0; i < int(smallest.SegmentBytes); i++ {
 			fs := whole.snapshot()
 			fs.files[name].cache[i] ^= 0x41
 			got, err := tryOpen(fs, smallest)
@@ -72,11 +72,11 @@
 func TestCutFile(t *testing.T) {
 	whole, _ := written(t, smallest, 30)
 	for name := range whole.files {
-		for i := 0; i < int(smallest.Size); i++ {
+		for i := 0; i < int(smallest.SegmentBytes); i++ {
 			fs := whole.snapshot()
 			f := fs.files[name]
 			f.cache, f.durable = f.cache[:i], f.durable[:i]
-			if _, err := tryOpen(fs, smallest); !errors.Is(err, wal.ErrSizes) || !strings.Contains(err.Error(), "rejoin as an empty node") {
+			if _, err := tryOpen(fs, smallest); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "rejoin as an empty node") {
 				t.Fatalf("%s cut at %d: %v", name, i, err)
 			}
 			if len(fs.files[name].cache) != i {
@@ -85,7 +85,7 @@
 		}
 		fs := whole.snapshot()
 		delete(fs.files, name)
-		if _, err := tryOpen(fs, smallest); !errors.Is(err, wal.ErrSizes) {
+		if _, err := tryOpen(fs, smallest); !errors.Is(err, wal.ErrLayout) {
 			t.Fatalf("%s is gone: %v", name, err)
 		}
 	}
@@ -93,11 +93,11 @@
 
 // TestCutWhileMade: a ring whose files were being made when the process ended opens empty.
 func TestCutWhileMade(t *testing.T) {
-	for made := 0; made < plan.Files; made++ {
-		for _, part := range []int64{0, 1, 31, 32, 33, plan.Size - 1} {
+	for made := 0; made < plan.SegmentCount; made++ {
+		for _, part := range []int64{0, 1, 31, 32, 33, plan.SegmentBytes - 1} {
 			fs := newFaultyFS(1)
 			for i := 0; i < made; i++ {
-				_, _ = fs.Open(fmt.Sprintf("ring-%03d", i), plan.Size)
+				_, _ = fs.Open(fmt.Sprintf("ring-%03d", i), plan.SegmentBytes)
 			}
 			_, _ = fs.Open(fmt.Sprintf("ring-%03d", made), part)
 			if got, err := tryOpen(fs, plan); err != nil || len(got) != 0 {
@@ -126,7 +126,7 @@
 			err := error(nil)
 			for n := 0; err == nil; n++ {
 				if err = log.Append(make([]byte, 500)); err == nil {
-					if log.Used()*plan.Files%1000 > 850 {
+					if log.UsedPermille()*plan.SegmentCount%1000 > 850 {
 						fs.broken = true // the next is the start of a file
 					}
 				}
@@ -161,7 +161,7 @@
 	copy(b, "VTRING02")
 	binary.LittleEndian.PutUint32(b[24:], crc32.Checksum(b[:24], crc32.MakeTable(crc32.Castagnoli)))
 	before := slices.Clone(b)
-	if _, err := tryOpen(fs, plan); !errors.Is(err, wal.ErrFormat) || !strings.Contains(err.Error(), "start the version that wrote it") {
+	if _, err := tryOpen(fs, plan); !errors.Is(err, wal.ErrVersion) || !strings.Contains(err.Error(), "start the version that wrote it") {
 		t.Fatal(err)
 	}
 	if !slices.Equal(fs.files["ring-001"].cache, before) {
@@ -171,9 +171,9 @@
 
 // TestOtherSizes: a ring in use is not opened with other sizes, and opens with its own.
 func TestOtherSizes(t *testing.T) {
-	for _, other := range []wal.Plan{{Files: 6, Size: 4096}, {Files: 4, Size: 4096}, {Files: 5, Size: 8192}, {Files: 10, Size: 8192}} {
+	for _, other := range []wal.Config{{SegmentCount: 6, SegmentBytes: 4096}, {SegmentCount: 4, SegmentBytes: 4096}, {SegmentCount: 5, SegmentBytes: 8192}, {SegmentCount: 10, SegmentBytes: 8192}} {
 		fs, want := written(t, plan, 30)
-		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrSizes) || !strings.Contains(err.Error(), "set ring_files and ring_bytes as they were") {
+		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "set ring_files and ring_bytes as they were") {
 			t.Fatalf("%+v: %v", other, err)
 		}
 		if got, err := tryOpen(fs, plan); err != nil || !slices.Equal(got, want) {
@@ -233,12 +233,12 @@
 // checkpointWithAppend restates a=2 b=1 with c=1 appended and synced between its parts.
 func checkpointWithAppend(log *wal.Log) (appended bool, err error) {
 	steps := []func() error{
-		log.Begin,
-		func() error { return log.Part([][]byte{[]byte("a=2")}) },
+		log.BeginCheckpoint,
+		func() error { return log.AppendCheckpoint([][]byte{[]byte("a=2")}) },
 		func() error { return log.Append([]byte("c=1")) },
 		log.Sync,
-		func() error { appended = true; return log.Part([][]byte{[]byte("b=1")}) },
-		log.End,
+		func() error { appended = true; return log.AppendCheckpoint([][]byte{[]byte("b=1")}) },
+		log.EndCheckpoint,
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -273,7 +273,7 @@
 			}
 			err := error(nil)
 			switch k := rng.Intn(10); {
-			case log.Used() > 300:
+			case log.UsedPermille() > 300:
 				kept := live[max(0, len(live)-3):]
 				var raw [][]byte
 				for _, rec := range kept {
@@ -471,7 +471,7 @@
 		f.Fatal(err)
 	}
 	var whole []byte
-	for i := 0; i < smallest.Files; i++ {
+	for i := 0; i < smallest.SegmentCount; i++ {
 		whole = append(whole, fs.files[fmt.Sprintf("ring-%03d", i)].cache...)
 	}
 	f.Add(whole, uint32(0), byte(0))
@@ -480,18 +480,18 @@
 	f.Add(whole[:6000], uint32(40), byte(7))
 	// The first file is gone, and the header of the second is damaged (found by fuzzing).
 	firstGone := slices.Clone(whole)
-	clear(firstGone[smallest.Size : 2*smallest.Size])
-	f.Add(firstGone, uint32(2*smallest.Size+8), byte(1))
+	clear(firstGone[smallest.SegmentBytes : 2*smallest.SegmentBytes])
+	f.Add(firstGone, uint32(2*smallest.SegmentBytes+8), byte(1))
 	f.Add([]byte("VTRING02"), uint32(0), byte(0))
 	f.Fuzz(func(t *testing.T, content []byte, at uint32, flip byte) {
 		fs := newFaultyFS(1)
-		for i := 0; i < smallest.Files; i++ {
-			cache := make([]byte, smallest.Size)
-			copy(cache, content[min(len(content), i*int(smallest.Size)):])
+		for i := 0; i < smallest.SegmentCount; i++ {
+			cache := make([]byte, smallest.SegmentBytes)
+			copy(cache, content[min(len(content), i*int(smallest.SegmentBytes)):])
 			fs.files[fmt.Sprintf("ring-%03d", i)] = &faultyFile{fs: fs, cache: cache, durable: slices.Clone(cache)}
 		}
-		if n := uint32(smallest.Files) * uint32(smallest.Size); at < n {
-			fs.files[fmt.Sprintf("ring-%03d", at/uint32(smallest.Size))].cache[at%uint32(smallest.Size)] ^= flip
+		if n := uint32(smallest.SegmentCount) * uint32(smallest.SegmentBytes); at < n {
+			fs.files[fmt.Sprintf("ring-%03d", at/uint32(smallest.SegmentBytes))].cache[at%uint32(smallest.SegmentBytes)] ^= flip
 		}
 		log, raw, err := wal.Open(fs, smallest)
 		if err != nil {
@@ -501,7 +501,7 @@
 			return
 		}
 		err = errors.Join(log.Append([]byte("x")), log.Sync())
-		if err != nil && !errors.Is(err, wal.ErrRingFull) {
+		if err != nil && !errors.Is(err, wal.ErrFull) {
 			t.Fatal(err)
 		}
 		again, reopenErr := reopen(log)
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -9,13 +9,13 @@
 // Errors that callers tell apart with errors.Is.
 var (
 	// ErrRingFull means that a record finds no room before the next checkpoint.
-	ErrRingFull = errors.New("the ring is full")
+	ErrFull = errors.New("the ring is full")
 	// ErrCorrupt means that something synced can't be read back. It does not pass.
 	ErrCorrupt = errors.New("the ring can't be read back")
 	// ErrFormat means that another version of the program wrote the ring.
-	ErrFormat = errors.New("the ring is of another format")
+	ErrVersion = errors.New("the ring is of another format")
 	// ErrSizes means that the files are not those that the plan names.
-	ErrSizes = errors.New("the ring has other sizes")
+	ErrLayout = errors.New("the ring has other sizes")
 	// ErrDisk means that the disk refused a read, a write or a sync. It may pass:
 	// Open and Reopen tell.
 	ErrDisk = errors.New("the disk refused an operation")
@@ -60,12 +60,12 @@
 }
 
 func otherSizes(file int, detail string) error {
-	return &ringError{ErrSizes, fmt.Sprintf("file %d %s", file, detail),
+	return &ringError{ErrLayout, fmt.Sprintf("file %d %s", file, detail),
 		"set ring_files and ring_bytes as they were; if they were not changed, a file was cut: " + rejoin}
 }
 
 func otherFormat(file int, found string) error {
-	return &ringError{ErrFormat, fmt.Sprintf("file %d is marked %q, not %q", file, found, magic), "start the version that wrote it"}
+	return &ringError{ErrVersion, fmt.Sprintf("file %d is marked %q, not %q", file, found, magic), "start the version that wrote it"}
 }
 
-func ringFull(detail, remedy string) error { return &ringError{ErrRingFull, detail, remedy} }
+func ringFull(detail, remedy string) error { return &ringError{ErrFull, detail, remedy} }
--- a/wal/example_test.go
+++ b/wal/example_test.go
@@ -12,8 +12,8 @@
 func Example() {
 	dir, _ := os.MkdirTemp("", "ring")
 	defer os.RemoveAll(dir)
-	p := wal.Plan{Files: 4, Size: 64 << 10}
-	r, _, err := wal.Open(osdisk.Folder{Dir: dir}, p)
+	p := wal.Config{SegmentCount: 4, SegmentBytes: 64 << 10}
+	r, _, err := wal.Open(osdisk.Directory{Path: dir}, p)
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -24,7 +24,7 @@
 	_ = r.Append([]byte("b=1"))
 	_ = r.Sync()
 	_ = r.Close()
-	_, recs, _ := wal.Open(osdisk.Folder{Dir: dir}, p)
+	_, recs, _ := wal.Open(osdisk.Directory{Path: dir}, p)
 	for _, x := range recs {
 		fmt.Println(string(x))
 	}
--- a/wal/faults_test.go
+++ b/wal/faults_test.go
@@ -126,7 +126,7 @@
 	return out
 }
 
-var errKinds = []error{wal.ErrCorrupt, wal.ErrFormat, wal.ErrSizes, wal.ErrDisk}
+var errKinds = []error{wal.ErrCorrupt, wal.ErrVersion, wal.ErrLayout, wal.ErrDisk}
 
 func typed(err error) bool {
 	for _, kind := range errKinds {
--- a/wal/file.go
+++ b/wal/file.go
@@ -28,8 +28,8 @@
 // checkSizes refuses a ring in use whose files are not those of the plan: a file that
 // was cut would be taken for one whose end was never written, and with other sizes
 // records lie elsewhere. Files that were being made when the process ended are in order.
-func checkSizes(fs FS, plan Plan) error {
-	sizes := make([]int64, plan.Files+1)
+func checkSizes(fs FS, plan Config) error {
+	sizes := make([]int64, plan.SegmentCount+1)
 	odd := -1
 	for i := range sizes {
 		size, err := fs.Size(fileName(i))
@@ -57,11 +57,11 @@
 }
 
 // size is what the file of an index takes: nothing behind the last.
-func (p Plan) size(index int) int64 {
-	if index >= p.Files {
+func (p Config) size(index int) int64 {
+	if index >= p.SegmentCount {
 		return 0
 	}
-	return p.Size
+	return p.SegmentBytes
 }
 
 func inUse(fs FS, index int, size int64) (bool, error) {
@@ -80,10 +80,10 @@
 	return !blank(header), nil
 }
 
-func openFiles(fs FS, plan Plan) ([]File, error) {
+func openFiles(fs FS, plan Config) ([]File, error) {
 	var files []File
-	for i := 0; i < plan.Files; i++ {
-		file, err := fs.Open(fileName(i), plan.Size)
+	for i := 0; i < plan.SegmentCount; i++ {
+		file, err := fs.Open(fileName(i), plan.SegmentBytes)
 		if err != nil {
 			_ = closeFiles(files)
 			return nil, &DiskError{"open", err}
--- a/wal/osdisk/fs.go
+++ b/wal/osdisk/fs.go
@@ -13,11 +13,11 @@
 )
 
 // Folder keeps ring files under Dir.
-type Folder struct{ Dir string }
+type Directory struct{ Path string }
 
 // Size returns the bytes of a file, 0 if it is missing.
-func (f Folder) Size(name string) (int64, error) {
-	info, err := os.Stat(filepath.Join(f.Dir, name))
+func (f Directory) Size(name string) (int64, error) {
+	info, err := os.Stat(filepath.Join(f.Path, name))
 	if os.IsNotExist(err) {
 		return 0, nil
 	}
@@ -30,11 +30,11 @@
 // Open makes, fills and syncs a missing file, and its folder's entry with it. The
 // folder is synced for a file that is there already as well: who made it may have
 // been cut off before it got that far.
-func (f Folder) Open(name string, size int64) (wal.File, error) {
-	if err := makeDir(f.Dir); err != nil {
+func (f Directory) Open(name string, size int64) (wal.File, error) {
+	if err := makeDir(f.Path); err != nil {
 		return nil, err
 	}
-	h, err := os.OpenFile(filepath.Join(f.Dir, name), os.O_RDWR|os.O_CREATE, 0o600)
+	h, err := os.OpenFile(filepath.Join(f.Path, name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 		}
 	}
 	if err == nil {
-		err = syncDir(f.Dir)
+		err = syncDir(f.Path)
 	}
 	if err != nil {
 		_ = h.Close()
@@ -60,17 +60,17 @@
 
 // Lock makes sure that one process alone uses the folder; the lock goes with the
 // process. Two lives of one disk at once could vote twice.
-func (f Folder) Lock() (io.Closer, error) {
-	if err := makeDir(f.Dir); err != nil {
+func (f Directory) Lock() (io.Closer, error) {
+	if err := makeDir(f.Path); err != nil {
 		return nil, err
 	}
-	h, err := os.OpenFile(filepath.Join(f.Dir, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
+	h, err := os.OpenFile(filepath.Join(f.Path, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := unix.Flock(int(h.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = h.Close()
-		return nil, trace.AlreadyExists("another process uses %s; stop it, or give this one its own data_dir", f.Dir)
+		return nil, trace.AlreadyExists("another process uses %s; stop it, or give this one its own data_dir", f.Path)
 	}
 	return h, nil
 }
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -70,7 +70,7 @@
 
 func (l *Log) readFiles() (found, error) {
 	all := found{volumes: map[uint64]volume{}}
-	buf := make([]byte, l.plan.Size)
+	buf := make([]byte, l.plan.SegmentBytes)
 	for i, file := range l.files {
 		if err := readWhole(file, buf); err != nil {
 			return all, err
@@ -103,7 +103,7 @@
 // headers tell. A header that was cut off in the midst of being written has none behind
 // it; where there is one, the header of a file that was synced is damaged.
 func (l *Log) checkUnwritten(highest uint64, buf []byte) error {
-	for gen := highest + 1; gen <= highest+uint64(l.plan.Files); gen++ {
+	for gen := highest + 1; gen <= highest+uint64(l.plan.SegmentCount); gen++ {
 		index := l.index(gen)
 		if err := readFirstRecord(l.files[index], buf); err != nil {
 			return err
@@ -145,7 +145,7 @@
 		v.records = append(v.records, rec)
 		v.end += span(len(rec.data))
 	}
-	for offset := v.end + alignment; offset+recordLen <= l.plan.Size; offset += alignment {
+	for offset := v.end + alignment; offset+recordLen <= l.plan.SegmentBytes; offset += alignment {
 		if rec, ok := decodeRecord(buf, gen, offset); ok {
 			v.beyond = max(v.beyond, rec.synced)
 		}
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -13,9 +13,9 @@
 )
 
 // Plan sets the ring's sizes.
-type Plan struct {
-	Files int
-	Size  int64
+type Config struct {
+	SegmentCount int
+	SegmentBytes int64
 }
 
 const (
@@ -23,8 +23,8 @@
 	leastSize  = 4096
 )
 
-func (p Plan) check() error {
-	if p.Files < leastFiles || p.Size < leastSize {
+func (p Config) check() error {
+	if p.SegmentCount < leastFiles || p.SegmentBytes < leastSize {
 		return trace.BadParameter("a ring needs at least %d files of %d bytes; raise ring_files or ring_bytes", leastFiles, leastSize)
 	}
 	return nil
@@ -37,7 +37,7 @@
 // it. Every later call fails with the same error until Reopen has read the ring anew.
 type Log struct {
 	fs     FS
-	plan   Plan
+	plan   Config
 	files  []File
 	gen    uint64 // generation being written; its file is gen%Files
 	off    int64
@@ -56,7 +56,7 @@
 // read may come from a cache that a failed sync of an earlier process left behind.
 // If the disk refuses this, the records are returned beside an error that is ErrDisk;
 // there is no Log then, and Open may be tried again.
-func Open(fs FS, plan Plan) (*Log, [][]byte, error) {
+func Open(fs FS, plan Config) (*Log, [][]byte, error) {
 	if err := plan.check(); err != nil {
 		return nil, nil, err
 	}
@@ -115,7 +115,7 @@
 	if l.gen == 0 {
 		return l.start(1, 0)
 	}
-	whole := make([]byte, l.plan.Size)
+	whole := make([]byte, l.plan.SegmentBytes)
 	copy(whole, l.image)
 	l.image = nil
 	return l.writeWhole(l.gen, whole)
@@ -123,7 +123,7 @@
 
 // start makes gen the generation being written.
 func (l *Log) start(gen uint64, prevEnd int64) error {
-	whole := make([]byte, l.plan.Size)
+	whole := make([]byte, l.plan.SegmentBytes)
 	copy(whole, encodeHeader(gen, prevEnd))
 	if err := l.writeWhole(gen, whole); err != nil {
 		return err
@@ -156,12 +156,12 @@
 	return l.failed
 }
 
-func (l *Log) index(gen uint64) int { return int(gen % uint64(l.plan.Files)) }
+func (l *Log) index(gen uint64) int { return int(gen % uint64(l.plan.SegmentCount)) }
 
 func (l *Log) file(gen uint64) File { return l.files[l.index(gen)] }
 
 func (l *Log) position(gen uint64, offset int64) uint64 {
-	return gen*uint64(l.plan.Size) + uint64(offset)
+	return gen*uint64(l.plan.SegmentBytes) + uint64(offset)
 }
 
 // Append writes a record; it lasts once Sync has returned.
@@ -171,9 +171,9 @@
 // process ends in the midst of this one.
 func (l *Log) Append(data []byte) error {
 	if l.under {
-		return l.put(kindData, data, max(1, l.plan.Files/4))
+		return l.put(kindData, data, max(1, l.plan.SegmentCount/4))
 	}
-	return l.put(kindData, data, max(1, l.plan.Files*2/5))
+	return l.put(kindData, data, max(1, l.plan.SegmentCount*2/5))
 }
 
 // put writes a record and leaves so many files free.
@@ -182,10 +182,10 @@
 		return l.failed
 	}
 	size := span(len(data))
-	if size > l.plan.Size-headerLen {
-		return ringFull(fmt.Sprintf("a record of %d bytes does not fit a file of %d", len(data), l.plan.Size), "raise ring_bytes, with an empty data_dir")
+	if size > l.plan.SegmentBytes-headerLen {
+		return ringFull(fmt.Sprintf("a record of %d bytes does not fit a file of %d", len(data), l.plan.SegmentBytes), "raise ring_bytes, with an empty data_dir")
 	}
-	if l.off+size > l.plan.Size {
+	if l.off+size > l.plan.SegmentBytes {
 		if err := l.advance(spare); err != nil {
 			return err
 		}
@@ -200,7 +200,7 @@
 
 // advance goes on to the next file, if that leaves so many free.
 func (l *Log) advance(spare int) error {
-	if l.gen+2-l.keep > uint64(l.plan.Files-spare) {
+	if l.gen+2-l.keep > uint64(l.plan.SegmentCount-spare) {
 		return ringFull("no file is free before the next checkpoint", "raise ring_files, with an empty data_dir")
 	}
 	if err := l.Sync(); err != nil {
@@ -225,9 +225,9 @@
 }
 
 // Used tells which part of the ring is taken, in thousandths.
-func (l *Log) Used() int {
-	used := (l.gen-l.keep)*uint64(l.plan.Size) + uint64(l.off)
-	return int(used * 1000 / (uint64(l.plan.Files) * uint64(l.plan.Size)))
+func (l *Log) UsedPermille() int {
+	used := (l.gen-l.keep)*uint64(l.plan.SegmentBytes) + uint64(l.off)
+	return int(used * 1000 / (uint64(l.plan.SegmentCount) * uint64(l.plan.SegmentBytes)))
 }
 
 // Close closes the files.
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -11,7 +11,7 @@
 	"violetthread/wal/osdisk"
 )
 
-func open(t *testing.T, fs wal.FS, p wal.Plan) (*wal.Log, []string) {
+func open(t *testing.T, fs wal.FS, p wal.Config) (*wal.Log, []string) {
 	t.Helper()
 	r, raw, err := wal.Open(fs, p)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return r, out
 }
 
-var plan = wal.Plan{Files: 5, Size: 4096}
+var plan = wal.Config{SegmentCount: 5, SegmentBytes: 4096}
 
 // TestPowerLoss: whatever was synced is read back in order, however the power
 // goes, over many turns of the ring.
@@ -41,12 +41,12 @@
 		for step := 0; step < 300; step++ {
 			if under && rng.Intn(2) == 0 {
 				if len(parts) > 0 {
-					if err := r.Part(parts[:1]); err != nil {
+					if err := r.AppendCheckpoint(parts[:1]); err != nil {
 						t.Fatalf("seed %d: %v", seed, err)
 					}
 					parts = parts[1:]
 				} else {
-					if err := r.End(); err != nil {
+					if err := r.EndCheckpoint(); err != nil {
 						t.Fatalf("seed %d: %v", seed, err)
 					}
 					live, under = live[since:], false
@@ -81,7 +81,7 @@
 				}
 				live, synced = got, len(got)
 			}
-			if r.Used() > 250 && !under {
+			if r.UsedPermille() > 250 && !under {
 				// Keep the last few, as a checkpoint would restate live state;
 				// others are appended between its parts.
 				since = max(0, len(live)-4)
@@ -89,7 +89,7 @@
 				for _, x := range live[since:] {
 					parts = append(parts, []byte(x))
 				}
-				if err := r.Begin(); err != nil {
+				if err := r.BeginCheckpoint(); err != nil {
 					t.Fatalf("seed %d: %v", seed, err)
 				}
 				under = true
@@ -115,7 +115,7 @@
 				t.Fatal("append")
 			}
 		}
-		f, _ := d.Open("ring-001", plan.Size)
+		f, _ := d.Open("ring-001", plan.SegmentBytes)
 		b := make([]byte, 1)
 		at := int64(32 + rng.Intn(39*32)) // not in the last record
 		_, _ = f.ReadAt(b, at)
@@ -154,7 +154,7 @@
 	for ; err == nil; n++ {
 		err = r.Append(make([]byte, 500))
 	}
-	if !errors.Is(err, wal.ErrRingFull) || n < 15 {
+	if !errors.Is(err, wal.ErrFull) || n < 15 {
 		t.Fatalf("after %d: %v", n, err)
 	}
 	if err := r.Checkpoint([][]byte{[]byte("all")}); err != nil {
@@ -191,7 +191,7 @@
 
 // TestFolder: the same on a real folder.
 func TestFolder(t *testing.T) {
-	f := osdisk.Folder{Dir: t.TempDir() + "/ring"}
+	f := osdisk.Directory{Path: t.TempDir() + "/ring"}
 	r, _ := open(t, f, plan)
 	_ = r.Append([]byte("kept"))
 	if err := r.Sync(); err != nil {
@@ -217,18 +217,18 @@
 	r, _, _ := wal.Open(d, plan)
 	_ = r.Append([]byte("seed"))
 	_ = r.Sync()
-	file, _ := d.Open("ring-001", plan.Size)
+	file, _ := d.Open("ring-001", plan.SegmentBytes)
 	b := make([]byte, 256)
 	_, _ = file.ReadAt(b, 0)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d := sim.NewDisk(sim.NewWorld(1))
-		for i := 0; i < plan.Files; i++ {
-			g, _ := d.Open(fmt.Sprintf("ring-%03d", i), plan.Size)
-			_, _ = g.WriteAt(b[:min(len(b), int(plan.Size))], 0)
+		for i := 0; i < plan.SegmentCount; i++ {
+			g, _ := d.Open(fmt.Sprintf("ring-%03d", i), plan.SegmentBytes)
+			_, _ = g.WriteAt(b[:min(len(b), int(plan.SegmentBytes))], 0)
 		}
 		if r, _, err := wal.Open(d, plan); err == nil {
-			if err := r.Append([]byte("x")); err != nil && !errors.Is(err, wal.ErrRingFull) {
+			if err := r.Append([]byte("x")); err != nil && !errors.Is(err, wal.ErrFull) {
 				t.Fatal(err)
 			}
 		}
