--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -24,8 +24,8 @@
 	daemon.NodeSettings
 	Bootstrap          bool  `json:"found" help:"true at the very first start of a fleet: agree with the seeds on who votes"`
 	LogSegments        int   `json:"ring_files" validate:"min=8,max=1024" help:"files in the disk ring"`
-	GenerationDuration int64 `json:"era_us" validate:"min=1000000,max=86400000000" help:"how long an era of claims is the newest"`
-	OpenGenerations    int   `json:"eras" validate:"min=2,max=64" help:"eras open at a time; a once-only ticket of an older one is not run"`
+	GenerationDuration int64 `json:"generation_us" old:"era_us" validate:"min=1000000,max=86400000000" help:"how long an era of claims is the newest"`
+	OpenGenerations    int   `json:"generations" old:"eras" validate:"min=2,max=64" help:"eras open at a time; a once-only ticket of an older one is not run"`
 	// Disk wraps the folder that the ring lies in, for failures of disks in tests; it
 	// has no name in a settings file and no flag.
 	Disk func(wal.FS) wal.FS
@@ -99,7 +99,7 @@
 	if s.DataDir == "" || s.TransportAddr == "" {
 		return nil, trace.BadParameter("data_dir and wire are needed; give --data-dir a folder and --wire an IP:port")
 	}
-	d := daemon.New("registrar", s.Name, s.HTTPAddr, s.DrainUS)
+	d := daemon.New("violetthread-control", s.Name, s.HTTPAddr, s.DrainUS)
 	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -23,7 +23,7 @@
 	for i, c := range commands {
 		subcommands[i] = flaggy.NewSubcommand(c.Name)
 		subcommands[i].Description = c.About
-		declared[i] = DeclareSettings(subcommands[i], c.Settings)
+		declared[i] = DeclareSettings(program, subcommands[i], c.Settings)
 		p.AttachSubcommand(subcommands[i], 1)
 	}
 	if err := p.ParseArgs(os.Args[1:]); err != nil {
--- a/internal/daemon/declared.go
+++ b/internal/daemon/declared.go
@@ -29,9 +29,11 @@
 }
 
 // DeclareSettings declares --settings and a flag for every setting on a command. settings
-// is a pointer to a struct.
-func DeclareSettings(command *flaggy.Subcommand, settings any) *Declared {
-	d := &Declared{settings: settings, flags: map[string]*string{}, warn: warnDeprecated}
+// is a pointer to a struct; program stands in the log lines of warnings.
+func DeclareSettings(program string, command *flaggy.Subcommand, settings any) *Declared {
+	d := &Declared{settings: settings, flags: map[string]*string{}, warn: func(former, current string) {
+		NewLogger(program, "-").Info("deprecated_setting", "setting", former, "use", current)
+	}}
 	command.String(&d.file, "s", "settings", "JSON file with settings; flags go before it")
 	d.each(func(f reflect.StructField, v reflect.Value) {
 		help := f.Tag.Get("help")
@@ -57,10 +59,6 @@
 	eachSetting(reflect.ValueOf(d.settings).Elem(), visit)
 }
 
-func warnDeprecated(former, current string) {
-	NewLogger("settings", "-").Info("deprecated_setting", "setting", former, "use", current)
-}
-
 // LoadSettings fills settings, a pointer to a struct with defaults set, from the file that
 // --settings names and then from flags. It prints help or the version and ends the process
 // when asked to; the error lists every mistake.
@@ -68,7 +66,7 @@
 	p := flaggy.NewParser(program)
 	p.Description, p.Version = about, Version
 	p.ShowCompletion = false
-	d := DeclareSettings(&p.Subcommand, settings)
+	d := DeclareSettings(program, &p.Subcommand, settings)
 	if err := p.ParseArgs(args); err != nil {
 		return trace.BadParameter("flags: %v; see --help", err)
 	}
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -28,7 +28,7 @@
 	s := testSettings{Count: 3, RecordingSettings: RecordingDefaults}
 	p := flaggy.NewParser("test")
 	p.ShowCompletion = false
-	d := DeclareSettings(&p.Subcommand, &s)
+	d := DeclareSettings("test", &p.Subcommand, &s)
 	var warnings []string
 	d.warn = func(former, current string) { warnings = append(warnings, former+"="+current) }
 	if err := p.ParseArgs(args); err != nil {
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -268,7 +268,7 @@
 	sub := flaggy.NewSubcommand("run")
 	p := flaggy.NewParser("scale")
 	p.AttachSubcommand(sub, 1)
-	declared := daemon.DeclareSettings(sub, &s)
+	declared := daemon.DeclareSettings("test", sub, &s)
 	if err := p.ParseArgs([]string{"run", "--proxies", "0", "--engines", "many", "--role", "nobody", "--list", "here", "--seconds", "90", "--control-pids", "7,x", "--wires", "127.0.0.1:1"}); err != nil {
 		t.Fatal(err)
 	}
