--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -87,7 +87,7 @@
 		t, err := s.session.Op(ctx, f.OpAsk, 1_900_000)
 		if err != nil {
 			s.daemon.Log.Info("op_unanswered", "key", f.OpAsk.Key, "cause", err.Error())
-			t = &fb.OpTellT{Status: byte(quorum.Unknown)}
+			t = &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
 		}
 		return &fb.FrameT{OpTell: t}
 	}
--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -36,7 +36,7 @@
 	own := func() float64 {
 		count := 0
 		for _, s := range n.status.Load().slots {
-			if s.Mine {
+			if s.IsLeader {
 				count++
 			}
 		}
@@ -55,7 +55,7 @@
 	case http.MethodGet:
 		a := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
 		switch {
-		case quorum.Status(a.Status) != quorum.Done:
+		case quorum.Status(a.Status) != quorum.StatusDone:
 			writeNotCommitted(w, a)
 		case a.Rev == 0:
 			daemon.WriteJSON(w, http.StatusNotFound, ErrorResponse{Reason: "no-plan", Remedy: "send a whole plan first, with dealer plan put"})
@@ -95,7 +95,7 @@
 	for try := 0; try < 50; try++ {
 		// What is in force is read first in any case: the seal follows from it.
 		at := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
-		if quorum.Status(at.Status) != quorum.Done {
+		if quorum.Status(at.Status) != quorum.StatusDone {
 			writeNotCommitted(w, at)
 			return
 		}
@@ -106,12 +106,12 @@
 		}
 		a := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: planKey, Val: sealed, Expect: at.Rev})
 		switch quorum.Status(a.Status) {
-		case quorum.Done:
+		case quorum.StatusDone:
 			n.daemon.Log.Info("plan_accepted", "rev", a.Rev, "method", q.Method, "from", q.RemoteAddr)
 			w.Header().Set("ETag", etag(a.Rev))
 			daemon.WriteJSON(w, http.StatusOK, PlanAccepted{a.Rev})
 			return
-		case quorum.Conflict:
+		case quorum.StatusConflict:
 			// Another operator's change came between reading and writing: without a
 			// precondition this one goes on top of what is there now.
 			if !c.If {
@@ -150,9 +150,9 @@
 func writeNotCommitted(w http.ResponseWriter, a *fb.OpTellT) {
 	w.Header().Set("Retry-After", "1")
 	switch quorum.Status(a.Status) {
-	case quorum.NotOwner:
+	case quorum.StatusNotLeader:
 		daemon.WriteJSON(w, http.StatusServiceUnavailable, ErrorResponse{Reason: "no-owner", Remedy: "nothing was changed; a majority of registrars must be up, then send again"})
-	case quorum.Full:
+	case quorum.StatusFull:
 		daemon.WriteJSON(w, http.StatusInsufficientStorage, ErrorResponse{Reason: "state-full", Remedy: "nothing was changed; raise ring_files on every registrar"})
 	default:
 		daemon.WriteJSON(w, http.StatusGatewayTimeout, ErrorResponse{Reason: "unknown", Remedy: "the change may or may not be in force; read the plan before sending again"})
@@ -199,24 +199,24 @@
 			no(http.StatusConflict, "newcomer-not-empty", "its disk belongs to a roster already; give it an empty data_dir")
 			return
 		}
-		come = &quorum.Voter{Name: a.FoundTell.Name, Addr: c.JoiningAddr, Inc: a.FoundTell.Inc}
+		come = &quorum.Voter{Name: a.FoundTell.Name, Addr: c.JoiningAddr, Incarnation: a.FoundTell.Inc}
 	}
 	next, err := ro.Next(c.Leaving, come)
 	if err != nil {
 		no(http.StatusBadRequest, "no-such-step", err.Error())
 		return
 	}
-	at := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.RosterKey})
-	if quorum.Status(at.Status) != quorum.Done {
+	at := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.VoterSetKey})
+	if quorum.Status(at.Status) != quorum.StatusDone {
 		writeNotCommitted(w, at)
 		return
 	}
-	a := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.RosterKey, Val: next.Bytes(), Expect: at.Rev})
+	a := n.Execute(q.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.VoterSetKey, Val: next.Bytes(), Expect: at.Rev})
 	switch quorum.Status(a.Status) {
-	case quorum.Done:
+	case quorum.StatusDone:
 		n.daemon.Log.Info("roster_changed", "step", next.Step(), "old", c.Leaving, "addr", c.JoiningAddr)
 		daemon.WriteJSON(w, http.StatusOK, map[string]any{"step": next.Step(), "voters": next.Voters})
-	case quorum.Conflict:
+	case quorum.StatusConflict:
 		no(http.StatusConflict, "not-now", string(a.Val))
 	default:
 		writeNotCommitted(w, a)
@@ -275,7 +275,7 @@
 	c := n.plan.Load()
 	f := FleetStatus{ControlNode: n.settings.Name, Plan: PlanStatus{c.Rev, c.Age(now)}, Slots: []SlotStatus{}, Nodes: []NodeStatus{}}
 	for i, s := range n.status.Load().slots {
-		f.Slots = append(f.Slots, SlotStatus{i, s.Owner, s.Epoch, s.Count})
+		f.Slots = append(f.Slots, SlotStatus{i, s.Leader, s.Term, s.Keys})
 	}
 	for _, member := range n.sessions.Live(now) {
 		f.Nodes = append(f.Nodes, NodeStatus{member.Name, member.Role, member.Site, member.Http, member.Addr, member.Ready, member.Registrar, member.Age, member.Duties})
--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -54,11 +54,11 @@
 	handlers      atomic.Pointer[[]transport.Handler]
 	mu            sync.Mutex
 	knownAddrs    []string // addresses to ask while this disk is in no roster
-	records       []quorum.Rec
+	records       []quorum.Record
 	voter         *quorum.Node
 	commands      chan func(now int64)
 	senders       map[string]chan *fb.FrameT
-	results       map[uint64]chan quorum.Answer
+	results       map[uint64]chan quorum.Result
 	lastOperation uint64
 	sessions      *membership.Sessions
 	plan          atomic.Pointer[plan.Held]
@@ -70,7 +70,7 @@
 }
 
 type voterStatus struct {
-	slots         []quorum.Slot
+	slots         []quorum.SlotStatus
 	stateBytes    int
 	changeAllowed bool
 	silent        map[string]bool // voters not heard lately
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	r := &Node{settings: s, daemon: d, stopReason: make(chan error, 1), commands: make(chan func(int64), 4096),
-		senders: map[string]chan *fb.FrameT{}, results: map[uint64]chan quorum.Answer{}, sessions: membership.New(s.Name)}
+		senders: map[string]chan *fb.FrameT{}, results: map[uint64]chan quorum.Result{}, sessions: membership.New(s.Name)}
 	r.peers = transport.NewPeerPool(d.Group)
 	r.status.Store(&voterStatus{})
 	r.plan.Store(&plan.Held{})
--- a/internal/app/control/embed.go
+++ b/internal/app/control/embed.go
@@ -102,7 +102,7 @@
 		c := *t
 		a := n.execute(ctx, &c)
 		again := false
-		a, doubt, again = judgeAttempt(quorum.OpKind(t.Kind), a, doubt)
+		a, doubt, again = judgeAttempt(quorum.OperationType(t.Kind), a, doubt)
 		if !again || !taskgroup.Sleep(ctx, 30_000) {
 			return a
 		}
@@ -111,25 +111,25 @@
 
 // harmless tells the operations that may be carried out twice: a read, and a claim or
 // lease that its very holder asks for again (design §4.5, §6).
-func idempotent(k quorum.OpKind) bool {
-	return k == quorum.OpGet || k == quorum.OpClaim || k == quorum.OpHold
+func idempotent(k quorum.OperationType) bool {
+	return k == quorum.OpGet || k == quorum.OpClaim || k == quorum.OpAcquire
 }
 
 // verdict is what the caller may be told after a try, whether one of the tries may
 // still take effect, and whether to try again. After a try in doubt only an answer
 // that holds whatever became of it counts; a read is never in doubt.
-func judgeAttempt(k quorum.OpKind, a *fb.OpTellT, doubt bool) (tell *fb.OpTellT, doubtful, again bool) {
+func judgeAttempt(k quorum.OperationType, a *fb.OpTellT, doubt bool) (tell *fb.OpTellT, doubtful, again bool) {
 	switch st := quorum.Status(a.Status); {
-	case st == quorum.Done || st == quorum.Conflict || st == quorum.Closed:
+	case st == quorum.StatusDone || st == quorum.StatusConflict || st == quorum.StatusGenerationClosed:
 		return a, doubt, false
-	case st == quorum.Unknown && !idempotent(k):
+	case st == quorum.StatusUnknown && !idempotent(k):
 		return a, true, false
-	case st == quorum.Unknown:
+	case st == quorum.StatusUnknown:
 		return a, doubt || k != quorum.OpGet, true
 	case doubt:
-		return &fb.OpTellT{Status: byte(quorum.Unknown)}, true, true
+		return &fb.OpTellT{Status: byte(quorum.StatusUnknown)}, true, true
 	default:
-		return a, false, st == quorum.NotOwner
+		return a, false, st == quorum.StatusNotLeader
 	}
 }
 
--- a/internal/app/control/embed_test.go
+++ b/internal/app/control/embed_test.go
@@ -11,27 +11,27 @@
 // be done twice is tried again after a doubt.
 func TestVerdict(t *testing.T) {
 	for _, c := range []struct {
-		kind         quorum.OpKind
+		kind         quorum.OperationType
 		st           quorum.Status
 		doubt        bool
 		want         quorum.Status
 		doubts, once bool
 	}{
-		{quorum.OpGet, quorum.Done, false, quorum.Done, false, true},
-		{quorum.OpGet, quorum.NotOwner, false, quorum.NotOwner, false, false},
-		{quorum.OpGet, quorum.Unknown, false, quorum.Unknown, false, false},
-		{quorum.OpPut, quorum.NotOwner, false, quorum.NotOwner, false, false},
-		{quorum.OpPut, quorum.Unknown, false, quorum.Unknown, true, true},
-		{quorum.OpFree, quorum.Unknown, false, quorum.Unknown, true, true},
-		{quorum.OpUnclaim, quorum.Unknown, false, quorum.Unknown, true, true},
-		{quorum.OpClaim, quorum.Unknown, false, quorum.Unknown, true, false},
-		{quorum.OpClaim, quorum.NotOwner, true, quorum.Unknown, true, false},
-		{quorum.OpClaim, quorum.Full, true, quorum.Unknown, true, false},
-		{quorum.OpClaim, quorum.Full, false, quorum.Full, false, true},
-		{quorum.OpClaim, quorum.Done, true, quorum.Done, true, true},
-		{quorum.OpClaim, quorum.Conflict, true, quorum.Conflict, true, true},
-		{quorum.OpHold, quorum.Unknown, false, quorum.Unknown, true, false},
-		{quorum.OpHold, quorum.NotOwner, true, quorum.Unknown, true, false},
+		{quorum.OpGet, quorum.StatusDone, false, quorum.StatusDone, false, true},
+		{quorum.OpGet, quorum.StatusNotLeader, false, quorum.StatusNotLeader, false, false},
+		{quorum.OpGet, quorum.StatusUnknown, false, quorum.StatusUnknown, false, false},
+		{quorum.OpPut, quorum.StatusNotLeader, false, quorum.StatusNotLeader, false, false},
+		{quorum.OpPut, quorum.StatusUnknown, false, quorum.StatusUnknown, true, true},
+		{quorum.OpRelease, quorum.StatusUnknown, false, quorum.StatusUnknown, true, true},
+		{quorum.OpUnclaim, quorum.StatusUnknown, false, quorum.StatusUnknown, true, true},
+		{quorum.OpClaim, quorum.StatusUnknown, false, quorum.StatusUnknown, true, false},
+		{quorum.OpClaim, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, false},
+		{quorum.OpClaim, quorum.StatusFull, true, quorum.StatusUnknown, true, false},
+		{quorum.OpClaim, quorum.StatusFull, false, quorum.StatusFull, false, true},
+		{quorum.OpClaim, quorum.StatusDone, true, quorum.StatusDone, true, true},
+		{quorum.OpClaim, quorum.StatusConflict, true, quorum.StatusConflict, true, true},
+		{quorum.OpAcquire, quorum.StatusUnknown, false, quorum.StatusUnknown, true, false},
+		{quorum.OpAcquire, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, false},
 	} {
 		a, d, again := judgeAttempt(c.kind, &fb.OpTellT{Status: byte(c.st)}, c.doubt)
 		if quorum.Status(a.Status) != c.want || d != c.doubts || again == c.once {
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -156,7 +156,7 @@
 		}
 	}
 	fleet := h.Sum64() >> 24
-	return &fb.FoundingT{Fleet: fleet, Rev: quorum.Found(fleet), Voters: vs, Seats: uint16(len(vs))}, nil
+	return &fb.FoundingT{Fleet: fleet, Rev: quorum.FirstRevision(fleet), Voters: vs, Seats: uint16(len(vs))}, nil
 }
 
 // foundTell answers who this is. A blank asker wants to be let in; one that votes may
@@ -167,13 +167,13 @@
 	switch {
 	case err != nil || q.Name == "" || q.Inc == 0:
 	case q.Blank && f != nil && n.voting.Load():
-		v := quorum.Voter{Name: q.Name, Addr: q.Addr, Inc: q.Inc}
+		v := quorum.Voter{Name: q.Name, Addr: q.Addr, Incarnation: q.Inc}
 		taskgroup.TrySend(n.commands, func(now int64) {
 			if q.First {
-				n.processReady(n.voter.Grow(now, v))
+				n.processReady(n.voter.AdmitFoundingVoter(now, v))
 				return
 			}
-			n.processReady(n.voter.Admit(now, v))
+			n.processReady(n.voter.AdmitVoter(now, v))
 		})
 	case !q.Blank && f == nil:
 		n.addKnownAddrs([]string{q.Addr})
@@ -189,7 +189,7 @@
 	far := false
 	if !taskgroup.Send(ctx, n.commands, func(now int64) {
 		var vs []quorum.Voter
-		ro := n.voter.Roster()
+		ro := n.voter.VoterSet()
 		for _, v := range ro.Voters {
 			if v.Name != n.settings.Name && n.voter.Silence(now, v.Name) > silentAfter {
 				vs = append(vs, v)
@@ -216,7 +216,7 @@
 				return
 			}
 			ro := codec.UnpackVoterSet(t.Founding)
-			taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Learn(now, ro)) })
+			taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.ObserveVoterSet(now, ro)) })
 		})
 	}
 }
@@ -247,7 +247,7 @@
 // handingOver asks the voter's loop whether this node's seat is about to be dropped.
 func (n *Node) awaitingRemoval(ctx context.Context) bool {
 	answer := make(chan bool, 1)
-	if !taskgroup.Send(ctx, n.commands, func(int64) { answer <- n.voter.HandingOver() }) {
+	if !taskgroup.Send(ctx, n.commands, func(int64) { answer <- n.voter.RemovalPending() }) {
 		return false
 	}
 	handing, ok := taskgroup.Receive(ctx, answer)
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -107,7 +107,7 @@
 func (n *Node) resetVoter() {
 	for id, ch := range n.results {
 		delete(n.results, id)
-		ch <- quorum.Answer{Status: quorum.Unknown}
+		ch <- quorum.Result{Status: quorum.StatusUnknown}
 	}
 	clear(n.senders)
 	drainChannel(n.commands)
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -23,9 +23,9 @@
 func (n *Node) forward(ctx context.Context, addr string, t *fb.OpAskT) *fb.OpTellT {
 	c := *t
 	c.Hops++
-	f, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](idempotent(quorum.OpKind(t.Kind)), 500_000, 2_000_000))
+	f, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &c}, lo.Ternary[int64](idempotent(quorum.OperationType(t.Kind)), 500_000, 2_000_000))
 	if err != nil || f.OpTell == nil {
-		return &fb.OpTellT{Status: byte(quorum.Unknown)}
+		return &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
 	}
 	return f.OpTell
 }
@@ -36,26 +36,26 @@
 		if via := n.nextPeer(); via != "" && t.Hops < maxHops {
 			return n.forward(ctx, via, t)
 		}
-		return &fb.OpTellT{Status: byte(quorum.NotOwner)}
+		return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
 	}
-	a, ok := n.propose(ctx, quorum.Op{Kind: quorum.OpKind(t.Kind), Key: t.Key, Val: t.Val, Expect: t.Expect, Holder: t.Holder, Term: t.Term})
+	a, ok := n.propose(ctx, quorum.Operation{Type: quorum.OperationType(t.Kind), Key: t.Key, Value: t.Val, ExpectedRevision: t.Expect, Holder: t.Holder, LeaseDuration: t.Term})
 	if !ok {
-		return &fb.OpTellT{Status: byte(quorum.Unknown)}
+		return &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
 	}
-	if a.Status == quorum.NotOwner && a.Owner != "" && a.Owner != n.settings.Name && t.Hops < maxHops {
+	if a.Status == quorum.StatusNotLeader && a.Leader != "" && a.Leader != n.settings.Name && t.Hops < maxHops {
 		f := n.voterSet.Load()
-		if f == nil || n.status.Load().silent[a.Owner] {
+		if f == nil || n.status.Load().silent[a.Leader] {
 			// Nothing was sent, so that it is safe to say so and try again.
-			return &fb.OpTellT{Status: byte(quorum.NotOwner)}
+			return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
 		}
-		v, ok := lo.Find(f.Voters, func(v *fb.VoterT) bool { return v.Name == a.Owner })
+		v, ok := lo.Find(f.Voters, func(v *fb.VoterT) bool { return v.Name == a.Leader })
 		if !ok {
-			return &fb.OpTellT{Status: byte(quorum.NotOwner)}
+			return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
 		}
 		return n.forward(ctx, v.Addr, t)
 	}
-	out := &fb.OpTellT{Status: byte(a.Status), Rev: a.Rev, Val: a.Val, Owner: a.Owner}
-	if t.Have != 0 && t.Have == a.Rev {
+	out := &fb.OpTellT{Status: byte(a.Status), Rev: a.Revision, Val: a.Value, Owner: a.Leader}
+	if t.Have != 0 && t.Have == a.Revision {
 		out.Val = nil
 	}
 	return out
@@ -75,7 +75,7 @@
 	case f.Settle != nil:
 		if n.voting.Load() {
 			m := codec.UnpackMessage(f.Settle)
-			taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Recv(now, m)) })
+			taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Receive(now, m)) })
 		}
 		return nil
 	case f.RollTell != nil:
@@ -104,7 +104,7 @@
 	at := clock.Now()
 	q := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: c.Rev}
 	t := n.execute(ctx, q)
-	if quorum.Status(t.Status) != quorum.Done {
+	if quorum.Status(t.Status) != quorum.StatusDone {
 		// The way to the owner may be cut here and not elsewhere. The age counts
 		// from the first question all the same.
 		if via := n.nextPeer(); via != "" {
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	if quorum.Status(t.Status) == quorum.Done {
+	if quorum.Status(t.Status) == quorum.StatusDone {
 		updated, _, _ := c.Take(plan.Word{Rev: t.Rev, Raw: t.Val, Fresh: true}, at)
 		n.plan.Store(&updated)
 	}
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -226,7 +226,7 @@
 	incarnation uint64
 	voterSet    *fb.FoundingT // nil while this disk is in no roster
 	knownAddrs  []string      // whom to ask then
-	records     []quorum.Rec
+	records     []quorum.Record
 	recordCount int
 }
 
@@ -296,7 +296,7 @@
 	return image, nil
 }
 
-func (i *diskImage) add(rec quorum.Rec, founding *fb.FoundingT) error {
+func (i *diskImage) add(rec quorum.Record, founding *fb.FoundingT) error {
 	switch {
 	case founding != nil && founding.Rev == 0: // of a disk in no roster
 		i.incarnation, i.knownAddrs = founding.Inc, voterAddrs(founding)
@@ -304,9 +304,9 @@
 	case founding != nil:
 		i.incarnation = founding.Inc
 		return i.adoptVoterSet(founding)
-	case rec.Roster != nil:
+	case rec.VoterSet != nil:
 		i.records = append(i.records, rec)
-		return i.adoptVoterSet(codec.PackVoterSet(*rec.Roster, i.incarnation))
+		return i.adoptVoterSet(codec.PackVoterSet(*rec.VoterSet, i.incarnation))
 	}
 	i.records = append(i.records, rec)
 	return nil
--- a/internal/app/control/storage_test.go
+++ b/internal/app/control/storage_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	founding := &fb.FoundingT{Inc: 7, Rev: quorum.Found(9), Voters: []*fb.VoterT{{Name: "a", Addr: s.TransportAddr, Inc: 7, Num: 1}}}
+	founding := &fb.FoundingT{Inc: 7, Rev: quorum.FirstRevision(9), Voters: []*fb.VoterT{{Name: "a", Addr: s.TransportAddr, Inc: 7, Num: 1}}}
 	if err := log.Append(codec.PackFounding(founding)); err != nil {
 		t.Fatal(err)
 	}
@@ -39,9 +39,9 @@
 	written := 0
 	for err == nil {
 		written++
-		version := quorum.Ver{Epoch: 1, Seq: uint64(written)}
-		entry := quorum.Entry{Key: fmt.Sprint("key", written%10), Ver: version, Rev: uint64(written), Val: make([]byte, 2000)}
-		err = log.Append(codec.PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 3, Epoch: 1, Mark: version, Entry: entry}))
+		version := quorum.Position{Term: 1, Index: uint64(written)}
+		entry := quorum.Entry{Key: fmt.Sprint("key", written%10), Position: version, Revision: uint64(written), Value: make([]byte, 2000)}
+		err = log.Append(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 3, Term: 1, Last: version, Entry: entry}))
 	}
 	if !errors.Is(err, wal.ErrFull) {
 		t.Fatal(err)
@@ -69,9 +69,9 @@
 	if err != nil || after.incarnation != image.incarnation || after.voterSet == nil {
 		t.Fatalf("%+v, %v", after, err)
 	}
-	before := node.newVoter(image.voterSet, image.incarnation, image.records).Slots(0)
-	for i, slot := range node.newVoter(after.voterSet, after.incarnation, after.records).Slots(0) {
-		if slot.Count != before[i].Count || slot.Mark != before[i].Mark {
+	before := node.newVoter(image.voterSet, image.incarnation, image.records).Status(0)
+	for i, slot := range node.newVoter(after.voterSet, after.incarnation, after.records).Status(0) {
+		if slot.Keys != before[i].Keys || slot.Last != before[i].Last {
 			t.Fatalf("slot %d has %+v, had %+v", i, slot, before[i])
 		}
 	}
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -40,15 +40,15 @@
 }
 
 // newVoter makes a voter from what a disk holds.
-func (n *Node) newVoter(f *fb.FoundingT, inc uint64, recs []quorum.Rec) *quorum.Node {
-	p := quorum.Defaults(n.settings.Name, inc)
-	p.EraTerm, p.Eras, p.Term = n.settings.GenerationDuration, n.settings.OpenGenerations, n.settings.LeaseDuration
-	p.Limit = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / 4)
+func (n *Node) newVoter(f *fb.FoundingT, inc uint64, recs []quorum.Record) *quorum.Node {
+	p := quorum.DefaultConfig(n.settings.Name, inc)
+	p.GenerationDuration, p.OpenGenerations, p.LeaseDuration = n.settings.GenerationDuration, n.settings.OpenGenerations, n.settings.LeaseDuration
+	p.MaxStateBytes = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / 4)
 	return quorum.New(p, codec.UnpackVoterSet(f), clock.Now(), recs)
 }
 
 func (n *Node) startLoops() {
-	tick := quorum.Defaults("", 0).Beat / 4
+	tick := quorum.DefaultConfig("", 0).HeartbeatInterval / 4
 	n.voterGroup.Go("voter", func(ctx context.Context) {
 		taskgroup.Serve(ctx, n.commands, clock.Duration(tick), func(f func(int64)) { f(clock.Now()) }, n.tickVoter)
 	})
@@ -71,12 +71,12 @@
 	n.recordsSynced(now)
 	n.updateLogPressure()
 	n.processReady(n.voter.Tick(now))
-	n.generation.Store(n.voter.Open())
+	n.generation.Store(n.voter.Generation())
 	mute := map[string]bool{}
-	for _, v := range n.voter.Roster().Voters {
+	for _, v := range n.voter.VoterSet().Voters {
 		mute[v.Name] = n.voter.Silence(now, v.Name) > contactTimeout
 	}
-	n.status.Store(&voterStatus{n.voter.Slots(now), n.voter.Size(), n.voter.Firm(), mute})
+	n.status.Store(&voterStatus{n.voter.Status(now), n.voter.StateBytes(), n.voter.AllSlotsRecovered(), mute})
 }
 
 // noteRoom has the voter refuse new changes while the ring has little room.
@@ -87,7 +87,7 @@
 		return
 	}
 	n.logTight = tight
-	n.voter.Tight(tight)
+	n.voter.SetDiskLow(tight)
 	n.daemon.Log.Info("ring_tight", "tight", tight, "used_permille", used)
 }
 
@@ -95,7 +95,7 @@
 func (n *Node) broadcastSessions(context.Context) {
 	m := &fb.FrameT{RollTell: n.sessions.Announcement(clock.Now())}
 	taskgroup.TrySend(n.commands, func(int64) {
-		for _, v := range n.voter.Roster().Voters {
+		for _, v := range n.voter.VoterSet().Voters {
 			n.sendTo(v.Name, m)
 		}
 	})
@@ -115,24 +115,24 @@
 }
 
 // out carries a step's effects out.
-func (n *Node) processReady(o quorum.Out) {
+func (n *Node) processReady(o quorum.Ready) {
 	for _, e := range o.Events {
 		if !strings.HasPrefix(e, "unheard") {
 			n.daemon.Log.Info("settle", "what", e)
 		}
 	}
-	n.queueRecords(o.Recs)
-	if o.Roster != nil {
-		f := codec.PackVoterSet(*o.Roster, n.Incarnation())
+	n.queueRecords(o.Records)
+	if o.VoterSet != nil {
+		f := codec.PackVoterSet(*o.VoterSet, n.Incarnation())
 		n.voterSet.Store(f)
 		if !n.isVoter(f) {
 			n.stopVoter(errRetired)
 		}
 	}
-	for _, s := range o.Sends {
-		n.sendTo(s.To, codec.PackMessage(s.Msg))
+	for _, s := range o.Messages {
+		n.sendTo(s.To, codec.PackMessage(s.Message))
 	}
-	for _, a := range o.Answers {
+	for _, a := range o.Results {
 		if ch := n.results[a.ID]; ch != nil {
 			delete(n.results, a.ID)
 			ch <- a
@@ -146,7 +146,7 @@
 	if name == n.settings.Name {
 		return
 	}
-	v, ok := n.voter.Roster().Find(name)
+	v, ok := n.voter.VoterSet().Find(name)
 	if !ok {
 		return
 	}
@@ -169,15 +169,15 @@
 }
 
 // do starts an operation here and waits for its answer.
-func (n *Node) propose(ctx context.Context, op quorum.Op) (quorum.Answer, bool) {
-	ch := make(chan quorum.Answer, 1)
+func (n *Node) propose(ctx context.Context, op quorum.Operation) (quorum.Result, bool) {
+	ch := make(chan quorum.Result, 1)
 	if !taskgroup.Send(ctx, n.commands, func(now int64) {
 		n.lastOperation++
 		op.ID = n.lastOperation
 		n.results[op.ID] = ch
-		n.processReady(n.voter.Do(now, op))
+		n.processReady(n.voter.Propose(now, op))
 	}) {
-		return quorum.Answer{}, false
+		return quorum.Result{}, false
 	}
 	return taskgroup.Receive(ctx, ch)
 }
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -20,12 +20,12 @@
 // batch is what the voter wants on disk.
 type batch struct {
 	records    [][]byte
-	checkpoint []quorum.Rec // or: the state at this point, to be restated
+	checkpoint []quorum.Record // or: the state at this point, to be restated
 }
 
 // record queues records for the disk. The voter never waits for it: one that falls this
 // far behind is stopped.
-func (n *Node) queueRecords(recs []quorum.Rec) {
+func (n *Node) queueRecords(recs []quorum.Record) {
 	if len(recs) == 0 || n.storage.recordsLost {
 		return
 	}
@@ -58,8 +58,8 @@
 type writer struct {
 	node          *Node
 	log           *wal.Log
-	remaining     []quorum.Rec // still to be written
-	checkpointing bool         // a checkpoint has begun
+	remaining     []quorum.Record // still to be written
+	checkpointing bool            // a checkpoint has begun
 	operation     int64
 }
 
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func (w *writer) beginCheckpoint(state []quorum.Rec) error {
+func (w *writer) beginCheckpoint(state []quorum.Record) error {
 	founding := *w.node.voterSet.Load()
 	founding.Inc = w.node.Incarnation()
 	if err := w.log.BeginCheckpoint(); err != nil {
@@ -178,7 +178,7 @@
 	if st.recordsLost {
 		return // what was dropped never comes to lie on the disk, whatever is written after it
 	}
-	n.processReady(n.voter.Synced(now, st.syncedRecords.Load()))
+	n.processReady(n.voter.RecordsSynced(now, st.syncedRecords.Load()))
 	if st.checkpointWanted.Load() && st.checkpointQueued.CompareAndSwap(false, true) {
 		// Behind all records that the state follows from.
 		if !taskgroup.TrySend(st.pending, batch{checkpoint: n.voter.Checkpoint()}) {
--- a/internal/app/directory/conduct.go
+++ b/internal/app/directory/conduct.go
@@ -85,7 +85,7 @@
 // newConductor makes a conductor that goes on where the last one left off.
 func (d *Directory) newScheduler(ctx context.Context, now int64) bool {
 	a := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: RolloutKey})
-	if quorum.Status(a.Status) != quorum.Done {
+	if quorum.Status(a.Status) != quorum.StatusDone {
 		return false
 	}
 	state, err := rollout.UnmarshalState(a.Val)
@@ -134,7 +134,7 @@
 func (d *Directory) saveState(ctx context.Context, role *weightsRole) bool {
 	val := role.scheduler.State.Marshal()
 	a := d.control.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpPut), Key: RolloutKey, Val: val, Expect: role.stateRevision})
-	if quorum.Status(a.Status) != quorum.Done {
+	if quorum.Status(a.Status) != quorum.StatusDone {
 		role.scheduler = nil // read anew what stands there
 		return false
 	}
@@ -161,8 +161,8 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, clock.Duration(800_000))
 	defer stop()
-	a := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpHold), Key: WeightsRoleKey, Holder: role.leaderID, Term: term})
-	if quorum.Status(a.Status) != quorum.Done {
+	a := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpAcquire), Key: WeightsRoleKey, Holder: role.leaderID, Term: term})
+	if quorum.Status(a.Status) != quorum.StatusDone {
 		return now < lease.ExpiresAt
 	}
 	if a.Rev != lease.FencingToken {
@@ -239,5 +239,5 @@
 		return
 	}
 	role.inFlight.Wait()
-	d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpFree), Key: WeightsRoleKey, Holder: role.leaderID, Expect: lease.FencingToken})
+	d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpRelease), Key: WeightsRoleKey, Holder: role.leaderID, Expect: lease.FencingToken})
 }
--- a/internal/app/directory/conduct_test.go
+++ b/internal/app/directory/conduct_test.go
@@ -43,27 +43,27 @@
 }
 
 func (c *fakeControl) ExecuteOnce(_ context.Context, q *fb.OpAskT) *fb.OpTellT {
-	if quorum.OpKind(q.Kind) == quorum.OpFree {
+	if quorum.OperationType(q.Kind) == quorum.OpRelease {
 		c.onFree()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.silent {
-		return &fb.OpTellT{Status: byte(quorum.NotOwner)}
+		return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
 	}
-	switch quorum.OpKind(q.Kind) {
+	switch quorum.OperationType(q.Kind) {
 	case quorum.OpPut:
 		if q.Expect != c.revs[q.Key] {
-			return &fb.OpTellT{Status: byte(quorum.Conflict), Rev: c.revs[q.Key]}
+			return &fb.OpTellT{Status: byte(quorum.StatusConflict), Rev: c.revs[q.Key]}
 		}
 		c.values[q.Key] = q.Val
 		c.revs[q.Key]++
-	case quorum.OpHold:
+	case quorum.OpAcquire:
 		if c.revs[q.Key] == 0 {
 			c.revs[q.Key] = 1
 		}
 	}
-	return &fb.OpTellT{Status: byte(quorum.Done), Rev: c.revs[q.Key], Val: c.values[q.Key]}
+	return &fb.OpTellT{Status: byte(quorum.StatusDone), Rev: c.revs[q.Key], Val: c.values[q.Key]}
 }
 
 func (c *fakeControl) VoterAddrs() []string             { return c.voters }
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -89,7 +89,7 @@
 	d.mu.Unlock()
 	at := clock.Now()
 	a := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key, Have: have})
-	if quorum.Status(a.Status) != quorum.Done {
+	if quorum.Status(a.Status) != quorum.StatusDone {
 		return
 	}
 	d.mu.Lock()
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -236,12 +236,12 @@
 		return "claim-unavailable"
 	}
 	switch quorum.Status(f.OpTell.Status) {
-	case quorum.Done:
+	case quorum.StatusDone:
 		r.claims.add(clock.Now() - at)
 		return ""
-	case quorum.Conflict:
+	case quorum.StatusConflict:
 		return "duplicate"
-	case quorum.Closed:
+	case quorum.StatusGenerationClosed:
 		return "era-closed"
 	}
 	return "claim-unavailable"
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -188,9 +188,9 @@
 }
 
 func (c *custodian) hold(ctx context.Context, a index.DutyAsk) {
-	kind := quorum.OpHold
+	kind := quorum.OpAcquire
 	if a.Free {
-		kind = quorum.OpFree
+		kind = quorum.OpRelease
 	}
 	at := clock.Now()
 	t, err := c.ses.Op(ctx, &fb.OpAskT{Kind: byte(kind), Key: a.Key, Expect: a.Epoch, Holder: c.holder, Term: index.DutyTerm}, 1_000_000)
@@ -199,7 +199,7 @@
 			k.Held(now, a, at, false, 0)
 			return
 		}
-		ok := quorum.Status(t.Status) == quorum.Done
+		ok := quorum.Status(t.Status) == quorum.StatusDone
 		if ok && a.Epoch != t.Rev && !a.Free {
 			c.d.Log.Info("duty", "key", a.Key, "epoch", t.Rev)
 		}
--- a/internal/app/session/session.go
+++ b/internal/app/session/session.go
@@ -158,9 +158,9 @@
 			}
 		case r.OpTell == nil:
 			last = trace.BadParameter("a registrar answered out of turn")
-		case quorum.Status(r.OpTell.Status) == quorum.Unknown && op.Kind != byte(quorum.OpPut):
+		case quorum.Status(r.OpTell.Status) == quorum.StatusUnknown && op.Kind != byte(quorum.OpPut):
 			last = trace.ConnectionProblem(nil, "the key changed owners meanwhile; ask again")
-		case quorum.Status(r.OpTell.Status) == quorum.NotOwner:
+		case quorum.Status(r.OpTell.Status) == quorum.StatusNotLeader:
 			last = trace.ConnectionProblem(nil, "the key has no owner just now; try again in a second")
 		default:
 			return r.OpTell, nil
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -81,61 +81,61 @@
 	return body, nil
 }
 
-func ver(v quorum.Ver) *fb.VerT {
-	if v == (quorum.Ver{}) {
+func ver(v quorum.Position) *fb.VerT {
+	if v == (quorum.Position{}) {
 		return nil
 	}
-	return &fb.VerT{Epoch: v.Epoch, Seq: v.Seq}
+	return &fb.VerT{Epoch: v.Term, Seq: v.Index}
 }
 
-func unver(v *fb.VerT) quorum.Ver {
+func unver(v *fb.VerT) quorum.Position {
 	if v == nil {
-		return quorum.Ver{}
+		return quorum.Position{}
 	}
-	return quorum.Ver{Epoch: v.Epoch, Seq: v.Seq}
+	return quorum.Position{Term: v.Epoch, Index: v.Seq}
 }
 
 func entry(e quorum.Entry) *fb.EntryT {
-	return &fb.EntryT{Key: e.Key, Ver: ver(e.Ver), Rev: e.Rev, Val: e.Val}
+	return &fb.EntryT{Key: e.Key, Ver: ver(e.Position), Rev: e.Revision, Val: e.Value}
 }
 
 func unentry(e *fb.EntryT) quorum.Entry {
 	if e == nil {
 		return quorum.Entry{}
 	}
-	return quorum.Entry{Key: e.Key, Ver: unver(e.Ver), Rev: e.Rev, Val: e.Val}
+	return quorum.Entry{Key: e.Key, Position: unver(e.Ver), Revision: e.Rev, Value: e.Val}
 }
 
 // Settle packs a voters' message.
-func PackMessage(m quorum.Msg) *fb.FrameT {
-	return &fb.FrameT{Settle: &fb.SettleT{Kind: byte(m.Kind), From: m.From, Inc: m.Inc, Roster: m.Roster,
-		Slot: m.Slot, Epoch: m.Epoch, At: m.At, Prev: ver(m.Prev), Mark: ver(m.Mark), Settled: ver(m.Settled),
-		Joined: m.Joined, First: m.First, Keys: m.Keys, Promised: m.Promised, Era: m.Era, More: m.More,
+func PackMessage(m quorum.Message) *fb.FrameT {
+	return &fb.FrameT{Settle: &fb.SettleT{Kind: byte(m.Type), From: m.From, Inc: m.Incarnation, Roster: m.VoterSetRevision,
+		Slot: m.Slot, Epoch: m.Term, At: m.Time, Prev: ver(m.Previous), Mark: ver(m.Last), Settled: ver(m.Committed),
+		Joined: m.LogTerm, First: m.Joining, Keys: m.Keys, Promised: m.Promised, Era: m.Generation, More: m.More,
 		Entries: lo.Map(m.Entries, func(e quorum.Entry, _ int) *fb.EntryT { return entry(e) }),
-		Marks: lo.Map(m.Marks, func(k quorum.Mark, _ int) *fb.MarkT {
-			return &fb.MarkT{Slot: k.Slot, Epoch: k.Epoch, Last: ver(k.Last), Settled: ver(k.Settled), Firm: k.Firm}
+		Marks: lo.Map(m.Progress, func(k quorum.SlotProgress, _ int) *fb.MarkT {
+			return &fb.MarkT{Slot: k.Slot, Epoch: k.Term, Last: ver(k.Last), Settled: ver(k.Committed), Firm: k.Recovered}
 		})}}
 }
 
 // Unsettle unpacks a voters' message.
-func UnpackMessage(t *fb.SettleT) quorum.Msg {
-	return quorum.Msg{Kind: quorum.Kind(t.Kind), From: t.From, Inc: t.Inc, Roster: t.Roster,
-		Slot: t.Slot, Epoch: t.Epoch, At: t.At, Prev: unver(t.Prev), Mark: unver(t.Mark), Settled: unver(t.Settled),
-		Joined: t.Joined, First: t.First, Keys: t.Keys, Promised: t.Promised, Era: t.Era, More: t.More,
+func UnpackMessage(t *fb.SettleT) quorum.Message {
+	return quorum.Message{Type: quorum.MessageType(t.Kind), From: t.From, Incarnation: t.Inc, VoterSetRevision: t.Roster,
+		Slot: t.Slot, Term: t.Epoch, Time: t.At, Previous: unver(t.Prev), Last: unver(t.Mark), Committed: unver(t.Settled),
+		LogTerm: t.Joined, Joining: t.First, Keys: t.Keys, Promised: t.Promised, Generation: t.Era, More: t.More,
 		Entries: lo.Map(t.Entries, func(e *fb.EntryT, _ int) quorum.Entry { return unentry(e) }),
-		Marks: lo.Map(t.Marks, func(k *fb.MarkT, _ int) quorum.Mark {
-			return quorum.Mark{Slot: k.Slot, Epoch: k.Epoch, Last: unver(k.Last), Settled: unver(k.Settled), Firm: k.Firm}
+		Progress: lo.Map(t.Marks, func(k *fb.MarkT, _ int) quorum.SlotProgress {
+			return quorum.SlotProgress{Slot: k.Slot, Term: k.Epoch, Last: unver(k.Last), Committed: unver(k.Settled), Recovered: k.Firm}
 		})}
 }
 
 // Rec packs a record for the disk.
-func PackRecord(r quorum.Rec) []byte {
-	t := &fb.RecT{Kind: byte(r.Kind), Slot: r.Slot, Epoch: r.Epoch, Mark: ver(r.Mark), Settled: ver(r.Settled)}
-	if r.Kind == quorum.RecEntry || r.Kind == quorum.RecDrop {
+func PackRecord(r quorum.Record) []byte {
+	t := &fb.RecT{Kind: byte(r.Type), Slot: r.Slot, Epoch: r.Term, Mark: ver(r.Last), Settled: ver(r.Committed)}
+	if r.Type == quorum.RecordEntry || r.Type == quorum.RecordDelete {
 		t.Entry = entry(r.Entry)
 	}
-	if r.Roster != nil {
-		t.Founding = PackVoterSet(*r.Roster, 0)
+	if r.VoterSet != nil {
+		t.Founding = PackVoterSet(*r.VoterSet, 0)
 	}
 	return packRec(t)
 }
@@ -153,7 +153,7 @@
 func PackFounding(f *fb.FoundingT) []byte { return packRec(&fb.RecT{Kind: kindFounding, Founding: f}) }
 
 // Unrec unpacks what the disk held; founding is set on that record alone.
-func UnpackRecord(d []byte) (r quorum.Rec, founding *fb.FoundingT, err error) {
+func UnpackRecord(d []byte) (r quorum.Record, founding *fb.FoundingT, err error) {
 	if err := Verify(d, recType); err != nil {
 		return r, nil, err
 	}
@@ -166,22 +166,22 @@
 	}
 	if t.Founding != nil {
 		ro := UnpackVoterSet(t.Founding)
-		r.Roster = &ro
+		r.VoterSet = &ro
 	}
-	return quorum.Rec{Roster: r.Roster, Kind: quorum.RecKind(t.Kind), Slot: t.Slot, Epoch: t.Epoch, Mark: unver(t.Mark),
-		Settled: unver(t.Settled), Entry: unentry(t.Entry)}, nil, nil
+	return quorum.Record{VoterSet: r.VoterSet, Type: quorum.RecordType(t.Kind), Slot: t.Slot, Term: t.Epoch, Last: unver(t.Mark),
+		Committed: unver(t.Settled), Entry: unentry(t.Entry)}, nil, nil
 }
 
 // Roster packs a roster, with the incarnation of the disk it lies on.
-func PackVoterSet(ro quorum.Roster, inc uint64) *fb.FoundingT {
-	return &fb.FoundingT{Fleet: ro.Fleet(), Inc: inc, Rev: ro.Rev, Seats: ro.Seats, Voters: lo.Map(ro.Voters, func(v quorum.Voter, _ int) *fb.VoterT {
-		return &fb.VoterT{Name: v.Name, Addr: v.Addr, Inc: v.Inc, Num: v.Num}
+func PackVoterSet(ro quorum.VoterSet, inc uint64) *fb.FoundingT {
+	return &fb.FoundingT{Fleet: ro.Fleet(), Inc: inc, Rev: ro.Revision, Seats: ro.Seats, Voters: lo.Map(ro.Voters, func(v quorum.Voter, _ int) *fb.VoterT {
+		return &fb.VoterT{Name: v.Name, Addr: v.Addr, Inc: v.Incarnation, Num: v.Number}
 	})}
 }
 
 // Unroster unpacks a roster.
-func UnpackVoterSet(f *fb.FoundingT) quorum.Roster {
-	return quorum.Roster{Rev: f.Rev, Seats: f.Seats, Voters: lo.Map(f.Voters, func(v *fb.VoterT, _ int) quorum.Voter {
-		return quorum.Voter{Name: v.Name, Addr: v.Addr, Inc: v.Inc, Num: v.Num}
+func UnpackVoterSet(f *fb.FoundingT) quorum.VoterSet {
+	return quorum.VoterSet{Revision: f.Rev, Seats: f.Seats, Voters: lo.Map(f.Voters, func(v *fb.VoterT, _ int) quorum.Voter {
+		return quorum.Voter{Name: v.Name, Addr: v.Addr, Incarnation: v.Inc, Number: v.Num}
 	})}
 }
--- a/internal/codec/record_test.go
+++ b/internal/codec/record_test.go
@@ -10,14 +10,14 @@
 
 // diskRecords is one record of each kind, as a disk holds them.
 func diskRecords() [][]byte {
-	roster := quorum.Roster{Rev: quorum.Found(5), Voters: []quorum.Voter{{Name: "a", Addr: "10.0.0.1:1", Inc: 3, Num: 1}}}
-	entry := quorum.Entry{Key: "plan", Ver: quorum.Ver{Epoch: 3, Seq: 9}, Rev: 4, Val: []byte("{}")}
+	roster := quorum.VoterSet{Revision: quorum.FirstRevision(5), Voters: []quorum.Voter{{Name: "a", Addr: "10.0.0.1:1", Incarnation: 3, Number: 1}}}
+	entry := quorum.Entry{Key: "plan", Position: quorum.Position{Term: 3, Index: 9}, Revision: 4, Value: []byte("{}")}
 	return [][]byte{
-		PackRecord(quorum.Rec{Kind: quorum.RecPromise, Slot: 1, Epoch: 65537}),
-		PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 2, Epoch: 3, Mark: quorum.Ver{Epoch: 3, Seq: 9}, Settled: quorum.Ver{Epoch: 3, Seq: 8}, Entry: entry}),
-		PackRecord(quorum.Rec{Kind: quorum.RecDrop, Slot: 2, Entry: quorum.Entry{Key: "gone"}}),
-		PackRecord(quorum.Rec{Kind: quorum.RecJoin, Slot: 2, Epoch: 4, Mark: quorum.Ver{Epoch: 4}}),
-		PackRecord(quorum.Rec{Kind: quorum.RecRoster, Roster: &roster}),
+		PackRecord(quorum.Record{Type: quorum.RecordPromise, Slot: 1, Term: 65537}),
+		PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 2, Term: 3, Last: quorum.Position{Term: 3, Index: 9}, Committed: quorum.Position{Term: 3, Index: 8}, Entry: entry}),
+		PackRecord(quorum.Record{Type: quorum.RecordDelete, Slot: 2, Entry: quorum.Entry{Key: "gone"}}),
+		PackRecord(quorum.Record{Type: quorum.RecordLogState, Slot: 2, Term: 4, Last: quorum.Position{Term: 4}}),
+		PackRecord(quorum.Record{Type: quorum.RecordVoterSet, VoterSet: &roster}),
 		PackFounding(PackVoterSet(roster, 3)),
 		PackFounding(&fb.FoundingT{Inc: 8}),
 	}
--- a/internal/codec/wire_test.go
+++ b/internal/codec/wire_test.go
@@ -16,10 +16,10 @@
 )
 
 func samples() []*fb.FrameT {
-	e := quorum.Entry{Key: "plan", Ver: quorum.Ver{Epoch: 3, Seq: 9}, Rev: 4, Val: []byte(`{"weights":"w1"}`)}
+	e := quorum.Entry{Key: "plan", Position: quorum.Position{Term: 3, Index: 9}, Revision: 4, Value: []byte(`{"weights":"w1"}`)}
 	return []*fb.FrameT{
-		PackMessage(quorum.Msg{Kind: quorum.SeekOK, From: "a", Inc: 7, Roster: 1, Slot: 3, Epoch: 65537, Mark: quorum.Ver{Epoch: 1, Seq: 2}, Entries: []quorum.Entry{e, e}, Keys: []string{"x", "yy"}}),
-		PackMessage(quorum.Msg{Kind: quorum.Beat, From: "b", At: -5, Marks: []quorum.Mark{{Slot: 1, Epoch: 2, Last: quorum.Ver{Epoch: 2, Seq: 1}}}}),
+		PackMessage(quorum.Message{Type: quorum.MsgVoteGranted, From: "a", Incarnation: 7, VoterSetRevision: 1, Slot: 3, Term: 65537, Last: quorum.Position{Term: 1, Index: 2}, Entries: []quorum.Entry{e, e}, Keys: []string{"x", "yy"}}),
+		PackMessage(quorum.Message{Type: quorum.MsgHeartbeat, From: "b", Time: -5, Progress: []quorum.SlotProgress{{Slot: 1, Term: 2, Last: quorum.Position{Term: 2, Index: 1}}}}),
 		{Ref: 5, RoomTell: &fb.RoomTellT{Custodian: "c", Orders: []*fb.OrderT{{Engine: "e", Addr: "1.2.3.4:5", Room: 3, Grades: []*fb.GradeT{{Peer: 1, Worth: 2}}}}, News: []*fb.NewsT{{Hi: 1, Lo: 2, Op: 1}}}},
 		{BeatTell: &fb.BeatTellT{Rev: 3, Plan: []byte("{}"), Nodes: []*fb.NodeT{{Name: "n", Duties: []string{"duty/shard/1"}}}, Registrars: []string{"a", "b"}}},
 		{NewsAsk: &fb.NewsAskT{From: "x", Shards: []uint16{1, 2, 3}}},
@@ -28,10 +28,10 @@
 
 // TestRoundTrip: what goes in comes out, for messages of voters and records.
 func TestRoundTrip(t *testing.T) {
-	e := quorum.Entry{Key: "k", Ver: quorum.Ver{Epoch: 1, Seq: 2}, Rev: 3, Val: []byte{0, 255}}
-	m := quorum.Msg{Kind: quorum.Fill, From: "a", Inc: 1, Roster: 2, Slot: 3, Epoch: 4, At: -5, Prev: quorum.Ver{Epoch: 1}, Mark: quorum.Ver{Seq: 2},
-		Settled: quorum.Ver{Epoch: 8, Seq: 8}, Joined: 6, First: true, Entries: []quorum.Entry{e}, Keys: []string{"q"},
-		Marks: []quorum.Mark{{Slot: 1, Epoch: 2, Last: quorum.Ver{Epoch: 1, Seq: 1}, Settled: quorum.Ver{Epoch: 1, Seq: 0}}}, Promised: 9}
+	e := quorum.Entry{Key: "k", Position: quorum.Position{Term: 1, Index: 2}, Revision: 3, Value: []byte{0, 255}}
+	m := quorum.Message{Type: quorum.MsgSnapshotChunk, From: "a", Incarnation: 1, VoterSetRevision: 2, Slot: 3, Term: 4, Time: -5, Previous: quorum.Position{Term: 1}, Last: quorum.Position{Index: 2},
+		Committed: quorum.Position{Term: 8, Index: 8}, LogTerm: 6, Joining: true, Entries: []quorum.Entry{e}, Keys: []string{"q"},
+		Progress: []quorum.SlotProgress{{Slot: 1, Term: 2, Last: quorum.Position{Term: 1, Index: 1}, Committed: quorum.Position{Term: 1, Index: 0}}}, Promised: 9}
 	f, err := ReadFrame(bytes.NewReader(Encode(PackMessage(m))))
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	if g := UnpackMessage(f.Settle); !reflect.DeepEqual(g, m) {
 		t.Fatalf("%+v became %+v", m, g)
 	}
-	c := quorum.Rec{Kind: quorum.RecEntry, Slot: 5, Epoch: 6, Mark: quorum.Ver{Epoch: 1, Seq: 2}, Settled: quorum.Ver{Epoch: 1, Seq: 1}, Entry: e}
+	c := quorum.Record{Type: quorum.RecordEntry, Slot: 5, Term: 6, Last: quorum.Position{Term: 1, Index: 2}, Committed: quorum.Position{Term: 1, Index: 1}, Entry: e}
 	if g, _, err := UnpackRecord(PackRecord(c)); err != nil || !reflect.DeepEqual(g, c) {
 		t.Fatalf("%+v became %+v, %v", c, g, err)
 	}
--- a/internal/e2e/disk_test.go
+++ b/internal/e2e/disk_test.go
@@ -37,14 +37,14 @@
 
 // try puts a value and returns how that ended.
 func (c *core) try(name, key, val string) quorum.Status {
-	a := c.m[name].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: key, Val: []byte(val), Expect: quorum.AnyRev})
+	a := c.m[name].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: key, Val: []byte(val), Expect: quorum.AnyRevision})
 	return quorum.Status(a.Status)
 }
 
 // putSoon puts a value as an operator does, who tries again.
 func (c *core) putSoon(name, key, val string) {
 	c.t.Helper()
-	c.until(fmt.Sprintf("%s is put at %s", key, name), time.Now(), func() bool { return c.try(name, key, val) == quorum.Done })
+	c.until(fmt.Sprintf("%s is put at %s", key, name), time.Now(), func() bool { return c.try(name, key, val) == quorum.StatusDone })
 }
 
 // ownsNothing tells whether no slot has this owner, as another machine sees it.
@@ -130,7 +130,7 @@
 		c.m[n].disk.turn("full")
 	}
 	for i := range 6 {
-		if s := c.try(all[i%3], "plan", "never"); s == quorum.Done {
+		if s := c.try(all[i%3], "plan", "never"); s == quorum.StatusDone {
 			t.Fatal("a change was confirmed that no disk holds")
 		}
 	}
@@ -146,7 +146,7 @@
 	c.bound("all are back", c.until("all are back", at, func() bool { return c.whole(all...) }), 10*time.Second)
 	// What was answered "unknown" may have taken effect, nothing else.
 	a := c.m["a"].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: "plan"})
-	if v := string(a.Val); quorum.Status(a.Status) != quorum.Done || v != "v1" && v != "never" {
+	if v := string(a.Val); quorum.Status(a.Status) != quorum.StatusDone || v != "v1" && v != "never" {
 		t.Fatalf("read %d %q", a.Status, v)
 	}
 	c.putSoon("a", "plan", "v2")
@@ -177,7 +177,7 @@
 			for _, n := range []string{"d", "c"} {
 				c.until(n+" says why it waits", time.Now(), func() bool { return c.saysWhy(n, sickness.cause) })
 			}
-			if s := c.try("a", "plan", "never"); s == quorum.Done {
+			if s := c.try("a", "plan", "never"); s == quorum.StatusDone {
 				t.Fatal("two of four confirmed a change")
 			}
 			at := time.Now()
@@ -341,7 +341,7 @@
 			}
 			// Alone with such seeds it neither votes with others nor answers for them.
 			c.kill("a", "b")
-			if s := c.try("c", "plan", "alone"); s == quorum.Done {
+			if s := c.try("c", "plan", "alone"); s == quorum.StatusDone {
 				t.Fatal("one of three confirmed a change")
 			}
 			c.start("a", false)
--- a/quorum/admit_test.go
+++ b/quorum/admit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func addressed(n int) Roster {
+func addressed(n int) VoterSet {
 	r := voters(n)
 	for i := range r.Voters {
 		r.Voters[i].Addr = "at-" + r.Voters[i].Name
@@ -15,7 +15,7 @@
 }
 
 func TestAdmit(t *testing.T) {
-	z := Voter{Name: "z", Addr: "at-z", Inc: 99}
+	z := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
 	for _, c := range []struct {
 		what    string
 		voters  int
@@ -27,15 +27,15 @@
 		{"a fourth is added to three", 3, z, "", "abcz", true},
 		{"a fifth is added to four", 4, z, "", "abcdz", true},
 		{"nine are enough", 9, z, "", "", false},
-		{"a disk lost, even", 4, Voter{Name: "b", Addr: "at-b", Inc: 99}, "", "acdb", true},
-		{"a disk lost, odd: it goes first", 3, Voter{Name: "b", Addr: "at-b", Inc: 99}, "", "ac", false},
-		{"then it comes", 2, Voter{Name: "c", Addr: "at-c", Inc: 99}, "", "abc", true},
-		{"another name at a voter's address", 4, Voter{Name: "z", Addr: "at-b", Inc: 99}, "", "acdz", true},
-		{"another address under a voter's name", 4, Voter{Name: "b", Addr: "at-z", Inc: 99}, "", "acdb", true},
-		{"a lost disk goes before a silent voter", 4, Voter{Name: "b", Addr: "at-b", Inc: 99}, "d=9000", "acdb", true},
-		{"a lost disk among nine", 9, Voter{Name: "b", Addr: "at-b", Inc: 99}, "", "acdefghi", false},
-		{"in already", 4, Voter{Name: "b", Addr: "at-b", Inc: 2}, "", "", false},
-		{"another's number", 4, Voter{Name: "z", Addr: "at-z", Inc: 2}, "d=9000", "", false},
+		{"a disk lost, even", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
+		{"a disk lost, odd: it goes first", 3, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "ac", false},
+		{"then it comes", 2, Voter{Name: "c", Addr: "at-c", Incarnation: 99}, "", "abc", true},
+		{"another name at a voter's address", 4, Voter{Name: "z", Addr: "at-b", Incarnation: 99}, "", "acdz", true},
+		{"another address under a voter's name", 4, Voter{Name: "b", Addr: "at-z", Incarnation: 99}, "", "acdb", true},
+		{"a lost disk goes before a silent voter", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "d=9000", "acdb", true},
+		{"a lost disk among nine", 9, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdefghi", false},
+		{"in already", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 2}, "", "", false},
+		{"another's number", 4, Voter{Name: "z", Addr: "at-z", Incarnation: 2}, "d=9000", "", false},
 		{"a voter gone, even", 4, z, "c=1500", "abdz", true},
 		{"a voter gone, odd", 3, z, "c=1600", "ab", false},
 		{"the one longest gone", 6, z, "c=1600 e=1700", "abcdfz", true},
@@ -44,9 +44,9 @@
 		{"a beat late is no doubt", 4, z, "c=400", "abcdz", true},
 		{"just come, it may be in the place of one not yet missed", 4, z, "", "", false},
 		{"just come, a voter gone", 4, z, "c=1500", "abdz", true},
-		{"just come, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Inc: 99}, "", "acdb", true},
+		{"just come, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
 		{"no majority heard", 4, z, "b=9000 c=9000", "", false},
-		{"no majority heard, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Inc: 99}, "b=9000 c=9000", "", false},
+		{"no majority heard, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "b=9000 c=9000", "", false},
 		{"one of two gone: no majority is left", 2, z, "b=9000", "", false},
 	} {
 		silent := map[string]int64{}
@@ -66,7 +66,7 @@
 		got, in := "", false
 		for _, v := range n.Voters {
 			got += v.Name
-			in = in || v.Inc == c.v.Inc
+			in = in || v.Incarnation == c.v.Incarnation
 		}
 		if !ok {
 			got = ""
@@ -74,7 +74,7 @@
 		if got != c.want || ok && in != c.newcome {
 			t.Errorf("%s: got %q, newcomer in: %v", c.what, got, in)
 		}
-		if ok && (disjoint(r, n) || step(r, n) != nil) {
+		if ok && (disjoint(r, n) || checkStep(r, n) != nil) {
 			t.Errorf("%s: two majorities without a common voter", c.what)
 		}
 	}
@@ -82,13 +82,13 @@
 
 // TestSilence counts from what this node could hear, never from before.
 func TestSilence(t *testing.T) {
-	n := New(Defaults("a", 1), addressed(3), 10_000_000, nil)
+	n := New(DefaultConfig("a", 1), addressed(3), 10_000_000, nil)
 	now := int64(10_000_000)
 	for ; now < 12_000_000; now += 25_000 {
 		n.Tick(now)
 		if now < 11_000_000 {
-			n.Recv(now, Msg{Kind: RosterAsk, From: "b", Inc: 2, Roster: n.Roster().Rev})
-			n.Recv(now, Msg{Kind: RosterAsk, From: "c", Inc: 77, Roster: n.Roster().Rev})
+			n.Receive(now, Message{Type: MsgVoterSetRequest, From: "b", Incarnation: 2, VoterSetRevision: n.VoterSet().Revision})
+			n.Receive(now, Message{Type: MsgVoterSetRequest, From: "c", Incarnation: 77, VoterSetRevision: n.VoterSet().Revision})
 		}
 	}
 	now -= 25_000
@@ -109,20 +109,20 @@
 // that never did has nothing to wait for.
 func TestGrace(t *testing.T) {
 	for _, c := range []struct {
-		recs []Rec
-		want Kind
+		recs []Record
+		want MessageType
 	}{
-		{nil, SeekOK},
-		{[]Rec{{Kind: RecPromise, Slot: 3, Epoch: 0}}, SeekOK},
-		{[]Rec{{Kind: RecPromise, Slot: 3, Epoch: 1 << 16}}, SeekNo},
+		{nil, MsgVoteGranted},
+		{[]Record{{Type: RecordPromise, Slot: 3, Term: 0}}, MsgVoteGranted},
+		{[]Record{{Type: RecordPromise, Slot: 3, Term: 1 << 16}}, MsgVoteRejected},
 	} {
-		n := New(Defaults("a", 1), addressed(3), 5_000_000, c.recs)
-		o := n.Recv(5_000_100, Msg{Kind: Seek, From: "b", Inc: 2, Roster: n.Roster().Rev, Slot: 5, Epoch: 1<<16 | 2})
-		if len(o.Sends) == 0 {
-			o = n.Synced(5_000_200, uint64(len(o.Recs)))
+		n := New(DefaultConfig("a", 1), addressed(3), 5_000_000, c.recs)
+		o := n.Receive(5_000_100, Message{Type: MsgVoteRequest, From: "b", Incarnation: 2, VoterSetRevision: n.VoterSet().Revision, Slot: 5, Term: 1<<16 | 2})
+		if len(o.Messages) == 0 {
+			o = n.RecordsSynced(5_000_200, uint64(len(o.Records)))
 		}
-		if len(o.Sends) != 1 || o.Sends[0].Msg.Kind != c.want {
-			t.Errorf("%+v: %+v", c.recs, o.Sends)
+		if len(o.Messages) != 1 || o.Messages[0].Message.Type != c.want {
+			t.Errorf("%+v: %+v", c.recs, o.Messages)
 		}
 	}
 }
--- a/quorum/catchup.go
+++ b/quorum/catchup.go
@@ -7,165 +7,165 @@
 // before the last part has come: until then a register that changed again meanwhile is
 // missing, and the voter must not claim to hold what came before that change (design §4.9).
 type snapshot struct {
-	epoch   uint64 // of the line
-	sure    Ver    // what the voter was certain of, or held of its own line, when it began
-	at      Ver    // all that was changed after sure and up to here has come
+	logTerm uint64   // of the line
+	certain Position // what the voter was certain of, or held of its own line, when it began
+	upTo    Position // all that was changed after sure and up to here has come
 	entries map[string]Entry
 	absent  []string // doubted keys that the line does not have
 }
 
 // lacking reports whether this voter has not joined the newest line that it knows of.
-func (s *slot) lacking() bool {
-	return s.joined == 0 || s.snapshot != nil && s.snapshot.epoch != s.joined
+func (s *slotState) lacksLog() bool {
+	return s.logTerm == 0 || s.snapshot != nil && s.snapshot.logTerm != s.logTerm
 }
 
 // fetchPatience is how many beats a part of a snapshot is waited for before it is asked
 // for again.
-const fetchPatience = 3
+const chunkPatience = 3
 
 // follow asks the owner for what this voter lacks.
-func (n *Node) follow(now int64, i uint16, s *slot, last Ver, o *Out) {
-	patience := n.p.Beat
-	if s.snapshot != nil && s.snapshot.epoch == s.ownerEp {
-		patience *= fetchPatience
+func (n *Node) catchUp(now int64, i uint16, s *slotState, last Position, o *Ready) {
+	patience := n.config.HeartbeatInterval
+	if s.snapshot != nil && s.snapshot.logTerm == s.leaderTerm {
+		patience *= chunkPatience
 	}
-	if s.joined == s.ownerEp && !s.mark.Less(last) || now-s.fetchAt < patience {
+	if s.logTerm == s.leaderTerm && !s.last.Before(last) || now-s.snapshotAskedAt < patience {
 		return
 	}
-	n.fetch(now, i, s, o)
+	n.requestChunk(now, i, s, o)
 }
 
 // fetch asks for the next part: of the line that this voter follows, or of the snapshot
 // with which it joins another. The question goes out once all that it says is on disk: an
 // answer to it may still come after a loss of power, and must not leave a gap then.
-func (n *Node) fetch(now int64, i uint16, s *slot, o *Out) {
-	s.fetchAt = now
-	snap := s.gathering()
-	first := s.joined != s.ownerEp
-	m := Msg{Kind: Fetch, Slot: i, Epoch: s.ownerEp, First: first, Mark: snap.sure, Prev: snap.at, More: true}
-	if first && snap.at == (Ver{}) {
-		m.Keys = s.doubts()
-	}
-	owner := s.owner
-	n.after(now, o, func(_ int64, o *Out) { n.send(o, owner, m) })
+func (n *Node) requestChunk(now int64, i uint16, s *slotState, o *Ready) {
+	s.snapshotAskedAt = now
+	snap := s.currentSnapshot()
+	first := s.logTerm != s.leaderTerm
+	m := Message{Type: MsgSnapshotRequest, Slot: i, Term: s.leaderTerm, Joining: first, Last: snap.certain, Previous: snap.upTo, More: true}
+	if first && snap.upTo == (Position{}) {
+		m.Keys = s.uncertainKeys()
+	}
+	owner := s.leader
+	n.afterSync(now, o, func(_ int64, o *Ready) { n.send(o, owner, m) })
 }
 
 // gathering is the snapshot of the owner's line that is under way, or a new one.
-func (s *slot) gathering() *snapshot {
-	if s.snapshot != nil && s.snapshot.epoch == s.ownerEp {
+func (s *slotState) currentSnapshot() *snapshot {
+	if s.snapshot != nil && s.snapshot.logTerm == s.leaderTerm {
 		return s.snapshot
 	}
-	from := s.mark
-	if s.joined != s.ownerEp {
-		from = s.sure()
+	from := s.last
+	if s.logTerm != s.leaderTerm {
+		from = s.certain()
 	}
-	s.snapshot = &snapshot{epoch: s.ownerEp, sure: from, entries: map[string]Entry{}}
+	s.snapshot = &snapshot{logTerm: s.leaderTerm, certain: from, entries: map[string]Entry{}}
 	return s.snapshot
 }
 
 // onFetch answers with the changes after what the voter has, oldest first, as many as one
 // message takes. What changes meanwhile comes again at the end of that order.
-func (n *Node) onFetch(m Msg, o *Out) {
+func (n *Node) handleSnapshotRequest(m Message, o *Ready) {
 	s := n.slots[m.Slot]
-	if s.st < finishing || s.epoch != m.Epoch {
+	if s.role < stateRecovering || s.term != m.Term {
 		return
 	}
-	after := m.Mark
-	if after.Less(m.Prev) {
-		after = m.Prev
+	after := m.Last
+	if after.Before(m.Previous) {
+		after = m.Previous
 	}
-	fill := Msg{Kind: Fill, Slot: m.Slot, Epoch: s.epoch, First: m.First, Prev: m.Prev, Mark: Ver{s.epoch, s.seq}, Settled: s.settled}
-	fill.Entries, fill.Keys = s.replaced(after, m.Keys)
-	whole := m.First && !m.More // a voter of a version that takes a snapshot in one part
+	fill := Message{Type: MsgSnapshotChunk, Slot: m.Slot, Term: s.term, Joining: m.Joining, Previous: m.Previous, Last: Position{s.term, s.lastIndex}, Committed: s.committed}
+	fill.Entries, fill.Keys = s.replacements(after, m.Keys)
+	whole := m.Joining && !m.More // a voter of a version that takes a snapshot in one part
 	size := 0
-	for _, change := range s.live(after) {
-		entry := s.ent[change.k]
-		if size > 0 && size+entSize(entry) > n.p.Chunk && !whole {
+	for _, change := range s.changedAfter(after) {
+		entry := s.entries[change.key]
+		if size > 0 && size+entryBytes(entry) > n.config.ChunkBytes && !whole {
 			fill.More = true
 			break
 		}
-		size += entSize(entry)
+		size += entryBytes(entry)
 		fill.Entries = append(fill.Entries, entry)
 	}
 	if fill.More {
-		fill.Mark = fill.Entries[len(fill.Entries)-1].Ver
+		fill.Last = fill.Entries[len(fill.Entries)-1].Position
 	}
 	n.send(o, m.From, fill)
 }
 
 // replaced lists what stands here in the place of doubted changes: registers not changed
 // after mark, and keys that do not exist. All later changes come in their order.
-func (s *slot) replaced(mark Ver, doubted []string) (entries []Entry, absent []string) {
+func (s *slotState) replacements(mark Position, doubted []string) (entries []Entry, absent []string) {
 	for _, key := range doubted {
-		entry, ok := s.ent[key]
+		entry, ok := s.entries[key]
 		switch {
 		case !ok:
 			absent = append(absent, key)
-		case !mark.Less(entry.Ver):
+		case !mark.Before(entry.Position):
 			entries = append(entries, entry)
 		}
 	}
 	return entries, absent
 }
 
-func (n *Node) onFill(now int64, m Msg, o *Out) {
+func (n *Node) handleSnapshotChunk(now int64, m Message, o *Ready) {
 	s := n.slots[m.Slot]
-	if m.Epoch != s.promised || m.From != s.owner || m.Epoch != s.ownerEp || s.st != idle {
+	if m.Term != s.promised || m.From != s.leader || m.Term != s.leaderTerm || s.role != stateFollower {
 		return
 	}
-	if m.First != (s.joined != m.Epoch) || !s.gather(m) {
+	if m.Joining != (s.logTerm != m.Term) || !s.addChunk(m) {
 		return
 	}
-	s.fetchAt = 0
+	s.snapshotAskedAt = 0
 	switch {
 	case m.More:
-		n.fetch(now, m.Slot, s, o) // at once, so that it outruns the changes that come
-	case m.First:
-		n.joinLine(now, m.Slot, s, m, o)
+		n.requestChunk(now, m.Slot, s, o) // at once, so that it outruns the changes that come
+	case m.Joining:
+		n.installSnapshot(now, m.Slot, s, m, o)
 	default:
 		entries := s.snapshot.ordered()
 		s.snapshot = nil
-		n.take(now, m.Slot, s, entries, m.Mark, m.Settled, o)
+		n.appendFromLeader(now, m.Slot, s, entries, m.Last, m.Committed, o)
 	}
 }
 
 // gather adds a part to the snapshot under way, if it is the one that was asked for.
-func (s *slot) gather(m Msg) bool {
+func (s *slotState) addChunk(m Message) bool {
 	snap := s.snapshot
-	if snap == nil || snap.epoch != m.Epoch || snap.at != m.Prev {
+	if snap == nil || snap.logTerm != m.Term || snap.upTo != m.Previous {
 		return false
 	}
-	if m.Prev == (Ver{}) {
+	if m.Previous == (Position{}) {
 		snap.absent = m.Keys
 	}
 	for _, entry := range m.Entries {
 		snap.entries[entry.Key] = entry
 	}
-	snap.at = m.Mark
+	snap.upTo = m.Last
 	return true
 }
 
 // joinLine takes a whole snapshot over and follows the owner's line from then on. What
 // was in doubt is replaced by what that line says. Drops come after the entries: a crash
 // between them loses nothing that was settled.
-func (n *Node) joinLine(now int64, i uint16, s *slot, last Msg, o *Out) {
+func (n *Node) installSnapshot(now int64, i uint16, s *slotState, last Message, o *Ready) {
 	snap := s.snapshot
 	s.snapshot = nil
-	was := s.joined
+	was := s.logTerm
 	for _, entry := range snap.ordered() {
-		n.adopt(i, s, entry, was, snap.sure, o)
+		n.stageEntry(i, s, entry, was, snap.certain, o)
 	}
 	for _, key := range snap.absent {
 		if _, later := snap.entries[key]; !later {
-			n.forget(i, s, key, o)
+			n.deleteEntry(i, s, key, o)
 		}
 	}
-	s.joined, s.mark, s.settled = last.Epoch, last.Mark, last.Settled
-	if s.mark.Less(s.settled) {
-		s.settled = s.mark
+	s.logTerm, s.last, s.committed = last.Term, last.Last, last.Committed
+	if s.last.Before(s.committed) {
+		s.committed = s.last
 	}
-	n.join(i, s, o)
-	n.confirm(now, i, s, o)
+	n.recordLogState(i, s, o)
+	n.sendAppendAck(now, i, s, o)
 }
 
 // ordered lists the registers of a snapshot, oldest change first.
@@ -174,6 +174,6 @@
 	for _, entry := range p.entries {
 		entries = append(entries, entry)
 	}
-	sort.Slice(entries, func(a, b int) bool { return entries[a].Ver.Less(entries[b].Ver) })
+	sort.Slice(entries, func(a, b int) bool { return entries[a].Position.Before(entries[b].Position) })
 	return entries
 }
--- a/quorum/checkpoint.go
+++ b/quorum/checkpoint.go
@@ -1,9 +1,9 @@
 package quorum
 
-func (n *Node) replay(c Rec) {
-	if c.Kind == RecRoster {
-		if c.Roster != nil && c.Roster.Rev > n.roster.Rev {
-			n.roster = *c.Roster
+func (n *Node) replayRecord(c Record) {
+	if c.Type == RecordVoterSet {
+		if c.VoterSet != nil && c.VoterSet.Revision > n.voterSet.Revision {
+			n.voterSet = *c.VoterSet
 		}
 		return
 	}
@@ -11,29 +11,29 @@
 		return
 	}
 	s := n.slots[c.Slot]
-	switch c.Kind {
-	case RecPromise:
-		s.promised = max(s.promised, c.Epoch)
-	case RecEntry:
+	switch c.Type {
+	case RecordPromise:
+		s.promised = max(s.promised, c.Term)
+	case RecordEntry:
 		n.store(s, c.Entry)
-		s.joined, s.mark, s.settled = c.Epoch, c.Mark, c.Settled
-	case RecDrop:
-		n.drop(s, c.Entry.Key)
-	case RecJoin:
-		s.joined, s.mark, s.settled = c.Epoch, c.Mark, c.Settled
+		s.logTerm, s.last, s.committed = c.Term, c.Last, c.Committed
+	case RecordDelete:
+		n.remove(s, c.Entry.Key)
+	case RecordLogState:
+		s.logTerm, s.last, s.committed = c.Term, c.Last, c.Committed
 	}
 }
 
 // Checkpoint returns records that stand for the whole state.
-func (n *Node) Checkpoint() []Rec {
-	ro := n.roster
-	out := []Rec{{Kind: RecRoster, Roster: &ro}}
+func (n *Node) Checkpoint() []Record {
+	ro := n.voterSet
+	out := []Record{{Type: RecordVoterSet, VoterSet: &ro}}
 	for i, s := range n.slots {
-		out = append(out, Rec{Kind: RecPromise, Slot: uint16(i), Epoch: s.promised})
-		for _, vk := range s.live(Ver{}) {
-			out = append(out, Rec{Kind: RecEntry, Slot: uint16(i), Epoch: s.joined, Mark: s.mark, Settled: s.settled, Entry: s.ent[vk.k]})
+		out = append(out, Record{Type: RecordPromise, Slot: uint16(i), Term: s.promised})
+		for _, vk := range s.changedAfter(Position{}) {
+			out = append(out, Record{Type: RecordEntry, Slot: uint16(i), Term: s.logTerm, Last: s.last, Committed: s.committed, Entry: s.entries[vk.key]})
 		}
-		out = append(out, Rec{Kind: RecJoin, Slot: uint16(i), Epoch: s.joined, Mark: s.mark, Settled: s.settled})
+		out = append(out, Record{Type: RecordLogState, Slot: uint16(i), Term: s.logTerm, Last: s.last, Committed: s.committed})
 	}
 	return out
 }
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -7,157 +7,157 @@
 
 // hears tells whether a majority was heard lately. Without one a slot can't be won, and
 // the promise that seeking it takes would only keep this node from following its owner.
-func (n *Node) hears(now int64) bool {
+func (n *Node) hearsMajority(now int64) bool {
 	c := 0
-	for _, v := range n.roster.Voters {
-		if at, ok := n.heard[v.Name]; v.Name == n.p.Name || ok && now-at < DoubtAfter {
+	for _, v := range n.voterSet.Voters {
+		if at, ok := n.lastHeard[v.Name]; v.Name == n.config.Name || ok && now-at < SuspectAfter {
 			c++
 		}
 	}
-	return c >= n.roster.Majority()
+	return c >= n.voterSet.Majority()
 }
 
 // rank is this node's place in line for a slot, so that candidates do not duel. It goes
 // by round robin, so that every voter starts with its fair part; who is silent is passed,
 // and who lacks the slot's line comes last, since it would have to be sent all of it.
-func (n *Node) rank(now int64, i uint16) int64 {
-	vs := make([]string, 0, len(n.roster.Voters))
-	for _, v := range n.roster.Voters {
+func (n *Node) campaignRank(now int64, i uint16) int64 {
+	vs := make([]string, 0, len(n.voterSet.Voters))
+	for _, v := range n.voterSet.Voters {
 		vs = append(vs, v.Name)
 	}
 	sort.Strings(vs)
 	var r int64
-	if n.slots[i].lacking() && n.roster.Step() > 1 {
+	if n.slots[i].lacksLog() && n.voterSet.Step() > 1 {
 		r = int64(len(vs))
 	}
 	for k := range vs {
 		v := vs[(int(i)+k)%len(vs)]
-		if v == n.p.Name {
+		if v == n.config.Name {
 			return r
 		}
-		if n.Silence(now, v) < DoubtAfter {
+		if n.Silence(now, v) < SuspectAfter {
 			r++
 		}
 	}
 	return r
 }
 
-func (n *Node) tickSlot(now int64, i uint16, s *slot, o *Out) {
-	n.close(i, s)
-	switch s.st {
-	case idle:
+func (n *Node) tickSlot(now int64, i uint16, s *slotState, o *Ready) {
+	n.forgetClosedClaims(i, s)
+	switch s.role {
+	case stateFollower:
 		if n.leaving {
 			return
 		}
-		free := max(s.heldUntil, s.waitUntil, n.seekAt)
-		if !n.hears(now) {
+		free := max(s.noVoteUntil, s.noCampaignUntil, n.noCampaignBefore)
+		if !n.hearsMajority(now) {
 			return
 		}
-		if s.first && now >= s.nextTry || now >= free+n.rank(now, i)*2*n.p.Beat && now >= s.nextTry {
-			s.first = false
-			n.seek(now, i, s, o)
+		if s.campaignAtOnce && now >= s.nextCampaignAt || now >= free+n.campaignRank(now, i)*2*n.config.HeartbeatInterval && now >= s.nextCampaignAt {
+			s.campaignAtOnce = false
+			n.campaign(now, i, s, o)
 		}
-	case seeking:
-		if now-s.seekAt > n.p.Term/2 {
-			n.retreat(now, s, o)
-			s.nextTry = now + n.p.Beat*(1+n.rank(now, i))
+	case stateCandidate:
+		if now-s.campaignStartedAt > n.config.LeaseDuration/2 {
+			n.becomeFollower(now, s, o)
+			s.nextCampaignAt = now + n.config.HeartbeatInterval*(1+n.campaignRank(now, i))
 		}
 	default:
-		if s.ownUntil > 0 && now >= s.ownUntil || s.ownUntil == 0 && now-s.seekAt > n.p.Term {
-			n.retreat(now, s, o)
-			o.Events = append(o.Events, fmt.Sprintf("slot=%d lost=lease epoch=%d", i, s.epoch))
+		if s.leaseUntil > 0 && now >= s.leaseUntil || s.leaseUntil == 0 && now-s.campaignStartedAt > n.config.LeaseDuration {
+			n.becomeFollower(now, s, o)
+			o.Events = append(o.Events, fmt.Sprintf("slot=%d lost=lease epoch=%d", i, s.term))
 			return
 		}
-		if s.outbid > s.epoch && now-s.outbidAt > 3*n.p.Beat && len(s.order) == 0 {
+		if s.higherTerm > s.term && now-s.higherTermSeenAt > 3*n.config.HeartbeatInterval && len(s.pendingOrder) == 0 {
 			// A candidate that failed keeps its promise to itself and would never
 			// follow: the slot is won anew above it, while the lease keeps others off.
-			s.promised = max(s.promised, s.outbid)
-			n.retreat(now, s, o)
-			n.seek(now, i, s, o)
+			s.promised = max(s.promised, s.higherTerm)
+			n.becomeFollower(now, s, o)
+			n.campaign(now, i, s, o)
 			return
 		}
-		if s.st == owning {
-			n.tickEras(now, i, s, o)
-			if e, ok := s.seen(RosterKey); ok {
-				if r, err := ReadRoster(e.Val); err == nil {
-					n.adoptRoster(now, r, o)
+		if s.role == stateLeader {
+			n.tickGenerations(now, i, s, o)
+			if e, ok := s.committedEntry(VoterSetKey); ok {
+				if r, err := ParseVoterSet(e.Value); err == nil {
+					n.installVoterSet(now, r, o)
 				}
 			}
-			if i == SlotOf(RosterKey, n.p.Slots) {
-				n.shed(now, o)
+			if i == SlotOf(VoterSetKey, n.config.Slots) {
+				n.removeSurplus(now, o)
 			}
 		}
 	}
 }
 
 // retreat gives the slot up. What is still being written is answered Unknown.
-func (n *Node) retreat(now int64, s *slot, o *Out) {
-	for _, p := range s.order {
-		if p.op.ID != 0 {
-			o.Answers = append(o.Answers, Answer{ID: p.op.ID, Status: Unknown})
+func (n *Node) becomeFollower(now int64, s *slotState, o *Ready) {
+	for _, p := range s.pendingOrder {
+		if p.operation.ID != 0 {
+			o.Results = append(o.Results, Result{ID: p.operation.ID, Status: StatusUnknown})
 		}
-		for _, q := range p.queue {
-			o.Answers = append(o.Answers, Answer{ID: q.ID, Status: NotOwner})
+		for _, q := range p.queued {
+			o.Results = append(o.Results, Result{ID: q.ID, Status: StatusNotLeader})
 		}
 	}
-	s.st, s.replies, s.order, s.pend, s.acked, s.beatOK, s.holds = idle, nil, nil, nil, nil, nil, nil
-	s.ownUntil, s.outbid = 0, 0
-	if s.owner == n.p.Name {
-		s.owner = ""
+	s.role, s.votes, s.pendingOrder, s.pendingByKey, s.acknowledged, s.heartbeatAcked, s.roleLeaseUntil = stateFollower, nil, nil, nil, nil, nil, nil
+	s.leaseUntil, s.higherTerm = 0, 0
+	if s.leader == n.config.Name {
+		s.leader = ""
 	}
-	s.nextTry = now + n.p.Term/2
+	s.nextCampaignAt = now + n.config.LeaseDuration/2
 }
 
-func (n *Node) seek(now int64, i uint16, s *slot, o *Out) {
-	e := (s.promised>>16+1)<<16 | uint64(n.me.Num)
-	s.st, s.epoch, s.seekAt, s.promised = seeking, e, now, e
-	s.replies, s.refused = map[string]Msg{}, map[string]bool{}
-	n.rec(o, Rec{Kind: RecPromise, Slot: i, Epoch: e})
-	n.after(now, o, func(now int64, o *Out) {
-		if s.st == seeking && s.epoch == e {
-			s.replies[n.p.Name] = Msg{Joined: s.joined, Settled: s.settled}
-			n.elected(now, i, s, o)
+func (n *Node) campaign(now int64, i uint16, s *slotState, o *Ready) {
+	e := (s.promised>>16+1)<<16 | uint64(n.self.Number)
+	s.role, s.term, s.campaignStartedAt, s.promised = stateCandidate, e, now, e
+	s.votes, s.rejections = map[string]Message{}, map[string]bool{}
+	n.appendRecord(o, Record{Type: RecordPromise, Slot: i, Term: e})
+	n.afterSync(now, o, func(now int64, o *Ready) {
+		if s.role == stateCandidate && s.term == e {
+			s.votes[n.config.Name] = Message{LogTerm: s.logTerm, Committed: s.committed}
+			n.countVotes(now, i, s, o)
 		}
 	})
 	// It goes out once the promise is on disk: else, after a loss of power, an answer to
 	// this life's question could be taken for one to the next life's, of the same epoch.
-	m := Msg{Kind: Seek, Slot: i, Epoch: e, Mark: s.sure(), Keys: s.doubts()}
-	n.after(now, o, func(_ int64, o *Out) {
-		if s.st == seeking && s.epoch == e {
-			n.others(func(v string) { n.send(o, v, m) })
+	m := Message{Type: MsgVoteRequest, Slot: i, Term: e, Last: s.certain(), Keys: s.uncertainKeys()}
+	n.afterSync(now, o, func(_ int64, o *Ready) {
+		if s.role == stateCandidate && s.term == e {
+			n.forEachPeer(func(v string) { n.send(o, v, m) })
 		}
 	})
 }
 
 // elected merges what a majority holds once enough have answered (design §4.3).
-func (n *Node) elected(now int64, i uint16, s *slot, o *Out) {
-	if _, self := s.replies[n.p.Name]; !self || len(s.replies) < n.roster.Majority() {
+func (n *Node) countVotes(now int64, i uint16, s *slotState, o *Ready) {
+	if _, self := s.votes[n.config.Name]; !self || len(s.votes) < n.voterSet.Majority() {
 		return
 	}
 	var j uint64
-	for _, m := range s.replies {
-		j = max(j, m.Joined)
+	for _, m := range s.votes {
+		j = max(j, m.LogTerm)
 	}
 	// Only the newest line counts: what an older line holds beyond its settled
 	// mark was either carried into the newer one or never settled.
-	sure, doubt, was := s.sure(), s.doubts(), s.joined
-	var c Ver
+	sure, doubt, was := s.certain(), s.uncertainKeys(), s.logTerm
+	var c Position
 	got := map[string]Entry{}
 	if was == j {
-		c = s.settled
+		c = s.committed
 		for _, k := range doubt {
-			got[k] = s.ent[k]
+			got[k] = s.entries[k]
 		}
 	}
-	for v, m := range s.replies {
-		if v == n.p.Name || m.Joined != j {
+	for v, m := range s.votes {
+		if v == n.config.Name || m.LogTerm != j {
 			continue
 		}
-		if c.Less(m.Settled) {
-			c = m.Settled
+		if c.Before(m.Committed) {
+			c = m.Committed
 		}
 		for _, e := range m.Entries {
-			if g, ok := got[e.Key]; !ok || g.Ver.Less(e.Ver) {
+			if g, ok := got[e.Key]; !ok || g.Position.Before(e.Position) {
 				got[e.Key] = e
 			}
 		}
@@ -167,74 +167,74 @@
 		es = append(es, e)
 	}
 	sort.Slice(es, func(a, b int) bool {
-		return es[a].Ver.Less(es[b].Ver) || es[a].Ver == es[b].Ver && es[a].Key < es[b].Key
+		return es[a].Position.Before(es[b].Position) || es[a].Position == es[b].Position && es[a].Key < es[b].Key
 	})
 	for _, e := range es {
-		n.adopt(i, s, e, was, sure, o)
+		n.stageEntry(i, s, e, was, sure, o)
 	}
 	for _, k := range doubt {
 		if _, ok := got[k]; !ok {
-			n.forget(i, s, k, o)
+			n.deleteEntry(i, s, k, o)
 		}
 	}
 	s.snapshot = nil
-	s.st, s.seq, s.joined, s.mark, s.settled = finishing, 0, s.epoch, Ver{s.epoch, 0}, c
-	s.acked, s.pend, s.holds, s.order = map[string]Ver{}, map[string]*pending{}, map[string]int64{}, nil
-	n.join(i, s, o)
-	s.owner, s.ownerEp = n.p.Name, s.epoch
-	s.beatOK = map[string]int64{}
-	e := s.epoch
-	n.after(now, o, func(now int64, o *Out) {
-		if s.epoch == e && s.st >= finishing {
-			n.ack(now, i, s, n.p.Name, Ver{e, 0}, o)
+	s.role, s.lastIndex, s.logTerm, s.last, s.committed = stateRecovering, 0, s.term, Position{s.term, 0}, c
+	s.acknowledged, s.pendingByKey, s.roleLeaseUntil, s.pendingOrder = map[string]Position{}, map[string]*pendingChange{}, map[string]int64{}, nil
+	n.recordLogState(i, s, o)
+	s.leader, s.leaderTerm = n.config.Name, s.term
+	s.heartbeatAcked = map[string]int64{}
+	e := s.term
+	n.afterSync(now, o, func(now int64, o *Ready) {
+		if s.term == e && s.role >= stateRecovering {
+			n.acknowledge(now, i, s, n.config.Name, Position{e, 0}, o)
 		}
 	})
-	o.Events = append(o.Events, fmt.Sprintf("slot=%d won=%d read=%d", i, s.epoch, len(es)))
-	n.beatAt = 0 // beat at the next tick, so that the lease begins at once
+	o.Events = append(o.Events, fmt.Sprintf("slot=%d won=%d read=%d", i, s.term, len(es)))
+	n.heartbeatSentAt = 0 // beat at the next tick, so that the lease begins at once
 }
 
 // onSeekNo gives up once no majority can grant any more, or one asks for more than this
 // node knew of. What the refuser holds off is its own matter: this node only waits.
-func (n *Node) onSeekNo(now int64, m Msg, o *Out) {
+func (n *Node) handleVoteRejected(now int64, m Message, o *Ready) {
 	s := n.slots[m.Slot]
-	if s.st != seeking || s.epoch != m.Epoch {
+	if s.role != stateCandidate || s.term != m.Term {
 		return
 	}
-	s.refused[m.From] = true
-	s.waitUntil = max(s.waitUntil, now+m.At)
-	if m.Promised < m.Epoch && len(s.refused) <= len(n.roster.Voters)-n.roster.Majority() {
+	s.rejections[m.From] = true
+	s.noCampaignUntil = max(s.noCampaignUntil, now+m.Time)
+	if m.Promised < m.Term && len(s.rejections) <= len(n.voterSet.Voters)-n.voterSet.Majority() {
 		return
 	}
-	n.retreat(now, s, o)
-	s.nextTry = now + n.p.Beat*(1+n.rank(now, m.Slot))
+	n.becomeFollower(now, s, o)
+	s.nextCampaignAt = now + n.config.HeartbeatInterval*(1+n.campaignRank(now, m.Slot))
 	if m.Promised > s.promised {
 		n.promise(now, m.Slot, s, m.Promised, o)
 	}
 }
 
-func (n *Node) promise(_ int64, i uint16, s *slot, e uint64, o *Out) {
+func (n *Node) promise(_ int64, i uint16, s *slotState, e uint64, o *Ready) {
 	s.promised = e
-	n.rec(o, Rec{Kind: RecPromise, Slot: i, Epoch: e})
+	n.appendRecord(o, Record{Type: RecordPromise, Slot: i, Term: e})
 }
 
 // yield steps back when another owner with a higher epoch is seen.
-func (n *Node) yield(now int64, s *slot, e uint64, o *Out) {
-	if s.st != idle && s.epoch < e {
-		n.retreat(now, s, o)
+func (n *Node) followHigherTerm(now int64, s *slotState, e uint64, o *Ready) {
+	if s.role != stateFollower && s.term < e {
+		n.becomeFollower(now, s, o)
 	}
 }
 
-func (n *Node) onSeek(now int64, m Msg, o *Out) {
+func (n *Node) handleVoteRequest(now int64, m Message, o *Ready) {
 	s := n.slots[m.Slot]
-	held := max(s.heldUntil, n.bootAt+n.p.Term) - now
+	held := max(s.noVoteUntil, n.startedAt+n.config.LeaseDuration) - now
 	// The live owner itself may win its slot anew: its lease guards nobody else.
-	if m.Epoch <= s.promised || held > 0 && m.From != s.owner {
-		n.send(o, m.From, Msg{Kind: SeekNo, Slot: m.Slot, Epoch: m.Epoch, Promised: s.promised, At: max(0, held)})
+	if m.Term <= s.promised || held > 0 && m.From != s.leader {
+		n.send(o, m.From, Message{Type: MsgVoteRejected, Slot: m.Slot, Term: m.Term, Promised: s.promised, Time: max(0, held)})
 		return
 	}
-	n.yield(now, s, m.Epoch, o)
-	n.promise(now, m.Slot, s, m.Epoch, o)
-	es, absent := s.since(m.Mark, m.Keys)
-	r := Msg{Kind: SeekOK, Slot: m.Slot, Epoch: m.Epoch, Joined: s.joined, Settled: s.settled, Entries: es, Keys: absent}
-	n.after(now, o, func(_ int64, o *Out) { n.send(o, m.From, r) })
+	n.followHigherTerm(now, s, m.Term, o)
+	n.promise(now, m.Slot, s, m.Term, o)
+	es, absent := s.changesSince(m.Last, m.Keys)
+	r := Message{Type: MsgVoteGranted, Slot: m.Slot, Term: m.Term, LogTerm: s.logTerm, Committed: s.committed, Entries: es, Keys: absent}
+	n.afterSync(now, o, func(_ int64, o *Ready) { n.send(o, m.From, r) })
 }
--- a/quorum/explore_cache_test.go
+++ b/quorum/explore_cache_test.go
@@ -19,30 +19,30 @@
 type input struct {
 	kind   inputKind
 	now    int64
-	msg    *Msg
+	msg    *Message
 	msgSum digest
-	op     Op
+	op     Operation
 	count  uint64
 	voter  Voter
-	roster *Roster
+	roster *VoterSet
 }
 
-func (in input) run(n *Node) Out {
+func (in input) run(n *Node) Ready {
 	switch in.kind {
 	case inTick:
 		return n.Tick(in.now)
 	case inRecv:
-		return n.Recv(in.now, *in.msg)
+		return n.Receive(in.now, *in.msg)
 	case inSynced:
-		return n.Synced(in.now, in.count)
+		return n.RecordsSynced(in.now, in.count)
 	case inDo:
-		return n.Do(in.now, in.op)
+		return n.Propose(in.now, in.op)
 	case inLeave:
 		return n.Leave(in.now)
 	case inAdmit:
-		return n.Admit(in.now, in.voter)
+		return n.AdmitVoter(in.now, in.voter)
 	case inLearn:
-		return n.Learn(in.now, *in.roster)
+		return n.ObserveVoterSet(in.now, *in.roster)
 	}
 	panic("no such input")
 }
@@ -85,7 +85,7 @@
 // transition is what one input does to one state.
 type transition struct {
 	to      *life
-	out     Out
+	out     Ready
 	recSums []digest
 	msgSums []digest
 }
@@ -129,13 +129,13 @@
 	c.runs++
 	n := l.again()
 	t := &transition{out: in.run(n)}
-	for i := range t.out.Recs {
-		t.recSums = append(t.recSums, digestOf(&t.out.Recs[i]))
+	for i := range t.out.Records {
+		t.recSums = append(t.recSums, digestOf(&t.out.Records[i]))
 	}
-	for i := range t.out.Sends {
-		t.msgSums = append(t.msgSums, digestOf(&t.out.Sends[i].Msg))
+	for i := range t.out.Messages {
+		t.msgSums = append(t.msgSums, digestOf(&t.out.Messages[i].Message))
 	}
-	if len(n.wait) == 0 {
+	if len(n.syncCallbacks) == 0 {
 		t.to = c.intern(n)
 	} else {
 		t.to = c.waiting(l, in, d, n)
--- a/quorum/explore_judge_test.go
+++ b/quorum/explore_judge_test.go
@@ -17,7 +17,7 @@
 // asking is an operation that was not answered yet.
 type asking struct {
 	machine int
-	op      Op
+	op      Operation
 	floor   uint64 // newest revision known to anybody when it began
 	at      int64
 	now     int64 // true time
@@ -25,7 +25,7 @@
 
 // The duty that clients contend for. A client counts its term from when it asked.
 const (
-	dutyKey  = dutyPrefix + "d"
+	dutyKey  = rolePrefix + "d"
 	dutyTerm = 6 * tickTime
 )
 
@@ -42,7 +42,7 @@
 // state but never what they conclude from it.
 type judge struct {
 	registers []register
-	rosters   []Roster // in force anywhere, by step
+	rosters   []VoterSet // in force anywhere, by step
 	claims    map[string]string
 	duties    map[string]int64 // until when each client holds the duty
 	floors    []uint64         // settled on a majority, by slot
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (j *judge) asked(machine int, now int64, op Op) {
+func (j *judge) asked(machine int, now int64, op Operation) {
 	j.clock++
 	p := asking{machine: machine, op: op, at: j.clock, now: now}
 	if r := j.register(op.Key); r != nil {
@@ -140,22 +140,22 @@
 func (j *judge) gone(machine int) {
 	for k := len(j.pending) - 1; k >= 0; k-- {
 		if j.pending[k].machine == machine {
-			j.note(j.pending[k], Answer{Status: Unknown})
+			j.note(j.pending[k], Result{Status: StatusUnknown})
 			j.pending = slices.Delete(j.pending, k, k+1)
 		}
 	}
 }
 
 // note keeps an operation for the checker of histories.
-func (j *judge) note(p asking, a Answer) {
+func (j *judge) note(p asking, a Result) {
 	j.clock++
-	if a.Status != Done && (a.Status != Unknown || p.op.Kind != OpPut) {
+	if a.Status != StatusDone && (a.Status != StatusUnknown || p.op.Type != OpPut) {
 		return // nothing changed and nothing was learnt
 	}
-	j.history = append(j.history, told{asking: p, to: j.clock, known: a.Status == Done, rev: a.Rev, val: string(a.Val)})
+	j.history = append(j.history, told{asking: p, to: j.clock, known: a.Status == StatusDone, rev: a.Revision, val: string(a.Value)})
 }
 
-func (j *judge) answered(a Answer) {
+func (j *judge) answered(a Result) {
 	k := slices.IndexFunc(j.pending, func(p asking) bool { return p.op.ID == a.ID })
 	if k < 0 {
 		return
@@ -163,24 +163,24 @@
 	p := j.pending[k]
 	j.pending = slices.Delete(j.pending, k, k+1)
 	j.note(p, a)
-	if a.Status != Done {
+	if a.Status != StatusDone {
 		return
 	}
 	switch r := j.register(p.op.Key); {
-	case p.op.Kind == OpClaim:
-		if h := j.claims[p.op.Key]; h != "" && h != string(p.op.Val) {
-			j.find("claimed twice", "%s by %s and %s", p.op.Key, h, p.op.Val)
+	case p.op.Type == OpClaim:
+		if h := j.claims[p.op.Key]; h != "" && h != string(p.op.Value) {
+			j.find("claimed twice", "%s by %s and %s", p.op.Key, h, p.op.Value)
 		}
-		j.claims[p.op.Key] = string(p.op.Val)
-	case p.op.Kind == OpHold:
+		j.claims[p.op.Key] = string(p.op.Value)
+	case p.op.Type == OpAcquire:
 		j.duties[p.op.Holder] = max(j.duties[p.op.Holder], p.now+dutyTerm)
 	case r == nil:
-	case p.op.Kind == OpPut && a.Rev <= p.floor:
-		j.find("went back", "a change of %s was confirmed as revision %d after %d was seen", r.key, a.Rev, p.floor)
-	case a.Rev < p.floor:
-		j.find("went back", "%s was read at revision %d after %d", r.key, a.Rev, p.floor)
+	case p.op.Type == OpPut && a.Revision <= p.floor:
+		j.find("went back", "a change of %s was confirmed as revision %d after %d was seen", r.key, a.Revision, p.floor)
+	case a.Revision < p.floor:
+		j.find("went back", "%s was read at revision %d after %d", r.key, a.Revision, p.floor)
 	default:
-		j.saw(r, a.Rev, string(a.Val))
+		j.saw(r, a.Revision, string(a.Value))
 	}
 }
 
@@ -200,14 +200,14 @@
 }
 
 // inForce takes note of a roster that some machine goes by.
-func (j *judge) inForce(r Roster) {
+func (j *judge) inForce(r VoterSet) {
 	for _, o := range j.rosters {
 		switch {
-		case o.Rev == r.Rev && !slices.Equal(o.Voters, r.Voters):
+		case o.Revision == r.Revision && !slices.Equal(o.Voters, r.Voters):
 			j.find("two rosters", "of number %d: %v and %v", r.Step(), o.Voters, r.Voters)
-		case o.Rev == r.Rev:
+		case o.Revision == r.Revision:
 			return
-		case o.Rev+1 == r.Rev && disjoint(o, r), r.Rev+1 == o.Rev && disjoint(r, o):
+		case o.Revision+1 == r.Revision && disjoint(o, r), r.Revision+1 == o.Revision && disjoint(r, o):
 			j.find("apart", "majorities of %v and of %v need not share a voter", o.Voters, r.Voters)
 		}
 	}
@@ -238,7 +238,7 @@
 		if !w.running(i) {
 			continue
 		}
-		e, ok := w.machines[i].node.Vouch(w.now, r.key)
+		e, ok := w.machines[i].node.ReadUnderLease(w.now, r.key)
 		if !ok {
 			continue
 		}
@@ -246,11 +246,11 @@
 			j.find("two live leases", "of the slot of %s: %s and %s", r.key, owner, w.machines[i].name)
 		}
 		owner = w.machines[i].name
-		if e.Rev < r.seen {
-			j.find("went back", "%s answers %s at revision %d, and %d was seen", owner, r.key, e.Rev, r.seen)
+		if e.Revision < r.seen {
+			j.find("went back", "%s answers %s at revision %d, and %d was seen", owner, r.key, e.Revision, r.seen)
 			continue
 		}
-		j.saw(r, e.Rev, string(e.Val))
+		j.saw(r, e.Revision, string(e.Value))
 	}
 }
 
@@ -275,8 +275,8 @@
 			continue
 		}
 		s := n.slots[slot]
-		if e, ok := s.ent[floorKey(uint16(slot))]; ok && !s.sure().Less(e.Ver) {
-			j.floors[slot] = max(j.floors[slot], floorOf(e))
+		if e, ok := s.entries[floorKey(uint16(slot))]; ok && !s.certain().Before(e.Position) {
+			j.floors[slot] = max(j.floors[slot], floorValue(e))
 		}
 	}
 }
@@ -289,10 +289,10 @@
 		return
 	}
 	s, t := x.slots[slot], y.slots[slot]
-	if s.st >= finishing && t.st >= finishing && s.epoch == t.epoch {
-		j.find("two owners of an epoch", "%d: %s and %s", s.epoch, w.machines[a].name, w.machines[b].name)
+	if s.role >= stateRecovering && t.role >= stateRecovering && s.term == t.term {
+		j.find("two owners of an epoch", "%d: %s and %s", s.term, w.machines[a].name, w.machines[b].name)
 	}
-	if s.joined == 0 || s.joined != t.joined {
+	if s.logTerm == 0 || s.logTerm != t.logTerm {
 		return
 	}
 	j.contains(w, slot, a, b)
@@ -302,14 +302,14 @@
 // contains holds that y has what x has, up to y's mark.
 func (j *judge) contains(w *world, slot, x, y int) {
 	s, t := w.machines[x].node.slots[slot], w.machines[y].node.slots[slot]
-	for k, e := range s.ent {
-		if t.mark.Less(e.Ver) || isClaim(k) && claimEra(k) < j.floors[slot] {
+	for k, e := range s.entries {
+		if t.last.Before(e.Position) || isClaim(k) && claimGeneration(k) < j.floors[slot] {
 			continue
 		}
-		f, ok := t.ent[k]
-		if !ok || f.Ver != e.Ver && !s.mark.Less(f.Ver) {
+		f, ok := t.entries[k]
+		if !ok || f.Position != e.Position && !s.last.Before(f.Position) {
 			j.find("lines differ", "of epoch %d: %s has %s of %v, %s has it of %v (%v) and is whole up to %v",
-				s.joined, w.machines[x].name, k, e.Ver, w.machines[y].name, f.Ver, ok, t.mark)
+				s.logTerm, w.machines[x].name, k, e.Position, w.machines[y].name, f.Position, ok, t.last)
 		}
 	}
 }
--- a/quorum/explore_linearizable_test.go
+++ b/quorum/explore_linearizable_test.go
@@ -6,9 +6,9 @@
 func (j *judge) operations(key string) []lincheck.Operation {
 	var ops []lincheck.Operation
 	add := func(p asking, o lincheck.Operation) {
-		o.Client, o.Write, o.Invoked = p.machine, p.op.Kind == OpPut, p.at
+		o.Client, o.Write, o.Invoked = p.machine, p.op.Type == OpPut, p.at
 		if o.Write {
-			o.Value = string(p.op.Val)
+			o.Value = string(p.op.Value)
 		}
 		ops = append(ops, o)
 	}
--- a/quorum/explore_search_test.go
+++ b/quorum/explore_search_test.go
@@ -189,7 +189,7 @@
 		if !w.running(i) {
 			continue
 		}
-		if _, ok := w.machines[i].node.Vouch(w.now, w.judge.registers[register].key); ok {
+		if _, ok := w.machines[i].node.ReadUnderLease(w.now, w.judge.registers[register].key); ok {
 			return action{doPut, i, register}, true
 		}
 	}
--- a/quorum/explore_steps_test.go
+++ b/quorum/explore_steps_test.go
@@ -8,7 +8,7 @@
 )
 
 // drawStep draws a step of a roster: somebody goes, somebody comes, or both.
-func drawStep(t *rapid.T, r Roster, inc uint64) (Roster, error) {
+func drawStep(t *rapid.T, r VoterSet, inc uint64) (VoterSet, error) {
 	old := ""
 	if len(r.Voters) > 0 && rapid.Bool().Draw(t, "goes") {
 		old = rapid.SampledFrom(r.Voters).Draw(t, "old").Name
@@ -16,7 +16,7 @@
 	if old != "" && rapid.Bool().Draw(t, "nobody comes") {
 		return r.Next(old, nil)
 	}
-	return r.Next(old, &Voter{Name: fmt.Sprint("n", inc), Inc: inc})
+	return r.Next(old, &Voter{Name: fmt.Sprint("n", inc), Incarnation: inc})
 }
 
 // TestAnySteps: however a roster changes, every majority of one shares a voter with every
@@ -26,21 +26,21 @@
 		r := voters(rapid.IntRange(1, 7).Draw(t, "voters"))
 		given := map[uint16]uint64{}
 		for _, v := range r.Voters {
-			given[v.Num] = v.Inc
+			given[v.Number] = v.Incarnation
 		}
 		for inc := uint64(100); inc < 130; inc++ {
 			next, err := drawStep(t, r, inc)
 			if err != nil || len(next.Voters) > MaxVoters {
 				continue
 			}
-			if next.Rev != r.Rev+1 || disjoint(r, next) {
+			if next.Revision != r.Revision+1 || disjoint(r, next) {
 				t.Fatalf("%v follows %v", next, r)
 			}
 			for _, v := range next.Voters {
-				if was, ok := given[v.Num]; ok && was != v.Inc {
-					t.Fatalf("number %d was given to %d and %d", v.Num, was, v.Inc)
+				if was, ok := given[v.Number]; ok && was != v.Incarnation {
+					t.Fatalf("number %d was given to %d and %d", v.Number, was, v.Incarnation)
 				}
-				given[v.Num] = v.Inc
+				given[v.Number] = v.Incarnation
 			}
 			r = next
 		}
@@ -55,12 +55,12 @@
 		r := addressed(rapid.IntRange(1, MaxVoters).Draw(t, "voters"))
 		silent, heard := map[string]int64{}, 0
 		for _, v := range r.Voters {
-			silent[v.Name] = rapid.SampledFrom([]int64{0, DoubtAfter - 1, DoubtAfter, GoneAfter - 1, GoneAfter, 9 * GoneAfter}).Draw(t, v.Name)
-			if silent[v.Name] < DoubtAfter {
+			silent[v.Name] = rapid.SampledFrom([]int64{0, SuspectAfter - 1, SuspectAfter, FailedAfter - 1, FailedAfter, 9 * FailedAfter}).Draw(t, v.Name)
+			if silent[v.Name] < SuspectAfter {
 				heard++
 			}
 		}
-		come := Voter{Name: "z", Addr: "at-z", Inc: 99}
+		come := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
 		if rapid.Bool().Draw(t, "a disk lost") {
 			come.Name = rapid.SampledFrom(r.Voters).Draw(t, "whose").Name
 		}
@@ -69,11 +69,11 @@
 		if !ok {
 			return
 		}
-		if heard < r.Majority() || step(r, next) != nil || disjoint(r, next) || len(next.Voters) > MaxVoters {
+		if heard < r.Majority() || checkStep(r, next) != nil || disjoint(r, next) || len(next.Voters) > MaxVoters {
 			t.Fatalf("%v follows %v with %d heard", next, r, heard)
 		}
 		for _, v := range r.Voters {
-			if w, in := next.Find(v.Name); (!in || w != v) && v.Name != come.Name && silent[v.Name] < GoneAfter {
+			if w, in := next.Find(v.Name); (!in || w != v) && v.Name != come.Name && silent[v.Name] < FailedAfter {
 				t.Fatalf("%s goes after a silence of %d", v.Name, silent[v.Name])
 			}
 		}
--- a/quorum/explore_test.go
+++ b/quorum/explore_test.go
@@ -74,7 +74,7 @@
 		inputs += *w.inputs
 		rosters += len(w.judge.rosters) - 1
 		for _, o := range w.judge.history {
-			if o.known && o.op.Kind == OpPut {
+			if o.known && o.op.Type == OpPut {
 				changes++
 			}
 		}
--- a/quorum/explore_trace_test.go
+++ b/quorum/explore_trace_test.go
@@ -162,13 +162,13 @@
 	m := &w.machines[x.a]
 	switch x.verb {
 	case doPut:
-		w.do(x.a, Op{Kind: OpPut, Key: w.judge.registers[x.b].key, Expect: AnyRev})
+		w.do(x.a, Operation{Type: OpPut, Key: w.judge.registers[x.b].key, ExpectedRevision: AnyRevision})
 	case doGet:
-		w.do(x.a, Op{Kind: OpGet, Key: w.judge.registers[x.b].key})
+		w.do(x.a, Operation{Type: OpGet, Key: w.judge.registers[x.b].key})
 	case doClaim:
-		w.do(x.a, Op{Kind: OpClaim, Key: ClaimKey(uint64(x.b), "c")})
+		w.do(x.a, Operation{Type: OpClaim, Key: ClaimKey(uint64(x.b), "c")})
 	case doDuty:
-		w.do(x.a, Op{Kind: OpHold, Key: dutyKey, Holder: strconv.Itoa(x.b), Term: dutyTerm})
+		w.do(x.a, Operation{Type: OpAcquire, Key: dutyKey, Holder: strconv.Itoa(x.b), LeaseDuration: dutyTerm})
 	case doKill:
 		w.kill(x.a, len(m.unsynced))
 	case doPower:
@@ -241,8 +241,8 @@
 	if !w.running(i) {
 		return
 	}
-	r := w.machines[i].node.Roster()
-	next := Roster{Rev: r.Rev + 1, Seats: r.Seats}
+	r := w.machines[i].node.VoterSet()
+	next := VoterSet{Revision: r.Revision + 1, Seats: r.Seats}
 	for _, v := range r.Voters {
 		if which>>w.index(v.Name)&1 == 0 {
 			next.Voters = append(next.Voters, v)
@@ -253,9 +253,9 @@
 		if _, in := r.Find(m.name); in || which>>(maxMachines+k)&1 == 0 {
 			continue
 		}
-		next.Voters = append(next.Voters, Voter{Name: m.name, Inc: m.inc, Num: uint16(16 + int(next.Step())*maxMachines + k)})
+		next.Voters = append(next.Voters, Voter{Name: m.name, Incarnation: m.inc, Number: uint16(16 + int(next.Step())*maxMachines + k)})
 	}
-	w.do(i, Op{Kind: OpPut, Key: RosterKey, Val: next.Bytes(), Expect: AnyRev})
+	w.do(i, Operation{Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: AnyRevision})
 }
 
 // shorten looks for the shortest trace that still ends in a finding of that kind: parts
--- a/quorum/explore_walk_test.go
+++ b/quorum/explore_walk_test.go
@@ -29,7 +29,7 @@
 func (g *walker) owner(register int) int {
 	for i := range g.w.config.machines {
 		if g.w.running(i) {
-			if _, ok := g.w.machines[i].node.Vouch(g.w.now, g.w.judge.registers[register].key); ok {
+			if _, ok := g.w.machines[i].node.ReadUnderLease(g.w.now, g.w.judge.registers[register].key); ok {
 				return i
 			}
 		}
--- a/quorum/explore_world_test.go
+++ b/quorum/explore_world_test.go
@@ -17,9 +17,9 @@
 )
 
 // explorePlan is the plan of every explored node.
-func explorePlan(name string, inc uint64, c config) Plan {
-	return Plan{Name: name, Inc: inc, Slots: c.slots, Beat: tickTime, Term: 3 * tickTime, Slack: tickTime / 2,
-		Chunk: c.chunk, Limit: 1 << 20, EraTerm: c.eraTerm, Eras: 1}
+func explorePlan(name string, inc uint64, c config) Config {
+	return Config{Name: name, Incarnation: inc, Slots: c.slots, HeartbeatInterval: tickTime, LeaseDuration: 3 * tickTime, LeaseMargin: tickTime / 2,
+		ChunkBytes: c.chunk, MaxStateBytes: 1 << 20, GenerationDuration: c.eraTerm, OpenGenerations: 1}
 }
 
 // config sizes a world.
@@ -36,12 +36,12 @@
 // diskLog is what a disk holds, newest record first; it is never changed, only extended.
 type diskLog struct {
 	before *diskLog
-	rec    Rec
+	rec    Record
 	length int
 	sum    digest
 }
 
-func (d *diskLog) add(r Rec, s digest) *diskLog {
+func (d *diskLog) add(r Record, s digest) *diskLog {
 	n := &diskLog{before: d, rec: r, length: 1, sum: s}
 	if d != nil {
 		n.length = d.length + 1
@@ -50,8 +50,8 @@
 	return n
 }
 
-func (d *diskLog) recs() []Rec {
-	var out []Rec
+func (d *diskLog) recs() []Record {
+	var out []Record
 	for ; d != nil; d = d.before {
 		out = append(out, d.rec)
 	}
@@ -76,16 +76,16 @@
 	frozen   bool
 	stalled  bool // its disk syncs nothing
 	synced   *diskLog
-	unsynced []Rec
+	unsynced []Record
 	sums     []digest // of unsynced, when searching
 	issued   uint64
-	roster   Roster // that the process starts from
+	roster   VoterSet // that the process starts from
 }
 
 // packet is a message on its way.
 type packet struct {
 	to  int
-	msg *Msg
+	msg *Message
 	sum digest
 }
 
@@ -119,11 +119,11 @@
 func newWorld(c config, k *cache) *world {
 	w := &world{config: c, cache: k, now: tickTime, inputs: new(int)}
 	w.judge.init(c)
-	r := Roster{Rev: Found(9), Seats: c.seats}
+	r := VoterSet{Revision: FirstRevision(9), Seats: c.seats}
 	for i := range c.machines {
 		w.machines[i] = machine{name: string(rune('a' + i)), inc: uint64(firstInc + i)}
 		if i < c.voters {
-			r.Voters = append(r.Voters, Voter{Name: w.machines[i].name, Inc: w.machines[i].inc, Num: uint16(i + 1)})
+			r.Voters = append(r.Voters, Voter{Name: w.machines[i].name, Incarnation: w.machines[i].inc, Number: uint16(i + 1)})
 		}
 	}
 	w.judge.inForce(r)
@@ -203,8 +203,8 @@
 			s = m.sums[j]
 		}
 		m.synced = m.synced.add(r, s)
-		if r.Kind == RecRoster && r.Roster.Rev > m.roster.Rev {
-			m.roster = *r.Roster
+		if r.Type == RecordVoterSet && r.VoterSet.Revision > m.roster.Revision {
+			m.roster = *r.VoterSet
 		}
 	}
 	m.unsynced = m.unsynced[n:]
@@ -218,7 +218,7 @@
 	w.kill(i, 0)
 	m := &w.machines[i]
 	w.wiped++
-	m.synced, m.roster, m.inc = nil, Roster{}, wipedInc+w.wiped
+	m.synced, m.roster, m.inc = nil, VoterSet{}, wipedInc+w.wiped
 }
 
 // checkpoint restates a disk by its node's checkpoint.
@@ -254,32 +254,32 @@
 	w.effects(i, t.out, t)
 }
 
-func (w *world) effects(i int, o Out, t *transition) {
+func (w *world) effects(i int, o Ready, t *transition) {
 	m := &w.machines[i]
-	for j, r := range o.Recs {
+	for j, r := range o.Records {
 		m.unsynced = append(m.unsynced, r)
 		if t != nil {
 			m.sums = append(m.sums, t.recSums[j])
 		}
 		m.issued++
 	}
-	for j := range o.Sends {
-		to := w.index(o.Sends[j].To)
+	for j := range o.Messages {
+		to := w.index(o.Messages[j].To)
 		if to < 0 || w.wires[i][to] == cut || !w.machines[to].up {
 			continue
 		}
-		p := packet{to: to, msg: &o.Sends[j].Msg}
+		p := packet{to: to, msg: &o.Messages[j].Message}
 		if t != nil {
 			p.sum = t.msgSums[j]
 		}
 		w.flight = append(w.flight, p)
 	}
-	for _, a := range o.Answers {
+	for _, a := range o.Results {
 		w.judge.answered(a)
 	}
-	if o.Roster != nil {
-		w.judge.inForce(*o.Roster)
-		if v, ok := o.Roster.Find(m.name); !ok || v.Inc != m.inc {
+	if o.VoterSet != nil {
+		w.judge.inForce(*o.VoterSet)
+		if v, ok := o.VoterSet.Find(m.name); !ok || v.Incarnation != m.inc {
 			w.wipe(i) // a disk that was replaced is retired
 			w.start(i)
 		}
@@ -352,15 +352,15 @@
 		return
 	}
 	silent := false
-	for _, v := range n.Roster().Voters {
+	for _, v := range n.VoterSet().Voters {
 		silent = silent || n.Silence(w.now, v.Name) > 2*tickTime
 	}
 	if !silent {
 		return
 	}
 	for j := range w.config.machines {
-		if w.reach(i, j) && w.running(i) && w.machines[j].node.Roster().Rev > w.machines[i].node.Roster().Rev {
-			r := w.machines[j].node.Roster()
+		if w.reach(i, j) && w.running(i) && w.machines[j].node.VoterSet().Revision > w.machines[i].node.VoterSet().Revision {
+			r := w.machines[j].node.VoterSet()
 			w.input(i, input{kind: inLearn, roster: &r})
 		}
 	}
@@ -373,12 +373,12 @@
 		if !w.reach(i, j) {
 			continue
 		}
-		w.input(j, input{kind: inAdmit, voter: Voter{Name: m.name, Inc: m.inc}})
+		w.input(j, input{kind: inAdmit, voter: Voter{Name: m.name, Incarnation: m.inc}})
 		if !w.running(j) {
 			continue
 		}
-		r := w.machines[j].node.Roster()
-		if v, ok := r.Find(m.name); ok && v.Inc == m.inc {
+		r := w.machines[j].node.VoterSet()
+		if v, ok := r.Find(m.name); ok && v.Incarnation == m.inc {
 			m.roster = r
 			w.boot(i)
 			return
@@ -387,14 +387,14 @@
 }
 
 // do starts a client's operation on a machine.
-func (w *world) do(i int, op Op) {
+func (w *world) do(i int, op Operation) {
 	if !w.running(i) {
 		return
 	}
 	w.ops++
 	op.ID = w.ops
-	if op.Kind == OpPut && op.Val == nil || op.Kind == OpClaim {
-		op.Val = []byte("v" + strconv.FormatUint(op.ID, 10))
+	if op.Type == OpPut && op.Value == nil || op.Type == OpClaim {
+		op.Value = []byte("v" + strconv.FormatUint(op.ID, 10))
 	}
 	w.judge.asked(i, w.now, op)
 	w.input(i, input{kind: inDo, op: op})
@@ -430,7 +430,7 @@
 		}
 		b = binary.AppendUvarint(b, m.inc)
 		b = binary.AppendUvarint(b, m.issued)
-		b = binary.AppendUvarint(b, m.roster.Rev)
+		b = binary.AppendUvarint(b, m.roster.Revision)
 		b = append(b, bit(m.up), bit(m.frozen), bit(m.stalled))
 		b = append(b, m.life.digest()...)
 		d := m.synced.digest()
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -2,96 +2,96 @@
 
 import "sort"
 
-func (n *Node) beat(now int64, o *Out) {
-	var ms []Mark
+func (n *Node) broadcastHeartbeat(now int64, o *Ready) {
+	var ms []SlotProgress
 	for i, s := range n.slots {
-		if s.st >= finishing {
-			ms = append(ms, Mark{uint16(i), s.epoch, Ver{s.epoch, s.seq}, s.settled, s.st == owning && s.firm == n.roster.Rev})
-			if s.beatOK == nil {
-				s.beatOK = map[string]int64{}
+		if s.role >= stateRecovering {
+			ms = append(ms, SlotProgress{uint16(i), s.term, Position{s.term, s.lastIndex}, s.committed, s.role == stateLeader && s.recoveredUnder == n.voterSet.Revision})
+			if s.heartbeatAcked == nil {
+				s.heartbeatAcked = map[string]int64{}
 			}
-			s.beatOK[n.p.Name] = now
-			n.renew(now, s)
+			s.heartbeatAcked[n.config.Name] = now
+			n.renewLease(now, s)
 		}
 	}
-	n.others(func(v string) { n.send(o, v, Msg{Kind: Beat, At: now, Marks: ms}) })
+	n.forEachPeer(func(v string) { n.send(o, v, Message{Type: MsgHeartbeat, Time: now, Progress: ms}) })
 	if n.leaving {
-		n.others(func(v string) { n.send(o, v, Msg{Kind: Leaving}) })
+		n.forEachPeer(func(v string) { n.send(o, v, Message{Type: MsgLeaving}) })
 	}
 }
 
 // renew works out the owner's lease: it runs from the sending of the newest
 // beat that a majority answered.
-func (n *Node) renew(now int64, s *slot) {
+func (n *Node) renewLease(now int64, s *slotState) {
 	var ts []int64
-	for _, t := range s.beatOK {
+	for _, t := range s.heartbeatAcked {
 		ts = append(ts, t)
 	}
-	if len(ts) < n.roster.Majority() {
+	if len(ts) < n.voterSet.Majority() {
 		return
 	}
 	sort.Slice(ts, func(i, j int) bool { return ts[i] > ts[j] })
-	if u := ts[n.roster.Majority()-1] + n.p.Term - n.p.Slack; u > s.ownUntil {
-		s.ownUntil = u
+	if u := ts[n.voterSet.Majority()-1] + n.config.LeaseDuration - n.config.LeaseMargin; u > s.leaseUntil {
+		s.leaseUntil = u
 	}
-	s.heldUntil = max(s.heldUntil, now+n.p.Term)
+	s.noVoteUntil = max(s.noVoteUntil, now+n.config.LeaseDuration)
 }
 
-func (n *Node) onBeat(now int64, m Msg, o *Out) {
-	var ms []Mark
-	for _, k := range m.Marks {
+func (n *Node) handleHeartbeat(now int64, m Message, o *Ready) {
+	var ms []SlotProgress
+	for _, k := range m.Progress {
 		if int(k.Slot) >= len(n.slots) {
 			continue
 		}
 		s := n.slots[k.Slot]
-		if k.Epoch < s.promised {
+		if k.Term < s.promised {
 			// There is an owner that this voter can't follow: it is told by how much.
-			s.waitUntil = max(s.waitUntil, now+n.p.Term)
-			ms = append(ms, Mark{Slot: k.Slot, Epoch: s.promised})
+			s.noCampaignUntil = max(s.noCampaignUntil, now+n.config.LeaseDuration)
+			ms = append(ms, SlotProgress{Slot: k.Slot, Term: s.promised})
 			continue
 		}
-		n.yield(now, s, k.Epoch, o)
-		if k.Epoch > s.promised {
-			n.promise(now, k.Slot, s, k.Epoch, o)
+		n.followHigherTerm(now, s, k.Term, o)
+		if k.Term > s.promised {
+			n.promise(now, k.Slot, s, k.Term, o)
 		}
-		s.owner, s.ownerEp = m.From, k.Epoch
-		if k.Firm {
-			s.firm = n.roster.Rev
+		s.leader, s.leaderTerm = m.From, k.Term
+		if k.Recovered {
+			s.recoveredUnder = n.voterSet.Revision
 		}
-		s.heldUntil = max(s.heldUntil, now+n.p.Term)
-		if s.joined == k.Epoch && s.settled.Less(k.Settled) {
-			s.settled = k.Settled
+		s.noVoteUntil = max(s.noVoteUntil, now+n.config.LeaseDuration)
+		if s.logTerm == k.Term && s.committed.Before(k.Committed) {
+			s.committed = k.Committed
 		}
-		n.follow(now, k.Slot, s, k.Last, o)
-		a := Mark{Slot: k.Slot, Epoch: k.Epoch}
-		if s.joined == k.Epoch {
+		n.catchUp(now, k.Slot, s, k.Last, o)
+		a := SlotProgress{Slot: k.Slot, Term: k.Term}
+		if s.logTerm == k.Term {
 			// Said again at every beat: a lost WriteOK must not hold a change up.
-			a.Last = s.mark
+			a.Last = s.last
 		}
 		ms = append(ms, a)
 	}
 	// The promise to hold off others must itself be on disk when it names a
 	// new epoch, or a power loss could let two owners in.
-	n.after(now, o, func(_ int64, o *Out) { n.send(o, m.From, Msg{Kind: BeatOK, At: m.At, Marks: ms}) })
+	n.afterSync(now, o, func(_ int64, o *Ready) { n.send(o, m.From, Message{Type: MsgHeartbeatAck, Time: m.Time, Progress: ms}) })
 }
 
-func (n *Node) onBeatOK(now int64, m Msg, o *Out) {
-	for _, k := range m.Marks {
+func (n *Node) handleHeartbeatAck(now int64, m Message, o *Ready) {
+	for _, k := range m.Progress {
 		if int(k.Slot) >= len(n.slots) {
 			continue
 		}
 		s := n.slots[k.Slot]
-		if s.st >= finishing && k.Epoch > s.epoch {
-			if s.outbid <= s.epoch {
-				s.outbidAt = now
+		if s.role >= stateRecovering && k.Term > s.term {
+			if s.higherTerm <= s.term {
+				s.higherTermSeenAt = now
 			}
-			s.outbid = max(s.outbid, k.Epoch)
+			s.higherTerm = max(s.higherTerm, k.Term)
 		}
-		if s.st >= finishing && s.epoch == k.Epoch && m.At <= now {
-			s.beatOK[m.From] = max(s.beatOK[m.From], m.At)
-			n.renew(now, s)
-			if k.Last != (Ver{}) {
-				n.ack(now, k.Slot, s, m.From, k.Last, o)
+		if s.role >= stateRecovering && s.term == k.Term && m.Time <= now {
+			s.heartbeatAcked[m.From] = max(s.heartbeatAcked[m.From], m.Time)
+			n.renewLease(now, s)
+			if k.Last != (Position{}) {
+				n.acknowledge(now, k.Slot, s, m.From, k.Last, o)
 			}
 		}
 	}
@@ -99,10 +99,10 @@
 
 // Leave gives all slots up ahead of a polite stop and tells the voters, so that
 // others need not wait the leases out. The node seeks nothing any more, and votes on.
-func (n *Node) Leave(now int64) Out {
-	var o Out
+func (n *Node) Leave(now int64) Ready {
+	var o Ready
 	n.leaving = true
-	n.yieldSlots(now, &o)
-	n.others(func(v string) { n.send(&o, v, Msg{Kind: Leaving}) })
+	n.stepDownFromAll(now, &o)
+	n.forEachPeer(func(v string) { n.send(&o, v, Message{Type: MsgLeaving}) })
 	return o
 }
--- a/quorum/op.go
+++ b/quorum/op.go
@@ -7,154 +7,154 @@
 )
 
 // dutyPrefix marks keys that are leases.
-const dutyPrefix = "duty/"
+const rolePrefix = "duty/"
 
-func isDuty(k string) bool { return strings.HasPrefix(k, dutyPrefix) }
+func isRole(k string) bool { return strings.HasPrefix(k, rolePrefix) }
 
-type dutyVal struct {
-	Holder string
-	Term   int64
+type roleLease struct {
+	Holder   string
+	Duration int64
 }
 
-func (d dutyVal) bytes() []byte {
-	return append(binary.LittleEndian.AppendUint64(nil, uint64(d.Term)), d.Holder...)
+func (d roleLease) bytes() []byte {
+	return append(binary.LittleEndian.AppendUint64(nil, uint64(d.Duration)), d.Holder...)
 }
 
-func duty(b []byte) dutyVal {
+func parseRoleLease(b []byte) roleLease {
 	if len(b) < 8 {
-		return dutyVal{}
+		return roleLease{}
 	}
-	return dutyVal{string(b[8:]), int64(binary.LittleEndian.Uint64(b))}
+	return roleLease{string(b[8:]), int64(binary.LittleEndian.Uint64(b))}
 }
 
 // DutyHolder reads the holder out of a duty's register.
-func DutyHolder(b []byte) string { return duty(b).Holder }
+func RoleHolder(b []byte) string { return parseRoleLease(b).Holder }
 
 // Do starts an operation. Its Answer comes in this or a later Out.
-func (n *Node) Do(now int64, op Op) Out {
-	var o Out
-	i := SlotOf(op.Key, n.p.Slots)
+func (n *Node) Propose(now int64, op Operation) Ready {
+	var o Ready
+	i := SlotOf(op.Key, n.config.Slots)
 	n.apply(now, i, n.slots[i], op, &o)
 	return o
 }
 
 // Vouch returns the key's register if this node owns it under a live lease.
-func (n *Node) Vouch(now int64, key string) (Entry, bool) {
-	s := n.slots[SlotOf(key, n.p.Slots)]
-	if s.st != owning || now >= s.ownUntil {
+func (n *Node) ReadUnderLease(now int64, key string) (Entry, bool) {
+	s := n.slots[SlotOf(key, n.config.Slots)]
+	if s.role != stateLeader || now >= s.leaseUntil {
 		return Entry{}, false
 	}
-	e, _ := s.seen(key)
+	e, _ := s.committedEntry(key)
 	e.Key = key
 	return e, true
 }
 
 // seen is the register as callers may see it: settled changes only.
-func (s *slot) seen(k string) (Entry, bool) {
-	e, ok := s.ent[k]
-	if p, is := s.pend[k]; is {
-		e, ok = p.old, p.had
+func (s *slotState) committedEntry(k string) (Entry, bool) {
+	e, ok := s.entries[k]
+	if p, is := s.pendingByKey[k]; is {
+		e, ok = p.previous, p.existed
 	}
 	return e, ok
 }
 
-func (n *Node) apply(now int64, i uint16, s *slot, op Op, o *Out) {
+func (n *Node) apply(now int64, i uint16, s *slotState, op Operation, o *Ready) {
 	ans := func(st Status, e Entry) {
-		o.Answers = append(o.Answers, Answer{ID: op.ID, Status: st, Rev: e.Rev, Val: e.Val, Owner: s.owner})
+		o.Results = append(o.Results, Result{ID: op.ID, Status: st, Revision: e.Revision, Value: e.Value, Leader: s.leader})
 	}
-	if s.st != owning || now >= s.ownUntil {
-		ans(NotOwner, Entry{})
+	if s.role != stateLeader || now >= s.leaseUntil {
+		ans(StatusNotLeader, Entry{})
 		return
 	}
-	e, _ := s.seen(op.Key)
-	if op.Kind == OpGet {
-		ans(Done, e)
+	e, _ := s.committedEntry(op.Key)
+	if op.Type == OpGet {
+		ans(StatusDone, e)
 		return
 	}
-	if p, ok := s.pend[op.Key]; ok {
-		p.queue = append(p.queue, op)
+	if p, ok := s.pendingByKey[op.Key]; ok {
+		p.queued = append(p.queued, op)
 		return
 	}
-	switch op.Kind {
+	switch op.Type {
 	case OpPut:
-		if isDuty(op.Key) || isClaim(op.Key) || ownKey(op.Key) || op.Expect != AnyRev && op.Expect != e.Rev {
-			ans(Conflict, e)
+		if isRole(op.Key) || isClaim(op.Key) || isInternalKey(op.Key) || op.ExpectedRevision != AnyRevision && op.ExpectedRevision != e.Revision {
+			ans(StatusConflict, e)
 			return
 		}
-		if op.Key == RosterKey {
-			if err := n.admitRoster(e, op.Val); err != nil {
+		if op.Key == VoterSetKey {
+			if err := n.checkVoterSetChange(e, op.Value); err != nil {
 				o.Events = append(o.Events, "roster_refused="+err.Error())
-				ans(Conflict, Entry{Rev: e.Rev, Val: []byte(err.Error())})
+				ans(StatusConflict, Entry{Revision: e.Revision, Value: []byte(err.Error())})
 				return
 			}
 		}
-		n.change(now, i, s, op, Entry{Key: op.Key, Rev: e.Rev + 1, Val: op.Val}, ans, o)
+		n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1, Value: op.Value}, ans, o)
 	case OpClaim:
-		era := claimEra(op.Key)
+		era := claimGeneration(op.Key)
 		switch {
-		case !isClaim(op.Key) || era == 0 || len(op.Val) == 0:
-			ans(Conflict, Entry{})
-		case n.p.EraTerm > 0 && era > n.open+1:
-			ans(Early, Entry{})
-		case era < n.floorNow(i, s):
-			ans(Closed, Entry{})
-		case len(e.Val) > 0 && !bytes.Equal(e.Val, op.Val):
-			ans(Conflict, e)
-		case len(e.Val) > 0:
-			ans(Done, e) // the very same claim, asked again by its maker
+		case !isClaim(op.Key) || era == 0 || len(op.Value) == 0:
+			ans(StatusConflict, Entry{})
+		case n.config.GenerationDuration > 0 && era > n.generation+1:
+			ans(StatusGenerationNotOpen, Entry{})
+		case era < n.claimFloor(i, s):
+			ans(StatusGenerationClosed, Entry{})
+		case len(e.Value) > 0 && !bytes.Equal(e.Value, op.Value):
+			ans(StatusConflict, e)
+		case len(e.Value) > 0:
+			ans(StatusDone, e) // the very same claim, asked again by its maker
 		default:
-			n.change(now, i, s, op, Entry{Key: op.Key, Rev: e.Rev + 1, Val: op.Val}, ans, o)
+			n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1, Value: op.Value}, ans, o)
 		}
 	case OpUnclaim:
-		if !isClaim(op.Key) || len(op.Val) == 0 || !bytes.Equal(e.Val, op.Val) {
-			ans(Conflict, e)
+		if !isClaim(op.Key) || len(op.Value) == 0 || !bytes.Equal(e.Value, op.Value) {
+			ans(StatusConflict, e)
 			return
 		}
-		n.change(now, i, s, op, Entry{Key: op.Key, Rev: e.Rev + 1}, ans, o)
-	case OpHold, OpFree:
-		if !isDuty(op.Key) {
-			ans(Conflict, e)
+		n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1}, ans, o)
+	case OpAcquire, OpRelease:
+		if !isRole(op.Key) {
+			ans(StatusConflict, e)
 			return
 		}
-		n.applyDuty(now, i, s, op, e, ans, o)
+		n.applyRole(now, i, s, op, e, ans, o)
 	default:
-		ans(Conflict, e)
+		ans(StatusConflict, e)
 	}
 }
 
-func (n *Node) change(now int64, i uint16, s *slot, op Op, e Entry, ans func(Status, Entry), o *Out) {
-	limit := n.p.Limit
+func (n *Node) change(now int64, i uint16, s *slotState, op Operation, e Entry, ans func(Status, Entry), o *Ready) {
+	limit := n.config.MaxStateBytes
 	if isClaim(e.Key) {
-		limit = n.claimLimit()
+		limit = n.maxClaimBytes()
 	}
-	if n.tight || n.size+entSize(e) > limit {
-		ans(Full, Entry{})
+	if n.diskLow || n.stateBytes+entryBytes(e) > limit {
+		ans(StatusFull, Entry{})
 		return
 	}
-	if isDuty(e.Key) {
-		s.holds[e.Key] = now + duty(e.Val).Term
+	if isRole(e.Key) {
+		s.roleLeaseUntil[e.Key] = now + parseRoleLease(e.Value).Duration
 	}
-	n.issue(now, i, s, e, op, o)
+	n.replicate(now, i, s, e, op, o)
 }
 
 // applyDuty grants, renews or frees a duty. Renewals are not written: a later
 // owner of the slot waits a whole term before it grants to another.
-func (n *Node) applyDuty(now int64, i uint16, s *slot, op Op, e Entry, ans func(Status, Entry), o *Out) {
-	d := duty(e.Val)
-	live := d.Holder != "" && now < s.holds[op.Key]
+func (n *Node) applyRole(now int64, i uint16, s *slotState, op Operation, e Entry, ans func(Status, Entry), o *Ready) {
+	d := parseRoleLease(e.Value)
+	live := d.Holder != "" && now < s.roleLeaseUntil[op.Key]
 	switch {
-	case op.Kind == OpFree && d.Holder == op.Holder && e.Rev == op.Expect:
-		n.change(now, i, s, op, Entry{Key: op.Key, Rev: e.Rev + 1, Val: dutyVal{}.bytes()}, ans, o)
-	case op.Kind == OpFree || op.Holder == "" || op.Term <= 0:
-		ans(Conflict, e)
+	case op.Type == OpRelease && d.Holder == op.Holder && e.Revision == op.ExpectedRevision:
+		n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1, Value: roleLease{}.bytes()}, ans, o)
+	case op.Type == OpRelease || op.Holder == "" || op.LeaseDuration <= 0:
+		ans(StatusConflict, e)
 	case live && d.Holder == op.Holder:
 		// Also for one whose grant was not heard, or whose question comes late: a
 		// second grant to the same life would make its own orders out-of-date.
-		s.holds[op.Key] = now + d.Term
-		ans(Done, e)
+		s.roleLeaseUntil[op.Key] = now + d.Duration
+		ans(StatusDone, e)
 	case live && d.Holder != op.Holder:
-		ans(Conflict, e)
+		ans(StatusConflict, e)
 	default: // free, or run out
-		n.change(now, i, s, op, Entry{Key: op.Key, Rev: e.Rev + 1, Val: dutyVal{op.Holder, op.Term}.bytes()}, ans, o)
+		n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1, Value: roleLease{op.Holder, op.LeaseDuration}.bytes()}, ans, o)
 	}
 }
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-func voters(n int) Roster {
-	r := Roster{Rev: Found(9)}
+func voters(n int) VoterSet {
+	r := VoterSet{Revision: FirstRevision(9)}
 	for i := 0; i < n; i++ {
-		r.Voters = append(r.Voters, Voter{Name: string(rune('a' + i)), Inc: uint64(i + 1), Num: uint16(i + 1)})
+		r.Voters = append(r.Voters, Voter{Name: string(rune('a' + i)), Incarnation: uint64(i + 1), Number: uint16(i + 1)})
 	}
 	return r
 }
@@ -22,7 +22,7 @@
 		for _, c := range []struct {
 			old string
 			new *Voter
-		}{{"", &Voter{Name: "z", Inc: 99}}, {"a", nil}, {"a", &Voter{Name: "z", Inc: 99}}} {
+		}{{"", &Voter{Name: "z", Incarnation: 99}}, {"a", nil}, {"a", &Voter{Name: "z", Incarnation: 99}}} {
 			next, err := r.Next(c.old, c.new)
 			apart := disjoint(r, next)
 			if err == nil && apart {
@@ -34,20 +34,20 @@
 		}
 	}
 	r := voters(4)
-	two := Roster{Rev: r.Rev + 1, Voters: append([]Voter{{Name: "y", Inc: 98, Num: 50}, {Name: "z", Inc: 99, Num: 51}}, r.Voters[2:]...)}
-	if step(r, two) == nil {
+	two := VoterSet{Revision: r.Revision + 1, Voters: append([]Voter{{Name: "y", Incarnation: 98, Number: 50}, {Name: "z", Incarnation: 99, Number: 51}}, r.Voters[2:]...)}
+	if checkStep(r, two) == nil {
 		t.Error("two voters may be replaced at once")
 	}
 	if _, err := r.Next("nobody", nil); err == nil {
 		t.Error("a voter that is not there may go")
 	}
-	if _, err := r.Next("", &Voter{Name: "a", Inc: 99}); err == nil {
+	if _, err := r.Next("", &Voter{Name: "a", Incarnation: 99}); err == nil {
 		t.Error("two voters of one name")
 	}
 }
 
 // disjoint finds a majority of each roster that share nobody.
-func disjoint(a, b Roster) bool {
+func disjoint(a, b VoterSet) bool {
 	for x := 0; x < 1<<len(a.Voters); x++ {
 		qa := map[Voter]bool{}
 		for i, v := range a.Voters {
@@ -72,39 +72,39 @@
 }
 
 // lone is a roster of one, which settles everything by itself once synced.
-func lone(t *testing.T, era int64) (n *Node, step func(int64) []Answer, do func(int64, Op) Answer) {
+func lone(t *testing.T, era int64) (n *Node, step func(int64) []Result, do func(int64, Operation) Result) {
 	t.Helper()
-	p := Defaults("a", 1)
-	p.EraTerm, p.Eras = era, 3
+	p := DefaultConfig("a", 1)
+	p.GenerationDuration, p.OpenGenerations = era, 3
 	n = New(p, voters(1), 0, nil)
 	var recs uint64
-	var out []Answer
-	take := func(now int64, o Out) {
-		for len(o.Recs) > 0 || len(o.Answers) > 0 {
-			recs += uint64(len(o.Recs))
-			out = append(out, o.Answers...)
-			if len(o.Recs) == 0 {
+	var out []Result
+	take := func(now int64, o Ready) {
+		for len(o.Records) > 0 || len(o.Results) > 0 {
+			recs += uint64(len(o.Records))
+			out = append(out, o.Results...)
+			if len(o.Records) == 0 {
 				break
 			}
-			o = n.Synced(now, recs)
+			o = n.RecordsSynced(now, recs)
 		}
 	}
-	step = func(now int64) []Answer {
+	step = func(now int64) []Result {
 		take(now, n.Tick(now))
 		a := out
 		out = nil
 		return a
 	}
-	do = func(now int64, op Op) Answer {
+	do = func(now int64, op Operation) Result {
 		out = nil
-		take(now, n.Do(now, op))
+		take(now, n.Propose(now, op))
 		for _, a := range out {
 			if a.ID == op.ID {
 				return a
 			}
 		}
 		t.Fatalf("no answer to %+v", op)
-		return Answer{}
+		return Result{}
 	}
 	for now := int64(0); now <= 3_000_000; now += 25_000 {
 		step(now)
@@ -117,20 +117,20 @@
 func TestOneRosterOfANumber(t *testing.T) {
 	n, _, do := lone(t, 0)
 	now := int64(3_000_000)
-	put := func(name string, inc, expect uint64) Answer {
-		r, err := n.Roster().Next("", &Voter{Name: name, Inc: inc})
+	put := func(name string, inc, expect uint64) Result {
+		r, err := n.VoterSet().Next("", &Voter{Name: name, Incarnation: inc})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return do(now, Op{ID: inc, Kind: OpPut, Key: RosterKey, Val: r.Bytes(), Expect: expect})
+		return do(now, Operation{ID: inc, Type: OpPut, Key: VoterSetKey, Value: r.Bytes(), ExpectedRevision: expect})
 	}
-	if a := put("b", 2, 0); a.Status != Done {
+	if a := put("b", 2, 0); a.Status != StatusDone {
 		t.Fatalf("%+v", a)
 	}
-	if a := put("c", 3, 1); a.Status != Conflict {
+	if a := put("c", 3, 1); a.Status != StatusConflict {
 		t.Fatalf("a second roster of that number: %+v", a)
 	}
-	if o := n.Admit(now, Voter{Name: "c", Inc: 3}); len(o.Recs) != 0 {
+	if o := n.AdmitVoter(now, Voter{Name: "c", Incarnation: 3}); len(o.Records) != 0 {
 		t.Fatalf("a second roster of that number: %+v", o)
 	}
 }
@@ -140,18 +140,18 @@
 func TestClaimsOfAnEra(t *testing.T) {
 	n, step, do := lone(t, 10_000_000)
 	now, id := int64(3_000_000), uint64(0)
-	op := func(k OpKind, era uint64, name, val string) Status {
+	op := func(k OperationType, era uint64, name, val string) Status {
 		id++
-		return do(now, Op{ID: id, Kind: k, Key: ClaimKey(era, name), Val: []byte(val)}).Status
+		return do(now, Operation{ID: id, Type: k, Key: ClaimKey(era, name), Value: []byte(val)}).Status
 	}
-	empty := n.Size()
+	empty := n.StateBytes()
 	for i, c := range []struct {
-		kind OpKind
+		kind OperationType
 		era  uint64
 		val  string
 		want Status
-	}{{OpClaim, 1, "x", Done}, {OpClaim, 1, "x", Done}, {OpClaim, 1, "y", Conflict}, {OpUnclaim, 1, "y", Conflict},
-		{OpUnclaim, 1, "x", Done}, {OpClaim, 1, "y", Done}, {OpClaim, 0, "y", Conflict}, {OpClaim, 9, "y", Early}} {
+	}{{OpClaim, 1, "x", StatusDone}, {OpClaim, 1, "x", StatusDone}, {OpClaim, 1, "y", StatusConflict}, {OpUnclaim, 1, "y", StatusConflict},
+		{OpUnclaim, 1, "x", StatusDone}, {OpClaim, 1, "y", StatusDone}, {OpClaim, 0, "y", StatusConflict}, {OpClaim, 9, "y", StatusGenerationNotOpen}} {
 		if s := op(c.kind, c.era, "g/1", c.val); s != c.want {
 			t.Fatalf("%d: %+v ended in %d", i, c, s)
 		}
@@ -159,24 +159,24 @@
 	for ; now < 25_000_000; now += 25_000 {
 		step(now)
 	}
-	if s := op(OpClaim, 1, "g/1", "z"); s != Conflict {
+	if s := op(OpClaim, 1, "g/1", "z"); s != StatusConflict {
 		t.Fatalf("forgotten while its era was open: %d", s)
 	}
 	for ; now < 40_000_000; now += 25_000 {
 		step(now)
 	}
-	if s := op(OpClaim, 1, "g/1", "z"); s != Closed {
+	if s := op(OpClaim, 1, "g/1", "z"); s != StatusGenerationClosed {
 		t.Fatalf("claimed in a closed era: %d", s)
 	}
-	if s := op(OpUnclaim, 1, "g/1", "y"); s == Done {
+	if s := op(OpUnclaim, 1, "g/1", "y"); s == StatusDone {
 		t.Fatal("given back in a closed era")
 	}
 	// What is left are the floors of the slots.
-	if left := n.Size() - empty; left > 16*300 {
+	if left := n.StateBytes() - empty; left > 16*300 {
 		t.Fatalf("%d bytes are left", left)
 	}
 	id++
-	if a := do(now, Op{ID: id, Kind: OpPut, Key: EraKey, Val: []byte("x"), Expect: AnyRev}); a.Status != Conflict {
+	if a := do(now, Operation{ID: id, Type: OpPut, Key: GenerationKey, Value: []byte("x"), ExpectedRevision: AnyRevision}); a.Status != StatusConflict {
 		t.Fatalf("anybody opens eras: %+v", a)
 	}
 }
@@ -184,15 +184,15 @@
 // TestFullState: without room a change is refused and what stands is read as before.
 func TestFullState(t *testing.T) {
 	n, _, do := lone(t, 0)
-	n.p.Limit = n.Size() + 600
+	n.config.MaxStateBytes = n.StateBytes() + 600
 	now := int64(3_000_000)
-	if a := do(now, Op{ID: 1, Kind: OpPut, Key: "plan", Val: make([]byte, 100)}); a.Status != Done {
+	if a := do(now, Operation{ID: 1, Type: OpPut, Key: "plan", Value: make([]byte, 100)}); a.Status != StatusDone {
 		t.Fatalf("%+v", a)
 	}
-	if a := do(now, Op{ID: 2, Kind: OpPut, Key: "plan", Val: make([]byte, 4000), Expect: 1}); a.Status != Full {
+	if a := do(now, Operation{ID: 2, Type: OpPut, Key: "plan", Value: make([]byte, 4000), ExpectedRevision: 1}); a.Status != StatusFull {
 		t.Fatalf("%+v", a)
 	}
-	if a := do(now, Op{ID: 3, Kind: OpGet, Key: "plan"}); a.Status != Done || a.Rev != 1 || len(a.Val) != 100 {
+	if a := do(now, Operation{ID: 3, Type: OpGet, Key: "plan"}); a.Status != StatusDone || a.Revision != 1 || len(a.Value) != 100 {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -201,32 +201,32 @@
 // theirs, and a duty that finds none is not held up afterwards.
 func TestClaimsLeaveRoom(t *testing.T) {
 	n, _, do := lone(t, 0)
-	n.p.Limit = n.Size() + 6000
+	n.config.MaxStateBytes = n.StateBytes() + 6000
 	now, id := int64(3_000_000), uint64(0)
 	full := false
 	for i := 0; i < 40 && !full; i++ {
 		id++
-		full = do(now, Op{ID: id, Kind: OpClaim, Key: fmt.Sprint("claim/1/g/", i), Val: []byte("x")}).Status == Full
+		full = do(now, Operation{ID: id, Type: OpClaim, Key: fmt.Sprint("claim/1/g/", i), Value: []byte("x")}).Status == StatusFull
 	}
 	if !full {
 		t.Fatal("claims took all the room")
 	}
-	hold := func(who string) Answer {
+	hold := func(who string) Result {
 		id++
-		return do(now, Op{ID: id, Kind: OpHold, Key: "duty/x", Holder: who, Term: 1_000_000})
+		return do(now, Operation{ID: id, Type: OpAcquire, Key: "duty/x", Holder: who, LeaseDuration: 1_000_000})
 	}
-	if a := hold("p"); a.Status != Done {
+	if a := hold("p"); a.Status != StatusDone {
 		t.Fatalf("no room for a duty: %+v", a)
 	}
-	n.p.Limit = n.Size()
+	n.config.MaxStateBytes = n.StateBytes()
 	now += 2_000_000
 	// The lone voter's lease would have run out by now if nobody ticked it.
-	n.slots[SlotOf("duty/x", n.p.Slots)].ownUntil = now + 500_000
-	if a := hold("q"); a.Status != Full {
+	n.slots[SlotOf("duty/x", n.config.Slots)].leaseUntil = now + 500_000
+	if a := hold("q"); a.Status != StatusFull {
 		t.Fatalf("%+v", a)
 	}
-	n.p.Limit += 1000
-	if a := hold("r"); a.Status != Done {
+	n.config.MaxStateBytes += 1000
+	if a := hold("r"); a.Status != StatusDone {
 		t.Fatalf("held up by one that found no room: %+v", a)
 	}
 }
@@ -240,40 +240,40 @@
 			step(now)
 		}
 	}
-	hold := func(who string, epoch uint64, kind OpKind) Answer {
+	hold := func(who string, epoch uint64, kind OperationType) Result {
 		id++
-		return do(now, Op{ID: id, Kind: kind, Key: "duty/x", Holder: who, Term: 1_000_000, Expect: epoch})
+		return do(now, Operation{ID: id, Type: kind, Key: "duty/x", Holder: who, LeaseDuration: 1_000_000, ExpectedRevision: epoch})
 	}
-	a := hold("p", 0, OpHold)
-	if a.Status != Done {
+	a := hold("p", 0, OpAcquire)
+	if a.Status != StatusDone {
 		t.Fatalf("%+v", a)
 	}
-	if b := hold("q", 0, OpHold); b.Status != Conflict {
+	if b := hold("q", 0, OpAcquire); b.Status != StatusConflict {
 		t.Fatalf("two holders: %+v", b)
 	}
 	wait(900_000)
-	if b := hold("p", a.Rev, OpHold); b.Status != Done || b.Rev != a.Rev {
+	if b := hold("p", a.Revision, OpAcquire); b.Status != StatusDone || b.Revision != a.Revision {
 		t.Fatalf("a renewal: %+v", b)
 	}
-	if b := hold("p", 0, OpHold); b.Status != Done || b.Rev != a.Rev {
+	if b := hold("p", 0, OpAcquire); b.Status != StatusDone || b.Revision != a.Revision {
 		t.Fatalf("asked again by its own holder, who did not hear of the grant: %+v after %+v", b, a)
 	}
 	wait(900_000)
-	if b := hold("q", 0, OpHold); b.Status != Conflict {
+	if b := hold("q", 0, OpAcquire); b.Status != StatusConflict {
 		t.Fatalf("a renewed duty was given away: %+v", b)
 	}
-	if b := hold("q", a.Rev, OpFree); b.Status != Conflict {
+	if b := hold("q", a.Revision, OpRelease); b.Status != StatusConflict {
 		t.Fatalf("freed by another: %+v", b)
 	}
 	wait(200_000)
-	b := hold("q", 0, OpHold)
-	if b.Status != Done || b.Rev <= a.Rev {
+	b := hold("q", 0, OpAcquire)
+	if b.Status != StatusDone || b.Revision <= a.Revision {
 		t.Fatalf("a duty that ran out: %+v after %+v", b, a)
 	}
-	if c := hold("p", a.Rev, OpHold); c.Status != Conflict {
+	if c := hold("p", a.Revision, OpAcquire); c.Status != StatusConflict {
 		t.Fatalf("a renewal under an old epoch: %+v", c)
 	}
-	if c := do(now, Op{ID: 99, Kind: OpPut, Key: "duty/x", Val: []byte("x"), Expect: AnyRev}); c.Status != Conflict {
+	if c := do(now, Operation{ID: 99, Type: OpPut, Key: "duty/x", Value: []byte("x"), ExpectedRevision: AnyRevision}); c.Status != StatusConflict {
 		t.Fatalf("a duty was overwritten: %+v", c)
 	}
 }
--- a/quorum/recv.go
+++ b/quorum/recv.go
@@ -4,64 +4,64 @@
 
 // Recv takes a message from another voter. A sender that the roster does not
 // know under that incarnation is not heard (design §4.6).
-func (n *Node) Recv(now int64, m Msg) Out {
-	var o Out
-	if v, ok := n.roster.Find(m.From); ok && v.Inc == m.Inc {
-		n.heard[m.From] = now
+func (n *Node) Receive(now int64, m Message) Ready {
+	var o Ready
+	if v, ok := n.voterSet.Find(m.From); ok && v.Incarnation == m.Incarnation {
+		n.lastHeard[m.From] = now
 	}
-	if m.Roster != n.roster.Rev && m.From != n.p.Name {
-		n.otherRoster(now, m, &o)
+	if m.VoterSetRevision != n.voterSet.Revision && m.From != n.config.Name {
+		n.handleOtherVoterSet(now, m, &o)
 		return o
 	}
-	v, ok := n.roster.Find(m.From)
-	if !ok || v.Inc != m.Inc || m.From == n.p.Name || !n.inRoster() {
-		o.Events = append(o.Events, fmt.Sprintf("unheard=%s inc=%d roster=%d", m.From, m.Inc, m.Roster))
+	v, ok := n.voterSet.Find(m.From)
+	if !ok || v.Incarnation != m.Incarnation || m.From == n.config.Name || !n.isVoter() {
+		o.Events = append(o.Events, fmt.Sprintf("unheard=%s inc=%d roster=%d", m.From, m.Incarnation, m.VoterSetRevision))
 		return o
 	}
-	n.Hear(m.Era)
-	if m.Kind == RosterAsk {
-		n.sendRoster(&o, m.From)
+	n.ObserveGeneration(m.Generation)
+	if m.Type == MsgVoterSetRequest {
+		n.sendVoterSet(&o, m.From)
 		return o
 	}
-	if m.Kind != Beat && m.Kind != BeatOK && m.Kind != Yield && m.Kind != Leaving && int(m.Slot) >= len(n.slots) {
+	if m.Type != MsgHeartbeat && m.Type != MsgHeartbeatAck && m.Type != MsgStepDown && m.Type != MsgLeaving && int(m.Slot) >= len(n.slots) {
 		o.Events = append(o.Events, fmt.Sprintf("unheard=%s slot=%d", m.From, m.Slot))
 		return o
 	}
-	switch m.Kind {
-	case Beat:
-		n.onBeat(now, m, &o)
-	case Yield:
-		for _, k := range m.Marks {
+	switch m.Type {
+	case MsgHeartbeat:
+		n.handleHeartbeat(now, m, &o)
+	case MsgStepDown:
+		for _, k := range m.Progress {
 			if int(k.Slot) >= len(n.slots) {
 				continue
 			}
-			if s := n.slots[k.Slot]; s.owner == m.From && s.ownerEp == k.Epoch && s.promised <= k.Epoch {
-				s.owner, s.heldUntil = "", now
+			if s := n.slots[k.Slot]; s.leader == m.From && s.leaderTerm == k.Term && s.promised <= k.Term {
+				s.leader, s.noVoteUntil = "", now
 			}
 		}
-	case Leaving:
-		n.leavers[m.From] = now
-	case BeatOK:
-		n.onBeatOK(now, m, &o)
-	case Seek:
-		n.onSeek(now, m, &o)
-	case SeekOK:
-		if s := n.slots[m.Slot]; s.st == seeking && s.epoch == m.Epoch {
-			s.replies[m.From] = m
-			n.elected(now, m.Slot, s, &o)
+	case MsgLeaving:
+		n.leavingSince[m.From] = now
+	case MsgHeartbeatAck:
+		n.handleHeartbeatAck(now, m, &o)
+	case MsgVoteRequest:
+		n.handleVoteRequest(now, m, &o)
+	case MsgVoteGranted:
+		if s := n.slots[m.Slot]; s.role == stateCandidate && s.term == m.Term {
+			s.votes[m.From] = m
+			n.countVotes(now, m.Slot, s, &o)
 		}
-	case SeekNo:
-		n.onSeekNo(now, m, &o)
-	case Write:
-		n.onWrite(now, m, &o)
-	case WriteOK:
-		if s := n.slots[m.Slot]; s.st >= finishing && s.epoch == m.Epoch {
-			n.ack(now, m.Slot, s, m.From, m.Mark, &o)
+	case MsgVoteRejected:
+		n.handleVoteRejected(now, m, &o)
+	case MsgAppend:
+		n.handleAppend(now, m, &o)
+	case MsgAppendAck:
+		if s := n.slots[m.Slot]; s.role >= stateRecovering && s.term == m.Term {
+			n.acknowledge(now, m.Slot, s, m.From, m.Last, &o)
 		}
-	case Fetch:
-		n.onFetch(m, &o)
-	case Fill:
-		n.onFill(now, m, &o)
+	case MsgSnapshotRequest:
+		n.handleSnapshotRequest(m, &o)
+	case MsgSnapshotChunk:
+		n.handleSnapshotChunk(now, m, &o)
 	}
 	return o
 }
--- a/quorum/replicate.go
+++ b/quorum/replicate.go
@@ -6,115 +6,115 @@
 )
 
 // issue gives a change its version and starts it towards a majority.
-func (n *Node) issue(now int64, i uint16, s *slot, e Entry, op Op, o *Out) {
-	prev := Ver{s.epoch, s.seq}
-	s.seq++
-	old, had := s.ent[e.Key]
-	e.Ver = Ver{s.epoch, s.seq}
-	p := &pending{key: e.Key, ver: e.Ver, old: old, had: had, op: op}
-	s.pend[e.Key] = p
-	s.order = append(s.order, p)
+func (n *Node) replicate(now int64, i uint16, s *slotState, e Entry, op Operation, o *Ready) {
+	prev := Position{s.term, s.lastIndex}
+	s.lastIndex++
+	old, had := s.entries[e.Key]
+	e.Position = Position{s.term, s.lastIndex}
+	p := &pendingChange{key: e.Key, position: e.Position, previous: old, existed: had, operation: op}
+	s.pendingByKey[e.Key] = p
+	s.pendingOrder = append(s.pendingOrder, p)
 	n.store(s, e)
-	s.mark = e.Ver
-	n.rec(o, Rec{Kind: RecEntry, Slot: i, Epoch: s.epoch, Mark: s.mark, Settled: s.settled, Entry: e})
-	n.after(now, o, func(now int64, o *Out) {
-		if s.epoch == e.Ver.Epoch && s.st >= finishing {
-			n.ack(now, i, s, n.p.Name, e.Ver, o)
+	s.last = e.Position
+	n.appendRecord(o, Record{Type: RecordEntry, Slot: i, Term: s.term, Last: s.last, Committed: s.committed, Entry: e})
+	n.afterSync(now, o, func(now int64, o *Ready) {
+		if s.term == e.Position.Term && s.role >= stateRecovering {
+			n.acknowledge(now, i, s, n.config.Name, e.Position, o)
 		}
 	})
-	m := Msg{Kind: Write, Slot: i, Epoch: s.epoch, Prev: prev, Entries: []Entry{e}, Settled: s.settled}
-	n.others(func(v string) { n.send(o, v, m) })
+	m := Message{Type: MsgAppend, Slot: i, Term: s.term, Previous: prev, Entries: []Entry{e}, Committed: s.committed}
+	n.forEachPeer(func(v string) { n.send(o, v, m) })
 }
 
 // ack counts a voter's synced mark and settles what a majority now has.
-func (n *Node) ack(now int64, i uint16, s *slot, v string, m Ver, o *Out) {
-	if a, ok := s.acked[v]; !ok || a.Less(m) {
-		s.acked[v] = m
+func (n *Node) acknowledge(now int64, i uint16, s *slotState, v string, m Position, o *Ready) {
+	if a, ok := s.acknowledged[v]; !ok || a.Before(m) {
+		s.acknowledged[v] = m
 	}
-	if len(s.acked) < n.roster.Majority() {
+	if len(s.acknowledged) < n.voterSet.Majority() {
 		return
 	}
-	var ms []Ver
-	for _, a := range s.acked {
+	var ms []Position
+	for _, a := range s.acknowledged {
 		ms = append(ms, a)
 	}
-	sort.Slice(ms, func(a, b int) bool { return ms[b].Less(ms[a]) })
-	if q := ms[n.roster.Majority()-1]; s.settled.Less(q) {
-		s.settled = q
+	sort.Slice(ms, func(a, b int) bool { return ms[b].Before(ms[a]) })
+	if q := ms[n.voterSet.Majority()-1]; s.committed.Before(q) {
+		s.committed = q
 	}
-	for len(s.order) > 0 && !s.settled.Less(s.order[0].ver) {
-		p := s.order[0]
-		s.order = s.order[1:]
-		e := s.ent[p.key]
-		delete(s.pend, e.Key)
-		if p.op.ID != 0 {
-			o.Answers = append(o.Answers, Answer{ID: p.op.ID, Status: Done, Rev: e.Rev, Val: e.Val})
+	for len(s.pendingOrder) > 0 && !s.committed.Before(s.pendingOrder[0].position) {
+		p := s.pendingOrder[0]
+		s.pendingOrder = s.pendingOrder[1:]
+		e := s.entries[p.key]
+		delete(s.pendingByKey, e.Key)
+		if p.operation.ID != 0 {
+			o.Results = append(o.Results, Result{ID: p.operation.ID, Status: StatusDone, Revision: e.Revision, Value: e.Value})
 		}
-		for _, q := range p.queue {
+		for _, q := range p.queued {
 			n.apply(now, i, s, q, o)
 		}
 	}
-	if s.st == finishing && len(s.order) == 0 && !s.settled.Less(Ver{s.epoch, 0}) {
-		s.st, s.firm, s.eraAt = owning, n.roster.Rev, now
+	if s.role == stateRecovering && len(s.pendingOrder) == 0 && !s.committed.Before(Position{s.term, 0}) {
+		s.role, s.recoveredUnder, s.generationSince = stateLeader, n.voterSet.Revision, now
 		// In the order of their changes, so that a seed replays alike.
-		for _, vk := range s.live(Ver{}) {
-			k := vk.k
-			if isDuty(k) {
+		for _, vk := range s.changedAfter(Position{}) {
+			k := vk.key
+			if isRole(k) {
 				// The former owner may have renewed until it stopped (design §4.5).
-				s.holds[k] = now + duty(s.ent[k].Val).Term
+				s.roleLeaseUntil[k] = now + parseRoleLease(s.entries[k].Value).Duration
 			}
 		}
-		o.Events = append(o.Events, fmt.Sprintf("slot=%d owning=%d", i, s.epoch))
+		o.Events = append(o.Events, fmt.Sprintf("slot=%d owning=%d", i, s.term))
 	}
 }
 
-func (n *Node) onWrite(now int64, m Msg, o *Out) {
+func (n *Node) handleAppend(now int64, m Message, o *Ready) {
 	s := n.slots[m.Slot]
-	if m.Epoch < s.promised {
+	if m.Term < s.promised {
 		return
 	}
-	n.yield(now, s, m.Epoch, o)
-	if m.Epoch > s.promised {
-		n.promise(now, m.Slot, s, m.Epoch, o)
+	n.followHigherTerm(now, s, m.Term, o)
+	if m.Term > s.promised {
+		n.promise(now, m.Slot, s, m.Term, o)
 	}
-	s.owner, s.ownerEp = m.From, m.Epoch
+	s.leader, s.leaderTerm = m.From, m.Term
 	if len(m.Entries) == 0 {
 		return
 	}
-	if s.joined != m.Epoch || s.mark.Less(m.Prev) {
-		n.follow(now, m.Slot, s, m.Entries[len(m.Entries)-1].Ver, o)
+	if s.logTerm != m.Term || s.last.Before(m.Previous) {
+		n.catchUp(now, m.Slot, s, m.Entries[len(m.Entries)-1].Position, o)
 		return
 	}
-	n.take(now, m.Slot, s, m.Entries, m.Entries[len(m.Entries)-1].Ver, m.Settled, o)
+	n.appendFromLeader(now, m.Slot, s, m.Entries, m.Entries[len(m.Entries)-1].Position, m.Committed, o)
 }
 
 // take stores changes of the line this voter follows and confirms them.
-func (n *Node) take(now int64, i uint16, s *slot, es []Entry, mark, settled Ver, o *Out) {
-	was := s.mark
-	if s.settled.Less(settled) {
-		s.settled = settled
+func (n *Node) appendFromLeader(now int64, i uint16, s *slotState, es []Entry, mark, settled Position, o *Ready) {
+	was := s.last
+	if s.committed.Before(settled) {
+		s.committed = settled
 	}
 	// The mark moves with the last record only, lest a torn batch claim more
 	// than it holds.
 	for j, e := range es {
-		if j == len(es)-1 && s.mark.Less(mark) {
-			was, s.mark = mark, mark
+		if j == len(es)-1 && s.last.Before(mark) {
+			was, s.last = mark, mark
 		}
-		if g, ok := s.ent[e.Key]; ok && !g.Ver.Less(e.Ver) {
+		if g, ok := s.entries[e.Key]; ok && !g.Position.Before(e.Position) {
 			continue
 		}
 		n.store(s, e)
-		n.rec(o, Rec{Kind: RecEntry, Slot: i, Epoch: s.joined, Mark: was, Settled: s.settled, Entry: e})
+		n.appendRecord(o, Record{Type: RecordEntry, Slot: i, Term: s.logTerm, Last: was, Committed: s.committed, Entry: e})
 	}
-	if s.mark.Less(mark) {
-		s.mark = mark
+	if s.last.Before(mark) {
+		s.last = mark
 	}
-	n.confirm(now, i, s, o)
+	n.sendAppendAck(now, i, s, o)
 }
 
-func (n *Node) confirm(now int64, i uint16, s *slot, o *Out) {
-	e, mk, to := s.joined, s.mark, s.owner
-	n.after(now, o, func(_ int64, o *Out) {
-		n.send(o, to, Msg{Kind: WriteOK, Slot: i, Epoch: e, Mark: mk})
+func (n *Node) sendAppendAck(now int64, i uint16, s *slotState, o *Ready) {
+	e, mk, to := s.logTerm, s.last, s.leader
+	n.afterSync(now, o, func(_ int64, o *Ready) {
+		n.send(o, to, Message{Type: MsgAppendAck, Slot: i, Term: e, Last: mk})
 	})
 }
--- a/quorum/roster.go
+++ b/quorum/roster.go
@@ -11,17 +11,17 @@
 // that an emptied node is never mistaken for its former self (design §4.6). Num
 // is never given twice in a fleet.
 type Voter struct {
-	Name string `json:"name"`
-	Addr string `json:"addr"`
-	Inc  uint64 `json:"inc,string"`
-	Num  uint16 `json:"num"`
+	Name        string `json:"name"`
+	Addr        string `json:"addr"`
+	Incarnation uint64 `json:"inc,string"`
+	Number      uint16 `json:"num"`
 }
 
 // Roster is the list whose majority decides. The upper bits of Rev name the
 // fleet, the lower ones count the steps.
-type Roster struct {
-	Rev    uint64  `json:"rev,string"`
-	Voters []Voter `json:"voters"`
+type VoterSet struct {
+	Revision uint64  `json:"rev,string"`
+	Voters   []Voter `json:"voters"`
 	// Seats is how many voters the fleet keeps. With more, one was let in before the
 	// one that it replaces had gone (Shed). 0, in a roster that knows no such count,
 	// never sheds.
@@ -31,19 +31,19 @@
 const stepBits = 20
 
 // Found makes a fleet's first roster revision.
-func Found(fleet uint64) uint64 { return fleet<<stepBits | 1 }
+func FirstRevision(fleet uint64) uint64 { return fleet<<stepBits | 1 }
 
 // Fleet names the fleet that a roster belongs to.
-func (r Roster) Fleet() uint64 { return r.Rev >> stepBits }
+func (r VoterSet) Fleet() uint64 { return r.Revision >> stepBits }
 
 // Step counts the changes of the roster.
-func (r Roster) Step() uint64 { return r.Rev & (1<<stepBits - 1) }
+func (r VoterSet) Step() uint64 { return r.Revision & (1<<stepBits - 1) }
 
 // Majority is the least count of voters that decides.
-func (r Roster) Majority() int { return len(r.Voters)/2 + 1 }
+func (r VoterSet) Majority() int { return len(r.Voters)/2 + 1 }
 
 // Find returns the voter of that name.
-func (r Roster) Find(name string) (Voter, bool) {
+func (r VoterSet) Find(name string) (Voter, bool) {
 	for _, v := range r.Voters {
 		if v.Name == name {
 			return v, true
@@ -55,8 +55,8 @@
 // Next is the roster after one step: old goes (unless empty) and v comes (unless
 // nil), and the fleet keeps as many seats fewer or more. It fails unless every
 // majority of one shares a voter with every majority of the other.
-func (r Roster) Next(old string, v *Voter) (Roster, error) {
-	n := Roster{Rev: r.Rev + 1, Voters: slices.Clone(r.Voters), Seats: r.Seats}
+func (r VoterSet) Next(old string, v *Voter) (VoterSet, error) {
+	n := VoterSet{Revision: r.Revision + 1, Voters: slices.Clone(r.Voters), Seats: r.Seats}
 	if old != "" {
 		i := slices.IndexFunc(n.Voters, func(x Voter) bool { return x.Name == old })
 		if i < 0 {
@@ -69,20 +69,20 @@
 			return n, fmt.Errorf("a voter is already named %s; name it as the one to replace", v.Name)
 		}
 		x := *v
-		x.Num = uint16(16 + n.Step())
+		x.Number = uint16(16 + n.Step())
 		n.Voters = append(n.Voters, x)
 	}
 	if r.Seats > 0 {
 		n.Seats = uint16(max(1, int(r.Seats)+len(n.Voters)-len(r.Voters)))
 	}
-	if err := step(r, n); err != nil {
+	if err := checkStep(r, n); err != nil {
 		return n, err
 	}
 	return n, nil
 }
 
 // step checks that n may follow r.
-func step(r, n Roster) error {
+func checkStep(r, n VoterSet) error {
 	common := 0
 	for _, a := range r.Voters {
 		for _, b := range n.Voters {
@@ -95,14 +95,14 @@
 	// Of the common voters, a majority of each must take more than all together.
 	a, b := r.Majority()-gone, n.Majority()-come
 	switch {
-	case n.Rev != r.Rev+1:
+	case n.Revision != r.Revision+1:
 		return fmt.Errorf("roster %d does not follow %d", n.Step(), r.Step())
 	case len(n.Voters) == 0 || gone+come == 0 || gone > 1 || come > 1 || a+b <= common:
 		return fmt.Errorf("a step may add one voter, remove one, or replace one of an even number; change one at a time")
 	}
 	for i, v := range n.Voters {
 		for _, w := range n.Voters[:i] {
-			if v.Name == w.Name || v.Inc == w.Inc || v.Num == w.Num {
+			if v.Name == w.Name || v.Incarnation == w.Incarnation || v.Number == w.Number {
 				return fmt.Errorf("%s and %s are not told apart", v.Name, w.Name)
 			}
 		}
@@ -117,9 +117,9 @@
 // beside it: it may be about to be replaced. A newcomer waits as long before it is
 // added, since it may have come in the place of one that has just gone (design §4.6).
 const (
-	GoneAfter  = 1_500_000
-	DoubtAfter = 500_000
-	AddAfter   = 600_000
+	FailedAfter  = 1_500_000
+	SuspectAfter = 500_000
+	AddAfter     = 600_000
 )
 
 // Admit is the step that lets v in, which has asked for it for so long, if there is one
@@ -130,17 +130,17 @@
 //
 // else v is added, up to bound voters. An odd roster loses the voter first and gains v
 // by the step after. Nothing is done when no majority is heard.
-func (r Roster) Admit(v Voter, asked int64, silence func(name string) int64, bound int) (Roster, bool) {
+func (r VoterSet) Admit(v Voter, asked int64, silence func(name string) int64, bound int) (VoterSet, bool) {
 	gone, doubt, heard := "", false, 0
 	var worst int64
 	for _, w := range r.Voters {
 		s := silence(w.Name)
-		if s < DoubtAfter {
+		if s < SuspectAfter {
 			heard++
 		} else {
 			doubt = true
 		}
-		if s >= GoneAfter && s > worst {
+		if s >= FailedAfter && s > worst {
 			gone, worst = w.Name, s
 		}
 	}
@@ -148,7 +148,7 @@
 		return r, false
 	}
 	for _, w := range r.Voters {
-		if w.Inc == v.Inc {
+		if w.Incarnation == v.Incarnation {
 			return r, false // in already, or it makes itself out to be another
 		}
 	}
@@ -171,15 +171,15 @@
 // and that one's seat costs a loss: an even roster needs as many voters as the odd one
 // above it. An odd roster keeps the majority that it has when a voter goes, so that a
 // dead one there costs nothing.
-func (r Roster) overfull() bool {
+func (r VoterSet) hasSurplus() bool {
 	return r.Seats > 0 && len(r.Voters) > int(r.Seats) && len(r.Voters)%2 == 0
 }
 
 // Shed is the step that takes the seat of a voter whose successor was let in before,
 // if there is one to take now: of one that is leaving, else of the one silent longest
 // once it counts as gone. Enough must be heard that the rest decides without it.
-func (r Roster) Shed(leaving func(name string) bool, silence func(name string) int64) (Roster, bool) {
-	if !r.overfull() {
+func (r VoterSet) RemoveSurplus(leaving func(name string) bool, silence func(name string) int64) (VoterSet, bool) {
+	if !r.hasSurplus() {
 		return r, false
 	}
 	gone, heard := "", 0
@@ -189,10 +189,10 @@
 		if leaving(voter.Name) {
 			silent = math.MaxInt64
 		}
-		if silent < DoubtAfter {
+		if silent < SuspectAfter {
 			heard++
 		}
-		if silent >= GoneAfter && silent > worst {
+		if silent >= FailedAfter && silent > worst {
 			gone, worst = voter.Name, silent
 		}
 	}
@@ -208,10 +208,10 @@
 }
 
 // RosterKey is the register in which a roster's successor is settled.
-const RosterKey = "roster"
+const VoterSetKey = "roster"
 
 // Bytes is a roster as its register holds it.
-func (r Roster) Bytes() []byte {
+func (r VoterSet) Bytes() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
 		panic(err) // plain strings and numbers
@@ -220,8 +220,8 @@
 }
 
 // ReadRoster reads a register's roster.
-func ReadRoster(b []byte) (Roster, error) {
-	var r Roster
+func ParseVoterSet(b []byte) (VoterSet, error) {
+	var r VoterSet
 	err := json.Unmarshal(b, &r)
 	return r, err
 }
--- a/quorum/shed_test.go
+++ b/quorum/shed_test.go
@@ -45,7 +45,7 @@
 		}
 		r := addressed(c.voters)
 		r.Seats = c.seats
-		next, ok := r.Shed(func(name string) bool { return leaving[name] }, func(name string) int64 { return silent[name] })
+		next, ok := r.RemoveSurplus(func(name string) bool { return leaving[name] }, func(name string) int64 { return silent[name] })
 		got := ""
 		for _, v := range next.Voters {
 			got += v.Name
@@ -68,11 +68,11 @@
 	heard := func(string) int64 { return 0 }
 	r := addressed(3)
 	r.Seats = 3
-	z := Voter{Name: "z", Addr: "at-z", Inc: 99}
+	z := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
 	if next, ok := r.Admit(z, AddAfter, heard, MaxVoters); !ok || next.Seats != 3 {
 		t.Errorf("a newcomer beside all others: %v %d", ok, next.Seats)
 	}
-	if next, ok := r.Admit(Voter{Name: "b", Addr: "at-b", Inc: 99}, 0, heard, MaxVoters); !ok || len(next.Voters) != 2 || next.Seats != 3 {
+	if next, ok := r.Admit(Voter{Name: "b", Addr: "at-b", Incarnation: 99}, 0, heard, MaxVoters); !ok || len(next.Voters) != 2 || next.Seats != 3 {
 		t.Errorf("the seat of a lost disk is kept for its next life: %v %+v", ok, next)
 	}
 	if next, err := r.Next("", &z); err != nil || next.Seats != 4 {
@@ -81,7 +81,7 @@
 	if next, err := r.Next("a", nil); err != nil || next.Seats != 2 {
 		t.Errorf("an operator removes one: %v %d", err, next.Seats)
 	}
-	if back, err := ReadRoster(r.Bytes()); err != nil || back.Seats != 3 {
+	if back, err := ParseVoterSet(r.Bytes()); err != nil || back.Seats != 3 {
 		t.Errorf("read back: %v %d", err, back.Seats)
 	}
 }
--- a/quorum/slot.go
+++ b/quorum/slot.go
@@ -2,119 +2,119 @@
 
 import "sort"
 
-type stage uint8
+type slotRole uint8
 
 const (
-	idle stage = iota
-	seeking
-	finishing // read back; a majority is joining the line, and with it what was in doubt
-	owning
+	stateFollower slotRole = iota
+	stateCandidate
+	stateRecovering // read back; a majority is joining the line, and with it what was in doubt
+	stateLeader
 )
 
 // slot is one node's view of a slot: as voter, and while it lasts, as owner.
-type slot struct {
+type slotState struct {
 	// As voter, kept on disk.
-	promised uint64
-	joined   uint64 // epoch whose line of changes ent follows
-	mark     Ver    // all changes of that line up to here are in ent
-	settled  Ver    // known to be on a majority
-	ent      map[string]Entry
-	byVer    []verKey
-	closed   uint64 // the floor below which claims were forgotten here
+	promised    uint64
+	logTerm     uint64   // epoch whose line of changes ent follows
+	last        Position // all changes of that line up to here are in ent
+	committed   Position // known to be on a majority
+	entries     map[string]Entry
+	byPosition  []positionKey
+	closedBelow uint64 // the floor below which claims were forgotten here
 	// As voter, in memory.
-	owner     string
-	ownerEp   uint64
-	heldUntil int64 // no other candidate is granted before
-	waitUntil int64 // this node seeks the slot no sooner
-	fetchAt   int64
-	snapshot  *snapshot // of a line that is being joined
+	leader          string
+	leaderTerm      uint64
+	noVoteUntil     int64 // no other candidate is granted before
+	noCampaignUntil int64 // this node seeks the slot no sooner
+	snapshotAskedAt int64
+	snapshot        *snapshot // of a line that is being joined
 	// As candidate or owner.
-	st       stage
-	first    bool   // was the owner until the roster changed: seek at once
-	firm     uint64 // roster under which the slot was last known to be finished
-	epoch    uint64
-	seekAt   int64
-	replies  map[string]Msg
-	refused  map[string]bool
-	outbid   uint64 // a voter promised this much, and can't follow a lesser epoch
-	outbidAt int64
-	nextTry  int64
-	seq      uint64
-	acked    map[string]Ver
-	pend     map[string]*pending
-	order    []*pending
-	beatOK   map[string]int64
-	ownUntil int64
-	eraAt    int64            // since when the newest era is, as this owner counts it
-	holds    map[string]int64 // duty key: lease end as this owner counts it
+	role              slotRole
+	campaignAtOnce    bool   // was the owner until the roster changed: seek at once
+	recoveredUnder    uint64 // roster under which the slot was last known to be finished
+	term              uint64
+	campaignStartedAt int64
+	votes             map[string]Message
+	rejections        map[string]bool
+	higherTerm        uint64 // a voter promised this much, and can't follow a lesser epoch
+	higherTermSeenAt  int64
+	nextCampaignAt    int64
+	lastIndex         uint64
+	acknowledged      map[string]Position
+	pendingByKey      map[string]*pendingChange
+	pendingOrder      []*pendingChange
+	heartbeatAcked    map[string]int64
+	leaseUntil        int64
+	generationSince   int64            // since when the newest era is, as this owner counts it
+	roleLeaseUntil    map[string]int64 // duty key: lease end as this owner counts it
 }
 
-type verKey struct {
-	v Ver
-	k string
+type positionKey struct {
+	position Position
+	key      string
 }
 
-type pending struct {
-	key   string
-	ver   Ver
-	old   Entry
-	had   bool
-	op    Op
-	queue []Op
+type pendingChange struct {
+	key       string
+	position  Position
+	previous  Entry
+	existed   bool
+	operation Operation
+	queued    []Operation
 }
 
 // Slot tells of one slot for operators.
-type Slot struct {
-	Owner         string
-	Epoch         uint64
-	Mine          bool
-	Count         int
-	Mark, Settled Ver
+type SlotStatus struct {
+	Leader          string
+	Term            uint64
+	IsLeader        bool
+	Keys            int
+	Last, Committed Position
 }
 
 // Slots lists what this node knows of every slot.
-func (n *Node) Slots(now int64) []Slot {
-	var out []Slot
+func (n *Node) Status(now int64) []SlotStatus {
+	var out []SlotStatus
 	for _, s := range n.slots {
-		out = append(out, Slot{s.owner, s.promised, s.st == owning && now < s.ownUntil, len(s.ent), s.mark, s.settled})
+		out = append(out, SlotStatus{s.leader, s.promised, s.role == stateLeader && now < s.leaseUntil, len(s.entries), s.last, s.committed})
 	}
 	return out
 }
 
 // entSize is what a register takes on disk, its record's frame included.
-func entSize(e Entry) int { return len(e.Key) + len(e.Val) + 256 }
+func entryBytes(e Entry) int { return len(e.Key) + len(e.Value) + 256 }
 
-func (n *Node) store(s *slot, e Entry) {
-	if o, ok := s.ent[e.Key]; ok {
-		n.size -= entSize(o)
+func (n *Node) store(s *slotState, e Entry) {
+	if o, ok := s.entries[e.Key]; ok {
+		n.stateBytes -= entryBytes(o)
 	}
-	n.size += entSize(e)
-	s.ent[e.Key] = e
-	i := len(s.byVer)
-	if i > 0 && !s.byVer[i-1].v.Less(e.Ver) {
-		i = sort.Search(len(s.byVer), func(j int) bool { return e.Ver.Less(s.byVer[j].v) })
+	n.stateBytes += entryBytes(e)
+	s.entries[e.Key] = e
+	i := len(s.byPosition)
+	if i > 0 && !s.byPosition[i-1].position.Before(e.Position) {
+		i = sort.Search(len(s.byPosition), func(j int) bool { return e.Position.Before(s.byPosition[j].position) })
 	}
-	s.byVer = append(s.byVer, verKey{})
-	copy(s.byVer[i+1:], s.byVer[i:])
-	s.byVer[i] = verKey{e.Ver, e.Key}
-	if len(s.byVer) > 64 && len(s.byVer) > 2*len(s.ent) {
-		s.byVer = s.live(Ver{})
+	s.byPosition = append(s.byPosition, positionKey{})
+	copy(s.byPosition[i+1:], s.byPosition[i:])
+	s.byPosition[i] = positionKey{e.Position, e.Key}
+	if len(s.byPosition) > 64 && len(s.byPosition) > 2*len(s.entries) {
+		s.byPosition = s.changedAfter(Position{})
 	}
 }
 
-func (n *Node) drop(s *slot, k string) {
-	if o, ok := s.ent[k]; ok {
-		n.size -= entSize(o)
-		delete(s.ent, k)
+func (n *Node) remove(s *slotState, k string) {
+	if o, ok := s.entries[k]; ok {
+		n.stateBytes -= entryBytes(o)
+		delete(s.entries, k)
 	}
 }
 
 // live lists the registers changed after m, oldest change first.
-func (s *slot) live(m Ver) []verKey {
-	i := sort.Search(len(s.byVer), func(j int) bool { return m.Less(s.byVer[j].v) })
-	var out []verKey
-	for _, vk := range s.byVer[i:] {
-		if e, ok := s.ent[vk.k]; ok && e.Ver == vk.v {
+func (s *slotState) changedAfter(m Position) []positionKey {
+	i := sort.Search(len(s.byPosition), func(j int) bool { return m.Before(s.byPosition[j].position) })
+	var out []positionKey
+	for _, vk := range s.byPosition[i:] {
+		if e, ok := s.entries[vk.key]; ok && e.Position == vk.position {
 			if l := len(out); l == 0 || out[l-1] != vk {
 				out = append(out, vk)
 			}
@@ -124,39 +124,39 @@
 }
 
 // sure is the mark up to which this voter's registers are beyond doubt.
-func (s *slot) sure() Ver {
-	if s.mark.Less(s.settled) {
-		return s.mark
+func (s *slotState) certain() Position {
+	if s.last.Before(s.committed) {
+		return s.last
 	}
-	return s.settled
+	return s.committed
 }
 
-func (s *slot) doubts() []string {
+func (s *slotState) uncertainKeys() []string {
 	var ks []string
-	for _, vk := range s.live(s.sure()) {
-		ks = append(ks, vk.k)
+	for _, vk := range s.changedAfter(s.certain()) {
+		ks = append(ks, vk.key)
 	}
 	return ks
 }
 
 // since lists what a node sure up to m, doubting keys, must learn; absent are
 // the doubted keys that do not exist.
-func (s *slot) since(m Ver, keys []string) (es []Entry, absent []string) {
+func (s *slotState) changesSince(m Position, keys []string) (es []Entry, absent []string) {
 	seen := map[string]bool{}
 	for _, k := range keys {
 		if seen[k] {
 			continue
 		}
 		seen[k] = true
-		if e, ok := s.ent[k]; ok {
+		if e, ok := s.entries[k]; ok {
 			es = append(es, e)
 		} else {
 			absent = append(absent, k)
 		}
 	}
-	for _, vk := range s.live(m) {
-		if !seen[vk.k] {
-			es = append(es, s.ent[vk.k])
+	for _, vk := range s.changedAfter(m) {
+		if !seen[vk.key] {
+			es = append(es, s.entries[vk.key])
 		}
 	}
 	return es, absent
@@ -164,16 +164,16 @@
 
 // adopt stores a register of a newer line before that line is joined: until
 // the join is on disk the old line stands, with nothing beyond sure certain.
-func (n *Node) adopt(i uint16, s *slot, e Entry, was uint64, sure Ver, o *Out) {
+func (n *Node) stageEntry(i uint16, s *slotState, e Entry, was uint64, sure Position, o *Ready) {
 	n.store(s, e)
-	n.rec(o, Rec{Kind: RecEntry, Slot: i, Epoch: was, Mark: sure, Settled: sure, Entry: e})
+	n.appendRecord(o, Record{Type: RecordEntry, Slot: i, Term: was, Last: sure, Committed: sure, Entry: e})
 }
 
-func (n *Node) forget(i uint16, s *slot, k string, o *Out) {
-	n.drop(s, k)
-	n.rec(o, Rec{Kind: RecDrop, Slot: i, Entry: Entry{Key: k}})
+func (n *Node) deleteEntry(i uint16, s *slotState, k string, o *Ready) {
+	n.remove(s, k)
+	n.appendRecord(o, Record{Type: RecordDelete, Slot: i, Entry: Entry{Key: k}})
 }
 
-func (n *Node) join(i uint16, s *slot, o *Out) {
-	n.rec(o, Rec{Kind: RecJoin, Slot: i, Epoch: s.joined, Mark: s.mark, Settled: s.settled})
+func (n *Node) recordLogState(i uint16, s *slotState, o *Ready) {
+	n.appendRecord(o, Record{Type: RecordLogState, Slot: i, Term: s.logTerm, Last: s.last, Committed: s.committed})
 }
--- a/quorum/types.go
+++ b/quorum/types.go
@@ -14,123 +14,123 @@
 )
 
 // Ver orders the changes of one slot: first by owner's epoch, then by count.
-type Ver struct{ Epoch, Seq uint64 }
+type Position struct{ Term, Index uint64 }
 
 // Less reports whether a comes before b.
-func (a Ver) Less(b Ver) bool {
-	return a.Epoch < b.Epoch || a.Epoch == b.Epoch && a.Seq < b.Seq
+func (a Position) Before(b Position) bool {
+	return a.Term < b.Term || a.Term == b.Term && a.Index < b.Index
 }
 
 // Entry is one register. Rev counts the changes of its key and never falls.
 type Entry struct {
-	Key string
-	Ver Ver
-	Rev uint64
-	Val []byte
+	Key      string
+	Position Position
+	Revision uint64
+	Value    []byte
 }
 
 // Kind names a message between voters.
-type Kind uint8
+type MessageType uint8
 
 // The messages between voters (design §4.2).
 const (
-	Beat Kind = iota + 1
-	BeatOK
-	Seek
-	SeekOK
-	SeekNo
-	Write
-	WriteOK
-	Fetch
-	Fill
-	RosterAsk
-	RosterTell
-	Yield
-	Leaving
+	MsgHeartbeat MessageType = iota + 1
+	MsgHeartbeatAck
+	MsgVoteRequest
+	MsgVoteGranted
+	MsgVoteRejected
+	MsgAppend
+	MsgAppendAck
+	MsgSnapshotRequest
+	MsgSnapshotChunk
+	MsgVoterSetRequest
+	MsgVoterSet
+	MsgStepDown
+	MsgLeaving
 )
 
 // Mark tells of one slot in a Beat or BeatOK.
-type Mark struct {
-	Slot          uint16
-	Epoch         uint64
-	Last, Settled Ver
-	Firm          bool // won and finished under the present roster
+type SlotProgress struct {
+	Slot            uint16
+	Term            uint64
+	Last, Committed Position
+	Recovered       bool // won and finished under the present roster
 }
 
 // Msg is any message between voters; unused fields stay zero.
-type Msg struct {
-	Kind     Kind
-	From     string
-	Inc      uint64
-	Roster   uint64
-	Slot     uint16
-	Epoch    uint64
-	At       int64
-	Prev     Ver
-	Mark     Ver
-	Settled  Ver
-	Joined   uint64
-	First    bool
-	Entries  []Entry
-	Keys     []string
-	Marks    []Mark
-	Promised uint64
-	Era      uint64 // newest that the sender heard of, with beats
+type Message struct {
+	Type             MessageType
+	From             string
+	Incarnation      uint64
+	VoterSetRevision uint64
+	Slot             uint16
+	Term             uint64
+	Time             int64
+	Previous         Position
+	Last             Position
+	Committed        Position
+	LogTerm          uint64
+	Joining          bool
+	Entries          []Entry
+	Keys             []string
+	Progress         []SlotProgress
+	Promised         uint64
+	Generation       uint64 // newest that the sender heard of, with beats
 	// More says of a Fetch that it takes a snapshot in parts, and of a Fill that
 	// another part follows.
 	More bool
 }
 
 // RecKind names a record on disk.
-type RecKind uint8
+type RecordType uint8
 
 // The records a voter keeps on disk (design §4.4).
 const (
-	RecPromise RecKind = iota + 1
-	RecEntry
-	RecDrop
-	RecJoin
-	RecRoster
+	RecordPromise RecordType = iota + 1
+	RecordEntry
+	RecordDelete
+	RecordLogState
+	RecordVoterSet
 )
 
 // Rec is a record on disk.
-type Rec struct {
-	Kind    RecKind
-	Slot    uint16
-	Epoch   uint64
-	Mark    Ver
-	Settled Ver
-	Entry   Entry
-	Roster  *Roster
+type Record struct {
+	Type      RecordType
+	Slot      uint16
+	Term      uint64
+	Last      Position
+	Committed Position
+	Entry     Entry
+	VoterSet  *VoterSet
 }
 
 // OpKind names what a caller asks of a key.
-type OpKind uint8
+type OperationType uint8
 
 // The operations on a key.
 const (
-	OpGet OpKind = iota + 1
+	OpGet OperationType = iota + 1
 	OpPut
-	OpHold
-	OpFree
+	OpAcquire
+	OpRelease
 	OpClaim
 	OpUnclaim
 )
 
 // AnyRev as Op.Expect accepts whatever revision the key has.
-const AnyRev = ^uint64(0)
+const AnyRevision = ^uint64(0)
 
 // Op is what a caller asks. For OpPut, Expect is the revision the key must
 // have (0: absent). For OpHold and OpFree, Holder and Term describe a duty's
 // lease (design §4.5).
-type Op struct {
-	ID     uint64
-	Kind   OpKind
-	Key    string
-	Val    []byte
-	Expect uint64
-	Holder string
-	Term   int64
+type Operation struct {
+	ID               uint64
+	Type             OperationType
+	Key              string
+	Value            []byte
+	ExpectedRevision uint64
+	Holder           string
+	LeaseDuration    int64
 }
 
 // Status is how an operation ended.
@@ -141,38 +141,38 @@
 // Closed: the claim's era is over, it is granted to nobody any more. Early: its era
 // is not open yet.
 const (
-	Done Status = iota + 1
-	Conflict
-	NotOwner
-	Unknown
-	Full
-	Closed
-	Early
+	StatusDone Status = iota + 1
+	StatusConflict
+	StatusNotLeader
+	StatusUnknown
+	StatusFull
+	StatusGenerationClosed
+	StatusGenerationNotOpen
 )
 
 // Answer ends an operation.
-type Answer struct {
-	ID     uint64
-	Status Status
-	Rev    uint64
-	Val    []byte
-	Owner  string
+type Result struct {
+	ID       uint64
+	Status   Status
+	Revision uint64
+	Value    []byte
+	Leader   string
 }
 
 // Send is an effect: give Msg to the voter named To.
-type Send struct {
-	To  string
-	Msg Msg
+type Envelope struct {
+	To      string
+	Message Message
 }
 
 // Out collects the effects of one event. Recs must be appended in order and
 // synced; Synced is then called with the running count of synced records.
-type Out struct {
-	Sends   []Send
-	Recs    []Rec
-	Answers []Answer
-	Events  []string
-	Roster  *Roster // a roster newly in force
+type Ready struct {
+	Messages []Envelope
+	Records  []Record
+	Results  []Result
+	Events   []string
+	VoterSet *VoterSet // a roster newly in force
 }
 
 // SlotOf maps a key to its slot.
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -27,8 +27,8 @@
 	eras := map[int]uint64{}
 	ask := func(i int, era uint64, nonce string, count map[quorum.Status]int) {
 		r := c.Nodes[w.Rng.Intn(4)]
-		Call(h, r.Host, quorum.Op{Kind: quorum.OpClaim, Key: quorum.ClaimKey(era, fmt.Sprintf("dealing-desk/order-%08d", i)), Val: []byte(nonce)}, 2_000_000,
-			func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) }, func(a quorum.Answer) { count[a.Status]++ }, func() { count[0]++ })
+		Call(h, r.Host, quorum.Operation{Type: quorum.OpClaim, Key: quorum.ClaimKey(era, fmt.Sprintf("dealing-desk/order-%08d", i)), Value: []byte(nonce)}, 2_000_000,
+			func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) }, func(a quorum.Result) { count[a.Status]++ }, func() { count[0]++ })
 	}
 	var next func()
 	next = func() {
@@ -45,7 +45,7 @@
 		}
 		for _, r := range c.Nodes {
 			if r.node != nil {
-				most = max(most, r.node.Size())
+				most = max(most, r.node.StateBytes())
 			}
 		}
 		w.At(w.now+1_000_000/perSecond, next)
@@ -57,12 +57,12 @@
 	}
 	room := int(int64(c.rings.SegmentCount)*c.rings.SegmentBytes) / 4 * 3 / 4
 	t.Logf("%d claims: %v; asked for again: %v; %d eras; at most %d of %d bytes; a claim's record takes %d bytes",
-		n, got, late, c.newest(), most, room, len(codec.PackRecord(quorum.Rec{Kind: quorum.RecEntry, Slot: 9, Epoch: 1 << 18, Mark: quorum.Ver{Epoch: 1 << 18, Seq: 1 << 20},
-			Settled: quorum.Ver{Epoch: 1 << 18, Seq: 1 << 20}, Entry: quorum.Entry{Key: "claim/12345/dealing-desk/order-00000001", Ver: quorum.Ver{Epoch: 1 << 18, Seq: 1 << 20}, Rev: 1, Val: []byte("remisier4/k3f9a2b1c/ffffff")}})))
-	if got[quorum.Done] != n || late[quorum.Done] > 0 {
+		n, got, late, c.newest(), most, room, len(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 9, Term: 1 << 18, Last: quorum.Position{Term: 1 << 18, Index: 1 << 20},
+			Committed: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Entry: quorum.Entry{Key: "claim/12345/dealing-desk/order-00000001", Position: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Revision: 1, Value: []byte("remisier4/k3f9a2b1c/ffffff")}})))
+	if got[quorum.StatusDone] != n || late[quorum.StatusDone] > 0 {
 		t.Errorf("of %d claims %v; asked for again %v", n, got, late)
 	}
-	if late[quorum.Closed] < n/4 || late[quorum.Conflict] == 0 {
+	if late[quorum.StatusGenerationClosed] < n/4 || late[quorum.StatusConflict] == 0 {
 		t.Errorf("asked for again: %v", late)
 	}
 	if most > room*9/10 {
--- a/sim/config_followers.go
+++ b/sim/config_followers.go
@@ -57,16 +57,16 @@
 
 func (d *Directory) ask(key string, into *word, version func([]byte) (uint64, bool)) {
 	at := d.node.Clock()
-	d.node.once(quorum.Op{Kind: quorum.OpGet, Key: key}, 0, at+readPatience, func(a quorum.Answer) {
-		if a.Status != quorum.Done {
+	d.node.once(quorum.Operation{Type: quorum.OpGet, Key: key}, 0, at+readPatience, func(a quorum.Result) {
+		if a.Status != quorum.StatusDone {
 			return
 		}
-		if into.known && a.Rev == into.revision {
+		if into.known && a.Revision == into.revision {
 			into.at = max(into.at, at)
 			return
 		}
-		if v, ok := version(a.Val); ok {
-			into.take(word{true, a.Rev, v, at})
+		if v, ok := version(a.Value); ok {
+			into.take(word{true, a.Revision, v, at})
 		}
 	})
 }
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -115,7 +115,7 @@
 		if !r.up || r.frozen || r.node == nil {
 			continue
 		}
-		if _, ok := r.node.Vouch(r.Clock(), key); ok {
+		if _, ok := r.node.ReadUnderLease(r.Clock(), key); ok {
 			return r
 		}
 	}
@@ -142,7 +142,7 @@
 // allUp reports whether all control nodes take part.
 func (cw *ConfigWorld) allUp() bool {
 	for _, r := range cw.Core.Nodes {
-		if !r.up || r.node == nil || !r.node.Firm() {
+		if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
 			return false
 		}
 	}
@@ -156,7 +156,7 @@
 		if r.lost {
 			continue
 		}
-		if !r.up || r.node == nil || !r.node.Firm() {
+		if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
 			return false
 		}
 	}
@@ -165,5 +165,5 @@
 
 // slotOf is the slot of a key at the nodes' own count of slots.
 func slotOf(key string) uint16 {
-	return quorum.SlotOf(key, quorum.Defaults("", 0).Slots)
+	return quorum.SlotOf(key, quorum.DefaultConfig("", 0).Slots)
 }
--- a/sim/core.go
+++ b/sim/core.go
@@ -13,25 +13,25 @@
 // Core is the control nodes of a world.
 type Core struct {
 	w      *World
-	ro     quorum.Roster
+	ro     quorum.VoterSet
 	Nodes  []*Registrar
 	rings  wal.Config
-	era    int64                 // how long an era of claims is the newest
-	term   int64                 // of a slot owner's lease, 0 for the default
-	onNew  func(*Registrar)      // what a fleet adds to a machine
-	onBoot func(*Registrar)      // what else runs on a machine, at each start
-	drop   func(quorum.Msg) bool // messages that get lost, for directed days
+	era    int64                     // how long an era of claims is the newest
+	term   int64                     // of a slot owner's lease, 0 for the default
+	onNew  func(*Registrar)          // what a fleet adds to a machine
+	onBoot func(*Registrar)          // what else runs on a machine, at each start
+	drop   func(quorum.Message) bool // messages that get lost, for directed days
 	// answering is asked before a node tells of an operation's end, and whether its
 	// process dies of it; synced likewise, when records are on its disk and before its
 	// voter hears of that. Both are for directed days.
-	answering func(*Registrar, quorum.Answer) bool
+	answering func(*Registrar, quorum.Result) bool
 	synced    func(*Registrar) bool
 	loses     func(OrderStep) bool // steps of orders that get lost, for directed days
 	// checkpointing is asked before each record of a checkpoint, how many of it are
 	// written, and whether the process ends there; the parts are single records then.
 	checkpointing func(r *Registrar, written, of int) bool
 	// echo is told of every message between voters, for directed days that repeat them.
-	echo     func(to *Registrar, m quorum.Msg)
+	echo     func(to *Registrar, m quorum.Message)
 	stepping bool   // an operator is changing the roster
 	Steps    int    // how often that was done
 	armed    bool   // power goes at the next acknowledgement
@@ -47,19 +47,19 @@
 	core    *Core
 	Disk    *Disk
 	inc     uint64
-	lost    bool          // this machine is gone for good
-	ro      quorum.Roster // as founded or last told
+	lost    bool            // this machine is gone for good
+	ro      quorum.VoterSet // as founded or last told
 	ring    *wal.Log
 	node    *quorum.Node
 	issued  uint64
 	syncing bool
-	under   bool         // a checkpoint is being written
-	parts   []quorum.Rec // what is still to come of it
-	whole   int          // records that it has
+	under   bool            // a checkpoint is being written
+	parts   []quorum.Record // what is still to come of it
+	whole   int             // records that it has
 	Ckpts   int
 	era     uint64 // newest that it heard of
 	ops     uint64
-	waiting map[uint64]func(quorum.Answer)
+	waiting map[uint64]func(quorum.Result)
 	Dead    error // of its disk
 }
 
@@ -69,10 +69,10 @@
 // NewCore adds n control nodes.
 func NewCore(w *World, n int) *Core {
 	c := &Core{w: w, era: 800_000, rings: smallRing}
-	c.ro.Rev = quorum.Found(7)
+	c.ro.Revision = quorum.FirstRevision(7)
 	for i := 0; i < n; i++ {
 		r := c.newNode()
-		c.ro.Voters = append(c.ro.Voters, quorum.Voter{Name: r.Name, Addr: r.Name, Inc: r.inc, Num: uint16(i + 1)})
+		c.ro.Voters = append(c.ro.Voters, quorum.Voter{Name: r.Name, Addr: r.Name, Incarnation: r.inc, Number: uint16(i + 1)})
 		r.ro = c.ro
 	}
 	for _, r := range c.Nodes {
@@ -111,14 +111,14 @@
 }
 
 func (r *Registrar) start() {
-	r.waiting, r.issued, r.syncing, r.under, r.Dead, r.era = map[uint64]func(quorum.Answer){}, 0, false, false, nil, 0
+	r.waiting, r.issued, r.syncing, r.under, r.Dead, r.era = map[uint64]func(quorum.Result){}, 0, false, false, nil, 0
 	ring, raw, err := wal.Open(r.Disk, r.core.rings)
 	if err != nil {
 		r.die(err)
 		return
 	}
 	r.ring = ring
-	var recs []quorum.Rec
+	var recs []quorum.Record
 	for _, b := range raw {
 		c, _, err := codec.UnpackRecord(b)
 		if err != nil {
@@ -127,12 +127,12 @@
 		}
 		recs = append(recs, c)
 	}
-	p := quorum.Defaults(r.Name, r.inc)
-	p.EraTerm, p.Eras = r.core.era, 3
+	p := quorum.DefaultConfig(r.Name, r.inc)
+	p.GenerationDuration, p.OpenGenerations = r.core.era, 3
 	if r.core.term > 0 {
-		p.Term = r.core.term
+		p.LeaseDuration = r.core.term
 	}
-	p.Limit = int(int64(r.core.rings.SegmentCount) * r.core.rings.SegmentBytes / 4)
+	p.MaxStateBytes = int(int64(r.core.rings.SegmentCount) * r.core.rings.SegmentBytes / 4)
 	r.node = nil
 	if len(r.ro.Voters) > 0 {
 		r.node = quorum.New(p, r.ro, r.Clock(), recs)
@@ -153,29 +153,29 @@
 	if r.core.onBoot != nil {
 		r.core.onBoot(r)
 	}
-	r.Every(p.Beat/4, func() {
+	r.Every(p.HeartbeatInterval/4, func() {
 		if r.Dead == nil && r.node != nil {
-			r.node.Tight(r.ring.UsedPermille() > 750)
+			r.node.SetDiskLow(r.ring.UsedPermille() > 750)
 			r.out(r.node.Tick(r.Clock()))
 			if r.node != nil {
-				r.era = r.node.Open()
+				r.era = r.node.Generation()
 			}
 		}
 	})
 }
 
 // join asks another machine for a roster that holds this disk.
-func (r *Registrar) join(p quorum.Plan) {
+func (r *Registrar) join(p quorum.Config) {
 	if r.node != nil {
 		return
 	}
 	o := r.core.Nodes[r.core.w.Rng.Intn(len(r.core.Nodes))]
-	Call(r.Host, o.Host, 0, 300_000, func(_ int, rep func(quorum.Roster)) {
+	Call(r.Host, o.Host, 0, 300_000, func(_ int, rep func(quorum.VoterSet)) {
 		if o.node != nil {
-			rep(o.node.Roster())
+			rep(o.node.VoterSet())
 		}
-	}, func(ro quorum.Roster) {
-		if v, ok := ro.Find(r.Name); ok && v.Inc == r.inc && r.node == nil {
+	}, func(ro quorum.VoterSet) {
+		if v, ok := ro.Find(r.Name); ok && v.Incarnation == r.inc && r.node == nil {
 			r.ro = ro
 			r.node = quorum.New(p, ro, r.Clock(), nil)
 			r.core.w.Note("%s joins at step %d", r.Name, ro.Step())
@@ -191,22 +191,22 @@
 
 // beLetIn asks all other machines for a place in their roster, as the daemon of a blank
 // disk does.
-func (r *Registrar) beLetIn(p quorum.Plan, at int64) {
+func (r *Registrar) beLetIn(p quorum.Config, at int64) {
 	if r.node != nil {
 		return
 	}
-	me := quorum.Voter{Name: r.Name, Addr: r.Name, Inc: r.inc}
+	me := quorum.Voter{Name: r.Name, Addr: r.Name, Incarnation: r.inc}
 	for _, o := range r.core.Nodes {
 		if o == r {
 			continue
 		}
-		Call(r.Host, o.Host, 0, 500_000, func(_ int, rep func(quorum.Roster)) {
+		Call(r.Host, o.Host, 0, 500_000, func(_ int, rep func(quorum.VoterSet)) {
 			if o.node != nil && o.Dead == nil {
-				ro := o.node.Roster()
-				o.out(o.node.Admit(o.Clock(), me))
+				ro := o.node.VoterSet()
+				o.out(o.node.AdmitVoter(o.Clock(), me))
 				rep(ro)
 			}
-		}, func(ro quorum.Roster) {
+		}, func(ro quorum.VoterSet) {
 			if r.node != nil || !r.holds(ro) {
 				return
 			}
@@ -216,7 +216,7 @@
 			r.core.Joined++
 			var firm func()
 			firm = func() {
-				if r.node != nil && !r.node.Firm() {
+				if r.node != nil && !r.node.AllSlotsRecovered() {
 					r.After(10_000, firm)
 					return
 				}
@@ -227,9 +227,9 @@
 	}
 }
 
-func (r *Registrar) holds(ro quorum.Roster) bool {
+func (r *Registrar) holds(ro quorum.VoterSet) bool {
 	v, ok := ro.Find(r.Name)
-	return ok && v.Inc == r.inc
+	return ok && v.Incarnation == r.inc
 }
 
 // probe asks for newer rosters while voters are silent, as the daemon does.
@@ -237,7 +237,7 @@
 	if r.node == nil || r.Dead != nil {
 		return
 	}
-	for _, v := range r.node.Roster().Voters {
+	for _, v := range r.node.VoterSet().Voters {
 		if r.node.Silence(r.Clock(), v.Name) < 250_000 {
 			continue
 		}
@@ -245,13 +245,13 @@
 			if o == r {
 				continue
 			}
-			Call(r.Host, o.Host, 0, 500_000, func(_ int, rep func(quorum.Roster)) {
+			Call(r.Host, o.Host, 0, 500_000, func(_ int, rep func(quorum.VoterSet)) {
 				if o.node != nil && o.Dead == nil {
-					rep(o.node.Roster())
+					rep(o.node.VoterSet())
 				}
-			}, func(ro quorum.Roster) {
+			}, func(ro quorum.VoterSet) {
 				if r.node != nil && r.Dead == nil {
-					r.out(r.node.Learn(r.Clock(), ro))
+					r.out(r.node.ObserveVoterSet(r.Clock(), ro))
 				}
 			}, func() {})
 		}
@@ -268,7 +268,7 @@
 		return
 	}
 	r.core.w.Note("%s is retired, and is %d from now on", r.Name, inc)
-	r.inc, r.ro = inc, quorum.Roster{}
+	r.inc, r.ro = inc, quorum.VoterSet{}
 	r.Kill()
 	r.Start()
 }
@@ -277,7 +277,7 @@
 func (r *Registrar) lose() {
 	r.Kill()
 	r.Disk.Wipe()
-	r.inc, r.ro = r.core.newInc(), quorum.Roster{}
+	r.inc, r.ro = r.core.newInc(), quorum.VoterSet{}
 }
 
 func (r *Registrar) die(err error) {
@@ -298,24 +298,24 @@
 	r.Kill()
 }
 
-func (r *Registrar) out(o quorum.Out) {
+func (r *Registrar) out(o quorum.Ready) {
 	for _, e := range o.Events {
 		r.core.w.Note("%s %s", r.Name, e)
 	}
-	for _, c := range o.Recs {
+	for _, c := range o.Records {
 		if err := r.ring.Append(codec.PackRecord(c)); err != nil {
 			r.die(err)
 			return
 		}
 		r.issued++
 	}
-	if len(o.Recs) > 0 {
+	if len(o.Records) > 0 {
 		r.sync()
 	}
-	for _, s := range o.Sends {
+	for _, s := range o.Messages {
 		for _, p := range r.core.Nodes {
 			if p.Name == s.To {
-				m := s.Msg
+				m := s.Message
 				r.Send(p.Host, func() { p.recv(m) })
 				if r.core.echo != nil {
 					r.core.echo(p, m)
@@ -323,7 +323,7 @@
 			}
 		}
 	}
-	for _, a := range o.Answers {
+	for _, a := range o.Results {
 		f := r.waiting[a.ID]
 		if f == nil {
 			continue
@@ -334,13 +334,13 @@
 		}
 		f(a)
 	}
-	if o.Roster != nil && r.core.heals && !r.holds(*o.Roster) {
+	if o.VoterSet != nil && r.core.heals && !r.holds(*o.VoterSet) {
 		r.retire()
 	}
 }
 
 // recv takes a message through the very codec of the wires.
-func (r *Registrar) recv(m quorum.Msg) {
+func (r *Registrar) recv(m quorum.Message) {
 	if r.node == nil || r.Dead != nil || r.core.drop != nil && r.core.drop(m) {
 		return
 	}
@@ -349,7 +349,7 @@
 		r.core.w.Wrong("codec", "%v", err)
 		return
 	}
-	r.out(r.node.Recv(r.Clock(), codec.UnpackMessage(f.Settle)))
+	r.out(r.node.Receive(r.Clock(), codec.UnpackMessage(f.Settle)))
 }
 
 func (r *Registrar) sync() {
@@ -374,7 +374,7 @@
 		if r.core.synced != nil && r.core.synced(r) {
 			return
 		}
-		r.out(r.node.Synced(r.Clock(), n))
+		r.out(r.node.RecordsSynced(r.Clock(), n))
 		if r.Dead == nil && r.issued > n {
 			r.sync()
 		}
@@ -437,15 +437,15 @@
 }
 
 // Do starts an operation on this node.
-func (r *Registrar) Do(op quorum.Op, f func(quorum.Answer)) {
+func (r *Registrar) Do(op quorum.Operation, f func(quorum.Result)) {
 	if r.node == nil || r.Dead != nil {
-		f(quorum.Answer{Status: quorum.NotOwner})
+		f(quorum.Result{Status: quorum.StatusNotLeader})
 		return
 	}
 	r.ops++
 	op.ID = r.ops
 	r.waiting[op.ID] = f
-	r.out(r.node.Do(r.Clock(), op))
+	r.out(r.node.Propose(r.Clock(), op))
 }
 
 // muteAfter is how long an owner may be silent before nothing is passed on to it, as in
@@ -458,24 +458,24 @@
 }
 
 // Op carries an operation to the owner, as the daemons do, with one hop.
-func (r *Registrar) Op(op quorum.Op, hops int, reply func(quorum.Answer)) {
-	r.Do(op, func(a quorum.Answer) {
-		if a.Status != quorum.NotOwner || a.Owner == "" || a.Owner == r.Name || hops >= 2 {
+func (r *Registrar) Op(op quorum.Operation, hops int, reply func(quorum.Result)) {
+	r.Do(op, func(a quorum.Result) {
+		if a.Status != quorum.StatusNotLeader || a.Leader == "" || a.Leader == r.Name || hops >= 2 {
 			reply(a)
 			return
 		}
-		if r.mute(a.Owner) {
-			reply(quorum.Answer{Status: quorum.NotOwner})
+		if r.mute(a.Leader) {
+			reply(quorum.Result{Status: quorum.StatusNotLeader})
 			return
 		}
 		for _, p := range r.core.Nodes {
-			if p.Name == a.Owner {
-				Call(r.Host, p.Host, op, 700_000, func(q quorum.Op, rep func(quorum.Answer)) { p.Op(q, hops+1, rep) },
-					reply, func() { reply(quorum.Answer{Status: quorum.Unknown}) })
+			if p.Name == a.Leader {
+				Call(r.Host, p.Host, op, 700_000, func(q quorum.Operation, rep func(quorum.Result)) { p.Op(q, hops+1, rep) },
+					reply, func() { reply(quorum.Result{Status: quorum.StatusUnknown}) })
 				return
 			}
 		}
-		reply(quorum.Answer{Status: quorum.NotOwner})
+		reply(quorum.Result{Status: quorum.StatusNotLeader})
 	})
 }
 
@@ -489,8 +489,8 @@
 		if !r.up || r.node == nil {
 			continue
 		}
-		for i, s := range r.node.Slots(r.Clock()) {
-			if !s.Mine {
+		for i, s := range r.node.Status(r.Clock()) {
+			if !s.IsLeader {
 				continue
 			}
 			if o := owner[i]; o != "" {
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -41,14 +41,14 @@
 	s := newStage(t, 1, "plan")
 	s.put("plan", "v1")
 	lost := 0
-	s.c.drop = func(m quorum.Msg) bool {
-		if m.Kind == quorum.WriteOK {
+	s.c.drop = func(m quorum.Message) bool {
+		if m.Type == quorum.MsgAppendAck {
 			lost++
 		}
-		return m.Kind == quorum.WriteOK
+		return m.Type == quorum.MsgAppendAck
 	}
 	s.w.At(s.w.now+300_000, func() { s.c.drop = nil })
-	if a := s.put("plan", "v2"); a.Status != quorum.Done || lost == 0 {
+	if a := s.put("plan", "v2"); a.Status != quorum.StatusDone || lost == 0 {
 		t.Fatalf("%d words lost: %+v", lost, a)
 	}
 	if len(s.w.wrong) > 0 {
@@ -75,15 +75,15 @@
 	if r == o {
 		r = s.c.Nodes[1]
 	}
-	at := func(r *Registrar) quorum.Slot { return r.node.Slots(r.Clock())[i] }
+	at := func(r *Registrar) quorum.SlotStatus { return r.node.Status(r.Clock())[i] }
 	s.w.Cut(o.Name, r.Name)
 	s.w.Run(s.w.now + 4_000_000)
-	if at(r).Epoch <= at(o).Epoch {
+	if at(r).Term <= at(o).Term {
 		t.Fatalf("nothing was sought: %+v beside %+v", at(r), at(o))
 	}
 	s.w.HealAll()
 	s.w.Run(s.w.now + 2_000_000)
-	if o = s.owner(); o == nil || at(r).Owner != o.Name || at(r).Epoch != at(o).Epoch || at(r).Mark != at(o).Mark {
+	if o = s.owner(); o == nil || at(r).Leader != o.Name || at(r).Term != at(o).Term || at(r).Last != at(o).Last {
 		t.Fatalf("it does not follow: %+v", at(r))
 	}
 	if len(s.w.wrong) > 0 {
--- a/sim/day_catchup.go
+++ b/sim/day_catchup.go
@@ -170,21 +170,21 @@
 // holdsAll reports whether a member votes and holds every slot up to what its owner
 // knows to be settled.
 func (d *CatchupDay) holdsAll(r *Registrar) bool {
-	if !r.up || r.node == nil || !r.node.Firm() {
+	if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
 		return false
 	}
-	held := r.node.Slots(r.Clock())
+	held := r.node.Status(r.Clock())
 	owned := make([]bool, len(held))
 	for _, o := range d.Core.Nodes {
 		if !o.up || o.node == nil {
 			continue
 		}
-		for i, s := range o.node.Slots(o.Clock()) {
-			if !s.Mine {
+		for i, s := range o.node.Status(o.Clock()) {
+			if !s.IsLeader {
 				continue
 			}
 			owned[i] = true
-			if held[i].Mark.Less(s.Settled) {
+			if held[i].Last.Before(s.Committed) {
 				return false
 			}
 		}
@@ -231,7 +231,7 @@
 }
 
 func (d *CatchupDay) judgeOwner(r *Registrar) {
-	e, ok := r.node.Vouch(r.Clock(), route.ConfigKey)
+	e, ok := r.node.ReadUnderLease(r.Clock(), route.ConfigKey)
 	if !ok {
 		return
 	}
@@ -246,13 +246,13 @@
 
 // versionOf is the version that a register's entry holds; a revision has one value.
 func (d *CatchupDay) versionOf(e quorum.Entry) uint64 {
-	if v, ok := d.version[e.Rev]; ok {
+	if v, ok := d.version[e.Revision]; ok {
 		return v
 	}
-	v, ok := configVersion(e.Val)
+	v, ok := configVersion(e.Value)
 	if !ok {
-		d.World.Wrong("unreadable", "revision %d of the configuration", e.Rev)
+		d.World.Wrong("unreadable", "revision %d of the configuration", e.Revision)
 	}
-	d.version[e.Rev] = v
+	d.version[e.Revision] = v
 	return v
 }
--- a/sim/day_messages.go
+++ b/sim/day_messages.go
@@ -60,7 +60,7 @@
 }
 
 // echo repeats a message, soon or late, whatever became of its receiver's process.
-func (d *MessagesDay) echo(to *Registrar, m quorum.Msg) {
+func (d *MessagesDay) echo(to *Registrar, m quorum.Message) {
 	w := d.world
 	draw := w.Rng.Intn(100)
 	switch {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (d *MessagesDay) repeat(to *Registrar, m quorum.Msg, after int64) {
+func (d *MessagesDay) repeat(to *Registrar, m quorum.Message, after int64) {
 	w, life := d.world, to.life
 	w.At(w.now+after, func() {
 		if !to.up || to.frozen {
--- a/sim/day_races.go
+++ b/sim/day_races.go
@@ -147,12 +147,12 @@
 
 // dropsMessage loses some of the messages between owner and voters, of the
 // configuration's slot.
-func (d *RaceDay) dropsMessage(m quorum.Msg) bool {
-	kind := quorum.Write
+func (d *RaceDay) dropsMessage(m quorum.Message) bool {
+	kind := quorum.MsgAppend
 	if d.trouble == RaceTrouble(StepWriteOK) {
-		kind = quorum.WriteOK
+		kind = quorum.MsgAppendAck
 	}
-	return m.Kind == kind && m.Slot == slotOf(route.ConfigKey) && d.losesOne()
+	return m.Type == kind && m.Slot == slotOf(route.ConfigKey) && d.losesOne()
 }
 
 // killsSynced kills the configuration's owner when its records are on disk and its voter
@@ -166,8 +166,8 @@
 
 // killsAnswering kills the owner when a change is on a majority's disks and nobody was
 // told.
-func (d *RaceDay) killsAnswering(r *Registrar, a quorum.Answer) bool {
-	if a.Status != quorum.Done || d.Core.Owner(route.ConfigKey) != r {
+func (d *RaceDay) killsAnswering(r *Registrar, a quorum.Result) bool {
+	if a.Status != quorum.StatusDone || d.Core.Owner(route.ConfigKey) != r {
 		return false
 	}
 	return d.kills(r)
--- a/sim/day_secondloss.go
+++ b/sim/day_secondloss.go
@@ -146,7 +146,7 @@
 	end := r.Clock() + leaveMost
 	var wait func()
 	wait = func() {
-		if r.node != nil && r.node.HandingOver() && r.Clock() < end {
+		if r.node != nil && r.node.RemovalPending() && r.Clock() < end {
 			r.After(leaveLeast, wait)
 			return
 		}
@@ -201,11 +201,11 @@
 	w := s.cw.World
 	w.Rng.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
 	slices.SortStableFunc(up, func(a, b *Registrar) int {
-		x, y := a.node.Slots(a.Clock())[slot], b.node.Slots(b.Clock())[slot]
+		x, y := a.node.Status(a.Clock())[slot], b.node.Status(b.Clock())[slot]
 		switch {
-		case y.Mark.Less(x.Mark) || x.Mine && !y.Mine:
+		case y.Last.Before(x.Last) || x.IsLeader && !y.IsLeader:
 			return -1
-		case x.Mark.Less(y.Mark) || y.Mine && !x.Mine:
+		case x.Last.Before(y.Last) || y.IsLeader && !x.IsLeader:
 			return 1
 		}
 		return 0
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -226,16 +226,16 @@
 }
 
 // voters are the machines in the newest roster that any of them has.
-func (c *Core) voters() (quorum.Roster, []*Registrar) {
-	var ro quorum.Roster
+func (c *Core) voters() (quorum.VoterSet, []*Registrar) {
+	var ro quorum.VoterSet
 	for _, r := range c.Nodes {
-		if r.node != nil && r.node.Roster().Rev > ro.Rev {
-			ro = r.node.Roster()
+		if r.node != nil && r.node.VoterSet().Revision > ro.Revision {
+			ro = r.node.VoterSet()
 		}
 	}
 	var out []*Registrar
 	for _, r := range c.Nodes {
-		if v, ok := ro.Find(r.Name); ok && v.Inc == r.inc {
+		if v, ok := ro.Find(r.Name); ok && v.Incarnation == r.inc {
 			out = append(out, r)
 		}
 	}
@@ -263,24 +263,24 @@
 	var try func()
 	try = func() {
 		ro, in := c.voters()
-		if v, ok := ro.Find(n.Name); ok && v.Inc == n.inc {
+		if v, ok := ro.Find(n.Name); ok && v.Incarnation == n.inc {
 			c.stepping = false
 			c.Steps++
 			return
 		}
-		next, err := ro.Next(old.Name, &quorum.Voter{Name: n.Name, Inc: n.inc})
+		next, err := ro.Next(old.Name, &quorum.Voter{Name: n.Name, Incarnation: n.inc})
 		if err != nil {
 			w.Wrong("roster", "%v", err)
 			return
 		}
 		r := in[w.Rng.Intn(len(in))]
-		Call(op, r.Host, quorum.Op{Kind: quorum.OpGet, Key: quorum.RosterKey}, 900_000, func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) },
-			func(a quorum.Answer) {
-				if a.Status != quorum.Done {
+		Call(op, r.Host, quorum.Operation{Type: quorum.OpGet, Key: quorum.VoterSetKey}, 900_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) },
+			func(a quorum.Result) {
+				if a.Status != quorum.StatusDone {
 					return
 				}
-				Call(op, r.Host, quorum.Op{Kind: quorum.OpPut, Key: quorum.RosterKey, Val: next.Bytes(), Expect: a.Rev}, 900_000,
-					func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) }, func(quorum.Answer) {}, func() {})
+				Call(op, r.Host, quorum.Operation{Type: quorum.OpPut, Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: a.Revision}, 900_000,
+					func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) }, func(quorum.Result) {}, func() {})
 			}, func() {})
 		op.After(300_000, try)
 	}
@@ -293,7 +293,7 @@
 	w := c.w
 	ro, in := c.voters()
 	for _, r := range c.Nodes {
-		if !r.lost && (!r.up || r.node == nil || r.node.Roster().Rev != ro.Rev || !r.node.Firm()) {
+		if !r.lost && (!r.up || r.node == nil || r.node.VoterSet().Revision != ro.Revision || !r.node.AllSlotsRecovered()) {
 			return
 		}
 	}
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -124,21 +124,21 @@
 		f.side[r] = s
 		r.Every(150_000, func() {
 			at := r.Clock()
-			get := quorum.Op{Kind: quorum.OpGet, Key: planKey}
-			take := func(a quorum.Answer) bool {
-				if a.Status == quorum.Done && f.side[r] == s {
-					s.held, _, _ = s.held.Take(plan.Word{Rev: a.Rev, Raw: a.Val, Fresh: true}, at)
+			get := quorum.Operation{Type: quorum.OpGet, Key: planKey}
+			take := func(a quorum.Result) bool {
+				if a.Status == quorum.StatusDone && f.side[r] == s {
+					s.held, _, _ = s.held.Take(plan.Word{Rev: a.Revision, Raw: a.Value, Fresh: true}, at)
 				}
-				return a.Status == quorum.Done
+				return a.Status == quorum.StatusDone
 			}
-			r.Op(get, 0, func(a quorum.Answer) {
+			r.Op(get, 0, func(a quorum.Result) {
 				o := f.Core.Nodes[w.Rng.Intn(len(f.Core.Nodes))]
 				if take(a) || o == r {
 					return
 				}
 				// The way to the owner may be cut here and not elsewhere.
-				Call(r.Host, o.Host, get, 600_000, func(q quorum.Op, rep func(quorum.Answer)) { o.Op(q, 1, rep) },
-					func(a quorum.Answer) { take(a) }, func() {})
+				Call(r.Host, o.Host, get, 600_000, func(q quorum.Operation, rep func(quorum.Result)) { o.Op(q, 1, rep) },
+					func(a quorum.Result) { take(a) }, func() {})
 			})
 		})
 		r.Every(300_000, func() {
@@ -147,7 +147,7 @@
 				return // in no roster yet
 			}
 			for _, o := range f.Core.Nodes {
-				if _, in := r.node.Roster().Find(o.Name); in && o != r {
+				if _, in := r.node.VoterSet().Find(o.Name); in && o != r {
 					r.Send(o.Host, func() {
 						if x := f.side[o]; x != nil {
 							x.roll.Merge(o.Clock(), t)
@@ -195,7 +195,7 @@
 			if t.Rev != q.Have {
 				t.Plan = s.held.Raw
 			}
-			for _, v := range r.node.Roster().Voters {
+			for _, v := range r.node.VoterSet().Voters {
 				t.Registrars = append(t.Registrars, v.Name)
 			}
 			rep(t)
@@ -224,19 +224,19 @@
 }
 
 // op carries an operation through registrars until one answers for the owner.
-func (f *Fleet) op(h *Host, m *member, at int, op quorum.Op, left int64, end func(quorum.Answer, bool)) {
+func (f *Fleet) op(h *Host, m *member, at int, op quorum.Operation, left int64, end func(quorum.Result, bool)) {
 	r := m.known[at%len(m.known)]
 	t0 := f.W.now
 	next := func() {
-		if l := left - (f.W.now - t0); l > 30_000 && op.Kind != quorum.OpPut {
+		if l := left - (f.W.now - t0); l > 30_000 && op.Type != quorum.OpPut {
 			h.After(20_000, func() { f.op(h, m, at+1, op, l-20_000, end) })
 		} else {
-			end(quorum.Answer{}, false)
+			end(quorum.Result{}, false)
 		}
 	}
-	Call(h, r.Host, op, min(left, 900_000), func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) },
-		func(a quorum.Answer) {
-			if a.Status == quorum.NotOwner || a.Status == quorum.Unknown {
+	Call(h, r.Host, op, min(left, 900_000), func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) },
+		func(a quorum.Result) {
+			if a.Status == quorum.StatusNotLeader || a.Status == quorum.StatusUnknown {
 				next()
 				return
 			}
@@ -290,12 +290,12 @@
 			}
 		}
 		for _, a := range k.Want(now) {
-			op := quorum.Op{Kind: quorum.OpHold, Key: a.Key, Expect: a.Epoch, Holder: holder, Term: index.DutyTerm}
+			op := quorum.Operation{Type: quorum.OpAcquire, Key: a.Key, ExpectedRevision: a.Epoch, Holder: holder, LeaseDuration: index.DutyTerm}
 			if a.Free {
-				op.Kind = quorum.OpFree
+				op.Type = quorum.OpRelease
 			}
-			f.op(c.Host, &c.m, w.Rng.Intn(4), op, 1_000_000, func(ans quorum.Answer, ok bool) {
-				k.Held(c.Clock(), a, now, ok && ans.Status == quorum.Done, ans.Rev)
+			f.op(c.Host, &c.m, w.Rng.Intn(4), op, 1_000_000, func(ans quorum.Result, ok bool) {
+				k.Held(c.Clock(), a, now, ok && ans.Status == quorum.StatusDone, ans.Revision)
 			})
 		}
 	})
@@ -568,9 +568,9 @@
 		s := p.calls[a.Ref]
 		switch a.Do {
 		case dispatch.DoClaim, dispatch.DoRelease:
-			op := quorum.Op{Kind: quorum.OpClaim, Key: a.Claim, Val: []byte(a.Nonce)}
+			op := quorum.Operation{Type: quorum.OpClaim, Key: a.Claim, Value: []byte(a.Nonce)}
 			if a.Do == dispatch.DoRelease {
-				op.Kind = quorum.OpUnclaim
+				op.Type = quorum.OpUnclaim
 			}
 			p.claim(a, op)
 		case dispatch.DoStart:
@@ -593,20 +593,20 @@
 }
 
 // claim goes by the agent to the control nodes, as in the daemons.
-func (p *Proxy) claim(a dispatch.Act, op quorum.Op) {
+func (p *Proxy) claim(a dispatch.Act, op quorum.Operation) {
 	r := p.runner
-	Call(p.Host, r.Host, op, 2_000_000, func(q quorum.Op, rep func(quorum.Answer)) {
-		p.f.op(r.Host, &r.m, r.m.cur, q, 1_900_000, func(ans quorum.Answer, ok bool) {
+	Call(p.Host, r.Host, op, 2_000_000, func(q quorum.Operation, rep func(quorum.Result)) {
+		p.f.op(r.Host, &r.m, r.m.cur, q, 1_900_000, func(ans quorum.Result, ok bool) {
 			if !ok {
-				ans.Status = quorum.Unknown
+				ans.Status = quorum.StatusUnknown
 			}
 			rep(ans)
 		})
-	}, func(ans quorum.Answer) {
+	}, func(ans quorum.Result) {
 		if a.Do != dispatch.DoClaim {
 			return
 		}
-		c := map[quorum.Status]attempt.Claim{quorum.Done: attempt.Held, quorum.Conflict: attempt.Taken, quorum.Closed: attempt.Closed}[ans.Status]
+		c := map[quorum.Status]attempt.Claim{quorum.StatusDone: attempt.Held, quorum.StatusConflict: attempt.Taken, quorum.StatusGenerationClosed: attempt.Closed}[ans.Status]
 		if c == attempt.Missing {
 			c = attempt.Doubtful
 		}
--- a/sim/history.go
+++ b/sim/history.go
@@ -72,17 +72,17 @@
 func (o *Operator) act() {
 	w := o.core.w
 	r := o.core.Nodes[w.Rng.Intn(len(o.core.Nodes))]
-	op := quorum.Op{Kind: quorum.OpGet, Key: o.h.key}
+	op := quorum.Operation{Type: quorum.OpGet, Key: o.h.key}
 	o.n++
 	if w.Rng.Intn(100) < o.puts {
-		op.Kind, op.Expect, op.Val = quorum.OpPut, quorum.AnyRev, []byte(fmt.Sprintf("%s-%d", o.Name, o.n))
+		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, quorum.AnyRevision, []byte(fmt.Sprintf("%s-%d", o.Name, o.n))
 	}
 	from := w.now
-	Call(o.Host, r.Host, op, 900_000, func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) },
-		func(a quorum.Answer) {
-			if a.Status == quorum.Done {
-				o.h.add(seenOp{from, w.now, a.Rev, string(a.Val), op.Kind == quorum.OpPut})
-				if op.Kind == quorum.OpPut {
+	Call(o.Host, r.Host, op, 900_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) },
+		func(a quorum.Result) {
+			if a.Status == quorum.StatusDone {
+				o.h.add(seenOp{from, w.now, a.Revision, string(a.Value), op.Type == quorum.OpPut})
+				if op.Type == quorum.OpPut {
 					o.core.acked()
 				}
 			}
@@ -131,13 +131,13 @@
 
 func (x *Claimers) claim(h *Host, key, nonce string) {
 	r := x.core.Nodes[x.core.w.Rng.Intn(len(x.core.Nodes))]
-	Call(h, r.Host, quorum.Op{Kind: quorum.OpClaim, Key: key, Val: []byte(nonce)}, 900_000,
-		func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) },
-		func(a quorum.Answer) {
-			if a.Status == quorum.Closed {
+	Call(h, r.Host, quorum.Operation{Type: quorum.OpClaim, Key: key, Value: []byte(nonce)}, 900_000,
+		func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) },
+		func(a quorum.Result) {
+			if a.Status == quorum.StatusGenerationClosed {
 				x.Late++
 			}
-			if a.Status != quorum.Done {
+			if a.Status != quorum.StatusDone {
 				return
 			}
 			if o := x.held[key]; o != "" && o != nonce {
@@ -178,16 +178,16 @@
 func (x *Holders) hold(h *Host, epoch *uint64) {
 	r := x.core.Nodes[x.core.w.Rng.Intn(len(x.core.Nodes))]
 	at := h.Clock()
-	Call(h, r.Host, quorum.Op{Kind: quorum.OpHold, Key: "duty/one", Expect: *epoch, Holder: fmt.Sprint(h.Name, "#", h.life), Term: simTerm}, 500_000,
-		func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) },
-		func(a quorum.Answer) {
-			if a.Status != quorum.Done {
+	Call(h, r.Host, quorum.Operation{Type: quorum.OpAcquire, Key: "duty/one", ExpectedRevision: *epoch, Holder: fmt.Sprint(h.Name, "#", h.life), LeaseDuration: simTerm}, 500_000,
+		func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) },
+		func(a quorum.Result) {
+			if a.Status != quorum.StatusDone {
 				return
 			}
-			if *epoch != a.Rev {
+			if *epoch != a.Revision {
 				x.Terms++
 			}
-			*epoch = a.Rev
+			*epoch = a.Revision
 			x.until[h] = max(x.until[h], at+simTerm-50_000)
 		}, func() {})
 }
--- a/sim/judge.go
+++ b/sim/judge.go
@@ -307,20 +307,20 @@
 	var try func(i int)
 	again := func(i int) { s.op.After(50_000, func() { try(i + 1) }) }
 	try = func(i int) {
-		s.ask(i, quorum.Op{Kind: quorum.OpGet, Key: planKey}, again, func(at quorum.Answer) {
-			v, err := plan.Sealed(at.Val, b, at.Rev+1)
+		s.ask(i, quorum.Operation{Type: quorum.OpGet, Key: planKey}, again, func(at quorum.Result) {
+			v, err := plan.Sealed(at.Value, b, at.Revision+1)
 			if err != nil {
 				s.f.W.Wrong("plan", "%v", err)
 				return
 			}
-			s.ask(i, quorum.Op{Kind: quorum.OpPut, Key: planKey, Val: v, Expect: at.Rev}, again, func(a quorum.Answer) {
+			s.ask(i, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: v, ExpectedRevision: at.Revision}, again, func(a quorum.Result) {
 				s.busy = false
-				s.f.judge.acks = append(s.f.judge.acks, ack{s.f.W.now, a.Rev})
+				s.f.judge.acks = append(s.f.judge.acks, ack{s.f.W.now, a.Revision})
 				s.f.Seen.PlanAcks++
-				if a.Rev <= s.rev {
-					s.f.W.Wrong("lost plan", "revision %d was given after %d", a.Rev, s.rev)
+				if a.Revision <= s.rev {
+					s.f.W.Wrong("lost plan", "revision %d was given after %d", a.Revision, s.rev)
 				}
-				s.rev = a.Rev
+				s.rev = a.Revision
 				if then != nil {
 					then()
 				}
@@ -331,11 +331,11 @@
 }
 
 // ask carries an operator's operation to a control node.
-func (s *Script) ask(i int, op quorum.Op, no func(int), yes func(quorum.Answer)) {
+func (s *Script) ask(i int, op quorum.Operation, no func(int), yes func(quorum.Result)) {
 	r := s.f.Core.Nodes[i%len(s.f.Core.Nodes)] // an operator tries all that ever were
-	Call(s.op, r.Host, op, 1_500_000, func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) },
-		func(a quorum.Answer) {
-			if a.Status != quorum.Done {
+	Call(s.op, r.Host, op, 1_500_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) },
+		func(a quorum.Result) {
+			if a.Status != quorum.StatusDone {
 				no(i)
 				return
 			}
--- a/sim/last.go
+++ b/sim/last.go
@@ -100,7 +100,7 @@
 func (f *Fleet) planOwner() *Registrar {
 	for _, r := range f.Core.Nodes {
 		if r.node != nil {
-			if _, ok := r.node.Vouch(r.Clock(), planKey); ok {
+			if _, ok := r.node.ReadUnderLease(r.Clock(), planKey); ok {
 				return r
 			}
 		}
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -31,25 +31,25 @@
 	node := r.core.Nodes[w.Rng.Intn(len(r.core.Nodes))]
 	r.count++
 	seen := lincheck.Operation{Client: r.client, Invoked: w.now}
-	op := quorum.Op{Kind: quorum.OpGet, Key: r.key}
+	op := quorum.Operation{Type: quorum.OpGet, Key: r.key}
 	if w.Rng.Intn(100) < r.changes {
 		seen.Write, seen.Value = true, fmt.Sprintf("%d-%d", r.client, r.count)
 		// A request that the network repeats must not change the key twice.
-		op.Kind, op.Expect, op.Val = quorum.OpPut, r.seen, []byte(seen.Value)
+		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.seen, []byte(seen.Value)
 	}
-	Call(r.Host, node.Host, op, 900_000, func(q quorum.Op, reply func(quorum.Answer)) { node.Op(q, 0, reply) },
-		func(a quorum.Answer) { r.answered(seen, a) },
+	Call(r.Host, node.Host, op, 900_000, func(q quorum.Operation, reply func(quorum.Result)) { node.Op(q, 0, reply) },
+		func(a quorum.Result) { r.answered(seen, a) },
 		func() { r.keep(seen) })
 }
 
 // answered takes all but a confirmation as unknown: where requests are repeated, one may
 // be refused although its twin took effect.
-func (r *recorder) answered(seen lincheck.Operation, a quorum.Answer) {
-	if a.Status == quorum.Done || a.Status == quorum.Conflict {
-		r.seen = max(r.seen, a.Rev)
+func (r *recorder) answered(seen lincheck.Operation, a quorum.Result) {
+	if a.Status == quorum.StatusDone || a.Status == quorum.StatusConflict {
+		r.seen = max(r.seen, a.Revision)
 	}
-	if a.Status == quorum.Done {
-		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.w.now, a.Rev, string(a.Val)
+	if a.Status == quorum.StatusDone {
+		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.w.now, a.Revision, string(a.Value)
 	}
 	r.keep(seen)
 }
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -82,7 +82,7 @@
 	last := d.w.now + 900_000
 	var wait func()
 	wait = func() {
-		if r.node.HandingOver() && d.w.now < last {
+		if r.node.RemovalPending() && d.w.now < last {
 			r.After(100_000, wait)
 			return
 		}
@@ -178,7 +178,7 @@
 }
 
 func owns(r *Registrar) int {
-	if _, ok := r.node.Vouch(r.Clock(), planKey); ok {
+	if _, ok := r.node.ReadUnderLease(r.Clock(), planKey); ok {
 		return 1
 	}
 	return 0
@@ -240,16 +240,16 @@
 // line up to its owner's last change.
 func (d *membershipDay) caughtUp(r *Registrar) bool {
 	ro, _ := d.voters()
-	if r.node == nil || !r.up || !r.holds(ro) || r.node.Roster().Rev != ro.Rev || !r.node.Firm() {
+	if r.node == nil || !r.up || !r.holds(ro) || r.node.VoterSet().Revision != ro.Revision || !r.node.AllSlotsRecovered() {
 		return false
 	}
-	at := r.node.Slots(r.Clock())
+	at := r.node.Status(r.Clock())
 	for _, o := range d.Nodes {
-		if o.node == nil || !o.up || o.node.Roster().Rev != ro.Rev {
+		if o.node == nil || !o.up || o.node.VoterSet().Revision != ro.Revision {
 			continue
 		}
-		for i, s := range o.node.Slots(o.Clock()) {
-			if s.Mine && at[i].Mark.Less(s.Settled) {
+		for i, s := range o.node.Status(o.Clock()) {
+			if s.IsLeader && at[i].Last.Before(s.Committed) {
 				return false
 			}
 		}
