--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -50,36 +50,36 @@
 	reg := func() *Registrar { return r.c.Nodes[w.Rng.Intn(len(r.c.Nodes))] }
 	at := reg()
 	from := w.now
-	Call(h, at.Host, quorum.Op{Kind: quorum.OpGet, Key: planKey}, 900_000, func(q quorum.Op, rep func(quorum.Answer)) { at.Op(q, 0, rep) },
-		func(a quorum.Answer) {
-			if a.Status != quorum.Done {
+	Call(h, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, func(q quorum.Operation, rep func(quorum.Result)) { at.Op(q, 0, rep) },
+		func(a quorum.Result) {
+			if a.Status != quorum.StatusDone {
 				return
 			}
 			r.read(from, a)
-			sealed, raw, err := c.On(a.Rev, a.Val)
+			sealed, raw, err := c.On(a.Revision, a.Value)
 			if err != nil {
 				var other plan.OtherRevision
-				if a.Rev > 0 && (c.If && c.Rev == a.Rev || !c.If && !errors.As(err, &other)) {
+				if a.Revision > 0 && (c.If && c.Rev == a.Revision || !c.If && !errors.As(err, &other)) {
 					w.Wrong("a good change was declined", "%v", err)
 				}
 				r.done["declined"]++
 				return
 			}
-			_, was, _ := plan.Open(a.Val)
+			_, was, _ := plan.Open(a.Value)
 			to, sent := reg(), w.now
-			Call(h, to.Host, quorum.Op{Kind: quorum.OpPut, Key: planKey, Val: sealed, Expect: a.Rev}, 900_000,
-				func(q quorum.Op, rep func(quorum.Answer)) { to.Op(q, 0, rep) },
-				func(b quorum.Answer) {
+			Call(h, to.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: a.Revision}, 900_000,
+				func(q quorum.Operation, rep func(quorum.Result)) { to.Op(q, 0, rep) },
+				func(b quorum.Result) {
 					switch b.Status {
-					case quorum.Done:
-						if c.If && b.Rev != c.Rev+1 {
-							w.Wrong("precondition", "revision %d was given on condition of %d", b.Rev, c.Rev)
+					case quorum.StatusDone:
+						if c.If && b.Revision != c.Rev+1 {
+							w.Wrong("precondition", "revision %d was given on condition of %d", b.Revision, c.Rev)
 						}
-						r.h.add(seenOp{sent, w.now, b.Rev, string(sealed), true})
-						r.texts[b.Rev], r.base[b.Rev], r.how[b.Rev] = raw, was, c
+						r.h.add(seenOp{sent, w.now, b.Revision, string(sealed), true})
+						r.texts[b.Revision], r.base[b.Revision], r.how[b.Revision] = raw, was, c
 						r.done["in force"]++
 						r.c.acked()
-					case quorum.Conflict:
+					case quorum.StatusConflict:
 						r.done["conflict"]++
 					default:
 						r.done["unknown"]++
@@ -89,19 +89,19 @@
 }
 
 // read judges what a registrar gives back.
-func (r *race) read(from int64, a quorum.Answer) {
+func (r *race) read(from int64, a quorum.Result) {
 	w := r.c.w
-	r.h.add(seenOp{from, w.now, a.Rev, string(a.Val), false})
-	_, raw, err := plan.Open(a.Val)
+	r.h.add(seenOp{from, w.now, a.Revision, string(a.Value), false})
+	_, raw, err := plan.Open(a.Value)
 	if err != nil {
-		w.Wrong("unreadable", "revision %d: %v", a.Rev, err)
+		w.Wrong("unreadable", "revision %d: %v", a.Revision, err)
 		return
 	}
-	if want, ok := r.texts[a.Rev]; ok && !bytes.Equal(want, raw) {
-		w.Wrong("read back as something else", "revision %d: %q, acknowledged was %q", a.Rev, raw, want)
+	if want, ok := r.texts[a.Revision]; ok && !bytes.Equal(want, raw) {
+		w.Wrong("read back as something else", "revision %d: %q, acknowledged was %q", a.Revision, raw, want)
 	}
-	if c, ok := r.how[a.Rev]; ok && !c.Patch && !bytes.Equal(c.Body, raw) {
-		w.Wrong("not to the byte", "revision %d: %q, sent was %q", a.Rev, raw, c.Body)
+	if c, ok := r.how[a.Revision]; ok && !c.Patch && !bytes.Equal(c.Body, raw) {
+		w.Wrong("not to the byte", "revision %d: %q, sent was %q", a.Revision, raw, c.Body)
 	}
 }
 
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -28,7 +28,7 @@
 func (s *stage) owner() *Registrar {
 	for _, r := range s.c.Nodes {
 		if r.up && r.node != nil {
-			if _, ok := r.node.Vouch(r.Clock(), s.h.key); ok {
+			if _, ok := r.node.ReadUnderLease(r.Clock(), s.h.key); ok {
 				return r
 			}
 		}
@@ -52,12 +52,12 @@
 }
 
 // do runs an operation on a node and tells the history when it is answered.
-func (s *stage) do(r *Registrar, op quorum.Op) (a quorum.Answer) {
+func (s *stage) do(r *Registrar, op quorum.Operation) (a quorum.Result) {
 	from := s.w.now
-	Call(s.n, r.Host, op, 2_000_000, func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) }, func(x quorum.Answer) {
+	Call(s.n, r.Host, op, 2_000_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) }, func(x quorum.Result) {
 		a = x
-		if x.Status == quorum.Done && op.Key == s.h.key {
-			s.h.add(seenOp{from, s.w.now, x.Rev, string(x.Val), op.Kind == quorum.OpPut})
+		if x.Status == quorum.StatusDone && op.Key == s.h.key {
+			s.h.add(seenOp{from, s.w.now, x.Revision, string(x.Value), op.Type == quorum.OpPut})
 		}
 	}, func() {})
 	for end := s.w.now + 2_100_000; s.w.now < end && a.Status == 0; {
@@ -66,12 +66,12 @@
 	return a
 }
 
-func (s *stage) get() quorum.Answer {
-	return s.do(s.settle(), quorum.Op{Kind: quorum.OpGet, Key: s.h.key})
+func (s *stage) get() quorum.Result {
+	return s.do(s.settle(), quorum.Operation{Type: quorum.OpGet, Key: s.h.key})
 }
 
-func (s *stage) put(key, val string) quorum.Answer {
-	return s.do(s.settle(), quorum.Op{Kind: quorum.OpPut, Key: key, Val: []byte(val), Expect: quorum.AnyRev})
+func (s *stage) put(key, val string) quorum.Result {
+	return s.do(s.settle(), quorum.Operation{Type: quorum.OpPut, Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision})
 }
 
 // torn makes the owner take a change that reaches nobody, and die of it.
@@ -80,7 +80,7 @@
 	for _, r := range s.c.Nodes {
 		s.w.Cut(o.Name, r.Name)
 	}
-	o.Do(quorum.Op{Kind: quorum.OpPut, Key: s.h.key, Val: []byte("torn"), Expect: quorum.AnyRev}, func(quorum.Answer) {})
+	o.Do(quorum.Operation{Type: quorum.OpPut, Key: s.h.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
 	s.w.Run(s.w.now + 60_000)
 	o.Kill()
 	s.w.HealAll()
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -46,48 +46,48 @@
 
 // once carries an operation to the owner of its key with one try, which ends at a
 // time by this node's clock.
-func (r *Registrar) once(op quorum.Op, hops int, until int64, reply func(quorum.Answer)) {
+func (r *Registrar) once(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
 	over := false
-	end := func(a quorum.Answer) {
+	end := func(a quorum.Result) {
 		if !over {
 			over = true
 			reply(a)
 		}
 	}
-	r.After(max(1, until-r.Clock()), func() { end(quorum.Answer{Status: quorum.Unknown}) })
-	r.Do(op, func(a quorum.Answer) {
-		if a.Status != quorum.NotOwner || a.Owner == "" || a.Owner == r.Name || hops >= passHops {
+	r.After(max(1, until-r.Clock()), func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
+	r.Do(op, func(a quorum.Result) {
+		if a.Status != quorum.StatusNotLeader || a.Leader == "" || a.Leader == r.Name || hops >= passHops {
 			end(a)
 			return
 		}
-		r.pass(op, hops, a.Owner, end)
+		r.pass(op, hops, a.Leader, end)
 	})
 }
 
 // pass hands an operation on to the owner of its key.
-func (r *Registrar) pass(op quorum.Op, hops int, owner string, end func(quorum.Answer)) {
+func (r *Registrar) pass(op quorum.Operation, hops int, owner string, end func(quorum.Result)) {
 	to := r.core.named(owner)
 	if to == nil || r.node == nil || r.node.Silence(r.Clock(), owner) > passMuteAfter {
-		end(quorum.Answer{Status: quorum.NotOwner})
+		end(quorum.Result{Status: quorum.StatusNotLeader})
 		return
 	}
 	limit := int64(passChangeLimit)
-	if op.Kind == quorum.OpGet {
+	if op.Type == quorum.OpGet {
 		limit = passReadLimit
 	}
-	ask, tell := stepsOf(op.Kind)
+	ask, tell := stepsOf(op.Type)
 	Call(r.Host, to.Host, op, limit,
-		func(q quorum.Op, answer func(quorum.Answer)) {
+		func(q quorum.Operation, answer func(quorum.Result)) {
 			if !r.core.lost(ask) {
 				to.once(q, hops+1, to.Clock()+limit, answer)
 			}
 		},
-		func(a quorum.Answer) {
+		func(a quorum.Result) {
 			if !r.core.lost(tell) {
 				end(a)
 			}
 		},
-		func() { end(quorum.Answer{Status: quorum.Unknown}) })
+		func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
 }
 
 // named is the control node of a name, nil if there is none.
@@ -141,7 +141,7 @@
 	if r.node == nil {
 		return true
 	}
-	voters := r.node.Roster().Voters
+	voters := r.node.VoterSet().Voters
 	heard := 0
 	for _, v := range voters {
 		if r.node.Silence(r.Clock(), v.Name) <= passMuteAfter {
@@ -174,24 +174,24 @@
 		return
 	}
 	e.readAt = e.node.Clock()
-	e.node.once(quorum.Op{Kind: quorum.OpGet, Key: e.key}, 0, e.until, e.readDone)
+	e.node.once(quorum.Operation{Type: quorum.OpGet, Key: e.key}, 0, e.until, e.readDone)
 }
 
-func (e *edit) readDone(a quorum.Answer) {
+func (e *edit) readDone(a quorum.Result) {
 	if e.over {
 		return
 	}
-	if a.Status != quorum.Done {
+	if a.Status != quorum.StatusDone {
 		e.again(lookAgain)
 		return
 	}
-	next, reply := e.decide(a.Val, a.Rev)
+	next, reply := e.decide(a.Value, a.Revision)
 	if next == nil {
 		e.decided(reply)
 		return
 	}
-	put := quorum.Op{Kind: quorum.OpPut, Key: e.key, Val: next, Expect: a.Rev}
-	e.node.once(put, 0, e.until, func(a quorum.Answer) { e.putDone(a, reply) })
+	put := quorum.Operation{Type: quorum.OpPut, Key: e.key, Value: next, ExpectedRevision: a.Revision}
+	e.node.once(put, 0, e.until, func(a quorum.Result) { e.putDone(a, reply) })
 }
 
 // decided answers without a change, unless the read has grown old: this process may
@@ -203,13 +203,13 @@
 	e.end(reply)
 }
 
-func (e *edit) putDone(a quorum.Answer, reply Reply) {
+func (e *edit) putDone(a quorum.Result, reply Reply) {
 	switch a.Status {
-	case quorum.Done:
+	case quorum.StatusDone:
 		e.end(reply)
-	case quorum.Conflict:
+	case quorum.StatusConflict:
 		e.again(lookAfterRace)
-	case quorum.NotOwner, quorum.Full:
+	case quorum.StatusNotLeader, quorum.StatusFull:
 		e.again(lookAgain)
 	default:
 		e.end(Reply{Outcome: Unclear})
@@ -302,7 +302,7 @@
 var OrderSteps = []OrderStep{StepOrder, StepReadAsk, StepReadTell, StepPutAsk, StepWrite, StepWriteOK, StepPutTell, StepReply}
 
 // stepsOf are the steps of an operation that is passed to its owner.
-func stepsOf(k quorum.OpKind) (ask, tell OrderStep) {
+func stepsOf(k quorum.OperationType) (ask, tell OrderStep) {
 	if k == quorum.OpGet {
 		return StepReadAsk, StepReadTell
 	}
--- a/sim/slot_writer.go
+++ b/sim/slot_writer.go
@@ -27,7 +27,7 @@
 
 // NewSlotWriter adds a writer.
 func NewSlotWriter(c *Core) *SlotWriter {
-	slots := quorum.Defaults("", 0).Slots
+	slots := quorum.DefaultConfig("", 0).Slots
 	s := &SlotWriter{core: c, ackedAt: make([]int64, slots)}
 	for i := range slots {
 		s.histories = append(s.histories, NewHistory(c.w, keyOfSlot(i)))
@@ -49,27 +49,27 @@
 func (s *SlotWriter) act() {
 	s.next++
 	slot := s.next % len(s.histories)
-	op := quorum.Op{Kind: quorum.OpPut, Expect: quorum.AnyRev, Val: []byte(fmt.Sprint("value", s.next))}
+	op := quorum.Operation{Type: quorum.OpPut, ExpectedRevision: quorum.AnyRevision, Value: []byte(fmt.Sprint("value", s.next))}
 	if s.next/len(s.histories)%slotReads == 0 {
-		op = quorum.Op{Kind: quorum.OpGet}
+		op = quorum.Operation{Type: quorum.OpGet}
 	}
 	op.Key = s.histories[slot].key
 	s.do(s.pick(), slot, op, func(bool) {})
 }
 
 // do runs an operation at a node and judges its answer.
-func (s *SlotWriter) do(r *Registrar, slot int, op quorum.Op, done func(ok bool)) {
+func (s *SlotWriter) do(r *Registrar, slot int, op quorum.Operation, done func(ok bool)) {
 	w := s.core.w
 	from := w.now
 	Call(s.Host, r.Host, op, slotWriteLimit,
-		func(q quorum.Op, reply func(quorum.Answer)) { r.once(q, 0, r.Clock()+slotWriteLimit, reply) },
-		func(a quorum.Answer) {
-			if a.Status != quorum.Done {
+		func(q quorum.Operation, reply func(quorum.Result)) { r.once(q, 0, r.Clock()+slotWriteLimit, reply) },
+		func(a quorum.Result) {
+			if a.Status != quorum.StatusDone {
 				done(false)
 				return
 			}
-			put := op.Kind == quorum.OpPut
-			s.histories[slot].add(seenOp{from, w.now, a.Rev, string(a.Val), put})
+			put := op.Type == quorum.OpPut
+			s.histories[slot].add(seenOp{from, w.now, a.Revision, string(a.Value), put})
 			if put {
 				s.ackedAt[slot] = w.now
 			}
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -29,10 +29,10 @@
 	c.rings.SegmentBytes = 2 << 20
 	c.Start()
 	d := &snapshotDay{membershipDay: &membershipDay{Core: c, size: coreSizes[1], h: NewHistory(w, planKey)}, every: 10_000}
-	c.drop = func(m quorum.Msg) bool {
+	c.drop = func(m quorum.Message) bool {
 		size := 0
 		for _, e := range m.Entries {
-			size += len(e.Key) + len(e.Val)
+			size += len(e.Key) + len(e.Value)
 		}
 		d.largest = max(d.largest, size)
 		return size > frameBound
@@ -52,8 +52,8 @@
 	next = func() {
 		r := d.Nodes[w.Rng.Intn(len(d.Nodes))]
 		k := d.keys[w.Rng.Intn(len(d.keys))]
-		Call(client, r.Host, d.op(k), 900_000, func(q quorum.Op, rep func(quorum.Answer)) { r.Op(q, 0, rep) }, func(a quorum.Answer) {
-			if a.Status == quorum.Done {
+		Call(client, r.Host, d.op(k), 900_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) }, func(a quorum.Result) {
+			if a.Status == quorum.StatusDone {
 				d.changes++
 			}
 		}, func() {})
@@ -64,17 +64,17 @@
 	return d
 }
 
-func (d *snapshotDay) op(key string) quorum.Op {
-	return quorum.Op{Kind: quorum.OpPut, Key: key, Val: make([]byte, 20<<10), Expect: quorum.AnyRev}
+func (d *snapshotDay) op(key string) quorum.Operation {
+	return quorum.Operation{Type: quorum.OpPut, Key: key, Value: make([]byte, 20<<10), ExpectedRevision: quorum.AnyRevision}
 }
 
 func (d *snapshotDay) put(t *testing.T, key string) {
 	t.Helper()
 	for try := 0; try < 50; try++ {
-		var a quorum.Answer
-		d.Nodes[try%4].Op(d.op(key), 0, func(x quorum.Answer) { a = x })
+		var a quorum.Result
+		d.Nodes[try%4].Op(d.op(key), 0, func(x quorum.Result) { a = x })
 		d.until(1_000_000, func() bool { return a.Status != 0 })
-		if a.Status == quorum.Done {
+		if a.Status == quorum.StatusDone {
 			return
 		}
 	}
@@ -88,11 +88,11 @@
 	if o == nil || o == r {
 		return ""
 	}
-	settled := o.node.Slots(o.Clock())[quorum.SlotOf(planKey, 16)].Settled
+	settled := o.node.Status(o.Clock())[quorum.SlotOf(planKey, 16)].Committed
 	mine, theirs := registers(r), registers(o)
 	for _, k := range d.keys {
-		if e := theirs[k]; !settled.Less(e.Ver) && mine[k].Ver.Less(e.Ver) {
-			return fmt.Sprintf("%s is of %v, not %v", k, mine[k].Ver, e.Ver)
+		if e := theirs[k]; !settled.Before(e.Position) && mine[k].Position.Before(e.Position) {
+			return fmt.Sprintf("%s is of %v, not %v", k, mine[k].Position, e.Position)
 		}
 	}
 	return ""
@@ -102,7 +102,7 @@
 func registers(r *Registrar) map[string]quorum.Entry {
 	all := map[string]quorum.Entry{}
 	for _, rec := range r.node.Checkpoint() {
-		if rec.Kind == quorum.RecEntry {
+		if rec.Type == quorum.RecordEntry {
 			all[rec.Entry.Key] = rec.Entry
 		}
 	}
