--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -58,7 +58,7 @@
 	if h, _, _ := net.SplitHostPort(settings.TransportAddr); !net.ParseIP(h).IsLoopback() {
 		return nil, trace.BadParameter("wire must be on loopback, beside its proxy; give --wire 127.0.0.1:port")
 	}
-	daemon := daemon.New("runner", settings.Name+"-runner", settings.HTTPAddr, settings.DrainUS)
+	daemon := daemon.New("violetthread-agent", settings.Name+"-agent", settings.HTTPAddr, settings.DrainUS)
 	if err := daemon.ProfileCPU(settings.CPUProfile); err != nil {
 		return nil, err
 	}
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -72,7 +72,7 @@
 		return nil, trace.Wrap(err)
 	}
 	grace := max(s.Bounds.GraceUS-700_000, 1_000_000)
-	d := daemon.New("carrier", s.Name, s.HTTP, grace)
+	d := daemon.New("violetthread-proxy", s.Name, s.HTTP, grace)
 	c := &carrier{s: s, d: d, door: door, book: transport.NewPeerPool(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
 		pool: newPool(), hints: hint.NewHolders(s.Hints)}
 	c.pick = placement.New(s.Site, c.hints)
