--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -33,7 +33,7 @@
 // Settings of a remisier.
 type Settings struct {
 	daemon.NodeSettings
-	Agent string `json:"runner" validate:"required,ipport" help:"loopback IP:port of the runner beside it"`
+	Agent string `json:"agent" old:"runner" validate:"required,ipport" help:"loopback IP:port of the agent beside it"`
 	Hints int    `json:"hints" validate:"min=64,max=16777216" help:"entries in the hint table"`
 	Index bool   `json:"index" help:"false leaves the hint table unused, to measure what it is worth"`
 	daemon.RecordingSettings
@@ -80,7 +80,7 @@
 
 // New makes one, ready to Run.
 func New(s Settings) (*daemon.Daemon, error) {
-	d := daemon.New("remisier", s.Name, s.HTTPAddr, s.DrainUS)
+	d := daemon.New("violetthread-gateway", s.Name, s.HTTPAddr, s.DrainUS)
 	// A proxy keeps little and makes much garbage: rarer collections cost it a few
 	// megabytes and save processor time, for which its machines are paid.
 	debug.SetGCPercent(400)
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -72,7 +72,7 @@
 		return nil, trace.Wrap(err)
 	}
 	grace := max(settings.Bounds.GraceUS-700_000, 1_000_000)
-	daemon := daemon.New("carrier", settings.Name, settings.HTTP, grace)
+	daemon := daemon.New("violetthread-proxy", settings.Name, settings.HTTP, grace)
 	s := &server{settings: settings, daemon: daemon, adapter: door, controlNodes: transport.NewPeerPool(daemon.Group), incarnation: binary.LittleEndian.Uint64(b[:])>>24 | 1,
 		pool: newConnPool(), hints: cacheindex.NewHolderTable(settings.HintEntries)}
 	s.picker = placement.New(settings.Zone, s.hints)
