--- a/internal/app/control/node.go
+++ b/internal/app/control/node.go
@@ -89,7 +89,7 @@
 	if settings.DataDir == "" || settings.TransportAddr == "" {
 		return nil, trace.BadParameter("data_dir and wire are needed; give --data-dir a folder and --wire an IP:port")
 	}
-	process := daemon.New("registrar", settings.Name, settings.HTTPAddr, settings.DrainUS)
+	process := daemon.New("violetthread-control", settings.Name, settings.HTTPAddr, settings.DrainUS)
 	if err := process.ProfileCPU(settings.CPUProfile); err != nil {
 		return nil, err
 	}
--- a/internal/app/control/settings.go
+++ b/internal/app/control/settings.go
@@ -18,9 +18,9 @@
 	LogSegments int `json:"ring_files" validate:"min=8,max=1024" help:"files in the disk ring"`
 	// GenerationDuration is how long a generation of claims is the newest, in microseconds.
 	// Default 120 s. A longer one lets a claim be repeated later, and keeps more claims.
-	GenerationDuration int64 `json:"era_us" validate:"min=1000000,max=86400000000" help:"how long an era of claims is the newest"`
+	GenerationDuration int64 `json:"generation_us" old:"era_us" validate:"min=1000000,max=86400000000" help:"how long an era of claims is the newest"`
 	// OpenGenerations is the number of generations whose claims are accepted. Default 5.
-	OpenGenerations int `json:"eras" validate:"min=2,max=64" help:"eras open at a time; a once-only ticket of an older one is not run"`
+	OpenGenerations int `json:"generations" old:"eras" validate:"min=2,max=64" help:"eras open at a time; a once-only ticket of an older one is not run"`
 	// Disk wraps the folder that the log lies in, for failures of disks in tests. Nil, the
 	// default, wraps nothing. It has no name in a settings file and no flag.
 	Disk func(wal.FS) wal.FS
