--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -70,7 +70,7 @@
 	if s.TransportAddr == "" || len(s.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the registrars' addresses")
 	}
-	d := daemon.New("custodian", s.Name, s.HTTPAddr, s.DrainUS)
+	d := daemon.New("violetthread-index", s.Name, s.HTTPAddr, s.DrainUS)
 	if err := d.ProfileCPU(s.CPUProfile); err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	c.leaseHolder = fmt.Sprintf("%s#%x", s.Name, c.incarnation)
 	c.node = &replay.IndexNode{Node: index.New(s.Name, s.Zone, c.incarnation)}
 	if s.Recording != "" {
-		w, err := recording.Create(s.Recording, recording.Header{Component: "keeper", Name: s.Name, Zone: s.Zone, Incarnation: c.incarnation}, s.RecordingBytes)
+		w, err := recording.Create(s.Recording, recording.Header{Component: recording.ComponentIndexNode, Name: s.Name, Zone: s.Zone, Incarnation: c.incarnation}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
