--- a/quorum/catchup_test.go
+++ b/quorum/catchup_test.go
@@ -123,7 +123,7 @@
 	}
 	owner := New(DefaultConfig("b", 2), voters(3), 0, nil)
 	s := owner.slots[3]
-	s.role, s.term, s.lastIndex = stateLeader, line, 7
+	s.state, s.term, s.lastIndex = stateLeader, line, 7
 	owner.store(s, Entry{Key: "changed", Position: Position{before, 1}, Revision: 1, Value: []byte("stands")})
 	owner.store(s, Entry{Key: "later", Position: Position{line, 7}, Revision: 1, Value: []byte("new")})
 	ask := sent[0]
--- a/quorum/membership.go
+++ b/quorum/change.go
@@ -76,7 +76,7 @@
 func (n *Node) mayChangeVoterSet(now int64) bool {
 	s := n.slots[SlotOf(VoterSetKey, n.config.Slots)]
 	_, busy := s.pendingByKey[VoterSetKey]
-	return !busy && s.role == stateLeader && now < s.leaseUntil && !n.leaving
+	return !busy && s.state == stateLeader && now < s.leaseUntil && !n.leaving
 }
 
 // setRoster starts a step, unless the one before is not firm yet.
@@ -173,10 +173,10 @@
 		}
 		o.Events = append(o.Events, fmt.Sprintf("roster=%d voters=%d in=%v", r.Step(), len(r.Voters), n.isVoter()))
 		for _, s := range n.slots {
-			if s.role == stateFollower {
+			if s.state == stateFollower {
 				continue
 			}
-			mine := s.role >= stateRecovering
+			mine := s.state >= stateRecovering
 			n.becomeFollower(now, s, o)
 			if mine {
 				s.noVoteUntil, s.nextCampaignAt, s.campaignAtOnce = now, now, true
--- a/quorum/era.go
+++ b/quorum/claims.go
@@ -53,7 +53,7 @@
 
 // floorNow is the oldest era whose claims the slot still takes: what is settled,
 // or on its way, or due by the newest era.
-func (n *Node) claimFloor(i uint16, s *slotState) uint64 {
+func (n *Node) claimFloor(i uint16, s *slotReplica) uint64 {
 	f := floorValue(s.entries[floorKey(i)])
 	if n.config.OpenGenerations > 0 && n.generation > uint64(n.config.OpenGenerations) {
 		f = max(f, n.generation-uint64(n.config.OpenGenerations)+1)
@@ -62,7 +62,7 @@
 }
 
 // tickEras is the owner's part: it opens eras, and raises its slot's floor.
-func (n *Node) tickGenerations(now int64, i uint16, s *slotState, o *Ready) {
+func (n *Node) tickGenerations(now int64, i uint16, s *slotReplica, o *Ready) {
 	if n.config.GenerationDuration <= 0 {
 		return
 	}
@@ -90,7 +90,7 @@
 
 // close forgets the claims below a floor that is beyond doubt. Every voter does so
 // by itself: nobody may ever grant them again, whoever still has them.
-func (n *Node) forgetClosedClaims(i uint16, s *slotState) {
+func (n *Node) forgetClosedClaims(i uint16, s *slotReplica) {
 	e, ok := s.entries[floorKey(i)]
 	if !ok || s.certain().Before(e.Position) || floorValue(e) <= s.closedBelow {
 		return
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -42,9 +42,9 @@
 	return r
 }
 
-func (n *Node) tickSlot(now int64, i uint16, s *slotState, o *Ready) {
+func (n *Node) tickSlot(now int64, i uint16, s *slotReplica, o *Ready) {
 	n.forgetClosedClaims(i, s)
-	switch s.role {
+	switch s.state {
 	case stateFollower:
 		if n.leaving {
 			return
@@ -76,7 +76,7 @@
 			n.campaign(now, i, s, o)
 			return
 		}
-		if s.role == stateLeader {
+		if s.state == stateLeader {
 			n.tickGenerations(now, i, s, o)
 			if e, ok := s.committedEntry(VoterSetKey); ok {
 				if r, err := ParseVoterSet(e.Value); err == nil {
@@ -91,7 +91,7 @@
 }
 
 // retreat gives the slot up. What is still being written is answered Unknown.
-func (n *Node) becomeFollower(now int64, s *slotState, o *Ready) {
+func (n *Node) becomeFollower(now int64, s *slotReplica, o *Ready) {
 	for _, p := range s.pendingOrder {
 		if p.operation.ID != 0 {
 			o.Results = append(o.Results, Result{ID: p.operation.ID, Status: StatusUnknown})
@@ -100,7 +100,7 @@
 			o.Results = append(o.Results, Result{ID: q.ID, Status: StatusNotLeader})
 		}
 	}
-	s.role, s.votes, s.pendingOrder, s.pendingByKey, s.acknowledged, s.heartbeatAcked, s.roleLeaseUntil = stateFollower, nil, nil, nil, nil, nil, nil
+	s.state, s.votes, s.pendingOrder, s.pendingByKey, s.acknowledged, s.heartbeatAcked, s.roleLeaseUntil = stateFollower, nil, nil, nil, nil, nil, nil
 	s.leaseUntil, s.higherTerm = 0, 0
 	if s.leader == n.config.Name {
 		s.leader = ""
@@ -108,13 +108,13 @@
 	s.nextCampaignAt = now + n.config.LeaseDuration/2
 }
 
-func (n *Node) campaign(now int64, i uint16, s *slotState, o *Ready) {
+func (n *Node) campaign(now int64, i uint16, s *slotReplica, o *Ready) {
 	e := (s.promised>>16+1)<<16 | uint64(n.self.Number)
-	s.role, s.term, s.campaignStartedAt, s.promised = stateCandidate, e, now, e
+	s.state, s.term, s.campaignStartedAt, s.promised = stateCandidate, e, now, e
 	s.votes, s.rejections = map[string]Message{}, map[string]bool{}
 	n.appendRecord(o, Record{Type: RecordPromise, Slot: i, Term: e})
 	n.afterSync(now, o, func(now int64, o *Ready) {
-		if s.role == stateCandidate && s.term == e {
+		if s.state == stateCandidate && s.term == e {
 			s.votes[n.config.Name] = Message{LogTerm: s.logTerm, Committed: s.committed}
 			n.countVotes(now, i, s, o)
 		}
@@ -123,14 +123,14 @@
 	// this life's question could be taken for one to the next life's, of the same epoch.
 	m := Message{Type: MsgVoteRequest, Slot: i, Term: e, Last: s.certain(), Keys: s.uncertainKeys()}
 	n.afterSync(now, o, func(_ int64, o *Ready) {
-		if s.role == stateCandidate && s.term == e {
+		if s.state == stateCandidate && s.term == e {
 			n.forEachPeer(func(v string) { n.send(o, v, m) })
 		}
 	})
 }
 
 // elected merges what a majority holds once enough have answered (design §4.3).
-func (n *Node) countVotes(now int64, i uint16, s *slotState, o *Ready) {
+func (n *Node) countVotes(now int64, i uint16, s *slotReplica, o *Ready) {
 	if _, self := s.votes[n.config.Name]; !self || len(s.votes) < n.voterSet.Majority() {
 		return
 	}
@@ -178,14 +178,14 @@
 		}
 	}
 	s.snapshot = nil
-	s.role, s.lastIndex, s.logTerm, s.last, s.committed = stateRecovering, 0, s.term, Position{s.term, 0}, c
+	s.state, s.lastIndex, s.logTerm, s.last, s.committed = stateRecovering, 0, s.term, Position{s.term, 0}, c
 	s.acknowledged, s.pendingByKey, s.roleLeaseUntil, s.pendingOrder = map[string]Position{}, map[string]*pendingChange{}, map[string]int64{}, nil
 	n.recordLogState(i, s, o)
 	s.leader, s.leaderTerm = n.config.Name, s.term
 	s.heartbeatAcked = map[string]int64{}
 	e := s.term
 	n.afterSync(now, o, func(now int64, o *Ready) {
-		if s.term == e && s.role >= stateRecovering {
+		if s.term == e && s.state >= stateRecovering {
 			n.acknowledge(now, i, s, n.config.Name, Position{e, 0}, o)
 		}
 	})
@@ -197,7 +197,7 @@
 // node knew of. What the refuser holds off is its own matter: this node only waits.
 func (n *Node) handleVoteRejected(now int64, m Message, o *Ready) {
 	s := n.slots[m.Slot]
-	if s.role != stateCandidate || s.term != m.Term {
+	if s.state != stateCandidate || s.term != m.Term {
 		return
 	}
 	s.rejections[m.From] = true
@@ -212,14 +212,14 @@
 	}
 }
 
-func (n *Node) promise(_ int64, i uint16, s *slotState, e uint64, o *Ready) {
+func (n *Node) promise(_ int64, i uint16, s *slotReplica, e uint64, o *Ready) {
 	s.promised = e
 	n.appendRecord(o, Record{Type: RecordPromise, Slot: i, Term: e})
 }
 
 // yield steps back when another owner with a higher epoch is seen.
-func (n *Node) followHigherTerm(now int64, s *slotState, e uint64, o *Ready) {
-	if s.role != stateFollower && s.term < e {
+func (n *Node) followHigherTerm(now int64, s *slotReplica, e uint64, o *Ready) {
+	if s.state != stateFollower && s.term < e {
 		n.becomeFollower(now, s, o)
 	}
 }
--- a/quorum/explore_judge_test.go
+++ b/quorum/explore_judge_test.go
@@ -289,7 +289,7 @@
 		return
 	}
 	s, t := x.slots[slot], y.slots[slot]
-	if s.role >= stateRecovering && t.role >= stateRecovering && s.term == t.term {
+	if s.state >= stateRecovering && t.state >= stateRecovering && s.term == t.term {
 		j.find("two owners of an epoch", "%d: %s and %s", s.term, w.machines[a].name, w.machines[b].name)
 	}
 	if s.logTerm == 0 || s.logTerm != t.logTerm {
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -5,8 +5,8 @@
 func (n *Node) broadcastHeartbeat(now int64, o *Ready) {
 	var ms []SlotProgress
 	for i, s := range n.slots {
-		if s.role >= stateRecovering {
-			ms = append(ms, SlotProgress{uint16(i), s.term, Position{s.term, s.lastIndex}, s.committed, s.role == stateLeader && s.recoveredUnder == n.voterSet.Revision})
+		if s.state >= stateRecovering {
+			ms = append(ms, SlotProgress{uint16(i), s.term, Position{s.term, s.lastIndex}, s.committed, s.state == stateLeader && s.recoveredUnder == n.voterSet.Revision})
 			if s.heartbeatAcked == nil {
 				s.heartbeatAcked = map[string]int64{}
 			}
@@ -22,7 +22,7 @@
 
 // renew works out the owner's lease: it runs from the sending of the newest
 // beat that a majority answered.
-func (n *Node) renewLease(now int64, s *slotState) {
+func (n *Node) renewLease(now int64, s *slotReplica) {
 	var ts []int64
 	for _, t := range s.heartbeatAcked {
 		ts = append(ts, t)
@@ -81,13 +81,13 @@
 			continue
 		}
 		s := n.slots[k.Slot]
-		if s.role >= stateRecovering && k.Term > s.term {
+		if s.state >= stateRecovering && k.Term > s.term {
 			if s.higherTerm <= s.term {
 				s.higherTermSeenAt = now
 			}
 			s.higherTerm = max(s.higherTerm, k.Term)
 		}
-		if s.role >= stateRecovering && s.term == k.Term && m.Time <= now {
+		if s.state >= stateRecovering && s.term == k.Term && m.Time <= now {
 			s.heartbeatAcked[m.From] = max(s.heartbeatAcked[m.From], m.Time)
 			n.renewLease(now, s)
 			if k.Last != (Position{}) {
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -37,7 +37,7 @@
 	diskLow          bool
 	pendingVoterSet  uint64 // roster being put on disk
 	self             Voter
-	slots            []*slotState
+	slots            []*slotReplica
 	startedAt        int64
 	noCampaignBefore int64 // no slot is sought before
 	heartbeatSentAt  int64
@@ -58,7 +58,7 @@
 func New(p Config, r VoterSet, now int64, recs []Record) *Node {
 	n := &Node{config: p, voterSet: r, startedAt: now, lastHeard: map[string]int64{}, admittedAt: map[string]int64{}, leavingSince: map[string]int64{}, joinRequests: map[uint64]joinRequest{}, listeningSince: now, lastTickAt: now}
 	for i := 0; i < p.Slots; i++ {
-		n.slots = append(n.slots, &slotState{entries: map[string]Entry{}})
+		n.slots = append(n.slots, &slotReplica{entries: map[string]Entry{}})
 	}
 	for _, c := range recs {
 		n.replayRecord(c)
--- a/quorum/op.go
+++ b/quorum/operation.go
@@ -41,7 +41,7 @@
 // Vouch returns the key's register if this node owns it under a live lease.
 func (n *Node) ReadUnderLease(now int64, key string) (Entry, bool) {
 	s := n.slots[SlotOf(key, n.config.Slots)]
-	if s.role != stateLeader || now >= s.leaseUntil {
+	if s.state != stateLeader || now >= s.leaseUntil {
 		return Entry{}, false
 	}
 	e, _ := s.committedEntry(key)
@@ -50,19 +50,19 @@
 }
 
 // seen is the register as callers may see it: settled changes only.
-func (s *slotState) committedEntry(k string) (Entry, bool) {
-	e, ok := s.entries[k]
-	if p, is := s.pendingByKey[k]; is {
+func (r *slotReplica) committedEntry(k string) (Entry, bool) {
+	e, ok := r.entries[k]
+	if p, is := r.pendingByKey[k]; is {
 		e, ok = p.previous, p.existed
 	}
 	return e, ok
 }
 
-func (n *Node) apply(now int64, i uint16, s *slotState, op Operation, o *Ready) {
+func (n *Node) apply(now int64, i uint16, s *slotReplica, op Operation, o *Ready) {
 	ans := func(st Status, e Entry) {
 		o.Results = append(o.Results, Result{ID: op.ID, Status: st, Revision: e.Revision, Value: e.Value, Leader: s.leader})
 	}
-	if s.role != stateLeader || now >= s.leaseUntil {
+	if s.state != stateLeader || now >= s.leaseUntil {
 		ans(StatusNotLeader, Entry{})
 		return
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func (n *Node) change(now int64, i uint16, s *slotState, op Operation, e Entry, ans func(Status, Entry), o *Ready) {
+func (n *Node) change(now int64, i uint16, s *slotReplica, op Operation, e Entry, ans func(Status, Entry), o *Ready) {
 	limit := n.config.MaxStateBytes
 	if isClaim(e.Key) {
 		limit = n.maxClaimBytes()
@@ -139,7 +139,7 @@
 
 // applyDuty grants, renews or frees a duty. Renewals are not written: a later
 // owner of the slot waits a whole term before it grants to another.
-func (n *Node) applyRole(now int64, i uint16, s *slotState, op Operation, e Entry, ans func(Status, Entry), o *Ready) {
+func (n *Node) applyRole(now int64, i uint16, s *slotReplica, op Operation, e Entry, ans func(Status, Entry), o *Ready) {
 	d := parseRoleLease(e.Value)
 	live := d.Holder != "" && now < s.roleLeaseUntil[op.Key]
 	switch {
--- a/quorum/types.go
+++ b/quorum/position.go
@@ -17,8 +17,8 @@
 type Position struct{ Term, Index uint64 }
 
 // Less reports whether a comes before b.
-func (a Position) Before(b Position) bool {
-	return a.Term < b.Term || a.Term == b.Term && a.Index < b.Index
+func (p Position) Before(other Position) bool {
+	return p.Term < other.Term || p.Term == other.Term && p.Index < other.Index
 }
 
 // Entry is one register. Rev counts the changes of its key and never falls.
--- a/quorum/recv.go
+++ b/quorum/receive.go
@@ -46,7 +46,7 @@
 	case MsgVoteRequest:
 		n.handleVoteRequest(now, m, &o)
 	case MsgVoteGranted:
-		if s := n.slots[m.Slot]; s.role == stateCandidate && s.term == m.Term {
+		if s := n.slots[m.Slot]; s.state == stateCandidate && s.term == m.Term {
 			s.votes[m.From] = m
 			n.countVotes(now, m.Slot, s, &o)
 		}
@@ -55,7 +55,7 @@
 	case MsgAppend:
 		n.handleAppend(now, m, &o)
 	case MsgAppendAck:
-		if s := n.slots[m.Slot]; s.role >= stateRecovering && s.term == m.Term {
+		if s := n.slots[m.Slot]; s.state >= stateRecovering && s.term == m.Term {
 			n.acknowledge(now, m.Slot, s, m.From, m.Last, &o)
 		}
 	case MsgSnapshotRequest:
--- a/quorum/replicate.go
+++ b/quorum/replication.go
@@ -6,7 +6,7 @@
 )
 
 // issue gives a change its version and starts it towards a majority.
-func (n *Node) replicate(now int64, i uint16, s *slotState, e Entry, op Operation, o *Ready) {
+func (n *Node) replicate(now int64, i uint16, s *slotReplica, e Entry, op Operation, o *Ready) {
 	prev := Position{s.term, s.lastIndex}
 	s.lastIndex++
 	old, had := s.entries[e.Key]
@@ -18,7 +18,7 @@
 	s.last = e.Position
 	n.appendRecord(o, Record{Type: RecordEntry, Slot: i, Term: s.term, Last: s.last, Committed: s.committed, Entry: e})
 	n.afterSync(now, o, func(now int64, o *Ready) {
-		if s.term == e.Position.Term && s.role >= stateRecovering {
+		if s.term == e.Position.Term && s.state >= stateRecovering {
 			n.acknowledge(now, i, s, n.config.Name, e.Position, o)
 		}
 	})
@@ -27,7 +27,7 @@
 }
 
 // ack counts a voter's synced mark and settles what a majority now has.
-func (n *Node) acknowledge(now int64, i uint16, s *slotState, v string, m Position, o *Ready) {
+func (n *Node) acknowledge(now int64, i uint16, s *slotReplica, v string, m Position, o *Ready) {
 	if a, ok := s.acknowledged[v]; !ok || a.Before(m) {
 		s.acknowledged[v] = m
 	}
@@ -54,8 +54,8 @@
 			n.apply(now, i, s, q, o)
 		}
 	}
-	if s.role == stateRecovering && len(s.pendingOrder) == 0 && !s.committed.Before(Position{s.term, 0}) {
-		s.role, s.recoveredUnder, s.generationSince = stateLeader, n.voterSet.Revision, now
+	if s.state == stateRecovering && len(s.pendingOrder) == 0 && !s.committed.Before(Position{s.term, 0}) {
+		s.state, s.recoveredUnder, s.generationSince = stateLeader, n.voterSet.Revision, now
 		// In the order of their changes, so that a seed replays alike.
 		for _, vk := range s.changedAfter(Position{}) {
 			k := vk.key
@@ -89,7 +89,7 @@
 }
 
 // take stores changes of the line this voter follows and confirms them.
-func (n *Node) appendFromLeader(now int64, i uint16, s *slotState, es []Entry, mark, settled Position, o *Ready) {
+func (n *Node) appendFromLeader(now int64, i uint16, s *slotReplica, es []Entry, mark, settled Position, o *Ready) {
 	was := s.last
 	if s.committed.Before(settled) {
 		s.committed = settled
@@ -112,7 +112,7 @@
 	n.sendAppendAck(now, i, s, o)
 }
 
-func (n *Node) sendAppendAck(now int64, i uint16, s *slotState, o *Ready) {
+func (n *Node) sendAppendAck(now int64, i uint16, s *slotReplica, o *Ready) {
 	e, mk, to := s.logTerm, s.last, s.leader
 	n.afterSync(now, o, func(_ int64, o *Ready) {
 		n.send(o, to, Message{Type: MsgAppendAck, Slot: i, Term: e, Last: mk})
--- a/quorum/slot.go
+++ b/quorum/slot.go
@@ -2,17 +2,17 @@
 
 import "sort"
 
-type slotRole uint8
+type replicaState uint8
 
 const (
-	stateFollower slotRole = iota
+	stateFollower replicaState = iota
 	stateCandidate
 	stateRecovering // read back; a majority is joining the line, and with it what was in doubt
 	stateLeader
 )
 
 // slot is one node's view of a slot: as voter, and while it lasts, as owner.
-type slotState struct {
+type slotReplica struct {
 	// As voter, kept on disk.
 	promised    uint64
 	logTerm     uint64   // epoch whose line of changes ent follows
@@ -29,7 +29,7 @@
 	snapshotAskedAt int64
 	snapshot        *snapshot // of a line that is being joined
 	// As candidate or owner.
-	role              slotRole
+	state             replicaState
 	campaignAtOnce    bool   // was the owner until the roster changed: seek at once
 	recoveredUnder    uint64 // roster under which the slot was last known to be finished
 	term              uint64
@@ -76,7 +76,7 @@
 func (n *Node) Status(now int64) []SlotStatus {
 	var out []SlotStatus
 	for _, s := range n.slots {
-		out = append(out, SlotStatus{s.leader, s.promised, s.role == stateLeader && now < s.leaseUntil, len(s.entries), s.last, s.committed})
+		out = append(out, SlotStatus{s.leader, s.promised, s.state == stateLeader && now < s.leaseUntil, len(s.entries), s.last, s.committed})
 	}
 	return out
 }
@@ -84,7 +84,7 @@
 // entSize is what a register takes on disk, its record's frame included.
 func entryBytes(e Entry) int { return len(e.Key) + len(e.Value) + 256 }
 
-func (n *Node) store(s *slotState, e Entry) {
+func (n *Node) store(s *slotReplica, e Entry) {
 	if o, ok := s.entries[e.Key]; ok {
 		n.stateBytes -= entryBytes(o)
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-func (n *Node) remove(s *slotState, k string) {
+func (n *Node) remove(s *slotReplica, k string) {
 	if o, ok := s.entries[k]; ok {
 		n.stateBytes -= entryBytes(o)
 		delete(s.entries, k)
@@ -110,11 +110,11 @@
 }
 
 // live lists the registers changed after m, oldest change first.
-func (s *slotState) changedAfter(m Position) []positionKey {
-	i := sort.Search(len(s.byPosition), func(j int) bool { return m.Before(s.byPosition[j].position) })
+func (r *slotReplica) changedAfter(m Position) []positionKey {
+	i := sort.Search(len(r.byPosition), func(j int) bool { return m.Before(r.byPosition[j].position) })
 	var out []positionKey
-	for _, vk := range s.byPosition[i:] {
-		if e, ok := s.entries[vk.key]; ok && e.Position == vk.position {
+	for _, vk := range r.byPosition[i:] {
+		if e, ok := r.entries[vk.key]; ok && e.Position == vk.position {
 			if l := len(out); l == 0 || out[l-1] != vk {
 				out = append(out, vk)
 			}
@@ -124,16 +124,16 @@
 }
 
 // sure is the mark up to which this voter's registers are beyond doubt.
-func (s *slotState) certain() Position {
-	if s.last.Before(s.committed) {
-		return s.last
+func (r *slotReplica) certain() Position {
+	if r.last.Before(r.committed) {
+		return r.last
 	}
-	return s.committed
+	return r.committed
 }
 
-func (s *slotState) uncertainKeys() []string {
+func (r *slotReplica) uncertainKeys() []string {
 	var ks []string
-	for _, vk := range s.changedAfter(s.certain()) {
+	for _, vk := range r.changedAfter(r.certain()) {
 		ks = append(ks, vk.key)
 	}
 	return ks
@@ -141,22 +141,22 @@
 
 // since lists what a node sure up to m, doubting keys, must learn; absent are
 // the doubted keys that do not exist.
-func (s *slotState) changesSince(m Position, keys []string) (es []Entry, absent []string) {
+func (r *slotReplica) changesSince(m Position, keys []string) (es []Entry, absent []string) {
 	seen := map[string]bool{}
 	for _, k := range keys {
 		if seen[k] {
 			continue
 		}
 		seen[k] = true
-		if e, ok := s.entries[k]; ok {
+		if e, ok := r.entries[k]; ok {
 			es = append(es, e)
 		} else {
 			absent = append(absent, k)
 		}
 	}
-	for _, vk := range s.changedAfter(m) {
+	for _, vk := range r.changedAfter(m) {
 		if !seen[vk.key] {
-			es = append(es, s.entries[vk.key])
+			es = append(es, r.entries[vk.key])
 		}
 	}
 	return es, absent
@@ -164,16 +164,16 @@
 
 // adopt stores a register of a newer line before that line is joined: until
 // the join is on disk the old line stands, with nothing beyond sure certain.
-func (n *Node) stageEntry(i uint16, s *slotState, e Entry, was uint64, sure Position, o *Ready) {
+func (n *Node) stageEntry(i uint16, s *slotReplica, e Entry, was uint64, sure Position, o *Ready) {
 	n.store(s, e)
 	n.appendRecord(o, Record{Type: RecordEntry, Slot: i, Term: was, Last: sure, Committed: sure, Entry: e})
 }
 
-func (n *Node) deleteEntry(i uint16, s *slotState, k string, o *Ready) {
+func (n *Node) deleteEntry(i uint16, s *slotReplica, k string, o *Ready) {
 	n.remove(s, k)
 	n.appendRecord(o, Record{Type: RecordDelete, Slot: i, Entry: Entry{Key: k}})
 }
 
-func (n *Node) recordLogState(i uint16, s *slotState, o *Ready) {
+func (n *Node) recordLogState(i uint16, s *slotReplica, o *Ready) {
 	n.appendRecord(o, Record{Type: RecordLogState, Slot: i, Term: s.logTerm, Last: s.last, Committed: s.committed})
 }
--- a/quorum/catchup.go
+++ b/quorum/snapshot.go
@@ -15,8 +15,8 @@
 }
 
 // lacking reports whether this voter has not joined the newest line that it knows of.
-func (s *slotState) lacksLog() bool {
-	return s.logTerm == 0 || s.snapshot != nil && s.snapshot.logTerm != s.logTerm
+func (r *slotReplica) lacksLog() bool {
+	return r.logTerm == 0 || r.snapshot != nil && r.snapshot.logTerm != r.logTerm
 }
 
 // fetchPatience is how many beats a part of a snapshot is waited for before it is asked
@@ -24,7 +24,7 @@
 const chunkPatience = 3
 
 // follow asks the owner for what this voter lacks.
-func (n *Node) catchUp(now int64, i uint16, s *slotState, last Position, o *Ready) {
+func (n *Node) catchUp(now int64, i uint16, s *slotReplica, last Position, o *Ready) {
 	patience := n.config.HeartbeatInterval
 	if s.snapshot != nil && s.snapshot.logTerm == s.leaderTerm {
 		patience *= chunkPatience
@@ -38,7 +38,7 @@
 // fetch asks for the next part: of the line that this voter follows, or of the snapshot
 // with which it joins another. The question goes out once all that it says is on disk: an
 // answer to it may still come after a loss of power, and must not leave a gap then.
-func (n *Node) requestChunk(now int64, i uint16, s *slotState, o *Ready) {
+func (n *Node) requestChunk(now int64, i uint16, s *slotReplica, o *Ready) {
 	s.snapshotAskedAt = now
 	snap := s.currentSnapshot()
 	first := s.logTerm != s.leaderTerm
@@ -51,23 +51,23 @@
 }
 
 // gathering is the snapshot of the owner's line that is under way, or a new one.
-func (s *slotState) currentSnapshot() *snapshot {
-	if s.snapshot != nil && s.snapshot.logTerm == s.leaderTerm {
-		return s.snapshot
+func (r *slotReplica) currentSnapshot() *snapshot {
+	if r.snapshot != nil && r.snapshot.logTerm == r.leaderTerm {
+		return r.snapshot
 	}
-	from := s.last
-	if s.logTerm != s.leaderTerm {
-		from = s.certain()
+	from := r.last
+	if r.logTerm != r.leaderTerm {
+		from = r.certain()
 	}
-	s.snapshot = &snapshot{logTerm: s.leaderTerm, certain: from, entries: map[string]Entry{}}
-	return s.snapshot
+	r.snapshot = &snapshot{logTerm: r.leaderTerm, certain: from, entries: map[string]Entry{}}
+	return r.snapshot
 }
 
 // onFetch answers with the changes after what the voter has, oldest first, as many as one
 // message takes. What changes meanwhile comes again at the end of that order.
 func (n *Node) handleSnapshotRequest(m Message, o *Ready) {
 	s := n.slots[m.Slot]
-	if s.role < stateRecovering || s.term != m.Term {
+	if s.state < stateRecovering || s.term != m.Term {
 		return
 	}
 	after := m.Last
@@ -95,9 +95,9 @@
 
 // replaced lists what stands here in the place of doubted changes: registers not changed
 // after mark, and keys that do not exist. All later changes come in their order.
-func (s *slotState) replacements(mark Position, doubted []string) (entries []Entry, absent []string) {
+func (r *slotReplica) replacements(mark Position, doubted []string) (entries []Entry, absent []string) {
 	for _, key := range doubted {
-		entry, ok := s.entries[key]
+		entry, ok := r.entries[key]
 		switch {
 		case !ok:
 			absent = append(absent, key)
@@ -110,7 +110,7 @@
 
 func (n *Node) handleSnapshotChunk(now int64, m Message, o *Ready) {
 	s := n.slots[m.Slot]
-	if m.Term != s.promised || m.From != s.leader || m.Term != s.leaderTerm || s.role != stateFollower {
+	if m.Term != s.promised || m.From != s.leader || m.Term != s.leaderTerm || s.state != stateFollower {
 		return
 	}
 	if m.Joining != (s.logTerm != m.Term) || !s.addChunk(m) {
@@ -130,8 +130,8 @@
 }
 
 // gather adds a part to the snapshot under way, if it is the one that was asked for.
-func (s *slotState) addChunk(m Message) bool {
-	snap := s.snapshot
+func (r *slotReplica) addChunk(m Message) bool {
+	snap := r.snapshot
 	if snap == nil || snap.logTerm != m.Term || snap.upTo != m.Previous {
 		return false
 	}
@@ -148,7 +148,7 @@
 // joinLine takes a whole snapshot over and follows the owner's line from then on. What
 // was in doubt is replaced by what that line says. Drops come after the entries: a crash
 // between them loses nothing that was settled.
-func (n *Node) installSnapshot(now int64, i uint16, s *slotState, last Message, o *Ready) {
+func (n *Node) installSnapshot(now int64, i uint16, s *slotReplica, last Message, o *Ready) {
 	snap := s.snapshot
 	s.snapshot = nil
 	was := s.logTerm
@@ -169,9 +169,9 @@
 }
 
 // ordered lists the registers of a snapshot, oldest change first.
-func (p *snapshot) ordered() []Entry {
-	entries := make([]Entry, 0, len(p.entries))
-	for _, entry := range p.entries {
+func (s *snapshot) ordered() []Entry {
+	entries := make([]Entry, 0, len(s.entries))
+	for _, entry := range s.entries {
 		entries = append(entries, entry)
 	}
 	sort.Slice(entries, func(a, b int) bool { return entries[a].Position.Before(entries[b].Position) })
--- a/quorum/stepdown.go
+++ b/quorum/stepdown.go
@@ -18,7 +18,7 @@
 func (n *Node) stepDownFromAll(now int64, o *Ready) {
 	var marks []SlotProgress
 	for i, s := range n.slots {
-		if s.role == stateFollower {
+		if s.state == stateFollower {
 			continue
 		}
 		marks = append(marks, SlotProgress{Slot: uint16(i), Term: s.term})
--- a/quorum/roster.go
+++ b/quorum/voterset.go
@@ -34,17 +34,17 @@
 func FirstRevision(fleet uint64) uint64 { return fleet<<stepBits | 1 }
 
 // Fleet names the fleet that a roster belongs to.
-func (r VoterSet) Fleet() uint64 { return r.Revision >> stepBits }
+func (set VoterSet) Fleet() uint64 { return set.Revision >> stepBits }
 
 // Step counts the changes of the roster.
-func (r VoterSet) Step() uint64 { return r.Revision & (1<<stepBits - 1) }
+func (set VoterSet) Step() uint64 { return set.Revision & (1<<stepBits - 1) }
 
 // Majority is the least count of voters that decides.
-func (r VoterSet) Majority() int { return len(r.Voters)/2 + 1 }
+func (set VoterSet) Majority() int { return len(set.Voters)/2 + 1 }
 
 // Find returns the voter of that name.
-func (r VoterSet) Find(name string) (Voter, bool) {
-	for _, v := range r.Voters {
+func (set VoterSet) Find(name string) (Voter, bool) {
+	for _, v := range set.Voters {
 		if v.Name == name {
 			return v, true
 		}
@@ -55,8 +55,8 @@
 // Next is the roster after one step: old goes (unless empty) and v comes (unless
 // nil), and the fleet keeps as many seats fewer or more. It fails unless every
 // majority of one shares a voter with every majority of the other.
-func (r VoterSet) Next(old string, v *Voter) (VoterSet, error) {
-	n := VoterSet{Revision: r.Revision + 1, Voters: slices.Clone(r.Voters), Seats: r.Seats}
+func (set VoterSet) Next(old string, v *Voter) (VoterSet, error) {
+	n := VoterSet{Revision: set.Revision + 1, Voters: slices.Clone(set.Voters), Seats: set.Seats}
 	if old != "" {
 		i := slices.IndexFunc(n.Voters, func(x Voter) bool { return x.Name == old })
 		if i < 0 {
@@ -72,10 +72,10 @@
 		x.Number = uint16(16 + n.Step())
 		n.Voters = append(n.Voters, x)
 	}
-	if r.Seats > 0 {
-		n.Seats = uint16(max(1, int(r.Seats)+len(n.Voters)-len(r.Voters)))
+	if set.Seats > 0 {
+		n.Seats = uint16(max(1, int(set.Seats)+len(n.Voters)-len(set.Voters)))
 	}
-	if err := checkStep(r, n); err != nil {
+	if err := checkStep(set, n); err != nil {
 		return n, err
 	}
 	return n, nil
@@ -130,10 +130,10 @@
 //
 // else v is added, up to bound voters. An odd roster loses the voter first and gains v
 // by the step after. Nothing is done when no majority is heard.
-func (r VoterSet) Admit(v Voter, asked int64, silence func(name string) int64, bound int) (VoterSet, bool) {
+func (set VoterSet) Admit(v Voter, asked int64, silence func(name string) int64, bound int) (VoterSet, bool) {
 	gone, doubt, heard := "", false, 0
 	var worst int64
-	for _, w := range r.Voters {
+	for _, w := range set.Voters {
 		s := silence(w.Name)
 		if s < SuspectAfter {
 			heard++
@@ -144,47 +144,47 @@
 			gone, worst = w.Name, s
 		}
 	}
-	if heard < r.Majority() {
-		return r, false
+	if heard < set.Majority() {
+		return set, false
 	}
-	for _, w := range r.Voters {
+	for _, w := range set.Voters {
 		if w.Incarnation == v.Incarnation {
-			return r, false // in already, or it makes itself out to be another
+			return set, false // in already, or it makes itself out to be another
 		}
 	}
-	if i := slices.IndexFunc(r.Voters, func(w Voter) bool { return w.Name == v.Name || w.Addr == v.Addr && w.Addr != "" }); i >= 0 {
-		gone = r.Voters[i].Name
+	if i := slices.IndexFunc(set.Voters, func(w Voter) bool { return w.Name == v.Name || w.Addr == v.Addr && w.Addr != "" }); i >= 0 {
+		gone = set.Voters[i].Name
 	}
-	if gone == "" && (doubt || asked < AddAfter || len(r.Voters) >= bound) {
-		return r, false
+	if gone == "" && (doubt || asked < AddAfter || len(set.Voters) >= bound) {
+		return set, false
 	}
 	for _, come := range []*Voter{&v, nil} {
-		if n, err := r.Next(gone, come); err == nil {
-			n.Seats = r.Seats // a replacement, whoever goes for it
+		if n, err := set.Next(gone, come); err == nil {
+			n.Seats = set.Seats // a replacement, whoever goes for it
 			return n, true
 		}
 	}
-	return r, false
+	return set, false
 }
 
 // overfull reports whether a voter was let in before the one that it replaces had gone,
 // and that one's seat costs a loss: an even roster needs as many voters as the odd one
 // above it. An odd roster keeps the majority that it has when a voter goes, so that a
 // dead one there costs nothing.
-func (r VoterSet) hasSurplus() bool {
-	return r.Seats > 0 && len(r.Voters) > int(r.Seats) && len(r.Voters)%2 == 0
+func (set VoterSet) hasSurplus() bool {
+	return set.Seats > 0 && len(set.Voters) > int(set.Seats) && len(set.Voters)%2 == 0
 }
 
 // Shed is the step that takes the seat of a voter whose successor was let in before,
 // if there is one to take now: of one that is leaving, else of the one silent longest
 // once it counts as gone. Enough must be heard that the rest decides without it.
-func (r VoterSet) RemoveSurplus(leaving func(name string) bool, silence func(name string) int64) (VoterSet, bool) {
-	if !r.hasSurplus() {
-		return r, false
+func (set VoterSet) RemoveSurplus(leaving func(name string) bool, silence func(name string) int64) (VoterSet, bool) {
+	if !set.hasSurplus() {
+		return set, false
 	}
 	gone, heard := "", 0
 	var worst int64
-	for _, voter := range r.Voters {
+	for _, voter := range set.Voters {
 		silent := silence(voter.Name)
 		if leaving(voter.Name) {
 			silent = math.MaxInt64
@@ -197,13 +197,13 @@
 		}
 	}
 	if gone == "" {
-		return r, false
+		return set, false
 	}
-	next, err := r.Next(gone, nil)
+	next, err := set.Next(gone, nil)
 	if err != nil || heard < next.Majority() {
-		return r, false
+		return set, false
 	}
-	next.Seats = r.Seats
+	next.Seats = set.Seats
 	return next, true
 }
 
@@ -211,8 +211,8 @@
 const VoterSetKey = "roster"
 
 // Bytes is a roster as its register holds it.
-func (r VoterSet) Bytes() []byte {
-	b, err := json.Marshal(r)
+func (set VoterSet) Bytes() []byte {
+	b, err := json.Marshal(set)
 	if err != nil {
 		panic(err) // plain strings and numbers
 	}
