--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"strings"
 
 	"violetthread/internal/clock"
 	"violetthread/internal/codec"
@@ -117,8 +116,8 @@
 // out carries a step's effects out.
 func (n *Node) processReady(o quorum.Ready) {
 	for _, e := range o.Events {
-		if !strings.HasPrefix(e, "unheard") {
-			n.daemon.Log.Info("settle", "what", e)
+		if !e.Type.Frequent() {
+			n.daemon.Log.Info(e.Type.String(), e.KeysAndValues()...)
 		}
 	}
 	n.queueRecords(o.Records)
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -1,108 +1,159 @@
 package quorum
 
-import "sort"
+import "slices"
 
-func (n *Node) broadcastHeartbeat(now int64, o *Ready) {
-	var ms []SlotProgress
-	for i, s := range n.slots {
-		if s.state >= stateRecovering {
-			ms = append(ms, SlotProgress{uint16(i), s.term, Position{s.term, s.lastIndex}, s.committed, s.state == stateLeader && s.recoveredUnder == n.voterSet.Revision})
-			if s.heartbeatAcked == nil {
-				s.heartbeatAcked = map[string]int64{}
-			}
-			s.heartbeatAcked[n.config.Name] = now
-			n.renewLease(now, s)
+// broadcastHeartbeat renews the leases of the slots that this node leads.
+func (n *Node) broadcastHeartbeat(now int64, ready *Ready) {
+	var progress []SlotProgress
+	for _, replica := range n.slots {
+		if !replica.state.elected() {
+			continue
 		}
+		progress = append(progress, SlotProgress{
+			Slot:      replica.id,
+			Term:      replica.term,
+			Last:      Position{replica.term, replica.lastIndex},
+			Committed: replica.committed,
+			Recovered: replica.state == stateLeader && replica.recoveredUnder == n.voterSet.Revision,
+		})
+		replica.heartbeatAcked[n.config.Name] = now
+		n.renewLease(now, replica)
 	}
-	n.forEachPeer(func(v string) { n.send(o, v, Message{Type: MsgHeartbeat, Time: now, Progress: ms}) })
+	n.broadcast(ready, Message{Type: MsgHeartbeat, Time: now, Progress: progress})
 	if n.leaving {
-		n.forEachPeer(func(v string) { n.send(o, v, Message{Type: MsgLeaving}) })
+		n.broadcast(ready, Message{Type: MsgLeaving})
 	}
 }
 
-// renew works out the owner's lease: it runs from the sending of the newest
-// beat that a majority answered.
-func (n *Node) renewLease(now int64, s *slotReplica) {
-	var ts []int64
-	for _, t := range s.heartbeatAcked {
-		ts = append(ts, t)
-	}
-	if len(ts) < n.voterSet.Majority() {
+// renewLease works out the leader's lease: it runs from the sending of the newest heartbeat
+// that a majority answered.
+func (n *Node) renewLease(now int64, replica *slotReplica) {
+	if len(replica.heartbeatAcked) < n.voterSet.Majority() {
 		return
 	}
-	sort.Slice(ts, func(i, j int) bool { return ts[i] > ts[j] })
-	if u := ts[n.voterSet.Majority()-1] + n.config.LeaseDuration - n.config.LeaseMargin; u > s.leaseUntil {
-		s.leaseUntil = u
+	var sent []int64
+	for _, at := range replica.heartbeatAcked {
+		sent = append(sent, at)
 	}
-	s.noVoteUntil = max(s.noVoteUntil, now+n.config.LeaseDuration)
+	slices.Sort(sent)
+	answered := sent[len(sent)-n.voterSet.Majority()]
+	replica.leaseUntil = max(replica.leaseUntil, answered+n.config.LeaseDuration-n.config.LeaseMargin)
+	replica.noVoteUntil = max(replica.noVoteUntil, now+n.config.LeaseDuration)
 }
 
-func (n *Node) handleHeartbeat(now int64, m Message, o *Ready) {
-	var ms []SlotProgress
-	for _, k := range m.Progress {
-		if int(k.Slot) >= len(n.slots) {
-			continue
-		}
-		s := n.slots[k.Slot]
-		if k.Term < s.promised {
-			// There is an owner that this voter can't follow: it is told by how much.
-			s.noCampaignUntil = max(s.noCampaignUntil, now+n.config.LeaseDuration)
-			ms = append(ms, SlotProgress{Slot: k.Slot, Term: s.promised})
-			continue
-		}
-		n.followHigherTerm(now, s, k.Term, o)
-		if k.Term > s.promised {
-			n.promise(now, k.Slot, s, k.Term, o)
-		}
-		s.leader, s.leaderTerm = m.From, k.Term
-		if k.Recovered {
-			s.recoveredUnder = n.voterSet.Revision
+// handleHeartbeat follows the leaders of the slots that are listed, and answers how far this
+// voter has them.
+func (n *Node) handleHeartbeat(now int64, message Message, ready *Ready) {
+	var progress []SlotProgress
+	for _, slot := range message.Progress {
+		if int(slot.Slot) < len(n.slots) {
+			progress = append(progress, n.followHeartbeat(now, message.From, slot, ready))
 		}
-		s.noVoteUntil = max(s.noVoteUntil, now+n.config.LeaseDuration)
-		if s.logTerm == k.Term && s.committed.Before(k.Committed) {
-			s.committed = k.Committed
-		}
-		n.catchUp(now, k.Slot, s, k.Last, o)
-		a := SlotProgress{Slot: k.Slot, Term: k.Term}
-		if s.logTerm == k.Term {
-			// Said again at every beat: a lost WriteOK must not hold a change up.
-			a.Last = s.last
-		}
-		ms = append(ms, a)
 	}
-	// The promise to hold off others must itself be on disk when it names a
-	// new epoch, or a power loss could let two owners in.
-	n.afterSync(now, o, func(_ int64, o *Ready) { n.send(o, m.From, Message{Type: MsgHeartbeatAck, Time: m.Time, Progress: ms}) })
+	// The promise to hold off others must itself be on disk when it names a new term, or a
+	// power loss could let two leaders in.
+	ack := Message{Type: MsgHeartbeatAck, Time: message.Time, Progress: progress}
+	n.afterSync(now, ready, func(_ int64, ready *Ready) { n.send(ready, message.From, ack) })
+}
+
+// followHeartbeat follows the leader of one slot. The answer has a higher term if this voter
+// promised that, and can't follow.
+func (n *Node) followHeartbeat(now int64, from string, slot SlotProgress, ready *Ready) SlotProgress {
+	replica := n.slots[slot.Slot]
+	if slot.Term < replica.promised {
+		replica.noCampaignUntil = max(replica.noCampaignUntil, now+n.config.LeaseDuration)
+		return SlotProgress{Slot: slot.Slot, Term: replica.promised}
+	}
+	n.followHigherTerm(now, replica, slot.Term, ready)
+	replica.leader, replica.leaderTerm = from, slot.Term
+	if slot.Recovered {
+		replica.recoveredUnder = n.voterSet.Revision
+	}
+	replica.noVoteUntil = max(replica.noVoteUntil, now+n.config.LeaseDuration)
+	if replica.logTerm == slot.Term && replica.committed.Before(slot.Committed) {
+		replica.committed = slot.Committed
+	}
+	n.catchUp(now, replica, slot.Last, ready)
+	answer := SlotProgress{Slot: slot.Slot, Term: slot.Term}
+	if replica.logTerm == slot.Term {
+		// Repeated at every heartbeat: a lost MsgAppendAck must not hold a change up.
+		answer.Last = replica.last
+	}
+	return answer
 }
 
-func (n *Node) handleHeartbeatAck(now int64, m Message, o *Ready) {
-	for _, k := range m.Progress {
-		if int(k.Slot) >= len(n.slots) {
+func (n *Node) handleHeartbeatAck(now int64, message Message, ready *Ready) {
+	for _, slot := range message.Progress {
+		if int(slot.Slot) >= len(n.slots) {
 			continue
 		}
-		s := n.slots[k.Slot]
-		if s.state >= stateRecovering && k.Term > s.term {
-			if s.higherTerm <= s.term {
-				s.higherTermSeenAt = now
-			}
-			s.higherTerm = max(s.higherTerm, k.Term)
+		replica := n.slots[slot.Slot]
+		if !replica.state.elected() {
+			continue
 		}
-		if s.state >= stateRecovering && s.term == k.Term && m.Time <= now {
-			s.heartbeatAcked[m.From] = max(s.heartbeatAcked[m.From], m.Time)
-			n.renewLease(now, s)
-			if k.Last != (Position{}) {
-				n.acknowledge(now, k.Slot, s, m.From, k.Last, o)
+		if slot.Term > replica.term {
+			replica.noteHigherTerm(now, slot.Term)
+		}
+		if slot.Term == replica.term && message.Time <= now {
+			replica.heartbeatAcked[message.From] = max(replica.heartbeatAcked[message.From], message.Time)
+			n.renewLease(now, replica)
+			if slot.Last != (Position{}) {
+				n.acknowledge(now, replica, message.From, slot.Last, ready)
 			}
 		}
 	}
 }
 
-// Leave gives all slots up ahead of a polite stop and tells the voters, so that
-// others need not wait the leases out. The node seeks nothing any more, and votes on.
-func (n *Node) Leave(now int64) Ready {
-	var o Ready
-	n.leaving = true
-	n.stepDownFromAll(now, &o)
-	n.forEachPeer(func(v string) { n.send(&o, v, Message{Type: MsgLeaving}) })
-	return o
+// noteHigherTerm remembers that a voter promised a higher term than this leader's, and since
+// when that is known.
+func (r *slotReplica) noteHigherTerm(now int64, term uint64) {
+	if r.higherTerm <= r.term {
+		r.higherTermSeenAt = now
+	}
+	r.higherTerm = max(r.higherTerm, term)
+}
+
+// tickElected ends a lease that ran out, and does what only a leader does.
+func (n *Node) tickElected(now int64, replica *slotReplica, ready *Ready) {
+	switch {
+	case n.leaseExpired(now, replica):
+		n.becomeFollower(now, replica, ready)
+		ready.event(Event{Type: EventLeaseExpired, Slot: replica.id, Term: replica.term})
+	case n.mustCampaignAnew(now, replica):
+		// A candidate that failed keeps its promise to itself and would never follow: the
+		// slot is won anew above it, while the lease keeps others off.
+		replica.promised = max(replica.promised, replica.higherTerm)
+		n.becomeFollower(now, replica, ready)
+		n.campaign(now, replica, ready)
+	case replica.state == stateLeader:
+		n.tickGenerations(now, replica, ready)
+		n.tickVoterSet(now, replica, ready)
+	}
+}
+
+// leaseExpired reports whether the lease ran out, or did not begin in its whole duration.
+func (n *Node) leaseExpired(now int64, replica *slotReplica) bool {
+	if replica.leaseUntil == 0 {
+		return now-replica.campaignStartedAt > n.config.LeaseDuration
+	}
+	return now >= replica.leaseUntil
+}
+
+// mustCampaignAnew reports whether a voter promised a higher term and does not give it up.
+func (n *Node) mustCampaignAnew(now int64, replica *slotReplica) bool {
+	waited := now - replica.higherTermSeenAt
+	return replica.higherTerm > replica.term && len(replica.pendingOrder) == 0 &&
+		waited > higherTermPatience*n.config.HeartbeatInterval
+}
+
+// ReadUnderLease returns the committed register of a key if this node leads its slot under a
+// live lease; a key that does not exist has revision 0.
+func (n *Node) ReadUnderLease(now int64, key string) (Entry, bool) {
+	replica := n.slotOf(key)
+	if !replica.serves(now) {
+		return Entry{}, false
+	}
+	entry, _ := replica.committedEntry(key)
+	entry.Key = key
+	return entry, true
 }
--- a/quorum/operation.go
+++ b/quorum/operation.go
@@ -1,160 +1,186 @@
 package quorum
 
-import (
-	"bytes"
-	"encoding/binary"
-	"strings"
+// OperationType names what a caller asks of a key. The numbers are sent.
+type OperationType uint8
+
+const (
+	// OpGet reads a register.
+	OpGet OperationType = iota + 1
+	// OpPut writes a register if it has the expected revision.
+	OpPut
+	// OpAcquire acquires or renews a role lease.
+	OpAcquire
+	// OpRelease releases a role lease.
+	OpRelease
+	// OpClaim claims a key of a generation, once.
+	OpClaim
+	// OpUnclaim gives a claim back.
+	OpUnclaim
 )
 
-// dutyPrefix marks keys that are leases.
-const rolePrefix = "duty/"
+var operationTypeNames = [...]string{
+	OpGet:     "get",
+	OpPut:     "put",
+	OpAcquire: "acquire",
+	OpRelease: "release",
+	OpClaim:   "claim",
+	OpUnclaim: "unclaim",
+}
+
+func (t OperationType) String() string { return enumName(operationTypeNames[:], uint8(t)) }
 
-func isRole(k string) bool { return strings.HasPrefix(k, rolePrefix) }
+// AnyRevision as Operation.ExpectedRevision accepts whatever revision the key has.
+const AnyRevision = ^uint64(0)
 
-type roleLease struct {
-	Holder   string
-	Duration int64
+// Operation is what a caller asks of a key.
+type Operation struct {
+	// ID names the operation in its Result; the caller never repeats one. With 0 there is no
+	// result when a change is committed.
+	ID    uint64
+	Type  OperationType
+	Key   string
+	Value []byte
+	// ExpectedRevision is, for OpPut, the revision that the key must have (0: absent), and
+	// for OpRelease the revision of the lease.
+	ExpectedRevision uint64
+	// Holder and LeaseDuration (microseconds) describe a role lease (design §4.5).
+	Holder        string
+	LeaseDuration int64
 }
 
-func (d roleLease) bytes() []byte {
-	return append(binary.LittleEndian.AppendUint64(nil, uint64(d.Duration)), d.Holder...)
+// Status is how an operation ended. The numbers are sent.
+type Status uint8
+
+const (
+	// StatusDone: the change is on a majority of disks, or the value was read.
+	StatusDone Status = iota + 1
+	// StatusConflict: nothing changed; the result holds the register as it is.
+	StatusConflict
+	// StatusNotLeader: nothing changed; ask Result.Leader.
+	StatusNotLeader
+	// StatusUnknown: the change may still take effect, until the key is next changed.
+	StatusUnknown
+	// StatusFull: nothing changed, for want of room.
+	StatusFull
+	// StatusGenerationClosed: the claim's generation is over; it is granted to nobody any more.
+	StatusGenerationClosed
+	// StatusGenerationNotOpen: the claim's generation is not open yet.
+	StatusGenerationNotOpen
+)
+
+var statusNames = [...]string{
+	StatusDone:              "done",
+	StatusConflict:          "conflict",
+	StatusNotLeader:         "not_leader",
+	StatusUnknown:           "unknown",
+	StatusFull:              "full",
+	StatusGenerationClosed:  "generation_closed",
+	StatusGenerationNotOpen: "generation_not_open",
 }
 
-func parseRoleLease(b []byte) roleLease {
-	if len(b) < 8 {
-		return roleLease{}
-	}
-	return roleLease{string(b[8:]), int64(binary.LittleEndian.Uint64(b))}
+func (s Status) String() string { return enumName(statusNames[:], uint8(s)) }
+
+// Result ends an operation.
+type Result struct {
+	ID       uint64
+	Status   Status
+	Revision uint64
+	Value    []byte
+	// Leader names the slot's leader as far as this node knows, or "".
+	Leader string
 }
 
-// DutyHolder reads the holder out of a duty's register.
-func RoleHolder(b []byte) string { return parseRoleLease(b).Holder }
+// call is an operation that is being applied to its replica.
+type call struct {
+	now       int64
+	replica   *slotReplica
+	operation Operation
+	current   Entry // the committed register
+	ready     *Ready
+}
 
-// Do starts an operation. Its Answer comes in this or a later Out.
-func (n *Node) Propose(now int64, op Operation) Ready {
-	var o Ready
-	i := SlotOf(op.Key, n.config.Slots)
-	n.apply(now, i, n.slots[i], op, &o)
-	return o
+// finish ends the operation; entry is what the caller is told of the register.
+func (c *call) finish(status Status, entry Entry) {
+	c.ready.Results = append(c.ready.Results, Result{ID: c.operation.ID, Status: status,
+		Revision: entry.Revision, Value: entry.Value, Leader: c.replica.leader})
 }
 
-// Vouch returns the key's register if this node owns it under a live lease.
-func (n *Node) ReadUnderLease(now int64, key string) (Entry, bool) {
-	s := n.slots[SlotOf(key, n.config.Slots)]
-	if s.state != stateLeader || now >= s.leaseUntil {
-		return Entry{}, false
-	}
-	e, _ := s.committedEntry(key)
-	e.Key = key
-	return e, true
+// next is the register after a change of its value.
+func (c *call) next(value []byte) Entry {
+	return Entry{Key: c.operation.Key, Revision: c.current.Revision + 1, Value: value}
 }
 
-// seen is the register as callers may see it: settled changes only.
-func (r *slotReplica) committedEntry(k string) (Entry, bool) {
-	e, ok := r.entries[k]
-	if p, is := r.pendingByKey[k]; is {
-		e, ok = p.previous, p.existed
-	}
-	return e, ok
+// Propose starts an operation. Its Result comes with this Ready or a later one, or never if
+// the process ends.
+func (n *Node) Propose(now int64, operation Operation) Ready {
+	var ready Ready
+	n.apply(now, n.slotOf(operation.Key), operation, &ready)
+	return ready
 }
 
-func (n *Node) apply(now int64, i uint16, s *slotReplica, op Operation, o *Ready) {
-	ans := func(st Status, e Entry) {
-		o.Results = append(o.Results, Result{ID: op.ID, Status: st, Revision: e.Revision, Value: e.Value, Leader: s.leader})
-	}
-	if s.state != stateLeader || now >= s.leaseUntil {
-		ans(StatusNotLeader, Entry{})
+// apply runs an operation at the slot's leader. One on a key with a pending change waits for
+// that to be committed.
+func (n *Node) apply(now int64, replica *slotReplica, operation Operation, ready *Ready) {
+	c := &call{now: now, replica: replica, operation: operation, ready: ready}
+	if !replica.serves(now) {
+		c.finish(StatusNotLeader, Entry{})
 		return
 	}
-	e, _ := s.committedEntry(op.Key)
-	if op.Type == OpGet {
-		ans(StatusDone, e)
+	c.current, _ = replica.committedEntry(operation.Key)
+	if operation.Type == OpGet {
+		c.finish(StatusDone, c.current)
 		return
 	}
-	if p, ok := s.pendingByKey[op.Key]; ok {
-		p.queued = append(p.queued, op)
+	if change, ok := replica.pendingByKey[operation.Key]; ok {
+		change.queued = append(change.queued, operation)
 		return
 	}
-	switch op.Type {
+	switch operation.Type {
 	case OpPut:
-		if isRole(op.Key) || isClaim(op.Key) || isInternalKey(op.Key) || op.ExpectedRevision != AnyRevision && op.ExpectedRevision != e.Revision {
-			ans(StatusConflict, e)
-			return
-		}
-		if op.Key == VoterSetKey {
-			if err := n.checkVoterSetChange(e, op.Value); err != nil {
-				o.Events = append(o.Events, "roster_refused="+err.Error())
-				ans(StatusConflict, Entry{Revision: e.Revision, Value: []byte(err.Error())})
-				return
-			}
-		}
-		n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1, Value: op.Value}, ans, o)
+		n.applyPut(c)
+	case OpAcquire:
+		n.applyAcquire(c)
+	case OpRelease:
+		n.applyRelease(c)
 	case OpClaim:
-		era := claimGeneration(op.Key)
-		switch {
-		case !isClaim(op.Key) || era == 0 || len(op.Value) == 0:
-			ans(StatusConflict, Entry{})
-		case n.config.GenerationDuration > 0 && era > n.generation+1:
-			ans(StatusGenerationNotOpen, Entry{})
-		case era < n.claimFloor(i, s):
-			ans(StatusGenerationClosed, Entry{})
-		case len(e.Value) > 0 && !bytes.Equal(e.Value, op.Value):
-			ans(StatusConflict, e)
-		case len(e.Value) > 0:
-			ans(StatusDone, e) // the very same claim, asked again by its maker
-		default:
-			n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1, Value: op.Value}, ans, o)
-		}
+		n.applyClaim(c)
 	case OpUnclaim:
-		if !isClaim(op.Key) || len(op.Value) == 0 || !bytes.Equal(e.Value, op.Value) {
-			ans(StatusConflict, e)
-			return
-		}
-		n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1}, ans, o)
-	case OpAcquire, OpRelease:
-		if !isRole(op.Key) {
-			ans(StatusConflict, e)
+		n.applyUnclaim(c)
+	default:
+		c.finish(StatusConflict, c.current)
+	}
+}
+
+func (n *Node) applyPut(c *call) {
+	operation := c.operation
+	reserved := isRole(operation.Key) || isClaim(operation.Key) || isInternalKey(operation.Key)
+	expected := operation.ExpectedRevision == AnyRevision || operation.ExpectedRevision == c.current.Revision
+	if reserved || !expected {
+		c.finish(StatusConflict, c.current)
+		return
+	}
+	if operation.Key == VoterSetKey {
+		if err := n.checkVoterSetChange(c.current, operation.Value); err != nil {
+			c.ready.event(Event{Type: EventVoterSetRefused, Err: err})
+			c.finish(StatusConflict, Entry{Revision: c.current.Revision, Value: []byte(err.Error())})
 			return
 		}
-		n.applyRole(now, i, s, op, e, ans, o)
-	default:
-		ans(StatusConflict, e)
 	}
+	n.change(c, c.next(operation.Value))
 }
 
-func (n *Node) change(now int64, i uint16, s *slotReplica, op Operation, e Entry, ans func(Status, Entry), o *Ready) {
+// change replicates a new value of the register, if there is room for it.
+func (n *Node) change(c *call, entry Entry) {
 	limit := n.config.MaxStateBytes
-	if isClaim(e.Key) {
+	if isClaim(entry.Key) {
 		limit = n.maxClaimBytes()
 	}
-	if n.diskLow || n.stateBytes+entryBytes(e) > limit {
-		ans(StatusFull, Entry{})
+	if n.diskLow || n.stateBytes+entryBytes(entry) > limit {
+		c.finish(StatusFull, Entry{})
 		return
 	}
-	if isRole(e.Key) {
-		s.roleLeaseUntil[e.Key] = now + parseRoleLease(e.Value).Duration
-	}
-	n.replicate(now, i, s, e, op, o)
-}
-
-// applyDuty grants, renews or frees a duty. Renewals are not written: a later
-// owner of the slot waits a whole term before it grants to another.
-func (n *Node) applyRole(now int64, i uint16, s *slotReplica, op Operation, e Entry, ans func(Status, Entry), o *Ready) {
-	d := parseRoleLease(e.Value)
-	live := d.Holder != "" && now < s.roleLeaseUntil[op.Key]
-	switch {
-	case op.Type == OpRelease && d.Holder == op.Holder && e.Revision == op.ExpectedRevision:
-		n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1, Value: roleLease{}.bytes()}, ans, o)
-	case op.Type == OpRelease || op.Holder == "" || op.LeaseDuration <= 0:
-		ans(StatusConflict, e)
-	case live && d.Holder == op.Holder:
-		// Also for one whose grant was not heard, or whose question comes late: a
-		// second grant to the same life would make its own orders out-of-date.
-		s.roleLeaseUntil[op.Key] = now + d.Duration
-		ans(StatusDone, e)
-	case live && d.Holder != op.Holder:
-		ans(StatusConflict, e)
-	default: // free, or run out
-		n.change(now, i, s, op, Entry{Key: op.Key, Revision: e.Revision + 1, Value: roleLease{op.Holder, op.LeaseDuration}.bytes()}, ans, o)
+	if isRole(entry.Key) {
+		c.replica.roleLeaseUntil[entry.Key] = c.now + parseRoleLease(entry.Value).Duration
 	}
+	n.replicate(c.now, c.replica, entry, c.operation, c.ready)
 }
--- a/quorum/receive.go
+++ b/quorum/receive.go
@@ -1,67 +1,70 @@
 package quorum
 
-import "fmt"
-
-// Recv takes a message from another voter. A sender that the roster does not
-// know under that incarnation is not heard (design §4.6).
-func (n *Node) Receive(now int64, m Message) Ready {
-	var o Ready
-	if v, ok := n.voterSet.Find(m.From); ok && v.Incarnation == m.Incarnation {
-		n.lastHeard[m.From] = now
+// Receive takes a message from another voter. Messages of a sender that the voter set does
+// not know under that incarnation are ignored (design §4.6).
+func (n *Node) Receive(now int64, message Message) Ready {
+	var ready Ready
+	if n.knows(message) {
+		n.lastHeard[message.From] = now
 	}
-	if m.VoterSetRevision != n.voterSet.Revision && m.From != n.config.Name {
-		n.handleOtherVoterSet(now, m, &o)
-		return o
+	if message.VoterSetRevision != n.voterSet.Revision && message.From != n.config.Name {
+		n.handleOtherVoterSet(now, message, &ready)
+		return ready
 	}
-	v, ok := n.voterSet.Find(m.From)
-	if !ok || v.Incarnation != m.Incarnation || m.From == n.config.Name || !n.isVoter() {
-		o.Events = append(o.Events, fmt.Sprintf("unheard=%s inc=%d roster=%d", m.From, m.Incarnation, m.VoterSetRevision))
-		return o
+	if !n.knows(message) || message.From == n.config.Name || !n.isVoter() {
+		ready.event(Event{Type: EventUnknownSender, Peer: message.From, Incarnation: message.Incarnation,
+			VoterSetRevision: message.VoterSetRevision})
+		return ready
 	}
-	n.ObserveGeneration(m.Generation)
-	if m.Type == MsgVoterSetRequest {
-		n.sendVoterSet(&o, m.From)
-		return o
+	n.ObserveGeneration(message.Generation)
+	if !message.Type.concernsSlot() {
+		n.handleNodeMessage(now, message, &ready)
+		return ready
 	}
-	if m.Type != MsgHeartbeat && m.Type != MsgHeartbeatAck && m.Type != MsgStepDown && m.Type != MsgLeaving && int(m.Slot) >= len(n.slots) {
-		o.Events = append(o.Events, fmt.Sprintf("unheard=%s slot=%d", m.From, m.Slot))
-		return o
+	if int(message.Slot) >= len(n.slots) {
+		ready.event(Event{Type: EventUnknownSlot, Peer: message.From, Slot: message.Slot})
+		return ready
 	}
-	switch m.Type {
+	n.handleSlotMessage(now, n.slots[message.Slot], message, &ready)
+	return ready
+}
+
+// knows reports whether the sender is a voter under the incarnation that it gives.
+func (n *Node) knows(message Message) bool {
+	voter, ok := n.voterSet.Find(message.From)
+	return ok && voter.Incarnation == message.Incarnation
+}
+
+func (n *Node) handleNodeMessage(now int64, message Message, ready *Ready) {
+	switch message.Type {
 	case MsgHeartbeat:
-		n.handleHeartbeat(now, m, &o)
+		n.handleHeartbeat(now, message, ready)
+	case MsgHeartbeatAck:
+		n.handleHeartbeatAck(now, message, ready)
 	case MsgStepDown:
-		for _, k := range m.Progress {
-			if int(k.Slot) >= len(n.slots) {
-				continue
-			}
-			if s := n.slots[k.Slot]; s.leader == m.From && s.leaderTerm == k.Term && s.promised <= k.Term {
-				s.leader, s.noVoteUntil = "", now
-			}
-		}
+		n.handleStepDown(now, message)
 	case MsgLeaving:
-		n.leavingSince[m.From] = now
-	case MsgHeartbeatAck:
-		n.handleHeartbeatAck(now, m, &o)
+		n.leavingSince[message.From] = now
+	case MsgVoterSetRequest:
+		n.send(ready, message.From, n.voterSetMessage())
+	}
+}
+
+func (n *Node) handleSlotMessage(now int64, replica *slotReplica, message Message, ready *Ready) {
+	switch message.Type {
 	case MsgVoteRequest:
-		n.handleVoteRequest(now, m, &o)
+		n.handleVoteRequest(now, replica, message, ready)
 	case MsgVoteGranted:
-		if s := n.slots[m.Slot]; s.state == stateCandidate && s.term == m.Term {
-			s.votes[m.From] = m
-			n.countVotes(now, m.Slot, s, &o)
-		}
+		n.handleVoteGranted(now, replica, message, ready)
 	case MsgVoteRejected:
-		n.handleVoteRejected(now, m, &o)
+		n.handleVoteRejected(now, replica, message, ready)
 	case MsgAppend:
-		n.handleAppend(now, m, &o)
+		n.handleAppend(now, replica, message, ready)
 	case MsgAppendAck:
-		if s := n.slots[m.Slot]; s.state >= stateRecovering && s.term == m.Term {
-			n.acknowledge(now, m.Slot, s, m.From, m.Last, &o)
-		}
+		n.handleAppendAck(now, replica, message, ready)
 	case MsgSnapshotRequest:
-		n.handleSnapshotRequest(m, &o)
+		n.handleSnapshotRequest(replica, message, ready)
 	case MsgSnapshotChunk:
-		n.handleSnapshotChunk(now, m, &o)
+		n.handleSnapshotChunk(now, replica, message, ready)
 	}
-	return o
 }
--- a/quorum/record.go
+++ b/quorum/record.go
@@ -1,39 +1,89 @@
 package quorum
 
-func (n *Node) replayRecord(c Record) {
-	if c.Type == RecordVoterSet {
-		if c.VoterSet != nil && c.VoterSet.Revision > n.voterSet.Revision {
-			n.voterSet = *c.VoterSet
+// RecordType names a record on disk (design §4.4). The numbers are stored.
+type RecordType uint8
+
+const (
+	// RecordPromise holds the term that a voter promised to follow.
+	RecordPromise RecordType = iota + 1
+	// RecordEntry holds a register, and the state of the log that it belongs to.
+	RecordEntry
+	// RecordDelete takes a register out.
+	RecordDelete
+	// RecordLogState holds which log a replica follows, and how far it has it. It ends a
+	// batch of entries of a newer log: until it is on disk the older log stands.
+	RecordLogState
+	// RecordVoterSet holds a voter set in force.
+	RecordVoterSet
+)
+
+var recordTypeNames = [...]string{
+	RecordPromise:  "promise",
+	RecordEntry:    "entry",
+	RecordDelete:   "delete",
+	RecordLogState: "log_state",
+	RecordVoterSet: "voter_set",
+}
+
+func (t RecordType) String() string { return enumName(recordTypeNames[:], uint8(t)) }
+
+// Record is a record on disk; fields that its type does not use stay zero.
+type Record struct {
+	Type RecordType
+	Slot uint16
+	// Term is the one promised, or that of the log.
+	Term uint64
+	// Last and Committed are the state of the log once the record is on disk.
+	Last      Position
+	Committed Position
+	Entry     Entry
+	VoterSet  *VoterSet
+}
+
+// replayRecord takes over a record that the disk held. Records of slots that this
+// configuration does not have are passed over.
+func (n *Node) replayRecord(record Record) {
+	if record.Type == RecordVoterSet {
+		if record.VoterSet != nil && record.VoterSet.Revision > n.voterSet.Revision {
+			n.voterSet = *record.VoterSet
 		}
 		return
 	}
-	if int(c.Slot) >= len(n.slots) {
+	if int(record.Slot) >= len(n.slots) {
 		return
 	}
-	s := n.slots[c.Slot]
-	switch c.Type {
+	replica := n.slots[record.Slot]
+	switch record.Type {
 	case RecordPromise:
-		s.promised = max(s.promised, c.Term)
+		replica.promised = max(replica.promised, record.Term)
 	case RecordEntry:
-		n.store(s, c.Entry)
-		s.logTerm, s.last, s.committed = c.Term, c.Last, c.Committed
+		n.store(replica, record.Entry)
+		replica.replayLogState(record)
 	case RecordDelete:
-		n.remove(s, c.Entry.Key)
+		n.remove(replica, record.Entry.Key)
 	case RecordLogState:
-		s.logTerm, s.last, s.committed = c.Term, c.Last, c.Committed
+		replica.replayLogState(record)
 	}
 }
 
-// Checkpoint returns records that stand for the whole state.
+func (r *slotReplica) replayLogState(record Record) {
+	r.logTerm, r.last, r.committed = record.Term, record.Last, record.Committed
+}
+
+// Checkpoint returns records that stand for the whole state, so that the caller can drop
+// all records emitted before.
 func (n *Node) Checkpoint() []Record {
-	ro := n.voterSet
-	out := []Record{{Type: RecordVoterSet, VoterSet: &ro}}
-	for i, s := range n.slots {
-		out = append(out, Record{Type: RecordPromise, Slot: uint16(i), Term: s.promised})
-		for _, vk := range s.changedAfter(Position{}) {
-			out = append(out, Record{Type: RecordEntry, Slot: uint16(i), Term: s.logTerm, Last: s.last, Committed: s.committed, Entry: s.entries[vk.key]})
+	set := n.voterSet
+	records := []Record{{Type: RecordVoterSet, VoterSet: &set}}
+	for _, replica := range n.slots {
+		records = append(records, Record{Type: RecordPromise, Slot: replica.id, Term: replica.promised})
+		state := replica.logState()
+		for _, change := range replica.changedAfter(Position{}) {
+			entry := state
+			entry.Type, entry.Entry = RecordEntry, replica.entries[change.key]
+			records = append(records, entry)
 		}
-		out = append(out, Record{Type: RecordLogState, Slot: uint16(i), Term: s.logTerm, Last: s.last, Committed: s.committed})
+		records = append(records, state)
 	}
-	return out
+	return records
 }
--- a/quorum/replication.go
+++ b/quorum/replication.go
@@ -1,120 +1,130 @@
 package quorum
 
-import (
-	"fmt"
-	"sort"
-)
+import "slices"
 
-// issue gives a change its version and starts it towards a majority.
-func (n *Node) replicate(now int64, i uint16, s *slotReplica, e Entry, op Operation, o *Ready) {
-	prev := Position{s.term, s.lastIndex}
-	s.lastIndex++
-	old, had := s.entries[e.Key]
-	e.Position = Position{s.term, s.lastIndex}
-	p := &pendingChange{key: e.Key, position: e.Position, previous: old, existed: had, operation: op}
-	s.pendingByKey[e.Key] = p
-	s.pendingOrder = append(s.pendingOrder, p)
-	n.store(s, e)
-	s.last = e.Position
-	n.appendRecord(o, Record{Type: RecordEntry, Slot: i, Term: s.term, Last: s.last, Committed: s.committed, Entry: e})
-	n.afterSync(now, o, func(now int64, o *Ready) {
-		if s.term == e.Position.Term && s.state >= stateRecovering {
-			n.acknowledge(now, i, s, n.config.Name, e.Position, o)
+// replicate gives a change its position and starts it towards a majority. An operation
+// without an ID is the node's own, and has no result.
+func (n *Node) replicate(now int64, replica *slotReplica, entry Entry, operation Operation, ready *Ready) {
+	before := Position{replica.term, replica.lastIndex}
+	replica.lastIndex++
+	entry.Position = Position{replica.term, replica.lastIndex}
+	previous, existed := replica.entries[entry.Key]
+	change := &pendingChange{key: entry.Key, position: entry.Position, previous: previous, existed: existed, operation: operation}
+	replica.pendingByKey[entry.Key] = change
+	replica.pendingOrder = append(replica.pendingOrder, change)
+	n.store(replica, entry)
+	replica.last = entry.Position
+	n.recordEntry(replica, entry, replica.last, ready)
+	n.acknowledgeOwn(now, replica, entry.Position, ready)
+	n.broadcast(ready, Message{Type: MsgAppend, Slot: replica.id, Term: replica.term, Previous: before,
+		Entries: []Entry{entry}, Committed: replica.committed})
+}
+
+// acknowledgeOwn counts this leader's own disk once what it recorded so far is synced.
+func (n *Node) acknowledgeOwn(now int64, replica *slotReplica, position Position, ready *Ready) {
+	n.afterSync(now, ready, func(now int64, ready *Ready) {
+		if replica.term == position.Term && replica.state.elected() {
+			n.acknowledge(now, replica, n.config.Name, position, ready)
 		}
 	})
-	m := Message{Type: MsgAppend, Slot: i, Term: s.term, Previous: prev, Entries: []Entry{e}, Committed: s.committed}
-	n.forEachPeer(func(v string) { n.send(o, v, m) })
 }
 
-// ack counts a voter's synced mark and settles what a majority now has.
-func (n *Node) acknowledge(now int64, i uint16, s *slotReplica, v string, m Position, o *Ready) {
-	if a, ok := s.acknowledged[v]; !ok || a.Before(m) {
-		s.acknowledged[v] = m
+// acknowledge counts a voter's synced position, and commits what a majority now has.
+func (n *Node) acknowledge(now int64, replica *slotReplica, voter string, position Position, ready *Ready) {
+	if known, ok := replica.acknowledged[voter]; !ok || known.Before(position) {
+		replica.acknowledged[voter] = position
 	}
-	if len(s.acknowledged) < n.voterSet.Majority() {
+	if len(replica.acknowledged) < n.voterSet.Majority() {
 		return
 	}
-	var ms []Position
-	for _, a := range s.acknowledged {
-		ms = append(ms, a)
+	if common := n.acknowledgedByMajority(replica); replica.committed.Before(common) {
+		replica.committed = common
 	}
-	sort.Slice(ms, func(a, b int) bool { return ms[b].Before(ms[a]) })
-	if q := ms[n.voterSet.Majority()-1]; s.committed.Before(q) {
-		s.committed = q
+	n.finishCommitted(now, replica, ready)
+	started := !replica.committed.Before(Position{replica.term, 0})
+	if replica.state == stateRecovering && len(replica.pendingOrder) == 0 && started {
+		n.becomeLeader(now, replica, ready)
 	}
-	for len(s.pendingOrder) > 0 && !s.committed.Before(s.pendingOrder[0].position) {
-		p := s.pendingOrder[0]
-		s.pendingOrder = s.pendingOrder[1:]
-		e := s.entries[p.key]
-		delete(s.pendingByKey, e.Key)
-		if p.operation.ID != 0 {
-			o.Results = append(o.Results, Result{ID: p.operation.ID, Status: StatusDone, Revision: e.Revision, Value: e.Value})
-		}
-		for _, q := range p.queued {
-			n.apply(now, i, s, q, o)
-		}
+}
+
+// acknowledgedByMajority is the highest position that a majority has on disk.
+func (n *Node) acknowledgedByMajority(replica *slotReplica) Position {
+	var positions []Position
+	for _, position := range replica.acknowledged {
+		positions = append(positions, position)
 	}
-	if s.state == stateRecovering && len(s.pendingOrder) == 0 && !s.committed.Before(Position{s.term, 0}) {
-		s.state, s.recoveredUnder, s.generationSince = stateLeader, n.voterSet.Revision, now
-		// In the order of their changes, so that a seed replays alike.
-		for _, vk := range s.changedAfter(Position{}) {
-			k := vk.key
-			if isRole(k) {
-				// The former owner may have renewed until it stopped (design §4.5).
-				s.roleLeaseUntil[k] = now + parseRoleLease(s.entries[k].Value).Duration
-			}
+	slices.SortFunc(positions, func(a, b Position) int { return b.Compare(a) })
+	return positions[n.voterSet.Majority()-1]
+}
+
+// finishCommitted ends the operations whose changes are committed, and applies those that
+// waited for them.
+func (n *Node) finishCommitted(now int64, replica *slotReplica, ready *Ready) {
+	for len(replica.pendingOrder) > 0 && !replica.committed.Before(replica.pendingOrder[0].position) {
+		change := replica.pendingOrder[0]
+		replica.pendingOrder = replica.pendingOrder[1:]
+		delete(replica.pendingByKey, change.key)
+		if change.operation.ID != 0 {
+			entry := replica.entries[change.key]
+			ready.Results = append(ready.Results, Result{ID: change.operation.ID, Status: StatusDone,
+				Revision: entry.Revision, Value: entry.Value})
+		}
+		for _, operation := range change.queued {
+			n.apply(now, replica, operation, ready)
 		}
-		o.Events = append(o.Events, fmt.Sprintf("slot=%d owning=%d", i, s.term))
 	}
 }
 
-func (n *Node) handleAppend(now int64, m Message, o *Ready) {
-	s := n.slots[m.Slot]
-	if m.Term < s.promised {
+func (n *Node) handleAppend(now int64, replica *slotReplica, message Message, ready *Ready) {
+	if message.Term < replica.promised {
 		return
 	}
-	n.followHigherTerm(now, s, m.Term, o)
-	if m.Term > s.promised {
-		n.promise(now, m.Slot, s, m.Term, o)
-	}
-	s.leader, s.leaderTerm = m.From, m.Term
-	if len(m.Entries) == 0 {
+	n.followHigherTerm(now, replica, message.Term, ready)
+	replica.leader, replica.leaderTerm = message.From, message.Term
+	if len(message.Entries) == 0 {
 		return
 	}
-	if s.logTerm != m.Term || s.last.Before(m.Previous) {
-		n.catchUp(now, m.Slot, s, m.Entries[len(m.Entries)-1].Position, o)
+	last := message.Entries[len(message.Entries)-1].Position
+	if replica.logTerm != message.Term || replica.last.Before(message.Previous) {
+		n.catchUp(now, replica, last, ready)
 		return
 	}
-	n.appendFromLeader(now, m.Slot, s, m.Entries, m.Entries[len(m.Entries)-1].Position, m.Committed, o)
+	n.appendFromLeader(now, replica, message.Entries, last, message.Committed, ready)
 }
 
-// take stores changes of the line this voter follows and confirms them.
-func (n *Node) appendFromLeader(now int64, i uint16, s *slotReplica, es []Entry, mark, settled Position, o *Ready) {
-	was := s.last
-	if s.committed.Before(settled) {
-		s.committed = settled
+// appendFromLeader stores changes of the log that this voter follows, and acknowledges them.
+func (n *Node) appendFromLeader(now int64, replica *slotReplica, entries []Entry, last, committed Position, ready *Ready) {
+	if replica.committed.Before(committed) {
+		replica.committed = committed
 	}
-	// The mark moves with the last record only, lest a torn batch claim more
-	// than it holds.
-	for j, e := range es {
-		if j == len(es)-1 && s.last.Before(mark) {
-			was, s.last = mark, mark
+	// The last position moves with the last record only, lest a torn batch claim more than it
+	// holds.
+	recorded := replica.last
+	for k, entry := range entries {
+		if k == len(entries)-1 && replica.last.Before(last) {
+			recorded, replica.last = last, last
 		}
-		if g, ok := s.entries[e.Key]; ok && !g.Position.Before(e.Position) {
+		if have, ok := replica.entries[entry.Key]; ok && !have.Position.Before(entry.Position) {
 			continue
 		}
-		n.store(s, e)
-		n.appendRecord(o, Record{Type: RecordEntry, Slot: i, Term: s.logTerm, Last: was, Committed: s.committed, Entry: e})
+		n.store(replica, entry)
+		n.recordEntry(replica, entry, recorded, ready)
 	}
-	if s.last.Before(mark) {
-		s.last = mark
+	if replica.last.Before(last) {
+		replica.last = last
 	}
-	n.sendAppendAck(now, i, s, o)
+	n.sendAppendAck(now, replica, ready)
 }
 
-func (n *Node) sendAppendAck(now int64, i uint16, s *slotReplica, o *Ready) {
-	e, mk, to := s.logTerm, s.last, s.leader
-	n.afterSync(now, o, func(_ int64, o *Ready) {
-		n.send(o, to, Message{Type: MsgAppendAck, Slot: i, Term: e, Last: mk})
-	})
+// sendAppendAck tells the leader how far this voter has its log, once that is synced.
+func (n *Node) sendAppendAck(now int64, replica *slotReplica, ready *Ready) {
+	leader := replica.leader
+	ack := Message{Type: MsgAppendAck, Slot: replica.id, Term: replica.logTerm, Last: replica.last}
+	n.afterSync(now, ready, func(_ int64, ready *Ready) { n.send(ready, leader, ack) })
+}
+
+func (n *Node) handleAppendAck(now int64, replica *slotReplica, message Message, ready *Ready) {
+	if replica.state.elected() && replica.term == message.Term {
+		n.acknowledge(now, replica, message.From, message.Last, ready)
+	}
 }
--- a/quorum/slot.go
+++ b/quorum/slot.go
@@ -1,179 +1,98 @@
 package quorum
 
-import "sort"
-
+// replicaState is what a node is to a slot, in the words of Raft; stateRecovering comes
+// between winning an election and serving.
 type replicaState uint8
 
 const (
 	stateFollower replicaState = iota
 	stateCandidate
-	stateRecovering // read back; a majority is joining the line, and with it what was in doubt
+	// stateRecovering: elected; a majority is copying the new log, and with it what was in
+	// doubt.
+	stateRecovering
 	stateLeader
 )
 
-// slot is one node's view of a slot: as voter, and while it lasts, as owner.
+var replicaStateNames = [...]string{
+	stateFollower:   "follower",
+	stateCandidate:  "candidate",
+	stateRecovering: "recovering",
+	stateLeader:     "leader",
+}
+
+func (s replicaState) String() string { return enumName(replicaStateNames[:], uint8(s)) }
+
+// elected reports whether the replica won its term, whether it serves yet or not.
+func (s replicaState) elected() bool { return s >= stateRecovering }
+
+// slotReplica is one node's replica of a slot. Times are in microseconds.
 type slotReplica struct {
-	// As voter, kept on disk.
-	promised    uint64
-	logTerm     uint64   // epoch whose line of changes ent follows
-	last        Position // all changes of that line up to here are in ent
+	id uint16
+
+	// What a voter keeps on disk.
+
+	promised    uint64   // the highest term that this voter promised to follow
+	logTerm     uint64   // the term whose log entries belong to
+	last        Position // all changes of that log up to here are in entries
 	committed   Position // known to be on a majority
 	entries     map[string]Entry
-	byPosition  []positionKey
-	closedBelow uint64 // the floor below which claims were forgotten here
-	// As voter, in memory.
+	byPosition  []positionKey // index of entries, with some that were replaced since
+	closedBelow uint64        // claims of generations below were forgotten here
+
+	// What a voter has in memory alone.
+
 	leader          string
 	leaderTerm      uint64
-	noVoteUntil     int64 // no other candidate is granted before
-	noCampaignUntil int64 // this node seeks the slot no sooner
+	noVoteUntil     int64 // no other candidate is voted for before
+	noCampaignUntil int64 // this node campaigns no sooner
 	snapshotAskedAt int64
-	snapshot        *snapshot // of a line that is being joined
-	// As candidate or owner.
+	snapshot        *snapshot // under way, or nil
+
+	// What a candidate or a leader has.
+
 	state             replicaState
-	campaignAtOnce    bool   // was the owner until the roster changed: seek at once
-	recoveredUnder    uint64 // roster under which the slot was last known to be finished
-	term              uint64
+	campaignAtOnce    bool   // it led the slot until the voter set changed
+	recoveredUnder    uint64 // revision of the voter set under which the slot was last recovered
+	term              uint64 // of the newest campaign
 	campaignStartedAt int64
-	votes             map[string]Message
+	votes             map[string]Message // granted, by voter
 	rejections        map[string]bool
-	higherTerm        uint64 // a voter promised this much, and can't follow a lesser epoch
+	higherTerm        uint64 // a voter promised this much, and can't follow a lower term
 	higherTermSeenAt  int64
 	nextCampaignAt    int64
-	lastIndex         uint64
-	acknowledged      map[string]Position
-	pendingByKey      map[string]*pendingChange
-	pendingOrder      []*pendingChange
-	heartbeatAcked    map[string]int64
+	lastIndex         uint64                    // of the newest change in term
+	acknowledged      map[string]Position       // by voter
+	pendingByKey      map[string]*pendingChange // not committed yet
+	pendingOrder      []*pendingChange          // the same, oldest first
+	heartbeatAcked    map[string]int64          // by voter, when the newest heartbeat it answered was sent
 	leaseUntil        int64
-	generationSince   int64            // since when the newest era is, as this owner counts it
-	roleLeaseUntil    map[string]int64 // duty key: lease end as this owner counts it
-}
-
-type positionKey struct {
-	position Position
-	key      string
+	generationSince   int64            // when the newest generation was opened, as this leader counts it
+	roleLeaseUntil    map[string]int64 // by key, as this leader counts it
 }
 
+// pendingChange is a change that its leader has not committed yet.
 type pendingChange struct {
 	key       string
 	position  Position
-	previous  Entry
-	existed   bool
+	previous  Entry // what callers still see
+	existed   bool  // whether previous exists
 	operation Operation
-	queued    []Operation
-}
-
-// Slot tells of one slot for operators.
-type SlotStatus struct {
-	Leader          string
-	Term            uint64
-	IsLeader        bool
-	Keys            int
-	Last, Committed Position
-}
-
-// Slots lists what this node knows of every slot.
-func (n *Node) Status(now int64) []SlotStatus {
-	var out []SlotStatus
-	for _, s := range n.slots {
-		out = append(out, SlotStatus{s.leader, s.promised, s.state == stateLeader && now < s.leaseUntil, len(s.entries), s.last, s.committed})
-	}
-	return out
-}
-
-// entSize is what a register takes on disk, its record's frame included.
-func entryBytes(e Entry) int { return len(e.Key) + len(e.Value) + 256 }
-
-func (n *Node) store(s *slotReplica, e Entry) {
-	if o, ok := s.entries[e.Key]; ok {
-		n.stateBytes -= entryBytes(o)
-	}
-	n.stateBytes += entryBytes(e)
-	s.entries[e.Key] = e
-	i := len(s.byPosition)
-	if i > 0 && !s.byPosition[i-1].position.Before(e.Position) {
-		i = sort.Search(len(s.byPosition), func(j int) bool { return e.Position.Before(s.byPosition[j].position) })
-	}
-	s.byPosition = append(s.byPosition, positionKey{})
-	copy(s.byPosition[i+1:], s.byPosition[i:])
-	s.byPosition[i] = positionKey{e.Position, e.Key}
-	if len(s.byPosition) > 64 && len(s.byPosition) > 2*len(s.entries) {
-		s.byPosition = s.changedAfter(Position{})
-	}
-}
-
-func (n *Node) remove(s *slotReplica, k string) {
-	if o, ok := s.entries[k]; ok {
-		n.stateBytes -= entryBytes(o)
-		delete(s.entries, k)
-	}
-}
-
-// live lists the registers changed after m, oldest change first.
-func (r *slotReplica) changedAfter(m Position) []positionKey {
-	i := sort.Search(len(r.byPosition), func(j int) bool { return m.Before(r.byPosition[j].position) })
-	var out []positionKey
-	for _, vk := range r.byPosition[i:] {
-		if e, ok := r.entries[vk.key]; ok && e.Position == vk.position {
-			if l := len(out); l == 0 || out[l-1] != vk {
-				out = append(out, vk)
-			}
-		}
-	}
-	return out
+	queued    []Operation // on the same key, to be applied after it
 }
 
-// sure is the mark up to which this voter's registers are beyond doubt.
-func (r *slotReplica) certain() Position {
-	if r.last.Before(r.committed) {
-		return r.last
+// committedEntry is the register as callers may see it: without changes that are pending.
+func (r *slotReplica) committedEntry(key string) (Entry, bool) {
+	if change, pending := r.pendingByKey[key]; pending {
+		return change.previous, change.existed
 	}
-	return r.committed
+	entry, ok := r.entries[key]
+	return entry, ok
 }
 
-func (r *slotReplica) uncertainKeys() []string {
-	var ks []string
-	for _, vk := range r.changedAfter(r.certain()) {
-		ks = append(ks, vk.key)
-	}
-	return ks
-}
-
-// since lists what a node sure up to m, doubting keys, must learn; absent are
-// the doubted keys that do not exist.
-func (r *slotReplica) changesSince(m Position, keys []string) (es []Entry, absent []string) {
-	seen := map[string]bool{}
-	for _, k := range keys {
-		if seen[k] {
-			continue
-		}
-		seen[k] = true
-		if e, ok := r.entries[k]; ok {
-			es = append(es, e)
-		} else {
-			absent = append(absent, k)
-		}
-	}
-	for _, vk := range r.changedAfter(m) {
-		if !seen[vk.key] {
-			es = append(es, r.entries[vk.key])
-		}
-	}
-	return es, absent
+// serves reports whether the replica leads its slot under a live lease.
+func (r *slotReplica) serves(now int64) bool {
+	return r.state == stateLeader && now < r.leaseUntil
 }
 
-// adopt stores a register of a newer line before that line is joined: until
-// the join is on disk the old line stands, with nothing beyond sure certain.
-func (n *Node) stageEntry(i uint16, s *slotReplica, e Entry, was uint64, sure Position, o *Ready) {
-	n.store(s, e)
-	n.appendRecord(o, Record{Type: RecordEntry, Slot: i, Term: was, Last: sure, Committed: sure, Entry: e})
-}
-
-func (n *Node) deleteEntry(i uint16, s *slotReplica, k string, o *Ready) {
-	n.remove(s, k)
-	n.appendRecord(o, Record{Type: RecordDelete, Slot: i, Entry: Entry{Key: k}})
-}
-
-func (n *Node) recordLogState(i uint16, s *slotReplica, o *Ready) {
-	n.appendRecord(o, Record{Type: RecordLogState, Slot: i, Term: s.logTerm, Last: s.last, Committed: s.committed})
-}
+// slotOf is the replica of the slot that a key belongs to.
+func (n *Node) slotOf(key string) *slotReplica { return n.slots[SlotOf(key, n.config.Slots)] }
--- a/quorum/snapshot.go
+++ b/quorum/snapshot.go
@@ -1,56 +1,56 @@
 package quorum
 
-import "sort"
+import "math"
 
-// snapshot is what a voter gathers of a line in parts, be it one that it is about to join
-// or the one that it follows and lags behind in. Nothing of it is part of the slot's state
-// before the last part has come: until then a register that changed again meanwhile is
-// missing, and the voter must not claim to hold what came before that change (design §4.9).
+// snapshot is what a voter gathers of a log in chunks, be it one that it is about to follow or
+// the one that it follows and lags behind in. Nothing of it is part of the replica's state
+// before the last chunk has come: until then a register that changed again meanwhile is
+// missing, and the voter must not claim to have what came before that change (design §4.9).
 type snapshot struct {
-	logTerm uint64   // of the line
-	certain Position // what the voter was certain of, or held of its own line, when it began
-	upTo    Position // all that was changed after sure and up to here has come
+	logTerm uint64
+	certain Position // what the voter was certain of, or had of the same log, when it began
+	upTo    Position // all that was changed after certain and up to here has come
 	entries map[string]Entry
-	absent  []string // doubted keys that the line does not have
+	absent  []string // doubted keys that the log does not have
 }
 
-// lacking reports whether this voter has not joined the newest line that it knows of.
+// chunkPatience is how many heartbeats a chunk is waited for before it is asked for again.
+const chunkPatience = 3
+
+// lacksLog reports whether this voter does not follow the newest log that it knows of.
 func (r *slotReplica) lacksLog() bool {
 	return r.logTerm == 0 || r.snapshot != nil && r.snapshot.logTerm != r.logTerm
 }
 
-// fetchPatience is how many beats a part of a snapshot is waited for before it is asked
-// for again.
-const chunkPatience = 3
-
-// follow asks the owner for what this voter lacks.
-func (n *Node) catchUp(now int64, i uint16, s *slotReplica, last Position, o *Ready) {
+// catchUp asks the leader for what this voter lacks of the log up to a position, unless it
+// asked lately.
+func (n *Node) catchUp(now int64, replica *slotReplica, last Position, ready *Ready) {
 	patience := n.config.HeartbeatInterval
-	if s.snapshot != nil && s.snapshot.logTerm == s.leaderTerm {
+	if replica.snapshot != nil && replica.snapshot.logTerm == replica.leaderTerm {
 		patience *= chunkPatience
 	}
-	if s.logTerm == s.leaderTerm && !s.last.Before(last) || now-s.snapshotAskedAt < patience {
+	complete := replica.logTerm == replica.leaderTerm && !replica.last.Before(last)
+	if complete || now-replica.snapshotAskedAt < patience {
 		return
 	}
-	n.requestChunk(now, i, s, o)
+	n.requestChunk(now, replica, ready)
 }
 
-// fetch asks for the next part: of the line that this voter follows, or of the snapshot
-// with which it joins another. The question goes out once all that it says is on disk: an
-// answer to it may still come after a loss of power, and must not leave a gap then.
-func (n *Node) requestChunk(now int64, i uint16, s *slotReplica, o *Ready) {
-	s.snapshotAskedAt = now
-	snap := s.currentSnapshot()
-	first := s.logTerm != s.leaderTerm
-	m := Message{Type: MsgSnapshotRequest, Slot: i, Term: s.leaderTerm, Joining: first, Last: snap.certain, Previous: snap.upTo, More: true}
-	if first && snap.upTo == (Position{}) {
-		m.Keys = s.uncertainKeys()
-	}
-	owner := s.leader
-	n.afterSync(now, o, func(_ int64, o *Ready) { n.send(o, owner, m) })
+// requestChunk asks for the next chunk. The request goes out once all that it says is on
+// disk: an answer to it may still come after a loss of power, and must not leave a gap then.
+func (n *Node) requestChunk(now int64, replica *slotReplica, ready *Ready) {
+	replica.snapshotAskedAt = now
+	under := replica.currentSnapshot()
+	request := Message{Type: MsgSnapshotRequest, Slot: replica.id, Term: replica.leaderTerm, Last: under.certain,
+		Previous: under.upTo, Joining: replica.logTerm != replica.leaderTerm, More: true}
+	if request.Joining && under.upTo == (Position{}) {
+		request.Keys = replica.uncertainKeys()
+	}
+	leader := replica.leader
+	n.afterSync(now, ready, func(_ int64, ready *Ready) { n.send(ready, leader, request) })
 }
 
-// gathering is the snapshot of the owner's line that is under way, or a new one.
+// currentSnapshot is the snapshot of the leader's log that is under way, or a new one.
 func (r *slotReplica) currentSnapshot() *snapshot {
 	if r.snapshot != nil && r.snapshot.logTerm == r.leaderTerm {
 		return r.snapshot
@@ -63,117 +63,118 @@
 	return r.snapshot
 }
 
-// onFetch answers with the changes after what the voter has, oldest first, as many as one
-// message takes. What changes meanwhile comes again at the end of that order.
-func (n *Node) handleSnapshotRequest(m Message, o *Ready) {
-	s := n.slots[m.Slot]
-	if s.state < stateRecovering || s.term != m.Term {
+// handleSnapshotRequest answers with the changes after what the voter has, oldest first, as
+// many as one message takes. What changes meanwhile comes again at the end of that order.
+func (n *Node) handleSnapshotRequest(replica *slotReplica, message Message, ready *Ready) {
+	if !replica.state.elected() || replica.term != message.Term {
 		return
 	}
-	after := m.Last
-	if after.Before(m.Previous) {
-		after = m.Previous
+	after := message.Last
+	if after.Before(message.Previous) {
+		after = message.Previous
 	}
-	fill := Message{Type: MsgSnapshotChunk, Slot: m.Slot, Term: s.term, Joining: m.Joining, Previous: m.Previous, Last: Position{s.term, s.lastIndex}, Committed: s.committed}
-	fill.Entries, fill.Keys = s.replacements(after, m.Keys)
-	whole := m.Joining && !m.More // a voter of a version that takes a snapshot in one part
+	chunk := Message{Type: MsgSnapshotChunk, Slot: replica.id, Term: replica.term, Joining: message.Joining,
+		Previous: message.Previous, Last: Position{replica.term, replica.lastIndex}, Committed: replica.committed}
+	chunk.Entries, chunk.Keys = replica.replacements(after, message.Keys)
+	limit := n.config.ChunkBytes
+	if message.Joining && !message.More {
+		limit = math.MaxInt // a voter of a version that takes a snapshot in one message
+	}
+	changes, more := replica.chunkAfter(after, limit)
+	chunk.Entries = append(chunk.Entries, changes...)
+	if more {
+		chunk.More = true
+		chunk.Last = chunk.Entries[len(chunk.Entries)-1].Position
+	}
+	n.send(ready, message.From, chunk)
+}
+
+// chunkAfter lists the registers changed after a position, oldest change first, at least one
+// and as many as fit into limit bytes, and whether there are more.
+func (r *slotReplica) chunkAfter(after Position, limit int) (entries []Entry, more bool) {
 	size := 0
-	for _, change := range s.changedAfter(after) {
-		entry := s.entries[change.key]
-		if size > 0 && size+entryBytes(entry) > n.config.ChunkBytes && !whole {
-			fill.More = true
-			break
+	for _, change := range r.changedAfter(after) {
+		entry := r.entries[change.key]
+		if size > 0 && size+entryBytes(entry) > limit {
+			return entries, true
 		}
 		size += entryBytes(entry)
-		fill.Entries = append(fill.Entries, entry)
-	}
-	if fill.More {
-		fill.Last = fill.Entries[len(fill.Entries)-1].Position
+		entries = append(entries, entry)
 	}
-	n.send(o, m.From, fill)
+	return entries, false
 }
 
-// replaced lists what stands here in the place of doubted changes: registers not changed
-// after mark, and keys that do not exist. All later changes come in their order.
-func (r *slotReplica) replacements(mark Position, doubted []string) (entries []Entry, absent []string) {
+// replacements lists what stands here in the place of doubted changes: registers not changed
+// after a position, and keys that do not exist. All later changes come in their order.
+func (r *slotReplica) replacements(position Position, doubted []string) (entries []Entry, absent []string) {
 	for _, key := range doubted {
 		entry, ok := r.entries[key]
 		switch {
 		case !ok:
 			absent = append(absent, key)
-		case !mark.Before(entry.Position):
+		case !position.Before(entry.Position):
 			entries = append(entries, entry)
 		}
 	}
 	return entries, absent
 }
 
-func (n *Node) handleSnapshotChunk(now int64, m Message, o *Ready) {
-	s := n.slots[m.Slot]
-	if m.Term != s.promised || m.From != s.leader || m.Term != s.leaderTerm || s.state != stateFollower {
+func (n *Node) handleSnapshotChunk(now int64, replica *slotReplica, message Message, ready *Ready) {
+	fromLeader := message.From == replica.leader && message.Term == replica.leaderTerm
+	if !fromLeader || message.Term != replica.promised || replica.state != stateFollower {
 		return
 	}
-	if m.Joining != (s.logTerm != m.Term) || !s.addChunk(m) {
+	if message.Joining != (replica.logTerm != message.Term) || !replica.addChunk(message) {
 		return
 	}
-	s.snapshotAskedAt = 0
+	replica.snapshotAskedAt = 0
 	switch {
-	case m.More:
-		n.requestChunk(now, m.Slot, s, o) // at once, so that it outruns the changes that come
-	case m.Joining:
-		n.installSnapshot(now, m.Slot, s, m, o)
+	case message.More:
+		n.requestChunk(now, replica, ready) // at once, so that it outruns the changes that come
+	case message.Joining:
+		n.installSnapshot(now, replica, message, ready)
 	default:
-		entries := s.snapshot.ordered()
-		s.snapshot = nil
-		n.appendFromLeader(now, m.Slot, s, entries, m.Last, m.Committed, o)
+		entries := byOrder(replica.snapshot.entries)
+		replica.snapshot = nil
+		n.appendFromLeader(now, replica, entries, message.Last, message.Committed, ready)
 	}
 }
 
-// gather adds a part to the snapshot under way, if it is the one that was asked for.
-func (r *slotReplica) addChunk(m Message) bool {
-	snap := r.snapshot
-	if snap == nil || snap.logTerm != m.Term || snap.upTo != m.Previous {
+// addChunk adds a chunk to the snapshot under way, if it is the one that was asked for: a
+// repeated older one would put old registers in the place of newer ones.
+func (r *slotReplica) addChunk(message Message) bool {
+	under := r.snapshot
+	if under == nil || under.logTerm != message.Term || under.upTo != message.Previous {
 		return false
 	}
-	if m.Previous == (Position{}) {
-		snap.absent = m.Keys
+	if message.Previous == (Position{}) {
+		under.absent = message.Keys
 	}
-	for _, entry := range m.Entries {
-		snap.entries[entry.Key] = entry
+	for _, entry := range message.Entries {
+		under.entries[entry.Key] = entry
 	}
-	snap.upTo = m.Last
+	under.upTo = message.Last
 	return true
 }
 
-// joinLine takes a whole snapshot over and follows the owner's line from then on. What
-// was in doubt is replaced by what that line says. Drops come after the entries: a crash
-// between them loses nothing that was settled.
-func (n *Node) installSnapshot(now int64, i uint16, s *slotReplica, last Message, o *Ready) {
-	snap := s.snapshot
-	s.snapshot = nil
-	was := s.logTerm
-	for _, entry := range snap.ordered() {
-		n.stageEntry(i, s, entry, was, snap.certain, o)
-	}
-	for _, key := range snap.absent {
-		if _, later := snap.entries[key]; !later {
-			n.deleteEntry(i, s, key, o)
+// installSnapshot takes a complete snapshot over, and follows the leader's log from then on.
+// What was in doubt is replaced by what that log says. Deletions come after the entries: a
+// crash between them loses nothing that was committed.
+func (n *Node) installSnapshot(now int64, replica *slotReplica, lastChunk Message, ready *Ready) {
+	complete := replica.snapshot
+	replica.snapshot = nil
+	for _, entry := range byOrder(complete.entries) {
+		n.stageEntry(replica, entry, complete.certain, ready)
+	}
+	for _, key := range complete.absent {
+		if _, later := complete.entries[key]; !later {
+			n.deleteEntry(replica, key, ready)
 		}
 	}
-	s.logTerm, s.last, s.committed = last.Term, last.Last, last.Committed
-	if s.last.Before(s.committed) {
-		s.committed = s.last
-	}
-	n.recordLogState(i, s, o)
-	n.sendAppendAck(now, i, s, o)
-}
-
-// ordered lists the registers of a snapshot, oldest change first.
-func (s *snapshot) ordered() []Entry {
-	entries := make([]Entry, 0, len(s.entries))
-	for _, entry := range s.entries {
-		entries = append(entries, entry)
+	replica.logTerm, replica.last, replica.committed = lastChunk.Term, lastChunk.Last, lastChunk.Committed
+	if replica.last.Before(replica.committed) {
+		replica.committed = replica.last
 	}
-	sort.Slice(entries, func(a, b int) bool { return entries[a].Position.Before(entries[b].Position) })
-	return entries
+	n.recordLogState(replica, ready)
+	n.sendAppendAck(now, replica, ready)
 }
--- a/quorum/voterset.go
+++ b/quorum/voterset.go
@@ -3,13 +3,12 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math"
 	"slices"
 )
 
-// Voter is one member of the roster. Inc is drawn when a disk is first used, so
-// that an emptied node is never mistaken for its former self (design §4.6). Num
-// is never given twice in a fleet.
+// Voter is one member of a voter set. Incarnation is drawn when a disk is first used, so that
+// an emptied node is never mistaken for its former self (design §4.6). Number is never given
+// twice in a fleet.
 type Voter struct {
 	Name        string `json:"name"`
 	Addr        string `json:"addr"`
@@ -17,211 +16,127 @@
 	Number      uint16 `json:"num"`
 }
 
-// Roster is the list whose majority decides. The upper bits of Rev name the
+// VoterSet is the set of voters whose majority decides. The upper bits of Revision name the
 // fleet, the lower ones count the steps.
 type VoterSet struct {
 	Revision uint64  `json:"rev,string"`
 	Voters   []Voter `json:"voters"`
-	// Seats is how many voters the fleet keeps. With more, one was let in before the
-	// one that it replaces had gone (Shed). 0, in a roster that knows no such count,
-	// never sheds.
+	// Seats is how many voters the fleet keeps. With more, one was let in before the one
+	// that it replaces had gone (RemoveSurplus). 0, in a set of a version that knows no such
+	// count, never removes any.
 	Seats uint16 `json:"seats,omitempty"`
 }
 
-const stepBits = 20
+const (
+	// stepBits is how many of the lower bits of a revision count the steps.
+	stepBits = 20
+	// firstAddedNumber is above the numbers of all founding voters.
+	firstAddedNumber = 16
+)
 
-// Found makes a fleet's first roster revision.
+// FirstRevision makes the revision of a fleet's first voter set.
 func FirstRevision(fleet uint64) uint64 { return fleet<<stepBits | 1 }
 
-// Fleet names the fleet that a roster belongs to.
+// Fleet names the fleet that a set belongs to.
 func (set VoterSet) Fleet() uint64 { return set.Revision >> stepBits }
 
-// Step counts the changes of the roster.
+// Step counts the changes of the set.
 func (set VoterSet) Step() uint64 { return set.Revision & (1<<stepBits - 1) }
 
-// Majority is the least count of voters that decides.
+// Majority is the least number of voters that decides.
 func (set VoterSet) Majority() int { return len(set.Voters)/2 + 1 }
 
 // Find returns the voter of that name.
 func (set VoterSet) Find(name string) (Voter, bool) {
-	for _, v := range set.Voters {
-		if v.Name == name {
-			return v, true
+	for _, voter := range set.Voters {
+		if voter.Name == name {
+			return voter, true
 		}
 	}
 	return Voter{}, false
 }
 
-// Next is the roster after one step: old goes (unless empty) and v comes (unless
-// nil), and the fleet keeps as many seats fewer or more. It fails unless every
+// Next is the set after one step: the voter named leaves goes (unless empty) and joins comes
+// (unless nil), and the fleet keeps as many seats fewer or more. It fails unless every
 // majority of one shares a voter with every majority of the other.
-func (set VoterSet) Next(old string, v *Voter) (VoterSet, error) {
-	n := VoterSet{Revision: set.Revision + 1, Voters: slices.Clone(set.Voters), Seats: set.Seats}
-	if old != "" {
-		i := slices.IndexFunc(n.Voters, func(x Voter) bool { return x.Name == old })
-		if i < 0 {
-			return n, fmt.Errorf("no voter is named %s; read the roster again", old)
+func (set VoterSet) Next(leaves string, joins *Voter) (VoterSet, error) {
+	next := VoterSet{Revision: set.Revision + 1, Voters: slices.Clone(set.Voters), Seats: set.Seats}
+	if leaves != "" {
+		at := slices.IndexFunc(next.Voters, func(voter Voter) bool { return voter.Name == leaves })
+		if at < 0 {
+			return next, fmt.Errorf("%w: %s; read the voter set again", ErrNoSuchVoter, leaves)
 		}
-		n.Voters = slices.Delete(n.Voters, i, i+1)
+		next.Voters = slices.Delete(next.Voters, at, at+1)
 	}
-	if v != nil {
-		if _, ok := n.Find(v.Name); ok {
-			return n, fmt.Errorf("a voter is already named %s; name it as the one to replace", v.Name)
+	if joins != nil {
+		if _, ok := next.Find(joins.Name); ok {
+			return next, fmt.Errorf("%w: %s; name it as the one to replace", ErrVoterExists, joins.Name)
 		}
-		x := *v
-		x.Number = uint16(16 + n.Step())
-		n.Voters = append(n.Voters, x)
+		added := *joins
+		added.Number = uint16(firstAddedNumber + next.Step())
+		next.Voters = append(next.Voters, added)
 	}
 	if set.Seats > 0 {
-		n.Seats = uint16(max(1, int(set.Seats)+len(n.Voters)-len(set.Voters)))
+		next.Seats = uint16(max(1, int(set.Seats)+len(next.Voters)-len(set.Voters)))
 	}
-	if err := checkStep(set, n); err != nil {
-		return n, err
-	}
-	return n, nil
+	return next, checkStep(set, next)
 }
 
-// step checks that n may follow r.
-func checkStep(r, n VoterSet) error {
-	common := 0
-	for _, a := range r.Voters {
-		for _, b := range n.Voters {
-			if a == b {
-				common++
-			}
-		}
-	}
-	gone, come := len(r.Voters)-common, len(n.Voters)-common
-	// Of the common voters, a majority of each must take more than all together.
-	a, b := r.Majority()-gone, n.Majority()-come
-	switch {
-	case n.Revision != r.Revision+1:
-		return fmt.Errorf("roster %d does not follow %d", n.Step(), r.Step())
-	case len(n.Voters) == 0 || gone+come == 0 || gone > 1 || come > 1 || a+b <= common:
-		return fmt.Errorf("a step may add one voter, remove one, or replace one of an even number; change one at a time")
+// checkStep checks that next may follow set.
+func checkStep(set, next VoterSet) error {
+	if next.Revision != set.Revision+1 {
+		return fmt.Errorf("%w: %d does not follow %d; read the voter set again", ErrNotNextRevision, next.Step(), set.Step())
 	}
-	for i, v := range n.Voters {
-		for _, w := range n.Voters[:i] {
-			if v.Name == w.Name || v.Incarnation == w.Incarnation || v.Number == w.Number {
-				return fmt.Errorf("%s and %s are not told apart", v.Name, w.Name)
-			}
-		}
+	if !sharesMajorities(set, next) {
+		return fmt.Errorf("%w: one may add a voter, remove one, or replace one of an even number; change one at a time", ErrNotOneStep)
 	}
-	return nil
+	return next.checkDistinct()
 }
 
-// MaxVoters bounds a roster that grows by itself.
-const MaxVoters = 9
-
-// Silences after which a voter's place is taken, and from which on nobody is added
-// beside it: it may be about to be replaced. A newcomer waits as long before it is
-// added, since it may have come in the place of one that has just gone (design §4.6).
-const (
-	FailedAfter  = 1_500_000
-	SuspectAfter = 500_000
-	AddAfter     = 600_000
-)
-
-// Admit is the step that lets v in, which has asked for it for so long, if there is one
-// to take now; silence tells for how long a voter was not heard. Voters go only to make
-// place:
-//   - one whose name or address v has, with another incarnation: that disk is lost;
-//   - else the one that is silent longest, once it counts as gone;
-//
-// else v is added, up to bound voters. An odd roster loses the voter first and gains v
-// by the step after. Nothing is done when no majority is heard.
-func (set VoterSet) Admit(v Voter, asked int64, silence func(name string) int64, bound int) (VoterSet, bool) {
-	gone, doubt, heard := "", false, 0
-	var worst int64
-	for _, w := range set.Voters {
-		s := silence(w.Name)
-		if s < SuspectAfter {
-			heard++
-		} else {
-			doubt = true
-		}
-		if s >= FailedAfter && s > worst {
-			gone, worst = w.Name, s
-		}
-	}
-	if heard < set.Majority() {
-		return set, false
-	}
-	for _, w := range set.Voters {
-		if w.Incarnation == v.Incarnation {
-			return set, false // in already, or it makes itself out to be another
+// sharesMajorities reports whether next differs by one voter that leaves, one that joins or
+// both, and every majority of it has a voter in common with every majority of set.
+func sharesMajorities(set, next VoterSet) bool {
+	common := 0
+	for _, voter := range set.Voters {
+		if slices.Contains(next.Voters, voter) {
+			common++
 		}
 	}
-	if i := slices.IndexFunc(set.Voters, func(w Voter) bool { return w.Name == v.Name || w.Addr == v.Addr && w.Addr != "" }); i >= 0 {
-		gone = set.Voters[i].Name
-	}
-	if gone == "" && (doubt || asked < AddAfter || len(set.Voters) >= bound) {
-		return set, false
+	left, joined := len(set.Voters)-common, len(next.Voters)-common
+	if len(next.Voters) == 0 || left+joined == 0 || left > 1 || joined > 1 {
+		return false
 	}
-	for _, come := range []*Voter{&v, nil} {
-		if n, err := set.Next(gone, come); err == nil {
-			n.Seats = set.Seats // a replacement, whoever goes for it
-			return n, true
-		}
-	}
-	return set, false
-}
-
-// overfull reports whether a voter was let in before the one that it replaces had gone,
-// and that one's seat costs a loss: an even roster needs as many voters as the odd one
-// above it. An odd roster keeps the majority that it has when a voter goes, so that a
-// dead one there costs nothing.
-func (set VoterSet) hasSurplus() bool {
-	return set.Seats > 0 && len(set.Voters) > int(set.Seats) && len(set.Voters)%2 == 0
+	// Of the common voters, a majority of each must take more than all together.
+	return set.Majority()-left+next.Majority()-joined > common
 }
 
-// Shed is the step that takes the seat of a voter whose successor was let in before,
-// if there is one to take now: of one that is leaving, else of the one silent longest
-// once it counts as gone. Enough must be heard that the rest decides without it.
-func (set VoterSet) RemoveSurplus(leaving func(name string) bool, silence func(name string) int64) (VoterSet, bool) {
-	if !set.hasSurplus() {
-		return set, false
-	}
-	gone, heard := "", 0
-	var worst int64
-	for _, voter := range set.Voters {
-		silent := silence(voter.Name)
-		if leaving(voter.Name) {
-			silent = math.MaxInt64
-		}
-		if silent < SuspectAfter {
-			heard++
-		}
-		if silent >= FailedAfter && silent > worst {
-			gone, worst = voter.Name, silent
+// checkDistinct checks that no two voters share a name, an incarnation or a number.
+func (set VoterSet) checkDistinct() error {
+	for i, voter := range set.Voters {
+		for _, other := range set.Voters[:i] {
+			if voter.Name == other.Name || voter.Incarnation == other.Incarnation || voter.Number == other.Number {
+				return fmt.Errorf("%w: %s and %s; give each a name and a disk of its own", ErrVotersNotDistinct, voter.Name, other.Name)
+			}
 		}
 	}
-	if gone == "" {
-		return set, false
-	}
-	next, err := set.Next(gone, nil)
-	if err != nil || heard < next.Majority() {
-		return set, false
-	}
-	next.Seats = set.Seats
-	return next, true
+	return nil
 }
 
-// RosterKey is the register in which a roster's successor is settled.
+// VoterSetKey is the register in which the next voter set is committed. It is stored.
 const VoterSetKey = "roster"
 
-// Bytes is a roster as its register holds it.
+// Bytes is a voter set as its register holds it, in JSON.
 func (set VoterSet) Bytes() []byte {
-	b, err := json.Marshal(set)
+	encoded, err := json.Marshal(set)
 	if err != nil {
 		panic(err) // plain strings and numbers
 	}
-	return b
+	return encoded
 }
 
-// ReadRoster reads a register's roster.
-func ParseVoterSet(b []byte) (VoterSet, error) {
-	var r VoterSet
-	err := json.Unmarshal(b, &r)
-	return r, err
+// ParseVoterSet reads a register's voter set.
+func ParseVoterSet(encoded []byte) (VoterSet, error) {
+	var set VoterSet
+	err := json.Unmarshal(encoded, &set)
+	return set, err
 }
