--- a/agent/agent.go
+++ b/agent/agent.go
@@ -54,10 +54,10 @@
 }
 
 // Feed answers the proxy with plan, orders and news, and takes its own in.
-func (a *Agent) Feed(now int64, h *plan.Held, era uint64, poll *fb.FeedAskT) *fb.FeedTellT {
+func (a *Agent) Feed(now int64, h *plan.Cached, era uint64, poll *fb.FeedAskT) *fb.FeedTellT {
 	a.poll, a.polledAt, a.polled = *poll, now, true
-	t := &fb.FeedTellT{Rev: h.Rev, Age: h.Age(now), Fresh: h.Known, Era: era}
-	if h.Rev != poll.Have {
+	t := &fb.FeedTellT{Rev: h.Revision, Age: h.Age(now), Fresh: h.Known, Era: era}
+	if h.Revision != poll.Have {
 		t.Plan = h.Raw
 	}
 	for _, n := range a.names() {
--- a/attempt/example_test.go
+++ b/attempt/example_test.go
@@ -8,18 +8,18 @@
 
 // A once-only ticket: claimed, sent, turned away with proof, sent again, lost.
 func ExampleLedger_Next() {
-	l := attempt.Ledger{Once: true}
-	f := attempt.Facts{Time: true, Budget: true}
-	fmt.Println(l.Next(f).Do == attempt.Ask)
-	l.Claim = attempt.Held
+	l := attempt.History{OnceOnly: true}
+	f := attempt.Conditions{TimeLeft: true, RetryAllowed: true}
+	fmt.Println(l.Next(f).Action == attempt.RequestClaim)
+	l.Claim = attempt.ClaimGranted
 	l.Attempts = append(l.Attempts, attempt.Attempt{ID: "1", State: attempt.Sent})
-	l.Note("1", attempt.NeverBegan, "busy")
+	l.Record("1", attempt.NotStarted, "busy")
 	m := l.Next(f)
-	fmt.Println(m.Do == attempt.Assign, m.Retry)
+	fmt.Println(m.Action == attempt.Assign, m.SpendsRetry)
 	l.Attempts = append(l.Attempts, attempt.Attempt{ID: "2", State: attempt.Sent})
-	l.Note("2", attempt.Broken, "engine-lost")
+	l.Record("2", attempt.Interrupted, "engine-lost")
 	m = l.Next(f)
-	fmt.Println(m.Do == attempt.End, m.Outcome, m.Reason)
+	fmt.Println(m.Action == attempt.Finish, m.Outcome, m.Reason)
 	// Output:
 	// true
 	// true true
--- a/attempt/ledger.go
+++ b/attempt/ledger.go
@@ -10,10 +10,10 @@
 // run on. Finished: whole.
 const (
 	Sent State = iota + 1
-	NeverBegan
-	Began
-	Broken
-	Finished
+	NotStarted
+	Started
+	Interrupted
+	Completed
 )
 
 // Attempt is one line of the ledger.
@@ -25,29 +25,29 @@
 }
 
 // Claim is the state of a once-only ticket's durable claim.
-type Claim uint8
+type ClaimState uint8
 
 // Missing: not asked for. Asked: no answer yet. Held: ours. Taken: somebody
 // else's. Doubtful: asked and not answered. Closed: its era is over, nobody gets it
 // any more. Needless: nobody else can ask for it.
 const (
-	Missing Claim = iota
-	Asked
-	Held
-	Taken
-	Doubtful
-	Closed
-	Needless
+	ClaimNotRequested ClaimState = iota
+	ClaimRequested
+	ClaimGranted
+	ClaimTaken
+	ClaimUnknown
+	ClaimClosed
+	ClaimNotNeeded
 )
 
 // Ledger is all that is known of one ticket.
-type Ledger struct {
-	Once     bool
-	Claim    Claim
-	Attempts []Attempt
-	Out      bool   // a byte of an answer has gone to the caller
-	Stop     string // why it must not go on, if so
-	Ended    bool
+type History struct {
+	OnceOnly        bool
+	Claim           ClaimState
+	Attempts        []Attempt
+	ResponseStarted bool   // a byte of an answer has gone to the caller
+	StopReason      string // why it must not go on, if so
+	Ended           bool
 }
 
 // Outcome is what a caller is told in the last frame.
@@ -56,103 +56,103 @@
 // Done: ran once, whole. Refused: provably never ran nor will. Unknown: it may
 // have run.
 const (
-	Done    Outcome = "done"
-	Refused Outcome = "refused"
-	Unknown Outcome = "unknown"
+	Done     Outcome = "done"
+	Rejected Outcome = "refused"
+	Unknown  Outcome = "unknown"
 )
 
 // Do is what to do next.
-type Do uint8
+type Action uint8
 
 // The moves.
 const (
-	Wait   Do = iota + 1
-	Ask       // for the claim
-	Assign    // to an engine
-	End
+	Wait         Action = iota + 1
+	RequestClaim        // for the claim
+	Assign              // to an engine
+	Finish
 )
 
 // Move is the next move. Cancel tells to cut the live attempt off, Release to
 // give the claim back, Retry that assigning spends the retry budget.
-type Move struct {
-	Do      Do
-	Outcome Outcome
-	Reason  string
-	Cancel  string
-	Release bool
-	Retry   bool
+type Decision struct {
+	Action        Action
+	Outcome       Outcome
+	Reason        string
+	CancelAttempt string
+	ReleaseClaim  bool
+	SpendsRetry   bool
 }
 
 // Facts are what the ledger does not hold: whether there is still time for a
 // run, and whether the retry budget has room.
-type Facts struct {
-	Time, Budget bool
+type Conditions struct {
+	TimeLeft, RetryAllowed bool
 }
 
 // Next derives the move. It changes nothing.
-func (l *Ledger) Next(f Facts) Move {
-	if l.Ended {
-		return Move{Do: Wait}
+func (h *History) Next(conditions Conditions) Decision {
+	if h.Ended {
+		return Decision{Action: Wait}
 	}
 	var broken *Attempt
-	for i := range l.Attempts {
-		switch a := &l.Attempts[i]; a.State {
-		case Finished:
-			return Move{Do: End, Outcome: Done}
-		case Sent, Began:
-			if l.Stop != "" {
-				return Move{Do: End, Outcome: Unknown, Reason: l.Stop, Cancel: a.ID}
+	for i := range h.Attempts {
+		switch a := &h.Attempts[i]; a.State {
+		case Completed:
+			return Decision{Action: Finish, Outcome: Done}
+		case Sent, Started:
+			if h.StopReason != "" {
+				return Decision{Action: Finish, Outcome: Unknown, Reason: h.StopReason, CancelAttempt: a.ID}
 			}
-			return Move{Do: Wait}
-		case Broken:
+			return Decision{Action: Wait}
+		case Interrupted:
 			broken = a
 		}
 	}
 	if broken != nil {
 		switch {
-		case l.Once || l.Out:
-			return Move{Do: End, Outcome: Unknown, Reason: broken.Cause}
-		case l.Stop != "":
-			return Move{Do: End, Outcome: Unknown, Reason: l.Stop}
-		case !f.Time, !f.Budget:
-			return Move{Do: End, Outcome: Unknown, Reason: broken.Cause}
+		case h.OnceOnly || h.ResponseStarted:
+			return Decision{Action: Finish, Outcome: Unknown, Reason: broken.Cause}
+		case h.StopReason != "":
+			return Decision{Action: Finish, Outcome: Unknown, Reason: h.StopReason}
+		case !conditions.TimeLeft, !conditions.RetryAllowed:
+			return Decision{Action: Finish, Outcome: Unknown, Reason: broken.Cause}
 		}
-		return Move{Do: Assign, Retry: true}
+		return Decision{Action: Assign, SpendsRetry: true}
 	}
 	// Every attempt, if there was one, provably never began.
 	// A doubtful claim is given back as well, should it have been granted.
-	held := l.Once && (l.Claim == Held || l.Claim == Doubtful)
+	held := h.OnceOnly && (h.Claim == ClaimGranted || h.Claim == ClaimUnknown)
 	switch {
-	case l.Once && l.Claim == Taken:
-		return Move{Do: End, Outcome: Unknown, Reason: "duplicate"}
-	case l.Once && l.Claim == Closed:
+	case h.OnceOnly && h.Claim == ClaimTaken:
+		return Decision{Action: Finish, Outcome: Unknown, Reason: "duplicate"}
+	case h.OnceOnly && h.Claim == ClaimClosed:
 		// Whether it ran while its era was open, nobody remembers.
-		return Move{Do: End, Outcome: Unknown, Reason: "era-closed"}
-	case l.Stop != "":
+		return Decision{Action: Finish, Outcome: Unknown, Reason: "era-closed"}
+	case h.StopReason != "":
 		// A claim still on its way is given back when it arrives.
-		return Move{Do: End, Outcome: Refused, Reason: l.Stop, Release: held}
-	case !f.Time:
-		return Move{Do: End, Outcome: Refused, Reason: "due-unreachable", Release: held}
-	case l.Once && l.Claim == Doubtful:
-		return Move{Do: End, Outcome: Refused, Reason: "claim-unavailable", Release: true}
-	case len(l.Attempts) > 0 && !f.Budget:
-		return Move{Do: End, Outcome: Refused, Reason: "retry-budget", Release: held}
-	case l.Once && l.Claim == Missing:
-		return Move{Do: Ask}
-	case l.Once && l.Claim == Asked:
-		return Move{Do: Wait}
+		return Decision{Action: Finish, Outcome: Rejected, Reason: h.StopReason, ReleaseClaim: held}
+	case !conditions.TimeLeft:
+		return Decision{Action: Finish, Outcome: Rejected, Reason: "due-unreachable", ReleaseClaim: held}
+	case h.OnceOnly && h.Claim == ClaimUnknown:
+		return Decision{Action: Finish, Outcome: Rejected, Reason: "claim-unavailable", ReleaseClaim: true}
+	case len(h.Attempts) > 0 && !conditions.RetryAllowed:
+		return Decision{Action: Finish, Outcome: Rejected, Reason: "retry-budget", ReleaseClaim: held}
+	case h.OnceOnly && h.Claim == ClaimNotRequested:
+		return Decision{Action: RequestClaim}
+	case h.OnceOnly && h.Claim == ClaimRequested:
+		return Decision{Action: Wait}
 	}
-	return Move{Do: Assign, Retry: len(l.Attempts) > 0}
+	return Decision{Action: Assign, SpendsRetry: len(h.Attempts) > 0}
 }
 
 // Note sets an attempt's state; it never moves backwards.
-func (l *Ledger) Note(id string, s State, cause string) bool {
-	for i := range l.Attempts {
-		a := &l.Attempts[i]
+func (h *History) Record(id string, s State, cause string) bool {
+	for i := range h.Attempts {
+		a := &h.Attempts[i]
 		if a.ID != id {
 			continue
 		}
-		if a.State != Sent && !(a.State == Began && s > Began) {
+		if a.State != Sent && !(a.State == Started && s > Started) {
 			return false
 		}
 		a.State, a.Cause = s, cause
@@ -162,9 +162,9 @@
 }
 
 // Live is the attempt that is under way, if any.
-func (l *Ledger) Live() (Attempt, bool) {
-	for _, a := range l.Attempts {
-		if a.State == Sent || a.State == Began {
+func (h *History) InFlight() (Attempt, bool) {
+	for _, a := range h.Attempts {
+		if a.State == Sent || a.State == Started {
 			return a, true
 		}
 	}
@@ -173,18 +173,18 @@
 
 // Budget bounds retries to a part of real traffic: every new ticket earns a
 // little, every retry spends a whole one.
-type Budget struct {
+type RetryBudget struct {
 	Permille int
-	have     int
+	balance  int
 }
 
-const budgetMost = 10_000
+const maxBalance = 10_000
 
 // Earn counts a new ticket.
-func (b *Budget) Earn() { b.have = min(b.have+b.Permille, budgetMost) }
+func (b *RetryBudget) CountRequest() { b.balance = min(b.balance+b.Permille, maxBalance) }
 
 // Has reports whether a retry may be spent.
-func (b *Budget) Has() bool { return b.have >= 1000 }
+func (b *RetryBudget) Allows() bool { return b.balance >= 1000 }
 
 // Spend takes one retry.
-func (b *Budget) Spend() { b.have -= 1000 }
+func (b *RetryBudget) CountRetry() { b.balance -= 1000 }
--- a/attempt/ledger_test.go
+++ b/attempt/ledger_test.go
@@ -12,17 +12,17 @@
 // its answer the next move.
 func TestTable(t *testing.T) {
 	datadriven.RunTest(t, "testdata/table", func(t *testing.T, d *datadriven.TestData) string {
-		l := Ledger{}
-		f := Facts{Time: !d.HasArg("no-time"), Budget: !d.HasArg("no-budget")}
-		l.Once, l.Out, l.Ended = d.HasArg("once"), d.HasArg("out"), d.HasArg("ended")
-		claims := map[string]Claim{"missing": Missing, "asked": Asked, "held": Held, "taken": Taken, "doubtful": Doubtful}
-		states := map[string]State{"sent": Sent, "never": NeverBegan, "began": Began, "broken": Broken, "finished": Finished}
+		l := History{}
+		f := Conditions{TimeLeft: !d.HasArg("no-time"), RetryAllowed: !d.HasArg("no-budget")}
+		l.OnceOnly, l.ResponseStarted, l.Ended = d.HasArg("once"), d.HasArg("out"), d.HasArg("ended")
+		claims := map[string]ClaimState{"missing": ClaimNotRequested, "asked": ClaimRequested, "held": ClaimGranted, "taken": ClaimTaken, "doubtful": ClaimUnknown}
+		states := map[string]State{"sent": Sent, "never": NotStarted, "began": Started, "broken": Interrupted, "finished": Completed}
 		for _, a := range d.CmdArgs {
 			switch a.Key {
 			case "claim":
 				l.Claim = claims[a.Vals[0]]
 			case "stop":
-				l.Stop = a.Vals[0]
+				l.StopReason = a.Vals[0]
 			case "attempts":
 				for i, v := range a.Vals {
 					s, ok := states[v]
@@ -34,19 +34,19 @@
 			}
 		}
 		m := l.Next(f)
-		out := []string{map[Do]string{Wait: "wait", Ask: "ask", Assign: "assign", End: "end"}[m.Do]}
+		out := []string{map[Action]string{Wait: "wait", RequestClaim: "ask", Assign: "assign", Finish: "end"}[m.Action]}
 		for _, s := range []string{string(m.Outcome), m.Reason} {
 			if s != "" {
 				out = append(out, s)
 			}
 		}
-		if m.Cancel != "" {
-			out = append(out, "cancel="+m.Cancel)
+		if m.CancelAttempt != "" {
+			out = append(out, "cancel="+m.CancelAttempt)
 		}
-		if m.Release {
+		if m.ReleaseClaim {
 			out = append(out, "release")
 		}
-		if m.Retry {
+		if m.SpendsRetry {
 			out = append(out, "retry")
 		}
 		return strings.Join(out, " ") + "\n"
@@ -57,34 +57,34 @@
 // a once-only ticket and one whose answer has begun are assigned again only when
 // every attempt provably never began, and refused only then as well.
 func TestNoSecondRun(t *testing.T) {
-	states := []State{0, Sent, NeverBegan, Began, Broken, Finished}
+	states := []State{0, Sent, NotStarted, Started, Interrupted, Completed}
 	n := 0
 	for _, a := range states {
 		for _, b := range states {
-			for c := Missing; c <= Doubtful; c++ {
+			for c := ClaimNotRequested; c <= ClaimUnknown; c++ {
 				for bits := 0; bits < 32; bits++ {
-					l := Ledger{Once: bits&1 != 0, Out: bits&2 != 0, Claim: c}
+					l := History{OnceOnly: bits&1 != 0, ResponseStarted: bits&2 != 0, Claim: c}
 					if bits&4 != 0 {
-						l.Stop = "stop"
+						l.StopReason = "stop"
 					}
 					for i, s := range []State{a, b} {
 						if s != 0 {
 							l.Attempts = append(l.Attempts, Attempt{ID: fmt.Sprint(i), State: s})
 						}
 					}
-					m := l.Next(Facts{Time: bits&8 != 0, Budget: bits&16 != 0})
+					m := l.Next(Conditions{TimeLeft: bits&8 != 0, RetryAllowed: bits&16 != 0})
 					mayHaveRun := false
 					for _, x := range l.Attempts {
-						mayHaveRun = mayHaveRun || x.State != NeverBegan
+						mayHaveRun = mayHaveRun || x.State != NotStarted
 					}
 					n++
-					if m.Do == Assign && mayHaveRun && (l.Once || l.Out) {
+					if m.Action == Assign && mayHaveRun && (l.OnceOnly || l.ResponseStarted) {
 						t.Fatalf("second run: %+v -> %+v", l, m)
 					}
-					if m.Do == Assign && l.Once && l.Claim != Held && !mayHaveRun {
+					if m.Action == Assign && l.OnceOnly && l.Claim != ClaimGranted && !mayHaveRun {
 						t.Fatalf("run without a claim: %+v -> %+v", l, m)
 					}
-					if m.Outcome == Refused && mayHaveRun {
+					if m.Outcome == Rejected && mayHaveRun {
 						t.Fatalf("refused what may have run: %+v -> %+v", l, m)
 					}
 				}
@@ -97,12 +97,12 @@
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	b := Budget{Permille: 100}
+	b := RetryBudget{Permille: 100}
 	spent := 0
 	for i := 0; i < 1000; i++ {
-		b.Earn()
-		for b.Has() {
-			b.Spend()
+		b.CountRequest()
+		for b.Allows() {
+			b.CountRetry()
 			spent++
 		}
 	}
--- a/attempt/passage_test.go
+++ b/attempt/passage_test.go
@@ -7,8 +7,8 @@
 )
 
 // kinds of attempt lines that a passage may hold.
-var lines = []Attempt{{State: Sent}, {State: NeverBegan, Cause: "skipped"}, {State: NeverBegan, Cause: Unreachable}, {State: Began},
-	{State: Broken, Cause: "engine-lost"}, {State: Finished}}
+var lines = []Attempt{{State: Sent}, {State: NotStarted, Cause: "skipped"}, {State: NotStarted, Cause: Unreachable}, {State: Started},
+	{State: Interrupted, Cause: "engine-lost"}, {State: Completed}}
 
 // each calls f with every ledger of up to most attempts, of which only the last one may
 // be under way or finished.
@@ -16,7 +16,7 @@
 	var walk func(l []Attempt)
 	walk = func(l []Attempt) {
 		f(l)
-		if n := len(l); n == most || n > 0 && l[n-1].State != NeverBegan && l[n-1].State != Broken {
+		if n := len(l); n == most || n > 0 && l[n-1].State != NotStarted && l[n-1].State != Interrupted {
 			return
 		}
 		for _, x := range lines {
@@ -37,43 +37,43 @@
 }
 
 // want is the move table, told anew from what callers and engines may be promised.
-func want(p Passage, f Facts) (d PassDo, retry bool, cancel string) {
+func want(p Forward, f Conditions) (d ForwardAction, retry bool, cancel string) {
 	reached := 0 // engines that may have seen it
 	for _, a := range p.Attempts {
-		if a.State != NeverBegan || a.Cause == "skipped" {
+		if a.State != NotStarted || a.Cause == "skipped" {
 			reached++
 		}
 	}
 	live := has(p.Attempts, Sent)
 	if live == nil {
-		live = has(p.Attempts, Began)
+		live = has(p.Attempts, Started)
 	}
-	lost := has(p.Attempts, Broken) != nil
+	lost := has(p.Attempts, Interrupted) != nil
 	switch {
 	case p.Ended:
-		return PassWait, false, ""
-	case has(p.Attempts, Finished) != nil:
-		return PassDone, false, ""
-	case live != nil && p.Stop == "":
-		return PassWait, false, ""
-	case live != nil && p.Out:
-		return PassCut, false, live.ID
+		return ForwardWait, false, ""
+	case has(p.Attempts, Completed) != nil:
+		return ForwardDone, false, ""
+	case live != nil && p.StopReason == "":
+		return ForwardWait, false, ""
+	case live != nil && p.HeadSent:
+		return ForwardAbort, false, live.ID
 	case live != nil:
-		return PassLost, false, live.ID
+		return ForwardLost, false, live.ID
 	}
-	may := p.Stop == "" && f.Time && reached < p.Most && (reached == 0 || f.Budget)
+	may := p.StopReason == "" && f.TimeLeft && reached < p.MaxEngines && (reached == 0 || f.RetryAllowed)
 	if lost {
-		may = may && (!p.Out && p.Again || p.Out && p.Resume)
+		may = may && (!p.HeadSent && p.Repeatable || p.HeadSent && p.Resumable)
 	}
 	switch {
 	case may:
-		return PassPlace, reached > 0, ""
-	case p.Out:
-		return PassCut, false, ""
+		return ForwardSend, reached > 0, ""
+	case p.HeadSent:
+		return ForwardAbort, false, ""
 	case lost:
-		return PassLost, false, ""
+		return ForwardLost, false, ""
 	}
-	return PassRefuse, false, ""
+	return ForwardReject, false, ""
 }
 
 // TestPassageMoves goes through every ledger, and judges each move by what it promises.
@@ -83,34 +83,34 @@
 	each(3, func(l []Attempt) {
 		for x := range 1 << 7 {
 			for most := 1; most <= 3; most++ {
-				p := Passage{Again: bits(x, 0), Resume: bits(x, 1), Out: bits(x, 2), Ended: bits(x, 3), Most: most, Attempts: l}
+				p := Forward{Repeatable: bits(x, 0), Resumable: bits(x, 1), HeadSent: bits(x, 2), Ended: bits(x, 3), MaxEngines: most, Attempts: l}
 				if bits(x, 4) {
-					p.Stop = "caller-gone"
+					p.StopReason = "caller-gone"
 				}
-				f := Facts{Time: bits(x, 5), Budget: bits(x, 6)}
+				f := Conditions{TimeLeft: bits(x, 5), RetryAllowed: bits(x, 6)}
 				m := p.Next(f)
 				n++
-				ran := has(l, Sent) != nil || has(l, Began) != nil || has(l, Broken) != nil || has(l, Finished) != nil
+				ran := has(l, Sent) != nil || has(l, Started) != nil || has(l, Interrupted) != nil || has(l, Completed) != nil
 				bad := ""
 				switch {
-				case m.Do == PassPlace && ran && !p.Again && !p.Resume:
+				case m.Action == ForwardSend && ran && !p.Repeatable && !p.Resumable:
 					bad = "it may run twice"
-				case m.Do == PassPlace && (has(l, Sent) != nil || has(l, Began) != nil || has(l, Finished) != nil):
+				case m.Action == ForwardSend && (has(l, Sent) != nil || has(l, Started) != nil || has(l, Completed) != nil):
 					bad = "it is placed beside an attempt that is no loss"
-				case m.Do == PassRefuse && (ran || p.Out):
+				case m.Action == ForwardReject && (ran || p.HeadSent):
 					bad = "it is promised that it never ran"
-				case m.Do == PassLost && p.Out, m.Do == PassCut && !p.Out:
+				case m.Action == ForwardLost && p.HeadSent, m.Action == ForwardAbort && !p.HeadSent:
 					bad = "the answer is ended in the wrong way"
-				case m.Do == PassDone && has(l, Finished) == nil:
+				case m.Action == ForwardDone && has(l, Completed) == nil:
 					bad = "no attempt finished"
 				}
 				if bad != "" {
 					t.Fatalf("%s: %+v with %+v: %+v", bad, p, f, m)
 				}
-				if d, retry, cancel := want(p, f); m.Do != d || m.Retry != retry || m.Cancel != cancel {
+				if d, retry, cancel := want(p, f); m.Action != d || m.SpendsRetry != retry || m.CancelAttempt != cancel {
 					t.Fatalf("%+v with %+v: %+v, not do %d, retry %v, cancel %q", p, f, m, d, retry, cancel)
 				}
-				if (m.Do == PassRefuse || m.Do == PassLost || m.Do == PassCut) && m.Reason == "" {
+				if (m.Action == ForwardReject || m.Action == ForwardLost || m.Action == ForwardAbort) && m.Reason == "" {
 					t.Fatalf("%+v with %+v: %+v has no reason", p, f, m)
 				}
 			}
@@ -124,14 +124,14 @@
 	for _, c := range []struct {
 		from, to State
 		ok       bool
-	}{{Sent, Began, true}, {Sent, NeverBegan, true}, {Sent, Broken, true}, {Sent, Finished, true}, {Began, Broken, true}, {Began, Finished, true},
-		{Began, NeverBegan, false}, {Began, Sent, false}, {Broken, NeverBegan, false}, {Broken, Finished, false}, {NeverBegan, Began, false},
-		{NeverBegan, Broken, false}, {Finished, Broken, false}, {Finished, NeverBegan, false}} {
-		p := Passage{Attempts: []Attempt{{ID: "0", State: c.from}}}
-		if ok := p.Note("0", c.to, "x"); ok != c.ok || ok && p.Attempts[0].State != c.to || !ok && p.Attempts[0].State != c.from {
+	}{{Sent, Started, true}, {Sent, NotStarted, true}, {Sent, Interrupted, true}, {Sent, Completed, true}, {Started, Interrupted, true}, {Started, Completed, true},
+		{Started, NotStarted, false}, {Started, Sent, false}, {Interrupted, NotStarted, false}, {Interrupted, Completed, false}, {NotStarted, Started, false},
+		{NotStarted, Interrupted, false}, {Completed, Interrupted, false}, {Completed, NotStarted, false}} {
+		p := Forward{Attempts: []Attempt{{ID: "0", State: c.from}}}
+		if ok := p.Record("0", c.to, "x"); ok != c.ok || ok && p.Attempts[0].State != c.to || !ok && p.Attempts[0].State != c.from {
 			t.Errorf("from %d to %d: %v, is %d", c.from, c.to, ok, p.Attempts[0].State)
 		}
-		if p.Note("1", c.to, "x") {
+		if p.Record("1", c.to, "x") {
 			t.Error("an attempt that is not there was noted")
 		}
 	}
@@ -152,7 +152,7 @@
 func TestWindowSlides(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		rnd := rand.New(rand.NewSource(seed))
-		w := Window{Ratio: []float64{0, 0.05, 0.1, 0.3}[rnd.Intn(4)], Allow: float64(rnd.Intn(12)), SpanUS: 1_000_000 * int64(1+rnd.Intn(10))}
+		w := RetryWindow{Ratio: []float64{0, 0.05, 0.1, 0.3}[rnd.Intn(4)], Allowance: float64(rnd.Intn(12)), SpanUS: 1_000_000 * int64(1+rnd.Intn(10))}
 		now := int64(50_000_000) + rnd.Int63n(10_000_000)
 		var first, more []int64
 		for range 1500 {
@@ -165,18 +165,18 @@
 				now += rnd.Int63n(w.SpanUS/200 + 1)
 			}
 			if rnd.Intn(3) > 0 {
-				w.Earn(now)
+				w.CountRequest(now)
 				first = append(first, now)
 			}
-			for rnd.Intn(2) == 0 && w.Has(now) {
-				w.Spend(now)
+			for rnd.Intn(2) == 0 && w.Allows(now) {
+				w.CountRetry(now)
 				more = append(more, now)
 			}
 		}
 		for _, to := range more {
 			n := count(more, to, w.SpanUS)
 			f := max(count(first, to, w.SpanUS), count(first, to-w.SpanUS/2, w.SpanUS), count(first, to-w.SpanUS, w.SpanUS))
-			if most := w.Ratio*float64(f) + w.Allow; float64(n) > most {
+			if most := w.Ratio*float64(f) + w.Allowance; float64(n) > most {
 				t.Fatalf("seed %d: %d sends beyond the first in the %d us up to %d, %d requests allow %.1f", seed, n, w.SpanUS, to, f, most)
 			}
 		}
@@ -187,30 +187,30 @@
 // place lie within one span.
 func TestWindowEdge(t *testing.T) {
 	const span, step = 10_000_000, 10_000_000 / windowSteps
-	w := Window{Allow: 10, SpanUS: span}
+	w := RetryWindow{Allowance: 10, SpanUS: span}
 	at, n := int64(100*step+step-1), 0
-	for w.Has(at) {
-		w.Spend(at)
+	for w.Allows(at) {
+		w.CountRetry(at)
 		n++
 	}
 	if n != 10 {
 		t.Fatalf("%d sends fit, 10 are allowed", n)
 	}
 	for to := at; to < at+span; to += step / 10 {
-		if w.Has(to) {
+		if w.Allows(to) {
 			t.Fatalf("another send fits %d us after all ten, the span is %d us", to-at, int64(span))
 		}
 	}
-	if !w.Has(at + 2*span) {
+	if !w.Allows(at + 2*span) {
 		t.Fatal("the allowance does not come back")
 	}
 }
 
 // TestWindowEarly: a clock that has just begun forgets nothing.
 func TestWindowEarly(t *testing.T) {
-	w := Window{Allow: 1, SpanUS: 10_000_000}
-	w.Spend(1000)
-	if w.Has(2000) {
+	w := RetryWindow{Allowance: 1, SpanUS: 10_000_000}
+	w.CountRetry(1000)
+	if w.Allows(2000) {
 		t.Fatal("a send in the clock's first step is forgotten at once")
 	}
 }
--- a/hint/cue_test.go
+++ b/cacheindex/cue_test.go
@@ -1,4 +1,4 @@
-package hint
+package cacheindex
 
 import (
 	"fmt"
@@ -10,18 +10,18 @@
 )
 
 func TestChain(t *testing.T) {
-	p := strings.Repeat("x", 3*Block) + "tail"
-	a := Chain("commons", "w1", p)
+	p := strings.Repeat("x", 3*BlockBytes) + "tail"
+	a := PrefixKeys("commons", "w1", p)
 	if len(a) != 3 {
 		t.Fatalf("%d parts of three blocks and a tail", len(a))
 	}
-	if b := Chain("commons", "w1", p[:2*Block]+"other"); b[0] != a[0] || b[1] != a[1] || len(b) != 2 {
+	if b := PrefixKeys("commons", "w1", p[:2*BlockBytes]+"other"); b[0] != a[0] || b[1] != a[1] || len(b) != 2 {
 		t.Fatal("a shared prefix has other keys")
 	}
 	seen := map[Key]string{}
 	for _, x := range [][2]string{{"commons", "w1"}, {"commons", "w2"}, {"wall:a", "w1"}, {"wall:a", "w"}, {"wall:aw", "1"}} {
-		k := Chain(x[0], x[1], p)[0]
-		if o := seen[k]; o != "" || k.Check != Salt(x[0], x[1]) {
+		k := PrefixKeys(x[0], x[1], p)[0]
+		if o := seen[k]; o != "" || k.Check != DomainCheck(x[0], x[1]) {
 			t.Fatalf("%v has the key of %s", x, o)
 		}
 		seen[k] = fmt.Sprint(x)
@@ -49,7 +49,7 @@
 			t.Fatalf("%v was found as %v", o, k)
 		}
 	}
-	if tb.Drop(k, 1) || !tb.Drop(k, 1000) {
+	if tb.Remove(k, 1) || !tb.Remove(k, 1000) {
 		t.Fatal("a drop must name the hinted holder")
 	}
 	set := NewTable(4)
@@ -89,7 +89,7 @@
 	for j := 0; j < 60_000; j++ {
 		i := 1 + rng.Intn(600)
 		if rng.Intn(3) == 0 {
-			tb.Drop(key(i), 0)
+			tb.Remove(key(i), 0)
 		} else {
 			tb.Put(key(i), uint64(i+1000*rng.Intn(50)))
 		}
@@ -112,26 +112,26 @@
 		switch c.Cmd {
 		case "new":
 			d = NewDirectory(5, 100)
-			d.Know(1, Place{Site: "north"})
-			d.Know(2, Place{Site: "north"})
-			d.Know(3, Place{Site: "east"})
-			d.Know(9, Place{Site: "north", Store: true})
+			d.SetLocation(1, Location{Zone: "north"})
+			d.SetLocation(2, Location{Zone: "north"})
+			d.SetLocation(3, Location{Zone: "east"})
+			d.SetLocation(9, Location{Zone: "north", Store: true})
 			for _, s := range []string{"north", "east", "west"} {
-				next[s] = d.Box(s).Since(0, 0, 10).Next
-				d.PushBox(s)
+				next[s] = d.ZoneLog(s).Since(0, 0, 10).Next
+				d.PrefetchLog(s)
 			}
 		case "load", "drop":
-			op := map[string]Op{"load": Load, "drop": Drop}[c.Cmd]
-			d.Apply(News{key(1), ids[c.CmdArgs[0].Key], op})
+			op := map[string]UpdateOp{"load": OpAdd, "drop": OpRemove}[c.Cmd]
+			d.Apply(Update{key(1), ids[c.CmdArgs[0].Key], op})
 		}
 		var out []string
 		for _, s := range []string{"north", "east", "west"} {
-			b := d.Box(s).Since(5, next[s], 10)
+			b := d.ZoneLog(s).Since(5, next[s], 10)
 			next[s] = b.Next
-			for _, n := range b.News {
+			for _, n := range b.Updates {
 				for name, id := range ids {
 					if id == n.Node {
-						out = append(out, fmt.Sprintf("%s: %s %s", s, map[Op]string{Load: "load", Drop: "drop"}[n.Op], name))
+						out = append(out, fmt.Sprintf("%s: %s %s", s, map[UpdateOp]string{OpAdd: "load", OpRemove: "drop"}[n.Op], name))
 					}
 				}
 			}
@@ -146,26 +146,26 @@
 // TestOutbox: a follower that keeps up gets every piece once, one that fell
 // behind or followed another life starts anew.
 func TestOutbox(t *testing.T) {
-	full := []News{{key(77), 1, Load}}
-	o := NewOutbox(3, 10, func() []News { return full })
+	full := []Update{{key(77), 1, OpAdd}}
+	o := NewUpdateLog(3, 10, func() []Update { return full })
 	b := o.Since(0, 0, 5)
-	if !b.Reset || len(b.News) != 1 {
+	if !b.Reset || len(b.Updates) != 1 {
 		t.Fatalf("a new follower got %+v", b)
 	}
 	got := 0
 	for i := 1; i <= 50; i++ {
-		o.Add(News{key(i), 1, Load})
+		o.Append(Update{key(i), 1, OpAdd})
 		n := o.Since(3, b.Next, 5)
 		if n.Reset {
 			t.Fatal("a follower that keeps up was reset")
 		}
-		got, b = got+len(n.News), n
+		got, b = got+len(n.Updates), n
 	}
 	if got != 50 {
 		t.Fatalf("%d of 50", got)
 	}
 	for i := 0; i < 40; i++ {
-		o.Add(News{key(i), 2, Load})
+		o.Append(Update{key(i), 2, OpAdd})
 	}
 	if x := o.Since(3, b.Next, 5); !x.Reset {
 		t.Fatal("a follower far behind was not reset")
@@ -177,30 +177,30 @@
 
 // TestGrades: a link that fails is left at once, probed sparingly, and comes back.
 func TestGrades(t *testing.T) {
-	g := NewGrades()
+	g := NewTransferScores()
 	now := int64(0)
-	if !Usable(g.Worth(now, 1)) {
+	if !UsableScore(g.Score(now, 1)) {
 		t.Fatal("an unknown link must be tried")
 	}
-	g.Learn(now, 1, false)
-	g.Learn(now, 1, false)
-	if Usable(g.Worth(now, 1)) {
+	g.Record(now, 1, false)
+	g.Record(now, 1, false)
+	if UsableScore(g.Score(now, 1)) {
 		t.Fatal("two failures in a row and still used")
 	}
 	probes := 0
 	for ; now < 120_000_000; now += 100_000 {
-		if Usable(g.Worth(now, 1)) {
+		if UsableScore(g.Score(now, 1)) {
 			probes++
-			g.Learn(now, 1, false)
+			g.Record(now, 1, false)
 		}
 	}
 	if probes < 3 || probes > 10 {
 		t.Fatalf("%d probes in two minutes", probes)
 	}
 	for i := 0; i < 4; i++ {
-		g.Learn(now, 1, true)
+		g.Record(now, 1, true)
 	}
-	if !Usable(g.Worth(now, 1)) {
+	if !UsableScore(g.Score(now, 1)) {
 		t.Fatal("a mended link stays unused")
 	}
 }
--- a/hint/key.go
+++ b/cacheindex/key.go
@@ -2,7 +2,7 @@
 // node a table of fixed entries that names, for a part of a prompt, the nearest
 // engine or store known to keep it (design §7; docs/paper.md says what comes
 // from the paper and what changed).
-package hint
+package cacheindex
 
 import (
 	"crypto/sha256"
@@ -21,17 +21,17 @@
 
 // Block is how many bytes of prompt one part adds; MaxParts bounds a chain.
 const (
-	Block    = 1024
-	MaxParts = 64
+	BlockBytes = 1024
+	MaxBlocks  = 64
 )
 
 // Salt hashes what must never be mixed: the domain and the weights' version.
-func Salt(domain, weights string) uint32 {
-	s := salted(domain, weights)
+func DomainCheck(domain, weights string) uint32 {
+	s := domainHash(domain, weights)
 	return binary.LittleEndian.Uint32(s[24:])
 }
 
-func salted(domain, weights string) [32]byte {
+func domainHash(domain, weights string) [32]byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(domain)))
 	b = append(b, domain...)
 	b = append(b, weights...)
@@ -39,14 +39,14 @@
 }
 
 // Chain lists the keys of a prompt's whole blocks, shortest prefix first.
-func Chain(domain, weights, prompt string) []Key {
-	h := salted(domain, weights)
+func PrefixKeys(domain, weights, prompt string) []Key {
+	h := domainHash(domain, weights)
 	check := binary.LittleEndian.Uint32(h[24:])
 	var ks []Key
-	buf := make([]byte, 0, 32+Block)
-	for o := 0; o+Block <= len(prompt) && len(ks) < MaxParts; o += Block {
+	buf := make([]byte, 0, 32+BlockBytes)
+	for o := 0; o+BlockBytes <= len(prompt) && len(ks) < MaxBlocks; o += BlockBytes {
 		buf = append(buf[:0], h[:]...)
-		buf = append(buf, prompt[o:o+Block]...)
+		buf = append(buf, prompt[o:o+BlockBytes]...)
 		h = sha256.Sum256(buf)
 		ks = append(ks, Key{binary.LittleEndian.Uint64(h[:]), binary.LittleEndian.Uint64(h[8:]), check})
 	}
--- a/useragent/useragent.go
+++ b/client/useragent.go
@@ -1,7 +1,7 @@
 // Package useragent is the Go client for callers. All of it but this file is
 // generated from schema/caller.yaml by scripts/schema; docs/caller-api.md tells what
 // the calls mean.
-package useragent
+package client
 
 import (
 	"context"
--- a/useragent/useragent_test.go
+++ b/client/useragent_test.go
@@ -1,4 +1,4 @@
-package useragent
+package client
 
 import (
 	"reflect"
@@ -30,7 +30,7 @@
 		}
 		return norm
 	}
-	for _, c := range [][2]any{{Ticket{}, callerapi.Ticket{}}, {Frame{}, callerapi.Frame{}}, {Era{}, callerapi.Era{}}} {
+	for _, c := range [][2]any{{Ticket{}, callerapi.Request{}}, {Frame{}, callerapi.Frame{}}, {Era{}, callerapi.Generation{}}} {
 		if a, b := names(c[0]), names(c[1]); !reflect.DeepEqual(a, b) {
 			t.Errorf("%T: the schema says %v, the proxy %v", c[0], a, b)
 		}
--- a/cmd/compliance/main.go
+++ b/cmd/compliance/main.go
@@ -13,11 +13,11 @@
 	"github.com/gravitational/trace"
 	"github.com/integrii/flaggy"
 
-	"violetthread/compliance"
 	"violetthread/internal/app/control"
 	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/plan"
+	"violetthread/plancheck"
 )
 
 // Exit codes: 0 no findings, 1 findings, 2 could not check.
@@ -76,7 +76,7 @@
 	return trace.Wrap(last, "no registrar answered; give --at the HTTP side of one that runs")
 }
 
-func (g gatherer) check(file string, offline bool, without string) ([]compliance.Finding, error) {
+func (g gatherer) check(file string, offline bool, without string) ([]plancheck.Finding, error) {
 	var raw []byte
 	var now json.RawMessage
 	var err error
@@ -97,9 +97,9 @@
 		raw = now
 	}
 	p, bad := plan.Parse(raw)
-	fs := []compliance.Finding{}
+	fs := []plancheck.Finding{}
 	for _, f := range bad {
-		fs = append(fs, compliance.Finding{Weight: "error", Path: f.Path, Text: f.Text, Remedy: f.Remedy})
+		fs = append(fs, plancheck.Finding{Severity: "error", Path: f.Path, Text: f.Text, Remedy: f.Remedy})
 	}
 	if len(bad) > 0 || offline {
 		return fs, nil
@@ -111,20 +111,20 @@
 	if len(now) > 0 {
 		var o plan.Plan
 		if json.Unmarshal(now, &o) == nil {
-			f.Now = &o
+			f.Current = &o
 		}
 	}
-	f.Without = without
-	return append(fs, compliance.Check(p, f)...), nil
+	f.WithoutVoter = without
+	return append(fs, plancheck.Check(p, f)...), nil
 }
 
-func (g gatherer) fleet(p *plan.Plan) (f compliance.Fleet, err error) {
+func (g gatherer) fleet(p *plan.Plan) (f plancheck.Fleet, err error) {
 	f.Up, f.BackEnds = map[string]bool{}, map[string]bool{}
 	var fl control.FleetStatus
 	if err := g.ask("/v1/fleet", &fl); err != nil {
 		return f, err
 	}
-	f.Firm = fl.ChangeAllowed
+	f.VotersRecovered = fl.ChangeAllowed
 	for _, v := range fl.Voters {
 		f.Voters = append(f.Voters, v.Name)
 		f.Up[v.Name] = listens(v.Addr)
@@ -150,7 +150,7 @@
 	if g.platform == "" {
 		return f, trace.BadParameter("give --platform the IP:port of the platform's list")
 	}
-	var l engineapi.Listing
+	var l engineapi.EngineList
 	if err := g.c.Get(context.Background(), g.platform, "/v1/engines", patience, &l); err != nil {
 		return f, trace.Wrap(err, "the platform did not answer; check --platform")
 	}
@@ -159,10 +159,10 @@
 			continue
 		}
 		o, ok := own[e.Name]
-		f.Engines = append(f.Engines, compliance.Engine{Name: e.Name, Site: e.Site, Weights: o.Weights, Leaving: e.Leaving, Owned: ok, Room: o.Room})
+		f.Engines = append(f.Engines, plancheck.Engine{Name: e.Name, Zone: e.Zone, Weights: o.Weights, Leaving: e.Leaving, Owned: ok, Capacity: o.Room})
 	}
-	for _, e := range p.Entries {
-		f.BackEnds[e.To] = listens(e.To)
+	for _, e := range p.Routes {
+		f.BackEnds[e.Backend] = listens(e.Backend)
 	}
 	return f, nil
 }
--- a/cmd/dealer/main.go
+++ b/cmd/dealer/main.go
@@ -112,7 +112,7 @@
 		err = t.roster()
 	case digest.Used:
 		s, _ := bufio.NewReader(os.Stdin).ReadString('\n')
-		fmt.Println(plan.Digest(strings.TrimRight(s, "\r\n")))
+		fmt.Println(plan.KeyDigest(strings.TrimRight(s, "\r\n")))
 	case replay.Used:
 		err = t.replay()
 	case wait.Used:
--- a/cmd/dealer/views.go
+++ b/cmd/dealer/views.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		b, err := t.ask(n.HTTP, "/v1/engines")
-		var es []index.Engine
+		var es []index.EngineStatus
 		if err == nil {
 			err = json.Unmarshal(b, &es)
 		}
@@ -65,13 +65,13 @@
 		}
 		for _, e := range es {
 			bad := 0
-			for _, w := range e.HandOver {
+			for _, w := range e.TransferScores {
 				if w < 450 {
 					bad++
 				}
 			}
-			rows = append(rows, row{"engine": e.Name, "site": e.Site, "owner": n.Name, "epoch": e.Epoch, "weights": e.Weights, "room": e.Room, "running": e.Running,
-				"queue": e.Queue, "kept": e.Kept, "leaving": e.Leaving, "store": e.Store, "report_age_us": e.ReportAge, "links": fmt.Sprintf("%d learnt, %d unused", len(e.HandOver), bad)})
+			rows = append(rows, row{"engine": e.Name, "site": e.Zone, "owner": n.Name, "epoch": e.FencingToken, "weights": e.Weights, "room": e.Capacity, "running": e.Running,
+				"queue": e.QueueLength, "kept": e.Holdings, "leaving": e.Leaving, "store": e.Store, "report_age_us": e.ReportAge, "links": fmt.Sprintf("%d learnt, %d unused", len(e.TransferScores), bad)})
 		}
 	}
 	slices.SortFunc(rows, func(a, b row) int { return strings.Compare(fmt.Sprint(a["engine"]), fmt.Sprint(b["engine"])) })
@@ -87,7 +87,7 @@
 	for i := 0; i < index.Shards; i++ {
 		r := row{"shard": i, "owner": "nobody"}
 		for _, n := range f.Nodes {
-			if slices.Contains(n.SingletonRoles, index.ShardDuty(i)) {
+			if slices.Contains(n.SingletonRoles, index.ShardRole(i)) {
 				r["owner"], r["site"] = n.Name, n.Zone
 			}
 		}
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -2,99 +2,99 @@
 
 import (
 	"violetthread/attempt"
-	"violetthread/hint"
+	"violetthread/cacheindex"
 )
 
 // Order is an engine as its owner lets this proxy use it.
-type Order struct {
-	Engine  string         `json:"Engine"`
-	Addr    string         `json:"Addr"`
-	Site    string         `json:"Site"`
-	Weights string         `json:"Weights"`
-	Store   bool           `json:"Store"`
-	ID      uint64         `json:"ID"`
-	Epoch   uint64         `json:"Epoch"`
-	Room    int            `json:"Room"`
-	Queue   int            `json:"Queue"`
-	SlowUS  int64          `json:"SlowUS"`
-	Age     int64          `json:"Age"`
-	Grades  map[uint64]int `json:"Grades"`
+type EngineGrant struct {
+	Engine         string         `json:"Engine"`
+	Addr           string         `json:"Addr"`
+	Zone           string         `json:"Site"`
+	Weights        string         `json:"Weights"`
+	Store          bool           `json:"Store"`
+	NodeID         uint64         `json:"ID"`
+	FencingToken   uint64         `json:"Epoch"`
+	Capacity       int            `json:"Room"`
+	QueueLength    int            `json:"Queue"`
+	SlowUS         int64          `json:"SlowUS"`
+	Age            int64          `json:"Age"`
+	TransferScores map[uint64]int `json:"Grades"`
 }
 
-type lane struct {
-	Order
-	at      int64 // when the order was known good
-	active  int
-	problem int   // in a row
-	until   int64 // rests until then
+type engineState struct {
+	EngineGrant
+	confirmedAt   int64 // when the order was known good
+	active        int
+	failuresInRow int   // in a row
+	pausedUntil   int64 // rests until then
 }
 
 // Import is an order to take a part from a peer.
-type Import struct {
-	Attempt, Engine string
-	Peer            uint64
-	Total           int // parts of the whole prompt
-	Parts           []hint.Key
+type Transfer struct {
+	AttemptID, Engine string
+	FromNode          uint64
+	TotalBlocks       int // parts of the whole prompt
+	Blocks            []cacheindex.Key
 }
 
 // Seen is how an engine's attempts went since last told.
-type Seen struct {
-	Problems, Dones int
-	FirstUS         int64
+type Outcomes struct {
+	Failures, Successes int
+	StartUS             int64
 }
 
 // Orders takes in the standing orders of the engines that one custodian owns.
-func (d *Desk) Orders(now int64, os []Order) []Act {
+func (d *Dispatcher) ApplyGrants(now int64, os []EngineGrant) []Action {
 	for _, o := range os {
-		l := d.lanes[o.Engine]
+		l := d.engines[o.Engine]
 		if l == nil {
-			l = &lane{}
-			d.lanes[o.Engine] = l
+			l = &engineState{}
+			d.engines[o.Engine] = l
 		}
-		if o.Epoch < l.Epoch {
+		if o.FencingToken < l.FencingToken {
 			continue // a former owner's; words of one owner come in order
 		}
-		if l.ID != o.ID {
-			delete(d.byNode, l.ID)
-			l.problem, l.until = 0, 0
+		if l.NodeID != o.NodeID {
+			delete(d.engineByNode, l.NodeID)
+			l.failuresInRow, l.pausedUntil = 0, 0
 		}
-		l.Order, l.at = o, now-o.Age
-		d.byNode[o.ID] = l
+		l.EngineGrant, l.confirmedAt = o, now-o.Age
+		d.engineByNode[o.NodeID] = l
 	}
-	return d.pump(now)
+	return d.fillCapacity(now)
 }
 
 // sweep drops engines that are long unheard of.
-func (d *Desk) sweep(now int64) {
-	for n, l := range d.lanes {
-		if now-l.at > 60_000_000 && l.active == 0 {
-			delete(d.lanes, n)
-			delete(d.byNode, l.ID)
+func (d *Dispatcher) dropStaleEngines(now int64) {
+	for n, l := range d.engines {
+		if now-l.confirmedAt > 60_000_000 && l.active == 0 {
+			delete(d.engines, n)
+			delete(d.engineByNode, l.NodeID)
 		}
 	}
 }
 
 // Want tells the room this proxy asks for, by group, and what it uses.
-func (d *Desk) Want() (want map[string]int, active int) {
-	for _, l := range d.lanes {
+func (d *Dispatcher) Demand() (want map[string]int, active int) {
+	for _, l := range d.engines {
 		active += l.active
 	}
-	return d.q.Wants(), active
+	return d.queue.DemandByGroup(), active
 }
 
 // Report hands over what owners should learn, and forgets it.
-func (d *Desk) Report() ([]Import, map[string]*Seen) {
-	i, s := d.imports, d.seen
-	d.imports, d.seen = nil, map[string]*Seen{}
+func (d *Dispatcher) TakeReport() ([]Transfer, map[string]*Outcomes) {
+	i, s := d.transfers, d.outcomes
+	d.transfers, d.outcomes = nil, map[string]*Outcomes{}
 	return i, s
 }
 
 // Room is what this proxy may use in all, at this moment.
-func (d *Desk) Room(now int64) int {
+func (d *Dispatcher) Capacity(now int64) int {
 	n := 0
-	for _, l := range d.lanes {
-		if !l.Store && now-l.at <= OrderLimit {
-			n += l.Room
+	for _, l := range d.engines {
+		if !l.Store && now-l.confirmedAt <= MaxGrantAge {
+			n += l.Capacity
 		}
 	}
 	return n
@@ -102,15 +102,15 @@
 
 // lasts is the room to count on: a moment's gap, such as when an engine changes
 // its owner, is no reason to refuse, and a moment's surplus none to allow.
-func (d *Desk) lasts(room int) int {
-	if d.lasting == 0 {
+func (d *Dispatcher) steadyCapacity(room int) int {
+	if d.smoothedCapacity == 0 {
 		return room
 	}
-	return max(1, int(d.lasting+0.5))
+	return max(1, int(d.smoothedCapacity+0.5))
 }
 
-func (d *Desk) cost(kind string) int64 {
-	if c := d.typical[kind]; c > 0 {
+func (d *Dispatcher) expectedRunUS(kind string) int64 {
+	if c := d.typicalRunUS[kind]; c > 0 {
 		return c
 	}
 	if c := d.plan.Kinds[kind].TypicalUS; c > 0 {
@@ -119,37 +119,37 @@
 	return 500_000
 }
 
-func (d *Desk) learn(now int64, l *lane, w *work, s attempt.State, cause string) {
-	e := d.seen[l.Engine]
+func (d *Dispatcher) recordOutcome(now int64, l *engineState, w *trackedRequest, s attempt.State, cause string) {
+	e := d.outcomes[l.Engine]
 	if e == nil {
-		e = &Seen{}
-		d.seen[l.Engine] = e
+		e = &Outcomes{}
+		d.outcomes[l.Engine] = e
 	}
 	switch s {
-	case attempt.Began:
-		e.FirstUS = now - w.began
-	case attempt.Finished:
-		l.problem = 0
-		e.Dones++
+	case attempt.Started:
+		e.StartUS = now - w.startedAt
+	case attempt.Completed:
+		l.failuresInRow = 0
+		e.Successes++
 	default:
 		if cause == "busy" {
-			l.until = now + 20_000
+			l.pausedUntil = now + 20_000
 			return
 		}
-		e.Problems++
-		l.problem = min(l.problem+1, 7)
-		most := int64(restMost)
+		e.Failures++
+		l.failuresInRow = min(l.failuresInRow+1, 7)
+		most := int64(maxPause)
 		if cause == "unreachable" {
-			most = restFar
+			most = maxPauseUnreachable
 		}
-		l.until = now + min(int64(50_000)<<l.problem, most)
+		l.pausedUntil = now + min(int64(50_000)<<l.failuresInRow, most)
 	}
 }
 
 // OrderAge is how old the order for an engine is, for operators and judges.
-func (d *Desk) OrderAge(now int64, engine string) int64 {
-	if l := d.lanes[engine]; l != nil {
-		return now - l.at
+func (d *Dispatcher) GrantAge(now int64, engine string) int64 {
+	if l := d.engines[engine]; l != nil {
+		return now - l.confirmedAt
 	}
 	return 1 << 50
 }
--- a/fairqueue/queue_test.go
+++ b/fairqueue/queue_test.go
@@ -34,11 +34,11 @@
 			q = NewQueue()
 			return "ok\n"
 		case "share":
-			q.Share(g, float64(n))
+			q.SetShare(g, float64(n))
 			return "ok\n"
 		case "push":
 			for i := 0; i < max(n, 1); i++ {
-				q.Push(g, Item{ID: fmt.Sprintf("%s%d", g, q.Waiting(g)), Due: int64(due), Cost: int64(cost)})
+				q.Push(g, Item{ID: fmt.Sprintf("%s%d", g, q.Waiting(g)), Deadline: int64(due), Cost: int64(cost)})
 			}
 			return fmt.Sprintf("%d waiting\n", q.Len())
 		case "serve":
@@ -49,7 +49,7 @@
 				if !ok {
 					break
 				}
-				q.Take(g, it.ID)
+				q.Dequeue(g, it.ID)
 				if room == 0 {
 					q.Release(g)
 				}
@@ -66,7 +66,7 @@
 			sort.Strings(out)
 			return strings.Join(out, " ") + "\n"
 		case "ahead":
-			return fmt.Sprintln(q.Ahead(g, int64(due), room))
+			return fmt.Sprintln(q.EstimateWait(g, int64(due), room))
 		}
 		return "unknown command\n"
 	})
--- a/fairqueue/split.go
+++ b/fairqueue/split.go
@@ -8,8 +8,8 @@
 // Demand is what one proxy reports to an engine's owner: for each group, what
 // waits and runs there, of late.
 type Demand struct {
-	Proxy string
-	Want  map[string]float64
+	Proxy   string
+	ByGroup map[string]float64
 }
 
 // Split shares an engine's room between proxies. First the groups of all proxies
@@ -24,7 +24,7 @@
 	}
 	l := append([]Demand(nil), ds...)
 	sort.Slice(l, func(i, j int) bool { return l[i].Proxy < l[j].Proxy })
-	part := parts(float64(room), share, float64(max(1, engines)), l)
+	part := fairShares(float64(room), share, float64(max(1, engines)), l)
 	left, sum := room, 0.0
 	if room >= len(l) {
 		left -= len(l)
@@ -67,10 +67,10 @@
 
 // parts fills the groups up by share, none above its demand, and gives each
 // proxy what falls to its part of every group's demand.
-func parts(room float64, share map[string]float64, engines float64, l []Demand) []float64 {
+func fairShares(room float64, share map[string]float64, engines float64, l []Demand) []float64 {
 	want := map[string]float64{}
 	for _, d := range l {
-		for g, n := range d.Want {
+		for g, n := range d.ByGroup {
 			want[g] += n
 		}
 	}
@@ -113,7 +113,7 @@
 	part := make([]float64, len(l))
 	for i, d := range l {
 		for _, g := range gs {
-			if n := d.Want[g]; n > 0 {
+			if n := d.ByGroup[g]; n > 0 {
 				part[i] += got[g] * n / want[g]
 			}
 		}
--- a/index/duties_test.go
+++ b/index/duties_test.go
@@ -8,13 +8,13 @@
 )
 
 // fleetOf makes a keeper that knows so many engines, named e0 and on.
-func fleetOf(name string, engines int) *Keeper {
+func fleetOf(name string, engines int) *Node {
 	k := New(name, "north", 1)
-	var list []Listed
+	var list []ListedEngine
 	for i := range engines {
-		list = append(list, Listed{Name: fmt.Sprint("e", i), Addr: fmt.Sprint("e", i), Site: "north"})
+		list = append(list, ListedEngine{Name: fmt.Sprint("e", i), Addr: fmt.Sprint("e", i), Zone: "north"})
 	}
-	k.Listing(1, list)
+	k.SetListing(1, list)
 	return k
 }
 
@@ -22,41 +22,41 @@
 // goes to a node that reaches it, and stays there, though that one has more than its part.
 func TestPlacementMovesWhatItsOwnerCannotServe(t *testing.T) {
 	k := fleetOf("a", 4)
-	a := Custodian{Name: "a", Duties: []string{EngineDuty("e0"), EngineDuty("e1")}, Reach: Reach{Silent: []string{"e0"}}}
-	b := Custodian{Name: "b", Duties: []string{EngineDuty("e2"), EngineDuty("e3")}}
+	a := Peer{Name: "a", Roles: []string{EngineRole("e0"), EngineRole("e1")}, Reachability: Reachability{Silent: []string{"e0"}}}
+	b := Peer{Name: "b", Roles: []string{EngineRole("e2"), EngineRole("e3")}}
 
-	k.Peers([]Custodian{a, b})
-	if at := k.Placement()[EngineDuty("e0")]; at != "a" {
+	k.SetPeers([]Peer{a, b})
+	if at := k.Placement()[EngineRole("e0")]; at != "a" {
 		t.Fatalf("e0 went to %s, which never showed that it reaches it", at)
 	}
 	b.Reached = []string{"e0"}
-	k.Peers([]Custodian{a, b})
-	if at := k.Placement()[EngineDuty("e0")]; at != "b" {
+	k.SetPeers([]Peer{a, b})
+	if at := k.Placement()[EngineRole("e0")]; at != "b" {
 		t.Fatalf("e0 stayed at %s, which can't serve it", at)
 	}
-	a.Duties = a.Duties[1:]
-	k.Peers([]Custodian{a, b})
-	if at := k.Placement()[EngineDuty("e0")]; at != "b" {
+	a.Roles = a.Roles[1:]
+	k.SetPeers([]Peer{a, b})
+	if at := k.Placement()[EngineRole("e0")]; at != "b" {
 		t.Fatalf("e0 goes to %s between its owners", at)
 	}
-	b.Duties, b.Reached = append(b.Duties, EngineDuty("e0")), nil
-	k.Peers([]Custodian{a, b})
-	if at := k.Placement()[EngineDuty("e0")]; at != "b" {
+	b.Roles, b.Reached = append(b.Roles, EngineRole("e0")), nil
+	k.SetPeers([]Peer{a, b})
+	if at := k.Placement()[EngineRole("e0")]; at != "b" {
 		t.Fatalf("e0 goes back to %s", at)
 	}
-	a.Duties, a.Silent = nil, []string{"e0", "e1", "e2", "e3"}
-	b.Duties = []string{EngineDuty("e0"), EngineDuty("e1"), EngineDuty("e2"), EngineDuty("e3")}
-	k.Peers([]Custodian{a, b})
+	a.Roles, a.Silent = nil, []string{"e0", "e1", "e2", "e3"}
+	b.Roles = []string{EngineRole("e0"), EngineRole("e1"), EngineRole("e2"), EngineRole("e3")}
+	k.SetPeers([]Peer{a, b})
 	for d, at := range k.Placement() {
-		if strings.HasPrefix(d, engineDutyPrefix) && at != "b" {
+		if strings.HasPrefix(d, engineRolePrefix) && at != "b" {
 			t.Fatalf("%s goes to %s, which reaches none", d, at)
 		}
 	}
 	a.Silent = nil
-	k.Peers([]Custodian{a, b})
+	k.SetPeers([]Peer{a, b})
 	moved := 0
 	for d, at := range k.Placement() {
-		if strings.HasPrefix(d, engineDutyPrefix) && at == "a" {
+		if strings.HasPrefix(d, engineRolePrefix) && at == "a" {
 			moved++
 		}
 	}
@@ -70,22 +70,22 @@
 func TestPlacementLeavesTheStaleList(t *testing.T) {
 	k := fleetOf("a", 3)
 	all := []string{"e0", "e1", "e2"}
-	a := Custodian{Name: "a", Duties: []string{EngineDuty("e0"), EngineDuty("e1"), ShardDuty(0)}, Reach: Reach{ListStale: true}}
-	b := Custodian{Name: "b", Duties: []string{EngineDuty("e2")}, Reach: Reach{Reached: all[:2]}}
-	k.Peers([]Custodian{a, b})
+	a := Peer{Name: "a", Roles: []string{EngineRole("e0"), EngineRole("e1"), ShardRole(0)}, Reachability: Reachability{ListStale: true}}
+	b := Peer{Name: "b", Roles: []string{EngineRole("e2")}, Reachability: Reachability{Reached: all[:2]}}
+	k.SetPeers([]Peer{a, b})
 	place := k.Placement()
 	for _, e := range all {
-		if place[EngineDuty(e)] != "b" {
-			t.Fatalf("%s is placed at %s", e, place[EngineDuty(e)])
+		if place[EngineRole(e)] != "b" {
+			t.Fatalf("%s is placed at %s", e, place[EngineRole(e)])
 		}
 	}
-	if place[ShardDuty(0)] != "a" {
+	if place[ShardRole(0)] != "a" {
 		t.Fatal("a shard moved, though it needs no list")
 	}
 	b.ListStale, b.Reached = true, nil
-	k.Peers([]Custodian{a, b})
+	k.SetPeers([]Peer{a, b})
 	place = k.Placement()
-	if place[EngineDuty("e0")] != "a" || place[EngineDuty("e2")] != "b" {
+	if place[EngineRole("e0")] != "a" || place[EngineRole("e2")] != "b" {
 		t.Fatalf("nobody has a list, and engines move: %v", place)
 	}
 }
@@ -94,7 +94,7 @@
 // a place.
 func TestPlacementAlike(t *testing.T) {
 	for silent := range 1 << 6 {
-		var peers []Custodian
+		var peers []Peer
 		for i, name := range []string{"a", "b", "c"} {
 			var out []string
 			for e := range 2 {
@@ -102,14 +102,14 @@
 					out = append(out, fmt.Sprint("e", e))
 				}
 			}
-			peers = append(peers, Custodian{Name: name, Reach: Reach{Silent: out}})
+			peers = append(peers, Peer{Name: name, Reachability: Reachability{Silent: out}})
 		}
 		a, b := fleetOf("a", 5), fleetOf("b", 5)
-		a.Peers(peers)
+		a.SetPeers(peers)
 		slices.Reverse(peers)
-		b.Peers(peers)
+		b.SetPeers(peers)
 		pa, pb := a.Placement(), b.Placement()
-		for _, d := range a.allDuties() {
+		for _, d := range a.allRoles() {
 			if pa[d] == "" || pa[d] != pb[d] {
 				t.Fatalf("silent %b: %s at %q and %q", silent, d, pa[d], pb[d])
 			}
@@ -118,10 +118,10 @@
 }
 
 // own gives a keeper an engine's lease at time now.
-func own(k *Keeper, now int64, engine string, epoch uint64) {
-	d := EngineDuty(engine)
-	k.duties[d] = &duty{}
-	k.Held(now, DutyAsk{Key: d}, now, true, epoch)
+func own(k *Node, now int64, engine string, epoch uint64) {
+	d := EngineRole(engine)
+	k.leases[d] = &roleLease{}
+	k.LeaseAnswered(now, LeaseOp{Key: d}, now, true, epoch)
 }
 
 // TestReach: an owned engine that falls silent is told of, and asked on after its lease
@@ -130,36 +130,36 @@
 func TestReach(t *testing.T) {
 	k := fleetOf("a", 2)
 	now := int64(10_000_000)
-	listing := func() { k.ListingStands(now) }
+	listing := func() { k.ConfirmListing(now) }
 	listing()
 	own(k, now, "e0", 1)
-	if ps := k.Polls(now); len(ps) != 1 || ps[0].Engine != "e0" || ps[0].Epoch != 1 {
+	if ps := k.Polls(now); len(ps) != 1 || ps[0].Engine != "e0" || ps[0].FencingToken != 1 {
 		t.Fatalf("polls: %+v", ps)
 	}
-	k.Reported(now, now, "e0", Report{Inc: 5})
-	if now += silentAfter; len(k.Reach(now).Silent) > 0 {
+	k.ApplyReport(now, now, "e0", Report{Incarnation: 5})
+	if now += silentAfter; len(k.Reachability(now).Silent) > 0 {
 		t.Fatal("told too early")
 	}
 	now++
-	if r := k.Reach(now); !slices.Equal(r.Silent, []string{"e0"}) || !r.ListStale {
+	if r := k.Reachability(now); !slices.Equal(r.Silent, []string{"e0"}) || !r.ListStale {
 		t.Fatalf("%+v", r)
 	}
 	listing()
-	delete(k.duties, EngineDuty("e0"))
-	k.Peers([]Custodian{{Name: "a"}, {Name: "b", Reach: Reach{Silent: []string{"e1"}}}})
+	delete(k.leases, EngineRole("e0"))
+	k.SetPeers([]Peer{{Name: "a"}, {Name: "b", Reachability: Reachability{Silent: []string{"e1"}}}})
 	ps := k.Polls(now)
-	if len(ps) != 2 || ps[0].Epoch != 0 || ps[1].Epoch != 0 || ps[0].Whole || ps[1].Whole {
+	if len(ps) != 2 || ps[0].FencingToken != 0 || ps[1].FencingToken != 0 || ps[0].NeedsHoldings || ps[1].NeedsHoldings {
 		t.Fatalf("polls: %+v", ps)
 	}
-	k.Reported(now, now, "e1", Report{Inc: 6})
-	if r := k.Reach(now); !slices.Equal(r.Reached, []string{"e1"}) || r.ListStale {
+	k.ApplyReport(now, now, "e1", Report{Incarnation: 6})
+	if r := k.Reachability(now); !slices.Equal(r.Reached, []string{"e1"}) || r.ListStale {
 		t.Fatalf("%+v", r)
 	}
 	if k.Engines(now) != nil || k.engines["e1"] != nil {
 		t.Fatal("an engine of another owner was taken in")
 	}
-	k.Reported(now, now, "e0", Report{Inc: 5})
-	k.Peers(nil)
+	k.ApplyReport(now, now, "e0", Report{Incarnation: 5})
+	k.SetPeers(nil)
 	if ps := k.Polls(now); len(ps) > 0 {
 		t.Fatalf("all answered and nobody misses them, and they are asked: %+v", ps)
 	}
--- a/index/keeper.go
+++ b/index/keeper.go
@@ -7,24 +7,24 @@
 	"slices"
 	"strings"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/plan"
 )
 
 // Times in microseconds.
 const (
-	DutyTerm  = 2_000_000
-	DutyRenew = 500_000
-	DutySlack = 250_000 // a holder stops this much before its lease ends
-	reportOld = 1_500_000
-	proxyOld  = 1_500_000
-	importOld = 60_000_000
-	planOld   = 3_000_000
-	turnBound = 13_000_000 // an engine that runs other weights still is taken out
-	turnWait  = 1_000_000  // before an engine is told again
-	waveFor   = 9_000_000  // then the last wave is told (docs/bounds.md)
-	namedMost = 16
-	longAgo   = 1 << 50
+	LeaseDuration      = 2_000_000
+	LeaseRenewInterval = 500_000
+	LeaseSafetyMargin  = 250_000 // a holder stops this much before its lease ends
+	maxReportAge       = 1_500_000
+	proxyTimeout       = 1_500_000
+	transferTimeout    = 60_000_000
+	maxRolloutPlanAge  = 3_000_000
+	weightUpdateLimit  = 13_000_000 // an engine that runs other weights still is taken out
+	weightUpdateRetry  = 1_000_000  // before an engine is told again
+	waveSpan           = 9_000_000  // then the last wave is told (docs/bounds.md)
+	maxWeightsHistory  = 16
+	longAgo            = 1 << 50
 )
 
 // Shards is how many shards the index has.
@@ -32,120 +32,120 @@
 
 // Custodian is a live index node, with the duties it said it holds and how it reaches
 // engines.
-type Custodian struct {
-	Name   string   `json:"Name"`
-	Site   string   `json:"Site"`
-	Addr   string   `json:"Addr"`
-	Duties []string `json:"Duties"`
-	Reach
+type Peer struct {
+	Name  string   `json:"Name"`
+	Zone  string   `json:"Site"`
+	Addr  string   `json:"Addr"`
+	Roles []string `json:"Duties"`
+	Reachability
 }
 
 // Listed is an engine or the store as the platform lists it.
-type Listed struct {
+type ListedEngine struct {
 	Name    string `json:"Name"`
 	Addr    string `json:"Addr"`
-	Site    string `json:"Site"`
+	Zone    string `json:"Site"`
 	Store   bool   `json:"Store"`
 	Leaving bool   `json:"Leaving"`
 }
 
 // Keeper is not safe for concurrent use.
-type Keeper struct {
-	name, site string
-	inc        uint64
-	plan       *plan.Compiled
-	planAt     int64
-	named      []naming // weights, newest last
-	peers      []Custodian
-	listing    map[string]Listed
-	listAt     int64
-	duties     map[string]*duty
-	engines    map[string]*engine
-	contacts   map[string]*contact // engines that are asked, owned or not
-	proxies    map[string]*proxy
-	dir        *hint.Directory
-	holds      map[string]*follower // feeds of what my engines hold, by asker
-	source     map[uint64]string    // holder -> custodian that told of it
-	placed     map[uint64]Place     // every holder that was told of
-	cursors    map[string]Cursor    // how far others' holds feeds were read
-	near       map[string]*site
-	turn       int
-	Counts     Counts
+type Node struct {
+	name, zone        string
+	incarnation       uint64
+	plan              *plan.Compiled
+	planConfirmedAt   int64
+	weightsHistory    []weightsNaming // weights, newest last
+	peers             []Peer
+	listed            map[string]ListedEngine
+	listedAt          int64
+	leases            map[string]*roleLease
+	engines           map[string]*engine
+	contacts          map[string]*contact // engines that are asked, owned or not
+	proxies           map[string]*proxyDemand
+	directory         *cacheindex.Directory
+	holdingsFollowers map[string]*holdingsFollower // feeds of what my engines hold, by asker
+	locationSource    map[uint64]string            // holder -> custodian that told of it
+	locations         map[uint64]HolderLocation    // every holder that was told of
+	holdingsCursors   map[string]Cursor            // how far others' holds feeds were read
+	zones             map[string]*zoneIndex
+	feedSeq           int
+	Counters          Counters
 }
 
 // Counts are for vitals.
-type Counts struct {
-	Takeovers, Freed, Resyncs, HandOK, HandBad, NewsOut, Told, Pushes uint64
+type Counters struct {
+	Takeovers, Released, Resyncs, TransfersOK, TransfersFailed, UpdatesQueued, HoldingChanges, Prefetches uint64
 }
 
 // New makes a keeper.
-func New(name, site string, inc uint64) *Keeper {
-	return &Keeper{name: name, site: site, inc: inc, listing: map[string]Listed{}, duties: map[string]*duty{},
-		engines: map[string]*engine{}, contacts: map[string]*contact{}, proxies: map[string]*proxy{}, dir: hint.NewDirectory(inc, 1<<20),
-		holds: map[string]*follower{}, source: map[uint64]string{}, cursors: map[string]Cursor{}, placed: map[uint64]Place{}}
+func New(name, site string, inc uint64) *Node {
+	return &Node{name: name, zone: site, incarnation: inc, listed: map[string]ListedEngine{}, leases: map[string]*roleLease{},
+		engines: map[string]*engine{}, contacts: map[string]*contact{}, proxies: map[string]*proxyDemand{}, directory: cacheindex.NewDirectory(inc, 1<<20),
+		holdingsFollowers: map[string]*holdingsFollower{}, locationSource: map[uint64]string{}, holdingsCursors: map[string]Cursor{}, locations: map[uint64]HolderLocation{}}
 }
 
 // Plan takes in a plan known to be in force at time at.
-func (k *Keeper) Plan(p *plan.Compiled, at int64) {
-	if p != nil && (k.plan == nil || p.Rev >= k.plan.Rev) {
+func (k *Node) ApplyPlan(p *plan.Compiled, at int64) {
+	if p != nil && (k.plan == nil || p.Revision >= k.plan.Revision) {
 		if k.plan == nil {
 			// Nobody told this node since when: engines with others are as late as
 			// can be, and get nothing until they have turned.
-			k.named = []naming{{p.Weights, at - longAgo}}
+			k.weightsHistory = []weightsNaming{{p.Weights, at - longAgo}}
 		} else if p.Weights != k.plan.Weights {
-			k.named = append(k.named, naming{p.Weights, at})
-			if len(k.named) > namedMost {
-				k.named = k.named[1:]
+			k.weightsHistory = append(k.weightsHistory, weightsNaming{p.Weights, at})
+			if len(k.weightsHistory) > maxWeightsHistory {
+				k.weightsHistory = k.weightsHistory[1:]
 			}
 		}
-		k.plan, k.planAt = p, max(k.planAt, at)
+		k.plan, k.planConfirmedAt = p, max(k.planConfirmedAt, at)
 	}
 }
 
 // PlanHeld and PlanRev are the plan in force here.
-func (k *Keeper) PlanHeld() *plan.Compiled { return k.plan }
+func (k *Node) CurrentPlan() *plan.Compiled { return k.plan }
 
 // PlanRev is its revision, 0 for none.
-func (k *Keeper) PlanRev() uint64 {
+func (k *Node) PlanRevision() uint64 {
 	if k.plan == nil {
 		return 0
 	}
-	return k.plan.Rev
+	return k.plan.Revision
 }
 
 // Peers takes in the live custodians, this one among them.
-func (k *Keeper) Peers(cs []Custodian) {
+func (k *Node) SetPeers(cs []Peer) {
 	k.peers = slices.Clone(cs)
-	slices.SortFunc(k.peers, func(a, b Custodian) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(k.peers, func(a, b Peer) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // Listing takes in the platform's list as of time at.
-func (k *Keeper) Listing(at int64, ls []Listed) {
-	if at < k.listAt {
+func (k *Node) SetListing(at int64, ls []ListedEngine) {
+	if at < k.listedAt {
 		return
 	}
-	k.listAt = at
-	k.listing = map[string]Listed{}
+	k.listedAt = at
+	k.listed = map[string]ListedEngine{}
 	for _, l := range ls {
-		k.listing[l.Name] = l
+		k.listed[l.Name] = l
 	}
 	for n, e := range k.engines {
-		l, ok := k.listing[n]
+		l, ok := k.listed[n]
 		if !ok {
-			k.forget(e)
+			k.removeAllHoldings(e)
 			delete(k.engines, n)
 			continue
 		}
-		e.Listed = l
+		e.ListedEngine = l
 	}
 }
 
 // ListingStands confirms the last list as of time at.
-func (k *Keeper) ListingStands(at int64) {
-	if k.listAt > 0 {
-		k.listAt = max(k.listAt, at)
+func (k *Node) ConfirmListing(at int64) {
+	if k.listedAt > 0 {
+		k.listedAt = max(k.listedAt, at)
 	}
 }
 
 // Directory is the index of the shards held here, for vitals.
-func (k *Keeper) Directory() *hint.Directory { return k.dir }
+func (k *Node) Directory() *cacheindex.Directory { return k.directory }
--- a/index/news.go
+++ b/index/news.go
@@ -6,67 +6,67 @@
 	"strconv"
 	"strings"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 )
 
-type follower struct {
+type holdingsFollower struct {
 	shards []uint16
-	box    *hint.Outbox
+	log    *cacheindex.UpdateLog
 }
 
-type site struct {
-	table *hint.Table
-	box   *hint.Outbox
-	from  map[string]*Cursor
+type zoneIndex struct {
+	table   *cacheindex.Table
+	log     *cacheindex.UpdateLog
+	cursors map[string]*Cursor
 }
 
 // Cursor is how far a follower has read a feed.
-type Cursor struct{ Inc, Next uint64 }
+type Cursor struct{ Incarnation, Next uint64 }
 
 // HoldsFeed answers a shard's owner that follows what engines owned here keep.
-func (k *Keeper) HoldsFeed(from string, shards []uint16, inc, since uint64) (hint.Batch, []Place) {
-	f := k.holds[from]
+func (k *Node) HoldingsFeed(from string, shards []uint16, inc, since uint64) (cacheindex.UpdateBatch, []HolderLocation) {
+	f := k.holdingsFollowers[from]
 	if f == nil || !slices.Equal(f.shards, shards) {
-		k.turn++
-		f = &follower{shards: slices.Clone(shards)}
-		f.box = hint.NewOutbox(k.inc+uint64(k.turn)<<40, 1<<14, func() []hint.News {
-			var ns []hint.News
+		k.feedSeq++
+		f = &holdingsFollower{shards: slices.Clone(shards)}
+		f.log = cacheindex.NewUpdateLog(k.incarnation+uint64(k.feedSeq)<<40, 1<<14, func() []cacheindex.Update {
+			var ns []cacheindex.Update
 			for _, e := range k.engines {
-				for p := range e.keeps {
+				for p := range e.holdings {
 					if slices.Contains(shards, uint16(p.Shard(Shards))) {
-						ns = append(ns, hint.News{Key: p, Node: e.id, Op: hint.Load})
+						ns = append(ns, cacheindex.Update{Key: p, Node: e.nodeID, Op: cacheindex.OpAdd})
 					}
 				}
 			}
 			return ns
 		})
-		k.holds[from] = f
+		k.holdingsFollowers[from] = f
 	}
-	return f.box.Since(inc, since, 4096), k.places()
+	return f.log.Since(inc, since, 4096), k.ownLocations()
 }
 
 // Place tells where a holder lies.
-type Place struct {
-	ID           uint64
-	Engine, Site string
+type HolderLocation struct {
+	NodeID       uint64
+	Engine, Zone string
 	Store        bool
 }
 
-func (k *Keeper) places() []Place {
-	var ps []Place
+func (k *Node) ownLocations() []HolderLocation {
+	var ps []HolderLocation
 	for _, e := range k.engines {
-		if e.id != 0 {
-			ps = append(ps, Place{e.id, e.Name, e.Site, e.Store})
+		if e.nodeID != 0 {
+			ps = append(ps, HolderLocation{e.nodeID, e.Name, e.Zone, e.Store})
 		}
 	}
 	return ps
 }
 
 // MyShards lists the shards held now.
-func (k *Keeper) MyShards(now int64) []uint16 {
+func (k *Node) HeldShards(now int64) []uint16 {
 	var ss []uint16
 	for i := 0; i < Shards; i++ {
-		if _, ok := k.Holds(now, ShardDuty(i)); ok {
+		if _, ok := k.HoldsLease(now, ShardRole(i)); ok {
 			ss = append(ss, uint16(i))
 		}
 	}
@@ -74,64 +74,64 @@
 }
 
 // HoldsCursor is how far another custodian's feed was read.
-func (k *Keeper) HoldsCursor(from string) Cursor { return k.cursors[from] }
+func (k *Node) HoldingsCursor(from string) Cursor { return k.holdingsCursors[from] }
 
 // NewsSent counts the news queued for followers, all feeds together.
-func (k *Keeper) NewsSent() uint64 { return k.Counts.NewsOut + k.dir.Sent() }
+func (k *Node) UpdatesSent() uint64 { return k.Counters.UpdatesQueued + k.directory.UpdatesSent() }
 
 // HoldsNews takes in what another custodian's engines keep of my shards.
-func (k *Keeper) HoldsNews(now int64, from string, b hint.Batch, ps []Place) {
+func (k *Node) ApplyHoldings(now int64, from string, b cacheindex.UpdateBatch, ps []HolderLocation) {
 	for _, p := range ps {
-		k.dir.Know(p.ID, hint.Place{Site: p.Site, Store: p.Store})
-		k.source[p.ID] = from
-		for id, o := range k.placed {
-			if o.Engine == p.Engine && id != p.ID {
-				delete(k.placed, id) // a former life
+		k.directory.SetLocation(p.NodeID, cacheindex.Location{Zone: p.Zone, Store: p.Store})
+		k.locationSource[p.NodeID] = from
+		for id, o := range k.locations {
+			if o.Engine == p.Engine && id != p.NodeID {
+				delete(k.locations, id) // a former life
 			}
 		}
-		k.placed[p.ID] = p
+		k.locations[p.NodeID] = p
 	}
 	if b.Reset {
 		told := map[uint64]bool{}
 		for _, p := range ps {
-			told[p.ID] = true
+			told[p.NodeID] = true
 		}
-		fresh := map[hint.News]bool{}
-		for _, n := range b.News {
+		fresh := map[cacheindex.Update]bool{}
+		for _, n := range b.Updates {
 			fresh[n] = true
 		}
-		k.dir.ForgetIf(func(c hint.Key, id uint64) bool {
-			return (told[id] || k.source[id] == from) && !fresh[hint.News{Key: c, Node: id, Op: hint.Load}]
+		k.directory.RemoveIf(func(c cacheindex.Key, id uint64) bool {
+			return (told[id] || k.locationSource[id] == from) && !fresh[cacheindex.Update{Key: c, Node: id, Op: cacheindex.OpAdd}]
 		})
 	}
-	k.cursors[from] = Cursor{b.Inc, b.Next}
-	for _, n := range b.News {
-		if _, ok := k.Holds(now, ShardDuty(n.Key.Shard(Shards))); ok {
-			k.dir.Apply(n)
+	k.holdingsCursors[from] = Cursor{b.Incarnation, b.Next}
+	for _, n := range b.Updates {
+		if _, ok := k.HoldsLease(now, ShardRole(n.Key.Shard(Shards))); ok {
+			k.directory.Apply(n)
 		}
 	}
 }
 
 // SiteFeed answers the custodian that serves a site's proxies.
-func (k *Keeper) SiteFeed(site string, inc, since uint64) hint.Batch {
-	return k.dir.Box(site).Since(inc, since, 4096)
+func (k *Node) ZoneFeed(site string, inc, since uint64) cacheindex.UpdateBatch {
+	return k.directory.ZoneLog(site).Since(inc, since, 4096)
 }
 
 // MySites lists the sites whose proxies this custodian brings hint news to:
 // those of its own, and those left without one.
-func (k *Keeper) MySites() []string {
+func (k *Node) ServedZones() []string {
 	has := map[string]string{}
 	for _, c := range k.peers {
-		if o := has[c.Site]; o == "" || c.Name < o {
-			has[c.Site] = c.Name
+		if o := has[c.Zone]; o == "" || c.Name < o {
+			has[c.Zone] = c.Name
 		}
 	}
-	sites := map[string]bool{k.site: true}
-	for _, l := range k.listing {
-		sites[l.Site] = true
+	sites := map[string]bool{k.zone: true}
+	for _, l := range k.listed {
+		sites[l.Zone] = true
 	}
 	for _, p := range k.proxies {
-		sites[p.site] = true
+		sites[p.zone] = true
 	}
 	var mine []string
 	for s := range sites {
@@ -139,7 +139,7 @@
 		if h == "" {
 			var bs uint64
 			for _, c := range k.peers {
-				if x := score(s, c.Name); h == "" || x > bs {
+				if x := rendezvousScore(s, c.Name); h == "" || x > bs {
 					h, bs = c.Name, x
 				}
 			}
@@ -152,78 +152,80 @@
 	return mine
 }
 
-func (k *Keeper) siteOf(s string) *site {
-	if k.near == nil {
-		k.near = map[string]*site{}
+func (k *Node) zoneIndex(s string) *zoneIndex {
+	if k.zones == nil {
+		k.zones = map[string]*zoneIndex{}
 	}
-	n := k.near[s]
+	n := k.zones[s]
 	if n == nil {
-		t := hint.NewTable(1 << 15)
-		n = &site{table: t, from: map[string]*Cursor{}}
-		n.box = hint.NewOutbox(k.inc, 1<<14, func() []hint.News {
-			var ns []hint.News
-			t.Each(func(c hint.Key, id uint64) { ns = append(ns, hint.News{Key: c, Node: id, Op: hint.Load}) })
+		t := cacheindex.NewTable(1 << 15)
+		n = &zoneIndex{table: t, cursors: map[string]*Cursor{}}
+		n.log = cacheindex.NewUpdateLog(k.incarnation, 1<<14, func() []cacheindex.Update {
+			var ns []cacheindex.Update
+			t.Each(func(c cacheindex.Key, id uint64) {
+				ns = append(ns, cacheindex.Update{Key: c, Node: id, Op: cacheindex.OpAdd})
+			})
 			return ns
 		})
-		k.near[s] = n
+		k.zones[s] = n
 	}
 	return n
 }
 
 // SiteCursor is how far a shard owner's feed for a site was read.
-func (k *Keeper) SiteCursor(s, from string) *Cursor {
-	n := k.siteOf(s)
-	c := n.from[from]
+func (k *Node) ZoneCursor(s, from string) *Cursor {
+	n := k.zoneIndex(s)
+	c := n.cursors[from]
 	if c == nil {
 		c = &Cursor{}
-		n.from[from] = c
+		n.cursors[from] = c
 	}
 	return c
 }
 
 // SiteNews takes in a shard owner's feed for a site and passes on what changes.
 // Shards are those the feed speaks for.
-func (k *Keeper) SiteNews(s, from string, shards []uint16, b hint.Batch) {
-	n := k.siteOf(s)
+func (k *Node) ApplyZoneUpdates(s, from string, shards []uint16, b cacheindex.UpdateBatch) {
+	n := k.zoneIndex(s)
 	if b.Reset {
-		fresh := map[hint.Key]bool{}
-		for _, w := range b.News {
+		fresh := map[cacheindex.Key]bool{}
+		for _, w := range b.Updates {
 			fresh[w.Key] = true
 		}
-		var gone []hint.News
-		n.table.Each(func(c hint.Key, id uint64) {
+		var gone []cacheindex.Update
+		n.table.Each(func(c cacheindex.Key, id uint64) {
 			if slices.Contains(shards, uint16(c.Shard(Shards))) && !fresh[c] {
-				gone = append(gone, hint.News{Key: c, Node: id, Op: hint.Drop})
+				gone = append(gone, cacheindex.Update{Key: c, Node: id, Op: cacheindex.OpRemove})
 			}
 		})
 		for _, w := range gone {
-			k.siteApply(n, w)
+			k.applyZoneUpdate(n, w)
 		}
 	}
-	for _, w := range b.News {
-		k.siteApply(n, w)
+	for _, w := range b.Updates {
+		k.applyZoneUpdate(n, w)
 	}
-	*k.SiteCursor(s, from) = Cursor{b.Inc, b.Next}
+	*k.ZoneCursor(s, from) = Cursor{b.Incarnation, b.Next}
 }
 
-func (k *Keeper) siteApply(n *site, w hint.News) {
+func (k *Node) applyZoneUpdate(n *zoneIndex, w cacheindex.Update) {
 	old, had := n.table.Get(w.Key)
-	if w.Op == hint.Load {
+	if w.Op == cacheindex.OpAdd {
 		if had && old == w.Node {
 			return
 		}
 		n.table.Put(w.Key, w.Node)
-	} else if !n.table.Drop(w.Key, w.Node) {
+	} else if !n.table.Remove(w.Key, w.Node) {
 		return
 	}
-	n.box.Add(w)
-	k.Counts.NewsOut++
+	n.log.Append(w)
+	k.Counters.UpdatesQueued++
 }
 
 // ShardsOf lists the shards a peer said it holds.
-func ShardsOf(c Custodian) []uint16 {
+func ShardsOf(c Peer) []uint16 {
 	var ss []uint16
-	for _, d := range c.Duties {
+	for _, d := range c.Roles {
 		if s, ok := strings.CutPrefix(d, "duty/shard/"); ok {
 			if i, err := strconv.Atoi(s); err == nil && i < Shards {
 				ss = append(ss, uint16(i))
@@ -235,9 +237,9 @@
 }
 
 // ProxyFeed answers a proxy that follows its site's hints.
-func (k *Keeper) ProxyFeed(s string, inc, since uint64) (hint.Batch, bool) {
-	if !slices.Contains(k.MySites(), s) {
-		return hint.Batch{}, false
+func (k *Node) ProxyFeed(s string, inc, since uint64) (cacheindex.UpdateBatch, bool) {
+	if !slices.Contains(k.ServedZones(), s) {
+		return cacheindex.UpdateBatch{}, false
 	}
-	return k.siteOf(s).box.Since(inc, since, 4096), true
+	return k.zoneIndex(s).log.Since(inc, since, 4096), true
 }
--- a/index/reach.go
+++ b/index/reach.go
@@ -15,13 +15,13 @@
 	reachedFor = 500_000
 	// listStale is the age of the platform's list beyond which this node says that
 	// it can serve no engine: its orders are as old as the list.
-	listStale = 1_000_000
+	maxListingAge = 1_000_000
 )
 
 // Reach is what an index node says of its way to engines. With a part of the network
 // lost, the owner of an engine may be the one node that can't serve it; the others
 // learn it from here and one of them takes the engine over (design §10).
-type Reach struct {
+type Reachability struct {
 	// ListStale: the platform's list is too old here to give any order by.
 	ListStale bool `json:"ListStale"`
 	// Silent are engines that were asked and have not answered for a while.
@@ -32,22 +32,26 @@
 
 // contact is how an engine answers this node.
 type contact struct {
-	since int64 // asked since then
-	heard int64 // when the newest answered question was asked, 0 for never
+	trackedSince int64 // asked since then
+	answeredAt   int64 // when the newest answered question was asked, 0 for never
 }
 
-func (c *contact) silent(now int64) bool { return now-max(c.since, c.heard) > silentAfter }
+func (c *contact) isSilent(now int64) bool {
+	return now-max(c.trackedSince, c.answeredAt) > silentAfter
+}
 
-func (c *contact) reached(now int64) bool { return c.heard > 0 && now-c.heard <= reachedFor }
+func (c *contact) isReached(now int64) bool {
+	return c.answeredAt > 0 && now-c.answeredAt <= reachedFor
+}
 
 // Reach says which engines this node can't serve, and which of the others' it could.
-func (k *Keeper) Reach(now int64) Reach {
-	r := Reach{ListStale: now-k.listAt > listStale}
+func (k *Node) Reachability(now int64) Reachability {
+	r := Reachability{ListStale: now-k.listedAt > maxListingAge}
 	for name, c := range k.contacts {
-		if c.silent(now) {
+		if c.isSilent(now) {
 			r.Silent = append(r.Silent, name)
 		}
-		if _, own := k.Holds(now, EngineDuty(name)); !own && !r.ListStale && c.reached(now) {
+		if _, own := k.HoldsLease(now, EngineRole(name)); !own && !r.ListStale && c.isReached(now) {
 			r.Reached = append(r.Reached, name)
 		}
 	}
@@ -58,10 +62,10 @@
 
 // probes lists the engines of others that this node asks as well: those that another
 // node can't serve, and those that stayed silent here, until they answer.
-func (k *Keeper) probes(now int64) map[string]bool {
+func (k *Node) probeTargets(now int64) map[string]bool {
 	wanted := map[string]bool{}
 	for name, c := range k.contacts {
-		if c.silent(now) {
+		if c.isSilent(now) {
 			wanted[name] = true
 		}
 	}
@@ -75,8 +79,8 @@
 		if !p.ListStale {
 			continue
 		}
-		for _, d := range p.Duties {
-			if name, is := strings.CutPrefix(d, engineDutyPrefix); is {
+		for _, d := range p.Roles {
+			if name, is := strings.CutPrefix(d, engineRolePrefix); is {
 				wanted[name] = true
 			}
 		}
@@ -85,12 +89,12 @@
 }
 
 // asked notes that these engines are asked from now on, and forgets all others.
-func (k *Keeper) asked(now int64, polls []Poll) {
+func (k *Node) trackContacts(now int64, polls []Poll) {
 	contacts := map[string]*contact{}
 	for _, p := range polls {
 		c := k.contacts[p.Engine]
 		if c == nil {
-			c = &contact{since: now}
+			c = &contact{trackedSince: now}
 		}
 		contacts[p.Engine] = c
 	}
@@ -98,20 +102,20 @@
 }
 
 // answered notes an engine's answer to a question of time asked.
-func (k *Keeper) answered(asked int64, engine string) {
+func (k *Node) recordAnswer(asked int64, engine string) {
 	if c := k.contacts[engine]; c != nil {
-		c.heard = max(c.heard, asked)
+		c.answeredAt = max(c.answeredAt, asked)
 	}
 }
 
 // able reports whether an index node does not say that it can't serve a duty.
-func (c *Custodian) able(duty string) bool {
-	name, is := strings.CutPrefix(duty, engineDutyPrefix)
+func (c *Peer) canServe(duty string) bool {
+	name, is := strings.CutPrefix(duty, engineRolePrefix)
 	return !is || !c.ListStale && !slices.Contains(c.Silent, name)
 }
 
 // proven reports whether an index node reached the engine of a duty a moment ago.
-func (c *Custodian) proven(duty string) bool {
-	name, is := strings.CutPrefix(duty, engineDutyPrefix)
+func (c *Peer) reachedEngine(duty string) bool {
+	name, is := strings.CutPrefix(duty, engineRolePrefix)
 	return is && slices.Contains(c.Reached, name)
 }
--- a/index/weights.go
+++ b/index/weights.go
@@ -8,26 +8,26 @@
 )
 
 // naming is a name of weights, and since when it is known to be in force.
-type naming struct {
-	name string
-	at   int64
+type weightsNaming struct {
+	name  string
+	since int64
 }
 
 // Turn tells an engine to change to other weights.
-type Turn struct {
-	Engine  string `json:"Engine"`
-	Addr    string `json:"Addr"`
-	Weights string `json:"Weights"`
-	Epoch   uint64 `json:"Epoch"`
+type WeightUpdate struct {
+	Engine       string `json:"Engine"`
+	Addr         string `json:"Addr"`
+	Weights      string `json:"Weights"`
+	FencingToken uint64 `json:"Epoch"`
 }
 
 // late is for how long an engine has run weights that are not the newest: since the
 // first naming that neither it nor any later one matches. So a storm of namings
 // excuses nobody (design §10).
-func (k *Keeper) late(now int64, e *engine) (us int64, is bool) {
-	for i := len(k.named) - 1; i >= 0; i-- {
-		if k.named[i].name != e.weights {
-			us, is = now-k.named[i].at, true
+func (k *Node) outdatedFor(now int64, e *engine) (us int64, is bool) {
+	for i := len(k.weightsHistory) - 1; i >= 0; i-- {
+		if k.weightsHistory[i].name != e.weights {
+			us, is = now-k.weightsHistory[i].since, true
 			continue
 		}
 		break
@@ -38,7 +38,7 @@
 // wave is when after a naming an engine is to be told, as every index node works
 // it out alike from the platform's list: so many in a wave, taken from all sites by
 // turns, whoever owns them, and the last wave in time for the bound.
-func (k *Keeper) wave(name string) int64 {
+func (k *Node) waveDelay(name string) int64 {
 	per := 50
 	if k.plan != nil {
 		per = k.plan.Limits.WavePercent
@@ -53,9 +53,9 @@
 		name string
 	}
 	sites := map[string][]at{}
-	for n, l := range k.listing {
+	for n, l := range k.listed {
 		if !l.Store && !l.Leaving {
-			sites[l.Site] = append(sites[l.Site], at{0, score("wave", n), n})
+			sites[l.Zone] = append(sites[l.Zone], at{0, rendezvousScore("wave", n), n})
 		}
 	}
 	var all []at
@@ -70,7 +70,7 @@
 	})
 	for i, x := range all {
 		if x.name == name {
-			return int64(i*waves/len(all)) * waveFor / int64(waves-1)
+			return int64(i*waves/len(all)) * waveSpan / int64(waves-1)
 		}
 	}
 	return 0 // leaving: it serves nobody
@@ -78,19 +78,19 @@
 
 // Turns lists the engines to change now, in waves over the whole fleet, so that
 // the others keep serving (design §10). An engine is told until it has turned.
-func (k *Keeper) Turns(now int64) []Turn {
-	if k.plan == nil || now-k.planAt > planOld {
+func (k *Node) WeightUpdates(now int64) []WeightUpdate {
+	if k.plan == nil || now-k.planConfirmedAt > maxRolloutPlanAge {
 		return nil
 	}
-	var ts []Turn
+	var ts []WeightUpdate
 	for n, e := range k.engines {
-		ep, ok := k.Holds(now, EngineDuty(n))
-		if !ok || e.Store || e.at == 0 || e.turnAt > 0 && now-e.turnAt < turnWait {
+		ep, ok := k.HoldsLease(now, EngineRole(n))
+		if !ok || e.Store || e.reportedAt == 0 || e.updateSentAt > 0 && now-e.updateSentAt < weightUpdateRetry {
 			continue
 		}
-		if us, late := k.late(now, e); late && us >= k.wave(n) {
-			e.turnAt = now
-			ts = append(ts, Turn{n, e.Addr, k.plan.Weights, ep})
+		if us, late := k.outdatedFor(now, e); late && us >= k.waveDelay(n) {
+			e.updateSentAt = now
+			ts = append(ts, WeightUpdate{n, e.Addr, k.plan.Weights, ep})
 		}
 	}
 	sort.Slice(ts, func(i, j int) bool { return ts[i].Engine < ts[j].Engine })
@@ -99,7 +99,7 @@
 
 // stuck reports whether an engine was to change weights and did not within the
 // bound: it gets nothing more until it has.
-func (k *Keeper) stuck(now int64, e *engine) bool {
-	us, late := k.late(now, e)
-	return late && us > turnBound
+func (k *Node) weightUpdateOverdue(now int64, e *engine) bool {
+	us, late := k.outdatedFor(now, e)
+	return late && us > weightUpdateLimit
 }
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -73,7 +73,7 @@
 	transport.Serve(daemon.Group, l, s.handleFrame)
 	s.session.Run()
 	daemon.Group.Go("orders", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(queryInterval), s.queryIndexNodes) })
-	daemon.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(s.session.View().Rev) })
+	daemon.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(s.session.View().Revision) })
 	daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(s.session.View().Age(clock.Now())) })
 	daemon.SetReady("")
 	return daemon, nil
@@ -84,7 +84,7 @@
 	case f.FeedAsk != nil && f.FeedAsk.Node != nil:
 		return &fb.FrameT{FeedTell: s.feedProxy(f.FeedAsk)}
 	case f.OpAsk != nil:
-		t, err := s.session.Op(ctx, f.OpAsk, 1_900_000)
+		t, err := s.session.Propose(ctx, f.OpAsk, 1_900_000)
 		if err != nil {
 			s.daemon.Log.Info("op_unanswered", "key", f.OpAsk.Key, "cause", err.Error())
 			t = &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
@@ -99,7 +99,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.session.View()
-	return s.agent.Feed(clock.Now(), &v.Held, v.Era, a)
+	return s.agent.Feed(clock.Now(), &v.Cached, v.Generation, a)
 }
 
 // round asks every index node for orders, each on its own.
--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -46,7 +46,7 @@
 	n.daemon.Gauge("state_bytes", "bytes of live control state", func() float64 { return float64(n.status.Load().stateBytes) })
 	n.daemon.Gauge("ring_used_permille", "part of the disk ring in use", func() float64 { return float64(n.storage.usedPermille.Load()) })
 	n.daemon.Gauge("era", "newest era of claims known to be open", func() float64 { return float64(n.generation.Load()) })
-	n.daemon.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(n.plan.Load().Rev) })
+	n.daemon.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(n.plan.Load().Revision) })
 	n.daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(n.plan.Load().Age(clock.Now())) })
 }
 
@@ -62,7 +62,7 @@
 		default:
 			w.Header().Set("ETag", etag(a.Rev))
 			w.Header().Set("Content-Type", "application/json")
-			_, raw, err := plan.Open(a.Val)
+			_, raw, err := plan.Decode(a.Val)
 			if err != nil {
 				daemon.WriteJSON(w, http.StatusInternalServerError, ErrorResponse{Reason: "unreadable", Remedy: err.Error()})
 				return
@@ -86,8 +86,8 @@
 	}
 	c := plan.Change{Body: body, Patch: q.Method == http.MethodPatch}
 	if m := strings.Trim(q.Header.Get("If-Match"), `"`); m != "" && m != "*" {
-		c.If = true
-		if c.Rev, err = strconv.ParseUint(m, 10, 64); err != nil {
+		c.Conditional = true
+		if c.ExpectedRevision, err = strconv.ParseUint(m, 10, 64); err != nil {
 			daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-precondition", Remedy: "give If-Match the revision that ETag showed"})
 			return
 		}
@@ -99,7 +99,7 @@
 			writeNotCommitted(w, at)
 			return
 		}
-		sealed, _, err := c.On(at.Rev, at.Val)
+		sealed, _, err := c.Apply(at.Rev, at.Val)
 		if err != nil {
 			writeChangeError(w, err)
 			return
@@ -114,7 +114,7 @@
 		case quorum.StatusConflict:
 			// Another operator's change came between reading and writing: without a
 			// precondition this one goes on top of what is there now.
-			if !c.If {
+			if !c.Conditional {
 				continue
 			}
 			writeRevisionConflict(w, a.Rev)
@@ -130,13 +130,13 @@
 // declined tells an operator why a change does not apply.
 func writeChangeError(w http.ResponseWriter, err error) {
 	switch e := err.(type) {
-	case plan.OtherRevision:
-		writeRevisionConflict(w, e.Rev)
-	case plan.NoPlan:
+	case plan.RevisionConflictError:
+		writeRevisionConflict(w, e.Revision)
+	case plan.NoPlanError:
 		daemon.WriteJSON(w, http.StatusNotFound, ErrorResponse{Reason: "no-plan", Remedy: e.Error()})
-	case plan.BadPatch:
+	case plan.PatchError:
 		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-patch", Remedy: e.Error()})
-	case plan.BadPlan:
+	case plan.InvalidPlanError:
 		daemon.WriteJSON(w, http.StatusBadRequest, ErrorResponse{Reason: "bad-plan", Remedy: e.Error(), Findings: e.Findings})
 	default:
 		daemon.WriteJSON(w, http.StatusInternalServerError, ErrorResponse{Reason: "unreadable", Remedy: err.Error()})
@@ -273,7 +273,7 @@
 func (n *Node) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	now := clock.Now()
 	c := n.plan.Load()
-	f := FleetStatus{ControlNode: n.settings.Name, Plan: PlanStatus{c.Rev, c.Age(now)}, Slots: []SlotStatus{}, Nodes: []NodeStatus{}}
+	f := FleetStatus{ControlNode: n.settings.Name, Plan: PlanStatus{c.Revision, c.Age(now)}, Slots: []SlotStatus{}, Nodes: []NodeStatus{}}
 	for i, s := range n.status.Load().slots {
 		f.Slots = append(f.Slots, SlotStatus{i, s.Leader, s.Term, s.Keys})
 	}
--- a/internal/app/control/control.go
+++ b/internal/app/control/control.go
@@ -61,7 +61,7 @@
 	results       map[uint64]chan quorum.Result
 	lastOperation uint64
 	sessions      *membership.Sessions
-	plan          atomic.Pointer[plan.Held]
+	plan          atomic.Pointer[plan.Cached]
 	generation    atomic.Uint64 // the newest that is known to be open
 	status        atomic.Pointer[voterStatus]
 	voting        atomic.Bool // the voter runs
@@ -107,7 +107,7 @@
 		senders: map[string]chan *fb.FrameT{}, results: map[uint64]chan quorum.Result{}, sessions: membership.New(s.Name)}
 	r.peers = transport.NewPeerPool(d.Group)
 	r.status.Store(&voterStatus{})
-	r.plan.Store(&plan.Held{})
+	r.plan.Store(&plan.Cached{})
 	r.initStorage()
 	l, err := net.Listen("tcp", s.TransportAddr)
 	if err != nil {
--- a/internal/app/control/serve.go
+++ b/internal/app/control/serve.go
@@ -102,7 +102,7 @@
 	defer stop()
 	c := n.plan.Load()
 	at := clock.Now()
-	q := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: c.Rev}
+	q := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: c.Revision}
 	t := n.execute(ctx, q)
 	if quorum.Status(t.Status) != quorum.StatusDone {
 		// The way to the owner may be cut here and not elsewhere. The age counts
@@ -117,7 +117,7 @@
 		}
 	}
 	if quorum.Status(t.Status) == quorum.StatusDone {
-		updated, _, _ := c.Take(plan.Word{Rev: t.Rev, Raw: t.Val, Fresh: true}, at)
+		updated, _, _ := c.Apply(plan.Update{Revision: t.Rev, Raw: t.Val, Confirmed: true}, at)
 		n.plan.Store(&updated)
 	}
 }
@@ -138,8 +138,8 @@
 
 func (n *Node) heartbeatReply(now int64, have uint64) *fb.BeatTellT {
 	c := n.plan.Load()
-	t := &fb.BeatTellT{Rev: c.Rev, Age: c.Age(now), Fresh: c.Known, Nodes: n.sessions.Live(now), Era: n.generation.Load()}
-	if c.Rev != have {
+	t := &fb.BeatTellT{Rev: c.Revision, Age: c.Age(now), Fresh: c.Known, Nodes: n.sessions.Live(now), Era: n.generation.Load()}
+	if c.Revision != have {
 		t.Plan = c.Raw
 	}
 	if f := n.voterSet.Load(); f != nil {
--- a/internal/app/directory/answer.go
+++ b/internal/app/directory/answer.go
@@ -98,7 +98,7 @@
 	}
 	if a.Whole || q.Node == nil {
 		a.Named = d.namedVersions(now)
-		a.NamedEpoch = d.namings.Epoch()
+		a.NamedEpoch = d.namings.Term()
 	}
 	a.NamedAge = ageSince(now, min(d.weights.readAt, d.rollout.readAt))
 	if q.Node == nil {
@@ -110,8 +110,8 @@
 	for _, r := range d.readers {
 		a.Complete = a.Complete && r.answered
 	}
-	a.NewsInc, a.NewsNext, a.NewsReset = b.Inc, b.Next, b.Reset
-	for _, n := range b.News {
+	a.NewsInc, a.NewsNext, a.NewsReset = b.Incarnation, b.Next, b.Reset
+	for _, n := range b.Updates {
 		a.News = append(a.News, &fb.NewsT{Hi: n.Key.Hi, Lo: n.Key.Lo, Check: n.Key.Check, Node: n.Node, Op: byte(n.Op)})
 	}
 	return a
@@ -139,7 +139,7 @@
 	}
 	if d.table != nil {
 		for _, p := range d.table.Stores() {
-			out = append(out, &fb.MapEngineT{Id: storeID(p.Store), Addr: p.Store, Site: p.Site, Store: true, Down: down(storeID(p.Store))})
+			out = append(out, &fb.MapEngineT{Id: storeID(p.StoreAddr), Addr: p.StoreAddr, Site: p.Zone, Store: true, Down: down(storeID(p.StoreAddr))})
 		}
 	}
 	return out
--- a/internal/app/directory/conduct.go
+++ b/internal/app/directory/conduct.go
@@ -109,7 +109,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for model, version := range d.newestVersions {
-		at, _ := d.namings.At(model, version)
+		at, _ := d.namings.AnnouncedAt(model, version)
 		d.role.scheduler.Announce(model, version, at)
 	}
 	engines := map[string]rollout.Engine{}
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-logr/logr"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/taskgroup"
 	"violetthread/rollout"
@@ -68,7 +68,7 @@
 	table          *route.Table
 	rolloutState   rollout.State
 	newestVersions map[string]uint64 // newest version named of each model
-	namings        route.Namings
+	namings        route.Announcements
 
 	listedEngines []Engine
 	listReadAt    int64
@@ -79,8 +79,8 @@
 	firstAskedAt     int64
 
 	readers      map[string]*eventReader
-	events       *hint.Outbox
-	cachedBlocks map[uint64]map[hint.Key]bool // what each engine and store keeps
+	events       *cacheindex.UpdateLog
+	cachedBlocks map[uint64]map[cacheindex.Key]bool // what each engine and store keeps
 	proxies      map[string]*proxyState
 }
 
@@ -112,11 +112,11 @@
 		mapRevision:  1,
 		startedAt:    clock.Now(),
 		readers:      map[string]*eventReader{},
-		cachedBlocks: map[uint64]map[hint.Key]bool{},
+		cachedBlocks: map[uint64]map[cacheindex.Key]bool{},
 		proxies:      map[string]*proxyState{},
 	}
 	t.role.lease.Store(&rollout.Lease{})
-	t.events = hint.NewOutbox(incarnation, 1<<13, t.cacheSnapshot)
+	t.events = cacheindex.NewUpdateLog(incarnation, 1<<13, t.cacheSnapshot)
 	return t
 }
 
--- a/internal/app/directory/list.go
+++ b/internal/app/directory/list.go
@@ -64,7 +64,7 @@
 	}
 	a := f.MapTell
 	d.mu.Lock()
-	d.namings.Take(codec.UnpackVersionAges(a, at))
+	d.namings.Merge(codec.UnpackVersionAges(a, at))
 	d.mu.Unlock()
 	if !a.Whole {
 		d.mu.Lock()
--- a/internal/app/directory/loads.go
+++ b/internal/app/directory/loads.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/schema/fb"
 )
@@ -18,7 +18,7 @@
 	heardAt int64
 	direct  bool // it asks this node
 	loads   []*fb.LoadT
-	unsent  []hint.News // of a snapshot that it gets in pages
+	unsent  []cacheindex.Update // of a snapshot that it gets in pages
 }
 
 // tellLoads tells the other nodes what the proxies that ask here have under way.
--- a/internal/app/directory/news.go
+++ b/internal/app/directory/news.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/taskgroup"
 	"violetthread/placement"
@@ -24,11 +24,11 @@
 	node := map[string]uint64{}
 	if d.table != nil {
 		for _, p := range d.table.Stores() {
-			want[storeID(p.Store)], node[storeID(p.Store)] = p.Store, placement.StoreNode(p.Store)
+			want[storeID(p.StoreAddr)], node[storeID(p.StoreAddr)] = p.StoreAddr, placement.StoreHolderID(p.StoreAddr)
 		}
 		for _, e := range d.listedEngines {
 			if p := d.table.Pool(e.Pool); p != nil && len(p.Models) > 0 {
-				want[e.ID], node[e.ID] = e.Addr, placement.EngineNode(e.ID)
+				want[e.ID], node[e.ID] = e.Addr, placement.EngineHolderID(e.ID)
 			}
 		}
 	}
@@ -52,16 +52,16 @@
 // forget drops all that a holder held. Called under the lock.
 func (d *Directory) dropCached(node uint64) {
 	for k := range d.cachedBlocks[node] {
-		d.events.Add(hint.News{Key: k, Node: node, Op: hint.Drop})
+		d.events.Append(cacheindex.Update{Key: k, Node: node, Op: cacheindex.OpRemove})
 	}
 	delete(d.cachedBlocks, node)
 }
 
-func (d *Directory) cacheSnapshot() []hint.News {
-	var ns []hint.News
+func (d *Directory) cacheSnapshot() []cacheindex.Update {
+	var ns []cacheindex.Update
 	for n, ks := range d.cachedBlocks {
 		for k := range ks {
-			ns = append(ns, hint.News{Key: k, Node: n, Op: hint.Load})
+			ns = append(ns, cacheindex.Update{Key: k, Node: n, Op: cacheindex.OpAdd})
 		}
 	}
 	return ns
@@ -124,26 +124,26 @@
 	r.cursor = p.Next
 	ks := t.cachedBlocks[r.node]
 	if ks == nil {
-		ks = map[hint.Key]bool{}
+		ks = map[cacheindex.Key]bool{}
 		t.cachedBlocks[r.node] = ks
 	}
 	for _, c := range p.Events {
-		k := hint.PartKey(c.Salt, c.Model, c.Block)
+		k := cacheindex.BlockKey(c.Salt, c.Model, c.Block)
 		if c.Cached == ks[k] {
 			continue
 		}
-		op := hint.Load
+		op := cacheindex.OpAdd
 		if c.Cached {
 			ks[k] = true
 		} else {
 			delete(ks, k)
-			op = hint.Drop
+			op = cacheindex.OpRemove
 		}
-		t.events.Add(hint.News{Key: k, Node: r.node, Op: op})
+		t.events.Append(cacheindex.Update{Key: k, Node: r.node, Op: op})
 	}
 }
 
-func (d *Directory) unsentEvents(q *fb.MapAskT) []hint.News {
+func (d *Directory) unsentEvents(q *fb.MapAskT) []cacheindex.Update {
 	if q.Node == nil || d.proxies[q.Node.Name] == nil {
 		return nil
 	}
@@ -151,21 +151,21 @@
 }
 
 // news is the next page for a proxy. Called under the lock.
-func (d *Directory) nextEvents(q *fb.MapAskT) hint.Batch {
+func (d *Directory) nextEvents(q *fb.MapAskT) cacheindex.UpdateBatch {
 	var x *proxyState
 	if q.Node != nil {
 		x = d.proxies[q.Node.Name]
 	}
 	if x != nil && len(x.unsent) > 0 && q.NewsInc == d.incarnation {
-		b := hint.Batch{Inc: q.NewsInc, Next: q.NewsSince, News: x.unsent[:min(maxEventsPerReply, len(x.unsent))]}
-		x.unsent = x.unsent[len(b.News):]
+		b := cacheindex.UpdateBatch{Incarnation: q.NewsInc, Next: q.NewsSince, Updates: x.unsent[:min(maxEventsPerReply, len(x.unsent))]}
+		x.unsent = x.unsent[len(b.Updates):]
 		return b
 	}
 	b := d.events.Since(q.NewsInc, q.NewsSince, maxEventsPerReply)
 	if x != nil {
 		x.unsent = nil
-		if b.Reset && len(b.News) > maxEventsPerReply {
-			b.News, x.unsent = b.News[:maxEventsPerReply], b.News[maxEventsPerReply:]
+		if b.Reset && len(b.Updates) > maxEventsPerReply {
+			b.Updates, x.unsent = b.Updates[:maxEventsPerReply], b.Updates[maxEventsPerReply:]
 		}
 	}
 	return b
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -50,15 +50,15 @@
 // takeWeights takes in a new value of the register of weights, which it has had since the
 // given time at the earliest. Called under the lock.
 func (d *Directory) applyWeights(val []byte, _ uint64, since int64) {
-	doc, err := route.ReadWeights(val)
+	doc, err := route.DecodeWeights(val)
 	if err != nil {
 		return
 	}
 	d.newestVersions = newestOf(doc)
 	for _, m := range doc.Models {
 		for _, version := range m.Versions[max(0, len(m.Versions)-namedVersionsKept):] {
-			if _, known := d.namings.At(m.Model, version); !known {
-				d.namings.Hear(m.Model, version, since)
+			if _, known := d.namings.AnnouncedAt(m.Model, version); !known {
+				d.namings.Observe(m.Model, version, since)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 // takeDuty takes in that the duty of weights changed hands. Called under the lock.
 func (d *Directory) applyRoleChange(_ []byte, rev uint64, since int64) {
 	if rev > 1 { // the first holder followed nobody
-		d.namings.Begin(rev, since-takeoverWindow)
+		d.namings.StartTerm(rev, since-takeoverWindow)
 	}
 }
 
@@ -115,10 +115,10 @@
 }
 
 // newestOf is the newest named version of each model.
-func newestOf(d *route.WeightsDoc) map[string]uint64 {
+func newestOf(d *route.WeightVersions) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, m := range d.Models {
-		out[m.Model] = d.Newest(m.Model)
+		out[m.Model] = d.Latest(m.Model)
 	}
 	return out
 }
--- a/internal/app/directory/registers_test.go
+++ b/internal/app/directory/registers_test.go
@@ -10,12 +10,12 @@
 
 // name names a version of model m's weights.
 func (c *fakeControl) name(version uint64) {
-	doc := &route.WeightsDoc{}
+	doc := &route.WeightVersions{}
 	if val := c.values[route.WeightsKey]; val != nil {
-		doc, _ = route.ReadWeights(val)
+		doc, _ = route.DecodeWeights(val)
 	}
-	next, _ := doc.Name("m", version)
-	c.set(route.WeightsKey, next.Bytes())
+	next, _ := doc.Add("m", version)
+	c.set(route.WeightsKey, next.Encode())
 }
 
 // toldAge is how long ago a proxy is told that a version was named.
@@ -75,7 +75,7 @@
 	control.name(1)
 	control.set(WeightsRoleKey, nil)
 	d.Refresh(t.Context())
-	d.namings.Hear("m", 1, clock.Now()-60_000_000)
+	d.namings.Observe("m", 1, clock.Now()-60_000_000)
 	if age := toldAge(t, d, 1); age < 60_000_000 {
 		t.Fatalf("told %d us", age)
 	}
--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"violetthread/attempt"
+	"violetthread/cacheindex"
 	"violetthread/dispatch"
-	"violetthread/hint"
 	"violetthread/internal/callerapi"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
@@ -35,10 +35,10 @@
 
 // call is one caller's ticket on its way through.
 type call struct {
-	ref  uint64
-	done chan struct{}
-	end  dispatch.Act // set before done is closed
-	cuts map[string]context.CancelFunc
+	ref     uint64
+	done    chan struct{}
+	final   dispatch.Action // set before done is closed
+	cancels map[string]context.CancelFunc
 	// The attempt writes its pieces itself: handing each to the caller's own
 	// goroutine would cost a wake-up a piece.
 	mu     sync.Mutex
@@ -49,19 +49,19 @@
 }
 
 // put writes a frame; after the last one nothing more goes out.
-func (c *call) put(f callerapi.Frame, last bool) bool {
+func (c *call) writeFrame(f callerapi.Frame, last bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.write(f, last)
+	return c.writeFrameLocked(f, last)
 }
 
 // write is put for a holder of the lock.
-func (c *call) write(f callerapi.Frame, last bool) bool {
+func (c *call) writeFrameLocked(f callerapi.Frame, last bool) bool {
 	if c.closed {
 		return false
 	}
 	if f.Frame == "piece" {
-		f.N = c.pieces
+		f.Index = c.pieces
 		c.pieces++
 	}
 	if last {
@@ -88,24 +88,24 @@
 }
 
 // door checks who calls. The plan must be known to be in force.
-func (r *remisier) door(w http.ResponseWriter, q *http.Request) (p *plan.Compiled, group, digest string, ok bool) {
-	v := r.plan.Load()
+func (g *gateway) authenticate(w http.ResponseWriter, q *http.Request) (p *plan.Compiled, group, digest string, ok bool) {
+	v := g.plan.Load()
 	switch {
-	case r.d.Stopping():
-		r.refuse(w, http.StatusServiceUnavailable, "stopping", 1_000_000)
+	case g.daemon.Stopping():
+		g.reject(w, http.StatusServiceUnavailable, "stopping", 1_000_000)
 		return
-	case v.Plan == nil || v.Age(clock.Now()) > dispatch.PlanLimit:
-		r.refuse(w, http.StatusServiceUnavailable, "plan-not-fresh", 1_000_000)
+	case v.Plan == nil || v.Age(clock.Now()) > dispatch.MaxPlanAge:
+		g.reject(w, http.StatusServiceUnavailable, "plan-not-fresh", 1_000_000)
 		return
 	}
 	key, found := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
-		r.refuse(w, http.StatusUnauthorized, "key-missing", 0)
+		g.reject(w, http.StatusUnauthorized, "key-missing", 0)
 		return
 	}
-	digest = plan.Digest(key)
+	digest = plan.KeyDigest(key)
 	if group, ok = v.Plan.GroupOf(digest); !ok {
-		r.refuse(w, http.StatusUnauthorized, "key-unknown", 0)
+		g.reject(w, http.StatusUnauthorized, "key-unknown", 0)
 		return
 	}
 	return v.Plan, group, digest, true
@@ -113,8 +113,8 @@
 
 // eraProblem tells what is wrong with the era of an id that may come again. The
 // claim's owner has the last word; what is a little ahead of this proxy is its matter.
-func (r *remisier) eraProblem(era uint64) string {
-	known := r.era.Load()
+func (g *gateway) generationProblem(era uint64) string {
+	known := g.generation.Load()
 	switch {
 	case known == 0:
 		return "claim-unavailable"
@@ -126,98 +126,98 @@
 	return ""
 }
 
-func (r *remisier) eraHTTP(w http.ResponseWriter, _ *http.Request) {
-	e := r.era.Load()
+func (g *gateway) serveGeneration(w http.ResponseWriter, _ *http.Request) {
+	e := g.generation.Load()
 	if e == 0 {
-		r.refuse(w, http.StatusServiceUnavailable, "claim-unavailable", 1_000_000)
+		g.reject(w, http.StatusServiceUnavailable, "claim-unavailable", 1_000_000)
 		return
 	}
-	daemon.WriteJSON(w, http.StatusOK, callerapi.Era{Era: e})
+	daemon.WriteJSON(w, http.StatusOK, callerapi.Generation{Generation: e})
 }
 
 // refuse answers a ticket that was turned away before anything was queued.
-func (r *remisier) refuse(w http.ResponseWriter, status int, reason string, back int64) {
+func (g *gateway) reject(w http.ResponseWriter, status int, reason string, back int64) {
 	if reason == "claim-unavailable" {
 		status, back = http.StatusServiceUnavailable, 1_000_000
 	}
 	if back > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((back+999_999)/1_000_000, 10))
 	}
-	daemon.WriteJSON(w, status, callerapi.Frame{Frame: "refused", Era: r.era.Load(), Reason: reason, Remedy: callerapi.Remedy(reason), RetryAfterUS: back})
+	daemon.WriteJSON(w, status, callerapi.Frame{Frame: "refused", Generation: g.generation.Load(), Reason: reason, Remedy: callerapi.Remedy(reason), RetryAfterUS: back})
 }
 
-func (r *remisier) ticketHTTP(w http.ResponseWriter, q *http.Request) {
+func (g *gateway) serveRequest(w http.ResponseWriter, q *http.Request) {
 	if q.Method != http.MethodPost {
 		daemon.WriteJSON(w, http.StatusMethodNotAllowed, daemon.ErrorResponse{Reason: "no-such-method", Remedy: "use POST"})
 		return
 	}
 	arrived := clock.Now()
-	p, group, digest, ok := r.door(w, q)
+	p, group, digest, ok := g.authenticate(w, q)
 	if !ok {
 		return
 	}
-	t, status, reason := readTicket(w, q, p, group)
+	t, status, reason := decodeRequest(w, q, p, group)
 	own := t.ID != ""
 	if reason == "" && own && p.Kinds[t.Kind].Once {
-		status, reason = http.StatusBadRequest, r.eraProblem(t.Era)
+		status, reason = http.StatusBadRequest, g.generationProblem(t.Generation)
 	}
 	if reason != "" {
-		r.refuse(w, status, reason, 0)
+		g.reject(w, status, reason, 0)
 		return
 	}
 	if t.ID == "" {
-		t.ID = "t-" + hex.EncodeToString(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, r.inc), uint32(r.refs.Add(1))))
+		t.ID = "t-" + hex.EncodeToString(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, g.incarnation), uint32(g.lastRef.Add(1))))
 	}
-	x := dispatch.Ticket{Ref: r.refs.Add(1), ID: t.ID, Own: own, Era: t.Era, Group: group, Kind: t.Kind, Digest: digest, Due: arrived + t.DueUS,
-		Prompt: t.Prompt, Weights: p.Weights, Domain: p.Domain(group, p.Weights)}
-	x.Chain = hint.Chain(x.Domain, x.Weights, x.Prompt)
-	if r.s.Index {
-		x.Hints = r.hints(x.Chain)
+	x := dispatch.Request{Ref: g.lastRef.Add(1), ID: t.ID, IDFromCaller: own, Generation: t.Generation, Group: group, Kind: t.Kind, KeyDigest: digest, Deadline: arrived + t.DueUS,
+		Prompt: t.Prompt, Weights: p.Weights, Domain: p.CacheDomain(group, p.Weights)}
+	x.Chain = cacheindex.PrefixKeys(x.Domain, x.Weights, x.Prompt)
+	if g.settings.Index {
+		x.Hints = g.lookupHints(x.Chain)
 	}
-	c := &call{ref: x.Ref, done: make(chan struct{}), cuts: map[string]context.CancelFunc{}, enc: json.NewEncoder(w)}
+	c := &call{ref: x.Ref, done: make(chan struct{}), cancels: map[string]context.CancelFunc{}, enc: json.NewEncoder(w)}
 	c.enc.SetEscapeHTML(false)
 	c.flush, _ = w.(http.Flusher)
 	// Nothing is written before the ticket is taken in and its first frame is out.
 	c.mu.Lock()
-	var no *dispatch.Refusal
-	r.step(func(now int64) []dispatch.Act {
-		var acts []dispatch.Act
-		r.calls[c.ref] = c
-		if acts, no = r.desk.Arrive(now, x); no != nil {
-			delete(r.calls, c.ref)
+	var no *dispatch.Rejection
+	g.step(func(now int64) []dispatch.Action {
+		var acts []dispatch.Action
+		g.calls[c.ref] = c
+		if acts, no = g.dispatcher.Admit(now, x); no != nil {
+			delete(g.calls, c.ref)
 		}
 		return acts
 	})
 	if no != nil {
 		c.mu.Unlock()
-		r.refuse(w, statusOf(no.Reason), no.Reason, no.Back)
+		g.reject(w, statusOf(no.Reason), no.Reason, no.RetryAfterUS)
 		return
 	}
 	// A caller that reads too slowly is cut off a little after the due.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Duration(t.DueUS + 2_000_000)))
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.Header().Set("X-Ticket-Id", x.ID)
-	c.write(callerapi.Frame{Frame: "accepted", Ticket: x.ID, Node: r.s.Name, Era: r.era.Load()}, false)
+	c.writeFrameLocked(callerapi.Frame{Frame: "accepted", Ticket: x.ID, Node: g.settings.Name, Generation: g.generation.Load()}, false)
 	c.mu.Unlock()
-	r.wait(q, c, x.ID)
+	g.wait(q, c, x.ID)
 }
 
 // hints lists the nearest holders of the longest parts, longest first.
-func (r *remisier) hints(ks []hint.Key) []hint.Hint {
-	var hs []hint.Hint
+func (g *gateway) lookupHints(ks []cacheindex.Key) []cacheindex.Hint {
+	var hs []cacheindex.Hint
 	for i := len(ks) - 1; i >= 0 && len(hs) < 4; i-- {
-		n, ok := r.table.Get(ks[i])
+		n, ok := g.table.Get(ks[i])
 		for _, h := range hs {
 			ok = ok && h.Node != n
 		}
 		if ok {
-			hs = append(hs, hint.Hint{Part: i, Node: n})
+			hs = append(hs, cacheindex.Hint{Block: i, Node: n})
 		}
 	}
 	return hs
 }
 
-func readTicket(w http.ResponseWriter, q *http.Request, p *plan.Compiled, group string) (t callerapi.Ticket, status int, reason string) {
+func decodeRequest(w http.ResponseWriter, q *http.Request, p *plan.Compiled, group string) (t callerapi.Request, status int, reason string) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxBody))
 	if err != nil {
 		return t, http.StatusRequestEntityTooLarge, "too-large"
@@ -237,7 +237,7 @@
 	switch {
 	case !ok:
 		return t, http.StatusBadRequest, "unknown-kind"
-	case !p.Allowed(group, t.Kind):
+	case !p.MaySend(group, t.Kind):
 		return t, http.StatusForbidden, "kind-taken"
 	case len(t.ID) > 128 || strings.ContainsFunc(t.ID, func(c rune) bool { return c <= ' ' || c > '~' }):
 		return t, http.StatusBadRequest, "bad-id"
@@ -255,80 +255,82 @@
 
 // wait sees a ticket through. Whatever happens, there is one last frame or none
 // at all, and without one the answer is plainly incomplete.
-func (r *remisier) wait(q *http.Request, c *call, id string) {
+func (g *gateway) wait(q *http.Request, c *call, id string) {
 	select {
 	case <-c.done:
 	case <-q.Context().Done():
-		r.step(func(now int64) []dispatch.Act { return r.desk.Stop(now, c.ref, "caller-gone") })
+		g.step(func(now int64) []dispatch.Action { return g.dispatcher.Stop(now, c.ref, "caller-gone") })
 		<-c.done
 	}
-	e := c.end
+	e := c.final
 	last := callerapi.Frame{Frame: string(e.Outcome), Ticket: id}
 	if e.Outcome != attempt.Done {
-		last.Reason, last.Remedy, last.RetryAfterUS = e.Reason, callerapi.Remedy(e.Reason), e.Back
+		last.Reason, last.Remedy, last.RetryAfterUS = e.Reason, callerapi.Remedy(e.Reason), e.RetryAfterUS
 	}
-	c.put(last, true)
+	c.writeFrame(last, true)
 }
 
 // attempt sends one attempt to an engine and notes how far it comes.
-func (r *remisier) attempt(ctx context.Context, c *call, a dispatch.Act) {
+func (g *gateway) runAttempt(ctx context.Context, c *call, a dispatch.Action) {
 	note := func(s attempt.State, cause string) {
-		r.step(func(now int64) []dispatch.Act { return r.desk.Note(now, a.Ref, a.Attempt, s, cause) })
+		g.step(func(now int64) []dispatch.Action {
+			return g.dispatcher.AttemptProgressed(now, a.Ref, a.AttemptID, s, cause)
+		})
 	}
-	body := engineapi.Run{Attempt: a.Attempt, Ticket: a.ID, Group: a.Group, Kind: a.Kind, Domain: a.Domain, Weights: a.Weights,
-		Epoch: a.Order.Epoch, Inc: a.Order.ID, Prompt: a.Prompt, Parts: engineapi.Parts(a.Chain), DueUS: a.Due - clock.Now()}
-	if a.Take >= 0 {
-		body.Take = &engineapi.Take{Part: a.Take, From: a.PeerAt, WaitUS: a.WaitUS}
+	body := engineapi.RunRequest{Attempt: a.AttemptID, RequestID: a.RequestID, Group: a.Group, Kind: a.Kind, Domain: a.Domain, Weights: a.Weights,
+		FencingToken: a.Grant.FencingToken, NodeID: a.Grant.NodeID, Prompt: a.Prompt, Blocks: engineapi.FormatKeys(a.Chain), DueUS: a.Deadline - clock.Now()}
+	if a.TransferBlock >= 0 {
+		body.Transfer = &engineapi.Transfer{Block: a.TransferBlock, From: a.TransferAddr, WaitUS: a.TransferWaitUS}
 	}
 	b, err := json.Marshal(body)
 	if err != nil {
-		note(attempt.NeverBegan, "unencodable")
+		note(attempt.NotStarted, "unencodable")
 		return
 	}
 	var wired atomic.Bool // from here on bytes may have gone out
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { wired.Store(true) }})
 	// A reader that can't be rewound keeps the library from sending twice.
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Order.Addr+"/v1/run", io.NopCloser(bytes.NewReader(b)))
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Grant.Addr+"/v1/run", io.NopCloser(bytes.NewReader(b)))
 	if err != nil {
-		note(attempt.NeverBegan, "bad-address")
+		note(attempt.NotStarted, "bad-address")
 		return
 	}
 	q.ContentLength = int64(len(b))
 	q.Header.Set("Content-Type", "application/json")
-	if clock.Now() > a.Until {
-		note(attempt.NeverBegan, "woke-late")
+	if clock.Now() > a.StartBefore {
+		note(attempt.NotStarted, "woke-late")
 		return
 	}
-	s, err := r.engine.Do(q)
+	s, err := g.engineHTTP.Do(q)
 	if err != nil {
 		if !wired.Load() {
-			note(attempt.NeverBegan, "unreachable")
+			note(attempt.NotStarted, "unreachable")
 		} else {
-			note(attempt.Broken, "engine-lost")
+			note(attempt.Interrupted, "engine-lost")
 		}
 		return
 	}
 	defer s.Body.Close()
 	if s.StatusCode != http.StatusOK {
 		x, _ := io.ReadAll(io.LimitReader(s.Body, 4096))
-		var no engineapi.Refusal
-		if json.Unmarshal(x, &no) == nil && no.Refused != "" {
-			note(attempt.NeverBegan, no.Refused)
+		var no engineapi.Rejection
+		if json.Unmarshal(x, &no) == nil && no.Reason != "" {
+			note(attempt.NotStarted, no.Reason)
 		} else {
-			note(attempt.Broken, "engine-error-"+strconv.Itoa(s.StatusCode))
+			note(attempt.Interrupted, "engine-error-"+strconv.Itoa(s.StatusCode))
 		}
 		return
 	}
-	cause := r.relay(c, a, s.Body, note)
+	cause := g.streamRun(c, a, s.Body, note)
 	if cause == "" {
-		note(attempt.Finished, "")
+		note(attempt.Completed, "")
 	} else {
-		note(attempt.Broken, cause)
+		note(attempt.Interrupted, cause)
 	}
 }
 
 // relay passes a run's pieces on; "" means that it was whole.
-func (r *remisier) relay(c *call, a dispatch.Act, body io.Reader, note func(attempt.State, string)) string {
+func (g *gateway) streamRun(c *call, a dispatch.Action, body io.Reader, note func(attempt.State, string)) string {
 	sc := bufio.NewScanner(body)
 	sc.Buffer(make([]byte, 0, 4096), maxLine)
 	began, n := false, 0
@@ -336,32 +338,32 @@
 		if len(bytes.TrimSpace(sc.Bytes())) == 0 {
 			continue
 		}
-		var l engineapi.Line
+		var l engineapi.RunFrame
 		if err := json.Unmarshal(sc.Bytes(), &l); err != nil {
 			return "engine-malformed"
 		}
 		switch {
 		case l.Began && !began && l.Piece == nil && !l.Done:
 			began = true
-			note(attempt.Began, "")
+			note(attempt.Started, "")
 		case !began || l.Began:
 			return "engine-malformed"
 		case l.Piece != nil && !l.Done:
 			if n == 0 {
 				ok := false
-				r.mu.Lock()
-				ok = r.desk.Out(clock.Now(), a.Ref, a.Attempt)
-				r.mu.Unlock()
+				g.mu.Lock()
+				ok = g.dispatcher.AllowFirstByte(clock.Now(), a.Ref, a.AttemptID)
+				g.mu.Unlock()
 				if !ok {
 					return "cut"
 				}
 			}
 			n++
-			if !c.put(callerapi.Frame{Frame: "piece", Text: l.Piece}, false) {
+			if !c.writeFrame(callerapi.Frame{Frame: "piece", Text: l.Piece}, false) {
 				return "cut"
 			}
 		case l.Done && l.Piece == nil:
-			if l.N != n {
+			if l.Pieces != n {
 				return "engine-malformed"
 			}
 			return ""
@@ -374,78 +376,78 @@
 
 // entryHTTP passes a plain call on to an app back end. A safe method is sent
 // again once if it broke; an unsafe one never, and with an id it is claimed.
-func (r *remisier) entryHTTP(w http.ResponseWriter, q *http.Request) {
-	p, group, _, ok := r.door(w, q)
+func (g *gateway) serveRoute(w http.ResponseWriter, q *http.Request) {
+	p, group, _, ok := g.authenticate(w, q)
 	if !ok {
 		return
 	}
-	e, ok := p.EntryFor(q.URL.Path)
+	e, ok := p.RouteFor(q.URL.Path)
 	if !ok {
 		daemon.WriteJSON(w, http.StatusNotFound, daemon.ErrorResponse{Reason: "no-entry", Remedy: "the plan has no entry for this path; check the path, or have an operator add it"})
 		return
 	}
-	r.plain.Add(1)
-	defer r.plain.Add(-1)
+	g.plainCalls.Add(1)
+	defer g.plainCalls.Add(-1)
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxBody))
 	if err != nil {
-		r.refuse(w, http.StatusRequestEntityTooLarge, "too-large", 0)
+		g.reject(w, http.StatusRequestEntityTooLarge, "too-large", 0)
 		return
 	}
-	ctx, stop := context.WithTimeout(q.Context(), clock.Duration(e.DueUS))
+	ctx, stop := context.WithTimeout(q.Context(), clock.Duration(e.TimeoutUS))
 	defer stop()
 	safe := q.Method == http.MethodGet || q.Method == http.MethodHead || q.Method == http.MethodOptions
 	if id := q.Header.Get("X-Ticket-Id"); id != "" && !safe {
 		era, _ := strconv.ParseUint(q.Header.Get("X-Ticket-Era"), 10, 64)
-		if reason := r.eraProblem(era); reason != "" {
-			r.refuse(w, http.StatusBadRequest, reason, 0)
+		if reason := g.generationProblem(era); reason != "" {
+			g.reject(w, http.StatusBadRequest, reason, 0)
 			return
 		}
-		if reason := r.claimPlain(ctx, era, group, id); reason != "" {
+		if reason := g.claimPlain(ctx, era, group, id); reason != "" {
 			if reason == "duplicate" || reason == "era-closed" {
 				daemon.WriteJSON(w, http.StatusConflict, callerapi.Frame{Frame: "unknown", Ticket: id, Reason: reason, Remedy: callerapi.Remedy(reason)})
 			} else {
-				r.refuse(w, http.StatusServiceUnavailable, reason, 1_000_000)
+				g.reject(w, http.StatusServiceUnavailable, reason, 1_000_000)
 			}
 			return
 		}
 	}
-	r.mu.Lock()
-	r.spare.Permille = p.Limits.RetryPermille
-	r.spare.Earn()
-	r.mu.Unlock()
+	g.mu.Lock()
+	g.plainRetryBudget.Permille = p.Limits.RetryPermille
+	g.plainRetryBudget.CountRequest()
+	g.mu.Unlock()
 	for try := 0; ; try++ {
-		s, sent, err := r.plainOnce(ctx, q, e, body)
+		s, sent, err := g.sendPlain(ctx, q, e, body)
 		switch {
 		case err == nil:
-			r.passOn(w, s)
+			g.copyResponse(w, s)
 			return
-		case (safe || !sent) && try == 0 && ctx.Err() == nil && r.spend():
+		case (safe || !sent) && try == 0 && ctx.Err() == nil && g.spendPlainRetry():
 			continue
 		case sent:
 			daemon.WriteJSON(w, http.StatusBadGateway, callerapi.Frame{Frame: "unknown", Reason: "backend-lost", Remedy: callerapi.Remedy("backend-lost")})
 			return
 		default:
-			r.refuse(w, http.StatusServiceUnavailable, "backend-unreachable", 1_000_000)
+			g.reject(w, http.StatusServiceUnavailable, "backend-unreachable", 1_000_000)
 			return
 		}
 	}
 }
 
 // spend takes a retry out of the budget of calls to back ends, if there is one.
-func (r *remisier) spend() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.spare.Has() {
+func (g *gateway) spendPlainRetry() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.plainRetryBudget.Allows() {
 		return false
 	}
-	r.spare.Spend()
+	g.plainRetryBudget.CountRetry()
 	return true
 }
 
-func (r *remisier) claimPlain(ctx context.Context, era uint64, group, id string) string {
+func (g *gateway) claimPlain(ctx context.Context, era uint64, group, id string) string {
 	done := make(chan string, 1)
-	a := dispatch.Act{Claim: dispatch.ClaimKey(era, group, "plain:"+id), Nonce: fmt.Sprintf("%s/%x/p%d", r.s.Name, r.inc, r.refs.Add(1))}
-	r.d.Group.Go("claim.plain", func(ctx context.Context) { done <- r.claimWord(ctx, a) })
+	a := dispatch.Action{ClaimKey: dispatch.ClaimKey(era, group, "plain:"+id), ClaimNonce: fmt.Sprintf("%s/%x/p%d", g.settings.Name, g.incarnation, g.lastRef.Add(1))}
+	g.daemon.Group.Go("claim.plain", func(ctx context.Context) { done <- g.askClaim(ctx, a) })
 	s, ok := taskgroup.Receive(ctx, done)
 	if !ok {
 		return "claim-unavailable"
@@ -453,10 +455,10 @@
 	return s
 }
 
-func (r *remisier) plainOnce(ctx context.Context, q *http.Request, e plan.Entry, body []byte) (*http.Response, bool, error) {
+func (g *gateway) sendPlain(ctx context.Context, q *http.Request, e plan.Route, body []byte) (*http.Response, bool, error) {
 	var wired atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { wired.Store(true) }})
-	x, err := http.NewRequestWithContext(ctx, q.Method, "http://"+e.To+q.URL.RequestURI(), io.NopCloser(bytes.NewReader(body)))
+	x, err := http.NewRequestWithContext(ctx, q.Method, "http://"+e.Backend+q.URL.RequestURI(), io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, false, err
 	}
@@ -465,22 +467,22 @@
 		x.Body = http.NoBody
 	}
 	for k, v := range q.Header {
-		if !hop[http.CanonicalHeaderKey(k)] {
+		if !hopHeaders[http.CanonicalHeaderKey(k)] {
 			x.Header[k] = v
 		}
 	}
-	s, err := r.engine.Do(x)
+	s, err := g.engineHTTP.Do(x)
 	return s, wired.Load(), err
 }
 
 // hop are headers that concern one connection only, and the caller's key.
-var hop = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
+var hopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Authorization": true, "Content-Length": true}
 
-func (r *remisier) passOn(w http.ResponseWriter, s *http.Response) {
+func (g *gateway) copyResponse(w http.ResponseWriter, s *http.Response) {
 	defer s.Body.Close()
 	for k, v := range s.Header {
-		if !hop[k] {
+		if !hopHeaders[k] {
 			w.Header()[k] = v
 		}
 	}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -16,8 +16,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/attempt"
+	"violetthread/cacheindex"
 	"violetthread/dispatch"
-	"violetthread/hint"
 	"violetthread/internal/clock"
 	"violetthread/internal/codec"
 	"violetthread/internal/daemon"
@@ -33,9 +33,9 @@
 // Settings of a remisier.
 type Settings struct {
 	daemon.NodeSettings
-	Runner string `json:"runner" validate:"required,ipport" help:"loopback IP:port of the runner beside it"`
-	Hints  int    `json:"hints" validate:"min=64,max=16777216" help:"entries in the hint table"`
-	Index  bool   `json:"index" help:"false leaves the hint table unused, to measure what it is worth"`
+	Agent string `json:"runner" validate:"required,ipport" help:"loopback IP:port of the runner beside it"`
+	Hints int    `json:"hints" validate:"min=64,max=16777216" help:"entries in the hint table"`
+	Index bool   `json:"index" help:"false leaves the hint table unused, to measure what it is worth"`
 	daemon.RecordingSettings
 }
 
@@ -44,30 +44,30 @@
 	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 12_000_000}, Hints: 1 << 16, Index: true, RecordingSettings: daemon.RecordingDefaults}
 }
 
-type remisier struct {
-	s      Settings
-	d      *daemon.Daemon
-	inc    uint64
-	agent  *transport.Peer
-	table  *hint.Table
-	engine *http.Client
+type gateway struct {
+	settings    Settings
+	daemon      *daemon.Daemon
+	incarnation uint64
+	agent       *transport.Peer
+	table       *cacheindex.Table
+	engineHTTP  *http.Client
 	// plan is swapped whole; tickets read it without a lock.
-	plan   atomic.Pointer[plan.Held]
-	refs   atomic.Uint64
-	era    atomic.Uint64 // newest era of claims known here
-	mu     sync.Mutex
-	desk   *replay.Dispatcher
-	calls  map[uint64]*call
-	plain  atomic.Int64 // plain calls under way
-	newsAt codec.Cursor
-	claims lats
-	spare  attempt.Budget // for calls to app back ends; under mu
+	plan             atomic.Pointer[plan.Cached]
+	lastRef          atomic.Uint64
+	generation       atomic.Uint64 // newest era of claims known here
+	mu               sync.Mutex
+	dispatcher       *replay.Dispatcher
+	calls            map[uint64]*call
+	plainCalls       atomic.Int64 // plain calls under way
+	updateCursor     codec.Cursor
+	claimLatency     latencySum
+	plainRetryBudget attempt.RetryBudget // for calls to app back ends; under mu
 }
 
 // lats sums how long something took.
-type lats struct{ n, us atomic.Int64 }
+type latencySum struct{ count, totalUS atomic.Int64 }
 
-func (l *lats) add(us int64) { l.n.Add(1); l.us.Add(us) }
+func (l *latencySum) add(us int64) { l.count.Add(1); l.totalUS.Add(us) }
 
 // Run runs a remisier until it is told to stop.
 func Run(s Settings) error {
@@ -91,153 +91,153 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	r := &remisier{s: s, d: d, inc: binary.LittleEndian.Uint64(b[:])>>24 | 1, table: hint.NewTable(s.Hints), calls: map[uint64]*call{}}
-	r.plan.Store(&plan.Held{})
-	r.desk = &replay.Dispatcher{Desk: dispatch.New(s.Name, s.Zone, r.inc)}
+	r := &gateway{settings: s, daemon: d, incarnation: binary.LittleEndian.Uint64(b[:])>>24 | 1, table: cacheindex.NewTable(s.Hints), calls: map[uint64]*call{}}
+	r.plan.Store(&plan.Cached{})
+	r.dispatcher = &replay.Dispatcher{Dispatcher: dispatch.New(s.Name, s.Zone, r.incarnation)}
 	if s.Recording != "" {
-		w, err := recording.Create(s.Recording, recording.Header{Component: "desk", Name: s.Name, Zone: s.Zone, Incarnation: r.inc}, s.RecordingBytes)
+		w, err := recording.Create(s.Recording, recording.Header{Component: "desk", Name: s.Name, Zone: s.Zone, Incarnation: r.incarnation}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
 		w.OnFull = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
-		r.desk.Writer = w
+		r.dispatcher.Writer = w
 		d.OnStop(func() { _ = w.Close() })
 	}
-	r.agent = transport.NewPeerPool(d.Group).Get(s.Runner)
+	r.agent = transport.NewPeerPool(d.Group).Get(s.Agent)
 	// No connection is used twice: a broken idle one would leave it open
 	// whether an attempt began (design §6).
 	dial := &net.Dialer{Timeout: 400 * time.Millisecond}
-	r.engine = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: dial.DialContext},
+	r.engineHTTP = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: dial.DialContext},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	d.Handle("/v1/tickets", r.ticketHTTP)
-	d.Handle("/v1/era", r.eraHTTP)
-	d.HandlePrefix("/", r.entryHTTP)
+	d.Handle("/v1/tickets", r.serveRequest)
+	d.Handle("/v1/era", r.serveGeneration)
+	d.HandlePrefix("/", r.serveRoute)
 	d.Group.Go("feed", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(100_000), r.feed) })
 	d.Group.Go("tick", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Duration(dispatch.TickEvery), func(context.Context) {
-			r.step(func(now int64) []dispatch.Act { return r.desk.Tick(now) })
+		taskgroup.Every(ctx, clock.Duration(dispatch.TickInterval), func(context.Context) {
+			r.step(func(now int64) []dispatch.Action { return r.dispatcher.Tick(now) })
 		})
 	})
-	r.vitals()
+	r.registerMetrics()
 	d.OnDrain(r.drain)
 	return d, nil
 }
 
 // step runs the desk and carries its acts out.
-func (r *remisier) step(f func(now int64) []dispatch.Act) {
-	r.mu.Lock()
+func (g *gateway) step(f func(now int64) []dispatch.Action) {
+	g.mu.Lock()
 	acts := f(clock.Now())
-	r.carry(acts)
-	r.mu.Unlock()
+	g.perform(acts)
+	g.mu.Unlock()
 }
 
 // feed asks the agent for plan, orders and news, and tells it this proxy's need.
-func (r *remisier) feed(ctx context.Context) {
-	q := &fb.FeedAskT{Node: &fb.NodeT{Name: r.s.Name, Role: "remisier", Site: r.s.Zone, Http: r.s.HTTPAddr, Inc: r.inc, Ready: r.d.Ready()},
-		Have: r.plan.Load().Rev, NewsInc: r.newsAt.Inc, NewsSince: r.newsAt.Next}
-	r.mu.Lock()
-	codec.FillFeedRequest(r.desk.Desk, q)
-	r.mu.Unlock()
+func (g *gateway) feed(ctx context.Context) {
+	q := &fb.FeedAskT{Node: &fb.NodeT{Name: g.settings.Name, Role: "remisier", Site: g.settings.Zone, Http: g.settings.HTTPAddr, Inc: g.incarnation, Ready: g.daemon.Ready()},
+		Have: g.plan.Load().Revision, NewsInc: g.updateCursor.Inc, NewsSince: g.updateCursor.Next}
+	g.mu.Lock()
+	codec.FillFeedRequest(g.dispatcher.Dispatcher, q)
+	g.mu.Unlock()
 	at := clock.Now()
-	f, err := r.agent.Call(ctx, &fb.FrameT{FeedAsk: q}, 500_000)
+	f, err := g.agent.Call(ctx, &fb.FrameT{FeedAsk: q}, 500_000)
 	if err == nil && f.FeedTell != nil {
-		r.take(f.FeedTell, at)
+		g.applyFeed(f.FeedTell, at)
 	}
-	r.judge()
+	g.updateReadiness()
 }
 
 // judge tells the platform whether this proxy can serve.
-func (r *remisier) judge() {
+func (g *gateway) updateReadiness() {
 	now := clock.Now()
-	r.mu.Lock()
-	room := r.desk.Room(now)
-	age := r.desk.PlanAge(now)
-	r.mu.Unlock()
+	g.mu.Lock()
+	room := g.dispatcher.Capacity(now)
+	age := g.dispatcher.PlanAge(now)
+	g.mu.Unlock()
 	switch {
-	case age > dispatch.PlanLimit:
-		r.d.SetReady("no plan is known to be in force; check the runner beside this proxy and the registrars")
-	case r.era.Load() == 0:
-		r.d.SetReady("no era of claims is known; check the runner beside this proxy and the registrars")
+	case age > dispatch.MaxPlanAge:
+		g.daemon.SetReady("no plan is known to be in force; check the runner beside this proxy and the registrars")
+	case g.generation.Load() == 0:
+		g.daemon.SetReady("no era of claims is known; check the runner beside this proxy and the registrars")
 	case room == 0:
-		r.d.SetReady("no engine has room for this proxy; check the custodians and the platform's list")
+		g.daemon.SetReady("no engine has room for this proxy; check the custodians and the platform's list")
 	default:
-		r.d.SetReady("")
+		g.daemon.SetReady("")
 	}
 }
 
-func (r *remisier) take(t *fb.FeedTellT, at int64) {
-	n, changed, err := r.plan.Load().Take(plan.Word{Rev: t.Rev, Age: t.Age, Raw: t.Plan, Fresh: t.Fresh}, at)
+func (g *gateway) applyFeed(t *fb.FeedTellT, at int64) {
+	n, changed, err := g.plan.Load().Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
 	if err != nil {
-		r.d.Log.Info("plan_unreadable", "rev", t.Rev, "cause", err.Error())
+		g.daemon.Log.Info("plan_unreadable", "rev", t.Rev, "cause", err.Error())
 	}
-	r.plan.Store(&n)
+	g.plan.Store(&n)
 	if changed {
-		r.d.Log.Info("plan", "rev", n.Rev, "age_us", n.Age(clock.Now()))
+		g.daemon.Log.Info("plan", "rev", n.Revision, "age_us", n.Age(clock.Now()))
 	}
 	// Ages count from the question: the answer may have been long on its way.
 	os := codec.UnpackGrants(t.Orders, clock.Now()-at)
-	r.step(func(now int64) []dispatch.Act {
-		var acts []dispatch.Act
+	g.step(func(now int64) []dispatch.Action {
+		var acts []dispatch.Action
 		if n.Plan != nil {
-			acts = r.desk.Plan(now, &n)
+			acts = g.dispatcher.ApplyPlan(now, &n)
 		}
-		return append(acts, r.desk.Orders(now, os)...)
+		return append(acts, g.dispatcher.ApplyGrants(now, os)...)
 	})
-	if t.Era > r.era.Load() {
-		r.era.Store(t.Era)
+	if t.Era > g.generation.Load() {
+		g.generation.Store(t.Era)
 	}
-	r.newsAt = codec.ApplyUpdates(r.table, r.newsAt, t)
+	g.updateCursor = codec.ApplyUpdates(g.table, g.updateCursor, t)
 }
 
 // carry hands the desk's acts to those who do them. The lock is held, so that
 // nothing here may wait.
-func (r *remisier) carry(acts []dispatch.Act) {
+func (g *gateway) perform(acts []dispatch.Action) {
 	for _, a := range acts {
-		c := r.calls[a.Ref]
-		switch a.Do {
-		case dispatch.DoClaim:
-			r.d.Group.Go("claim", func(ctx context.Context) { r.claim(ctx, a) })
-		case dispatch.DoRelease:
-			r.d.Group.Go("release", func(ctx context.Context) { r.unclaim(ctx, a) })
-		case dispatch.DoStart:
+		c := g.calls[a.Ref]
+		switch a.Type {
+		case dispatch.ActionClaim:
+			g.daemon.Group.Go("claim", func(ctx context.Context) { g.claim(ctx, a) })
+		case dispatch.ActionReleaseClaim:
+			g.daemon.Group.Go("release", func(ctx context.Context) { g.releaseClaim(ctx, a) })
+		case dispatch.ActionStartAttempt:
 			if c == nil {
 				continue
 			}
-			ctx, cut := context.WithCancel(r.d.Group.Context())
-			c.cuts[a.Attempt] = cut
-			r.d.Group.Go("attempt", func(context.Context) {
+			ctx, cut := context.WithCancel(g.daemon.Group.Context())
+			c.cancels[a.AttemptID] = cut
+			g.daemon.Group.Go("attempt", func(context.Context) {
 				defer cut()
-				r.attempt(ctx, c, a)
+				g.runAttempt(ctx, c, a)
 			})
-		case dispatch.DoCancel:
-			if c != nil && c.cuts[a.Attempt] != nil {
-				c.cuts[a.Attempt]()
+		case dispatch.ActionCancelAttempt:
+			if c != nil && c.cancels[a.AttemptID] != nil {
+				c.cancels[a.AttemptID]()
 			}
-		case dispatch.DoEnd:
+		case dispatch.ActionFinish:
 			if c != nil {
-				c.end = a
+				c.final = a
 				close(c.done)
-				delete(r.calls, a.Ref)
+				delete(g.calls, a.Ref)
 			}
 		}
 	}
 }
 
-func (r *remisier) claim(ctx context.Context, a dispatch.Act) {
-	s := map[string]attempt.Claim{"": attempt.Held, "duplicate": attempt.Taken, "era-closed": attempt.Closed, "claim-unavailable": attempt.Doubtful}[r.claimWord(ctx, a)]
-	r.step(func(now int64) []dispatch.Act { return r.desk.Claimed(now, a.Ref, s) })
+func (g *gateway) claim(ctx context.Context, a dispatch.Action) {
+	s := map[string]attempt.ClaimState{"": attempt.ClaimGranted, "duplicate": attempt.ClaimTaken, "era-closed": attempt.ClaimClosed, "claim-unavailable": attempt.ClaimUnknown}[g.askClaim(ctx, a)]
+	g.step(func(now int64) []dispatch.Action { return g.dispatcher.ClaimAnswered(now, a.Ref, s) })
 }
 
 // claimWord asks for a claim; "" means it is held.
-func (r *remisier) claimWord(ctx context.Context, a dispatch.Act) string {
+func (g *gateway) askClaim(ctx context.Context, a dispatch.Action) string {
 	at := clock.Now()
-	f, err := r.agent.Call(ctx, &fb.FrameT{OpAsk: &fb.OpAskT{Kind: byte(quorum.OpClaim), Key: a.Claim, Val: []byte(a.Nonce)}}, 2_000_000)
+	f, err := g.agent.Call(ctx, &fb.FrameT{OpAsk: &fb.OpAskT{Kind: byte(quorum.OpClaim), Key: a.ClaimKey, Val: []byte(a.ClaimNonce)}}, 2_000_000)
 	if err != nil || f.OpTell == nil {
 		return "claim-unavailable"
 	}
 	switch quorum.Status(f.OpTell.Status) {
 	case quorum.StatusDone:
-		r.claims.add(clock.Now() - at)
+		g.claimLatency.add(clock.Now() - at)
 		return ""
 	case quorum.StatusConflict:
 		return "duplicate"
@@ -247,55 +247,55 @@
 	return "claim-unavailable"
 }
 
-func (r *remisier) unclaim(ctx context.Context, a dispatch.Act) {
-	_, err := r.agent.Call(ctx, &fb.FrameT{OpAsk: &fb.OpAskT{Kind: byte(quorum.OpUnclaim), Key: a.Claim, Val: []byte(a.Nonce)}}, 2_000_000)
+func (g *gateway) releaseClaim(ctx context.Context, a dispatch.Action) {
+	_, err := g.agent.Call(ctx, &fb.FrameT{OpAsk: &fb.OpAskT{Kind: byte(quorum.OpUnclaim), Key: a.ClaimKey, Val: []byte(a.ClaimNonce)}}, 2_000_000)
 	if err != nil {
 		// The claim stays; a resend of this ticket will not run.
-		r.d.Log.Info("claim_kept", "group", a.Group, "ticket", a.ID, "cause", err.Error())
+		g.daemon.Log.Info("claim_kept", "group", a.Group, "ticket", a.RequestID, "cause", err.Error())
 	}
 }
 
 // drain lets running tickets finish, then ends the rest explicitly.
-func (r *remisier) drain(ctx context.Context) {
-	for r.load() > 0 {
+func (g *gateway) drain(ctx context.Context) {
+	for g.inFlight() > 0 {
 		if !taskgroup.Sleep(ctx, 20_000) {
 			break
 		}
 	}
-	r.mu.Lock()
-	for ref := range r.calls {
-		r.carry(r.desk.Stop(clock.Now(), ref, "stopping"))
+	g.mu.Lock()
+	for ref := range g.calls {
+		g.perform(g.dispatcher.Stop(clock.Now(), ref, "stopping"))
 	}
-	r.mu.Unlock()
+	g.mu.Unlock()
 }
 
-func (r *remisier) load() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.calls) + int(r.plain.Load())
+func (g *gateway) inFlight() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return len(g.calls) + int(g.plainCalls.Load())
 }
 
-func (r *remisier) vitals() {
-	n := func(name, help string, f func(c dispatch.Counts) uint64) {
-		r.d.Counter(name, help, func() float64 {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			return float64(f(r.desk.Counts))
+func (g *gateway) registerMetrics() {
+	n := func(name, help string, f func(c dispatch.Counters) uint64) {
+		g.daemon.Counter(name, help, func() float64 {
+			g.mu.Lock()
+			defer g.mu.Unlock()
+			return float64(f(g.dispatcher.Counters))
 		})
 	}
-	n("tickets_total", "tickets that passed the checks at the door", func(c dispatch.Counts) uint64 { return c.Arrived })
-	n("done_total", "tickets done", func(c dispatch.Counts) uint64 { return c.Done })
-	n("refused_total", "tickets refused after they were taken in", func(c dispatch.Counts) uint64 { return c.Refused })
-	n("unknown_total", "tickets that ended unknown", func(c dispatch.Counts) uint64 { return c.Unknown })
-	n("attempts_total", "attempts sent to engines", func(c dispatch.Counts) uint64 { return c.Attempts })
-	n("retries_total", "attempts after a ticket's first", func(c dispatch.Counts) uint64 { return c.Retries })
-	n("takes_total", "attempts told to take a part from a peer", func(c dispatch.Counts) uint64 { return c.Takes })
-	n("own_total", "attempts sent where a part already is", func(c dispatch.Counts) uint64 { return c.Own })
-	n("claims_total", "claims asked for", func(c dispatch.Counts) uint64 { return c.Claims })
-	r.d.Counter("claim_us_total", "time spent on claims granted", func() float64 { return float64(r.claims.us.Load()) })
-	r.d.Counter("claims_granted_total", "claims granted", func() float64 { return float64(r.claims.n.Load()) })
-	r.d.Gauge("hints", "entries used in the hint table", func() float64 { return float64(r.table.Len()) })
-	r.d.Gauge("plan_rev", "revision of the plan in force here", func() float64 { return float64(r.plan.Load().Rev) })
-	r.d.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(r.plan.Load().Age(clock.Now())) })
-	r.d.Gauge("running", "tickets under way", func() float64 { return float64(r.load()) })
+	n("tickets_total", "tickets that passed the checks at the door", func(c dispatch.Counters) uint64 { return c.Arrived })
+	n("done_total", "tickets done", func(c dispatch.Counters) uint64 { return c.Done })
+	n("refused_total", "tickets refused after they were taken in", func(c dispatch.Counters) uint64 { return c.Refused })
+	n("unknown_total", "tickets that ended unknown", func(c dispatch.Counters) uint64 { return c.Unknown })
+	n("attempts_total", "attempts sent to engines", func(c dispatch.Counters) uint64 { return c.Attempts })
+	n("retries_total", "attempts after a ticket's first", func(c dispatch.Counters) uint64 { return c.Retries })
+	n("takes_total", "attempts told to take a part from a peer", func(c dispatch.Counters) uint64 { return c.Transfers })
+	n("own_total", "attempts sent where a part already is", func(c dispatch.Counters) uint64 { return c.LocalHits })
+	n("claims_total", "claims asked for", func(c dispatch.Counters) uint64 { return c.Claims })
+	g.daemon.Counter("claim_us_total", "time spent on claims granted", func() float64 { return float64(g.claimLatency.totalUS.Load()) })
+	g.daemon.Counter("claims_granted_total", "claims granted", func() float64 { return float64(g.claimLatency.count.Load()) })
+	g.daemon.Gauge("hints", "entries used in the hint table", func() float64 { return float64(g.table.Len()) })
+	g.daemon.Gauge("plan_rev", "revision of the plan in force here", func() float64 { return float64(g.plan.Load().Revision) })
+	g.daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(g.plan.Load().Age(clock.Now())) })
+	g.daemon.Gauge("running", "tickets under way", func() float64 { return float64(g.inFlight()) })
 }
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -15,7 +15,7 @@
 	"github.com/gravitational/trace"
 	"github.com/samber/lo"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/index"
 	"violetthread/internal/app/session"
 	"violetthread/internal/clock"
@@ -42,18 +42,18 @@
 	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 3_000_000}, RecordingSettings: daemon.RecordingDefaults}
 }
 
-type custodian struct {
-	s      Settings
-	d      *daemon.Daemon
-	book   *transport.PeerPool
-	ses    *session.Session
-	inc    uint64
-	holder string
-	http   *engineapi.Client
-	mu     sync.Mutex
-	k      *replay.IndexNode
-	busy   map[string]bool
-	pushAt map[string]index.Cursor
+type indexNode struct {
+	settings        Settings
+	daemon          *daemon.Daemon
+	book            *transport.PeerPool
+	session         *session.Session
+	incarnation     uint64
+	leaseHolder     string
+	http            *engineapi.Client
+	mu              sync.Mutex
+	node            *replay.IndexNode
+	running         map[string]bool
+	prefetchCursors map[string]index.Cursor
 }
 
 // Run runs a custodian until it is told to stop.
@@ -78,64 +78,64 @@
 	if _, err := rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	c := &custodian{s: s, d: d, book: transport.NewPeerPool(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
-		http: engineapi.NewClient(), busy: map[string]bool{}, pushAt: map[string]index.Cursor{}}
-	c.holder = fmt.Sprintf("%s#%x", s.Name, c.inc)
-	c.k = &replay.IndexNode{Keeper: index.New(s.Name, s.Zone, c.inc)}
+	c := &indexNode{settings: s, daemon: d, book: transport.NewPeerPool(d.Group), incarnation: binary.LittleEndian.Uint64(b[:])>>24 | 1,
+		http: engineapi.NewClient(), running: map[string]bool{}, prefetchCursors: map[string]index.Cursor{}}
+	c.leaseHolder = fmt.Sprintf("%s#%x", s.Name, c.incarnation)
+	c.node = &replay.IndexNode{Node: index.New(s.Name, s.Zone, c.incarnation)}
 	if s.Recording != "" {
-		w, err := recording.Create(s.Recording, recording.Header{Component: "keeper", Name: s.Name, Zone: s.Zone, Incarnation: c.inc}, s.RecordingBytes)
+		w, err := recording.Create(s.Recording, recording.Header{Component: "keeper", Name: s.Name, Zone: s.Zone, Incarnation: c.incarnation}, s.RecordingBytes)
 		if err != nil {
 			return nil, err
 		}
 		w.OnFull = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
-		c.k.Writer = w
+		c.node.Writer = w
 		d.OnStop(func() { _ = w.Close() })
 	}
-	c.ses = session.New(d.Group, c.book, s.Seeds, c.self)
+	c.session = session.New(d.Group, c.book, s.Seeds, c.self)
 	l, err := net.Listen("tcp", s.TransportAddr)
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", s.TransportAddr)
 	}
 	transport.Serve(d.Group, l, c.handle)
-	c.ses.Run()
-	d.Group.Go("list", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(200_000), c.list) })
-	d.Group.Go("duties", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(100_000), c.duties) })
-	d.Group.Go("engines", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(150_000), c.engines) })
-	d.Group.Go("news", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(200_000), c.news) })
-	c.vitals()
-	d.OnDrain(c.leave)
+	c.session.Run()
+	d.Group.Go("list", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(200_000), c.refreshListing) })
+	d.Group.Go("duties", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(100_000), c.renewLeases) })
+	d.Group.Go("engines", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(150_000), c.pollEngines) })
+	d.Group.Go("news", func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(200_000), c.followPeers) })
+	c.registerMetrics()
+	d.OnDrain(c.releaseLeases)
 	d.SetReady("")
 	return d, nil
 }
 
-func (c *custodian) self() *fb.NodeT {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := &fb.NodeT{Name: c.s.Name, Role: "custodian", Site: c.s.Zone, Addr: c.s.TransportAddr, Http: c.s.HTTPAddr, Inc: c.inc, Ready: c.d.Ready()}
-	return codec.AddIndexNodeStatus(c.k.Keeper, clock.Now(), n)
+func (n *indexNode) self() *fb.NodeT {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	status := &fb.NodeT{Name: n.settings.Name, Role: "custodian", Site: n.settings.Zone, Addr: n.settings.TransportAddr, Http: n.settings.HTTPAddr, Inc: n.incarnation, Ready: n.daemon.Ready()}
+	return codec.AddIndexNodeStatus(n.node.Node, clock.Now(), status)
 }
 
 // with runs f on the keeper, which is not safe for concurrent use.
-func (c *custodian) with(f func(now int64, k *replay.IndexNode)) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	f(clock.Now(), c.k)
+func (n *indexNode) withNode(f func(now int64, k *replay.IndexNode)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	f(clock.Now(), n.node)
 }
 
 // spawn runs f unless the last one of that name still runs.
-func (c *custodian) spawn(name string, f func(ctx context.Context)) {
-	c.mu.Lock()
-	if c.busy[name] {
-		c.mu.Unlock()
+func (n *indexNode) spawn(name string, f func(ctx context.Context)) {
+	n.mu.Lock()
+	if n.running[name] {
+		n.mu.Unlock()
 		return
 	}
-	c.busy[name] = true
-	c.mu.Unlock()
-	c.d.Group.Go(name, func(ctx context.Context) {
+	n.running[name] = true
+	n.mu.Unlock()
+	n.daemon.Group.Go(name, func(ctx context.Context) {
 		defer func() {
-			c.mu.Lock()
-			delete(c.busy, name)
-			c.mu.Unlock()
+			n.mu.Lock()
+			delete(n.running, name)
+			n.mu.Unlock()
 		}()
 		f(ctx)
 	})
@@ -144,78 +144,78 @@
 // list follows the platform. While the platform refuses connections it shows
 // nothing to anyone, and the last list stands; while it is merely silent, the
 // list ages and engines get no new work (docs/bounds.md).
-func (c *custodian) list(ctx context.Context) {
+func (n *indexNode) refreshListing(ctx context.Context) {
 	at := clock.Now()
-	var l engineapi.Listing
-	err := c.http.Get(ctx, c.s.Platform, "/v1/engines", 600_000, &l)
-	var last []index.Listed
+	var l engineapi.EngineList
+	err := n.http.Get(ctx, n.settings.Platform, "/v1/engines", 600_000, &l)
+	var last []index.ListedEngine
 	if err == nil {
-		last = lo.Map(l.Engines, func(x engineapi.Listed, _ int) index.Listed {
-			return index.Listed{Name: x.Name, Addr: x.Addr, Site: x.Site, Store: x.Kind == "store", Leaving: x.Leaving}
+		last = lo.Map(l.Engines, func(x engineapi.ListedEngine, _ int) index.ListedEngine {
+			return index.ListedEngine{Name: x.Name, Addr: x.Addr, Zone: x.Zone, Store: x.Kind == "store", Leaving: x.Leaving}
 		})
 	}
-	c.with(func(now int64, k *replay.IndexNode) {
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		switch {
 		case err == nil:
-			k.Listing(now, at, last)
+			k.SetListing(now, at, last)
 		case errors.Is(err, syscall.ECONNREFUSED):
-			k.ListingStands(now, at)
+			k.ConfirmListing(now, at)
 		}
 	})
 }
 
 // duties brings the leases held nearer to those that should be.
-func (c *custodian) duties(context.Context) {
-	if c.d.Stopping() {
+func (n *indexNode) renewLeases(context.Context) {
+	if n.daemon.Stopping() {
 		return
 	}
-	v := c.ses.View()
-	var as []index.DutyAsk
-	c.with(func(now int64, k *replay.IndexNode) {
+	v := n.session.View()
+	var as []index.LeaseOp
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		if v.Plan != nil {
-			k.Plan(now, &v.Held)
+			k.ApplyPlan(now, &v.Cached)
 		}
-		cs, me := codec.ReadyIndexNodes(v.Nodes, c.s.Name)
+		cs, me := codec.ReadyIndexNodes(v.Nodes, n.settings.Name)
 		if !me {
 			return // not a member yet: this node's duties may be another's by now
 		}
-		k.Peers(now, cs)
-		as = k.Want(now)
+		k.SetPeers(now, cs)
+		as = k.LeaseOps(now)
 	})
 	for _, a := range as {
-		c.d.Group.Go("duty", func(ctx context.Context) { c.hold(ctx, a) })
+		n.daemon.Group.Go("duty", func(ctx context.Context) { n.carryLeaseOp(ctx, a) })
 	}
 }
 
-func (c *custodian) hold(ctx context.Context, a index.DutyAsk) {
+func (n *indexNode) carryLeaseOp(ctx context.Context, a index.LeaseOp) {
 	kind := quorum.OpAcquire
-	if a.Free {
+	if a.Release {
 		kind = quorum.OpRelease
 	}
 	at := clock.Now()
-	t, err := c.ses.Op(ctx, &fb.OpAskT{Kind: byte(kind), Key: a.Key, Expect: a.Epoch, Holder: c.holder, Term: index.DutyTerm}, 1_000_000)
-	c.with(func(now int64, k *replay.IndexNode) {
+	t, err := n.session.Propose(ctx, &fb.OpAskT{Kind: byte(kind), Key: a.Key, Expect: a.Token, Holder: n.leaseHolder, Term: index.LeaseDuration}, 1_000_000)
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		if err != nil {
-			k.Held(now, a, at, false, 0)
+			k.LeaseAnswered(now, a, at, false, 0)
 			return
 		}
 		ok := quorum.Status(t.Status) == quorum.StatusDone
-		if ok && a.Epoch != t.Rev && !a.Free {
-			c.d.Log.Info("duty", "key", a.Key, "epoch", t.Rev)
+		if ok && a.Token != t.Rev && !a.Release {
+			n.daemon.Log.Info("duty", "key", a.Key, "epoch", t.Rev)
 		}
-		k.Held(now, a, at, ok, t.Rev)
+		k.LeaseAnswered(now, a, at, ok, t.Rev)
 	})
 }
 
 // leave gives every duty back, so that others need not wait the leases out: the
 // shards at once, the engines when no order is in use any more (design §10).
-func (c *custodian) leave(ctx context.Context) {
-	c.with(func(now int64, k *replay.IndexNode) { k.Peers(now, nil) })
+func (n *indexNode) releaseLeases(ctx context.Context) {
+	n.withNode(func(now int64, k *replay.IndexNode) { k.SetPeers(now, nil) })
 	for idle := false; !idle; {
-		var as []index.DutyAsk
-		c.with(func(now int64, k *replay.IndexNode) { as, idle = k.Want(now), k.Idle() })
+		var as []index.LeaseOp
+		n.withNode(func(now int64, k *replay.IndexNode) { as, idle = k.LeaseOps(now), k.HoldsNoLeases() })
 		for _, a := range as {
-			c.d.Group.Go("duty.free", func(ctx context.Context) { c.hold(ctx, a) })
+			n.daemon.Group.Go("duty.free", func(ctx context.Context) { n.carryLeaseOp(ctx, a) })
 		}
 		if !idle && !taskgroup.Sleep(ctx, 50_000) {
 			return
@@ -225,189 +225,191 @@
 
 // engines asks the engines owned here for their reports, and turns those with
 // other weights than the plan's.
-func (c *custodian) engines(context.Context) {
+func (n *indexNode) pollEngines(context.Context) {
 	var ps []index.Poll
-	var ts []index.Turn
-	c.with(func(now int64, k *replay.IndexNode) {
+	var ts []index.WeightUpdate
+	n.withNode(func(now int64, k *replay.IndexNode) {
 		ps = k.Polls(now)
-		ts = k.Turns(now)
+		ts = k.WeightUpdates(now)
 	})
 	for _, p := range ps {
-		c.spawn("poll."+p.Engine, func(ctx context.Context) { c.poll(ctx, p) })
+		n.spawn("poll."+p.Engine, func(ctx context.Context) { n.poll(ctx, p) })
 	}
 	for _, t := range ts {
-		c.spawn("turn."+t.Engine, func(ctx context.Context) { c.turn(ctx, t) })
+		n.spawn("turn."+t.Engine, func(ctx context.Context) { n.updateWeights(ctx, t) })
 	}
 }
 
-func (c *custodian) poll(ctx context.Context, p index.Poll) {
-	if p.Whole {
-		var w engineapi.Keeps
-		if err := c.http.Get(ctx, p.Addr, "/v1/keeps", 800_000, &w); err != nil {
+func (n *indexNode) poll(ctx context.Context, p index.Poll) {
+	if p.NeedsHoldings {
+		var w engineapi.Holdings
+		if err := n.http.Get(ctx, p.Addr, "/v1/keeps", 800_000, &w); err != nil {
 			return
 		}
-		parts := lo.FilterMap(w.Parts, func(s string, _ int) (hint.Key, bool) { return engineapi.Key(s) })
-		c.with(func(now int64, k *replay.IndexNode) { k.Whole(now, p.Engine, w.Inc, w.Seq, parts) })
-		p.Inc, p.After = w.Inc, w.Seq
+		parts := lo.FilterMap(w.Blocks, func(s string, _ int) (cacheindex.Key, bool) { return engineapi.ParseKey(s) })
+		n.withNode(func(now int64, k *replay.IndexNode) { k.ResetHoldings(now, p.Engine, w.Incarnation, w.Seq, parts) })
+		p.Incarnation, p.AfterSeq = w.Incarnation, w.Seq
 	}
 	at := clock.Now()
 	var r engineapi.Report
-	if err := c.http.Get(ctx, p.Addr, fmt.Sprintf("/v1/report?inc=%d&after=%d", p.Inc, p.After), 800_000, &r); err != nil {
+	if err := n.http.Get(ctx, p.Addr, fmt.Sprintf("/v1/report?inc=%d&after=%d", p.Incarnation, p.AfterSeq), 800_000, &r); err != nil {
 		return
 	}
-	x := index.Report{Inc: r.Inc, Weights: r.Weights, Running: r.Running, Queue: r.Queue, Room: r.Room, SlowUS: r.SlowUS, Last: r.Last}
+	x := index.Report{Incarnation: r.Incarnation, Weights: r.Weights, Running: r.Running, QueueLength: r.QueueLength, Capacity: r.Capacity, SlowUS: r.SlowUS, LastSeq: r.LastSeq}
 	for _, e := range r.Events {
-		v := index.Event{Seq: e.Seq, Keep: e.Op == "keep", Drop: e.Op == "drop", Filled: e.Filled}
+		v := index.Event{Seq: e.Seq, Added: e.Op == "keep", Removed: e.Op == "drop", RecomputedBytes: e.RecomputedBytes}
 		if e.Op == "ran" {
-			v.Ran = e.Attempt
+			v.FinishedAttempt = e.Attempt
 		}
-		v.Part, v.HasPart = engineapi.Key(e.Part)
+		v.Block, v.HasBlock = engineapi.ParseKey(e.Block)
 		x.Events = append(x.Events, v)
 	}
-	c.with(func(now int64, k *replay.IndexNode) { k.Reported(now, at, p.Engine, x) })
+	n.withNode(func(now int64, k *replay.IndexNode) { k.ApplyReport(now, at, p.Engine, x) })
 }
 
-func (c *custodian) turn(ctx context.Context, t index.Turn) {
+func (n *indexNode) updateWeights(ctx context.Context, t index.WeightUpdate) {
 	// Held still? The engine rejects a lower epoch, but it need not come to that.
 	ok := false
-	c.with(func(now int64, k *replay.IndexNode) {
-		ep, held := k.Holds(now, index.EngineDuty(t.Engine))
-		ok = held && ep == t.Epoch
+	n.withNode(func(now int64, k *replay.IndexNode) {
+		ep, held := k.HoldsLease(now, index.EngineRole(t.Engine))
+		ok = held && ep == t.FencingToken
 	})
 	if !ok {
 		return
 	}
-	err := c.http.Post(ctx, t.Addr, "/v1/weights", 2_500_000, engineapi.Weights{Weights: t.Weights, Epoch: t.Epoch, Owner: c.s.Name}, nil)
-	c.d.Log.Info("turn", "engine", t.Engine, "weights", t.Weights, "epoch", t.Epoch, "problem", fmt.Sprint(err))
+	err := n.http.Post(ctx, t.Addr, "/v1/weights", 2_500_000, engineapi.WeightsRequest{Weights: t.Weights, FencingToken: t.FencingToken, Owner: n.settings.Name}, nil)
+	n.daemon.Log.Info("turn", "engine", t.Engine, "weights", t.Weights, "epoch", t.FencingToken, "problem", fmt.Sprint(err))
 }
 
 // news follows the other index nodes' feeds.
-func (c *custodian) news(context.Context) {
-	var peers []index.Custodian
-	for _, n := range c.ses.View().Nodes {
+func (n *indexNode) followPeers(context.Context) {
+	var peers []index.Peer
+	for _, n := range n.session.View().Nodes {
 		if n.Role == "custodian" {
-			peers = append(peers, index.Custodian{Name: n.Name, Addr: n.Addr, Duties: n.Duties})
+			peers = append(peers, index.Peer{Name: n.Name, Addr: n.Addr, Roles: n.Duties})
 		}
 	}
 	for _, p := range peers {
-		c.spawn("news."+p.Name, func(ctx context.Context) { c.follow(ctx, p) })
+		n.spawn("news."+p.Name, func(ctx context.Context) { n.follow(ctx, p) })
 	}
 }
 
-func (c *custodian) ask(ctx context.Context, p index.Custodian, q *fb.NewsAskT) (*fb.NewsTellT, bool) {
-	q.From = c.s.Name
-	if p.Name == c.s.Name {
-		return c.tellNews(q), true
+func (n *indexNode) askFeed(ctx context.Context, p index.Peer, q *fb.NewsAskT) (*fb.NewsTellT, bool) {
+	q.From = n.settings.Name
+	if p.Name == n.settings.Name {
+		return n.answerFeed(q), true
 	}
-	f, err := c.book.Get(p.Addr).Call(ctx, &fb.FrameT{NewsAsk: q}, 800_000)
+	f, err := n.book.Get(p.Addr).Call(ctx, &fb.FrameT{NewsAsk: q}, 800_000)
 	if err != nil || f.NewsTell == nil {
 		return nil, false
 	}
 	return f.NewsTell, true
 }
 
-func (c *custodian) follow(ctx context.Context, p index.Custodian) {
+func (n *indexNode) follow(ctx context.Context, p index.Peer) {
 	var mine []uint16
 	var cur index.Cursor
 	var sites, pushes []string
-	c.with(func(now int64, k *replay.IndexNode) {
-		mine, cur, sites, pushes = k.MyShards(now), k.HoldsCursor(p.Name), k.MySites(), k.PushSites(now)
+	n.withNode(func(now int64, k *replay.IndexNode) {
+		mine, cur, sites, pushes = k.HeldShards(now), k.HoldingsCursor(p.Name), k.ServedZones(), k.PrefetchZones(now)
 	})
 	if len(mine) > 0 {
-		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}); ok {
-			c.with(func(now int64, k *replay.IndexNode) { codec.ApplyHoldings(k.Keeper, now, p.Name, t) })
+		if t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}); ok {
+			n.withNode(func(now int64, k *replay.IndexNode) { codec.ApplyHoldings(k.Node, now, p.Name, t) })
 		}
 	}
 	for _, s := range pushes {
-		c.spawn("push."+p.Name+s, func(ctx context.Context) { c.push(ctx, p, s) })
+		n.spawn("push."+p.Name+s, func(ctx context.Context) { n.prefetch(ctx, p, s) })
 	}
 	for _, s := range sites {
 		var sc index.Cursor
-		c.with(func(_ int64, k *replay.IndexNode) { sc = *k.SiteCursor(s, p.Name) })
-		if t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: sc.Inc, Since: sc.Next}); ok {
-			c.with(func(_ int64, k *replay.IndexNode) { k.SiteNews(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t)) })
+		n.withNode(func(_ int64, k *replay.IndexNode) { sc = *k.ZoneCursor(s, p.Name) })
+		if t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: sc.Incarnation, Since: sc.Next}); ok {
+			n.withNode(func(_ int64, k *replay.IndexNode) {
+				k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
+			})
 		}
 	}
 }
 
-func (c *custodian) tellNews(q *fb.NewsAskT) (t *fb.NewsTellT) {
-	c.with(func(_ int64, k *replay.IndexNode) { t = codec.AnswerUpdates(k.Keeper, q) })
+func (n *indexNode) answerFeed(q *fb.NewsAskT) (t *fb.NewsTellT) {
+	n.withNode(func(_ int64, k *replay.IndexNode) { t = codec.AnswerUpdates(k.Node, q) })
 	return t
 }
 
 // push follows a shard owner's pushes for a site and orders what falls to the
 // engines owned here. A push that fails is left at that.
-func (c *custodian) push(ctx context.Context, p index.Custodian, site string) {
-	c.mu.Lock()
-	cur := c.pushAt[site+"|"+p.Name]
-	c.mu.Unlock()
-	t, ok := c.ask(ctx, p, &fb.NewsAskT{Kind: codec.PushFeed, Site: site, Inc: cur.Inc, Since: cur.Next})
+func (n *indexNode) prefetch(ctx context.Context, p index.Peer, site string) {
+	n.mu.Lock()
+	cur := n.prefetchCursors[site+"|"+p.Name]
+	n.mu.Unlock()
+	t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.PushFeed, Site: site, Inc: cur.Incarnation, Since: cur.Next})
 	if !ok {
 		return
 	}
-	var ps []index.Push
-	c.with(func(now int64, k *replay.IndexNode) {
-		c.pushAt[site+"|"+p.Name] = index.Cursor{Inc: t.Inc, Next: t.Next}
-		ps = k.Pushes(now, site, codec.UnpackBatch(t), codec.UnpackPlaces(t))
+	var ps []index.Prefetch
+	n.withNode(func(now int64, k *replay.IndexNode) {
+		n.prefetchCursors[site+"|"+p.Name] = index.Cursor{Incarnation: t.Inc, Next: t.Next}
+		ps = k.Prefetches(now, site, codec.UnpackBatch(t), codec.UnpackPlaces(t))
 	})
 	for _, x := range ps {
-		_ = c.http.Post(ctx, x.Addr, "/v1/import", 500_000, engineapi.Import{Part: engineapi.Part(x.Part), From: x.From, Epoch: x.Epoch, WaitUS: 300_000, Weights: x.Weights}, nil)
+		_ = n.http.Post(ctx, x.Addr, "/v1/import", 500_000, engineapi.ImportRequest{Block: engineapi.FormatKey(x.Block), From: x.From, FencingToken: x.FencingToken, WaitUS: 300_000, Weights: x.Weights}, nil)
 	}
 }
 
-func (c *custodian) handle(ctx context.Context, f *fb.FrameT) *fb.FrameT {
+func (n *indexNode) handle(ctx context.Context, f *fb.FrameT) *fb.FrameT {
 	switch {
-	case f.RoomAsk != nil && f.RoomAsk.To != "" && f.RoomAsk.To != c.s.Name:
-		return c.relay(ctx, f)
+	case f.RoomAsk != nil && f.RoomAsk.To != "" && f.RoomAsk.To != n.settings.Name:
+		return n.relay(ctx, f)
 	case f.RoomAsk != nil:
-		return &fb.FrameT{RoomTell: c.room(f.RoomAsk)}
+		return &fb.FrameT{RoomTell: n.issueGrants(f.RoomAsk)}
 	case f.NewsAsk != nil:
-		return &fb.FrameT{NewsTell: c.tellNews(f.NewsAsk)}
+		return &fb.FrameT{NewsTell: n.answerFeed(f.NewsAsk)}
 	}
 	return nil
 }
 
 // relayPatience is how long an answer that is passed on is waited for, in microseconds.
-const relayPatience = 500_000
+const relayTimeout = 500_000
 
 // relay passes an agent's question on to the index node that it is for, which the agent
 // does not reach itself.
-func (c *custodian) relay(ctx context.Context, f *fb.FrameT) *fb.FrameT {
-	to, ok := lo.Find(c.ses.View().Nodes, func(n *fb.NodeT) bool { return n.Name == f.RoomAsk.To && n.Role == "custodian" })
-	if !ok || to.Addr == c.s.TransportAddr {
+func (n *indexNode) relay(ctx context.Context, f *fb.FrameT) *fb.FrameT {
+	to, ok := lo.Find(n.session.View().Nodes, func(n *fb.NodeT) bool { return n.Name == f.RoomAsk.To && n.Role == "custodian" })
+	if !ok || to.Addr == n.settings.TransportAddr {
 		return nil
 	}
-	answer, err := c.book.Get(to.Addr).Call(ctx, &fb.FrameT{RoomAsk: f.RoomAsk}, relayPatience)
+	answer, err := n.book.Get(to.Addr).Call(ctx, &fb.FrameT{RoomAsk: f.RoomAsk}, relayTimeout)
 	if err != nil || answer.RoomTell == nil {
 		return nil
 	}
 	return &fb.FrameT{RoomTell: answer.RoomTell}
 }
 
-func (c *custodian) room(q *fb.RoomAskT) (t *fb.RoomTellT) {
-	c.with(func(now int64, k *replay.IndexNode) { t = codec.AnswerCapacity(k, now, c.s.Name, q) })
+func (n *indexNode) issueGrants(q *fb.RoomAskT) (t *fb.RoomTellT) {
+	n.withNode(func(now int64, k *replay.IndexNode) { t = codec.AnswerCapacity(k, now, n.settings.Name, q) })
 	return t
 }
 
-func (c *custodian) vitals() {
+func (n *indexNode) registerMetrics() {
 	g := func(name, help string, f func(now int64, k *replay.IndexNode) float64) {
-		c.d.Gauge(name, help, func() (v float64) {
-			c.with(func(now int64, k *replay.IndexNode) { v = f(now, k) })
+		n.daemon.Gauge(name, help, func() (v float64) {
+			n.withNode(func(now int64, k *replay.IndexNode) { v = f(now, k) })
 			return v
 		})
 	}
-	g("duties_held", "leases held now", func(now int64, k *replay.IndexNode) float64 { return float64(len(k.Duties(now))) })
+	g("duties_held", "leases held now", func(now int64, k *replay.IndexNode) float64 { return float64(len(k.HeldRoles(now))) })
 	g("parts_known", "parts in the shards held here", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Directory().Len()) })
-	g("takeovers", "leases newly won", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Takeovers) })
-	g("pushes", "parts ordered to be fetched ahead of need", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Pushes) })
-	g("resyncs", "times an engine's keeps were read whole", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.Resyncs) })
-	g("hand_overs_good", "hand-overs learnt to have worked", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.HandOK) })
-	g("hand_overs_bad", "hand-overs learnt to have been recomputed", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counts.HandBad) })
+	g("takeovers", "leases newly won", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.Takeovers) })
+	g("pushes", "parts ordered to be fetched ahead of need", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.Prefetches) })
+	g("resyncs", "times an engine's keeps were read whole", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.Resyncs) })
+	g("hand_overs_good", "hand-overs learnt to have worked", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.TransfersOK) })
+	g("hand_overs_bad", "hand-overs learnt to have been recomputed", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Counters.TransfersFailed) })
 	g("news_changes", "changes to what is kept, at shards held here", func(_ int64, k *replay.IndexNode) float64 { return float64(k.Directory().Changes) })
-	g("news_sent", "pieces of hint news queued for followers", func(_ int64, k *replay.IndexNode) float64 { return float64(k.NewsSent()) })
-	c.d.Handle("/v1/engines", func(w http.ResponseWriter, _ *http.Request) {
-		var es []index.Engine
-		c.with(func(now int64, k *replay.IndexNode) { es = k.Engines(now) })
+	g("news_sent", "pieces of hint news queued for followers", func(_ int64, k *replay.IndexNode) float64 { return float64(k.UpdatesSent()) })
+	n.daemon.Handle("/v1/engines", func(w http.ResponseWriter, _ *http.Request) {
+		var es []index.EngineStatus
+		n.withNode(func(now int64, k *replay.IndexNode) { es = k.Engines(now) })
 		daemon.WriteJSON(w, 200, es)
 	})
 }
--- a/internal/app/proxy/admission.go
+++ b/internal/app/proxy/admission.go
@@ -37,7 +37,7 @@
 		c.respondError(w, http.StatusBadRequest, reasonMalformed, 0)
 		return
 	}
-	ask, err := c.door.Ask(r.Header)
+	ask, err := c.door.ParseRequest(r.Header)
 	if err != nil {
 		c.respondError(w, http.StatusBadRequest, reasonMalformed, 0)
 		return
@@ -47,7 +47,7 @@
 		return
 	}
 	// The body may have taken its time: what is in force is looked up after it.
-	p := &passage{c: c, w: w, r: r, ask: ask, view: c.view.Load(), body: body, lastEvent: ask.After}
+	p := &passage{c: c, w: w, r: r, ask: ask, view: c.view.Load(), body: body, lastEvent: ask.LastEventID}
 	if c.admit(p) {
 		p.prepare(arrived)
 		p.run()
@@ -79,13 +79,13 @@
 func (c *carrier) admit(p *passage) bool {
 	table := p.view.table
 	path, _, _ := strings.Cut(p.r.RequestURI, "?")
-	p.route = table.Find(p.r.Host, path)
+	p.route = table.Match(p.r.Host, path)
 	status, reason := 0, ""
 	switch {
 	case p.route == nil:
 		status, reason = http.StatusNotFound, reasonNoRoute
-	case table.Keyed() && !p.route.Public:
-		if p.tenant = table.TenantOf(p.ask.Key); p.tenant == nil {
+	case table.RequiresKeys() && !p.route.Public:
+		if p.tenant = table.TenantByKey(p.ask.Key); p.tenant == nil {
 			status, reason = http.StatusUnauthorized, reasonKeyUnknown
 		}
 	}
@@ -109,29 +109,29 @@
 func (p *passage) prepare(arrived int64) {
 	c := p.c
 	p.deadline = arrived + timeoutOf(p.ask, p.route)
-	resumable := p.route.Kind == route.Stream && p.route.Resumable
-	p.ledger = attempt.Passage{Again: resumable || p.route.Kind == route.Repeatable, Resume: resumable, Most: max(1, p.route.Attempts)}
+	resumable := p.route.Semantics == route.EventStream && p.route.Resumable
+	p.ledger = attempt.Forward{Repeatable: resumable || p.route.Semantics == route.Idempotent, Resumable: resumable, MaxEngines: max(1, p.route.MaxEngines)}
 	tenant := ""
 	if p.tenant != nil {
 		tenant = p.tenant.Name
 	}
 	p.placing = placement.Request{
-		Pool:   poolOf(p.route, p.ask.Attempt),
-		Model:  p.ask.Model,
-		Parts:  p.ask.Parts,
-		Tokens: p.ask.Tokens,
-		Out:    p.ask.Out,
-		Wall:   p.view.table.Wall(tenant),
-		Tried:  map[string]bool{},
+		Pool:            poolOf(p.route, p.ask.AttemptID),
+		Model:           p.ask.Model,
+		Blocks:          p.ask.Blocks,
+		PromptTokens:    p.ask.PromptTokens,
+		MaxOutputTokens: p.ask.MaxOutputTokens,
+		CacheScope:      p.view.table.CacheScope(tenant),
+		TriedEngines:    map[string]bool{},
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.budget(p.placing.Pool).Earn(clock.Now())
+	c.budget(p.placing.Pool).CountRequest(clock.Now())
 }
 
 // timeoutOf is the shorter of what the caller waits and what the route allows.
-func timeoutOf(ask Ask, r *route.Route) int64 {
-	timeout := ask.WaitUS
+func timeoutOf(ask RequestInfo, r *route.Route) int64 {
+	timeout := ask.TimeoutUS
 	if t := r.TimeoutUS; t > 0 && (timeout <= 0 || t < timeout) {
 		timeout = t
 	}
--- a/internal/app/proxy/answer.go
+++ b/internal/app/proxy/answer.go
@@ -19,24 +19,24 @@
 // readHead reads the head of the answer to this very attempt. An answer to a former one
 // may come in its place, on a connection that was used before. Without an answer the
 // outcome says why.
-func (a *engineAttempt) readHead() (*http.Response, Word, outcome) {
+func (a *engineAttempt) readHead() (*http.Response, ResponseInfo, outcome) {
 	for stray := 0; ; {
 		answer, err := a.conn.readHead(a.p.r)
 		if err != nil {
-			return nil, Word{}, a.broken(reasonEngineLost)
+			return nil, ResponseInfo{}, a.broken(reasonEngineLost)
 		}
 		if answer.StatusCode < http.StatusOK {
 			continue // an interim answer
 		}
-		word := a.p.c.door.Word(answer.StatusCode, answer.Header)
+		word := a.p.c.door.ParseResponse(answer.StatusCode, answer.Header)
 		if a.answersThis(word, stray) {
 			return answer, word, outcome{}
 		}
-		if a.conn.used == 0 || word.Attempt == "" || stray == strayAnswers || answer.Close {
-			return nil, Word{}, a.broken(reasonEngineMalformed)
+		if a.conn.used == 0 || word.AttemptID == "" || stray == strayAnswers || answer.Close {
+			return nil, ResponseInfo{}, a.broken(reasonEngineMalformed)
 		}
 		if !discard(answer.Body, strayAnswerBytes) {
-			return nil, Word{}, a.broken(reasonEngineMalformed)
+			return nil, ResponseInfo{}, a.broken(reasonEngineMalformed)
 		}
 		stray++
 	}
@@ -44,11 +44,11 @@
 
 // answersThis reports whether an answer belongs to this attempt. One without a name is
 // trusted only on a connection that carried nothing before.
-func (a *engineAttempt) answersThis(word Word, stray int) bool {
-	if word.Attempt == "" {
-		return word.Skipped && stray == 0 && a.conn.used == 0
+func (a *engineAttempt) answersThis(word ResponseInfo, stray int) bool {
+	if word.AttemptID == "" {
+		return word.NotRun && stray == 0 && a.conn.used == 0
 	}
-	return word.Attempt == a.p.ask.Attempt
+	return word.AttemptID == a.p.ask.AttemptID
 }
 
 // refusals are the statuses by which an engine says that it did not run a request.
@@ -64,7 +64,7 @@
 	if !refusals[answer.StatusCode] {
 		return a.broken(reasonEngineMalformed), nil
 	}
-	end := outcome{attempt.NeverBegan, causeSkipped}
+	end := outcome{attempt.NotStarted, causeSkipped}
 	if answer.StatusCode == http.StatusMisdirectedRequest {
 		end.cause = causeOther
 	}
@@ -90,9 +90,9 @@
 }
 
 // unfit says why an answer may not reach the caller; it is empty if it may.
-func unfit(answer *http.Response, word Word) string {
+func unfit(answer *http.Response, word ResponseInfo) string {
 	switch {
-	case answer.StatusCode < 300 && (!word.Sealed || answer.Header.Get("Content-Encoding") != ""):
+	case answer.StatusCode < 300 && (!word.HasSuccessStamp || answer.Header.Get("Content-Encoding") != ""):
 		// A success without the engine's own mark, or in an encoding nobody asked for.
 		return reasonEngineMalformed
 	case promises[answer.StatusCode]:
--- a/internal/app/proxy/budget_test.go
+++ b/internal/app/proxy/budget_test.go
@@ -16,8 +16,8 @@
 	u.SetRetries(0, 1)
 	u.SetEngines(&placement.Engine{ID: "e", Pool: "p", Addr: "127.0.0.1:1"})
 	now := clock.Now()
-	p := &passage{c: u.c, deadline: now + 1_000_000, placing: placement.Request{Pool: "p", Tried: map[string]bool{}}}
-	if !p.facts(now).Budget {
+	p := &passage{c: u.c, deadline: now + 1_000_000, placing: placement.Request{Pool: "p", TriedEngines: map[string]bool{}}}
+	if !p.facts(now).RetryAllowed {
 		t.Fatal("there is no budget to begin with")
 	}
 	if _, err := p.choose(now, true); err != nil {
--- a/internal/app/proxy/engineattempt.go
+++ b/internal/app/proxy/engineattempt.go
@@ -35,8 +35,8 @@
 )
 
 var (
-	finished    = outcome{state: attempt.Finished}
-	unreachable = outcome{attempt.NeverBegan, attempt.Unreachable}
+	finished    = outcome{state: attempt.Completed}
+	unreachable = outcome{attempt.NotStarted, attempt.Unreachable}
 )
 
 // lateAnswerUS is how much later than the caller's deadline an engine may answer.
@@ -45,9 +45,9 @@
 // run sends the request and relays the answer as far as it comes.
 func (a *engineAttempt) run() outcome {
 	c, engine := a.p.c, a.choice.Engine
-	c.counts.read.Add(int64(a.choice.Read))
-	c.counts.moved.Add(int64(a.choice.Moved))
-	c.counts.hit.Add(int64(a.choice.Hit))
+	c.counts.read.Add(int64(a.choice.PrefillTokens))
+	c.counts.moved.Add(int64(a.choice.TransferTokens))
+	c.counts.hit.Add(int64(a.choice.CachedTokens))
 	ctx := a.p.r.Context()
 	if !a.connect(ctx) {
 		return unreachable
@@ -85,7 +85,7 @@
 	now := clock.Now()
 	switch {
 	case c.view.Load().age(now) > c.stale():
-		p.ledger.Stop = reasonConfigNotFresh
+		p.ledger.StopReason = reasonConfigNotFresh
 		return unreachable, nil
 	case now >= p.deadline:
 		return unreachable, nil
@@ -99,7 +99,7 @@
 	}
 	a.noteLoad(word)
 	switch {
-	case word.Skipped: // an engine may refuse a request before it has read it whole
+	case word.NotRun: // an engine may refuse a request before it has read it whole
 		return a.skipped(answer)
 	case writeErr != nil:
 		return a.broken(reasonEngineLost), nil
@@ -114,14 +114,14 @@
 }
 
 // noteLoad tells placement what the engine says of its load.
-func (a *engineAttempt) noteLoad(word Word) {
-	if !word.Loaded {
+func (a *engineAttempt) noteLoad(word ResponseInfo) {
+	if !word.HasLoad {
 		return
 	}
 	c := a.p.c
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pick.Load(clock.Now(), a.choice.Engine.ID, word.Running, word.Waiting, word.Slots)
+	c.pick.ReportLoad(clock.Now(), a.choice.Engine.ID, word.Running, word.Waiting, word.Slots)
 }
 
 // broken is the outcome of an attempt that was sent and lost.
@@ -132,5 +132,5 @@
 	case clock.Now() >= a.p.deadline:
 		cause = reasonDuePassed
 	}
-	return outcome{attempt.Broken, cause}
+	return outcome{attempt.Interrupted, cause}
 }
--- a/internal/app/proxy/export_test.go
+++ b/internal/app/proxy/export_test.go
@@ -7,7 +7,7 @@
 	"github.com/go-logr/logr"
 
 	"violetthread/attempt"
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/placement"
@@ -24,7 +24,7 @@
 }
 
 // NewUnattached starts one that listens for callers.
-func NewUnattached(t testing.TB, door Door, table *route.Table) *Unattached {
+func NewUnattached(t testing.TB, door Adapter, table *route.Table) *Unattached {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,16 +33,16 @@
 	bounds := route.DefaultBounds()
 	bounds.RetryAllowance, bounds.RetryRatio = 1e9, 1
 	c := &carrier{
-		s:      Settings{Name: "unattached", Site: "here", Bounds: bounds},
+		s:      Settings{Name: "unattached", Zone: "here", Bounds: bounds},
 		d:      quietDaemon(),
 		door:   door,
 		pool:   newPool(),
-		hints:  hint.NewHolders(64),
-		window: map[string]*attempt.Window{},
+		hints:  cacheindex.NewHolderTable(64),
+		window: map[string]*attempt.RetryWindow{},
 		allow:  1e9,
 	}
 	c.pool.dialTimeoutUS = patienceUS // the machine may be busy with other tests
-	c.pick = placement.New(c.s.Site, c.hints)
+	c.pick = placement.New(c.s.Zone, c.hints)
 	c.view.Store(&view{table: table, rev: 1, at: clock.Now() + 1<<40, known: true, peers: 1})
 	c.serveCallers(l, table.Limits)
 	t.Cleanup(func() {
@@ -56,8 +56,8 @@
 func (u *Unattached) SetEngines(engines ...*placement.Engine) {
 	u.c.mu.Lock()
 	defer u.c.mu.Unlock()
-	u.c.pick = placement.New(u.c.s.Site, u.c.hints)
-	u.c.pick.Map(engines, nil)
+	u.c.pick = placement.New(u.c.s.Zone, u.c.hints)
+	u.c.pick.SetFleet(engines, nil)
 }
 
 // SetRetries replaces what the proxy may spend on further attempts.
@@ -66,7 +66,7 @@
 	defer u.c.mu.Unlock()
 	u.c.allow = allowance
 	u.c.s.Bounds.RetryRatio = ratio
-	u.c.window = map[string]*attempt.Window{}
+	u.c.window = map[string]*attempt.RetryWindow{}
 }
 
 // NewView takes the configuration away, or gives one.
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -5,7 +5,7 @@
 	"slices"
 	"sort"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	frames "violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
@@ -38,7 +38,7 @@
 	rev   uint64
 	at    int64 // when the configuration was last known to be in force
 	known bool
-	named *route.Namings
+	named *route.Announcements
 	peers int // proxies of the fleet, this one included
 	// Which life of a node told the map in use, and when the list of engines in it was
 	// asked for.
@@ -60,7 +60,7 @@
 	if v.named == nil {
 		return 0
 	}
-	return v.named.Oldest(now, model, within)
+	return v.named.OldestAllowed(now, model, within)
 }
 
 // leastVersion is the oldest version of a model that an attempt may begin on now.
@@ -77,11 +77,11 @@
 		v.peers = told
 	}
 	if t.Whole {
-		named := &route.Namings{}
+		named := &route.Announcements{}
 		if v.named != nil {
 			named = v.named.Clone()
 		}
-		named.Take(frames.UnpackVersionAges(t, at))
+		named.Merge(frames.UnpackVersionAges(t, at))
 		v.named = named
 		v.next = &nextMap{t.Inc, t.Engines, at}
 	}
@@ -220,7 +220,7 @@
 		n += 4
 	}
 	switch {
-	case x.site == f.c.s.Site:
+	case x.site == f.c.s.Zone:
 	case x.site == "":
 		n++ // worth finding out
 	default:
@@ -310,7 +310,7 @@
 	if t.Inc != f.inc {
 		f.inc, f.mapRev = t.Inc, 0
 	}
-	if v.hearConfig(t, at, c.door.Config) {
+	if v.hearConfig(t, at, c.door.ParseConfig) {
 		c.d.Log.Info("config", "rev", t.Rev, "version", v.table.Version, "age_us", t.Age)
 	}
 	f.have = v.rev
@@ -324,11 +324,11 @@
 	f.news(t)
 	others := map[uint64]placement.Load{}
 	for _, l := range t.Loads {
-		others[l.Node] = placement.Load{Active: int(l.Active), Reading: int64(l.Reading), Tokens: int64(l.Tokens)}
+		others[l.Node] = placement.Load{Requests: int(l.Active), PrefillTokens: int64(l.Reading), MemoryTokens: int64(l.Tokens)}
 	}
 	c.mu.Lock()
-	c.pick.Others(at, others)
-	c.pick.Complete = t.Complete && !t.NewsReset
+	c.pick.SetOtherLoads(at, others)
+	c.pick.HintsComplete = t.Complete && !t.NewsReset
 	c.mu.Unlock()
 }
 
@@ -336,8 +336,8 @@
 func (c *carrier) loads() (out []*fb.LoadT) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for n, l := range c.pick.Own() {
-		out = append(out, &fb.LoadT{Node: n, Active: uint32(l.Active), Reading: uint32(l.Reading), Tokens: uint32(l.Tokens)})
+	for n, l := range c.pick.OwnLoads() {
+		out = append(out, &fb.LoadT{Node: n, Active: uint32(l.Requests), Reading: uint32(l.PrefillTokens), Tokens: uint32(l.MemoryTokens)})
 	}
 	return out
 }
@@ -351,11 +351,11 @@
 		h.Clear()
 	}
 	for _, n := range t.News {
-		k := hint.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check}
-		if hint.Op(n.Op) == hint.Load {
+		k := cacheindex.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check}
+		if cacheindex.UpdateOp(n.Op) == cacheindex.OpAdd {
 			h.Put(k, n.Node)
 		} else {
-			h.Drop(k, n.Node)
+			h.Remove(k, n.Node)
 		}
 	}
 }
@@ -366,20 +366,20 @@
 	var ss []placement.Store
 	for _, e := range es {
 		if e.Store {
-			ss = append(ss, placement.Store{Addr: e.Addr, Site: e.Site, Down: e.Down})
+			ss = append(ss, placement.Store{Addr: e.Addr, Zone: e.Site, Unhealthy: e.Down})
 			continue
 		}
 		keep := int64(0)
 		if tab != nil {
 			if p := tab.Pool(e.Pool); p != nil {
-				keep = p.KeepTokens
+				keep = p.CacheTokens
 			}
 		}
-		l = append(l, &placement.Engine{Keep: keep, ID: e.Id, Pool: e.Pool, Addr: e.Addr, Site: e.Site, Draining: e.Draining,
-			Turning: e.Turning, Down: e.Down, Slots: int(e.Slots), Weights: frames.UnpackWeights(e.Weights)})
+		l = append(l, &placement.Engine{CacheTokens: keep, ID: e.Id, Pool: e.Pool, Addr: e.Addr, Zone: e.Site, Draining: e.Draining,
+			UpdatingWeights: e.Turning, Unhealthy: e.Down, Slots: int(e.Slots), Weights: frames.UnpackWeights(e.Weights)})
 	}
 	c.mu.Lock()
-	c.pick.Map(l, ss)
+	c.pick.SetFleet(l, ss)
 	c.mu.Unlock()
 	if len(l) > 0 {
 		c.met.Store(true)
--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -168,7 +168,7 @@
 	v := *u.c.view.Load()
 	v.hear(told(1, 0, "old", 0, 1), named)
 	u.c.view.Store(&v)
-	p := &passage{c: u.c, ask: Ask{Model: "m"}, placing: placement.Request{Pool: "p", Model: "m", Tried: map[string]bool{}}}
+	p := &passage{c: u.c, ask: RequestInfo{Model: "m"}, placing: placement.Request{Pool: "p", Model: "m", TriedEngines: map[string]bool{}}}
 	within := u.c.s.Bounds.VersionApplyUS
 	if _, err := p.choose(named+within/2, false); err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 // after all others, though it is in the proxy's own zone and answers at once.
 func TestCutOffNodeIsNotClungTo(t *testing.T) {
 	const now = 100 * second
-	f := &follower{c: &carrier{s: Settings{Name: "p", Site: "north"}}, nodes: map[string]*directoryNode{
+	f := &follower{c: &carrier{s: Settings{Name: "p", Zone: "north"}}, nodes: map[string]*directoryNode{
 		"near": {site: "north", badAt: now - 100},
 		"far1": {site: "south", badAt: now - second},
 		"far2": {site: "west", badAt: now - second/2},
--- a/internal/app/proxy/message.go
+++ b/internal/app/proxy/message.go
@@ -50,20 +50,20 @@
 	for name := range hopByHop {
 		h.Del(name)
 	}
-	told := Told{
-		Engine:   a.choice.Engine.ID,
-		WaitUS:   p.deadline - now,
-		Salt:     a.choice.Salt,
-		Source:   a.choice.Source,
-		Dest:     a.choice.Dest,
-		Model:    p.ask.Model,
-		Version:  a.choice.Version,
-		Priority: p.view.table.Rank(p.tenant, p.route),
-		After:    p.lastEvent,
+	told := EngineRequest{
+		EngineID:    a.choice.Engine.ID,
+		TimeoutUS:   p.deadline - now,
+		Salt:        a.choice.Salt,
+		Source:      a.choice.Source,
+		Destination: a.choice.Destination,
+		Model:       p.ask.Model,
+		Version:     a.choice.Version,
+		Priority:    p.view.table.Priority(p.tenant, p.route),
+		LastEventID: p.lastEvent,
 	}
 	if p.tenant != nil {
 		told.Tenant = p.tenant.Name
 	}
-	p.c.door.Tell(h, told)
+	p.c.door.SetEngineHeaders(h, told)
 	return h
 }
--- a/internal/app/proxy/passage.go
+++ b/internal/app/proxy/passage.go
@@ -18,13 +18,13 @@
 	c         *carrier
 	w         http.ResponseWriter
 	r         *http.Request
-	ask       Ask
+	ask       RequestInfo
 	view      *view // in force when the request had come whole
 	route     *route.Route
 	tenant    *route.Tenant // nil on a public route
 	body      []byte
 	deadline  int64
-	ledger    attempt.Passage
+	ledger    attempt.Forward
 	placing   placement.Request
 	lastEvent string // id of the last event that went out
 }
@@ -44,20 +44,20 @@
 	for {
 		now := clock.Now()
 		move := p.ledger.Next(p.facts(now))
-		switch move.Do {
-		case attempt.PassPlace:
+		switch move.Action {
+		case attempt.ForwardSend:
 			// A budget that was spent meanwhile is seen at the next move.
-			if err := p.place(now, move.Retry); errors.Is(err, errNoEngine) {
+			if err := p.place(now, move.SpendsRetry); errors.Is(err, errNoEngine) {
 				p.refuse(reasonNoEngine)
 				return
 			}
-		case attempt.PassDone:
+		case attempt.ForwardDone:
 			c.counts.done.Add(1)
 			return
-		case attempt.PassRefuse:
+		case attempt.ForwardReject:
 			p.refuse(move.Reason)
 			return
-		case attempt.PassLost:
+		case attempt.ForwardLost:
 			p.lost(move.Reason)
 			return
 		default: // PassCut: whatever came so far must not look whole
@@ -68,10 +68,10 @@
 }
 
 // facts are what the ledger has to know beside its attempts.
-func (p *passage) facts(now int64) attempt.Facts {
+func (p *passage) facts(now int64) attempt.Conditions {
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
-	return attempt.Facts{Time: now < p.deadline-dispatchMarginUS, Budget: p.c.budget(p.placing.Pool).Has(now)}
+	return attempt.Conditions{TimeLeft: now < p.deadline-dispatchMarginUS, RetryAllowed: p.c.budget(p.placing.Pool).Allows(now)}
 }
 
 // lost says that the request may have run and has no answer.
@@ -92,9 +92,9 @@
 func (p *passage) refuse(reason string) {
 	c := p.c
 	for _, a := range p.ledger.Attempts {
-		if a.State == attempt.Broken {
+		if a.State == attempt.Interrupted {
 			c.counts.lost.Add(1)
-			if p.ledger.Out {
+			if p.ledger.HeadSent {
 				p.abort()
 			}
 			c.respondError(p.w, http.StatusBadGateway, reasonEngineLost, 0)
@@ -130,16 +130,16 @@
 	if err != nil {
 		return err
 	}
-	p.placing.Tried[choice.Engine.ID] = true
+	p.placing.TriedEngines[choice.Engine.ID] = true
 	id := strconv.Itoa(len(p.ledger.Attempts))
 	p.ledger.Attempts = append(p.ledger.Attempts, attempt.Attempt{ID: id, Engine: choice.Engine.ID, State: attempt.Sent})
 	a := &engineAttempt{p: p, choice: &choice, id: id}
 	end := a.run()
 	p.settle(now, a, end)
-	if p.r.Context().Err() != nil && end.state != attempt.Finished {
-		p.ledger.Stop = reasonCallerGone
+	if p.r.Context().Err() != nil && end.state != attempt.Completed {
+		p.ledger.StopReason = reasonCallerGone
 	}
-	p.ledger.Note(id, end.state, end.cause)
+	p.ledger.Record(id, end.state, end.cause)
 	return nil
 }
 
@@ -149,18 +149,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	budget := c.budget(p.placing.Pool)
-	if retry && !budget.Has(now) {
+	if retry && !budget.Allows(now) {
 		return placement.Choice{}, errRetryBudget
 	}
 	// A later attempt begins later: weights may have gone out of date since the first.
-	p.placing.Least = c.leastVersion(now, p.ask.Model)
+	p.placing.MinVersion = c.leastVersion(now, p.ask.Model)
 	choice, ok := c.pick.Pick(now, &p.placing)
 	if !ok {
 		return choice, errNoEngine
 	}
-	c.pick.Sent(&choice)
+	c.pick.RequestSent(&choice)
 	if retry {
-		budget.Spend(now)
+		budget.CountRetry(now)
 		c.counts.more.Add(1)
 	}
 	return choice, nil
@@ -172,19 +172,19 @@
 	c, engine := p.c, a.choice.Engine.ID
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pick.Ended(a.choice, a.began)
+	c.pick.AttemptEnded(a.choice, a.began)
 	switch {
-	case end.state == attempt.NeverBegan && end.cause == causeSkipped:
+	case end.state == attempt.NotStarted && end.cause == causeSkipped:
 		c.counts.skipped.Add(1)
-		c.pick.Rest(now, engine, restFullUS, false)
-	case end.state == attempt.NeverBegan && end.cause == causeOther:
+		c.pick.Eject(now, engine, restFullUS, false)
+	case end.state == attempt.NotStarted && end.cause == causeOther:
 		c.counts.skipped.Add(1)
-		c.pick.Rest(now, engine, restOtherUS, true)
+		c.pick.Eject(now, engine, restOtherUS, true)
 		p.placing.Misdirected = true
 	case a.unreached:
-		c.pick.Rest(clock.Now(), engine, restLostUS, true)
-	case end.state == attempt.Broken && end.cause != reasonCallerGone && end.cause != reasonDuePassed:
+		c.pick.Eject(clock.Now(), engine, restLostUS, true)
+	case end.state == attempt.Interrupted && end.cause != reasonCallerGone && end.cause != reasonDuePassed:
 		c.counts.broken.Add(1)
-		c.pick.Rest(clock.Now(), engine, restLostUS, true)
+		c.pick.Eject(clock.Now(), engine, restLostUS, true)
 	}
 }
--- a/internal/app/proxy/port.go
+++ b/internal/app/proxy/port.go
@@ -11,48 +11,48 @@
 )
 
 // Ask is what an adapter reads off a caller's request. Times are microseconds.
-type Ask struct {
-	Attempt string // the caller's name for this try
-	WaitUS  int64  // how long the caller waits, 0 if it did not say
-	Key     string
-	Model   string
-	Parts   []placement.Part
-	Tokens  int // of the prompt
-	Out     int // at the most
-	After   string
+type RequestInfo struct {
+	AttemptID       string // the caller's name for this try
+	TimeoutUS       int64  // how long the caller waits, 0 if it did not say
+	Key             string
+	Model           string
+	Blocks          []placement.Block
+	PromptTokens    int // of the prompt
+	MaxOutputTokens int // at the most
+	LastEventID     string
 }
 
 // Told is what an engine is told beside the caller's own words.
-type Told struct {
-	Engine   string
-	WaitUS   int64
-	Tenant   string
-	Salt     string
-	Source   string
-	Dest     string
-	Model    string
-	Version  uint64
-	Priority int
-	After    string
+type EngineRequest struct {
+	EngineID    string
+	TimeoutUS   int64
+	Tenant      string
+	Salt        string
+	Source      string
+	Destination string
+	Model       string
+	Version     uint64
+	Priority    int
+	LastEventID string
 }
 
 // Word is what an adapter reads off an engine's answer.
-type Word struct {
-	Attempt string
-	Sealed  bool // the engine's own mark of a success
-	Skipped bool // the engine did not run the request and never will
-	Loaded  bool
-	Running int
-	Waiting int
-	Slots   int
+type ResponseInfo struct {
+	AttemptID       string
+	HasSuccessStamp bool // the engine's own mark of a success
+	NotRun          bool // the engine did not run the request and never will
+	HasLoad         bool
+	Running         int
+	Waiting         int
+	Slots           int
 }
 
 // Door is the adapter between callers, engines and this proxy.
-type Door interface {
-	Ask(h http.Header) (Ask, error)
+type Adapter interface {
+	ParseRequest(h http.Header) (RequestInfo, error)
 	// Tell puts what the engine is told into the headers that go to it.
-	Tell(h http.Header, t Told)
-	Word(status int, h http.Header) Word
+	SetEngineHeaders(h http.Header, t EngineRequest)
+	ParseResponse(status int, h http.Header) ResponseInfo
 	// Config reads the configuration's register.
-	Config(val []byte, rev uint64) *route.Table
+	ParseConfig(val []byte, rev uint64) *route.Table
 }
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -17,7 +17,7 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/attempt"
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
@@ -29,27 +29,27 @@
 
 // Settings of a carrier. Times are microseconds.
 type Settings struct {
-	Name, Site string
-	HTTP       string   // IP:port of the daemon's own pages
-	Listen     string   // IP:port for callers
-	Seeds      []string // wire addresses of up to three control nodes
-	Bounds     route.Bounds
-	Hints      int // entries of the hint table
+	Name, Zone  string
+	HTTP        string   // IP:port of the daemon's own pages
+	Listen      string   // IP:port for callers
+	Seeds       []string // wire addresses of up to three control nodes
+	Bounds      route.Bounds
+	HintEntries int // entries of the hint table
 }
 
 type carrier struct {
 	s      Settings
 	d      *daemon.Daemon
-	door   Door
+	door   Adapter
 	book   *transport.PeerPool
 	inc    uint64
 	view   atomic.Pointer[view]
 	pool   *pool
-	hints  *hint.Holders
+	hints  *cacheindex.HolderTable
 	hintMu sync.Mutex
 	mu     sync.Mutex // of pick and window
 	pick   *placement.Picker
-	window map[string]*attempt.Window // by pool
+	window map[string]*attempt.RetryWindow // by pool
 	allow  float64
 	srv    atomic.Pointer[http.Server]
 	met    atomic.Bool // a map that shows engines was seen
@@ -63,7 +63,7 @@
 var noTime = time.Time{}
 
 // New makes a carrier, ready to Run.
-func New(s Settings, door Door) (*daemon.Daemon, error) {
+func New(s Settings, door Adapter) (*daemon.Daemon, error) {
 	if s.Listen == "" || len(s.Seeds) == 0 {
 		return nil, trace.BadParameter("an address for callers and a seed are needed; look at the settings file")
 	}
@@ -74,9 +74,9 @@
 	grace := max(s.Bounds.GraceUS-700_000, 1_000_000)
 	d := daemon.New("carrier", s.Name, s.HTTP, grace)
 	c := &carrier{s: s, d: d, door: door, book: transport.NewPeerPool(d.Group), inc: binary.LittleEndian.Uint64(b[:])>>24 | 1,
-		pool: newPool(), hints: hint.NewHolders(s.Hints)}
-	c.pick = placement.New(s.Site, c.hints)
-	c.window, c.allow = map[string]*attempt.Window{}, 1
+		pool: newPool(), hints: cacheindex.NewHolderTable(s.HintEntries)}
+	c.pick = placement.New(s.Zone, c.hints)
+	c.window, c.allow = map[string]*attempt.RetryWindow{}, 1
 	c.view.Store(&view{})
 	f := newFollower(c)
 	d.Group.Go("follow", f.run)
@@ -90,7 +90,7 @@
 }
 
 func (c *carrier) self() *fb.NodeT {
-	return &fb.NodeT{Name: c.s.Name, Role: "carrier", Site: c.s.Site, Http: c.s.HTTP, Inc: c.inc, Ready: c.d.Ready()}
+	return &fb.NodeT{Name: c.s.Name, Role: "carrier", Site: c.s.Zone, Http: c.s.HTTP, Inc: c.inc, Ready: c.d.Ready()}
 }
 
 func score(a, b string) uint64 {
@@ -135,13 +135,13 @@
 
 // budget is this proxy's part of the further sends that a pool may get in all. The
 // caller holds the lock.
-func (c *carrier) budget(pool string) *attempt.Window {
+func (c *carrier) budget(pool string) *attempt.RetryWindow {
 	w := c.window[pool]
 	if w == nil {
-		w = &attempt.Window{SpanUS: c.s.Bounds.RetryWindowUS, Ratio: c.s.Bounds.RetryRatio * 0.7}
+		w = &attempt.RetryWindow{SpanUS: c.s.Bounds.RetryWindowUS, Ratio: c.s.Bounds.RetryRatio * 0.7}
 		c.window[pool] = w
 	}
-	w.Allow = c.allow
+	w.Allowance = c.allow
 	return w
 }
 
--- a/internal/app/proxy/relay.go
+++ b/internal/app/proxy/relay.go
@@ -32,7 +32,7 @@
 		return a.broken(reasonEngineMalformed)
 	case stream:
 		return a.relayStream(answer)
-	case a.p.ledger.Out: // only a stream can go on with a stream
+	case a.p.ledger.HeadSent: // only a stream can go on with a stream
 		return a.broken(reasonEngineMalformed)
 	}
 	return a.relayPlain(answer)
@@ -41,7 +41,7 @@
 // relayStream passes events on as they arrive. The head goes out with the first whole
 // event, so that an answer that breaks before it can still come from elsewhere.
 func (a *engineAttempt) relayStream(answer *http.Response) outcome {
-	a.resumes = a.p.ledger.Out
+	a.resumes = a.p.ledger.HeadSent
 	br := bufio.NewReaderSize(answer.Body, 4096)
 	for {
 		event, id, err := readEvent(br)
@@ -88,7 +88,7 @@
 	case id != "":
 		p.lastEvent = id
 	case len(bytes.TrimSpace(event)) > 0 && event[0] != ':':
-		p.ledger.Resume = false // nothing tells where to go on
+		p.ledger.Resumable = false // nothing tells where to go on
 	}
 	return true
 }
@@ -133,15 +133,15 @@
 // counted as broken.
 func (a *engineAttempt) mayRunElsewhere() bool {
 	p, now := a.p, clock.Now()
-	if !p.ledger.Again || now >= p.deadline {
+	if !p.ledger.Repeatable || now >= p.deadline {
 		return false
 	}
 	trial := p.ledger
 	trial.Attempts = append([]attempt.Attempt(nil), trial.Attempts...)
-	trial.Note(a.id, attempt.Broken, reasonEngineFailed)
+	trial.Record(a.id, attempt.Interrupted, reasonEngineFailed)
 	facts := p.facts(now)
-	facts.Time = true
-	return trial.Next(facts).Do == attempt.PassPlace
+	facts.TimeLeft = true
+	return trial.Next(facts).Action == attempt.ForwardSend
 }
 
 // setLength tells the length of an answer that is no stream, if it is known.
@@ -175,7 +175,7 @@
 	}
 	left := max(0, p.deadline-clock.Now()) + lateWriteUS
 	_ = http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(clock.Duration(left)))
-	p.ledger.Out = true
+	p.ledger.HeadSent = true
 	p.w.WriteHeader(answer.StatusCode)
 }
 
@@ -185,19 +185,19 @@
 	c := a.p.c
 	a.began = true
 	c.mu.Lock()
-	c.pick.Began(a.choice)
+	c.pick.ResponseStarted(a.choice)
 	c.mu.Unlock()
-	engine := placement.EngineNode(a.choice.Engine.ID)
+	engine := placement.EngineHolderID(a.choice.Engine.ID)
 	c.hintMu.Lock()
 	defer c.hintMu.Unlock()
-	for _, key := range a.choice.Keys {
+	for _, key := range a.choice.BlockKeys {
 		c.hints.Put(key, engine)
 	}
-	if a.choice.Dest == "" {
+	if a.choice.Destination == "" {
 		return
 	}
-	store := placement.StoreNode(a.choice.Dest)
-	for _, key := range a.choice.Keys[:max(0, len(a.choice.Keys)-1)] {
+	store := placement.StoreHolderID(a.choice.Destination)
+	for _, key := range a.choice.BlockKeys[:max(0, len(a.choice.BlockKeys)-1)] {
 		c.hints.Put(key, store)
 	}
 }
--- a/internal/app/proxy/standin_test.go
+++ b/internal/app/proxy/standin_test.go
@@ -53,11 +53,11 @@
 
 // testTable has a route of each kind.
 func testTable() *route.Table {
-	types := map[string]route.Kind{onceOnly: route.Once, onceStream: route.Stream, repeatable: route.Repeatable, resumable: route.Stream}
+	types := map[string]route.Semantics{onceOnly: route.AtMostOnce, onceStream: route.EventStream, repeatable: route.Idempotent, resumable: route.EventStream}
 	config := route.Config{Version: 1, Pools: []route.Pool{{Name: pool}}}
 	for _, kind := range kinds {
-		config.Routes = append(config.Routes, route.Route{Name: kind, Host: "h.example", Prefix: "/" + kind + "/", Kind: types[kind], TimeoutUS: 9_000_000,
-			Attempts: 2, Public: true, Resumable: kind == resumable, Split: []route.Share{{Pool: pool, Weight: 1}}})
+		config.Routes = append(config.Routes, route.Route{Name: kind, Host: "h.example", Prefix: "/" + kind + "/", Semantics: types[kind], TimeoutUS: 9_000_000,
+			MaxEngines: 2, Public: true, Resumable: kind == resumable, Split: []route.WeightedPool{{Pool: pool, Weight: 1}}})
 	}
 	return route.Compile(config, 1)
 }
@@ -275,7 +275,7 @@
 	var es []*placement.Engine
 	for i := range engines {
 		addr := s.engines.listeners[i%2].Addr().String()
-		es = append(es, &placement.Engine{ID: fmt.Sprintf("%s-%06d-%03d", s.name, s.lives, i), Pool: pool, Addr: addr, Site: "here", Slots: 8})
+		es = append(es, &placement.Engine{ID: fmt.Sprintf("%s-%06d-%03d", s.name, s.lives, i), Pool: pool, Addr: addr, Zone: "here", Slots: 8})
 	}
 	s.proxy.SetEngines(es...)
 }
@@ -284,7 +284,7 @@
 func (s *stage) alone(script func(c *engineConn, arrival int)) {
 	s.engines.reset(script)
 	s.lives++
-	s.proxy.SetEngines(&placement.Engine{ID: fmt.Sprintf("%s-%06d", s.name, s.lives), Pool: pool, Addr: s.engines.listeners[0].Addr().String(), Site: "here", Slots: 8})
+	s.proxy.SetEngines(&placement.Engine{ID: fmt.Sprintf("%s-%06d", s.name, s.lives), Pool: pool, Addr: s.engines.listeners[0].Addr().String(), Zone: "here", Slots: 8})
 }
 
 // newID names a try.
--- a/internal/app/session/session.go
+++ b/internal/app/session/session.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	period   = 150_000
-	patience = 600_000
+	heartbeatInterval = 150_000
+	heartbeatTimeout  = 600_000
 )
 
 // View is what a session knows: the plan in force, and the members. It never
 // changes once published.
 type View struct {
-	plan.Held
-	Nodes []*fb.NodeT
-	Era   uint64 // newest era of claims
+	plan.Cached
+	Nodes      []*fb.NodeT
+	Generation uint64 // newest era of claims
 }
 
 // Session is a node's tie to the control nodes.
 type Session struct {
-	c     *taskgroup.Group
-	book  *transport.PeerPool
-	self  func() *fb.NodeT
-	seeds []string
-	mu    sync.Mutex
-	known []string
-	cur   string
-	view  atomic.Pointer[View]
+	group        *taskgroup.Group
+	book         *transport.PeerPool
+	self         func() *fb.NodeT
+	seeds        []string
+	mu           sync.Mutex
+	controlNodes []string
+	current      string
+	view         atomic.Pointer[View]
 }
 
 // New makes a session; Run starts it. Self tells of this node at each beat.
 func New(c *taskgroup.Group, book *transport.PeerPool, seeds []string, self func() *fb.NodeT) *Session {
-	s := &Session{c: c, book: book, seeds: seeds, self: self}
+	s := &Session{group: c, book: book, seeds: seeds, self: self}
 	s.view.Store(&View{})
 	return s
 }
@@ -56,17 +56,17 @@
 
 // Run keeps the session up until the group stops.
 func (s *Session) Run() {
-	s.c.Go("session", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Duration(period), s.beat)
+	s.group.Go("session", func(ctx context.Context) {
+		taskgroup.Every(ctx, clock.Duration(heartbeatInterval), s.heartbeat)
 	})
 }
 
 // order lists the registrars to try: the current one first, then the others by
 // this node's own preference, so that nodes spread.
-func (s *Session) order() []string {
+func (s *Session) candidates() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := slices.Clone(s.known)
+	l := slices.Clone(s.controlNodes)
 	for _, x := range s.seeds {
 		if !slices.Contains(l, x) {
 			l = append(l, x)
@@ -83,7 +83,7 @@
 		switch {
 		case a == b:
 			return 0
-		case a == s.cur || b != s.cur && w(a) > w(b):
+		case a == s.current || b != s.current && w(a) > w(b):
 			return -1
 		}
 		return 1
@@ -91,60 +91,60 @@
 	return l
 }
 
-func (s *Session) beat(ctx context.Context) {
-	for _, a := range s.order() {
+func (s *Session) heartbeat(ctx context.Context) {
+	for _, a := range s.candidates() {
 		v := s.view.Load()
 		at := clock.Now()
-		r, err := s.book.Get(a).Call(ctx, &fb.FrameT{BeatAsk: &fb.BeatAskT{Node: s.self(), Have: v.Rev}}, patience)
+		r, err := s.book.Get(a).Call(ctx, &fb.FrameT{BeatAsk: &fb.BeatAskT{Node: s.self(), Have: v.Revision}}, heartbeatTimeout)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil || r.BeatTell == nil {
 			s.mu.Lock()
-			if s.cur == a {
-				s.c.Log().Info("session_lost", "registrar", a)
-				s.cur = ""
+			if s.current == a {
+				s.group.Log().Info("session_lost", "registrar", a)
+				s.current = ""
 			}
 			s.mu.Unlock()
 			continue
 		}
 		s.mu.Lock()
-		if s.cur != a {
-			s.c.Log().Info("session", "registrar", a)
+		if s.current != a {
+			s.group.Log().Info("session", "registrar", a)
 		}
-		s.cur = a
+		s.current = a
 		if len(r.BeatTell.Registrars) > 0 {
-			s.known = r.BeatTell.Registrars
+			s.controlNodes = r.BeatTell.Registrars
 		}
 		s.mu.Unlock()
-		s.take(v, r.BeatTell, at)
+		s.publish(v, r.BeatTell, at)
 		return
 	}
 }
 
 // take publishes a new view. The age counts from before the question was sent,
 // so whatever the answer went through is in it (design §3).
-func (s *Session) take(v *View, t *fb.BeatTellT, at int64) {
+func (s *Session) publish(v *View, t *fb.BeatTellT, at int64) {
 	n := *v
-	n.Nodes, n.Era = t.Nodes, max(n.Era, t.Era)
-	h, changed, err := v.Take(plan.Word{Rev: t.Rev, Age: t.Age, Raw: t.Plan, Fresh: t.Fresh}, at)
+	n.Nodes, n.Generation = t.Nodes, max(n.Generation, t.Era)
+	h, changed, err := v.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
 	if err != nil {
-		s.c.Log().Info("plan_unreadable", "rev", t.Rev, "cause", err.Error())
+		s.group.Log().Info("plan_unreadable", "rev", t.Rev, "cause", err.Error())
 	}
-	n.Held = h
+	n.Cached = h
 	s.view.Store(&n)
 	if changed {
-		s.c.Log().Info("plan", "rev", n.Rev, "age_us", n.Age(clock.Now()))
+		s.group.Log().Info("plan", "rev", n.Revision, "age_us", n.Age(clock.Now()))
 	}
 }
 
 // Op asks for an operation on a key and waits up to us for its end. An error
 // means that the outcome is not known.
-func (s *Session) Op(ctx context.Context, op *fb.OpAskT, us int64) (*fb.OpTellT, error) {
+func (s *Session) Propose(ctx context.Context, op *fb.OpAskT, us int64) (*fb.OpTellT, error) {
 	end := clock.Now() + us
 	var last error = trace.ConnectionProblem(nil, "no registrar is reachable; check the seeds and the core machines")
 	for i := 0; clock.Now() < end && ctx.Err() == nil; i++ {
-		as := s.order()
+		as := s.candidates()
 		if len(as) == 0 {
 			break
 		}
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -3,17 +3,17 @@
 package callerapi
 
 // Ticket is the body of POST /v1/tickets.
-type Ticket struct {
-	Kind   string `json:"kind"`
-	ID     string `json:"id,omitempty"`
-	Era    uint64 `json:"era,omitempty"`    // with an id of a once-only kind
-	DueUS  int64  `json:"due_us,omitempty"` // counted from arrival
-	Prompt string `json:"prompt"`
+type Request struct {
+	Kind       string `json:"kind"`
+	ID         string `json:"id,omitempty"`
+	Generation uint64 `json:"era,omitempty"`    // with an id of a once-only kind
+	DueUS      int64  `json:"due_us,omitempty"` // counted from arrival
+	Prompt     string `json:"prompt"`
 }
 
 // Era is the answer to GET /v1/era: what new ids of once-only kinds are sent with.
-type Era struct {
-	Era uint64 `json:"era"`
+type Generation struct {
+	Generation uint64 `json:"era"`
 }
 
 // Frame is one line of an answer. The last is done, refused or unknown.
@@ -21,10 +21,10 @@
 	Frame        string  `json:"frame"`
 	Ticket       string  `json:"ticket,omitempty"`
 	Node         string  `json:"node,omitempty"`
-	N            int     `json:"n,omitempty"`
+	Index        int     `json:"n,omitempty"`
 	Text         *string `json:"text,omitempty"`
 	Pieces       *int    `json:"pieces,omitempty"`
-	Era          uint64  `json:"era,omitempty"`
+	Generation   uint64  `json:"era,omitempty"`
 	Reason       string  `json:"reason,omitempty"`
 	Remedy       string  `json:"remedy,omitempty"`
 	RetryAfterUS int64   `json:"retry_after_us,omitempty"`
--- a/internal/codec/directory.go
+++ b/internal/codec/directory.go
@@ -13,11 +13,11 @@
 
 // Namings reads the ages of weights that a directory node tells. It left that node no
 // sooner than at, in the reader's time, so that no age is taken for less than it is.
-func UnpackVersionAges(t *fb.MapTellT, at int64) *route.Namings {
-	n := &route.Namings{}
-	n.Begin(t.NamedEpoch, math.MinInt64)
+func UnpackVersionAges(t *fb.MapTellT, at int64) *route.Announcements {
+	n := &route.Announcements{}
+	n.StartTerm(t.NamedEpoch, math.MinInt64)
 	for _, named := range t.Named {
-		n.Hear(named.Model, named.Version, at-named.Age)
+		n.Observe(named.Model, named.Version, at-named.Age)
 	}
 	return n
 }
