--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -202,7 +202,7 @@
 		d, err := agent.NewDaemon(a)
 		r.run(a.Name+"-runner", d, err)
 		s := gateway.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.Runner, s.DrainUS = a.Name, a.Zone, next(), a.TransportAddr, 3_000_000
+		s.Name, s.Zone, s.HTTPAddr, s.Agent, s.DrainUS = a.Name, a.Zone, next(), a.TransportAddr, 3_000_000
 		s.Recording = fmt.Sprintf("%s/p%d.tape", dir, i)
 		r.tapes = append(r.tapes, s.Recording)
 		r.proxies = append(r.proxies, s.HTTPAddr)
@@ -308,7 +308,7 @@
 func TestWholePath(t *testing.T) {
 	r := newRig(t)
 	reg := r.registrars[1] + "/v1/plan"
-	body := fmt.Sprintf(planText, plan.Digest("k-desk"), plan.Digest("k-walled"), r.backend)
+	body := fmt.Sprintf(planText, plan.KeyDigest("k-desk"), plan.KeyDigest("k-walled"), r.backend)
 	r.until("a plan is taken", func() bool { st, _ := r.send("PUT", reg, "", nil, body); return st == 200 })
 
 	t.Run("read back is what was sent", func(t *testing.T) {
@@ -362,10 +362,10 @@
 	era := ""
 	r.until("an era is open", func() bool {
 		st, b := r.get(r.proxies[0] + "/v1/era")
-		var e callerapi.Era
-		era = fmt.Sprint(e.Era)
+		var e callerapi.Generation
+		era = fmt.Sprint(e.Generation)
 		if st == 200 && json.Unmarshal([]byte(b), &e) == nil {
-			era = fmt.Sprint(e.Era)
+			era = fmt.Sprint(e.Generation)
 		}
 		st2, _ := r.get(r.proxies[1] + "/v1/era")
 		return st == 200 && st2 == 200
@@ -503,7 +503,7 @@
 // whoever is left.
 func TestSickDisks(t *testing.T) {
 	r := newRig(t)
-	body := fmt.Sprintf(planText, plan.Digest("k-desk"), plan.Digest("k-walled"), r.backend)
+	body := fmt.Sprintf(planText, plan.KeyDigest("k-desk"), plan.KeyDigest("k-walled"), r.backend)
 	put := func(i, n int) bool {
 		st, _ := r.send("PATCH", r.registrars[i]+"/v1/plan", "", nil, fmt.Sprintf(`{"notes":{"n":%d}}`, n))
 		return st == 200
--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -12,7 +12,7 @@
 )
 
 // Client asks engines, the store and the platform for short answers.
-type Client struct{ c *http.Client }
+type Client struct{ http *http.Client }
 
 const maxAnswer = 16 << 20
 
@@ -43,7 +43,7 @@
 		return trace.BadParameter("%s is no address: %v; check the platform's list", addr, err)
 	}
 	q.Header.Set("Content-Type", "application/json")
-	r, err := c.c.Do(q)
+	r, err := c.http.Do(q)
 	if err != nil {
 		return trace.Wrap(err, "%s%s did not answer", addr, path)
 	}
--- a/internal/scale/board.go
+++ b/internal/scale/board.go
@@ -4,13 +4,13 @@
 	"slices"
 	"sync"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 )
 
 // Board is what the hollow proxies have heard, and when. All of them share a clock.
 type Board struct {
 	mu    sync.Mutex
-	born  map[hint.Key]int64
+	born  map[cacheindex.Key]int64
 	lags  []int64
 	rev   []uint64           // of each proxy
 	first map[uint64][]int64 // revision: when each proxy knew it
@@ -24,11 +24,11 @@
 
 // NewBoard makes one for n proxies.
 func NewBoard(n int) *Board {
-	return &Board{born: map[hint.Key]int64{}, rev: make([]uint64, n), ready: make([]bool, n), first: map[uint64][]int64{}}
+	return &Board{born: map[cacheindex.Key]int64{}, rev: make([]uint64, n), ready: make([]bool, n), first: map[uint64][]int64{}}
 }
 
 // Born notes when a timed part came to be kept.
-func (b *Board) Born(k hint.Key, now int64) {
+func (b *Board) Born(k cacheindex.Key, now int64) {
 	b.mu.Lock()
 	b.born[k] = now
 	b.mu.Unlock()
@@ -42,7 +42,7 @@
 	config   int // bytes
 	complete bool
 	reset    bool
-	news     []hint.News
+	news     []cacheindex.Update
 }
 
 func (b *Board) hear(h heard) {
@@ -61,7 +61,7 @@
 	}
 	b.news += len(h.news)
 	for _, n := range h.news {
-		if t, ok := b.born[n.Key]; ok && n.Op == hint.Load {
+		if t, ok := b.born[n.Key]; ok && n.Op == cacheindex.OpAdd {
 			b.lags = append(b.lags, h.now-t)
 		}
 	}
--- a/internal/scale/engines.go
+++ b/internal/scale/engines.go
@@ -12,7 +12,7 @@
 
 	"github.com/gravitational/trace"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
@@ -45,11 +45,11 @@
 	part int
 }
 
-func (e *engine) salt() string       { return e.model + "/" + hollowDay }
-func (e *engine) part(n int) string  { return fmt.Sprintf("%s-%024x", e.id, n) }
-func (e *engine) key(n int) hint.Key { return hint.PartKey(e.salt(), e.model, e.part(n)) }
-func (e *engine) node() uint64       { return placement.EngineNode(e.id) }
-func (e *engine) add(on bool, n int) { e.log = append(e.log, event{on, n}) }
+func (e *engine) salt() string             { return e.model + "/" + hollowDay }
+func (e *engine) part(n int) string        { return fmt.Sprintf("%s-%024x", e.id, n) }
+func (e *engine) key(n int) cacheindex.Key { return cacheindex.BlockKey(e.salt(), e.model, e.part(n)) }
+func (e *engine) node() uint64             { return placement.EngineHolderID(e.id) }
+func (e *engine) add(on bool, n int)       { e.log = append(e.log, event{on, n}) }
 
 // Engines are all hollow engines of a run, and the list that tells of them.
 type Engines struct {
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -15,7 +15,7 @@
 	"github.com/go-logr/logr"
 	"github.com/integrii/flaggy"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/app/directory"
 	"violetthread/internal/app/proxy"
 	"violetthread/internal/daemon"
@@ -95,7 +95,7 @@
 }
 
 func document(version uint64) []byte {
-	return (&route.Document{Version: version, Text: fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[]}`, version)}).Bytes()
+	return (&route.Document{Version: version, Text: fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[]}`, version)}).Encode()
 }
 
 // TestHollowAsksAsARealOne: a real proxy and a hollow one ask two scripted control nodes
@@ -159,7 +159,7 @@
 		return func() {}
 	})
 	actual := run("real", func(c *taskgroup.Group) func() {
-		d, err := proxy.New(proxy.Settings{Name: "proxy-1", Site: "north", HTTP: free(t), Listen: free(t), Seeds: addrs, Bounds: route.DefaultBounds(), Hints: 64}, platform.Door{})
+		d, err := proxy.New(proxy.Settings{Name: "proxy-1", Zone: "north", HTTP: free(t), Listen: free(t), Seeds: addrs, Bounds: route.DefaultBounds(), HintEntries: 64}, platform.Door{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -202,7 +202,7 @@
 	if err != nil || len(l) != 3 || l[0].Draining || !l[1].Draining || l[2].Slots == 0 || l[2].Weights["model-02"] != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	kept := map[string]map[hint.Key]bool{}
+	kept := map[string]map[cacheindex.Key]bool{}
 	epoch, since := map[string]string{}, map[string]string{}
 	read := func(a string) {
 		p, err := pf.CacheEvents(context.Background(), a, since[a], 0)
@@ -210,11 +210,11 @@
 			t.Fatalf("%+v, %v", p, err)
 		}
 		if kept[a] == nil {
-			kept[a] = map[hint.Key]bool{}
+			kept[a] = map[cacheindex.Key]bool{}
 		}
 		epoch[a], since[a] = p.Epoch, p.Next
 		for _, x := range p.Events {
-			k := hint.PartKey(x.Salt, x.Model, x.Block)
+			k := cacheindex.BlockKey(x.Salt, x.Model, x.Block)
 			if kept[a][k] == x.Cached {
 				t.Fatalf("%s told %+v twice", a, x)
 			}
--- a/internal/scale/index_test.go
+++ b/internal/scale/index_test.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"testing"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/codec"
 	"violetthread/schema/fb"
 )
@@ -20,7 +20,9 @@
 
 const indexed = 400_000
 
-func indexKey(i int) hint.Key { return hint.PartKey("salt", "model", fmt.Sprintf("part-%020d", i)) }
+func indexKey(i int) cacheindex.Key {
+	return cacheindex.BlockKey("salt", "model", fmt.Sprintf("part-%020d", i))
+}
 
 // BenchmarkDirectory is a shard's owner of docs/CAPACITY.md: what a part takes, and an
 // event whose news goes to each zone whose nearest holder it changes.
@@ -28,34 +30,34 @@
 	for _, sites := range []int{0, 5, 13} {
 		b.Run(fmt.Sprintf("sites-%d", sites), func(b *testing.B) {
 			was := heap()
-			d := hint.NewDirectory(1, 1<<30)
+			d := cacheindex.NewDirectory(1, 1<<30)
 			for i := range sites {
-				d.Box(fmt.Sprint("zone", i))
+				d.ZoneLog(fmt.Sprint("zone", i))
 			}
 			for n := range 1400 {
-				d.Know(uint64(n+1), hint.Place{Site: fmt.Sprint("zone", n%13)})
+				d.SetLocation(uint64(n+1), cacheindex.Location{Zone: fmt.Sprint("zone", n%13)})
 			}
-			ks := make([]hint.Key, indexed)
+			ks := make([]cacheindex.Key, indexed)
 			for i := range ks {
 				ks[i] = indexKey(i)
 			}
 			was += float64(len(ks) * 24)
 			for i, k := range ks {
-				d.Apply(hint.News{Key: k, Node: uint64(i%1400 + 1), Op: hint.Load})
+				d.Apply(cacheindex.Update{Key: k, Node: uint64(i%1400 + 1), Op: cacheindex.OpAdd})
 			}
 			each := (heap() - was) / indexed
-			sent := d.Sent()
+			sent := d.UpdatesSent()
 			b.ResetTimer()
 			for i := range b.N {
 				j := i % indexed
-				op := hint.Drop
+				op := cacheindex.OpRemove
 				if i/indexed%2 == 1 {
-					op = hint.Load
+					op = cacheindex.OpAdd
 				}
-				d.Apply(hint.News{Key: ks[j], Node: uint64(j%1400 + 1), Op: op})
+				d.Apply(cacheindex.Update{Key: ks[j], Node: uint64(j%1400 + 1), Op: op})
 			}
 			b.ReportMetric(each, "B/part")
-			b.ReportMetric(float64(d.Sent()-sent)/float64(b.N), "news/event")
+			b.ReportMetric(float64(d.UpdatesSent()-sent)/float64(b.N), "news/event")
 			runtime.KeepAlive(d)
 		})
 	}
@@ -63,12 +65,12 @@
 
 // BenchmarkHolders is the table of fixed entries that proxies have.
 func BenchmarkHolders(b *testing.B) {
-	ks := make([]hint.Key, indexed)
+	ks := make([]cacheindex.Key, indexed)
 	for i := range ks {
 		ks[i] = indexKey(i)
 	}
 	was := heap()
-	h := hint.NewHolders(1 << 19)
+	h := cacheindex.NewHolderTable(1 << 19)
 	each := (heap() - was) / (1 << 19)
 	b.ResetTimer()
 	for i := range b.N {
@@ -79,8 +81,8 @@
 
 // BenchmarkLookup is a question for a prompt of 64 parts of which half are known.
 func BenchmarkLookup(b *testing.B) {
-	h := hint.NewHolders(1 << 19)
-	ks := make([]hint.Key, indexed)
+	h := cacheindex.NewHolderTable(1 << 19)
+	ks := make([]cacheindex.Key, indexed)
 	for i := range ks {
 		ks[i] = indexKey(i)
 		if i%2 == 0 {
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -9,7 +9,7 @@
 
 	"github.com/samber/lo"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/taskgroup"
 	"violetthread/internal/transport"
@@ -209,7 +209,7 @@
 	k.NewsInc, k.NewsSince = t.NewsInc, t.NewsNext
 	if !t.NewsReset {
 		for _, n := range t.News {
-			h.news = append(h.news, hint.News{Key: hint.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check}, Node: n.Node, Op: hint.Op(n.Op)})
+			h.news = append(h.news, cacheindex.Update{Key: cacheindex.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check}, Node: n.Node, Op: cacheindex.UpdateOp(n.Op)})
 		}
 	}
 	p.board.hear(h)
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -22,12 +22,12 @@
 	"github.com/gravitational/trace"
 	"github.com/samber/lo"
 
+	"violetthread/client"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/internal/standin/engine"
 	"violetthread/internal/taskgroup"
-	"violetthread/useragent"
 )
 
 // Settings of a load.
@@ -169,8 +169,8 @@
 }
 
 // agent is the generated client, for one proxy.
-func (l *load) agent(proxy, key string) (*useragent.Client, error) {
-	return useragent.NewClient("http://"+proxy, useragent.WithHTTPClient(l.http), useragent.WithKey(key))
+func (l *load) agent(proxy, key string) (*client.Client, error) {
+	return client.NewClient("http://"+proxy, client.WithHTTPClient(l.http), client.WithKey(key))
 }
 
 // ask learns the era from the first proxy that tells.
@@ -184,7 +184,7 @@
 		if err != nil {
 			continue
 		}
-		var e useragent.Era
+		var e client.Era
 		err = json.NewDecoder(q.Body).Decode(&e)
 		_ = q.Body.Close()
 		if err == nil && e.Era > 0 {
@@ -238,7 +238,7 @@
 		t.Broken = err.Error()
 		return
 	}
-	r, err := ua.SendTicket(ctx, useragent.Ticket{Kind: t.Kind, Id: &t.ID, Era: &t.Era, DueUs: &t.DueUS, Prompt: prompt})
+	r, err := ua.SendTicket(ctx, client.Ticket{Kind: t.Kind, Id: &t.ID, Era: &t.Era, DueUs: &t.DueUS, Prompt: prompt})
 	if err != nil {
 		t.Reason = "unreachable"
 		if errors.Is(err, syscall.ECONNREFUSED) {
@@ -250,7 +250,7 @@
 	t.Status = r.StatusCode
 	if r.StatusCode != http.StatusOK {
 		x, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16))
-		var f useragent.Frame
+		var f client.Frame
 		if json.Unmarshal(x, &f) != nil || f.Frame == "" || lo.FromPtr(f.Remedy) == "" {
 			t.Broken = fmt.Sprintf("status %d without a typed reason: %.100s", r.StatusCode, x)
 		}
@@ -262,7 +262,7 @@
 	sc.Buffer(nil, 1<<20)
 	run, n := "", 0
 	for sc.Scan() {
-		var f useragent.Frame
+		var f client.Frame
 		if err := json.Unmarshal(sc.Bytes(), &f); err != nil {
 			t.Broken = "no JSON: " + sc.Text()
 			return
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"sync"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
@@ -160,11 +160,11 @@
 	p := &part{name: name, domain: domain, weights: weights}
 	p.el = e.lru.PushFront(p)
 	e.kept[name] = p
-	e.tell(engineapi.Event{Op: "keep", Part: name})
+	e.tell(engineapi.Event{Op: "keep", Block: name})
 	for len(e.kept) > e.s.Keep {
 		o := e.lru.Remove(e.lru.Back()).(*part)
 		delete(e.kept, o.name)
-		e.tell(engineapi.Event{Op: "drop", Part: o.name})
+		e.tell(engineapi.Event{Op: "drop", Block: o.name})
 		if e.s.StoreAt != "" && !e.s.Store {
 			e.d.Group.Go("put", func(ctx context.Context) {
 				_ = e.http.Post(ctx, e.s.StoreAt, "/v1/put", 500_000, stored{o.name, o.domain, o.weights}, nil)
@@ -178,7 +178,7 @@
 func (e *engine) put(w http.ResponseWriter, q *http.Request) {
 	var s stored
 	if json.NewDecoder(q.Body).Decode(&s) != nil {
-		daemon.WriteJSON(w, 400, engineapi.Refusal{Refused: "malformed"})
+		daemon.WriteJSON(w, 400, engineapi.Rejection{Reason: "malformed"})
 		return
 	}
 	e.mu.Lock()
@@ -188,11 +188,11 @@
 }
 
 func (e *engine) refuse(w http.ResponseWriter, status int, why string) {
-	daemon.WriteJSON(w, status, engineapi.Refusal{Refused: why})
+	daemon.WriteJSON(w, status, engineapi.Rejection{Reason: why})
 }
 
 func (e *engine) run(w http.ResponseWriter, q *http.Request) {
-	var r engineapi.Run
+	var r engineapi.RunRequest
 	if json.NewDecoder(http.MaxBytesReader(w, q.Body, 16<<20)).Decode(&r) != nil {
 		e.refuse(w, 400, "malformed")
 		return
@@ -202,11 +202,11 @@
 	switch {
 	case e.s.Store:
 		why = "store"
-	case r.Inc != hint.NodeID(e.s.Name, e.inc):
+	case r.NodeID != cacheindex.NodeID(e.s.Name, e.inc):
 		why, status = "other-life", 409
-	case r.Epoch < e.epoch:
+	case r.FencingToken < e.epoch:
 		why, status = "old-epoch", 409
-		e.seen.Owners = append(e.seen.Owners, fmt.Sprintf("run %s epoch %d after %d", r.Attempt, r.Epoch, e.epoch))
+		e.seen.Owners = append(e.seen.Owners, fmt.Sprintf("run %s epoch %d after %d", r.Attempt, r.FencingToken, e.epoch))
 	case r.Weights != e.weights || e.turning != "":
 		why, status = "other-weights", 409
 	case e.running >= e.s.Room:
@@ -217,10 +217,10 @@
 		e.refuse(w, status, why)
 		return
 	}
-	e.epoch = r.Epoch
+	e.epoch = r.FencingToken
 	e.running++
 	at := len(e.seen.Runs)
-	e.seen.Runs = append(e.seen.Runs, RunSeen{Group: r.Group, Ticket: r.Ticket, Kind: r.Kind, Attempt: r.Attempt, Weights: r.Weights})
+	e.seen.Runs = append(e.seen.Runs, RunSeen{Group: r.Group, Ticket: r.RequestID, Kind: r.Kind, Attempt: r.Attempt, Weights: r.Weights})
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
@@ -231,30 +231,30 @@
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	enc := json.NewEncoder(w)
 	f := w.(http.Flusher)
-	put := func(l engineapi.Line) bool {
+	put := func(l engineapi.RunFrame) bool {
 		err := enc.Encode(l)
 		f.Flush()
 		return err == nil && q.Context().Err() == nil
 	}
-	if !put(engineapi.Line{Began: true}) {
+	if !put(engineapi.RunFrame{Began: true}) {
 		return
 	}
 	have, taken := e.own(r), 0
-	if r.Take != nil && r.Take.Part+1 > have {
+	if r.Transfer != nil && r.Transfer.Block+1 > have {
 		if n := e.take(q.Context(), r, have); n > have {
 			taken, have = n-have, n
 		}
 	}
-	if !taskgroup.Sleep(q.Context(), int64(len(r.Parts)-have)*e.s.FillUS) {
+	if !taskgroup.Sleep(q.Context(), int64(len(r.Blocks)-have)*e.s.FillUS) {
 		return
 	}
 	e.mu.Lock()
-	for _, p := range r.Parts {
+	for _, p := range r.Blocks {
 		e.keep(p, r.Domain, r.Weights)
 	}
 	x := &e.seen.Runs[at]
-	x.Parts, x.Reused, x.Taken = len(r.Parts), have, taken
-	e.tell(engineapi.Event{Op: "ran", Attempt: r.Attempt, Filled: uint64(len(r.Parts) - have)})
+	x.Parts, x.Reused, x.Taken = len(r.Blocks), have, taken
+	e.tell(engineapi.Event{Op: "ran", Attempt: r.Attempt, RecomputedBytes: uint64(len(r.Blocks) - have)})
 	e.mu.Unlock()
 	n := Pieces[r.Kind]
 	if n == 0 {
@@ -271,23 +271,23 @@
 			e.slow += (clock.Now() - began - e.slow) / 8
 			e.mu.Unlock()
 		}
-		if !put(engineapi.Line{Piece: &t}) {
+		if !put(engineapi.RunFrame{Piece: &t}) {
 			return
 		}
 	}
 	e.mu.Lock()
 	e.seen.Runs[at].Whole = true
 	e.mu.Unlock()
-	put(engineapi.Line{Done: true, N: n})
+	put(engineapi.RunFrame{Done: true, Pieces: n})
 }
 
 // own counts how many leading parts are here, and checks that none came from
 // across a wall or other weights.
-func (e *engine) own(r engineapi.Run) int {
+func (e *engine) own(r engineapi.RunRequest) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for i := len(r.Parts) - 1; i >= 0; i-- {
-		p := e.kept[r.Parts[i]]
+	for i := len(r.Blocks) - 1; i >= 0; i-- {
+		p := e.kept[r.Blocks[i]]
 		if p == nil {
 			continue
 		}
@@ -301,7 +301,7 @@
 }
 
 // take fetches parts from a peer; whatever goes wrong, the run recomputes.
-func (e *engine) take(ctx context.Context, r engineapi.Run, have int) int {
+func (e *engine) take(ctx context.Context, r engineapi.RunRequest, have int) int {
 	e.mu.Lock()
 	lost := e.chance(e.s.NoHandPM)
 	e.mu.Unlock()
@@ -309,8 +309,8 @@
 		return have
 	}
 	var s stored
-	p := r.Parts[r.Take.Part]
-	if e.http.Get(ctx, r.Take.From, fmt.Sprintf("/v1/export?part=%s&parts=%d", p, r.Take.Part+1-have), r.Take.WaitUS, &s) != nil {
+	p := r.Blocks[r.Transfer.Block]
+	if e.http.Get(ctx, r.Transfer.From, fmt.Sprintf("/v1/export?part=%s&parts=%d", p, r.Transfer.Block+1-have), r.Transfer.WaitUS, &s) != nil {
 		return have
 	}
 	e.mu.Lock()
@@ -318,10 +318,10 @@
 	if s.Domain != r.Domain || s.Weights != r.Weights {
 		e.seen.Mixed = append(e.seen.Mixed, fmt.Sprintf("%s: took part of %s/%s for %s/%s", r.Attempt, s.Domain, s.Weights, r.Domain, r.Weights))
 	}
-	for _, x := range r.Parts[:r.Take.Part+1] {
+	for _, x := range r.Blocks[:r.Transfer.Block+1] {
 		e.keep(x, r.Domain, r.Weights)
 	}
-	return r.Take.Part + 1
+	return r.Transfer.Block + 1
 }
 
 func (e *engine) export(w http.ResponseWriter, q *http.Request) {
@@ -340,16 +340,16 @@
 }
 
 func (e *engine) imports(w http.ResponseWriter, q *http.Request) {
-	var r engineapi.Import
+	var r engineapi.ImportRequest
 	var s stored
 	switch {
 	case json.NewDecoder(q.Body).Decode(&r) != nil:
 		e.refuse(w, 400, "malformed")
-	case e.http.Get(q.Context(), r.From, "/v1/export?parts=1&part="+r.Part, r.WaitUS, &s) != nil:
+	case e.http.Get(q.Context(), r.From, "/v1/export?parts=1&part="+r.Block, r.WaitUS, &s) != nil:
 		e.refuse(w, 502, "not-fetched")
 	default:
 		e.mu.Lock()
-		if s.Weights == e.weights && r.Epoch >= e.epoch {
+		if s.Weights == e.weights && r.FencingToken >= e.epoch {
 			e.keep(s.Part, s.Domain, s.Weights)
 		}
 		e.mu.Unlock()
@@ -361,9 +361,9 @@
 	after, _ := strconv.ParseUint(q.URL.Query().Get("after"), 10, 64)
 	inc, _ := strconv.ParseUint(q.URL.Query().Get("inc"), 10, 64)
 	e.mu.Lock()
-	r := engineapi.Report{Name: e.s.Name, Inc: e.inc, Weights: e.weights, Running: e.running, Room: e.s.Room, SlowUS: e.slow, Last: e.seq}
+	r := engineapi.Report{Name: e.s.Name, Incarnation: e.inc, Weights: e.weights, Running: e.running, Capacity: e.s.Room, SlowUS: e.slow, LastSeq: e.seq}
 	if e.turning != "" {
-		r.Room = 0
+		r.Capacity = 0
 	}
 	if inc == e.inc {
 		for _, v := range e.events {
@@ -381,9 +381,9 @@
 
 func (e *engine) keeps(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	k := engineapi.Keeps{Inc: e.inc, Seq: e.seq, Parts: make([]string, 0, len(e.kept))}
+	k := engineapi.Holdings{Incarnation: e.inc, Seq: e.seq, Blocks: make([]string, 0, len(e.kept))}
 	for n := range e.kept {
-		k.Parts = append(k.Parts, n)
+		k.Blocks = append(k.Blocks, n)
 	}
 	e.mu.Unlock()
 	daemon.WriteJSON(w, 200, k)
@@ -392,19 +392,19 @@
 // turn changes weights: nothing new begins, what runs ends under the weights it
 // began with, and everything kept is dropped.
 func (e *engine) turn(w http.ResponseWriter, q *http.Request) {
-	var t engineapi.Weights
+	var t engineapi.WeightsRequest
 	if json.NewDecoder(q.Body).Decode(&t) != nil || t.Weights == "" {
 		e.refuse(w, 400, "malformed")
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if t.Epoch < e.epoch {
-		e.seen.Owners = append(e.seen.Owners, fmt.Sprintf("weights by %s epoch %d after %d", t.Owner, t.Epoch, e.epoch))
+	if t.FencingToken < e.epoch {
+		e.seen.Owners = append(e.seen.Owners, fmt.Sprintf("weights by %s epoch %d after %d", t.Owner, t.FencingToken, e.epoch))
 		e.refuse(w, 409, "old-epoch")
 		return
 	}
-	e.epoch = t.Epoch
+	e.epoch = t.FencingToken
 	if t.Weights == e.weights && e.turning == "" || t.Weights == e.turning {
 		daemon.WriteJSON(w, 200, "ok")
 		return
@@ -441,7 +441,7 @@
 		}
 		e.weights, e.turning = name, ""
 		for n := range e.kept {
-			e.tell(engineapi.Event{Op: "drop", Part: n})
+			e.tell(engineapi.Event{Op: "drop", Block: n})
 		}
 		e.kept, e.lru = map[string]*part{}, list.New()
 		e.mu.Unlock()
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -30,18 +30,18 @@
 
 type platform struct {
 	mu    sync.Mutex
-	list  []engineapi.Listed
+	list  []engineapi.ListedEngine
 	since map[string]int64
 	ready map[string]bool
 }
 
-func listed(s, kind string) (engineapi.Listed, error) {
+func listed(s, kind string) (engineapi.ListedEngine, error) {
 	n, rest, ok := strings.Cut(s, "=")
 	a, site, ok2 := strings.Cut(rest, "@")
 	if !ok || !ok2 {
-		return engineapi.Listed{}, trace.BadParameter("%q is not name=IP:port@site; write it so", s)
+		return engineapi.ListedEngine{}, trace.BadParameter("%q is not name=IP:port@site; write it so", s)
 	}
-	return engineapi.Listed{Name: n, Addr: a, Site: site, Kind: kind}, nil
+	return engineapi.ListedEngine{Name: n, Addr: a, Zone: site, Kind: kind}, nil
 }
 
 // Run runs the stand-in until it is told to stop.
@@ -96,7 +96,7 @@
 func (p *platform) engines(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	daemon.WriteJSON(w, 200, engineapi.Listing{Engines: p.list})
+	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: p.list})
 }
 
 // Mark is the body of POST /v1/mark: what became of an engine.
@@ -116,7 +116,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []engineapi.Listed
+	var out []engineapi.ListedEngine
 	found := false
 	for _, l := range p.list {
 		if l.Name == m.Name {
@@ -129,14 +129,14 @@
 				l.Addr = m.Addr
 			}
 			if m.Site != "" {
-				l.Site = m.Site
+				l.Zone = m.Site
 			}
 		}
 		out = append(out, l)
 	}
 	if !found && m.Addr != "" {
-		out = append(out, engineapi.Listed{Name: m.Name, Addr: m.Addr, Site: m.Site, Kind: "engine", Leaving: m.Leaving})
+		out = append(out, engineapi.ListedEngine{Name: m.Name, Addr: m.Addr, Zone: m.Site, Kind: "engine", Leaving: m.Leaving})
 	}
 	p.list = out
-	daemon.WriteJSON(w, 200, engineapi.Listing{Engines: out})
+	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: out})
 }
--- a/internal/standin/probe/probe.go
+++ b/internal/standin/probe/probe.go
@@ -15,7 +15,7 @@
 
 	"github.com/gravitational/trace"
 
-	"violetthread/hint"
+	"violetthread/cacheindex"
 	"violetthread/internal/callerapi"
 	"violetthread/internal/clock"
 	"violetthread/internal/engineapi"
@@ -86,19 +86,19 @@
 	if err := api.Get(context.Background(), l.Engine, "/v1/report?inc=0&after=0", 2_000_000, &rep); err != nil {
 		return err
 	}
-	id := hint.NodeID(rep.Name, rep.Inc)
+	id := cacheindex.NodeID(rep.Name, rep.Incarnation)
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	var direct, proxy, once, dProxy, dOnce []int64
 	tag := clock.Now()
 	for i := 0; i < l.Pairs; i++ {
 		prompt := fmt.Sprintf("probe %d", i)
 		run := func() (int64, error) {
-			return first(c, "http://"+l.Engine+"/v1/run", "", engineapi.Run{Attempt: fmt.Sprint("probe", tag, i), Ticket: fmt.Sprint("p", i), Group: l.Group, Kind: l.Once,
-				Domain: "commons", Weights: rep.Weights, Epoch: 1, Inc: id, Prompt: prompt, DueUS: 5_000_000})
+			return first(c, "http://"+l.Engine+"/v1/run", "", engineapi.RunRequest{Attempt: fmt.Sprint("probe", tag, i), RequestID: fmt.Sprint("p", i), Group: l.Group, Kind: l.Once,
+				Domain: "commons", Weights: rep.Weights, FencingToken: 1, NodeID: id, Prompt: prompt, DueUS: 5_000_000})
 		}
 		send := func(kind string) func() (int64, error) {
 			return func() (int64, error) {
-				return first(c, "http://"+l.Proxy+"/v1/tickets", callers.Key(l.Group), callerapi.Ticket{Kind: kind, ID: fmt.Sprintf("%s-%d-%d", kind, tag, i), Prompt: prompt})
+				return first(c, "http://"+l.Proxy+"/v1/tickets", callers.Key(l.Group), callerapi.Request{Kind: kind, ID: fmt.Sprintf("%s-%d-%d", kind, tag, i), Prompt: prompt})
 			}
 		}
 		fs := []func() (int64, error){run, send(l.Kind), send(l.Once)}
--- a/plan/check.go
+++ b/plan/check.go
@@ -36,9 +36,9 @@
 }
 
 var (
-	nameRE   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
-	digestRE = regexp.MustCompile(`^sha256:[0-9a-fA-F]{64}$`)
-	valid    = newValidator()
+	nameRE          = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+	digestRE        = regexp.MustCompile(`^sha256:[0-9a-fA-F]{64}$`)
+	structValidator = newValidator()
 )
 
 func newValidator() *validator.Validate {
@@ -71,33 +71,33 @@
 		return nil, []Finding{{"", "is not one JSON value: " + err.Error(), "send one JSON object"}}
 	}
 	var fs []Finding
-	shape(tree, reflect.TypeOf(Plan{}), "", &fs)
+	checkShape(tree, reflect.TypeOf(Plan{}), "", &fs)
 	if len(fs) > 0 {
-		return nil, sorted(fs)
+		return nil, sortFindings(fs)
 	}
 	var p Plan
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, []Finding{{"", err.Error(), "send values of the documented types"}}
 	}
 	var ve validator.ValidationErrors
-	if err := valid.Struct(p); errors.As(err, &ve) {
+	if err := structValidator.Struct(p); errors.As(err, &ve) {
 		for _, e := range ve {
-			fs = append(fs, Finding{strings.TrimPrefix(e.Namespace(), "Plan."), "value " + strconv.Quote(fmt.Sprint(e.Value())) + " breaks the rule " + rule(e), remedies(e.Tag())})
+			fs = append(fs, Finding{strings.TrimPrefix(e.Namespace(), "Plan."), "value " + strconv.Quote(fmt.Sprint(e.Value())) + " breaks the rule " + ruleOf(e), remedyFor(e.Tag())})
 		}
 	} else if err != nil {
 		fs = append(fs, Finding{"", err.Error(), "report this"})
 	}
-	return &p, sorted(append(fs, cross(&p)...))
+	return &p, sortFindings(append(fs, checkReferences(&p)...))
 }
 
-func rule(e validator.FieldError) string {
+func ruleOf(e validator.FieldError) string {
 	if e.Param() == "" {
 		return e.Tag()
 	}
 	return e.Tag() + "=" + e.Param()
 }
 
-func remedies(tag string) string {
+func remedyFor(tag string) string {
 	switch tag {
 	case "digest":
 		return "name keys by digest, as `dealer digest` prints it"
@@ -113,10 +113,10 @@
 }
 
 // cross finds what no single field shows.
-func cross(p *Plan) []Finding {
+func checkReferences(p *Plan) []Finding {
 	var fs []Finding
 	owner := map[string]string{}
-	for _, g := range keys(p.Groups) {
+	for _, g := range sortedKeys(p.Groups) {
 		for i, k := range p.Groups[g].Keys {
 			k = strings.ToLower(k)
 			if o, ok := owner[k]; ok {
@@ -131,7 +131,7 @@
 		}
 	}
 	paths := map[string]int{}
-	for i, e := range p.Entries {
+	for i, e := range p.Routes {
 		if j, ok := paths[e.Path]; ok {
 			fs = append(fs, Finding{fmt.Sprintf("entries[%d].path", i), fmt.Sprintf("same path as entries[%d]", j), "keep one of them"})
 		}
@@ -143,7 +143,7 @@
 	return fs
 }
 
-func keys[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	var ks []string
 	for k := range m {
 		ks = append(ks, k)
@@ -152,14 +152,14 @@
 	return ks
 }
 
-func sorted(fs []Finding) []Finding {
+func sortFindings(fs []Finding) []Finding {
 	sort.SliceStable(fs, func(i, j int) bool { return fs[i].Path < fs[j].Path })
 	return fs
 }
 
-type member struct {
-	key string
-	val any
+type objectMember struct {
+	key   string
+	value any
 }
 
 // decodeTree keeps objects as member lists, so that repeated names are seen.
@@ -186,7 +186,7 @@
 	}
 	switch t {
 	case json.Delim('{'):
-		ms := []member{}
+		ms := []objectMember{}
 		for d.More() {
 			k, err := d.Token()
 			if err != nil {
@@ -196,7 +196,7 @@
 			if err != nil {
 				return nil, err
 			}
-			ms = append(ms, member{k.(string), v})
+			ms = append(ms, objectMember{k.(string), v})
 		}
 		_, err := d.Token()
 		return ms, err
@@ -216,13 +216,13 @@
 }
 
 // shape finds unknown and repeated fields and values of the wrong type.
-func shape(v any, t reflect.Type, path string, fs *[]Finding) {
+func checkShape(v any, t reflect.Type, path string, fs *[]Finding) {
 	wrong := func(want string) {
 		*fs = append(*fs, Finding{path, "is not " + want, "give " + want})
 	}
 	switch t.Kind() {
 	case reflect.Struct, reflect.Map:
-		ms, ok := v.([]member)
+		ms, ok := v.([]objectMember)
 		if !ok {
 			wrong("an object")
 			return
@@ -238,7 +238,7 @@
 				if path != "" {
 					p = path + "[" + m.key + "]"
 				}
-				shape(m.val, t.Elem(), p, fs)
+				checkShape(m.value, t.Elem(), p, fs)
 				continue
 			}
 			f, ok := fieldOf(t, m.key)
@@ -246,7 +246,7 @@
 				*fs = append(*fs, Finding{p, "is not a known field", "drop it, or check its spelling against the schema page"})
 				continue
 			}
-			shape(m.val, f.Type, p, fs)
+			checkShape(m.value, f.Type, p, fs)
 		}
 	case reflect.Slice:
 		vs, ok := v.([]any)
@@ -255,7 +255,7 @@
 			return
 		}
 		for i, x := range vs {
-			shape(x, t.Elem(), fmt.Sprintf("%s[%d]", path, i), fs)
+			checkShape(x, t.Elem(), fmt.Sprintf("%s[%d]", path, i), fs)
 		}
 	case reflect.String:
 		if _, ok := v.(string); !ok {
@@ -290,7 +290,7 @@
 // Merge applies an RFC 7396 merge patch. What the patch does not name stays as it
 // was, numbers to the letter and members in their order; new members follow in
 // the patch's order. (The library at hand puts them in a chance order.)
-func Merge(base, patch []byte) ([]byte, error) {
+func MergePatch(base, patch []byte) ([]byte, error) {
 	if len(patch) > MaxBytes {
 		return nil, trace.LimitExceeded("the patch has %d bytes; keep it within %d", len(patch), MaxBytes)
 	}
@@ -298,14 +298,14 @@
 	if err != nil {
 		return nil, trace.BadParameter("the patch is not one JSON value: %v; send one JSON object", err)
 	}
-	if _, ok := t.([]member); !ok {
+	if _, ok := t.([]objectMember); !ok {
 		return nil, trace.BadParameter("the patch is not an object; send only the fields to change")
 	}
 	b, err := decodeTree(base)
 	if err != nil {
 		return nil, trace.BadParameter("the plan in force can't be read: %v; send a whole plan", err)
 	}
-	if n, ok := repeated(t, ""); ok {
+	if n, ok := findDuplicate(t, ""); ok {
 		return nil, trace.BadParameter("%s is given twice in the patch; keep one", n)
 	}
 	var out bytes.Buffer
@@ -315,8 +315,8 @@
 	return out.Bytes(), nil
 }
 
-func repeated(v any, path string) (string, bool) {
-	ms, _ := v.([]member)
+func findDuplicate(v any, path string) (string, bool) {
+	ms, _ := v.([]objectMember)
 	seen := map[string]bool{}
 	for _, m := range ms {
 		p := strings.TrimPrefix(path+"."+m.key, ".")
@@ -324,7 +324,7 @@
 			return p, true
 		}
 		seen[m.key] = true
-		if q, ok := repeated(m.val, p); ok {
+		if q, ok := findDuplicate(m.value, p); ok {
 			return q, true
 		}
 	}
@@ -332,33 +332,33 @@
 }
 
 func mergeTree(base, patch any) any {
-	ps, ok := patch.([]member)
+	ps, ok := patch.([]objectMember)
 	if !ok {
 		return patch
 	}
-	bs, _ := base.([]member)
+	bs, _ := base.([]objectMember)
 	out := slices.Clone(bs)
 	for _, m := range ps {
-		i := slices.IndexFunc(out, func(x member) bool { return x.key == m.key })
+		i := slices.IndexFunc(out, func(x objectMember) bool { return x.key == m.key })
 		switch {
-		case m.val == nil && i >= 0:
+		case m.value == nil && i >= 0:
 			out = slices.Delete(out, i, i+1)
-		case m.val == nil:
+		case m.value == nil:
 		case i >= 0:
-			out[i].val = mergeTree(out[i].val, m.val)
+			out[i].value = mergeTree(out[i].value, m.value)
 		default:
-			out = append(out, member{m.key, mergeTree(nil, m.val)})
+			out = append(out, objectMember{m.key, mergeTree(nil, m.value)})
 		}
 	}
 	if out == nil {
-		out = []member{}
+		out = []objectMember{}
 	}
 	return out
 }
 
 func encodeTree(w *bytes.Buffer, v any) error {
 	switch x := v.(type) {
-	case []member:
+	case []objectMember:
 		w.WriteByte('{')
 		for i, m := range x {
 			if i > 0 {
@@ -368,7 +368,7 @@
 				return err
 			}
 			w.WriteByte(':')
-			if err := encodeTree(w, m.val); err != nil {
+			if err := encodeTree(w, m.value); err != nil {
 				return err
 			}
 		}
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -14,7 +14,7 @@
 	Weights string           `json:"weights" validate:"required,max=64,name"`
 	Kinds   map[string]Kind  `json:"kinds" validate:"required,min=1,max=64,dive,keys,name,endkeys"`
 	Groups  map[string]Group `json:"groups" validate:"required,min=1,max=256,dive,keys,name,endkeys"`
-	Entries []Entry          `json:"entries,omitempty" validate:"max=1024,dive"`
+	Routes  []Route          `json:"entries,omitempty" validate:"max=1024,dive"`
 	Limits  Limits           `json:"limits,omitempty"`
 	Notes   map[string]any   `json:"notes,omitempty"`
 }
@@ -34,54 +34,54 @@
 type Group struct {
 	Share float64 `json:"share" validate:"gt=0,lte=10000"`
 	// Wall: the group's kept prompts serve nobody else, and none serve it.
-	Wall bool `json:"wall,omitempty"`
+	Isolated bool `json:"wall,omitempty"`
 	// Ceiling bounds the group to this many thousandths of a proxy's room.
-	Ceiling int `json:"ceiling,omitempty" validate:"omitempty,min=1,max=1000"`
+	CeilingPermille int `json:"ceiling,omitempty" validate:"omitempty,min=1,max=1000"`
 	// Keys are digests, "sha256:" and 64 hex digits; keys themselves are never kept.
 	Keys  []string `json:"keys" validate:"max=64,dive,digest"`
 	Kinds []string `json:"kinds,omitempty" validate:"max=64"`
 }
 
 // Entry sends plain calls below a path to an app back end.
-type Entry struct {
-	Path string `json:"path" validate:"required,startswith=/,max=256"`
-	To   string `json:"to" validate:"required,hostport"`
+type Route struct {
+	Path    string `json:"path" validate:"required,startswith=/,max=256"`
+	Backend string `json:"to" validate:"required,hostport"`
 	// DueUS bounds one call.
-	DueUS int64 `json:"due_us" validate:"min=10000,max=600000000"`
+	TimeoutUS int64 `json:"due_us" validate:"min=10000,max=600000000"`
 }
 
 // Limits are the fleet's own bounds; zero means the default.
 type Limits struct {
-	RetryPermille int    `json:"retry_permille,omitempty" validate:"omitempty,min=1,max=500"`
-	RoomPerEngine int    `json:"room_per_engine,omitempty" validate:"omitempty,min=1,max=4096"`
-	QueuePerGroup int    `json:"queue_per_group,omitempty" validate:"omitempty,min=1,max=100000"`
-	TakeWaitUS    int64  `json:"take_wait_us,omitempty" validate:"omitempty,min=1000,max=10000000"`
-	Push          string `json:"push,omitempty" validate:"omitempty,oneof=none one half all"`
-	WavePercent   int    `json:"wave_percent,omitempty" validate:"omitempty,min=1,max=100"`
+	RetryPermille     int    `json:"retry_permille,omitempty" validate:"omitempty,min=1,max=500"`
+	CapacityPerEngine int    `json:"room_per_engine,omitempty" validate:"omitempty,min=1,max=4096"`
+	QueuePerGroup     int    `json:"queue_per_group,omitempty" validate:"omitempty,min=1,max=100000"`
+	TransferWaitUS    int64  `json:"take_wait_us,omitempty" validate:"omitempty,min=1000,max=10000000"`
+	Prefetch          string `json:"push,omitempty" validate:"omitempty,oneof=none one half all"`
+	WavePercent       int    `json:"wave_percent,omitempty" validate:"omitempty,min=1,max=100"`
 }
 
 // Defaults fills in the limits that the plan leaves open.
-func (l Limits) Defaults() Limits {
+func (l Limits) WithDefaults() Limits {
 	def := func(p *int, v int) {
 		if *p == 0 {
 			*p = v
 		}
 	}
 	def(&l.RetryPermille, 100)
-	def(&l.RoomPerEngine, 16)
+	def(&l.CapacityPerEngine, 16)
 	def(&l.QueuePerGroup, 512)
 	def(&l.WavePercent, 50)
-	if l.TakeWaitUS == 0 {
-		l.TakeWaitUS = 150_000
+	if l.TransferWaitUS == 0 {
+		l.TransferWaitUS = 150_000
 	}
-	if l.Push == "" {
-		l.Push = "none"
+	if l.Prefetch == "" {
+		l.Prefetch = "none"
 	}
 	return l
 }
 
 // Digest is how a key is named in a plan.
-func Digest(key string) string {
+func KeyDigest(key string) string {
 	s := sha256.Sum256([]byte(key))
 	return "sha256:" + hex.EncodeToString(s[:])
 }
@@ -89,18 +89,18 @@
 // Compiled is a plan made ready for the path of a ticket. It never changes.
 type Compiled struct {
 	Plan
-	Rev    uint64
-	Limits Limits
-	byKey  map[string]string
-	seal   Seal
+	Revision      uint64
+	Limits        Limits
+	groupByDigest map[string]string
+	seal          Seal
 }
 
 // Compile makes a plan ready.
 func Compile(p *Plan, rev uint64) *Compiled {
-	c := &Compiled{Plan: *p, Rev: rev, Limits: p.Limits.Defaults(), byKey: map[string]string{}}
+	c := &Compiled{Plan: *p, Revision: rev, Limits: p.Limits.WithDefaults(), groupByDigest: map[string]string{}}
 	for g, x := range p.Groups {
 		for _, k := range x.Keys {
-			c.byKey[strings.ToLower(k)] = g
+			c.groupByDigest[strings.ToLower(k)] = g
 		}
 	}
 	return c
@@ -108,7 +108,7 @@
 
 // Load reads a register's value: a plan that was already accepted, with its seal.
 func Load(val []byte, rev uint64) (*Compiled, error) {
-	s, raw, err := Open(val)
+	s, raw, err := Decode(val)
 	if err != nil {
 		return nil, err
 	}
@@ -123,12 +123,12 @@
 
 // GroupOf finds the group whose key has that digest.
 func (c *Compiled) GroupOf(digest string) (string, bool) {
-	g, ok := c.byKey[digest]
+	g, ok := c.groupByDigest[digest]
 	return g, ok
 }
 
 // Allowed reports whether a group may send a kind.
-func (c *Compiled) Allowed(group, kind string) bool {
+func (c *Compiled) MaySend(group, kind string) bool {
 	ks := c.Groups[group].Kinds
 	if len(ks) == 0 {
 		return true
@@ -142,9 +142,9 @@
 }
 
 // EntryFor finds the entry with the longest path that p lies below.
-func (c *Compiled) EntryFor(p string) (Entry, bool) {
-	var best Entry
-	for _, e := range c.Entries {
+func (c *Compiled) RouteFor(p string) (Route, bool) {
+	var best Route
+	for _, e := range c.Routes {
 		q := strings.TrimSuffix(e.Path, "/")
 		if (p == q || strings.HasPrefix(p, q+"/")) && len(e.Path) > len(best.Path) {
 			best = e
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -25,7 +25,7 @@
 			return strings.Join(out, "\n") + "\n"
 		case "merge":
 			base, patch, _ := strings.Cut(d.Input, "\n")
-			b, err := Merge([]byte(base), []byte(patch))
+			b, err := MergePatch([]byte(base), []byte(patch))
 			if err != nil {
 				return err.Error() + "\n"
 			}
@@ -57,29 +57,29 @@
 // TestHeld: ages count from the question, revisions never go back.
 func TestHeld(t *testing.T) {
 	raw := func(n int) []byte { return []byte(fmt.Sprintf(`{"weights":"w%d"}`, n)) }
-	var h Held
-	step := func(w Word, asked int64) bool {
-		n, changed, err := h.Take(w, asked)
+	var h Cached
+	step := func(w Update, asked int64) bool {
+		n, changed, err := h.Apply(w, asked)
 		if err != nil {
 			t.Fatal(err)
 		}
 		h = n
 		return changed
 	}
-	if step(Word{Rev: 3, Age: 5}, 100) || h.Known {
+	if step(Update{Revision: 3, Age: 5}, 100) || h.Known {
 		t.Fatal("a word that nobody vouched for was taken")
 	}
-	if !step(Word{Rev: 3, Age: 40, Raw: raw(3), Fresh: true}, 100) || h.Age(110) != 50 {
+	if !step(Update{Revision: 3, Age: 40, Raw: raw(3), Confirmed: true}, 100) || h.Age(110) != 50 {
 		t.Fatalf("age %d, want 50", h.Age(110))
 	}
-	if step(Word{Rev: 2, Age: 0, Raw: raw(2), Fresh: true}, 200) || h.Rev != 3 || h.Age(200) != 140 {
+	if step(Update{Revision: 2, Age: 0, Raw: raw(2), Confirmed: true}, 200) || h.Revision != 3 || h.Age(200) != 140 {
 		t.Fatalf("went back or grew fresh by an older revision: %+v", h)
 	}
-	if step(Word{Rev: 4, Age: 0, Fresh: true}, 200) || h.Rev != 3 || h.Age(200) != 140 {
+	if step(Update{Revision: 4, Age: 0, Confirmed: true}, 200) || h.Revision != 3 || h.Age(200) != 140 {
 		t.Fatal("a newer revision without its text made the older one fresh")
 	}
-	step(Word{Rev: 3, Age: 10, Fresh: true}, 300)
-	step(Word{Rev: 3, Age: 90, Fresh: true}, 310) // an answer that was long on its way
+	step(Update{Revision: 3, Age: 10, Confirmed: true}, 300)
+	step(Update{Revision: 3, Age: 90, Confirmed: true}, 310) // an answer that was long on its way
 	if h.Age(300) != 10 {
 		t.Fatalf("age %d, want 10", h.Age(300))
 	}
--- a/plan/seal.go
+++ b/plan/seal.go
@@ -17,75 +17,75 @@
 type Seal struct {
 	// Commons is since when the groups without a wall share as they do, Shared
 	// whoever has shared there since.
-	Commons uint64   `json:"commons"`
-	Shared  []string `json:"shared"`
+	SharedSince  uint64   `json:"commons"`
+	SharedGroups []string `json:"shared"`
 	// Walls is since when each walled group has been.
-	Walls map[string]uint64 `json:"walls,omitempty"`
+	IsolatedSince map[string]uint64 `json:"walls,omitempty"`
 	// Weights is since when the newest name is, and those before it were, in force.
-	Weights []Naming `json:"weights"`
+	WeightsHistory []WeightsRevision `json:"weights"`
 }
 
 // Naming is a name of weights and the revision that named it.
-type Naming struct {
-	Name string `json:"name"`
-	Rev  uint64 `json:"rev"`
+type WeightsRevision struct {
+	Name     string `json:"name"`
+	Revision uint64 `json:"rev"`
 }
 
 // Bounds on what a seal remembers: with more names than that in the commons it
 // begins anew, and engines that still run older weights than the last few named
 // find nothing kept.
 const (
-	sharedMost = 1024
-	namedMost  = 4
+	maxSharedGroups     = 1024
+	maxWeightsRevisions = 4
 )
 
 // mark begins a sealed plan: no plan that an operator may send begins so.
-var mark = []byte("#seal ")
+var sealPrefix = []byte("#seal ")
 
 // Next is the seal of a plan that follows under revision rev.
 func (s Seal) Next(p *Plan, rev uint64) Seal {
-	n := Seal{Commons: s.Commons, Walls: map[string]uint64{}, Weights: s.Weights}
-	if len(s.Weights) == 0 || s.Weights[0].Name != p.Weights {
-		n.Weights = []Naming{{p.Weights, rev}}
-		for _, w := range s.Weights {
-			if w.Name != p.Weights && len(n.Weights) < namedMost {
-				n.Weights = append(n.Weights, w)
+	n := Seal{SharedSince: s.SharedSince, IsolatedSince: map[string]uint64{}, WeightsHistory: s.WeightsHistory}
+	if len(s.WeightsHistory) == 0 || s.WeightsHistory[0].Name != p.Weights {
+		n.WeightsHistory = []WeightsRevision{{p.Weights, rev}}
+		for _, w := range s.WeightsHistory {
+			if w.Name != p.Weights && len(n.WeightsHistory) < maxWeightsRevisions {
+				n.WeightsHistory = append(n.WeightsHistory, w)
 			}
 		}
 	}
-	anew := len(s.Shared) > sharedMost || s.Commons == 0
-	for g := range s.Walls {
+	anew := len(s.SharedGroups) > maxSharedGroups || s.SharedSince == 0
+	for g := range s.IsolatedSince {
 		// Opened, or gone: what was kept in the commons meanwhile is not for it.
-		if x, ok := p.Groups[g]; !ok || !x.Wall {
+		if x, ok := p.Groups[g]; !ok || !x.Isolated {
 			anew = true
 		}
 	}
 	var open []string
 	for g, x := range p.Groups {
 		switch {
-		case !x.Wall:
+		case !x.Isolated:
 			open = append(open, g)
-		case s.Walls[g] > 0:
-			n.Walls[g] = s.Walls[g]
+		case s.IsolatedSince[g] > 0:
+			n.IsolatedSince[g] = s.IsolatedSince[g]
 		default:
-			n.Walls[g] = rev
-			anew = anew || slices.Contains(s.Shared, g)
+			n.IsolatedSince[g] = rev
+			anew = anew || slices.Contains(s.SharedGroups, g)
 		}
 	}
 	if anew {
-		n.Commons = rev
+		n.SharedSince = rev
 	} else {
-		open = append(open, s.Shared...)
+		open = append(open, s.SharedGroups...)
 	}
 	sort.Strings(open)
-	n.Shared = slices.Compact(open)
+	n.SharedGroups = slices.Compact(open)
 	return n
 }
 
 // Sealed makes the register's value of a plan that follows the value prev and
 // gets revision rev.
-func Sealed(prev, raw []byte, rev uint64) ([]byte, error) {
-	s, _, err := Open(prev)
+func Encode(prev, raw []byte, rev uint64) ([]byte, error) {
+	s, _, err := Decode(prev)
 	if err != nil {
 		return nil, err
 	}
@@ -97,13 +97,13 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return slices.Concat(mark, h, []byte("\n"), raw), nil
+	return slices.Concat(sealPrefix, h, []byte("\n"), raw), nil
 }
 
 // Open takes a register's value apart into its seal and the operator's text, to
 // the byte.
-func Open(val []byte) (s Seal, raw []byte, err error) {
-	t, ok := bytes.CutPrefix(val, mark)
+func Decode(val []byte) (s Seal, raw []byte, err error) {
+	t, ok := bytes.CutPrefix(val, sealPrefix)
 	if !ok {
 		return s, val, nil
 	}
@@ -119,15 +119,15 @@
 
 // Domain names what a group's kept prompts under these weights may be shared
 // with now. It changes when a wall moves, and when the weights are named anew.
-func (c *Compiled) Domain(group, weights string) string {
-	d := "commons." + strconv.FormatUint(c.seal.Commons, 10)
-	if c.Groups[group].Wall {
-		d = "wall." + strconv.FormatUint(c.seal.Walls[group], 10) + "." + group
+func (c *Compiled) CacheDomain(group, weights string) string {
+	d := "commons." + strconv.FormatUint(c.seal.SharedSince, 10)
+	if c.Groups[group].Isolated {
+		d = "wall." + strconv.FormatUint(c.seal.IsolatedSince[group], 10) + "." + group
 	}
-	for _, w := range c.seal.Weights {
+	for _, w := range c.seal.WeightsHistory {
 		if w.Name == weights {
-			return d + "/" + strconv.FormatUint(w.Rev, 10)
+			return d + "/" + strconv.FormatUint(w.Revision, 10)
 		}
 	}
-	return d + "/" + strconv.FormatUint(c.Rev, 10) + "?"
+	return d + "/" + strconv.FormatUint(c.Revision, 10) + "?"
 }
--- a/plan/seal_test.go
+++ b/plan/seal_test.go
@@ -22,19 +22,19 @@
 			gs = append(gs, fmt.Sprintf("%q:{\"share\":1,\"wall\":%v,\"keys\":[]}", n, wall))
 		}
 		raw := fmt.Sprintf(`{"weights":%q,"kinds":{"k":{"due_us":1000000}},"groups":{%s}}`, f[0], strings.Join(gs, ","))
-		v, err := Sealed(val, []byte(raw), rev+1)
+		v, err := Encode(val, []byte(raw), rev+1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		rev, val = rev+1, v
-		if _, r, err := Open(val); err != nil || string(r) != raw {
+		if _, r, err := Decode(val); err != nil || string(r) != raw {
 			t.Fatalf("%q came back as %q, %v", raw, r, err)
 		}
 		if last, err = Load(val, rev); err != nil {
 			t.Fatal(err)
 		}
 	}
-	of := func(g string) string { return last.Domain(g, last.Weights) }
+	of := func(g string) string { return last.CacheDomain(g, last.Weights) }
 	moved := func(why, g, was string, want bool) {
 		t.Helper()
 		if (of(g) != was) != want {
@@ -76,12 +76,12 @@
 	a, c = of("a"), of("c")
 	step("w2 a b| c| d|")
 	moved("weights", "c", c, true)
-	if last.Domain("a", "w1") != a {
+	if last.CacheDomain("a", "w1") != a {
 		t.Error("engines that still run w1 find nothing kept")
 	}
 	step("w1 a b| c| d|")
 	moved("weights that come back", "a", a, true)
-	if _, _, err := Open(val[:8]); err == nil {
+	if _, _, err := Decode(val[:8]); err == nil {
 		t.Error("a cut seal was read")
 	}
 }
--- a/compliance/check_test.go
+++ b/plancheck/check_test.go
@@ -1,4 +1,4 @@
-package compliance
+package plancheck
 
 import (
 	"strings"
@@ -14,15 +14,15 @@
 func TestCheck(t *testing.T) {
 	datadriven.RunTest(t, "testdata/check", func(t *testing.T, d *datadriven.TestData) string {
 		p := &plan.Plan{Weights: "w1", Kinds: map[string]plan.Kind{"k": {DueUS: 5_000_000, TypicalUS: 100_000, Once: true}},
-			Groups:  map[string]plan.Group{"a": {Share: 3, Keys: []string{"ka"}}, "b": {Share: 1, Wall: true, Keys: []string{"kb"}}},
-			Entries: []plan.Entry{{Path: "/app/", To: "127.0.0.1:1"}}}
-		f := Fleet{Proxies: []string{"p0", "p1"}, Voters: []string{"r0", "r1", "r2", "r3"}, Firm: true, Up: map[string]bool{"r0": true, "r1": true, "r2": true, "r3": true},
+			Groups: map[string]plan.Group{"a": {Share: 3, Keys: []string{"ka"}}, "b": {Share: 1, Isolated: true, Keys: []string{"kb"}}},
+			Routes: []plan.Route{{Path: "/app/", Backend: "127.0.0.1:1"}}}
+		f := Fleet{Proxies: []string{"p0", "p1"}, Voters: []string{"r0", "r1", "r2", "r3"}, VotersRecovered: true, Up: map[string]bool{"r0": true, "r1": true, "r2": true, "r3": true},
 			BackEnds: map[string]bool{"127.0.0.1:1": true}}
 		for _, n := range []string{"e0", "e1"} {
-			f.Engines = append(f.Engines, Engine{Name: n, Weights: "w1", Owned: true, Room: 16})
+			f.Engines = append(f.Engines, Engine{Name: n, Weights: "w1", Owned: true, Capacity: 16})
 		}
 		now := *p
-		f.Now = &now
+		f.Current = &now
 		g := func(n string, change func(*plan.Group)) {
 			gs := map[string]plan.Group{}
 			for k, v := range p.Groups {
@@ -48,11 +48,11 @@
 			case "tiny":
 				g("b", func(x *plan.Group) { x.Share = 0.01 })
 			case "ceiling":
-				g("a", func(x *plan.Group) { x.Ceiling = 100 })
+				g("a", func(x *plan.Group) { x.CeilingPermille = 100 })
 			case "no-keys":
 				g("b", func(x *plan.Group) { x.Keys = nil })
 			case "no-wall":
-				g("b", func(x *plan.Group) { x.Wall = false })
+				g("b", func(x *plan.Group) { x.Isolated = false })
 			case "group-goes":
 				p.Groups = map[string]plan.Group{"a": p.Groups["a"]}
 			case "slow-kind":
@@ -65,17 +65,17 @@
 			case "back-end-down":
 				f.BackEnds["127.0.0.1:1"] = false
 			case "same-entry":
-				p.Entries = append(p.Entries, plan.Entry{Path: "/app", To: "127.0.0.1:1"})
+				p.Routes = append(p.Routes, plan.Route{Path: "/app", Backend: "127.0.0.1:1"})
 			case "down":
 				for _, v := range a.Vals {
 					f.Up[v] = false
 				}
 			case "without":
-				f.Without = a.Vals[0]
+				f.WithoutVoter = a.Vals[0]
 			case "unfirm":
-				f.Firm = false
+				f.VotersRecovered = false
 			case "room":
-				p.Limits.RoomPerEngine = 1
+				p.Limits.CapacityPerEngine = 1
 			default:
 				d.Fatalf(t, "no change %s", a.Key)
 			}
--- a/recording/replay/replay.go
+++ b/recording/replay/replay.go
@@ -19,10 +19,10 @@
 	err = recording.Read(r, func(h recording.Header) error {
 		switch h.Component {
 		case "desk":
-			d := &Dispatcher{Desk: dispatch.New(h.Name, h.Zone, h.Incarnation)}
+			d := &Dispatcher{Dispatcher: dispatch.New(h.Name, h.Zone, h.Incarnation)}
 			feed = func(l recording.Event) (any, error) { return feedDesk(d, l) }
 		case "keeper":
-			k := &IndexNode{Keeper: index.New(h.Name, h.Zone, h.Incarnation)}
+			k := &IndexNode{Node: index.New(h.Name, h.Zone, h.Incarnation)}
 			feed = func(l recording.Event) (any, error) { return feedKeeper(k, l) }
 		default:
 			return trace.BadParameter("the tape is of a %q, which this program does not know", h.Component)
--- a/route/bounds.go
+++ b/route/bounds.go
@@ -3,28 +3,28 @@
 // Bounds are the figures that an operator's rules set for a whole fleet. Times
 // are microseconds (design §3).
 type Bounds struct {
-	SeedStaleUS      int64   // a list of nodes may be this much behind
-	AddressReuseUS   int64   // until an engine's address may be another pool's
-	ContactUS        int64   // unbroken calm after which a node counts as in touch
-	AckUS            int64   // a proper change is acknowledged within this
-	SyncUS           int64   // a node counts as lost this long after it returns
-	DrainUS          int64   // no request reaches a leaving engine later than this
-	GraceUS          int64   // from a polite stop to the end by force
-	LossSlackUS      int64   // a connection may end this late after a request's last byte
-	ConfigApplyUS    int64   // a configuration is in force everywhere
-	DowngradeUS      int64   // a request this late is not handled by an older one
-	ExtensionUS      int64   // an unsettled core stretches ConfigApplyUS by this at most
-	RevocationUS     int64   // a key that was taken away is dead
-	VersionApplyUS   int64   // no request begins on older weights
-	RetryWindowUS    int64   // over which further tries are counted
-	RecoveryUS       int64   // after a closing fault
-	TransitUS        int64   // an event's way from engine to caller
-	LeaseUS          int64   // between orders of two holders to one engine
-	UnfreezeUS       int64   // orders this soon after a thaw are forgiven
-	RetryRatio       float64 // further tries for each request
-	RetryAllowance   int64   // further tries on top of that, in each window
-	RevocationGlobal bool    // RevocationUS holds for nodes out of touch, too
-	Fenced           bool    // engines refuse a lower fence themselves
+	SeedStaleUS       int64   // a list of nodes may be this much behind
+	AddressReuseUS    int64   // until an engine's address may be another pool's
+	ContactUS         int64   // unbroken calm after which a node counts as in touch
+	AckUS             int64   // a proper change is acknowledged within this
+	SyncUS            int64   // a node counts as lost this long after it returns
+	DrainUS           int64   // no request reaches a leaving engine later than this
+	GraceUS           int64   // from a polite stop to the end by force
+	LossSlackUS       int64   // a connection may end this late after a request's last byte
+	ConfigApplyUS     int64   // a configuration is in force everywhere
+	DowngradeUS       int64   // a request this late is not handled by an older one
+	ExtensionUS       int64   // an unsettled core stretches ConfigApplyUS by this at most
+	RevocationUS      int64   // a key that was taken away is dead
+	VersionApplyUS    int64   // no request begins on older weights
+	RetryWindowUS     int64   // over which further tries are counted
+	RecoveryUS        int64   // after a closing fault
+	TransitUS         int64   // an event's way from engine to caller
+	LeaseUS           int64   // between orders of two holders to one engine
+	UnfreezeUS        int64   // orders this soon after a thaw are forgiven
+	RetryRatio        float64 // further tries for each request
+	RetryAllowance    int64   // further tries on top of that, in each window
+	RevocationGlobal  bool    // RevocationUS holds for nodes out of touch, too
+	EnginesCheckFence bool    // engines refuse a lower fence themselves
 }
 
 // DefaultBounds are used for figures that nobody set. The two that say who
--- a/route/change_rapid_test.go
+++ b/route/change_rapid_test.go
@@ -16,7 +16,7 @@
 	bases   map[uint64]bool // that a change was taken on
 }
 
-func identity(c Change) string { return fmt.Sprint(c.Whole, c.Base, string(c.Body)) }
+func identity(c Change) string { return fmt.Sprint(c.Replace, c.Base, string(c.Body)) }
 
 func (m *changeMachine) version() uint64 {
 	if m.current == nil {
@@ -29,7 +29,7 @@
 // document is still current, which it is here.
 func (m *changeMachine) send(t *rapid.T, c Change) {
 	was := m.version()
-	next, outcome, findings := c.On(m.current, plain, words)
+	next, outcome, findings := c.Apply(m.current, plain, words)
 	switch {
 	case m.taken[identity(c)]:
 		if outcome != Duplicate {
@@ -56,7 +56,7 @@
 	if next.Version <= m.version() {
 		t.Fatalf("version %d follows %d", next.Version, m.version())
 	}
-	back, err := ReadDocument(next.Bytes())
+	back, err := DecodeDocument(next.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/route/check.go
+++ b/route/check.go
@@ -7,26 +7,26 @@
 
 // Check lists all that is wrong with a configuration that would follow version
 // have, 0 being none. A store of parts is a pool that no route may name.
-func Check(c Config, have uint64) (fs []Finding) {
+func Validate(config Config, currentVersion uint64) (fs []Finding) {
 	bad := func(path, reason, remedy string, a ...any) {
 		fs = append(fs, Finding{path, reason, fmt.Sprintf(remedy, a...)})
 	}
-	if c.Version <= have {
-		bad("version", "old-version", "give a version higher than %d", have)
+	if config.Version <= currentVersion {
+		bad("version", "old-version", "give a version higher than %d", currentVersion)
 	}
 	pools := map[string]bool{} // whether it takes requests
 	names := map[string]bool{}
-	for i, p := range c.Pools {
+	for i, p := range config.Pools {
 		at := fmt.Sprintf("pools[%d]", i)
-		named(&fs, names, at, p.Name)
-		pools[p.Name] = p.Store == ""
+		checkName(&fs, names, at, p.Name)
+		pools[p.Name] = p.StoreAddr == ""
 	}
 	names = map[string]bool{}
 	type place struct{ host, prefix string }
 	places := map[place]string{}
-	for i, r := range c.Routes {
+	for i, r := range config.Routes {
 		at := fmt.Sprintf("routes[%d]", i)
-		named(&fs, names, at, r.Name)
+		checkName(&fs, names, at, r.Name)
 		if r.Host == "" {
 			bad(at+".host", "no-host", "name the host of route %q", r.Name)
 		}
@@ -39,7 +39,7 @@
 		} else {
 			places[k] = r.Name
 		}
-		if r.Kind < Once || r.Kind > Stream {
+		if r.Semantics < AtMostOnce || r.Semantics > EventStream {
 			bad(at+".kind", "unknown-kind", "say what may be repeated of route %q", r.Name)
 		}
 		if r.TimeoutUS <= 0 {
@@ -59,13 +59,13 @@
 	}
 	names = map[string]bool{}
 	keys := map[string]int{}
-	for i, t := range c.Tenants {
+	for i, t := range config.Tenants {
 		at := fmt.Sprintf("tenants[%d]", i)
-		named(&fs, names, at, t.Name)
+		checkName(&fs, names, at, t.Name)
 		for j, k := range t.Keys {
 			if o, ok := keys[k]; ok && o != i {
 				// Keys are secrets: the finding names the tenants only.
-				bad(fmt.Sprintf("%s.keys[%d]", at, j), "shared-key", "take the key away from %q or from %q", c.Tenants[o].Name, t.Name)
+				bad(fmt.Sprintf("%s.keys[%d]", at, j), "shared-key", "take the key away from %q or from %q", config.Tenants[o].Name, t.Name)
 			} else {
 				keys[k] = i
 			}
@@ -74,7 +74,7 @@
 	return fs
 }
 
-func named(fs *[]Finding, seen map[string]bool, at, name string) {
+func checkName(fs *[]Finding, seen map[string]bool, at, name string) {
 	switch {
 	case name == "":
 		*fs = append(*fs, Finding{at + ".name", "no-name", "name it"})
--- a/route/check_test.go
+++ b/route/check_test.go
@@ -11,11 +11,11 @@
 	return Config{
 		Version: 7,
 		Routes: []Route{
-			{Name: "a", Host: "one.example", Prefix: "/a/", Kind: Once, TimeoutUS: 1, Split: []Share{{"p", 90}, {"p", 10}}},
-			{Name: "b", Host: "one.example", Prefix: "/a/b/", Kind: Stream, TimeoutUS: 1, Split: []Share{{"p", 0}, {"q", 1}}},
-			{Name: "c", Host: "two.example", Prefix: "/", Kind: Repeatable, TimeoutUS: 1, Split: []Share{{"q", 1}}},
+			{Name: "a", Host: "one.example", Prefix: "/a/", Semantics: AtMostOnce, TimeoutUS: 1, Split: []WeightedPool{{"p", 90}, {"p", 10}}},
+			{Name: "b", Host: "one.example", Prefix: "/a/b/", Semantics: EventStream, TimeoutUS: 1, Split: []WeightedPool{{"p", 0}, {"q", 1}}},
+			{Name: "c", Host: "two.example", Prefix: "/", Semantics: Idempotent, TimeoutUS: 1, Split: []WeightedPool{{"q", 1}}},
 		},
-		Pools:   []Pool{{Name: "p"}, {Name: "q"}, {Name: "s", Store: "10.0.0.1:80"}},
+		Pools:   []Pool{{Name: "p"}, {Name: "q"}, {Name: "s", StoreAddr: "10.0.0.1:80"}},
 		Tenants: []Tenant{{Name: "t", Keys: []string{"k1", "k1"}}, {Name: "u", Keys: []string{"k2"}}},
 	}
 }
@@ -39,10 +39,10 @@
 		{"same place", 6, func(c *Config) { c.Routes[1].Prefix = "/a/" }, []string{"routes[1].prefix same-place"}},
 		{"same place, other case", 6, func(c *Config) { c.Routes[2].Host, c.Routes[2].Prefix = "ONE.example", "/a/" }, []string{"routes[2].prefix same-place"}},
 		{"no weight", 6, func(c *Config) { c.Routes[1].Split[1].Weight = 0 }, []string{"routes[1].split no-weight"}},
-		{"weights cancel out", 6, func(c *Config) { c.Routes[0].Split = []Share{{"p", 5}, {"q", -5}} }, []string{"routes[0].split no-weight"}},
-		{"one weight negative", 6, func(c *Config) { c.Routes[0].Split = []Share{{"p", 5}, {"q", -1}} }, []string{"routes[0].split no-weight"}},
+		{"weights cancel out", 6, func(c *Config) { c.Routes[0].Split = []WeightedPool{{"p", 5}, {"q", -5}} }, []string{"routes[0].split no-weight"}},
+		{"one weight negative", 6, func(c *Config) { c.Routes[0].Split = []WeightedPool{{"p", 5}, {"q", -1}} }, []string{"routes[0].split no-weight"}},
 		{"huge weights", 6, func(c *Config) {
-			c.Routes[0].Split = lo.Times(6, func(int) Share { return Share{"p", 1 << 62} })
+			c.Routes[0].Split = lo.Times(6, func(int) WeightedPool { return WeightedPool{"p", 1 << 62} })
 		}, nil},
 		{"no split", 6, func(c *Config) { c.Routes[2].Split = nil }, []string{"routes[2].split no-weight"}},
 		{"no timeout", 6, func(c *Config) { c.Routes[0].TimeoutUS = 0 }, []string{"routes[0].timeout no-timeout"}},
@@ -57,12 +57,12 @@
 		{"host and prefixes", 6, func(c *Config) {
 			c.Routes[0].Host, c.Routes[1].Prefix, c.Routes[2].Prefix = "", "/x", ""
 		}, []string{"routes[0].host no-host", "routes[1].prefix bad-prefix", "routes[2].prefix bad-prefix"}},
-		{"kind", 6, func(c *Config) { c.Routes[0].Kind = 0 }, []string{"routes[0].kind unknown-kind"}},
+		{"kind", 6, func(c *Config) { c.Routes[0].Semantics = 0 }, []string{"routes[0].kind unknown-kind"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := sound()
 			c.do(&x)
-			fs := Check(x, c.have)
+			fs := Validate(x, c.have)
 			if got := lo.Map(fs, func(f Finding, _ int) string { return f.Path + " " + f.Reason }); !slices.Equal(got, c.want) {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
--- a/route/config.go
+++ b/route/config.go
@@ -6,50 +6,50 @@
 package route
 
 // Kind tells what may be done again with the requests of a route.
-type Kind uint8
+type Semantics uint8
 
 // Once requests run once at most for each try of a caller. Repeatable ones may
 // run again. A Stream is a series of events, to be treated as Once unless its
 // route is Resumable.
 const (
-	Once Kind = iota + 1
-	Repeatable
-	Stream
+	AtMostOnce Semantics = iota + 1
+	Idempotent
+	EventStream
 )
 
 // Route is what one host and path prefix lead to. Times are microseconds.
 type Route struct {
 	Name, Host, Prefix string
-	Kind               Kind
+	Semantics          Semantics
 	TimeoutUS          int64
-	TargetUS           int64 // within which an answer, or its first event, is in time
-	GapUS              int64 // longest pause between events that is in time
+	LatencyTargetUS    int64 // within which an answer, or its first event, is in time
+	EventGapUS         int64 // longest pause between events that is in time
 	Priority           int   // 0 is the highest
-	Split              []Share
-	Attempts           int  // engines that one try may be sent to, at the most
+	Split              []WeightedPool
+	MaxEngines         int  // engines that one try may be sent to, at the most
 	Public             bool // needs no key
 	Resumable          bool
-	Prompted           bool // names its model, tokens and prompt parts
+	DescribesPrompt    bool // names its model, tokens and prompt parts
 }
 
 // Share is a pool's part of a route's requests.
-type Share struct {
+type WeightedPool struct {
 	Pool   string
 	Weight int
 }
 
 // Pool is a service: engines that take requests, or a store of kept parts.
 type Pool struct {
-	Name           string
-	MaxConnections int    // of all callers together, at each engine
-	Store          string // address, if this is a store
-	Site           string // of the store
-	KeepTokens     int64  // room for kept parts
-	TokenBytes     int64
-	LinkMbps       float64
-	Slots          int
-	Readers        int // calls for cache news that an engine holds at one time
-	Models         []string
+	Name            string
+	MaxConnections  int    // of all callers together, at each engine
+	StoreAddr       string // address, if this is a store
+	Zone            string // of the store
+	CacheTokens     int64  // room for kept parts
+	BytesPerToken   int64
+	LinkMbps        float64
+	Slots           int
+	MaxEventReaders int // calls for cache news that an engine holds at one time
+	Models          []string
 }
 
 // Tenant holds keys.
--- a/route/document.go
+++ b/route/document.go
@@ -17,27 +17,27 @@
 
 const (
 	// MaxBody is the largest text that an operator may send.
-	MaxBody = 8 << 20
+	MaxChangeBytes = 8 << 20
 	// MaxText is the largest configuration that changes may add up to.
-	MaxText = 2 * MaxBody
+	MaxConfigBytes = 2 * MaxChangeBytes
 	// MaxTaken is how many accepted changes are remembered: a few hours' at three
 	// thousand a day. What is older is answered Forgotten, never Stale.
-	MaxTaken = 1024
+	MaxAccepted = 1024
 )
 
 // Document is what a register holds: a whole configuration's text, to the byte,
 // and which changes led there.
 type Document struct {
-	Version uint64
-	Text    []byte
-	Taken   []Taken // oldest first, at most MaxTaken
+	Version  uint64
+	Text     []byte
+	Accepted []AcceptedChange // oldest first, at most MaxTaken
 }
 
 // Taken is a change that was accepted. Each builds on the one before it, so that
 // there is one for each base.
-type Taken struct {
+type AcceptedChange struct {
 	Version, Base uint64
-	Sum           [sha256.Size]byte // of the change
+	Digest        [sha256.Size]byte // of the change
 }
 
 // Formats of what the registers of this package hold.
@@ -49,12 +49,12 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // seal frames a register's value, so that a damaged one is not taken for whole.
-func seal(format byte, body []byte) []byte {
+func encodeFrame(format byte, body []byte) []byte {
 	b := append([]byte{format}, body...)
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-func unseal(format byte, b []byte) ([]byte, error) {
+func decodeFrame(format byte, b []byte) ([]byte, error) {
 	if len(b) < 5 || b[0] != format {
 		return nil, trace.BadParameter("the register's format is unknown; run a program of the version that wrote it")
 	}
@@ -66,47 +66,47 @@
 }
 
 // Bytes is the register's value. Its text is deflated: it is carried to every node.
-func (d *Document) Bytes() []byte {
+func (d *Document) Encode() []byte {
 	b := binary.AppendUvarint(nil, d.Version)
-	b = binary.AppendUvarint(b, uint64(len(d.Taken)))
-	for _, t := range d.Taken {
+	b = binary.AppendUvarint(b, uint64(len(d.Accepted)))
+	for _, t := range d.Accepted {
 		b = binary.AppendUvarint(b, t.Version)
 		b = binary.AppendUvarint(b, t.Base)
-		b = append(b, t.Sum[:]...)
+		b = append(b, t.Digest[:]...)
 	}
 	b = binary.AppendUvarint(b, uint64(len(d.Text)))
 	var z bytes.Buffer
 	w := lo.Must(flate.NewWriter(&z, flate.DefaultCompression))
 	_, _ = w.Write(d.Text) // a Buffer takes all
 	_ = w.Close()
-	return seal(formatDocument, append(b, z.Bytes()...))
+	return encodeFrame(formatDocument, append(b, z.Bytes()...))
 }
 
 // ReadDocument reads what Bytes wrote.
-func ReadDocument(b []byte) (*Document, error) {
-	b, err := unseal(formatDocument, b)
+func DecodeDocument(b []byte) (*Document, error) {
+	b, err := decodeFrame(formatDocument, b)
 	if err != nil {
 		return nil, err
 	}
 	bad := trace.BadParameter("the configuration's register is malformed; send the whole configuration again")
 	r := bytes.NewReader(b)
 	d := &Document{}
-	n, err := uvarints(r, &d.Version)
-	if err != nil || n > MaxTaken {
+	n, err := readUvarintPair(r, &d.Version)
+	if err != nil || n > MaxAccepted {
 		return nil, bad
 	}
 	for range n {
-		var t Taken
-		if t.Base, err = uvarints(r, &t.Version); err != nil {
+		var t AcceptedChange
+		if t.Base, err = readUvarintPair(r, &t.Version); err != nil {
 			return nil, bad
 		}
-		if _, err := io.ReadFull(r, t.Sum[:]); err != nil {
+		if _, err := io.ReadFull(r, t.Digest[:]); err != nil {
 			return nil, bad
 		}
-		d.Taken = append(d.Taken, t)
+		d.Accepted = append(d.Accepted, t)
 	}
 	size, err := binary.ReadUvarint(r)
-	if err != nil || size > MaxText {
+	if err != nil || size > MaxConfigBytes {
 		return nil, bad
 	}
 	// The size is only believed as far as there are bytes for it.
@@ -118,7 +118,7 @@
 }
 
 // uvarints reads two numbers: the first into v, the second as the result.
-func uvarints(r io.ByteReader, v *uint64) (w uint64, err error) {
+func readUvarintPair(r io.ByteReader, v *uint64) (w uint64, err error) {
 	if *v, err = binary.ReadUvarint(r); err == nil {
 		w, err = binary.ReadUvarint(r)
 	}
@@ -128,7 +128,7 @@
 // Change is what an operator sends: a whole configuration, or items to merge
 // into the one it builds on.
 type Change struct {
-	Whole   bool
+	Replace bool
 	Base    uint64 // version it builds on, 0 being none
 	HasBase bool
 	Body    []byte
@@ -146,7 +146,7 @@
 	Duplicate
 	Stale
 	Invalid
-	Forgotten
+	Undecidable
 )
 
 func (o Outcome) String() string {
@@ -158,15 +158,15 @@
 // on each base: whatever builds on this base or a later one was taken if and only if
 // it is remembered.
 func (d *Document) oldestBase() uint64 {
-	if len(d.Taken) == 0 {
+	if len(d.Accepted) == 0 {
 		return d.Version
 	}
-	return d.Taken[0].Base
+	return d.Accepted[0].Base
 }
 
-func (c Change) sum() [sha256.Size]byte {
+func (c Change) digest() [sha256.Size]byte {
 	h := sha256.New()
-	head := [9]byte{lo.Ternary[byte](c.Whole, 1, 0)}
+	head := [9]byte{lo.Ternary[byte](c.Replace, 1, 0)}
 	binary.LittleEndian.PutUint64(head[1:], c.Base)
 	_, _ = h.Write(head[:])
 	_, _ = h.Write(c.Body)
@@ -180,42 +180,42 @@
 // for what came after it. Whether the base is current comes before whether the change
 // is in order: whoever loses a race with a lower version number should learn that the
 // base has moved.
-func (c Change) On(cur *Document, tr func([]byte) (Config, []Finding), w Words) (next *Document, out Outcome, fs []Finding) {
+func (c Change) Apply(cur *Document, tr func([]byte) (Config, []Finding), w FieldNames) (next *Document, out Outcome, fs []Finding) {
 	cur = lo.CoalesceOrEmpty(cur, &Document{})
 	if !c.HasBase {
 		return nil, Invalid, []Finding{{"", "no-base", "say which version the change builds on, 0 for the first"}}
 	}
-	sum := c.sum()
-	if lo.ContainsBy(cur.Taken, func(t Taken) bool { return t.Base == c.Base && t.Sum == sum }) {
+	sum := c.digest()
+	if lo.ContainsBy(cur.Accepted, func(t AcceptedChange) bool { return t.Base == c.Base && t.Digest == sum }) {
 		return nil, Duplicate, nil
 	}
 	if c.Base < cur.oldestBase() {
-		return nil, Forgotten, nil
+		return nil, Undecidable, nil
 	}
 	if c.Base != cur.Version {
 		return nil, Stale, nil
 	}
 	text := c.Body
-	if c.Whole {
+	if c.Replace {
 		// Later merges must be able to tell the parts apart.
-		if _, err := members(text); err != nil {
+		if _, err := topLevelMembers(text); err != nil {
 			return nil, Invalid, []Finding{unreadable("", err)}
 		}
 	} else if text, fs = Merge(cur.Text, c.Body, w); len(fs) > 0 {
 		return nil, Invalid, fs
 	}
-	if len(text) > MaxText {
+	if len(text) > MaxConfigBytes {
 		return nil, Invalid, []Finding{{"", "too-large", "remove items that are not needed any more"}}
 	}
 	conf, fs := tr(text)
 	if len(fs) == 0 {
-		fs = Check(conf, cur.Version)
+		fs = Validate(conf, cur.Version)
 	}
 	if len(fs) > 0 {
 		return nil, Invalid, fs
 	}
-	past := cur.Taken[max(0, len(cur.Taken)-MaxTaken+1):]
+	past := cur.Accepted[max(0, len(cur.Accepted)-MaxAccepted+1):]
 	next = &Document{Version: conf.Version, Text: text}
-	next.Taken = append(append(next.Taken, past...), Taken{conf.Version, c.Base, sum})
+	next.Accepted = append(append(next.Accepted, past...), AcceptedChange{conf.Version, c.Base, sum})
 	return next, Accepted, nil
 }
--- a/route/document_test.go
+++ b/route/document_test.go
@@ -12,7 +12,7 @@
 	"github.com/samber/lo"
 )
 
-var words = Words{Name: "id", Version: "v", Upsert: "set", Remove: "drop"}
+var words = FieldNames{Name: "id", Version: "v", Upsert: "set", Remove: "drop"}
 
 // plain reads a configuration with words of its own: pools only.
 func plain(text []byte) (c Config, fs []Finding) {
@@ -33,7 +33,7 @@
 }
 
 func whole(base uint64, body string) Change {
-	return Change{Whole: true, Base: base, HasBase: true, Body: []byte(body)}
+	return Change{Replace: true, Base: base, HasBase: true, Body: []byte(body)}
 }
 
 func patch(base uint64, body string) Change {
@@ -63,7 +63,7 @@
 		{whole(5, `{"v":9,"v":10}`), Invalid, 5},
 		{whole(5, ``), Invalid, 5},
 		{whole(5, `[]`), Invalid, 5},
-		{Change{Whole: true, Body: []byte(`{"v":9}`)}, Invalid, 5},
+		{Change{Replace: true, Body: []byte(`{"v":9}`)}, Invalid, 5},
 		{patch(5, `{"v":9,"set":{"pools":[{"id":"b"}]}}`), Accepted, 9},
 		{patch(5, `{"v":9,"set":{"pools":[{"id":"b"}]}}`), Duplicate, 9},
 		{patch(5, `{"v":8,"set":{"pools":[{"id":"c"}]}}`), Stale, 9}, // lost the race, lower number
@@ -75,18 +75,18 @@
 		{patch(5, `{"v":9,"set":{"pools":[{"id":"b"}]}}`), Duplicate, 20},
 		{Change{Body: []byte(`{"v":9,"set":{"pools":[{"id":"b"}]}}`)}, Invalid, 20},
 	} {
-		next, out, fs := s.c.On(cur, plain, words)
+		next, out, fs := s.c.Apply(cur, plain, words)
 		if out != s.want || (next != nil) != (out == Accepted) || (len(fs) > 0) != (out == Invalid) {
 			t.Fatalf("step %d: %v, next %v, findings %v; want %v", i, out, next, fs, s.want)
 		}
 		if next != nil {
 			// What is decided on is what a register gives back.
-			back, err := ReadDocument(next.Bytes())
+			back, err := DecodeDocument(next.Encode())
 			if err != nil || !reflect.DeepEqual(back, next) {
 				t.Fatalf("step %d: %v, %v came back of %v", i, err, back, next)
 			}
 			cur = back
-			if s.c.Whole && !bytes.Equal(cur.Text, s.c.Body) {
+			if s.c.Replace && !bytes.Equal(cur.Text, s.c.Body) {
 				t.Fatalf("step %d: %s is held", i, cur.Text)
 			}
 		}
@@ -99,16 +99,16 @@
 // Of two changes on one base exactly one is taken, whatever the order, and both
 // senders learn the same when they send again.
 func TestRaceOfChanges(t *testing.T) {
-	first, _, _ := whole(0, `{"v":1}`).On(nil, plain, words)
+	first, _, _ := whole(0, `{"v":1}`).Apply(nil, plain, words)
 	cs := []Change{whole(1, `{"v":2,"pools":[{"id":"a"}]}`), patch(1, `{"v":3,"set":{"pools":[{"id":"b"}]}}`), whole(1, `{"v":4}`)}
 	for i, win := range cs {
-		cur, out, _ := win.On(first, plain, words)
+		cur, out, _ := win.Apply(first, plain, words)
 		if out != Accepted {
 			t.Fatalf("change %d is %v", i, out)
 		}
 		for j, c := range cs {
 			want := lo.Ternary(i == j, Duplicate, Stale)
-			if _, out, _ = c.On(cur, plain, words); out != want {
+			if _, out, _ = c.Apply(cur, plain, words); out != want {
 				t.Errorf("after %d, change %d is %v, not %v", i, j, out, want)
 			}
 		}
@@ -118,19 +118,19 @@
 func TestTakenIsBounded(t *testing.T) {
 	var cur *Document
 	at := func(v uint64) Change { return whole(v-1, fmt.Sprintf(`{"v":%d}`, v)) }
-	const n = MaxTaken + 10
+	const n = MaxAccepted + 10
 	for v := uint64(1); v <= n; v++ {
-		next, out, _ := at(v).On(cur, plain, words)
+		next, out, _ := at(v).Apply(cur, plain, words)
 		if out != Accepted {
 			t.Fatalf("version %d is %v", v, out)
 		}
 		cur = next
 	}
-	if len(cur.Taken) != MaxTaken {
-		t.Fatalf("%d are remembered", len(cur.Taken))
+	if len(cur.Accepted) != MaxAccepted {
+		t.Fatalf("%d are remembered", len(cur.Accepted))
 	}
-	for v, want := range map[uint64]Outcome{n: Duplicate, n - MaxTaken + 1: Duplicate, n - MaxTaken: Forgotten, 1: Forgotten} {
-		if _, out, _ := at(v).On(cur, plain, words); out != want {
+	for v, want := range map[uint64]Outcome{n: Duplicate, n - MaxAccepted + 1: Duplicate, n - MaxAccepted: Undecidable, 1: Undecidable} {
+		if _, out, _ := at(v).Apply(cur, plain, words); out != want {
 			t.Errorf("version %d again is %v, not %v", v, out, want)
 		}
 	}
@@ -143,14 +143,14 @@
 func TestResendAfterHundredsOfChanges(t *testing.T) {
 	var cur *Document
 	var taken, rivals []Change
-	for v := uint64(1); v <= MaxTaken+200; v++ {
+	for v := uint64(1); v <= MaxAccepted+200; v++ {
 		change := whole(v-1, fmt.Sprintf(`{"v":%d,"pools":[{"id":"a%d"},{"id":"gone"}]}`, v, v))
 		rival := whole(v-1, fmt.Sprintf(`{"v":%d,"pools":[]}`, v))
 		if v%2 == 0 {
 			change = patch(v-1, fmt.Sprintf(`{"v":%d,"drop":{"pools":["gone"]},"set":{"pools":[{"id":"b%d"}]}}`, v, v))
 			rival = patch(v-1, fmt.Sprintf(`{"v":%d,"set":{"pools":[{"id":"c"}]}}`, v+1))
 		}
-		next, outcome, findings := change.On(cur, plain, words)
+		next, outcome, findings := change.Apply(cur, plain, words)
 		if outcome != Accepted {
 			t.Fatalf("version %d is %v, %v", v, outcome, findings)
 		}
@@ -159,64 +159,64 @@
 	}
 	counts := map[Outcome]int{}
 	for i := range taken {
-		_, outcome, _ := taken[i].On(cur, plain, words)
-		if outcome != Duplicate && outcome != Forgotten {
+		_, outcome, _ := taken[i].Apply(cur, plain, words)
+		if outcome != Duplicate && outcome != Undecidable {
 			t.Fatalf("version %d, which was taken, is %v when it is sent again", i+1, outcome)
 		}
 		counts[outcome]++
-		if _, outcome, _ = rivals[i].On(cur, plain, words); outcome != Stale && outcome != Forgotten {
+		if _, outcome, _ = rivals[i].Apply(cur, plain, words); outcome != Stale && outcome != Undecidable {
 			t.Fatalf("the rival of version %d is %v", i+1, outcome)
 		}
 	}
-	if counts[Duplicate] != MaxTaken {
-		t.Errorf("%d are known as taken, not %d", counts[Duplicate], MaxTaken)
+	if counts[Duplicate] != MaxAccepted {
+		t.Errorf("%d are known as taken, not %d", counts[Duplicate], MaxAccepted)
 	}
 }
 
 // A decision must leave the document that it was made on alone: a lost race
 // decides anew on another.
 func TestOnKeepsCurrent(t *testing.T) {
-	cur, _, _ := whole(0, `{"v":1,"pools":[{"id":"a"},{"id":"b"}]}`).On(nil, plain, words)
-	was := cur.Bytes()
+	cur, _, _ := whole(0, `{"v":1,"pools":[{"id":"a"},{"id":"b"}]}`).Apply(nil, plain, words)
+	was := cur.Encode()
 	for _, c := range []Change{patch(1, `{"v":2,"set":{"pools":[{"id":"a","x":1}]},"drop":{"pools":["b"]}}`), whole(1, `{"v":2}`)} {
-		if _, out, _ := c.On(cur, plain, words); out != Accepted || !bytes.Equal(cur.Bytes(), was) {
+		if _, out, _ := c.Apply(cur, plain, words); out != Accepted || !bytes.Equal(cur.Encode(), was) {
 			t.Fatalf("%v left %s", out, cur.Text)
 		}
 	}
 }
 
 func TestReadDocumentRefuses(t *testing.T) {
-	d := Document{Version: 7, Text: []byte(strings.Repeat(`{"v":7}`, 50)), Taken: []Taken{{Version: 7, Base: 5}}}
-	b := d.Bytes()
+	d := Document{Version: 7, Text: []byte(strings.Repeat(`{"v":7}`, 50)), Accepted: []AcceptedChange{{Version: 7, Base: 5}}}
+	b := d.Encode()
 	for i := range b {
-		if _, err := ReadDocument(b[:i]); err == nil {
+		if _, err := DecodeDocument(b[:i]); err == nil {
 			t.Errorf("%d of %d bytes were taken for a document", i, len(b))
 		}
 		c := slices.Clone(b)
 		c[i] ^= 1
-		if _, err := ReadDocument(c); err == nil {
+		if _, err := DecodeDocument(c); err == nil {
 			t.Errorf("a document with byte %d changed was taken", i)
 		}
 	}
-	if _, err := ReadDocument((&WeightsDoc{}).Bytes()); err == nil {
+	if _, err := DecodeDocument((&WeightVersions{}).Encode()); err == nil {
 		t.Error("weights were taken for a document")
 	}
 }
 
 func FuzzReadDocument(f *testing.F) {
-	d := Document{Version: 7, Text: []byte(`{"v":7}`), Taken: []Taken{{Version: 5, Base: 0}, {Version: 7, Base: 5}}}
-	b := d.Bytes()
+	d := Document{Version: 7, Text: []byte(`{"v":7}`), Accepted: []AcceptedChange{{Version: 5, Base: 0}, {Version: 7, Base: 5}}}
+	b := d.Encode()
 	f.Add(b[1 : len(b)-4])
 	f.Add([]byte{})
 	f.Add([]byte{1, 0, 0, 3, 0})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		_, _ = ReadDocument(body)
-		x, err := ReadDocument(seal(formatDocument, body)) // past the checksum
+		_, _ = DecodeDocument(body)
+		x, err := DecodeDocument(encodeFrame(formatDocument, body)) // past the checksum
 		if err != nil {
 			return
 		}
-		y, err := ReadDocument(x.Bytes())
-		if err != nil || y.Version != x.Version || !bytes.Equal(y.Text, x.Text) || !slices.Equal(y.Taken, x.Taken) {
+		y, err := DecodeDocument(x.Encode())
+		if err != nil || y.Version != x.Version || !bytes.Equal(y.Text, x.Text) || !slices.Equal(y.Accepted, x.Accepted) {
 			t.Fatalf("%v became %v, %v", x, y, err)
 		}
 	})
--- a/route/merge.go
+++ b/route/merge.go
@@ -10,7 +10,7 @@
 )
 
 // Words are the field names of an operator's text by which items are merged.
-type Words struct{ Name, Version, Upsert, Remove string }
+type FieldNames struct{ Name, Version, Upsert, Remove string }
 
 // member is a part of a JSON object. Values stay text: numbers are never read.
 type member struct {
@@ -20,7 +20,7 @@
 
 // parts splits an object or a list that is known to be valid JSON, and hands on
 // each part's name, if it has one, and its value.
-func parts(v []byte, on func(name, value []byte)) {
+func splitJSON(v []byte, on func(name, value []byte)) {
 	depth, from := 0, -1
 	var name []byte
 	for i := 0; i < len(v); i++ {
@@ -62,7 +62,7 @@
 }
 
 // plainText is what a JSON text says.
-func plainText(v []byte) (s string, err error) {
+func unquote(v []byte) (s string, err error) {
 	if n := len(v) - 1; n > 0 && v[0] == '"' && bytes.IndexByte(v, '\\') < 0 {
 		return string(v[1:n]), nil
 	}
@@ -71,22 +71,22 @@
 }
 
 // members lists the parts of the one JSON object that text is, in order.
-func members(text []byte) ([]member, error) {
+func topLevelMembers(text []byte) ([]member, error) {
 	if !json.Valid(text) {
 		var v json.RawMessage
 		return nil, json.Unmarshal(text, &v) // says what is wrong, and where
 	}
-	return valid(text)
+	return objectMembers(text)
 }
 
 // valid is members of what is known to be valid JSON.
-func valid(text []byte) (ms []member, err error) {
+func objectMembers(text []byte) (ms []member, err error) {
 	if t := bytes.TrimLeft(text, " \t\n\r"); t[0] != '{' {
 		return nil, trace.BadParameter("send one JSON object")
 	}
 	var seen map[string]bool // made once there are too many to look through
-	parts(text, func(n, v []byte) {
-		s, e := plainText(n)
+	splitJSON(text, func(n, v []byte) {
+		s, e := unquote(n)
 		if len(ms) == 32 {
 			seen = lo.SliceToMap(ms, func(m member) (string, bool) { return m.name, true })
 		}
@@ -107,7 +107,7 @@
 }
 
 // text writes an object's parts.
-func text(ms []member) []byte {
+func encodeObject(ms []member) []byte {
 	var b bytes.Buffer
 	for i, m := range ms {
 		b.WriteByte(lo.Ternary[byte](i == 0, '{', ','))
@@ -122,7 +122,7 @@
 	return b.Bytes()
 }
 
-func put(ms []member, name string, value json.RawMessage) []member {
+func setMember(ms []member, name string, value json.RawMessage) []member {
 	for i := range ms {
 		if ms[i].name == name {
 			ms[i].value = value
@@ -132,7 +132,7 @@
 	return append(ms, member{name, value})
 }
 
-func get(ms []member, name string) json.RawMessage {
+func memberValue(ms []member, name string) json.RawMessage {
 	for _, m := range ms {
 		if m.name == name && string(m.value) != "null" {
 			return m.value
@@ -144,44 +144,44 @@
 // Merge applies a patch to a configuration's text, none being an empty one. Items
 // are first removed by name, unknown names being no mistake, then replaced whole
 // where they stand, or added at the end. Of an object, the fields are replaced.
-func Merge(base, patch []byte, w Words) ([]byte, []Finding) {
+func Merge(base, patch []byte, names FieldNames) ([]byte, []Finding) {
 	if len(base) == 0 {
 		base = []byte("{}")
 	}
-	ms, err := members(base)
+	ms, err := topLevelMembers(base)
 	if err != nil {
 		return nil, []Finding{unreadable("", err)}
 	}
-	ps, err := members(patch)
+	ps, err := topLevelMembers(patch)
 	if err != nil {
 		return nil, []Finding{unreadable("", err)}
 	}
 	var fs []Finding
-	if v := get(ps, w.Version); v == nil {
-		fs = append(fs, Finding{w.Version, "no-version", "give the version that the patch leads to"})
+	if v := memberValue(ps, names.Version); v == nil {
+		fs = append(fs, Finding{names.Version, "no-version", "give the version that the patch leads to"})
 	} else {
-		ms = put(ms, w.Version, v)
+		ms = setMember(ms, names.Version, v)
 	}
-	for _, op := range []string{w.Remove, w.Upsert} {
-		changes, err := valid(lo.CoalesceSliceOrEmpty(get(ps, op), []byte("{}")))
+	for _, op := range []string{names.Remove, names.Upsert} {
+		changes, err := objectMembers(lo.CoalesceSliceOrEmpty(memberValue(ps, op), []byte("{}")))
 		if err != nil {
 			fs = append(fs, unreadable(op, err))
 			continue
 		}
 		for _, p := range changes {
-			if get(changes, p.name) == nil {
+			if memberValue(changes, p.name) == nil {
 				continue
 			}
-			was := get(ms, p.name)
+			was := memberValue(ms, p.name)
 			var v json.RawMessage
 			var f *Finding
 			switch {
-			case op == w.Remove:
-				v, f = remove(was, p.value, w.Name)
+			case op == names.Remove:
+				v, f = removeItems(was, p.value, names.Name)
 			case p.value[0] == '[':
-				v, f = upsert(was, p.value, w.Name)
+				v, f = upsertItems(was, p.value, names.Name)
 			case p.value[0] == '{':
-				v, f = replace(was, p.value)
+				v, f = replaceFields(was, p.value)
 			default:
 				f = &Finding{"", "unmergeable", "upsert lists of items, or objects"}
 			}
@@ -189,28 +189,28 @@
 				f.Path = op + "." + p.name + f.Path
 				fs = append(fs, *f)
 			} else if v != nil {
-				ms = put(ms, p.name, v)
+				ms = setMember(ms, p.name, v)
 			}
 		}
 	}
-	return text(ms), fs
+	return encodeObject(ms), fs
 }
 
 // list reads a list of items and the place of each name.
-func list(v json.RawMessage, word string) (items []json.RawMessage, names []string, f *Finding) {
+func namedItems(v json.RawMessage, word string) (items []json.RawMessage, names []string, f *Finding) {
 	if v == nil {
 		return nil, nil, nil
 	}
 	if v[0] != '[' {
 		return nil, nil, &Finding{"", "not-a-list", "name a part that is a list of items"}
 	}
-	parts(v, func(_, x []byte) { items = append(items, x) })
+	splitJSON(v, func(_, x []byte) { items = append(items, x) })
 	names = make([]string, 0, len(items))
 	for i, x := range items {
-		ms, err := valid(x)
+		ms, err := objectMembers(x)
 		var n string
 		if err == nil {
-			n, err = plainText(lo.CoalesceSliceOrEmpty(get(ms, word), []byte(`""`)))
+			n, err = unquote(lo.CoalesceSliceOrEmpty(memberValue(ms, word), []byte(`""`)))
 		}
 		if err != nil {
 			return nil, nil, &Finding{fmt.Sprintf("[%d]", i), "unreadable", err.Error()}
@@ -220,30 +220,30 @@
 	return items, names, nil
 }
 
-func joined(items []json.RawMessage) json.RawMessage {
+func encodeList(items []json.RawMessage) json.RawMessage {
 	bs := lo.Map(items, func(x json.RawMessage, _ int) []byte { return x })
 	return append(append([]byte{'['}, bytes.Join(bs, []byte{','})...), ']')
 }
 
-func remove(was, names json.RawMessage, word string) (json.RawMessage, *Finding) {
+func removeItems(was, names json.RawMessage, word string) (json.RawMessage, *Finding) {
 	var gone []string
 	if err := json.Unmarshal(names, &gone); err != nil {
 		return nil, &Finding{"", "unreadable", "list the names to remove"}
 	}
-	items, have, f := list(was, word)
+	items, have, f := namedItems(was, word)
 	if f != nil || was == nil {
 		return nil, f
 	}
 	out := lo.Keyify(gone)
-	return joined(lo.Filter(items, func(_ json.RawMessage, i int) bool { return !lo.HasKey(out, have[i]) })), nil
+	return encodeList(lo.Filter(items, func(_ json.RawMessage, i int) bool { return !lo.HasKey(out, have[i]) })), nil
 }
 
-func upsert(was, items json.RawMessage, word string) (json.RawMessage, *Finding) {
-	old, have, f := list(was, word)
+func upsertItems(was, items json.RawMessage, word string) (json.RawMessage, *Finding) {
+	old, have, f := namedItems(was, word)
 	if f != nil {
 		return nil, f
 	}
-	now, names, f := list(items, word)
+	now, names, f := namedItems(items, word)
 	if f != nil {
 		return nil, f
 	}
@@ -262,20 +262,20 @@
 			old = append(old, now[i])
 		}
 	}
-	return joined(old), nil
+	return encodeList(old), nil
 }
 
-func replace(was, fields json.RawMessage) (json.RawMessage, *Finding) {
-	ms, err := valid(lo.CoalesceSliceOrEmpty(was, []byte("{}")))
+func replaceFields(was, fields json.RawMessage) (json.RawMessage, *Finding) {
+	ms, err := objectMembers(lo.CoalesceSliceOrEmpty(was, []byte("{}")))
 	if err != nil {
 		return nil, &Finding{"", "not-an-object", "name a part that is an object"}
 	}
-	ns, err := valid(fields)
+	ns, err := objectMembers(fields)
 	if err != nil {
 		return nil, &Finding{"", "unreadable", err.Error()}
 	}
 	for _, n := range ns {
-		ms = put(ms, n.name, n.value)
+		ms = setMember(ms, n.name, n.value)
 	}
-	return text(ms), nil
+	return encodeObject(ms), nil
 }
--- a/route/merge_test.go
+++ b/route/merge_test.go
@@ -100,11 +100,11 @@
 		fmt.Fprintf(&b, `,"k%d":%d`, i, i)
 	}
 	text := `{"v":1` + b.String()
-	if ms, err := members([]byte(text + "}")); err != nil || len(ms) != 101 {
+	if ms, err := topLevelMembers([]byte(text + "}")); err != nil || len(ms) != 101 {
 		t.Fatal(len(ms), err)
 	}
 	for _, k := range []string{"v", "k5", "k40", "k99"} {
-		if _, err := members([]byte(text + `,"` + k + `":0}`)); err == nil {
+		if _, err := topLevelMembers([]byte(text + `,"` + k + `":0}`)); err == nil {
 			t.Errorf("%s was taken twice", k)
 		}
 	}
@@ -116,7 +116,7 @@
 	f.Add([]byte(`{}`))
 	f.Add([]byte(`[{"a":1}]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		ms, err := members(text)
+		ms, err := topLevelMembers(text)
 		if err != nil || !utf8.Valid(text) {
 			return
 		}
--- a/route/table.go
+++ b/route/table.go
@@ -12,62 +12,62 @@
 // Table is a configuration made ready for look-ups. It never changes.
 type Table struct {
 	Config
-	Rev   uint64 // of the register that held it
-	hosts map[string][]*Route
-	keys  map[string]*Tenant
-	pools map[string]*Pool
-	walls map[string]string
-	ranks int // of routes
+	Revision    uint64 // of the register that held it
+	hosts       map[string][]*Route
+	keys        map[string]*Tenant
+	pools       map[string]*Pool
+	cacheScopes map[string]string
+	priorities  int // of routes
 }
 
 // Compile makes a table of a configuration that Check found in order.
-func Compile(c Config, rev uint64) *Table {
-	t := &Table{Config: c, Rev: rev, hosts: map[string][]*Route{}, keys: map[string]*Tenant{}, pools: map[string]*Pool{}, walls: map[string]string{}}
-	for i := range c.Routes {
+func Compile(config Config, revision uint64) *Table {
+	t := &Table{Config: config, Revision: revision, hosts: map[string][]*Route{}, keys: map[string]*Tenant{}, pools: map[string]*Pool{}, cacheScopes: map[string]string{}}
+	for i := range config.Routes {
 		r := &t.Config.Routes[i]
-		t.ranks = max(t.ranks, r.Priority+1)
+		t.priorities = max(t.priorities, r.Priority+1)
 		t.hosts[strings.ToLower(r.Host)] = append(t.hosts[strings.ToLower(r.Host)], r)
 	}
 	for _, rs := range t.hosts {
 		sort.SliceStable(rs, func(i, j int) bool { return len(rs[i].Prefix) > len(rs[j].Prefix) })
 	}
-	for i := range c.Pools {
-		t.pools[c.Pools[i].Name] = &t.Config.Pools[i]
+	for i := range config.Pools {
+		t.pools[config.Pools[i].Name] = &t.Config.Pools[i]
 	}
-	var apart []string
-	for i := range c.Tenants {
+	var isolated []string
+	for i := range config.Tenants {
 		n := &t.Config.Tenants[i]
 		for _, k := range n.Keys {
 			t.keys[k] = n
 		}
 		if n.Isolated {
-			apart = append(apart, n.Name)
+			isolated = append(isolated, n.Name)
 		}
 	}
 	// The commons are named by who is walled off from them: whoever comes to be
 	// isolated later left parts there that the others must not find any more.
-	sort.Strings(apart)
+	sort.Strings(isolated)
 	var b []byte
-	for _, n := range apart {
+	for _, n := range isolated {
 		b = binary.AppendUvarint(b, uint64(len(n))) // no name can pass for two
 		b = append(b, n...)
 	}
 	h := sha256.Sum256(b)
-	commons := "c" + hex.EncodeToString(h[:6])
-	t.walls[""] = commons
-	for i := range c.Tenants {
-		if n := &c.Tenants[i]; n.Isolated {
+	shared := "c" + hex.EncodeToString(h[:6])
+	t.cacheScopes[""] = shared
+	for i := range config.Tenants {
+		if n := &config.Tenants[i]; n.Isolated {
 			w := sha256.Sum256([]byte(n.Name))
-			t.walls[n.Name] = "w" + hex.EncodeToString(w[:6])
+			t.cacheScopes[n.Name] = "w" + hex.EncodeToString(w[:6])
 		} else {
-			t.walls[n.Name] = commons
+			t.cacheScopes[n.Name] = shared
 		}
 	}
 	return t
 }
 
 // Find is the route with the longest prefix that begins the path, or nil.
-func (t *Table) Find(host, path string) *Route {
+func (t *Table) Match(host, path string) *Route {
 	h := strings.ToLower(host)
 	if x, _, err := net.SplitHostPort(h); err == nil && t.hosts[h] == nil {
 		h = x
@@ -81,7 +81,7 @@
 }
 
 // TenantOf is the tenant that holds a key, or nil.
-func (t *Table) TenantOf(key string) *Tenant {
+func (t *Table) TenantByKey(key string) *Tenant {
 	if key == "" {
 		return nil
 	}
@@ -89,7 +89,7 @@
 }
 
 // Keyed reports whether requests carry keys at all.
-func (t *Table) Keyed() bool { return len(t.Tenants) > 0 }
+func (t *Table) RequiresKeys() bool { return len(t.Tenants) > 0 }
 
 // Pool is the pool of that name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
@@ -97,7 +97,7 @@
 // Stores lists the stores of kept parts.
 func (t *Table) Stores() (out []*Pool) {
 	for i := range t.Config.Pools {
-		if p := &t.Config.Pools[i]; p.Store != "" {
+		if p := &t.Config.Pools[i]; p.StoreAddr != "" {
 			out = append(out, p)
 		}
 	}
@@ -105,17 +105,17 @@
 }
 
 // Wall names the parts that a tenant's requests may share; "" is no tenant.
-func (t *Table) Wall(tenant string) string {
-	if w, ok := t.walls[tenant]; ok {
+func (t *Table) CacheScope(tenant string) string {
+	if w, ok := t.cacheScopes[tenant]; ok {
 		return w
 	}
-	return t.walls[""]
+	return t.cacheScopes[""]
 }
 
 // Rank joins a tenant's rank and a route's, the tenant's first; 0 is the highest.
-func (t *Table) Rank(n *Tenant, r *Route) int {
+func (t *Table) Priority(n *Tenant, r *Route) int {
 	if n == nil {
 		return r.Priority
 	}
-	return n.Priority*t.ranks + r.Priority
+	return n.Priority*t.priorities + r.Priority
 }
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -16,7 +16,7 @@
 		{"b.example", "/b", ""}, {"b.example", "/b/", "b"}, {"c.example", "/", ""}, {"", "/", ""}, {"a.example", "", ""},
 	} {
 		got := ""
-		if r := tab.Find(x.host, x.path); r != nil {
+		if r := tab.Match(x.host, x.path); r != nil {
 			got = r.Name
 		}
 		if got != x.want {
@@ -29,14 +29,14 @@
 	tab := Compile(Config{Tenants: []Tenant{{Name: "a", Keys: []string{"k1", "k2"}}, {Name: "b", Keys: []string{"K1", ""}}}}, 1)
 	for k, want := range map[string]string{"k1": "a", "k2": "a", "K1": "b", "": "", "k": "", "k1 ": "", "k1k2": ""} {
 		got := ""
-		if n := tab.TenantOf(k); n != nil {
+		if n := tab.TenantByKey(k); n != nil {
 			got = n.Name
 		}
 		if got != want {
 			t.Errorf("%q is a key of %q, not %q", k, got, want)
 		}
 	}
-	if !tab.Keyed() || Compile(Config{}, 1).Keyed() {
+	if !tab.RequiresKeys() || Compile(Config{}, 1).RequiresKeys() {
 		t.Fatal("keys are asked for in the wrong place")
 	}
 }
@@ -71,7 +71,7 @@
 			row += fmt.Sprint(apart, " ")
 			tab := Compile(c, rev)
 			for _, n := range c.Tenants {
-				w := tab.Wall(n.Name)
+				w := tab.CacheScope(n.Name)
 				for _, p := range made[w] {
 					if p.maker != n.Name && (p.apart || apart[p.maker] || n.Isolated) {
 						t.Fatalf("seed %d: %q finds what %q made (walled off then: %v) under %s: %s", seed, n.Name, p.maker, p.apart, w, row)
@@ -79,7 +79,7 @@
 				}
 			}
 			for _, n := range c.Tenants {
-				made[tab.Wall(n.Name)] = append(made[tab.Wall(n.Name)], part{n.Name, n.Isolated})
+				made[tab.CacheScope(n.Name)] = append(made[tab.CacheScope(n.Name)], part{n.Name, n.Isolated})
 			}
 		}
 	}
@@ -99,20 +99,20 @@
 		return Compile(c, 1)
 	}
 	open, a, ab, b := tenants(), tenants("a"), tenants("a", "b"), tenants("b")
-	if open.Wall("b") != open.Wall("c") || open.Wall("b") != open.Wall("") || a.Wall("b") != a.Wall("c") {
+	if open.CacheScope("b") != open.CacheScope("c") || open.CacheScope("b") != open.CacheScope("") || a.CacheScope("b") != a.CacheScope("c") {
 		t.Fatal("the commons are no commons")
 	}
-	if a.Wall("a") != ab.Wall("a") || ab.Wall("b") != b.Wall("b") {
+	if a.CacheScope("a") != ab.CacheScope("a") || ab.CacheScope("b") != b.CacheScope("b") {
 		t.Fatal("a walled tenant moved for another's sake")
 	}
 	seen := map[string]bool{}
-	for _, w := range []string{open.Wall("c"), a.Wall("c"), ab.Wall("c"), b.Wall("c"), a.Wall("a"), b.Wall("b")} {
+	for _, w := range []string{open.CacheScope("c"), a.CacheScope("c"), ab.CacheScope("c"), b.CacheScope("c"), a.CacheScope("a"), b.CacheScope("b")} {
 		if seen[w] {
 			t.Fatalf("%s stands for two", w)
 		}
 		seen[w] = true
 	}
-	if open.Wall("nobody") != open.Wall("") {
+	if open.CacheScope("nobody") != open.CacheScope("") {
 		t.Fatal("whoever is no tenant is not in the commons")
 	}
 }
--- a/route/weights.go
+++ b/route/weights.go
@@ -17,26 +17,26 @@
 const (
 	MaxModels    = 4096
 	MaxModelName = 256
-	MaxNamed     = 64 // newest versions of a model that are remembered
+	MaxVersions  = 64 // newest versions of a model that are remembered
 )
 
 // WeightsDoc holds the versions of weights that were named for each model.
-type WeightsDoc struct {
-	Models []ModelWeights // by name
+type WeightVersions struct {
+	Models []ModelVersions // by name
 }
 
 // ModelWeights are a model's versions, rising; the last one is wanted.
-type ModelWeights struct {
+type ModelVersions struct {
 	Model    string
 	Versions []uint64
 }
 
-func (d *WeightsDoc) find(model string) (int, bool) {
-	return slices.BinarySearchFunc(d.Models, model, func(m ModelWeights, n string) int { return strings.Compare(m.Model, n) })
+func (d *WeightVersions) find(model string) (int, bool) {
+	return slices.BinarySearchFunc(d.Models, model, func(m ModelVersions, n string) int { return strings.Compare(m.Model, n) })
 }
 
 // Newest is the version wanted of a model, 0 if none was ever named.
-func (d *WeightsDoc) Newest(model string) uint64 {
+func (d *WeightVersions) Latest(model string) uint64 {
 	if i, ok := d.find(model); ok {
 		return d.Models[i].Versions[len(d.Models[i].Versions)-1]
 	}
@@ -45,30 +45,30 @@
 
 // Name names a version. Without a next document there is nothing to do, as that
 // version or a newer one was named before. A finding tells what can't be named.
-func (d *WeightsDoc) Name(model string, version uint64) (next *WeightsDoc, f *Finding) {
+func (d *WeightVersions) Add(model string, version uint64) (next *WeightVersions, f *Finding) {
 	switch {
 	case model == "" || len(model) > MaxModelName:
 		return nil, &Finding{"model", "bad-model", "name a model in 256 bytes at most"}
 	case version == 0:
 		return nil, &Finding{"version", "bad-version", "give a version from 1 up"}
-	case version <= d.Newest(model):
+	case version <= d.Latest(model):
 		return nil, nil
 	}
-	next = &WeightsDoc{Models: slices.Clone(d.Models)}
+	next = &WeightVersions{Models: slices.Clone(d.Models)}
 	i, ok := next.find(model)
 	if !ok {
 		if len(next.Models) >= MaxModels {
 			return nil, &Finding{"model", "too-many-models", "use a model that is known"}
 		}
-		next.Models = slices.Insert(next.Models, i, ModelWeights{Model: model})
+		next.Models = slices.Insert(next.Models, i, ModelVersions{Model: model})
 	}
 	vs := append(slices.Clone(next.Models[i].Versions), version)
-	next.Models[i].Versions = vs[max(0, len(vs)-MaxNamed):]
+	next.Models[i].Versions = vs[max(0, len(vs)-MaxVersions):]
 	return next, nil
 }
 
 // Bytes is the register's value.
-func (d *WeightsDoc) Bytes() []byte {
+func (d *WeightVersions) Encode() []byte {
 	b := binary.AppendUvarint(nil, uint64(len(d.Models)))
 	for _, m := range d.Models {
 		b = binary.AppendUvarint(b, uint64(len(m.Model)))
@@ -78,12 +78,12 @@
 			b = binary.AppendUvarint(b, v)
 		}
 	}
-	return seal(formatWeights, b)
+	return encodeFrame(formatWeights, b)
 }
 
 // ReadWeights reads what Bytes wrote.
-func ReadWeights(b []byte) (*WeightsDoc, error) {
-	b, err := unseal(formatWeights, b)
+func DecodeWeights(b []byte) (*WeightVersions, error) {
+	b, err := decodeFrame(formatWeights, b)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 	if err != nil || n > MaxModels {
 		return nil, bad
 	}
-	d := &WeightsDoc{}
+	d := &WeightVersions{}
 	for range n {
 		l, err := binary.ReadUvarint(r)
 		if err != nil || l == 0 || l > MaxModelName {
@@ -103,12 +103,12 @@
 		if _, err := io.ReadFull(r, name); err != nil {
 			return nil, bad
 		}
-		m := ModelWeights{Model: string(name)}
+		m := ModelVersions{Model: string(name)}
 		if k := len(d.Models); k > 0 && d.Models[k-1].Model >= m.Model {
 			return nil, bad
 		}
 		c, err := binary.ReadUvarint(r)
-		if err != nil || c == 0 || c > MaxNamed {
+		if err != nil || c == 0 || c > MaxVersions {
 			return nil, bad
 		}
 		for last := uint64(0); c > 0; c-- {
--- a/route/weights_test.go
+++ b/route/weights_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestWeights(t *testing.T) {
-	cur := &WeightsDoc{}
+	cur := &WeightVersions{}
 	for i, s := range []struct {
 		model   string
 		version uint64
@@ -26,64 +26,64 @@
 		{"", 1, "model", 0},
 		{strings.Repeat("x", MaxModelName+1), 1, "model", 0},
 	} {
-		was := cur.Bytes()
-		next, f := cur.Name(s.model, s.version)
+		was := cur.Encode()
+		next, f := cur.Add(s.model, s.version)
 		got := "nothing"
 		if f != nil {
 			got = f.Path
 		} else if next != nil {
 			got = "next"
 		}
-		if got != s.want || !slices.Equal(cur.Bytes(), was) {
+		if got != s.want || !slices.Equal(cur.Encode(), was) {
 			t.Fatalf("step %d: %s, want %s", i, got, s.want)
 		}
 		if next != nil {
-			back, err := ReadWeights(next.Bytes())
+			back, err := DecodeWeights(next.Encode())
 			if err != nil || !reflect.DeepEqual(back, next) {
 				t.Fatalf("step %d: %v, %v came back of %v", i, err, back, next)
 			}
 			cur = back
 		}
-		if n := cur.Newest(s.model); n != s.newest {
+		if n := cur.Latest(s.model); n != s.newest {
 			t.Fatalf("step %d: newest is %d, not %d", i, n, s.newest)
 		}
 	}
-	want := []ModelWeights{{"b", []uint64{2}}, {"m", []uint64{1, 4}}, {"z", []uint64{1 << 63}}}
+	want := []ModelVersions{{"b", []uint64{2}}, {"m", []uint64{1, 4}}, {"z", []uint64{1 << 63}}}
 	if !reflect.DeepEqual(cur.Models, want) {
 		t.Fatalf("got %v", cur.Models)
 	}
-	b := cur.Bytes()
+	b := cur.Encode()
 	for i := range b {
 		c := slices.Clone(b)
 		c[i] ^= 1
-		_, e1 := ReadWeights(b[:i])
-		if _, e2 := ReadWeights(c); e1 == nil || e2 == nil {
+		_, e1 := DecodeWeights(b[:i])
+		if _, e2 := DecodeWeights(c); e1 == nil || e2 == nil {
 			t.Errorf("damage at %d was not seen", i)
 		}
 	}
 }
 
 func TestWeightsAreBounded(t *testing.T) {
-	cur := &WeightsDoc{}
-	for v := uint64(1); v <= MaxNamed+5; v++ {
-		cur, _ = cur.Name("m", v)
+	cur := &WeightVersions{}
+	for v := uint64(1); v <= MaxVersions+5; v++ {
+		cur, _ = cur.Add("m", v)
 	}
-	if vs := cur.Models[0].Versions; len(vs) != MaxNamed || vs[MaxNamed-1] != MaxNamed+5 {
+	if vs := cur.Models[0].Versions; len(vs) != MaxVersions || vs[MaxVersions-1] != MaxVersions+5 {
 		t.Fatalf("got %v", vs)
 	}
 }
 
 func FuzzReadWeights(f *testing.F) {
-	d := WeightsDoc{Models: []ModelWeights{{"b", []uint64{2}}, {"m", []uint64{1, 4}}}}
-	b := d.Bytes()
+	d := WeightVersions{Models: []ModelVersions{{"b", []uint64{2}}, {"m", []uint64{1, 4}}}}
+	b := d.Encode()
 	f.Add(b[1 : len(b)-4])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		_, _ = ReadWeights(body)
-		x, err := ReadWeights(seal(formatWeights, body))
+		_, _ = DecodeWeights(body)
+		x, err := DecodeWeights(encodeFrame(formatWeights, body))
 		if err != nil {
 			return
 		}
-		if y, err := ReadWeights(x.Bytes()); err != nil || !reflect.DeepEqual(x, y) {
+		if y, err := DecodeWeights(x.Encode()); err != nil || !reflect.DeepEqual(x, y) {
 			t.Fatalf("%v became %v, %v", x, y, err)
 		}
 	})
--- a/sim/config_followers.go
+++ b/sim/config_followers.go
@@ -83,11 +83,11 @@
 	if len(value) == 0 {
 		return 0, true
 	}
-	d, err := route.ReadWeights(value)
+	d, err := route.DecodeWeights(value)
 	if err != nil {
 		return 0, false
 	}
-	return d.Newest(model), true
+	return d.Latest(model), true
 }
 
 // Directories are those of a core, by node; one begins anew with its node.
--- a/sim/config_history.go
+++ b/sim/config_history.go
@@ -149,7 +149,7 @@
 	if len(value) == 0 {
 		return &route.Document{}, nil
 	}
-	return route.ReadDocument(value)
+	return route.DecodeDocument(value)
 }
 
 // inForceAt is the newest version that was certainly in force before a time.
@@ -202,12 +202,12 @@
 	if !ok {
 		return nil, false
 	}
-	next, out, _ := o.change.On(base.document, h.texts.Translate, h.texts.Words)
+	next, out, _ := o.change.Apply(base.document, h.texts.Translate, h.texts.Words)
 	if out != route.Accepted {
 		h.w.Wrong("taken on another base", "order %d is %v on version %d", o.id, out, version-1)
 		return nil, false
 	}
-	h.docs[version] = &orderedDoc{next, next.Bytes()}
+	h.docs[version] = &orderedDoc{next, next.Encode()}
 	return h.docs[version], true
 }
 
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -69,7 +69,7 @@
 	}
 	c := route.Change{Base: o.Base, HasBase: true}
 	if o.Base == 0 || routes > 0 {
-		c.Whole = true
+		c.Replace = true
 		c.Body = []byte(wholeText(order, max(routes, 3)))
 		return c
 	}
--- a/sim/day.go
+++ b/sim/day.go
@@ -62,9 +62,9 @@
 	}
 	for _, p := range f.Proxies {
 		if p.up {
-			f.Seen.Arrived += p.d.Counts.Arrived
-			f.Seen.Retries += p.d.Counts.Retries
-			f.Seen.Attempts += p.d.Counts.Attempts
+			f.Seen.Arrived += p.d.Counters.Arrived
+			f.Seen.Retries += p.d.Counters.Retries
+			f.Seen.Attempts += p.d.Counters.Attempts
 		}
 	}
 	// A tenth of traffic, and what each proxy's budget may have saved up.
--- a/sim/engines.go
+++ b/sim/engines.go
@@ -4,8 +4,8 @@
 	"sort"
 
 	"violetthread/attempt"
+	"violetthread/cacheindex"
 	"violetthread/dispatch"
-	"violetthread/hint"
 	"violetthread/index"
 )
 
@@ -15,8 +15,8 @@
 	f       *Fleet
 	store   bool
 	inc     uint64
-	kept    map[hint.Key]made
-	order   []hint.Key
+	kept    map[cacheindex.Key]made
+	order   []cacheindex.Key
 	events  []index.Event
 	seq     uint64
 	weights string
@@ -65,11 +65,11 @@
 
 func (e *Engine) start() {
 	e.inc = uint64(e.f.W.Rng.Int63())
-	e.kept, e.order, e.events, e.seq, e.turning, e.epoch, e.runs = map[hint.Key]made{}, nil, nil, 0, "", 0, map[string]*run{}
+	e.kept, e.order, e.events, e.seq, e.turning, e.epoch, e.runs = map[cacheindex.Key]made{}, nil, nil, 0, "", 0, map[string]*run{}
 	e.weights = e.named
 }
 
-func (e *Engine) id() uint64 { return hint.NodeID(e.Name, e.inc) }
+func (e *Engine) id() uint64 { return cacheindex.NodeID(e.Name, e.inc) }
 
 func (e *Engine) tell(v index.Event) {
 	e.seq++
@@ -83,31 +83,31 @@
 	}
 }
 
-func (e *Engine) keep(k hint.Key, m made) {
+func (e *Engine) keep(k cacheindex.Key, m made) {
 	if _, ok := e.kept[k]; ok {
 		return
 	}
 	e.kept[k] = m
 	e.order = append(e.order, k)
-	e.tell(index.Event{Keep: true, Part: k, HasPart: true})
+	e.tell(index.Event{Added: true, Block: k, HasBlock: true})
 	if len(e.order) > e.most {
 		o := e.order[0]
 		e.order = e.order[1:]
 		m := e.kept[o]
 		delete(e.kept, o)
-		e.tell(index.Event{Drop: true, Part: o, HasPart: true})
+		e.tell(index.Event{Removed: true, Block: o, HasBlock: true})
 		if st := e.f.engine("store"); !e.store && st != nil {
 			e.Send(st.Host, func() { st.keep(o, m) })
 		}
 	}
 }
 
-func (e *Engine) keeps() []hint.Key { return append([]hint.Key(nil), e.order...) }
+func (e *Engine) keeps() []cacheindex.Key { return append([]cacheindex.Key(nil), e.order...) }
 
 func (e *Engine) report(inc, after uint64) index.Report {
-	r := index.Report{Inc: e.inc, Weights: e.weights, Running: len(e.runs), Room: e.room, Last: e.seq}
+	r := index.Report{Incarnation: e.inc, Weights: e.weights, Running: len(e.runs), Capacity: e.room, LastSeq: e.seq}
 	if e.turning != "" {
-		r.Room = 0
+		r.Capacity = 0
 	}
 	if inc == e.inc {
 		for _, v := range e.events {
@@ -144,9 +144,9 @@
 		e.named = e.weights
 	}
 	for _, k := range e.order {
-		e.tell(index.Event{Drop: true, Part: k, HasPart: true})
+		e.tell(index.Event{Removed: true, Block: k, HasBlock: true})
 	}
-	e.kept, e.order = map[hint.Key]made{}, nil
+	e.kept, e.order = map[cacheindex.Key]made{}, nil
 	e.f.W.Note("%s turned to %s", e.Name, e.weights)
 }
 
@@ -155,7 +155,7 @@
 	f     *Fleet
 	s     *send
 	p     *Proxy
-	a     dispatch.Act
+	a     dispatch.Action
 	e     *Engine
 	life  int
 	plife int
@@ -194,7 +194,7 @@
 // broke tells the proxy that the wire broke off.
 func (r *run) broke() {
 	r.ended = true
-	r.reply(500, func() { r.end(attempt.Broken, "engine-lost") })
+	r.reply(500, func() { r.end(attempt.Interrupted, "engine-lost") })
 }
 
 func (r *run) end(s attempt.State, cause string) {
@@ -217,7 +217,7 @@
 
 func (r *run) stop() {
 	r.ended = true
-	delete(r.e.runs, r.a.Attempt)
+	delete(r.e.runs, r.a.AttemptID)
 }
 
 // begin is a run arriving at the engine.
@@ -230,22 +230,22 @@
 	r.heard = true // a wire does not repeat what it carries
 	why := ""
 	switch {
-	case a.Order.ID != e.id():
+	case a.Grant.NodeID != e.id():
 		why = "other-life"
-	case a.Order.Epoch < e.epoch:
+	case a.Grant.FencingToken < e.epoch:
 		why = "old-epoch"
-		e.f.W.Wrong("two owners' orders", "%s got a run under epoch %d after %d", e.Name, a.Order.Epoch, e.epoch)
+		e.f.W.Wrong("two owners' orders", "%s got a run under epoch %d after %d", e.Name, a.Grant.FencingToken, e.epoch)
 	case a.Weights != e.weights || e.turning != "":
 		why = "other-weights"
 	case len(e.runs) >= e.room:
 		why = "busy"
 	}
 	if why != "" {
-		r.reply(400, func() { r.end(attempt.NeverBegan, why) })
+		r.reply(400, func() { r.end(attempt.NotStarted, why) })
 		return
 	}
-	e.epoch = a.Order.Epoch
-	e.runs[a.Attempt] = r
+	e.epoch = a.Grant.FencingToken
+	e.runs[a.AttemptID] = r
 	e.f.judge.ran(e, r)
 	e.seen = append(e.seen, e.f.W.now)
 	if e.breaks {
@@ -266,14 +266,14 @@
 		}
 	}
 	own, vain := have, int64(0)
-	if a.Take+1 > have {
-		if e.f.SlowFrom[a.PeerAt] {
-			vain = a.WaitUS // the bound on waiting, then a plain recompute
+	if a.TransferBlock+1 > have {
+		if e.f.SlowFrom[a.TransferAddr] {
+			vain = a.TransferWaitUS // the bound on waiting, then a plain recompute
 			e.f.Seen.InVain++
-		} else if p := e.f.engine(a.PeerAt); p != nil && p.up && !p.frozen && e.f.W.Rng.Intn(1000) >= e.f.HandFail && !e.f.W.cut[[2]string{e.Name, p.Name}] && !e.f.W.cut[[2]string{p.Name, e.Name}] {
-			if m, ok := p.kept[a.Chain[a.Take]]; ok {
+		} else if p := e.f.engine(a.TransferAddr); p != nil && p.up && !p.frozen && e.f.W.Rng.Intn(1000) >= e.f.HandFail && !e.f.W.cut[[2]string{e.Name, p.Name}] && !e.f.W.cut[[2]string{p.Name, e.Name}] {
+			if m, ok := p.kept[a.Chain[a.TransferBlock]]; ok {
 				e.f.judge.reused(m, r)
-				have, reused = a.Take+1, m
+				have, reused = a.TransferBlock+1, m
 			}
 		}
 	}
@@ -282,7 +282,7 @@
 	e.f.Seen.Taken += have - own
 	r.reply(400, func() {
 		if !r.over {
-			r.p.note(a, attempt.Began, "")
+			r.p.note(a, attempt.Started, "")
 		}
 	})
 	fill := vain + int64(len(a.Chain)-have)*4_000
@@ -298,7 +298,7 @@
 				e.keep(k, fresh)
 			}
 		}
-		e.tell(index.Event{Ran: a.Attempt, Filled: uint64(len(a.Chain) - have)})
+		e.tell(index.Event{FinishedAttempt: a.AttemptID, RecomputedBytes: uint64(len(a.Chain) - have)})
 		e.step(r)
 	})
 }
@@ -323,5 +323,5 @@
 		return
 	}
 	r.stop()
-	r.reply(400, func() { r.end(attempt.Finished, "") })
+	r.reply(400, func() { r.end(attempt.Completed, "") })
 }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -6,8 +6,8 @@
 
 	"violetthread/agent"
 	"violetthread/attempt"
+	"violetthread/cacheindex"
 	"violetthread/dispatch"
-	"violetthread/hint"
 	"violetthread/index"
 	"violetthread/internal/codec"
 	"violetthread/membership"
@@ -27,7 +27,7 @@
 	Runners    []*Runner
 	Engines    []*Engine
 	Platform   *Host
-	listing    []index.Listed
+	listing    []index.ListedEngine
 	side       map[*Registrar]*side
 	judge      *judge
 	sent       int
@@ -60,7 +60,7 @@
 // side is what a registrar does beside voting: sessions and the plan's cache.
 type side struct {
 	roll *membership.Sessions
-	held plan.Held
+	held plan.Cached
 }
 
 const planKey = "plan"
@@ -85,12 +85,12 @@
 	for i := 0; i < z.Engines; i++ {
 		e := newEngine(f, fmt.Sprintf("e%02d", i), sites[i%len(sites)], false)
 		f.Engines = append(f.Engines, e)
-		f.listing = append(f.listing, index.Listed{Name: e.Name, Addr: e.Name, Site: e.Site})
+		f.listing = append(f.listing, index.ListedEngine{Name: e.Name, Addr: e.Name, Zone: e.Site})
 		e.Start()
 	}
 	st := newEngine(f, "store", sites[0], true)
 	f.Engines = append(f.Engines, st)
-	f.listing = append(f.listing, index.Listed{Name: "store", Addr: "store", Site: sites[0], Store: true})
+	f.listing = append(f.listing, index.ListedEngine{Name: "store", Addr: "store", Zone: sites[0], Store: true})
 	st.Start()
 	for i := 0; i < 4; i++ {
 		c := &Custodian{f: f}
@@ -127,7 +127,7 @@
 			get := quorum.Operation{Type: quorum.OpGet, Key: planKey}
 			take := func(a quorum.Result) bool {
 				if a.Status == quorum.StatusDone && f.side[r] == s {
-					s.held, _, _ = s.held.Take(plan.Word{Rev: a.Revision, Raw: a.Value, Fresh: true}, at)
+					s.held, _, _ = s.held.Apply(plan.Update{Revision: a.Revision, Raw: a.Value, Confirmed: true}, at)
 				}
 				return a.Status == quorum.StatusDone
 			}
@@ -161,7 +161,7 @@
 
 // member is what agents and index nodes have in common: a session.
 type member struct {
-	held  plan.Held
+	held  plan.Cached
 	nodes []*fb.NodeT
 	cur   int // of known
 	known []*Registrar
@@ -184,14 +184,14 @@
 	h.Every(150_000, func() {
 		r := m.known[m.cur%len(m.known)]
 		at := h.Clock()
-		Call(h, r.Host, &fb.BeatAskT{Node: self(), Have: m.held.Rev}, 600_000, func(q *fb.BeatAskT, rep func(*fb.BeatTellT)) {
+		Call(h, r.Host, &fb.BeatAskT{Node: self(), Have: m.held.Revision}, 600_000, func(q *fb.BeatAskT, rep func(*fb.BeatTellT)) {
 			s := f.side[r]
 			if s == nil || r.node == nil {
 				return
 			}
 			now := r.Clock()
 			s.roll.Heartbeat(now, q.Node)
-			t := &fb.BeatTellT{Rev: s.held.Rev, Age: s.held.Age(now), Fresh: s.held.Known, Nodes: s.roll.Live(now), Era: r.era}
+			t := &fb.BeatTellT{Rev: s.held.Revision, Age: s.held.Age(now), Fresh: s.held.Known, Nodes: s.roll.Live(now), Era: r.era}
 			if t.Rev != q.Have {
 				t.Plan = s.held.Raw
 			}
@@ -215,7 +215,7 @@
 			if len(known) > 0 {
 				m.known = known
 			}
-			m.held, _, _ = m.held.Take(plan.Word{Rev: t.Rev, Age: t.Age, Raw: t.Plan, Fresh: t.Fresh}, at)
+			m.held, _, _ = m.held.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
 			if got != nil {
 				got()
 			}
@@ -249,7 +249,7 @@
 	*Host
 	f *Fleet
 	m member
-	k *index.Keeper
+	k *index.Node
 	// leaving: it was stopped politely, gives its duties back and then ends.
 	leaving bool
 }
@@ -267,35 +267,35 @@
 	}, nil)
 	c.Every(200_000, func() {
 		at := c.Clock()
-		Call(c.Host, f.Platform, 0, 600_000, func(_ int, rep func([]index.Listed)) { rep(slices.Clone(f.listing)) },
-			func(l []index.Listed) { k.Listing(at, l) }, func() {
+		Call(c.Host, f.Platform, 0, 600_000, func(_ int, rep func([]index.ListedEngine)) { rep(slices.Clone(f.listing)) },
+			func(l []index.ListedEngine) { k.SetListing(at, l) }, func() {
 				if !f.Platform.up { // its machine refuses connections
-					k.ListingStands(at)
+					k.ConfirmListing(at)
 				}
 			})
 	})
 	c.Every(100_000, func() {
 		now := c.Clock()
 		if c.m.held.Plan != nil {
-			k.Plan(c.m.held.Plan, c.m.held.At)
+			k.ApplyPlan(c.m.held.Plan, c.m.held.ConfirmedAt)
 		}
 		cs, me := codec.ReadyIndexNodes(c.m.nodes, c.Name)
 		if !me && !c.leaving {
 			return
 		}
-		if k.Peers(cs); c.leaving {
-			if k.Peers(nil); k.Idle() {
+		if k.SetPeers(cs); c.leaving {
+			if k.SetPeers(nil); k.HoldsNoLeases() {
 				c.Kill()
 				return
 			}
 		}
-		for _, a := range k.Want(now) {
-			op := quorum.Operation{Type: quorum.OpAcquire, Key: a.Key, ExpectedRevision: a.Epoch, Holder: holder, LeaseDuration: index.DutyTerm}
-			if a.Free {
+		for _, a := range k.LeaseOps(now) {
+			op := quorum.Operation{Type: quorum.OpAcquire, Key: a.Key, ExpectedRevision: a.Token, Holder: holder, LeaseDuration: index.LeaseDuration}
+			if a.Release {
 				op.Type = quorum.OpRelease
 			}
 			f.op(c.Host, &c.m, w.Rng.Intn(4), op, 1_000_000, func(ans quorum.Result, ok bool) {
-				k.Held(c.Clock(), a, now, ok && ans.Status == quorum.StatusDone, ans.Revision)
+				k.LeaseAnswered(c.Clock(), a, now, ok && ans.Status == quorum.StatusDone, ans.Revision)
 			})
 		}
 	})
@@ -304,9 +304,9 @@
 		for _, p := range k.Polls(now) {
 			c.poll(k, p)
 		}
-		for _, t := range k.Turns(now) {
+		for _, t := range k.WeightUpdates(now) {
 			if e := f.engine(t.Engine); e != nil {
-				c.Send(e.Host, func() { e.turn(t.Weights, t.Epoch) })
+				c.Send(e.Host, func() { e.turn(t.Weights, t.FencingToken) })
 			}
 		}
 	})
@@ -327,7 +327,7 @@
 // relayPatience is how long an index node waits for an answer that it passes on.
 const relayPatience = 500_000
 
-func (c *Custodian) poll(k *index.Keeper, p index.Poll) {
+func (c *Custodian) poll(k *index.Node, p index.Poll) {
 	e := c.f.engine(p.Engine)
 	if e == nil {
 		return
@@ -335,24 +335,24 @@
 	ask := func(inc, after uint64) {
 		at := c.Clock()
 		Call(c.Host, e.Host, 0, 800_000, func(_ int, rep func(index.Report)) { rep(e.report(inc, after)) },
-			func(r index.Report) { k.Reported(c.Clock(), at, p.Engine, r) }, func() {})
+			func(r index.Report) { k.ApplyReport(c.Clock(), at, p.Engine, r) }, func() {})
 	}
-	if !p.Whole {
-		ask(p.Inc, p.After)
+	if !p.NeedsHoldings {
+		ask(p.Incarnation, p.AfterSeq)
 		return
 	}
 	type whole struct {
 		inc, seq uint64
-		parts    []hint.Key
+		parts    []cacheindex.Key
 	}
 	Call(c.Host, e.Host, 0, 800_000, func(_ int, rep func(whole)) { rep(whole{e.inc, e.seq, e.keeps()}) },
 		func(x whole) {
-			k.Whole(c.Clock(), p.Engine, x.inc, x.seq, x.parts)
+			k.ResetHoldings(c.Clock(), p.Engine, x.inc, x.seq, x.parts)
 			ask(x.inc, x.seq)
 		}, func() {})
 }
 
-func (c *Custodian) news(k *index.Keeper) {
+func (c *Custodian) news(k *index.Node) {
 	cs, _ := codec.ReadyIndexNodes(c.m.nodes, c.Name)
 	for _, p := range cs {
 		o := c.f.custodian(p.Name)
@@ -363,19 +363,19 @@
 			q.From = c.Name
 			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(codec.AnswerUpdates(o.k, q)) }, got, func() {})
 		}
-		if mine := k.MyShards(c.Clock()); len(mine) > 0 {
-			cur := k.HoldsCursor(p.Name)
-			ask(&fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
-				if k.HoldsCursor(p.Name) == cur {
+		if mine := k.HeldShards(c.Clock()); len(mine) > 0 {
+			cur := k.HoldingsCursor(p.Name)
+			ask(&fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
+				if k.HoldingsCursor(p.Name) == cur {
 					codec.ApplyHoldings(k, c.Clock(), p.Name, t)
 				}
 			})
 		}
-		for _, s := range k.MySites() {
-			cur := *k.SiteCursor(s, p.Name)
-			ask(&fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: cur.Inc, Since: cur.Next}, func(t *fb.NewsTellT) {
-				if *k.SiteCursor(s, p.Name) == cur {
-					k.SiteNews(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
+		for _, s := range k.ServedZones() {
+			cur := *k.ZoneCursor(s, p.Name)
+			ask(&fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
+				if *k.ZoneCursor(s, p.Name) == cur {
+					k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
 				}
 			})
 		}
@@ -435,9 +435,9 @@
 	*Host
 	f      *Fleet
 	runner *Runner
-	d      *dispatch.Desk
-	held   plan.Held
-	table  *hint.Table
+	d      *dispatch.Dispatcher
+	held   plan.Cached
+	table  *cacheindex.Table
 	cur    codec.Cursor
 	inc    uint64
 	refs   uint64
@@ -464,37 +464,37 @@
 func (p *Proxy) start() {
 	f := p.f
 	p.inc = uint64(f.W.Rng.Int63()) >> 24
-	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Held{}, hint.NewTable(4096), codec.Cursor{}, map[uint64]*send{}
+	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Cached{}, cacheindex.NewTable(4096), codec.Cursor{}, map[uint64]*send{}
 	d := p.d
 	p.Every(100_000, func() {
 		q := codec.FillFeedRequest(d, &fb.FeedAskT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Site: p.Site, Inc: p.inc, Ready: true},
-			Have: p.held.Rev, NewsInc: p.cur.Inc, NewsSince: p.cur.Next})
+			Have: p.held.Revision, NewsInc: p.cur.Inc, NewsSince: p.cur.Next})
 		at := p.Clock()
 		r := p.runner
 		Call(p.Host, r.Host, q, 500_000, func(q *fb.FeedAskT, rep func(*fb.FeedTellT)) {
 			r.node = q.Node
 			rep(r.g.Feed(r.Clock(), &r.m.held, r.m.era, q))
 		}, func(t *fb.FeedTellT) {
-			old := p.held.Rev
-			p.held, _, _ = p.held.Take(plan.Word{Rev: t.Rev, Age: t.Age, Raw: t.Plan, Fresh: t.Fresh}, at)
-			if p.held.Rev < old {
-				f.W.Wrong("fell back", "%s from revision %d to %d", p.Name, old, p.held.Rev)
+			old := p.held.Revision
+			p.held, _, _ = p.held.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
+			if p.held.Revision < old {
+				f.W.Wrong("fell back", "%s from revision %d to %d", p.Name, old, p.held.Revision)
 			}
 			if p.held.Plan != nil {
-				p.carry(d.Plan(p.Clock(), p.held.Plan, p.held.At))
+				p.carry(d.ApplyPlan(p.Clock(), p.held.Plan, p.held.ConfirmedAt))
 			}
-			p.carry(d.Orders(p.Clock(), codec.UnpackGrants(t.Orders, p.Clock()-at)))
+			p.carry(d.ApplyGrants(p.Clock(), codec.UnpackGrants(t.Orders, p.Clock()-at)))
 			p.cur = codec.ApplyUpdates(p.table, p.cur, t)
 			f.callerEra = max(f.callerEra, t.Era)
 		}, func() {})
 	})
-	p.Every(dispatch.TickEvery, func() { p.carry(d.Tick(p.Clock())) })
+	p.Every(dispatch.TickInterval, func() { p.carry(d.Tick(p.Clock())) })
 }
 
 // died tells callers and engines that their wires broke.
 func (p *Proxy) died() {
 	f := p.f
-	c := p.d.Counts
+	c := p.d.Counters
 	f.Seen.Arrived += c.Arrived
 	f.Seen.Retries += c.Retries
 	f.Seen.Attempts += c.Attempts
@@ -528,8 +528,8 @@
 	now := p.Clock()
 	s.due = f.W.now + dueUS // it counts from arrival
 	c := p.held.Plan
-	refused := func(why string) { f.ended(s, attempt.Refused, why) }
-	if c == nil || p.held.Age(now) > dispatch.PlanLimit {
+	refused := func(why string) { f.ended(s, attempt.Rejected, why) }
+	if c == nil || p.held.Age(now) > dispatch.MaxPlanAge {
 		refused("plan-not-fresh")
 		return
 	}
@@ -539,20 +539,20 @@
 		return
 	}
 	p.refs++
-	t := dispatch.Ticket{Ref: p.refs, ID: s.id, Own: true, Era: s.era, Group: g, Kind: s.kind, Digest: s.digest, Due: now + dueUS, Prompt: prompt, Weights: c.Weights, Domain: c.Domain(g, c.Weights)}
-	t.Chain = hint.Chain(t.Domain, t.Weights, prompt)
+	t := dispatch.Request{Ref: p.refs, ID: s.id, IDFromCaller: true, Generation: s.era, Group: g, Kind: s.kind, KeyDigest: s.digest, Deadline: now + dueUS, Prompt: prompt, Weights: c.Weights, Domain: c.CacheDomain(g, c.Weights)}
+	t.Chain = cacheindex.PrefixKeys(t.Domain, t.Weights, prompt)
 	for i := len(t.Chain) - 1; i >= 0 && len(t.Hints) < 4; i-- {
 		n, ok := p.table.Get(t.Chain[i])
 		for _, h := range t.Hints {
 			ok = ok && h.Node != n
 		}
 		if ok {
-			t.Hints = append(t.Hints, hint.Hint{Part: i, Node: n})
+			t.Hints = append(t.Hints, cacheindex.Hint{Block: i, Node: n})
 		}
 	}
-	s.rev, s.runs = c.Rev, map[string]*run{}
+	s.rev, s.runs = c.Revision, map[string]*run{}
 	p.calls[t.Ref] = s
-	acts, no := p.d.Arrive(now, t)
+	acts, no := p.d.Admit(now, t)
 	if no != nil {
 		delete(p.calls, t.Ref)
 		refused(no.Reason)
@@ -562,28 +562,28 @@
 	p.carry(acts)
 }
 
-func (p *Proxy) carry(acts []dispatch.Act) {
+func (p *Proxy) carry(acts []dispatch.Action) {
 	f := p.f
 	for _, a := range acts {
 		s := p.calls[a.Ref]
-		switch a.Do {
-		case dispatch.DoClaim, dispatch.DoRelease:
-			op := quorum.Operation{Type: quorum.OpClaim, Key: a.Claim, Value: []byte(a.Nonce)}
-			if a.Do == dispatch.DoRelease {
+		switch a.Type {
+		case dispatch.ActionClaim, dispatch.ActionReleaseClaim:
+			op := quorum.Operation{Type: quorum.OpClaim, Key: a.ClaimKey, Value: []byte(a.ClaimNonce)}
+			if a.Type == dispatch.ActionReleaseClaim {
 				op.Type = quorum.OpUnclaim
 			}
 			p.claim(a, op)
-		case dispatch.DoStart:
+		case dispatch.ActionStartAttempt:
 			if s != nil {
 				p.startRun(s, a)
 			}
-		case dispatch.DoCancel:
+		case dispatch.ActionCancelAttempt:
 			if s != nil {
-				if r := s.runs[a.Attempt]; r != nil {
+				if r := s.runs[a.AttemptID]; r != nil {
 					r.cancel()
 				}
 			}
-		case dispatch.DoEnd:
+		case dispatch.ActionFinish:
 			if s != nil {
 				delete(p.calls, a.Ref)
 				f.ended(s, a.Outcome, a.Reason)
@@ -593,7 +593,7 @@
 }
 
 // claim goes by the agent to the control nodes, as in the daemons.
-func (p *Proxy) claim(a dispatch.Act, op quorum.Operation) {
+func (p *Proxy) claim(a dispatch.Action, op quorum.Operation) {
 	r := p.runner
 	Call(p.Host, r.Host, op, 2_000_000, func(q quorum.Operation, rep func(quorum.Result)) {
 		p.f.op(r.Host, &r.m, r.m.cur, q, 1_900_000, func(ans quorum.Result, ok bool) {
@@ -603,44 +603,44 @@
 			rep(ans)
 		})
 	}, func(ans quorum.Result) {
-		if a.Do != dispatch.DoClaim {
+		if a.Type != dispatch.ActionClaim {
 			return
 		}
-		c := map[quorum.Status]attempt.Claim{quorum.StatusDone: attempt.Held, quorum.StatusConflict: attempt.Taken, quorum.StatusGenerationClosed: attempt.Closed}[ans.Status]
-		if c == attempt.Missing {
-			c = attempt.Doubtful
+		c := map[quorum.Status]attempt.ClaimState{quorum.StatusDone: attempt.ClaimGranted, quorum.StatusConflict: attempt.ClaimTaken, quorum.StatusGenerationClosed: attempt.ClaimClosed}[ans.Status]
+		if c == attempt.ClaimNotRequested {
+			c = attempt.ClaimUnknown
 		}
-		p.carry(p.d.Claimed(p.Clock(), a.Ref, c))
+		p.carry(p.d.ClaimAnswered(p.Clock(), a.Ref, c))
 	}, func() {
-		if a.Do == dispatch.DoClaim {
-			p.carry(p.d.Claimed(p.Clock(), a.Ref, attempt.Doubtful))
+		if a.Type == dispatch.ActionClaim {
+			p.carry(p.d.ClaimAnswered(p.Clock(), a.Ref, attempt.ClaimUnknown))
 		}
 	})
 }
 
-func (p *Proxy) note(a dispatch.Act, st attempt.State, cause string) {
-	p.carry(p.d.Note(p.Clock(), a.Ref, a.Attempt, st, cause))
+func (p *Proxy) note(a dispatch.Action, st attempt.State, cause string) {
+	p.carry(p.d.AttemptProgressed(p.Clock(), a.Ref, a.AttemptID, st, cause))
 }
 
 // startRun dials an engine: a connection that fails is proof that nothing began.
-func (p *Proxy) startRun(s *send, a dispatch.Act) {
+func (p *Proxy) startRun(s *send, a dispatch.Action) {
 	f := p.f
-	s.attempts = append(s.attempts, a.Attempt)
-	e := f.engine(a.Order.Addr)
-	if p.Clock() > a.Until {
-		p.After(1, func() { p.note(a, attempt.NeverBegan, "woke-late") })
+	s.attempts = append(s.attempts, a.AttemptID)
+	e := f.engine(a.Grant.Addr)
+	if p.Clock() > a.StartBefore {
+		p.After(1, func() { p.note(a, attempt.NotStarted, "woke-late") })
 		return
 	}
 	if e == nil || !e.up {
-		p.After(300, func() { p.note(a, attempt.NeverBegan, "unreachable") })
+		p.After(300, func() { p.note(a, attempt.NotStarted, "unreachable") })
 		return
 	}
 	if e.frozen || f.W.cut[[2]string{p.Name, e.Name}] || f.W.cut[[2]string{e.Name, p.Name}] {
-		p.After(400_000, func() { p.note(a, attempt.NeverBegan, "unreachable") })
+		p.After(400_000, func() { p.note(a, attempt.NotStarted, "unreachable") })
 		return
 	}
 	r := &run{f: f, s: s, p: p, a: a, e: e, life: e.life, plife: p.life}
-	s.runs[a.Attempt] = r
+	s.runs[a.AttemptID] = r
 	p.Send(e.Host, func() { e.begin(r) })
 	// A wire whose far end dies is noticed; one whose messages are lost only by
 	// the due.
@@ -653,13 +653,13 @@
 	if s.ended || p.calls[r.a.Ref] != s {
 		return
 	}
-	if n == 0 && !p.d.Out(r.a.Ref, r.a.Attempt) {
+	if n == 0 && !p.d.AllowFirstByte(r.a.Ref, r.a.AttemptID) {
 		return
 	}
-	if s.from != "" && s.from != r.a.Attempt || n != s.pieces {
-		p.f.W.Wrong("stitched", "%s/%s got piece %d of %s after %d of %s", s.group, s.id, n, r.a.Attempt, s.pieces, s.from)
+	if s.from != "" && s.from != r.a.AttemptID || n != s.pieces {
+		p.f.W.Wrong("stitched", "%s/%s got piece %d of %s after %d of %s", s.group, s.id, n, r.a.AttemptID, s.pieces, s.from)
 	}
-	s.from = r.a.Attempt
+	s.from = r.a.AttemptID
 	s.pieces++
 	p.f.judge.piece(s)
 }
--- a/sim/judge.go
+++ b/sim/judge.go
@@ -90,8 +90,8 @@
 	if j.runs[k] == nil {
 		j.runs[k] = map[string]int{}
 	}
-	j.runs[k][r.a.Attempt]++
-	if onceKinds[s.kind] && len(j.runs[k]) > 1 || j.runs[k][r.a.Attempt] > 1 {
+	j.runs[k][r.a.AttemptID]++
+	if onceKinds[s.kind] && len(j.runs[k]) > 1 || j.runs[k][r.a.AttemptID] > 1 {
 		f.W.Wrong("ran twice", "%s (%s): %v", k, s.kind, j.runs[k])
 	}
 	j.key(s, "began")
@@ -105,7 +105,7 @@
 		f.Seen.WorstLeave = max(f.Seen.WorstLeave, f.W.now-at)
 	}
 	if s.ended {
-		f.W.Wrong("ran after its end", "%s attempt %s", k, r.a.Attempt)
+		f.W.Wrong("ran after its end", "%s attempt %s", k, r.a.AttemptID)
 	}
 }
 
@@ -168,7 +168,7 @@
 		if j.done[k]++; onceKinds[s.kind] && j.done[k] > 1 {
 			f.W.Wrong("done twice", "%s", k)
 		}
-	case attempt.Refused:
+	case attempt.Rejected:
 		f.Seen.Refused++
 		if s.pieces > 0 {
 			f.W.Wrong("refused late", "%s was refused after a piece", k)
@@ -197,7 +197,7 @@
 		if !c.up {
 			continue
 		}
-		for _, d := range c.k.Duties(c.Clock()) {
+		for _, d := range c.k.HeldRoles(c.Clock()) {
 			if o := owner[d]; o != "" {
 				f.W.Wrong("two owners", "%s: %s and %s", d, o, c.Name)
 			}
@@ -253,7 +253,7 @@
 // Groups of a simulated deployment; the walled ones share nothing.
 var simGroups = []string{"desk", "east", "west", "walled"}
 
-func simKey(g string, n int) string { return plan.Digest(fmt.Sprintf("%s-%d", g, n)) }
+func simKey(g string, n int) string { return plan.KeyDigest(fmt.Sprintf("%s-%d", g, n)) }
 
 // Script is what operators and the platform do on a day.
 type Script struct {
@@ -288,7 +288,7 @@
 		if s.gone[g] {
 			continue
 		}
-		p.Groups[g] = plan.Group{Share: float64(4 - i), Wall: !s.open[g], Keys: []string{simKey(g, s.keys[g])}}
+		p.Groups[g] = plan.Group{Share: float64(4 - i), Isolated: !s.open[g], Keys: []string{simKey(g, s.keys[g])}}
 	}
 	b, _ := json.Marshal(p)
 	if _, fs := plan.Parse(b); len(fs) > 0 {
@@ -308,7 +308,7 @@
 	again := func(i int) { s.op.After(50_000, func() { try(i + 1) }) }
 	try = func(i int) {
 		s.ask(i, quorum.Operation{Type: quorum.OpGet, Key: planKey}, again, func(at quorum.Result) {
-			v, err := plan.Sealed(at.Value, b, at.Revision+1)
+			v, err := plan.Encode(at.Value, b, at.Revision+1)
 			if err != nil {
 				s.f.W.Wrong("plan", "%v", err)
 				return
--- a/sim/last.go
+++ b/sim/last.go
@@ -113,7 +113,7 @@
 	best, most := f.Custodians[0], -1
 	for _, c := range f.Custodians {
 		n := 0
-		for _, d := range c.k.Duties(c.Clock()) {
+		for _, d := range c.k.HeldRoles(c.Clock()) {
 			if strings.HasPrefix(d, kind) {
 				n++
 			}
--- a/sim/move_test.go
+++ b/sim/move_test.go
@@ -25,10 +25,10 @@
 			w.At(2_500_000, func() { f.call(s, 16_000_000) })
 			w.Run(8_000_000)
 			c := f.busiest("duty/engine/")
-			moved += len(c.k.Duties(c.Clock()))
+			moved += len(c.k.HeldRoles(c.Clock()))
 			was := uint64(0)
 			for _, x := range f.Custodians {
-				was += x.k.Counts.Resyncs
+				was += x.k.Counters.Resyncs
 			}
 			lone, last := map[string]int64{}, int64(0) // duty -> how long nobody held it
 			idle := int64(0)                           // engine-microseconds out of use, over proxies
@@ -44,20 +44,20 @@
 				held := map[string]bool{}
 				for _, x := range f.Custodians {
 					if x.up {
-						for _, d := range x.k.Duties(x.Clock()) {
+						for _, d := range x.k.HeldRoles(x.Clock()) {
 							held[d] = true
 						}
 					}
 				}
 				all := true
 				for _, e := range f.Engines {
-					if d := index.EngineDuty(e.Name); !held[d] {
+					if d := index.EngineRole(e.Name); !held[d] {
 						lone[d] += step
 						all = false
 					}
 				}
 				for i := 0; i < index.Shards; i++ {
-					if d := index.ShardDuty(i); !held[d] {
+					if d := index.ShardRole(i); !held[d] {
 						lone[d] += step
 						all = false
 					}
@@ -67,7 +67,7 @@
 				}
 				for _, p := range f.Proxies {
 					for _, e := range f.Engines {
-						if !e.store && p.d.OrderAge(p.Clock(), e.Name) > dispatch.OrderLimit {
+						if !e.store && p.d.GrantAge(p.Clock(), e.Name) > dispatch.MaxGrantAge {
 							idle += step
 						}
 					}
@@ -86,10 +86,10 @@
 			out = append(out, idle/9)
 			for _, x := range f.Custodians {
 				if x != c {
-					resyncs += x.k.Counts.Resyncs
+					resyncs += x.k.Counters.Resyncs
 				}
 			}
-			resyncs -= min(resyncs, was-c.k.Counts.Resyncs)
+			resyncs -= min(resyncs, was-c.k.Counters.Resyncs)
 			failed += f.Seen.Refused - from.Refused
 			sent += f.Seen.Sent - from.Sent
 			if last > 5_000_000 {
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -34,9 +34,9 @@
 		c.Patch = false
 		body = fmt.Sprintf(`{"weights":"w%d", "kinds":{"k":{"due_us":1000000}},"groups":{"g%d":{"share":1.50,"keys":[]}},"notes":{"é":"ü😀 %d"}}`, r.n%3+1, who, r.n)
 	case 1: // many routes at once
-		var es []plan.Entry
+		var es []plan.Route
 		for i := 0; i < 40; i++ {
-			es = append(es, plan.Entry{Path: fmt.Sprintf("/app%d/%d", who, i), To: "127.0.0.1:9000", DueUS: 1_000_000 + int64(r.n)})
+			es = append(es, plan.Route{Path: fmt.Sprintf("/app%d/%d", who, i), Backend: "127.0.0.1:9000", TimeoutUS: 1_000_000 + int64(r.n)})
 		}
 		b, _ := json.Marshal(map[string]any{"entries": es})
 		body = string(b)
@@ -45,7 +45,7 @@
 	}
 	c.Body = []byte(body)
 	if w.Rng.Intn(3) == 0 {
-		c.If, c.Rev = true, uint64(len(r.texts)) // what it last heard of, perhaps
+		c.Conditional, c.ExpectedRevision = true, uint64(len(r.texts)) // what it last heard of, perhaps
 	}
 	reg := func() *Registrar { return r.c.Nodes[w.Rng.Intn(len(r.c.Nodes))] }
 	at := reg()
@@ -56,24 +56,24 @@
 				return
 			}
 			r.read(from, a)
-			sealed, raw, err := c.On(a.Revision, a.Value)
+			sealed, raw, err := c.Apply(a.Revision, a.Value)
 			if err != nil {
-				var other plan.OtherRevision
-				if a.Revision > 0 && (c.If && c.Rev == a.Revision || !c.If && !errors.As(err, &other)) {
+				var other plan.RevisionConflictError
+				if a.Revision > 0 && (c.Conditional && c.ExpectedRevision == a.Revision || !c.Conditional && !errors.As(err, &other)) {
 					w.Wrong("a good change was declined", "%v", err)
 				}
 				r.done["declined"]++
 				return
 			}
-			_, was, _ := plan.Open(a.Value)
+			_, was, _ := plan.Decode(a.Value)
 			to, sent := reg(), w.now
 			Call(h, to.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: a.Revision}, 900_000,
 				func(q quorum.Operation, rep func(quorum.Result)) { to.Op(q, 0, rep) },
 				func(b quorum.Result) {
 					switch b.Status {
 					case quorum.StatusDone:
-						if c.If && b.Revision != c.Rev+1 {
-							w.Wrong("precondition", "revision %d was given on condition of %d", b.Revision, c.Rev)
+						if c.Conditional && b.Revision != c.ExpectedRevision+1 {
+							w.Wrong("precondition", "revision %d was given on condition of %d", b.Revision, c.ExpectedRevision)
 						}
 						r.h.add(seenOp{sent, w.now, b.Revision, string(sealed), true})
 						r.texts[b.Revision], r.base[b.Revision], r.how[b.Revision] = raw, was, c
@@ -92,7 +92,7 @@
 func (r *race) read(from int64, a quorum.Result) {
 	w := r.c.w
 	r.h.add(seenOp{from, w.now, a.Revision, string(a.Value), false})
-	_, raw, err := plan.Open(a.Value)
+	_, raw, err := plan.Decode(a.Value)
 	if err != nil {
 		w.Wrong("unreadable", "revision %d: %v", a.Revision, err)
 		return
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -231,21 +231,21 @@
 		var current *route.Document
 		version := uint64(0)
 		if revision != 0 {
-			d, err := route.ReadDocument(value)
+			d, err := route.DecodeDocument(value)
 			if err != nil {
 				return nil, Reply{Outcome: Unclear}
 			}
 			current, version = d, d.Version
 		}
-		next, out, _ := c.On(current, texts.Translate, texts.Words)
+		next, out, _ := c.Apply(current, texts.Translate, texts.Words)
 		switch out {
 		case route.Accepted:
-			return next.Bytes(), Reply{Taken, next.Version}
+			return next.Encode(), Reply{Taken, next.Version}
 		case route.Duplicate:
 			return nil, Reply{Taken, version}
 		case route.Stale:
 			return nil, Reply{Refused, version}
-		case route.Forgotten:
+		case route.Undecidable:
 			return nil, Reply{Outcome: Unclear}
 		default:
 			return nil, Reply{Invalid, version}
@@ -256,22 +256,22 @@
 // nameWeights decides the naming of a version of a model's weights.
 func nameWeights(model string, version uint64) decideFunc {
 	return func(value []byte, revision uint64) ([]byte, Reply) {
-		current := &route.WeightsDoc{}
+		current := &route.WeightVersions{}
 		if revision != 0 {
-			d, err := route.ReadWeights(value)
+			d, err := route.DecodeWeights(value)
 			if err != nil {
 				return nil, Reply{Outcome: Unclear}
 			}
 			current = d
 		}
-		next, finding := current.Name(model, version)
+		next, finding := current.Add(model, version)
 		switch {
 		case finding != nil:
 			return nil, Reply{Outcome: Invalid}
 		case next == nil:
-			return nil, Reply{Taken, current.Newest(model)}
+			return nil, Reply{Taken, current.Latest(model)}
 		default:
-			return next.Bytes(), Reply{Taken, version}
+			return next.Encode(), Reply{Taken, version}
 		}
 	}
 }
@@ -280,7 +280,7 @@
 // not import: an adapter imports the product, never the other way round.
 type Texts struct {
 	Translate func([]byte) (route.Config, []route.Finding)
-	Words     route.Words
+	Words     route.FieldNames
 }
 
 // OrderStep is a step on an order's way from its operator to the disks and back.
--- a/sim/retries_test.go
+++ b/sim/retries_test.go
@@ -68,7 +68,7 @@
 			}
 			var arrived, retries, attempts uint64
 			for _, p := range f.Proxies {
-				c := p.d.Counts
+				c := p.d.Counters
 				arrived, retries, attempts = arrived+c.Arrived, retries+c.Retries, attempts+c.Attempts
 			}
 			while, all := count(9_000_000, 16_000_000)
--- a/sim/shares_test.go
+++ b/sim/shares_test.go
@@ -136,7 +136,7 @@
 		switch o {
 		case attempt.Done:
 			g.done++
-		case attempt.Refused:
+		case attempt.Rejected:
 			g.refused++
 			if w.now-x.born > (x.due-x.born)/2 {
 				g.late++
