--- a/rollout/lease.go
+++ b/rollout/lease.go
@@ -1,27 +1,51 @@
 package rollout
 
-import "github.com/gravitational/trace"
+import (
+	"fmt"
 
-// OrderTime is how long an order may be on its way, in microseconds. None is written so
-// shortly before its lease ends.
+	"github.com/gravitational/trace"
+)
+
+// RequestTimeout is how long an update request may be on its way, in microseconds. None is
+// written so shortly before its lease expires.
 const RequestTimeout = 800_000
 
-// Lease is a hold on the duty of giving orders, as its holder counts it: from before it
-// asked for it.
+// Lease is that of the rollout leader, as the leader counts it: from before it asked for
+// it. The zero Lease permits nothing.
 type Lease struct {
-	FencingToken uint64 // revision of the duty's register, which rises with each holder
+	FencingToken uint64 // revision of the lease's register, which rises with each leader
 	ExpiresAt    int64
 }
 
-// Permit tells why an order that was decided under a fence must not be written now; nil
-// is leave to write it. Whatever happens to it then, it has arrived or is given up before
-// the lease ends and another holder may order.
-func (l Lease) Permit(now int64, fence uint64) error {
-	if fence != l.FencingToken {
-		return trace.CompareFailed("decided under fence %d, the duty is held under %d; decide anew", fence, l.FencingToken)
+// StaleTokenError is why a request that was decided under another lease must not go out.
+type StaleTokenError struct {
+	Decided uint64 // the fencing token that the request was decided under
+	Current uint64 // that of the lease in force
+}
+
+func (e *StaleTokenError) Error() string {
+	return fmt.Sprintf("decided under fencing token %d, the lease is held under %d; decide anew", e.Decided, e.Current)
+}
+
+// LeaseEndingError is why no request may go out before the lease is renewed.
+type LeaseEndingError struct {
+	LeftUS int64 // of the lease; negative once it expired
+}
+
+func (e *LeaseEndingError) Error() string {
+	return fmt.Sprintf("the lease ends in %d us, a request may take %d; renew it first", e.LeftUS, RequestTimeout)
+}
+
+// Permit tells why a request that was decided under a fencing token must not be written
+// now: a *StaleTokenError or a *LeaseEndingError, wrapped. Nil is leave to write it:
+// whatever happens to it then, it has arrived or is given up before the lease expires and
+// another leader may send requests.
+func (l Lease) Permit(now int64, fencingToken uint64) error {
+	if fencingToken != l.FencingToken {
+		return trace.Wrap(&StaleTokenError{Decided: fencingToken, Current: l.FencingToken})
 	}
 	if now >= l.ExpiresAt-RequestTimeout {
-		return trace.CompareFailed("the lease ends in %d us, an order may take %d; renew it first", l.ExpiresAt-now, RequestTimeout)
+		return trace.Wrap(&LeaseEndingError{LeftUS: l.ExpiresAt - now})
 	}
 	return nil
 }
--- a/rollout/lease_test.go
+++ b/rollout/lease_test.go
@@ -1,6 +1,7 @@
 package rollout
 
 import (
+	"errors"
 	"slices"
 	"testing"
 )
@@ -10,64 +11,81 @@
 	for _, c := range []struct {
 		name  string
 		now   int64
-		fence uint64
-		want  bool
+		token uint64
+		want  error // of this type
 	}{
-		{"fresh", 1_000_000, 7, true},
-		{"just in time", 5_000_000 - RequestTimeout - 1, 7, true},
-		{"too late to arrive", 5_000_000 - RequestTimeout, 7, false},
-		{"run out", 5_000_001, 7, false},
-		{"paused for long", 25_000_000, 7, false},
-		{"decided under an earlier hold", 1_000_000, 6, false},
-		{"decided under a later hold", 1_000_000, 8, false},
+		{"fresh", 1_000_000, 7, nil},
+		{"just in time", 5_000_000 - RequestTimeout - 1, 7, nil},
+		{"too late to arrive", 5_000_000 - RequestTimeout, 7, &LeaseEndingError{}},
+		{"run out", 5_000_001, 7, &LeaseEndingError{}},
+		{"paused for long", 25_000_000, 7, &LeaseEndingError{}},
+		{"decided under an earlier lease", 1_000_000, 6, &StaleTokenError{}},
+		{"decided under a later lease", 1_000_000, 8, &StaleTokenError{}},
 	} {
-		if err := lease.Permit(c.now, c.fence); (err == nil) != c.want {
-			t.Errorf("%s: %v", c.name, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			err := lease.Permit(c.now, c.token)
+			var ending *LeaseEndingError
+			var stale *StaleTokenError
+			permitted := err == nil
+			switch c.want.(type) {
+			case nil:
+				if !permitted {
+					t.Error(err)
+				}
+			case *LeaseEndingError:
+				if permitted || !errors.As(err, &ending) || ending.LeftUS != lease.ExpiresAt-c.now {
+					t.Errorf("not a lease that ends: %v", err)
+				}
+			case *StaleTokenError:
+				if permitted || !errors.As(err, &stale) || stale.Decided != c.token || stale.Current != lease.FencingToken {
+					t.Errorf("not a stale token: %v", err)
+				}
+			}
+		})
 	}
 	if (Lease{FencingToken: 7}).Permit(1, 7) == nil {
-		t.Error("a lease that was given back permits")
+		t.Error("a lease that was released permits")
 	}
 }
 
-// A conductor that is made anew under the same hold, since its state could not be written,
-// does not wait another lease out, nor say again what it has just said.
+// A scheduler that is made anew under the same lease, since its state could not be written,
+// does not wait another lease out, nor repeat a request that was just sent.
 func TestResumeUnderTheSameHold(t *testing.T) {
-	const began, now = 100_000_000, 110_000_000
-	figures := DefaultConfig(12_000_000, 3_000_000)
+	const startedAt, now = 100_000_000, 110_000_000
+	config := DefaultConfig(12_000_000, 3_000_000)
 	state := State{
 		Updates: map[string]Update{
-			"said":   {Model: "m", Version: 2, Phase: PhaseRequested},
-			"unsaid": {Model: "m", Version: 2, Phase: PhaseRequested},
+			"sent":   {Model: "m", Version: 2, Phase: PhaseRequested},
+			"unsent": {Model: "m", Version: 2, Phase: PhaseRequested},
 		},
-		Applied: map[string]map[string]uint64{"turned": {"m": 1}},
+		Applied: map[string]map[string]uint64{"updated": {"m": 1}},
 	}
 	engines := []Engine{
-		{ID: "said", Weights: map[string]uint64{"m": 1}},
-		{ID: "turned", Weights: map[string]uint64{"m": 1}},
-		{ID: "unsaid", Weights: map[string]uint64{"m": 1}},
+		{ID: "sent", Weights: map[string]uint64{"m": 1}},
+		{ID: "updated", Weights: map[string]uint64{"m": 1}},
+		{ID: "unsent", Weights: map[string]uint64{"m": 1}},
 	}
-	ordered := func(c *Scheduler, now int64) (ids []string) {
-		orders, _, _ := c.Step(now, engines)
-		for _, o := range orders {
-			ids = append(ids, o.Engine)
+	requested := func(scheduler *Scheduler, now int64) (ids []string) {
+		requests, _, _ := scheduler.Step(now, engines)
+		for _, request := range requests {
+			ids = append(ids, request.Engine)
 		}
 		return ids
 	}
-	resumed := func(began int64) *Scheduler {
-		c := New(figures, now, began, State{Updates: map[string]Update{"said": state.Updates["said"], "unsaid": state.Updates["unsaid"]}, Applied: state.Applied})
-		c.Resume(began, map[string]int64{"said": now - 1_000_000})
-		c.Announce("m", 2, began)
-		return c
+	resumed := func(startedAt int64) *Scheduler {
+		scheduler := New(config, now, startedAt, State{Updates: map[string]Update{"sent": state.Updates["sent"], "unsent": state.Updates["unsent"]}, Applied: state.Applied})
+		scheduler.Resume(startedAt, map[string]int64{"sent": now - 1_000_000})
+		scheduler.Announce("m", 2, startedAt)
+		return scheduler
 	}
-	if got := ordered(resumed(began), now); !slices.Equal(got, []string{"unsaid"}) {
-		t.Errorf("orders to %v, want one to the engine that was sent none", got)
+	if got := requested(resumed(startedAt), now); !slices.Equal(got, []string{"unsent"}) {
+		t.Errorf("requests to %v, want one to the engine that was sent none", got)
 	}
-	if got := ordered(resumed(began), now-1_000_000+figures.RetryAfter); !slices.Contains(got, "said") {
-		t.Errorf("orders to %v, the one without an answer is not said again", got)
+	if got := requested(resumed(startedAt), now-1_000_000+config.RetryAfter); !slices.Contains(got, "sent") {
+		t.Errorf("requests to %v, the one without an answer is not repeated", got)
 	}
-	// Right after the duty changed hands, another holder's orders may still be young.
-	if got := ordered(resumed(now-figures.LeaseDuration+1), now); len(got) != 0 {
-		t.Errorf("orders to %v within the lease of the holder before", got)
+	// Right after the leader changed, another leader's requests may still be under way.
+	if got := requested(resumed(now-config.LeaseDuration+1), now); len(got) != 0 {
+		t.Errorf("requests to %v within the lease of the leader before", got)
 	}
 }
