--- a/membership/membership.go
+++ b/membership/membership.go
@@ -57,24 +57,24 @@
 		return
 	}
 	c := *n
-	c.Registrar = via
+	c.ControlNode = via
 	s.sessions[n.Name] = &session{&c, at, via}
 }
 
 // Hear takes in another control node's list: its own sessions, and those of others that
 // it passes on. What is passed on counts only while its holder is not heard here, and
 // goes no further: an age that went round would never grow old.
-func (s *Sessions) Merge(now int64, t *fb.RollTellT) {
+func (s *Sessions) Merge(now int64, t *fb.SessionUpdateT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.peers[t.Registrar] = &peer{heardAt: now, reachable: t.Hears}
+	s.peers[t.ControlNode] = &peer{heardAt: now, reachable: t.Hears}
 	heard := append(s.reachablePeers(now), s.self)
 	for _, n := range t.Nodes {
-		via := n.Registrar
+		via := n.ControlNode
 		if via == "" {
-			via = t.Registrar
+			via = t.ControlNode
 		}
-		if n.Age < 0 || n.Age >= SessionTimeout || via != t.Registrar && slices.Contains(heard, via) {
+		if n.Age < 0 || n.Age >= SessionTimeout || via != t.ControlNode && slices.Contains(heard, via) {
 			continue
 		}
 		s.record(n, now-n.Age, via)
@@ -133,10 +133,10 @@
 }
 
 // Tell is this control node's list for the others.
-func (s *Sessions) Announcement(now int64) *fb.RollTellT {
+func (s *Sessions) Announcement(now int64) *fb.SessionUpdateT {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	heard := s.reachablePeers(now)
 	nodes := s.collect(now, func(via string) bool { return via == s.self || s.relays(via, heard) })
-	return &fb.RollTellT{Registrar: s.self, Nodes: nodes, Hears: heard}
+	return &fb.SessionUpdateT{ControlNode: s.self, Nodes: nodes, Hears: heard}
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -68,8 +68,8 @@
 		// Each list takes as long as the time between two.
 		fromB, fromC, fromD := b.Announcement(now), c.Announcement(now), d.Announcement(now)
 		for _, r := range []*Sessions{b, c, d} {
-			for _, t := range []*fb.RollTellT{fromB, fromC, fromD} {
-				if t.Registrar != r.self {
+			for _, t := range []*fb.SessionUpdateT{fromB, fromC, fromD} {
+				if t.ControlNode != r.self {
 					r.Merge(now+100_000, t)
 				}
 			}
@@ -87,12 +87,12 @@
 func TestFirsthandGoesBefore(t *testing.T) {
 	a := New("a")
 	a.Heartbeat(0, &fb.NodeT{Name: "node"})
-	a.Merge(1000, &fb.RollTellT{Registrar: "b", Nodes: []*fb.NodeT{{Name: "node", Registrar: "a"}}})
+	a.Merge(1000, &fb.SessionUpdateT{ControlNode: "b", Nodes: []*fb.NodeT{{Name: "node", ControlNode: "a"}}})
 	if n := a.Live(1000); len(n) != 1 || n[0].Age != 1000 {
 		t.Fatalf("%+v", n[0])
 	}
-	a.Merge(2000, &fb.RollTellT{Registrar: "b", Nodes: []*fb.NodeT{{Name: "node", Registrar: "b"}}})
-	if n := a.Live(2000); n[0].Age != 0 || n[0].Registrar != "b" {
+	a.Merge(2000, &fb.SessionUpdateT{ControlNode: "b", Nodes: []*fb.NodeT{{Name: "node", ControlNode: "b"}}})
+	if n := a.Live(2000); n[0].Age != 0 || n[0].ControlNode != "b" {
 		t.Fatalf("a node that went over to b: %+v", n[0])
 	}
 }
