--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -473,7 +473,7 @@
 		r := p.runner
 		Call(p.Host, r.Host, q, 500_000, func(q *fb.FeedRequestT, rep func(*fb.FeedResponseT)) {
 			r.node = q.Node
-			rep(r.g.Feed(r.Clock(), &r.m.held, r.m.era, q))
+			rep(r.g.Poll(r.Clock(), &r.m.held, r.m.era, q))
 		}, func(t *fb.FeedResponseT) {
 			old := p.held.Revision
 			p.held, _, _ = p.held.Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
