--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -7,67 +7,76 @@
 	"violetthread/schema/fb"
 )
 
-// TestAsksGoRoundACutLink: an index node that does not answer is asked through one that
-// does, whose answers keep their age, and directly again after a while.
-func TestAsksGoRoundACutLink(t *testing.T) {
-	g := New("proxy", "north")
-	nodes := []*fb.NodeT{
-		{Name: "i1", Role: "custodian", Addr: "addr1"},
-		{Name: "i2", Role: "custodian", Addr: "addr2"},
-		{Name: "i3", Role: "custodian", Addr: "addr3"},
+// indexNodes are index nodes of these names; i1 listens at addr1.
+func indexNodes(names ...string) (nodes []*fb.NodeT) {
+	for _, name := range names {
+		nodes = append(nodes, &fb.NodeT{Name: name, Role: indexNodeRole, Addr: addrOf(name)})
 	}
-	ask := func(now int64) map[string]Query {
-		g.Feed(now, &plan.Cached{}, 0, &fb.FeedAskT{})
-		out := map[string]Query{}
-		for _, a := range g.Queries(now, nodes) {
-			out[a.IndexNode] = a
-			if a.Addr != "addr"+a.Via[1:] {
-				t.Fatalf("%+v", a)
-			}
+	return nodes
+}
+
+func addrOf(indexNode string) string { return "addr" + indexNode[1:] }
+
+// queriesByNode polls an agent and returns its queries by the index node that each is for.
+func queriesByNode(t *testing.T, a *Agent, now int64, nodes []*fb.NodeT) map[string]Query {
+	t.Helper()
+	a.Poll(now, &plan.Cached{}, 0, &fb.FeedAskT{})
+	queries := map[string]Query{}
+	for _, query := range a.Queries(now, nodes) {
+		queries[query.IndexNode] = query
+		if query.Addr != addrOf(query.Via) {
+			t.Fatalf("%+v", query)
 		}
-		return out
 	}
+	return queries
+}
+
+// TestAsksGoRoundACutLink: an index node that does not answer is queried through one that
+// does, whose replies keep their age, and directly again after a while.
+func TestAsksGoRoundACutLink(t *testing.T) {
+	a := New("proxy", "north")
+	nodes := indexNodes("i1", "i2", "i3")
 	now := int64(1_000_000)
-	as := ask(now)
-	for _, n := range []string{"i1", "i2", "i3"} {
-		if a := as[n]; a.Via != n || a.Request.To != "" {
-			t.Fatalf("%+v", a)
+	queries := queriesByNode(t, a, now, nodes)
+	for _, name := range []string{"i1", "i2", "i3"} {
+		if query := queries[name]; query.Via != name || query.Request.To != "" {
+			t.Fatalf("%+v", query)
 		}
 	}
-	g.HandleReply(as["i1"], now, nil)
-	g.HandleReply(as["i2"], now, &fb.RoomTellT{})
-	asked := now
+	a.HandleReply(queries["i1"], now, nil)
+	a.HandleReply(queries["i2"], now, &fb.RoomTellT{})
+	askedAt := now
 	now += 100_000
-	as = ask(now)
-	if a := as["i1"]; a.Via != "i2" && a.Via != "i3" || a.Request.To != "i1" {
-		t.Fatalf("%+v", a)
+	queries = queriesByNode(t, a, now, nodes)
+	if query := queries["i1"]; query.Via != "i2" && query.Via != "i3" || query.Request.To != "i1" {
+		t.Fatalf("%+v", query)
 	}
-	if a := as["i2"]; a.Via != "i2" {
-		t.Fatalf("%+v", a)
+	if query := queries["i2"]; query.Via != "i2" {
+		t.Fatalf("%+v", query)
 	}
-	if _, busy := as["i3"]; busy {
-		t.Fatal("i3 was asked twice at a time")
+	if _, busy := queries["i3"]; busy {
+		t.Fatal("i3 was queried twice at a time")
 	}
-	g.HandleReply(as["i1"], now, &fb.RoomTellT{Orders: []*fb.OrderT{{Engine: "e", Age: 7}}})
-	if f := g.Feed(now+50, &plan.Cached{}, 0, &fb.FeedAskT{}); len(f.Orders) != 1 || f.Orders[0].Age != 57 {
-		t.Fatalf("%+v", f.Orders)
+	a.HandleReply(queries["i1"], now, &fb.RoomTellT{Orders: []*fb.OrderT{{Engine: "e", Age: 7}}})
+	if reply := a.Poll(now+50, &plan.Cached{}, 0, &fb.FeedAskT{}); len(reply.Orders) != 1 || reply.Orders[0].Age != 57 {
+		t.Fatalf("%+v", reply.Orders)
 	}
-	if a := ask(asked + relayDuration)["i1"]; a.Via != "i1" || a.Request.To != "" {
-		t.Fatalf("%+v", a)
+	if query := queriesByNode(t, a, askedAt+relayDuration, nodes)["i1"]; query.Via != "i1" || query.Request.To != "" {
+		t.Fatalf("%+v", query)
 	}
 }
 
-// TestNobodyPassesOn: with no other index node that answers, the one is asked directly.
+// TestNobodyPassesOn: with no other index node that answers, the one is queried directly.
 func TestNobodyPassesOn(t *testing.T) {
-	g := New("proxy", "north")
-	nodes := []*fb.NodeT{{Name: "i1", Role: "custodian", Addr: "addr1"}, {Name: "i2", Role: "custodian", Addr: "addr2"}}
-	g.Feed(0, &plan.Cached{}, 0, &fb.FeedAskT{})
-	for _, a := range g.Queries(0, nodes) {
-		g.HandleReply(a, 0, nil)
+	a := New("proxy", "north")
+	nodes := indexNodes("i1", "i2")
+	a.Poll(0, &plan.Cached{}, 0, &fb.FeedAskT{})
+	for _, query := range a.Queries(0, nodes) {
+		a.HandleReply(query, 0, nil)
 	}
-	for _, a := range g.Queries(100, nodes) {
-		if a.Via != a.IndexNode {
-			t.Fatalf("%+v", a)
+	for _, query := range a.Queries(100, nodes) {
+		if query.Via != query.IndexNode {
+			t.Fatalf("%+v", query)
 		}
 	}
 }
--- /dev/null
+++ b/agent/query.go
@@ -0,0 +1,125 @@
+package agent
+
+import "violetthread/schema/fb"
+
+// indexNodeRole is the role that index nodes have in their heartbeats.
+const indexNodeRole = "custodian"
+
+// relayDuration is how long an index node that did not answer is queried through another
+// one before it is queried directly again, in microseconds.
+const relayDuration = 3_000_000
+
+// Query is a question for the index node named IndexNode, to be sent to the one named Via
+// at Addr: the same one, or another that relays it.
+type Query struct {
+	IndexNode, Via, Addr string
+	Request              *fb.RoomAskT
+}
+
+// Queries lists the queries to put now: one to each index node that has answered the last
+// one, so that a slow one holds up nobody. Each must end in HandleReply.
+func (a *Agent) Queries(now int64, nodes []*fb.NodeT) []Query {
+	live := addrsOfIndexNodes(nodes)
+	for name, source := range a.sources {
+		if live[name] == "" && !source.busy {
+			delete(a.sources, name)
+		}
+	}
+	if !a.polled || now-a.polledAt > proxyTimeout {
+		return nil // no proxy, no demand
+	}
+	for name := range live {
+		if a.sources[name] == nil {
+			a.sources[name] = &indexNode{}
+		}
+	}
+	var queries []Query
+	for _, name := range a.sourceNames() {
+		if source := a.sources[name]; !source.busy && live[name] != "" {
+			queries = append(queries, a.query(now, name, live))
+		}
+	}
+	return queries
+}
+
+// addrsOfIndexNodes is where each index node listens, by name.
+func addrsOfIndexNodes(nodes []*fb.NodeT) map[string]string {
+	addrs := map[string]string{}
+	for _, node := range nodes {
+		if node.Role == indexNodeRole && node.Addr != "" {
+			addrs[node.Name] = node.Addr
+		}
+	}
+	return addrs
+}
+
+// query begins a query to an index node; the reports that wait for it go along.
+func (a *Agent) query(now int64, name string, live map[string]string) Query {
+	source := a.sources[name]
+	source.busy = true
+	request := &fb.RoomAskT{
+		Proxy:     a.name,
+		Site:      a.zone,
+		Wants:     a.lastPoll.Wants,
+		Active:    a.lastPoll.Active,
+		NewsInc:   a.lastPoll.NewsInc,
+		NewsSince: a.lastPoll.NewsSince,
+		Imports:   source.imports,
+		Seen:      source.seen,
+	}
+	source.imports, source.seen = nil, nil
+	via := a.relay(now, name, live)
+	if via != name {
+		request.To = name
+	}
+	return Query{IndexNode: name, Via: via, Addr: live[via], Request: request}
+}
+
+// relay is the index node to send a query for an index node to: that one, or, for a while
+// after it did not answer, one of those that do.
+func (a *Agent) relay(now int64, name string, live map[string]string) string {
+	if now >= a.sources[name].relayUntil {
+		return name
+	}
+	var others []string
+	for _, other := range a.sourceNames() {
+		if other != name && live[other] != "" && now >= a.sources[other].relayUntil {
+			others = append(others, other)
+		}
+	}
+	if len(others) == 0 {
+		return name
+	}
+	a.relayTurn++
+	return others[a.relayTurn%len(others)]
+}
+
+// HandleReply takes in the reply to a query that was put at a time; nil if there was none.
+// What the query reported may be lost then: cache locations and transfer scores stand that.
+func (a *Agent) HandleReply(query Query, askedAt int64, reply *fb.RoomTellT) {
+	source := a.sources[query.IndexNode]
+	if source == nil {
+		return
+	}
+	source.busy = false
+	if reply == nil {
+		if query.Via == query.IndexNode {
+			source.relayUntil = askedAt + relayDuration
+		}
+		return
+	}
+	source.grants, source.askedAt, source.engines = reply.Orders, askedAt, map[string]bool{}
+	for _, grant := range reply.Orders {
+		source.engines[grant.Engine] = true
+	}
+	if reply.NewsFrom && (reply.NewsReset || len(reply.News) > 0 || reply.NewsInc != query.Request.NewsInc) {
+		a.cacheUpdates = updateBatch{
+			incarnation: reply.NewsInc,
+			since:       reply.NewsAt,
+			next:        reply.NewsNext,
+			reset:       reply.NewsReset,
+			present:     true,
+			updates:     reply.News,
+		}
+	}
+}
--- /dev/null
+++ b/internal/app/agent/server.go
@@ -0,0 +1,157 @@
+package agent
+
+import (
+	"context"
+	"net"
+	"sync"
+	"sync/atomic"
+
+	"github.com/gravitational/trace"
+
+	"violetthread/agent"
+	"violetthread/internal/app/session"
+	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
+	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
+	"violetthread/quorum"
+	"violetthread/schema/fb"
+)
+
+// Settings of an agent: those of every node. Name is that of its proxy.
+type Settings struct{ daemon.NodeSettings }
+
+// Defaults of the settings.
+func Defaults() Settings { return Settings{daemon.NodeSettings{DrainUS: 500_000}} }
+
+// Microseconds.
+const (
+	queryInterval    = 120_000   // between two rounds of queries to the index nodes
+	queryTimeout     = 700_000   // for the reply to one
+	operationTimeout = 1_900_000 // for an operation on a control key that the proxy asked for
+)
+
+// proxyRole is the role that the proxy beside this agent has in its heartbeats.
+const proxyRole = "remisier"
+
+// server is a running agent.
+type server struct {
+	settings  Settings
+	daemon    *daemon.Daemon
+	peers     *transport.PeerPool
+	session   *session.Session
+	proxyNode atomic.Pointer[fb.NodeT] // what the proxy last told of itself, for heartbeats
+
+	mu    sync.Mutex // guards agent
+	agent *agent.Agent
+}
+
+// Run runs an agent until it is told to stop.
+func Run(settings Settings) error {
+	process, err := NewDaemon(settings)
+	if err != nil {
+		return err
+	}
+	return process.Run()
+}
+
+// NewDaemon makes an agent as a process, ready to Run. Its loops run from here on.
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
+	if err := settings.check(); err != nil {
+		return nil, err
+	}
+	process := daemon.New("violetthread-agent", settings.Name+"-agent", settings.HTTPAddr, settings.DrainUS)
+	if err := process.ProfileCPU(settings.CPUProfile); err != nil {
+		return nil, err
+	}
+	s := &server{
+		settings: settings,
+		daemon:   process,
+		peers:    transport.NewPeerPool(process.Group),
+		agent:    agent.New(settings.Name, settings.Zone),
+	}
+	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: proxyRole, Site: settings.Zone, Addr: settings.TransportAddr})
+	s.session = session.New(process.Group, s.peers, settings.Seeds, s.proxyNode.Load)
+	listener, err := net.Listen("tcp", settings.TransportAddr)
+	if err != nil {
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free loopback IP:port", settings.TransportAddr)
+	}
+	transport.Serve(process.Group, listener, s.handleFrame)
+	s.session.Run()
+	process.Group.Go("orders", func(ctx context.Context) {
+		taskgroup.Every(ctx, clock.Duration(queryInterval), s.queryIndexNodes)
+	})
+	s.registerMetrics()
+	process.SetReady("")
+	return process, nil
+}
+
+// check tells what is wrong with settings that are well-formed.
+func (s Settings) check() error {
+	if s.TransportAddr == "" || len(s.Seeds) == 0 {
+		return trace.BadParameter("wire and seeds are needed; give --wire a loopback IP:port and --seeds the control nodes' addresses")
+	}
+	if host, _, _ := net.SplitHostPort(s.TransportAddr); !net.ParseIP(host).IsLoopback() {
+		return trace.BadParameter("wire must be on loopback, beside its proxy; give --wire 127.0.0.1:port")
+	}
+	return nil
+}
+
+func (s *server) registerMetrics() {
+	s.daemon.Gauge("plan_rev", "revision of the plan held", func() float64 { return float64(s.session.View().Revision) })
+	s.daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(s.session.View().Age(clock.Now())) })
+}
+
+// handleFrame answers the proxy.
+func (s *server) handleFrame(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
+	switch {
+	case frame.FeedAsk != nil && frame.FeedAsk.Node != nil:
+		return &fb.FrameT{FeedTell: s.feedProxy(frame.FeedAsk)}
+	case frame.OpAsk != nil:
+		return &fb.FrameT{OpTell: s.execute(ctx, frame.OpAsk)}
+	}
+	return nil
+}
+
+// feedProxy answers a poll of the proxy.
+func (s *server) feedProxy(poll *fb.FeedAskT) *fb.FeedTellT {
+	s.proxyNode.Store(poll.Node)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	view := s.session.View()
+	return s.agent.Poll(clock.Now(), &view.Cached, view.Generation, poll)
+}
+
+// execute has a control node carry an operation out. Without an answer it may have taken
+// effect.
+func (s *server) execute(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+	answer, err := s.session.Propose(ctx, ask, operationTimeout)
+	if err != nil {
+		s.daemon.Log.Info("operation_unanswered", "key", ask.Key, "cause", err.Error())
+		return &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
+	}
+	return answer
+}
+
+// queryIndexNodes puts the queries that are due, each on its own.
+func (s *server) queryIndexNodes(context.Context) {
+	s.mu.Lock()
+	queries := s.agent.Queries(clock.Now(), s.session.View().Nodes)
+	s.mu.Unlock()
+	for _, query := range queries {
+		s.daemon.Group.Go("orders.ask", func(ctx context.Context) { s.query(ctx, query) })
+	}
+}
+
+// query puts one query and takes its reply in.
+func (s *server) query(ctx context.Context, query agent.Query) {
+	askedAt := clock.Now()
+	answer, err := s.peers.Get(query.Addr).Call(ctx, &fb.FrameT{RoomAsk: query.Request}, queryTimeout)
+	var reply *fb.RoomTellT
+	if err == nil {
+		reply = answer.RoomTell
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.agent.HandleReply(query, askedAt, reply)
+}
