--- a/internal/app/proxy/engineattempt.go
+++ b/internal/app/proxy/engineattempt.go
@@ -121,7 +121,7 @@
 	s := a.forwarded.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picker.ReportLoad(clock.Now(), a.choice.Engine.ID, word.Running, word.Waiting, word.Slots)
+	s.picker.ReportLoad(clock.Now(), a.choice.Engine.ID, word.Waiting)
 }
 
 // broken is the outcome of an attempt that was sent and lost.
--- /dev/null
+++ b/placement/affinity.go
@@ -0,0 +1,47 @@
+package placement
+
+import (
+	"hash/fnv"
+	"sort"
+	"strconv"
+)
+
+// affinity is the weight of a candidate for a block under rendezvous hashing: the block's home
+// is the candidate with the highest, which every proxy finds without talking to others. It is
+// not rendezvous.Score: the two mix differently, and a change would move every block's home.
+func affinity(block, candidate string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(block))
+	_, _ = h.Write([]byte{0})
+	_, _ = h.Write([]byte(candidate))
+	x := h.Sum64()
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	return x ^ x>>29
+}
+
+// sortByAffinity puts a block's home first.
+func sortByAffinity(engines []*Engine, block string) {
+	sort.Slice(engines, func(i, j int) bool { return affinity(block, engines[i].ID) > affinity(block, engines[j].ID) })
+}
+
+// homeStore is the store where everybody would look for a block, of those that are healthy;
+// nil if there is none.
+func (p *Picker) homeStore(block string) (home *Store) {
+	for i := range p.stores {
+		s := &p.stores[i]
+		if !s.Unhealthy && (home == nil || affinity(block, s.Addr) > affinity(block, home.Addr)) {
+			home = s
+		}
+	}
+	return home
+}
+
+// CacheSalt names a cache scope and a version of a model's weights together: blocks are shared
+// only under the same salt.
+func CacheSalt(scope string, version uint64) string {
+	salt := make([]byte, 0, len(scope)+12)
+	salt = append(salt, scope...)
+	salt = append(salt, '.')
+	return string(strconv.AppendUint(salt, version, 10))
+}
--- /dev/null
+++ b/placement/costmodel.go
@@ -0,0 +1,87 @@
+package placement
+
+// CostModel are the figures by which engines are compared. Fields that end in US are
+// microseconds of estimated delay; raising one avoids more of what it is for.
+type CostModel struct {
+	PrefillTokensPerMS  float64 // prompt tokens that an engine reads in a millisecond
+	TransferTokensPerMS float64 // tokens that a link moves in a millisecond within a zone
+	TransferSetupUS     int64   // for each transfer
+	TransferPenaltyUS   int64   // what a transfer costs beyond its time
+	AffinityPenaltyUS   int64   // for each rank away from a block's home, where nobody has it cached
+	OtherZoneUS         int64   // for an engine in another zone than the proxy
+	RunningPenaltyUS    int64   // for each request running at an engine
+	WaitingPenaltyUS    int64   // for each request that an engine reported as waiting
+	MemoryPressureFrom  float64 // part of an engine's memory that requests may take freely, 0 to 1
+	MemoryPressureUS    int64   // for a whole memory beyond that
+	LoadMaxAgeUS        int64   // an engine's report of its load counts no longer than this
+}
+
+// DefaultCostModel is where the daemons start from.
+func DefaultCostModel() CostModel {
+	return CostModel{
+		PrefillTokensPerMS:  110,
+		TransferTokensPerMS: 2500,
+		TransferSetupUS:     6_000,
+		TransferPenaltyUS:   20_000,
+		AffinityPenaltyUS:   25_000,
+		OtherZoneUS:         1_500,
+		RunningPenaltyUS:    700,
+		WaitingPenaltyUS:    15_000,
+		MemoryPressureFrom:  0.5,
+		MemoryPressureUS:    600_000,
+		LoadMaxAgeUS:        1_000_000,
+	}
+}
+
+const (
+	// maxAffinityRank is the rank from which on engines are equally far from a block's home.
+	maxAffinityRank = 6
+	// unhealthyUS keeps requests from an engine that looks unhealthy while there is another.
+	// It is not excluded: whoever checks it may be the one who is cut off.
+	unhealthyUS = 400_000
+	// noSlotUS is for each request beyond an engine's slots.
+	noSlotUS = 50_000
+	// failureUS is for each failure in a row.
+	failureUS = 30_000
+)
+
+// transferUS is how long a transfer of tokens takes, as estimated.
+func (m *CostModel) transferUS(sameZone bool, tokens int) int64 {
+	us := int64(float64(tokens) / m.TransferTokensPerMS * 1000)
+	if !sameZone {
+		us *= 2
+	}
+	return us + m.TransferSetupUS
+}
+
+// queueUS is how long an engine would keep a new request waiting, as far as known.
+func (p *Picker) queueUS(now int64, e *Engine, r *Request) int64 {
+	s := p.states[e.ID]
+	// What the others' requests had to read is read on meanwhile.
+	othersPrefill := max(0, float64(s.others.PrefillTokens)-p.Cost.PrefillTokensPerMS*float64(now-p.othersAt)/1000)
+	running, waiting := s.own.Requests+s.others.Requests, 0
+	if s.reportedAt > 0 && now-s.reportedAt < p.Cost.LoadMaxAgeUS {
+		waiting = s.waiting
+	}
+	us := int64((float64(s.own.PrefillTokens)+othersPrefill)/p.Cost.PrefillTokensPerMS*1000) + int64(running)*p.Cost.RunningPenaltyUS + int64(waiting)*p.Cost.WaitingPenaltyUS
+	if e.Slots > 0 && running >= e.Slots {
+		us += int64(running-e.Slots+1) * noSlotUS
+	}
+	if e.CacheTokens > 0 {
+		us += p.memoryPressureUS(s, e, r)
+	}
+	if e.Unhealthy {
+		us += unhealthyUS
+	}
+	return us + int64(s.failures)*failureUS
+}
+
+// memoryPressureUS is what the fill of an engine's memory costs. Requests share it with cached
+// blocks; when it runs out some requests are preempted and their prompts read anew.
+func (p *Picker) memoryPressureUS(s *engineState, e *Engine, r *Request) int64 {
+	fill := float64(s.own.MemoryTokens+s.others.MemoryTokens+int64(r.PromptTokens+r.MaxOutputTokens)) / float64(e.CacheTokens)
+	if fill <= p.Cost.MemoryPressureFrom {
+		return 0
+	}
+	return int64((fill - p.Cost.MemoryPressureFrom) * float64(p.Cost.MemoryPressureUS))
+}
