--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,7 @@
-// Package clock reads the time since boot, which runs on while a machine is
-// suspended and never jumps. No decision rests on wall time (design §3).
+// Package clock reads the machine's time since boot, which runs on while the machine is
+// suspended and never jumps. All decisions rest on it; none rests on wall time
+// (docs/design.md section 3). Deciding packages don't import it: they take the time as an
+// argument, so that the simulator and replay can give it.
 package clock
 
 import (
@@ -8,14 +10,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since boot in whole microseconds.
+const (
+	microsecondsPerSecond     = 1_000_000
+	nanosecondsPerMicrosecond = 1_000
+)
+
+// Now is the time since boot in whole microseconds. It may be called from any goroutine.
+// Readings of different machines, or of different boots, can't be compared.
 func Now() int64 {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
+	var reading unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
 		panic(err) // every Linux since 2.6.39 has this clock
 	}
-	return t.Sec*1_000_000 + t.Nsec/1000
+	return reading.Sec*microsecondsPerSecond + reading.Nsec/nanosecondsPerMicrosecond
 }
 
-// Micros turns whole microseconds into a duration for the library's timers.
+// Duration turns whole microseconds into a duration for the timers of package time.
 func Duration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/lincheck/lincheck.go
+++ b/internal/lincheck/lincheck.go
@@ -1,5 +1,8 @@
-// Package lincheck checks histories of one register with revisions for linearizability,
-// by the checker porcupine. Tests use it.
+// Package lincheck checks histories of one register with revisions for linearizability
+// (Herlihy and Wing 1990): whether some order of the operations, which keeps that of
+// operations that did not overlap, explains everything that clients saw. The search is
+// that of github.com/anishathalye/porcupine (Wing and Gong 1993, with Lowe's cache); what
+// clients learn from revisions is used beforehand, to keep it short. Tests use it.
 package lincheck
 
 import (
@@ -12,122 +15,144 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Op is one operation as its client saw it. Times may be of any unit; an operation
-// that was confirmed took effect at an instant between them.
+// Operation is one operation as its client saw it. A confirmed one took effect at an
+// instant between Invoked and Returned, which may be of any unit and clock, as long as it
+// is the same for all clients.
 type Operation struct {
-	Client            int
-	Write             bool // else a read
-	Confirmed         bool // confirmed; a change that was not may take effect at any time after From, or never
+	Client int
+	Write  bool // else a read
+	// Confirmed tells that the client learnt the result. A write that was not confirmed
+	// may take effect at any time after Invoked, or never; Returned and Revision mean
+	// nothing then.
+	Confirmed         bool
 	Invoked, Returned int64
-	Revision          uint64 // revision that was made or read, when known
-	Value             string
+	Revision          uint64 // that was made or read; the register starts at 0
+	Value             string // that was written or read; the register starts with ""
 }
 
-// state is a register: every change adds one to its revision. Reads counts those of
-// the revision so far.
-type state struct {
-	rev   uint64
-	val   string
-	reads int
+// register is the model's state: every write adds one to its revision.
+type register struct {
+	revision uint64
+	value    string
+	reads    int // of this revision so far
 }
 
-// history is what is known beforehand of all operations on a register.
+// history is what is known of all operations before the search.
 type history struct {
-	made  map[uint64]bool   // revisions that confirmed changes made
-	read  map[uint64]string // values of the revisions that were read
-	reads map[uint64]int
-	last  uint64 // newest revision that anybody was told
+	written map[uint64]bool   // revisions that confirmed writes made
+	read    map[uint64]string // values of the revisions that were read
+	reads   map[uint64]int    // how often
+	seen    map[string]bool   // the values that were read
+	newest  uint64            // revision that any client saw
 }
 
-// patience ends a check that gets out of hand; a history takes milliseconds.
-const patience = 30 * time.Second
+// timeout ends a search that gets out of hand; one takes milliseconds.
+const timeout = 30 * time.Second
 
-// Check reports an error when no order of the operations explains what clients saw.
-func Check(ops []Operation) error {
-	h := history{made: map[uint64]bool{}, read: map[uint64]string{}, reads: map[uint64]int{}}
-	for _, o := range ops {
-		h.add(o)
-	}
-	ops, err := h.complete(ops)
+// Check returns an error if no order of the operations explains what clients saw, or if
+// the search took too long to tell.
+func Check(operations []Operation) error {
+	h := newHistory(operations)
+	completed, err := h.complete(operations)
 	if err != nil {
 		return err
 	}
-	var all []porcupine.Operation
-	for _, o := range ops {
-		all = append(all, porcupine.Operation{ClientId: o.Client, Input: o, Output: o, Call: o.Invoked, Return: o.Returned})
+	var searched []porcupine.Operation
+	for _, o := range completed {
+		searched = append(searched, porcupine.Operation{ClientId: o.Client, Input: o, Output: o, Call: o.Invoked, Return: o.Returned})
 	}
-	switch porcupine.CheckOperationsTimeout(h.model(), all, patience) {
+	switch porcupine.CheckOperationsTimeout(h.model(), searched, timeout) {
 	case porcupine.Ok:
 		return nil
 	case porcupine.Illegal:
-		return fmt.Errorf("no order explains the %d operations", len(all))
+		return fmt.Errorf("no order explains the %d operations", len(searched))
+	}
+	return fmt.Errorf("no verdict on %d operations within %v", len(searched), timeout)
+}
+
+func newHistory(operations []Operation) *history {
+	h := &history{written: map[uint64]bool{}, read: map[uint64]string{}, reads: map[uint64]int{}, seen: map[string]bool{}}
+	for _, o := range operations {
+		if o.Confirmed {
+			h.add(o)
+		}
 	}
-	return fmt.Errorf("no verdict on %d operations within %v", len(all), patience)
+	return h
 }
 
 func (h *history) add(o Operation) {
-	switch {
-	case !o.Confirmed:
-		return
-	case o.Write:
-		h.made[o.Revision] = true
-	default:
+	if o.Write {
+		h.written[o.Revision] = true
+	} else {
 		h.read[o.Revision] = o.Value
 		h.reads[o.Revision]++
+		h.seen[o.Value] = true
 	}
-	h.last = max(h.last, o.Revision)
+	h.newest = max(h.newest, o.Revision)
 }
 
-// complete gives each revision that no confirmed change made to a change that was not
-// confirmed, and leaves all other unconfirmed ones out: nobody saw them. A revision that
-// was read belongs to the change of its value. Those that nobody read may be given to the
-// earliest changes in their order, since any that began in time will do; trying them all
-// would take exponential time.
-func (h *history) complete(ops []Operation) ([]Operation, error) {
-	var out, open []Operation
-	for _, o := range ops {
+// complete gives each revision that no confirmed write made to an unconfirmed one, and
+// leaves out all other unconfirmed operations: nobody saw them. A revision that was read
+// belongs to the write of its value. Those that nobody read may be given to the earliest
+// writes in their order, since any that was invoked in time will do; trying them all would
+// take exponential time.
+func (h *history) complete(operations []Operation) ([]Operation, error) {
+	completed, open := split(operations)
+	for revision := uint64(1); revision <= h.newest; revision++ {
+		if h.written[revision] {
+			continue
+		}
+		i := slices.IndexFunc(open, func(o Operation) bool { return h.mayHaveMade(revision, o) })
+		if i < 0 {
+			return nil, fmt.Errorf("nobody made revision %d (%q)", revision, h.read[revision])
+		}
+		write := open[i]
+		open = slices.Delete(open, i, i+1)
+		write.Revision, write.Returned = revision, math.MaxInt64
+		completed = append(completed, write)
+	}
+	return completed, nil
+}
+
+// split returns the confirmed operations, and the unconfirmed writes by when they were
+// invoked.
+func split(operations []Operation) (confirmed, open []Operation) {
+	for _, o := range operations {
 		switch {
 		case o.Confirmed:
-			out = append(out, o)
+			confirmed = append(confirmed, o)
 		case o.Write:
 			open = append(open, o)
 		}
 	}
 	slices.SortStableFunc(open, func(a, b Operation) int { return cmp.Compare(a.Invoked, b.Invoked) })
-	seen := map[string]bool{}
-	for _, v := range h.read {
-		seen[v] = true
-	}
-	for rev := uint64(1); rev <= h.last; rev++ {
-		if h.made[rev] {
-			continue
-		}
-		val, read := h.read[rev]
-		i := slices.IndexFunc(open, func(o Operation) bool { return read && o.Value == val || !read && !seen[o.Value] })
-		if i < 0 {
-			return nil, fmt.Errorf("nobody made revision %d (%q)", rev, val)
-		}
-		o := open[i]
-		open = slices.Delete(open, i, i+1)
-		o.Revision, o.Returned = rev, math.MaxInt64
-		out = append(out, o)
+	return confirmed, open
+}
+
+// mayHaveMade reports whether an unconfirmed write fits a revision: it wrote the value
+// that was read there, or, if nobody read it, one that nobody read anywhere.
+func (h *history) mayHaveMade(revision uint64, write Operation) bool {
+	if value, wasRead := h.read[revision]; wasRead {
+		return write.Value == value
 	}
-	return out, nil
+	return !h.seen[write.Value]
 }
 
 func (h *history) model() porcupine.Model {
 	return porcupine.Model{
-		Init:  func() any { return state{} },
-		Step:  func(s, in, _ any) (bool, any) { return h.step(s.(state), in.(Operation)) },
+		Init:  func() any { return register{} },
+		Step:  func(state, input, _ any) (bool, any) { return h.step(state.(register), input.(Operation)) },
 		Equal: func(a, b any) bool { return a == b },
 	}
 }
 
-// step takes a change only when all reads of the revision before were taken: they could
-// never be taken later.
-func (h *history) step(s state, o Operation) (bool, any) {
-	if !o.Write {
-		return o.Revision == s.rev && o.Value == s.val, state{s.rev, s.val, s.reads + 1}
+// step applies an operation, or returns false if it can't come next. A write comes only
+// after all reads of the revision before it: they could never come later.
+func (h *history) step(state register, o Operation) (bool, any) {
+	if o.Write {
+		next := register{revision: o.Revision, value: o.Value}
+		return o.Revision == state.revision+1 && state.reads == h.reads[state.revision], next
 	}
-	return o.Revision == s.rev+1 && s.reads == h.reads[s.rev], state{rev: o.Revision, val: o.Value}
+	next := register{state.revision, state.value, state.reads + 1}
+	return o.Revision == state.revision && o.Value == state.value, next
 }
--- a/internal/lincheck/lincheck_test.go
+++ b/internal/lincheck/lincheck_test.go
@@ -15,10 +15,10 @@
 }
 
 func TestCheck(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		ops  []Operation
-		want bool
+	for _, test := range []struct {
+		name         string
+		operations   []Operation
+		linearizable bool
 	}{
 		{"nothing", nil, true},
 		{"in order", []Operation{put(1, 2, 1, "a"), get(3, 4, 1, "a"), put(5, 6, 2, "b"), get(7, 8, 2, "b")}, true},
@@ -36,9 +36,11 @@
 		{"an unknown change that never was", []Operation{unknown(0, "x"), put(1, 2, 1, "a"), put(3, 4, 2, "b")}, true},
 		{"a read without an answer", []Operation{{Invoked: 1}, put(2, 3, 1, "a")}, true},
 	} {
-		if err := Check(c.ops); (err == nil) != c.want {
-			t.Errorf("%s: %v", c.name, err)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if err := Check(test.operations); (err == nil) != test.linearizable {
+				t.Fatal(err)
+			}
+		})
 	}
 }
 
--- a/internal/taskgroup/taskgroup.go
+++ b/internal/taskgroup/taskgroup.go
@@ -1,126 +1,61 @@
-// Package taskgroup is the one place where goroutines start, and where the select
-// loops that processes need are written once.
+// Package taskgroup is the only place of the module where goroutines start
+// (DEVELOPERS.md). A Group starts goroutines that end together; see select.go for the select
+// statements and timer loops that they share.
+//
+// A Group's methods may be called from any goroutine, except that Stop must not be called
+// from one of the group's own: it waits for all of them.
 package taskgroup
 
 import (
 	"context"
 	"runtime/debug"
 	"sync"
-	"time"
 
 	"github.com/go-logr/logr"
 )
 
 // Group is a set of goroutines that end together.
 type Group struct {
-	ctx  context.Context
-	stop context.CancelFunc
-	wg   sync.WaitGroup
-	log  logr.Logger
+	ctx    context.Context
+	cancel context.CancelFunc
+	wait   sync.WaitGroup
+	log    logr.Logger
 }
 
-// New makes a group under ctx.
+// New makes a group whose context is derived from ctx.
 func New(ctx context.Context, log logr.Logger) *Group {
-	c, stop := context.WithCancel(ctx)
-	return &Group{ctx: c, stop: stop, log: log}
+	derived, cancel := context.WithCancel(ctx)
+	return &Group{ctx: derived, cancel: cancel, log: log}
 }
 
-// Context ends when the group is stopped.
-func (c *Group) Context() context.Context { return c.ctx }
+// Context ends when the group is stopped, or the context that it was made with ends.
+func (g *Group) Context() context.Context { return g.ctx }
 
-// Log is the group's log.
-func (c *Group) Log() logr.Logger { return c.log }
+// Log is the log that the group was made with.
+func (g *Group) Log() logr.Logger { return g.log }
 
-// Go starts f. A panic in it is logged and ends the process: state that a
-// half-run step left behind is not to be trusted.
-func (c *Group) Go(name string, f func(ctx context.Context)) {
-	c.wg.Add(1)
+// Go runs task in a goroutine of the group; it must return soon after its context ends.
+// A panic in it is logged under the name and ends the process: the state that a
+// half-finished step leaves behind is not to be trusted.
+func (g *Group) Go(name string, task func(ctx context.Context)) {
+	g.wait.Add(1)
 	go func() {
-		defer c.wg.Done()
-		defer func() {
-			if r := recover(); r != nil {
-				c.log.Info("panic", "group", name, "cause", r, "stack", string(debug.Stack()))
-				panic(r)
-			}
-		}()
-		f(c.ctx)
+		defer g.wait.Done()
+		defer g.logPanic(name)
+		task(g.ctx)
 	}()
 }
 
-// Stop ends the group and waits for all of it.
-func (c *Group) Stop() {
-	c.stop()
-	c.wg.Wait()
-}
-
-// Every runs f now and then each period, until ctx ends.
-func Every(ctx context.Context, period time.Duration, f func(context.Context)) {
-	t := time.NewTicker(period)
-	defer t.Stop()
-	for {
-		f(ctx)
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.C:
-		}
-	}
-}
-
-// Serve hands what arrives on ch to on, and calls tick each period between.
-func Serve[T any](ctx context.Context, ch <-chan T, period time.Duration, on func(T), tick func()) {
-	t := time.NewTicker(period)
-	defer t.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case v := <-ch:
-			on(v)
-		case <-t.C:
-			tick()
-		}
-	}
-}
-
-// Wait returns the next of ch, or false once ctx ends.
-func Receive[T any](ctx context.Context, ch <-chan T) (v T, ok bool) {
-	select {
-	case v, ok = <-ch:
-		return v, ok
-	case <-ctx.Done():
-		return v, false
+// logPanic must be deferred itself: recover has no effect further down.
+func (g *Group) logPanic(name string) {
+	if cause := recover(); cause != nil {
+		g.log.Info("panic", "group", name, "cause", cause, "stack", string(debug.Stack()))
+		panic(cause)
 	}
 }
 
-// Offer puts v on ch unless that would block.
-func TrySend[T any](ch chan<- T, v T) bool {
-	select {
-	case ch <- v:
-		return true
-	default:
-		return false
-	}
-}
-
-// Give puts v on ch, or returns false once ctx ends.
-func Send[T any](ctx context.Context, ch chan<- T, v T) bool {
-	select {
-	case ch <- v:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
-// Pause waits for us microseconds, or returns false once ctx ends.
-func Sleep(ctx context.Context, us int64) bool {
-	t := time.NewTimer(time.Duration(us) * time.Microsecond)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
+// Stop ends the group's context and waits until all its goroutines have returned.
+func (g *Group) Stop() {
+	g.cancel()
+	g.wait.Wait()
 }
