--- a/internal/taskgroup/taskgroup_test.go
+++ b/internal/taskgroup/taskgroup_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestParentContext: the group's context ends with the one that it was made with.
-func TestParentContext(t *testing.T) {
+func TestParentContext(_ *testing.T) {
 	parent, cancel := context.WithCancel(context.Background())
 	group := taskgroup.New(parent, logr.Discard())
 	cancel()
