--- a/fairqueue/queue.go
+++ b/fairqueue/queue.go
@@ -1,212 +1,144 @@
-// Package fairqueue shares room: between groups at a proxy, and between proxies
-// at an engine's owner (design §8). It is pure.
 package fairqueue
 
-import "sort"
+import (
+	"slices"
+	"sort"
+)
 
-// Item is a waiting ticket. Cost is what its run is expected to take.
+// Item is a waiting request.
 type Item struct {
 	ID       string
-	Deadline int64
-	Cost     int64
+	Deadline int64 // monotonic, in microseconds
+	Cost     int64 // microseconds that its run is expected to take
 }
 
-// Queue is a start-time fair queue over groups: a group with twice the share
-// gets twice the cost served while both wait, and an idle one saves nothing up.
+// Queue is a start-time fair queue over groups: a group with twice the share has twice the
+// cost served while both wait, and a group that was idle has nothing saved up.
 type Queue struct {
 	groups      map[string]*groupQueue
-	names       []string // sorted, so that sums come out alike every time
+	names       []string // of groups, sorted: floating-point sums depend on the order
 	virtualTime float64
-	waiting     int
+	waiting     int // items in all groups
 }
 
+// groupQueue is the part of a Queue that belongs to one group.
 type groupQueue struct {
 	share        float64
-	virtualStart float64
-	items        []Item
-	waitingCost  int64
-	running      int
+	virtualStart float64 // of the item served next
+	items        []Item  // by deadline
+	running      int     // dequeued and not released
 }
 
 // NewQueue makes an empty queue.
 func NewQueue() *Queue { return &Queue{groups: map[string]*groupQueue{}} }
 
-func (q *Queue) group(g string) *groupQueue {
-	l := q.groups[g]
-	if l == nil {
-		l = &groupQueue{share: 1}
-		q.groups[g] = l
-		i := sort.SearchStrings(q.names, g)
-		q.names = append(q.names, "")
-		copy(q.names[i+1:], q.names[i:])
-		q.names[i] = g
+// group returns a group's part, which is made when the group is first named.
+func (q *Queue) group(name string) *groupQueue {
+	if group := q.groups[name]; group != nil {
+		return group
 	}
-	return l
+	group := &groupQueue{share: 1}
+	q.groups[name] = group
+	at, _ := slices.BinarySearch(q.names, name)
+	q.names = slices.Insert(q.names, at, name)
+	return group
 }
 
-// Share sets a group's share.
-func (q *Queue) SetShare(g string, s float64) {
-	if s > 0 {
-		q.group(g).share = s
+// SetShare sets a group's share; one that was never set is 1. A share that is not positive
+// is ignored.
+func (q *Queue) SetShare(group string, share float64) {
+	if share > 0 {
+		q.group(group).share = share
 	}
 }
 
-// Len counts the waiting items, Waiting those of one group.
+// Len counts the waiting items of all groups.
 func (q *Queue) Len() int { return q.waiting }
 
 // Waiting counts the waiting items of a group.
-func (q *Queue) Waiting(g string) int { return len(q.group(g).items) }
+func (q *Queue) Waiting(group string) int { return len(q.group(group).items) }
 
-// Wants is what each group has waiting and running.
+// Running counts a group's items that were dequeued and not yet released.
+func (q *Queue) Running(group string) int { return q.group(group).running }
+
+// DemandByGroup counts what each group has waiting and running; groups with nothing are
+// left out.
 func (q *Queue) DemandByGroup() map[string]int {
-	out := map[string]int{}
-	for g, l := range q.groups {
-		if n := len(l.items) + l.running; n > 0 {
-			out[g] = n
+	demand := map[string]int{}
+	for name, group := range q.groups {
+		if n := len(group.items) + group.running; n > 0 {
+			demand[name] = n
 		}
 	}
-	return out
+	return demand
 }
 
-// Busy counts a group's items that were taken and not yet released.
-func (q *Queue) Running(g string) int { return q.group(g).running }
-
-// Push lines an item up, by due within its group.
-func (q *Queue) Push(g string, it Item) {
-	l := q.group(g)
-	if len(l.items) == 0 && l.virtualStart < q.virtualTime {
-		l.virtualStart = q.virtualTime
+// Push adds an item behind the items of its group whose deadlines are not later.
+func (q *Queue) Push(groupName string, item Item) {
+	group := q.group(groupName)
+	if len(group.items) == 0 && group.virtualStart < q.virtualTime {
+		group.virtualStart = q.virtualTime // time spent idle is not made up for
 	}
-	i := sort.Search(len(l.items), func(i int) bool { return l.items[i].Deadline > it.Deadline })
-	l.items = append(l.items, Item{})
-	copy(l.items[i+1:], l.items[i:])
-	l.items[i] = it
-	l.waitingCost += it.Cost
+	at := sort.Search(len(group.items), func(i int) bool { return group.items[i].Deadline > item.Deadline })
+	group.items = slices.Insert(group.items, at, item)
 	q.waiting++
 }
 
-// Next picks the item to serve next among groups that ok lets through.
-func (q *Queue) Next(ok func(group string, busy int) bool) (g string, it Item, found bool) {
-	var best *groupQueue
-	for _, n := range q.names {
-		l := q.groups[n]
-		if len(l.items) == 0 || !ok(n, l.running) {
+// Next returns the item to serve next, without taking it out, among the groups that
+// mayServe lets through; running is what Running returns for the group.
+func (q *Queue) Next(mayServe func(group string, running int) bool) (groupName string, item Item, found bool) {
+	var next *groupQueue
+	for _, name := range q.names {
+		group := q.groups[name]
+		if len(group.items) == 0 || !mayServe(name, group.running) {
 			continue
 		}
-		if best == nil || l.virtualStart < best.virtualStart {
-			best, g = l, n
+		if next == nil || group.virtualStart < next.virtualStart {
+			next, groupName = group, name
 		}
 	}
-	if best == nil {
+	if next == nil {
 		return "", Item{}, false
 	}
-	return g, best.items[0], true
-}
-
-// Take removes a group's item and counts it as served.
-func (q *Queue) Dequeue(g, id string) bool {
-	l := q.group(g)
-	it, ok := q.remove(l, id)
-	if ok {
-		if l.virtualStart > q.virtualTime {
-			q.virtualTime = l.virtualStart
-		}
-		l.virtualStart += float64(max(it.Cost, 1)) / l.share
-		l.running++
-	}
-	return ok
-}
-
-// Remove drops an item that is not to be served.
-func (q *Queue) Remove(g, id string) bool {
-	_, ok := q.remove(q.group(g), id)
-	return ok
-}
-
-func (q *Queue) remove(l *groupQueue, id string) (Item, bool) {
-	for i, it := range l.items {
-		if it.ID == id {
-			l.items = append(l.items[:i], l.items[i+1:]...)
-			l.waitingCost -= it.Cost
-			q.waiting--
-			return it, true
-		}
-	}
-	return Item{}, false
+	return groupName, next.items[0], true
 }
 
-// Release ends what Take counted.
-func (q *Queue) Release(g string) {
-	if l := q.group(g); l.running > 0 {
-		l.running--
+// Dequeue takes an item out to be served, charges its cost to the group, and counts it as
+// running until Release. It reports whether the item was there.
+func (q *Queue) Dequeue(groupName, id string) bool {
+	group := q.group(groupName)
+	item, found := q.take(group, id)
+	if !found {
+		return false
 	}
-}
-
-// Ahead estimates how long an item of that due would wait in its group's line,
-// with so much room in all: the group gets its share of the room among the
-// groups that are active now, or what the others leave, if that is more.
-func (q *Queue) EstimateWait(g string, due int64, room int) int64 {
-	if room <= 0 {
-		return 1 << 40
-	}
-	l := q.group(g)
-	var cost int64
-	for _, it := range l.items {
-		if it.Deadline <= due {
-			cost += it.Cost
-		}
-	}
-	if q.waiting == 0 && q.totalRunning() < room {
-		return 0
+	if group.virtualStart > q.virtualTime {
+		q.virtualTime = group.virtualStart
 	}
-	return int64(float64(cost) / q.rate(l, room))
+	group.virtualStart += float64(max(item.Cost, 1)) / group.share
+	group.running++
+	return true
 }
 
-func (q *Queue) totalRunning() (n int) {
-	for _, l := range q.groups {
-		n += l.running
-	}
-	return n
+// Remove takes an item out that is not to be served, and reports whether it was there.
+func (q *Queue) Remove(groupName, id string) bool {
+	_, found := q.take(q.group(groupName), id)
+	return found
 }
 
-// rate is the room that a group's line may count on: its share among the groups
-// that are active now, or what the others leave, if that is more.
-func (q *Queue) rate(l *groupQueue, room int) float64 {
-	sum, others, wait := l.share, 0, false
-	for _, n := range q.names {
-		o := q.groups[n]
-		if o != l && (len(o.items) > 0 || o.running > 0) {
-			sum += o.share
-			others += o.running
-			wait = wait || len(o.items) > 0
-		}
-	}
-	get := float64(room) * l.share / sum
-	if !wait {
-		get = max(get, float64(room-others))
+func (q *Queue) take(group *groupQueue, id string) (Item, bool) {
+	at := slices.IndexFunc(group.items, func(item Item) bool { return item.ID == id })
+	if at < 0 {
+		return Item{}, false
 	}
-	return get
+	item := group.items[at]
+	group.items = slices.Delete(group.items, at, at+1)
+	q.waiting--
+	return item, true
 }
 
-// Hopeless lists the waiting items that can't be served by their due with so much
-// room, counting for each only what comes before it and is not hopeless itself.
-func (q *Queue) Infeasible(now int64, room int) (ids []string) {
-	if room <= 0 {
-		return nil
-	}
-	for _, n := range q.names {
-		l := q.groups[n]
-		if len(l.items) == 0 {
-			continue
-		}
-		get, ahead := q.rate(l, room), 0.0
-		for _, it := range l.items {
-			if now+int64(ahead/get)+it.Cost > it.Deadline {
-				ids = append(ids, it.ID)
-				continue
-			}
-			ahead += float64(it.Cost)
-		}
+// Release ends what Dequeue counted as running.
+func (q *Queue) Release(groupName string) {
+	if group := q.group(groupName); group.running > 0 {
+		group.running--
 	}
-	return ids
 }
