--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,154 +1,101 @@
-// Package plan is what operators order of the fleet: groups with their shares
-// and walls, kinds of ticket, entries, weights and limits (design §2).
 package plan
 
 import (
 	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
-	"strings"
 )
 
-// Plan is one whole plan. Times are whole microseconds.
+// Plan is one whole plan, as operators write it. Durations are in microseconds.
 type Plan struct {
-	Weights string           `json:"weights" validate:"required,max=64,name"`
-	Kinds   map[string]Kind  `json:"kinds" validate:"required,min=1,max=64,dive,keys,name,endkeys"`
-	Groups  map[string]Group `json:"groups" validate:"required,min=1,max=256,dive,keys,name,endkeys"`
-	Routes  []Route          `json:"entries,omitempty" validate:"max=1024,dive"`
-	Limits  Limits           `json:"limits,omitempty"`
-	Notes   map[string]any   `json:"notes,omitempty"`
+	// Weights names the model weights that every engine is to run.
+	Weights string `json:"weights" validate:"required,max=64,name"`
+	// Kinds are the kinds of request by name.
+	Kinds map[string]Kind `json:"kinds" validate:"required,min=1,max=64,dive,keys,name,endkeys"`
+	// Groups are the groups of callers by name.
+	Groups map[string]Group `json:"groups" validate:"required,min=1,max=256,dive,keys,name,endkeys"`
+	// Routes send plain HTTP calls to application back ends.
+	Routes []Route `json:"entries,omitempty" validate:"max=1024,dive"`
+	Limits Limits  `json:"limits,omitempty"`
+	// Notes are the operators' own and have no effect.
+	Notes map[string]any `json:"notes,omitempty"`
 }
 
-// Kind is a kind of ticket.
+// Kind is a kind of request.
 type Kind struct {
-	// Once: a ticket of this kind runs at most once, whoever sends it again.
+	// Once: a request of this kind runs at most once, whoever sends it again.
 	Once bool `json:"once,omitempty"`
-	// DueUS is given to tickets that name no due; a ticket's own may not exceed MaxDueUS.
-	DueUS    int64 `json:"due_us" validate:"min=100000,max=600000000"`
+	// DueUS is the time from arrival to deadline of requests that name no deadline.
+	DueUS int64 `json:"due_us" validate:"min=100000,max=600000000"`
+	// MaxDueUS bounds the deadline that a request may name; by default DueUS does.
 	MaxDueUS int64 `json:"max_due_us,omitempty" validate:"omitempty,min=100000,max=600000000,gtefield=DueUS"`
-	// TypicalUS is what a run is expected to take before any has been seen.
+	// TypicalUS is how long a run is expected to take before any has been seen; the
+	// default is the dispatcher's.
 	TypicalUS int64 `json:"typical_us,omitempty" validate:"omitempty,min=1000,max=600000000"`
 }
 
 // Group is a group of callers.
 type Group struct {
+	// Share is the group's part of the capacity, relative to the other groups' shares.
 	Share float64 `json:"share" validate:"gt=0,lte=10000"`
-	// Wall: the group's kept prompts serve nobody else, and none serve it.
+	// Isolated: the group shares no cached prompts with other groups.
 	Isolated bool `json:"wall,omitempty"`
-	// Ceiling bounds the group to this many thousandths of a proxy's room.
+	// CeilingPermille bounds the group to this many thousandths of a proxy's capacity; 0
+	// is no bound.
 	CeilingPermille int `json:"ceiling,omitempty" validate:"omitempty,min=1,max=1000"`
-	// Keys are digests, "sha256:" and 64 hex digits; keys themselves are never kept.
-	Keys  []string `json:"keys" validate:"max=64,dive,digest"`
+	// Keys are the digests of the callers' keys, as KeyDigest makes them.
+	Keys []string `json:"keys" validate:"max=64,dive,digest"`
+	// Kinds are the kinds that the group may send; none named means all.
 	Kinds []string `json:"kinds,omitempty" validate:"max=64"`
 }
 
-// Entry sends plain calls below a path to an app back end.
+// Route sends the plain calls below a path to an application back end.
 type Route struct {
 	Path    string `json:"path" validate:"required,startswith=/,max=256"`
 	Backend string `json:"to" validate:"required,hostport"`
-	// DueUS bounds one call.
+	// TimeoutUS bounds one call with its retry.
 	TimeoutUS int64 `json:"due_us" validate:"min=10000,max=600000000"`
 }
 
-// Limits are the fleet's own bounds; zero means the default.
+// Limits are bounds for the whole fleet; zero means the default.
 type Limits struct {
-	RetryPermille     int    `json:"retry_permille,omitempty" validate:"omitempty,min=1,max=500"`
-	CapacityPerEngine int    `json:"room_per_engine,omitempty" validate:"omitempty,min=1,max=4096"`
-	QueuePerGroup     int    `json:"queue_per_group,omitempty" validate:"omitempty,min=1,max=100000"`
-	TransferWaitUS    int64  `json:"take_wait_us,omitempty" validate:"omitempty,min=1000,max=10000000"`
-	Prefetch          string `json:"push,omitempty" validate:"omitempty,oneof=none one half all"`
-	WavePercent       int    `json:"wave_percent,omitempty" validate:"omitempty,min=1,max=100"`
+	// RetryPermille is how many retries a proxy may send for each thousand requests.
+	// Default 100.
+	RetryPermille int `json:"retry_permille,omitempty" validate:"omitempty,min=1,max=500"`
+	// CapacityPerEngine bounds the runs at one engine at a time. Default 16.
+	CapacityPerEngine int `json:"room_per_engine,omitempty" validate:"omitempty,min=1,max=4096"`
+	// QueuePerGroup bounds the requests of a group that wait at one proxy. Default 512.
+	QueuePerGroup int `json:"queue_per_group,omitempty" validate:"omitempty,min=1,max=100000"`
+	// TransferWaitUS is how long an engine waits for a cached block from another engine
+	// before it recomputes the block. Default 150 ms.
+	TransferWaitUS int64 `json:"take_wait_us,omitempty" validate:"omitempty,min=1000,max=10000000"`
+	// Prefetch says how many engines of a zone fetch a block that two other zones have
+	// already: none, one, half or all. Default none.
+	Prefetch string `json:"push,omitempty" validate:"omitempty,oneof=none one half all"`
+	// WavePercent is the part of the engines that change weights at once. Default 50.
+	WavePercent int `json:"wave_percent,omitempty" validate:"omitempty,min=1,max=100"`
 }
 
-// Defaults fills in the limits that the plan leaves open.
+// WithDefaults fills in the limits that the plan leaves open.
 func (l Limits) WithDefaults() Limits {
-	def := func(p *int, v int) {
-		if *p == 0 {
-			*p = v
-		}
-	}
-	def(&l.RetryPermille, 100)
-	def(&l.CapacityPerEngine, 16)
-	def(&l.QueuePerGroup, 512)
-	def(&l.WavePercent, 50)
-	if l.TransferWaitUS == 0 {
-		l.TransferWaitUS = 150_000
-	}
-	if l.Prefetch == "" {
-		l.Prefetch = "none"
-	}
+	setDefault(&l.RetryPermille, 100)
+	setDefault(&l.CapacityPerEngine, 16)
+	setDefault(&l.QueuePerGroup, 512)
+	setDefault(&l.WavePercent, 50)
+	setDefault(&l.TransferWaitUS, 150_000)
+	setDefault(&l.Prefetch, "none")
 	return l
 }
 
-// Digest is how a key is named in a plan.
-func KeyDigest(key string) string {
-	s := sha256.Sum256([]byte(key))
-	return "sha256:" + hex.EncodeToString(s[:])
-}
-
-// Compiled is a plan made ready for the path of a ticket. It never changes.
-type Compiled struct {
-	Plan
-	Revision      uint64
-	Limits        Limits
-	groupByDigest map[string]string
-	seal          Seal
-}
-
-// Compile makes a plan ready.
-func Compile(p *Plan, rev uint64) *Compiled {
-	c := &Compiled{Plan: *p, Revision: rev, Limits: p.Limits.WithDefaults(), groupByDigest: map[string]string{}}
-	for g, x := range p.Groups {
-		for _, k := range x.Keys {
-			c.groupByDigest[strings.ToLower(k)] = g
-		}
-	}
-	return c
-}
-
-// Load reads a register's value: a plan that was already accepted, with its seal.
-func Load(val []byte, rev uint64) (*Compiled, error) {
-	s, raw, err := Decode(val)
-	if err != nil {
-		return nil, err
-	}
-	var p Plan
-	if err := json.Unmarshal(raw, &p); err != nil {
-		return nil, err
-	}
-	c := Compile(&p, rev)
-	c.seal = s
-	return c, nil
-}
-
-// GroupOf finds the group whose key has that digest.
-func (c *Compiled) GroupOf(digest string) (string, bool) {
-	g, ok := c.groupByDigest[digest]
-	return g, ok
-}
-
-// Allowed reports whether a group may send a kind.
-func (c *Compiled) MaySend(group, kind string) bool {
-	ks := c.Groups[group].Kinds
-	if len(ks) == 0 {
-		return true
-	}
-	for _, k := range ks {
-		if k == kind {
-			return true
-		}
+func setDefault[T comparable](limit *T, value T) {
+	var unset T
+	if *limit == unset {
+		*limit = value
 	}
-	return false
 }
 
-// EntryFor finds the entry with the longest path that p lies below.
-func (c *Compiled) RouteFor(p string) (Route, bool) {
-	var best Route
-	for _, e := range c.Routes {
-		q := strings.TrimSuffix(e.Path, "/")
-		if (p == q || strings.HasPrefix(p, q+"/")) && len(e.Path) > len(best.Path) {
-			best = e
-		}
-	}
-	return best, best.Path != ""
+// KeyDigest is how a plan names a caller's key, "sha256:" and 64 hexadecimal digits; the
+// keys themselves are never stored.
+func KeyDigest(key string) string {
+	sum := sha256.Sum256([]byte(key))
+	return "sha256:" + hex.EncodeToString(sum[:])
 }
--- a/plan/seal.go
+++ b/plan/seal.go
@@ -4,88 +4,100 @@
 	"bytes"
 	"encoding/json"
 	"slices"
-	"sort"
 	"strconv"
 
 	"github.com/gravitational/trace"
 )
 
-// Seal is what a plan's register holds beside the operator's text: since which
-// revision each cache domain is what it is, so that what was kept before a wall
-// or the weights moved is named otherwise afterwards (design §2.1). It follows
-// from the seal before and the two plans alone; no clock takes part.
+// Seal is what the plan's register contains before the operator's text: since which
+// revision each cache domain exists, so that prompts that were cached before a group was
+// isolated, or before the weights were named anew, are found under no key afterwards
+// (docs/design.md §2.1). It follows from the seal before and the two plans alone; no clock
+// takes part.
+//
+// The groups that are not isolated share one cache domain.
 type Seal struct {
-	// Commons is since when the groups without a wall share as they do, Shared
-	// whoever has shared there since.
-	SharedSince  uint64   `json:"commons"`
+	// SharedSince is the revision with which the shared domain began.
+	SharedSince uint64 `json:"commons"`
+	// SharedGroups are all groups that were in the shared domain since then.
 	SharedGroups []string `json:"shared"`
-	// Walls is since when each walled group has been.
+	// IsolatedSince is the revision since which each isolated group has been so.
 	IsolatedSince map[string]uint64 `json:"walls,omitempty"`
-	// Weights is since when the newest name is, and those before it were, in force.
+	// WeightsHistory are the names of weights in force of late, the newest first.
 	WeightsHistory []WeightsRevision `json:"weights"`
 }
 
-// Naming is a name of weights and the revision that named it.
+// WeightsRevision is a name of weights and the revision that put it in force.
 type WeightsRevision struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"rev"`
 }
 
-// Bounds on what a seal remembers: with more names than that in the commons it
-// begins anew, and engines that still run older weights than the last few named
-// find nothing kept.
+// Bounds on what a seal contains: with more groups than that the shared domain begins
+// anew, and engines that still run weights older than the last few find nothing cached.
 const (
 	maxSharedGroups     = 1024
 	maxWeightsRevisions = 4
 )
 
-// mark begins a sealed plan: no plan that an operator may send begins so.
+// sealPrefix begins a register's value that has a seal. No plan that an operator may send
+// begins so.
 var sealPrefix = []byte("#seal ")
 
-// Next is the seal of a plan that follows under revision rev.
-func (s Seal) Next(p *Plan, rev uint64) Seal {
-	n := Seal{SharedSince: s.SharedSince, IsolatedSince: map[string]uint64{}, WeightsHistory: s.WeightsHistory}
-	if len(s.WeightsHistory) == 0 || s.WeightsHistory[0].Name != p.Weights {
-		n.WeightsHistory = []WeightsRevision{{p.Weights, rev}}
-		for _, w := range s.WeightsHistory {
-			if w.Name != p.Weights && len(n.WeightsHistory) < maxWeightsRevisions {
-				n.WeightsHistory = append(n.WeightsHistory, w)
-			}
-		}
-	}
-	anew := len(s.SharedGroups) > maxSharedGroups || s.SharedSince == 0
-	for g := range s.IsolatedSince {
-		// Opened, or gone: what was kept in the commons meanwhile is not for it.
-		if x, ok := p.Groups[g]; !ok || !x.Isolated {
-			anew = true
-		}
-	}
-	var open []string
-	for g, x := range p.Groups {
+// Next is the seal of a plan that follows under a revision.
+func (s Seal) Next(p *Plan, revision uint64) Seal {
+	next := Seal{SharedSince: s.SharedSince, IsolatedSince: map[string]uint64{}, WeightsHistory: s.nextWeights(p.Weights, revision)}
+	anew := len(s.SharedGroups) > maxSharedGroups || s.SharedSince == 0 || s.endsIsolation(p)
+	var shared []string
+	for name, group := range p.Groups {
 		switch {
-		case !x.Isolated:
-			open = append(open, g)
-		case s.IsolatedSince[g] > 0:
-			n.IsolatedSince[g] = s.IsolatedSince[g]
+		case !group.Isolated:
+			shared = append(shared, name)
+		case s.IsolatedSince[name] > 0:
+			next.IsolatedSince[name] = s.IsolatedSince[name]
 		default:
-			n.IsolatedSince[g] = rev
-			anew = anew || slices.Contains(s.SharedGroups, g)
+			next.IsolatedSince[name] = revision
+			anew = anew || slices.Contains(s.SharedGroups, name)
 		}
 	}
 	if anew {
-		n.SharedSince = rev
+		next.SharedSince = revision
 	} else {
-		open = append(open, s.SharedGroups...)
+		shared = append(shared, s.SharedGroups...)
+	}
+	slices.Sort(shared)
+	next.SharedGroups = slices.Compact(shared)
+	return next
+}
+
+func (s Seal) nextWeights(name string, revision uint64) []WeightsRevision {
+	if len(s.WeightsHistory) > 0 && s.WeightsHistory[0].Name == name {
+		return s.WeightsHistory
+	}
+	history := []WeightsRevision{{name, revision}}
+	for _, earlier := range s.WeightsHistory {
+		if earlier.Name != name && len(history) < maxWeightsRevisions {
+			history = append(history, earlier)
+		}
+	}
+	return history
+}
+
+// endsIsolation reports whether a group that was isolated is not any more, or is gone: what
+// the shared domain cached meanwhile is not for it.
+func (s Seal) endsIsolation(p *Plan) bool {
+	for name := range s.IsolatedSince {
+		if group, there := p.Groups[name]; !there || !group.Isolated {
+			return true
+		}
 	}
-	sort.Strings(open)
-	n.SharedGroups = slices.Compact(open)
-	return n
+	return false
 }
 
-// Sealed makes the register's value of a plan that follows the value prev and
-// gets revision rev.
-func Encode(prev, raw []byte, rev uint64) ([]byte, error) {
-	s, _, err := Decode(prev)
+// Encode makes the register's value of an operator's text that follows the value previous
+// and gets a revision.
+func Encode(previous, raw []byte, revision uint64) ([]byte, error) {
+	seal, _, err := Decode(previous)
 	if err != nil {
 		return nil, err
 	}
@@ -93,41 +105,43 @@
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, trace.BadParameter("the plan can't be read: %v; check it with dealer plan check", err)
 	}
-	h, err := json.Marshal(s.Next(&p, rev))
+	encoded, err := json.Marshal(seal.Next(&p, revision))
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return slices.Concat(sealPrefix, h, []byte("\n"), raw), nil
+	return slices.Concat(sealPrefix, encoded, []byte("\n"), raw), nil
 }
 
-// Open takes a register's value apart into its seal and the operator's text, to
-// the byte.
-func Decode(val []byte) (s Seal, raw []byte, err error) {
-	t, ok := bytes.CutPrefix(val, sealPrefix)
+// Decode takes a register's value apart into its seal and the operator's text, which is
+// returned to the byte. A value without a seal is all text.
+func Decode(value []byte) (seal Seal, raw []byte, err error) {
+	sealed, ok := bytes.CutPrefix(value, sealPrefix)
 	if !ok {
-		return s, val, nil
+		return seal, value, nil
 	}
-	h, raw, ok := bytes.Cut(t, []byte("\n"))
+	encoded, raw, ok := bytes.Cut(sealed, []byte("\n"))
 	if !ok {
-		return s, nil, trace.BadParameter("the sealed plan is cut short; restore it from a registrar that reads it")
+		return seal, nil, trace.BadParameter("the sealed plan is cut short; restore it from a registrar that reads it")
 	}
-	if err := json.Unmarshal(h, &s); err != nil {
-		return s, nil, trace.BadParameter("the plan's seal can't be read: %v; start the version that wrote it", err)
+	if err := json.Unmarshal(encoded, &seal); err != nil {
+		return seal, nil, trace.BadParameter("the plan's seal can't be read: %v; start the version that wrote it", err)
 	}
-	return s, raw, nil
+	return seal, raw, nil
 }
 
-// Domain names what a group's kept prompts under these weights may be shared
-// with now. It changes when a wall moves, and when the weights are named anew.
+// CacheDomain names what a group's cached prompts under these weights may be shared with
+// now. The name changes when the group begins or ends to share, and when the weights are
+// named anew. Weights that the plan does not know of late have a domain of this revision
+// alone.
 func (c *Compiled) CacheDomain(group, weights string) string {
-	d := "commons." + strconv.FormatUint(c.seal.SharedSince, 10)
+	domain := "commons." + strconv.FormatUint(c.seal.SharedSince, 10)
 	if c.Groups[group].Isolated {
-		d = "wall." + strconv.FormatUint(c.seal.IsolatedSince[group], 10) + "." + group
+		domain = "wall." + strconv.FormatUint(c.seal.IsolatedSince[group], 10) + "." + group
 	}
-	for _, w := range c.seal.WeightsHistory {
-		if w.Name == weights {
-			return d + "/" + strconv.FormatUint(w.Revision, 10)
+	for _, known := range c.seal.WeightsHistory {
+		if known.Name == weights {
+			return domain + "/" + strconv.FormatUint(known.Revision, 10)
 		}
 	}
-	return d + "/" + strconv.FormatUint(c.Revision, 10) + "?"
+	return domain + "/" + strconv.FormatUint(c.Revision, 10) + "?"
 }
