--- a/agent/agent.go
+++ b/agent/agent.go
@@ -54,7 +54,7 @@
 }
 
 // Feed answers the proxy with plan, orders and news, and takes its own in.
-func (a *Agent) Feed(now int64, h *plan.Cached, era uint64, poll *fb.FeedAskT) *fb.FeedTellT {
+func (a *Agent) Poll(now int64, h *plan.Cached, era uint64, poll *fb.FeedAskT) *fb.FeedTellT {
 	a.poll, a.polledAt, a.polled = *poll, now, true
 	t := &fb.FeedTellT{Rev: h.Revision, Age: h.Age(now), Fresh: h.Known, Era: era}
 	if h.Revision != poll.Have {
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -99,7 +99,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.session.View()
-	return s.agent.Feed(clock.Now(), &v.Cached, v.Generation, a)
+	return s.agent.Poll(clock.Now(), &v.Cached, v.Generation, a)
 }
 
 // round asks every index node for orders, each on its own.
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -489,7 +489,7 @@
 		r := p.runner
 		Call(p.Host, r.Host, q, 500_000, func(q *fb.FeedAskT, rep func(*fb.FeedTellT)) {
 			r.node = q.Node
-			rep(r.g.Feed(r.Clock(), &r.m.held, r.m.era, q))
+			rep(r.g.Poll(r.Clock(), &r.m.held, r.m.era, q))
 		}, func(t *fb.FeedTellT) {
 			old := p.held.Revision
 			p.held, _, _ = p.held.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
