--- a/sim/core.go
+++ b/sim/core.go
@@ -263,7 +263,7 @@
 // in the midst of it: then the old state stands, and it is told again.
 func (r *Registrar) retire() {
 	inc := r.core.newInc()
-	if err := r.ring.Checkpoint([][]byte{codec.PackFounding(&fb.FoundingT{Inc: inc})}); err != nil {
+	if err := r.ring.Checkpoint([][]byte{codec.PackFounding(&fb.VoterSetT{Incarnation: inc})}); err != nil {
 		r.die(err)
 		return
 	}
@@ -350,7 +350,7 @@
 		r.core.w.Wrong("codec", "%v", err)
 		return
 	}
-	r.out(r.node.Receive(r.Clock(), codec.UnpackMessage(f.Settle)))
+	r.out(r.node.Receive(r.Clock(), codec.UnpackMessage(f.VoterMessage)))
 }
 
 func (r *Registrar) sync() {
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -185,26 +185,26 @@
 	h.Every(150_000, func() {
 		r := m.known[m.cur%len(m.known)]
 		at := h.Clock()
-		Call(h, r.Host, &fb.BeatAskT{Node: self(), Have: m.held.Revision}, 600_000, func(q *fb.BeatAskT, rep func(*fb.BeatTellT)) {
+		Call(h, r.Host, &fb.HeartbeatRequestT{Node: self(), HaveRevision: m.held.Revision}, 600_000, func(q *fb.HeartbeatRequestT, rep func(*fb.HeartbeatResponseT)) {
 			s := f.side[r]
 			if s == nil || r.node == nil {
 				return
 			}
 			now := r.Clock()
 			s.roll.Heartbeat(now, q.Node)
-			t := &fb.BeatTellT{Rev: s.held.Revision, Age: s.held.Age(now), Fresh: s.held.Known, Nodes: s.roll.Live(now), Era: r.era}
-			if t.Rev != q.Have {
+			t := &fb.HeartbeatResponseT{Revision: s.held.Revision, Age: s.held.Age(now), Confirmed: s.held.Known, Nodes: s.roll.Live(now), Generation: r.era}
+			if t.Revision != q.HaveRevision {
 				t.Plan = s.held.Raw
 			}
 			for _, v := range r.node.VoterSet().Voters {
-				t.Registrars = append(t.Registrars, v.Name)
+				t.ControlNodes = append(t.ControlNodes, v.Name)
 			}
 			rep(t)
-		}, func(t *fb.BeatTellT) {
-			m.nodes, m.era = t.Nodes, max(m.era, t.Era)
+		}, func(t *fb.HeartbeatResponseT) {
+			m.nodes, m.era = t.Nodes, max(m.era, t.Generation)
 			var known []*Registrar
 			for _, o := range f.Core.Nodes {
-				if slices.Contains(t.Registrars, o.Name) {
+				if slices.Contains(t.ControlNodes, o.Name) {
 					known = append(known, o)
 				}
 			}
@@ -216,7 +216,7 @@
 			if len(known) > 0 {
 				m.known = known
 			}
-			m.held, _, _ = m.held.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
+			m.held, _, _ = m.held.Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
 			if got != nil {
 				got()
 			}
@@ -263,7 +263,7 @@
 	holder := fmt.Sprintf("%s#%x", c.Name, inc)
 	k := c.k
 	f.beat(c.Host, &c.m, func() *fb.NodeT {
-		n := &fb.NodeT{Name: c.Name, Role: "custodian", Site: c.Site, Addr: c.Name, Inc: inc, Ready: !c.leaving}
+		n := &fb.NodeT{Name: c.Name, Role: "custodian", Zone: c.Site, Addr: c.Name, Incarnation: inc, Ready: !c.leaving}
 		return codec.AddIndexNodeStatus(k, c.Clock(), n)
 	}, nil)
 	c.Every(200_000, func() {
@@ -318,10 +318,10 @@
 }
 
 // room answers an agent, or passes its question on to the index node that it is for.
-func (c *Custodian) room(q *fb.RoomAskT, reply func(*fb.RoomTellT)) {
+func (c *Custodian) room(q *fb.CapacityRequestT, reply func(*fb.CapacityResponseT)) {
 	if q.To == "" || q.To == c.Name {
 		t := codec.AnswerCapacity(c.k, c.Clock(), c.Name, q)
-		c.f.W.orderNews(t.News, t.NewsReset)
+		c.f.W.orderNews(t.Updates, t.UpdatesReset)
 		reply(t)
 		return
 	}
@@ -367,13 +367,13 @@
 		if o == nil || c.f.W.Rng.Intn(1000) < c.f.MuteNews {
 			continue
 		}
-		ask := func(q *fb.NewsAskT, got func(*fb.NewsTellT)) {
+		ask := func(q *fb.UpdatesRequestT, got func(*fb.UpdatesResponseT)) {
 			q.From = c.Name
-			Call(c.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(o.newsTell(q)) }, got, func() {})
+			Call(c.Host, o.Host, q, 800_000, func(q *fb.UpdatesRequestT, rep func(*fb.UpdatesResponseT)) { rep(o.newsTell(q)) }, got, func() {})
 		}
 		if mine := k.HeldShards(c.Clock()); len(mine) > 0 {
 			cur := k.HoldingsCursor(p.Name)
-			ask(&fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: mine, Incarnation: cur.Incarnation, Since: cur.Next}, func(t *fb.UpdatesResponseT) {
 				if k.HoldingsCursor(p.Name) == cur {
 					codec.ApplyHoldings(k, c.Clock(), p.Name, t)
 				}
@@ -381,7 +381,7 @@
 		}
 		for _, s := range k.ServedZones() {
 			cur := *k.ZoneCursor(s, p.Name)
-			ask(&fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: s, Incarnation: cur.Incarnation, Since: cur.Next}, func(t *fb.UpdatesResponseT) {
 				if *k.ZoneCursor(s, p.Name) == cur {
 					k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
 				}
@@ -391,10 +391,10 @@
 }
 
 // newsTell answers another index node.
-func (c *Custodian) newsTell(q *fb.NewsAskT) *fb.NewsTellT {
+func (c *Custodian) newsTell(q *fb.UpdatesRequestT) *fb.UpdatesResponseT {
 	t := codec.AnswerUpdates(c.k, q)
-	c.f.W.orderNews(t.News, t.Reset)
-	c.f.W.orderPlaces(t.Places)
+	c.f.W.orderNews(t.Updates, t.Reset)
+	c.f.W.orderPlaces(t.Locations)
 	return t
 }
 
@@ -428,16 +428,16 @@
 
 func (r *Runner) start() {
 	r.m, r.g = member{}, agent.New(r.proxy, r.Site)
-	r.node = &fb.NodeT{Name: r.proxy, Role: "remisier", Site: r.Site}
+	r.node = &fb.NodeT{Name: r.proxy, Role: "remisier", Zone: r.Site}
 	g := r.g
 	r.f.beat(r.Host, &r.m, func() *fb.NodeT { return r.node }, nil)
 	r.Every(120_000, func() {
 		for _, a := range g.Queries(r.Clock(), r.m.nodes) {
 			c, at := r.f.custodian(a.Via), r.Clock()
-			Call(r.Host, c.Host, a.Request, 700_000, c.room, func(t *fb.RoomTellT) {
+			Call(r.Host, c.Host, a.Request, 700_000, c.room, func(t *fb.CapacityResponseT) {
 				if r.f.Unlearnt {
-					for _, o := range t.Orders {
-						o.Grades = nil
+					for _, o := range t.Grants {
+						o.TransferScores = nil
 					}
 				}
 				g.HandleReply(a, at, t)
@@ -483,25 +483,25 @@
 	p.d, p.held, p.table, p.cur, p.calls = dispatch.New(p.Name, p.Site, p.inc), plan.Cached{}, cacheindex.NewTable(4096), codec.Cursor{}, map[uint64]*send{}
 	d := p.d
 	p.Every(100_000, func() {
-		q := codec.FillFeedRequest(d, &fb.FeedAskT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Site: p.Site, Inc: p.inc, Ready: true},
-			Have: p.held.Revision, NewsInc: p.cur.Inc, NewsSince: p.cur.Next})
+		q := codec.FillFeedRequest(d, &fb.FeedRequestT{Node: &fb.NodeT{Name: p.Name, Role: "remisier", Zone: p.Site, Incarnation: p.inc, Ready: true},
+			HaveRevision: p.held.Revision, UpdatesIncarnation: p.cur.Inc, UpdatesSince: p.cur.Next})
 		at := p.Clock()
 		r := p.runner
-		Call(p.Host, r.Host, q, 500_000, func(q *fb.FeedAskT, rep func(*fb.FeedTellT)) {
+		Call(p.Host, r.Host, q, 500_000, func(q *fb.FeedRequestT, rep func(*fb.FeedResponseT)) {
 			r.node = q.Node
 			rep(r.g.Poll(r.Clock(), &r.m.held, r.m.era, q))
-		}, func(t *fb.FeedTellT) {
+		}, func(t *fb.FeedResponseT) {
 			old := p.held.Revision
-			p.held, _, _ = p.held.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
+			p.held, _, _ = p.held.Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
 			if p.held.Revision < old {
 				f.W.Wrong("fell back", "%s from revision %d to %d", p.Name, old, p.held.Revision)
 			}
 			if p.held.Plan != nil {
 				p.carry(d.ApplyPlan(p.Clock(), p.held.Plan, p.held.ConfirmedAt))
 			}
-			p.carry(d.ApplyGrants(p.Clock(), codec.UnpackGrants(t.Orders, p.Clock()-at)))
+			p.carry(d.ApplyGrants(p.Clock(), codec.UnpackGrants(t.Grants, p.Clock()-at)))
 			p.cur = codec.ApplyUpdates(p.table, p.cur, t)
-			f.callerEra = max(f.callerEra, t.Era)
+			f.callerEra = max(f.callerEra, t.Generation)
 		}, func() {})
 	})
 	p.Every(dispatch.TickInterval, func() { p.carry(d.Tick(p.Clock())) })
