--- a/schema/fb/desk_generated.go
+++ b/schema/fb/violetthread_generated.go
@@ -7,8 +7,8 @@
 )
 
 type PositionT struct {
-	Term  uint64 `json:"epoch"`
-	Index uint64 `json:"seq"`
+	Term  uint64 `json:"term"`
+	Index uint64 `json:"index"`
 }
 
 func (t *PositionT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -89,11 +89,11 @@
 func PositionStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func PositionAddTerm(builder *flatbuffers.Builder, epoch uint64) {
-	builder.PrependUint64Slot(0, epoch, 0)
+func PositionAddTerm(builder *flatbuffers.Builder, term uint64) {
+	builder.PrependUint64Slot(0, term, 0)
 }
-func PositionAddIndex(builder *flatbuffers.Builder, seq uint64) {
-	builder.PrependUint64Slot(1, seq, 0)
+func PositionAddIndex(builder *flatbuffers.Builder, index uint64) {
+	builder.PrependUint64Slot(1, index, 0)
 }
 func PositionEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -101,9 +101,9 @@
 
 type EntryT struct {
 	Key      string     `json:"key"`
-	Position *PositionT `json:"ver"`
-	Revision uint64     `json:"rev"`
-	Value    []byte     `json:"val"`
+	Position *PositionT `json:"position"`
+	Revision uint64     `json:"revision"`
+	Value    []byte     `json:"value"`
 }
 
 func (t *EntryT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -111,16 +111,16 @@
 		return 0
 	}
 	keyOffset := builder.CreateString(t.Key)
-	verOffset := t.Position.Pack(builder)
-	valOffset := flatbuffers.UOffsetT(0)
+	positionOffset := t.Position.Pack(builder)
+	valueOffset := flatbuffers.UOffsetT(0)
 	if t.Value != nil {
-		valOffset = builder.CreateByteString(t.Value)
+		valueOffset = builder.CreateByteString(t.Value)
 	}
 	EntryStart(builder)
 	EntryAddKey(builder, keyOffset)
-	EntryAddPosition(builder, verOffset)
+	EntryAddPosition(builder, positionOffset)
 	EntryAddRevision(builder, t.Revision)
-	EntryAddValue(builder, valOffset)
+	EntryAddValue(builder, valueOffset)
 	return EntryEnd(builder)
 }
 
@@ -240,14 +240,14 @@
 func EntryAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(key), 0)
 }
-func EntryAddPosition(builder *flatbuffers.Builder, ver flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(ver), 0)
+func EntryAddPosition(builder *flatbuffers.Builder, position flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(position), 0)
 }
-func EntryAddRevision(builder *flatbuffers.Builder, rev uint64) {
-	builder.PrependUint64Slot(2, rev, 0)
+func EntryAddRevision(builder *flatbuffers.Builder, revision uint64) {
+	builder.PrependUint64Slot(2, revision, 0)
 }
-func EntryAddValue(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(val), 0)
+func EntryAddValue(builder *flatbuffers.Builder, value flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(value), 0)
 }
 func EntryStartValueVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
@@ -258,10 +258,10 @@
 
 type SlotProgressT struct {
 	Slot      uint16     `json:"slot"`
-	Term      uint64     `json:"epoch"`
+	Term      uint64     `json:"term"`
 	Last      *PositionT `json:"last"`
-	Committed *PositionT `json:"settled"`
-	Recovered bool       `json:"firm"`
+	Committed *PositionT `json:"committed"`
+	Recovered bool       `json:"recovered"`
 }
 
 func (t *SlotProgressT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -269,12 +269,12 @@
 		return 0
 	}
 	lastOffset := t.Last.Pack(builder)
-	settledOffset := t.Committed.Pack(builder)
+	committedOffset := t.Committed.Pack(builder)
 	SlotProgressStart(builder)
 	SlotProgressAddSlot(builder, t.Slot)
 	SlotProgressAddTerm(builder, t.Term)
 	SlotProgressAddLast(builder, lastOffset)
-	SlotProgressAddCommitted(builder, settledOffset)
+	SlotProgressAddCommitted(builder, committedOffset)
 	SlotProgressAddRecovered(builder, t.Recovered)
 	return SlotProgressEnd(builder)
 }
@@ -391,40 +391,40 @@
 func SlotProgressAddSlot(builder *flatbuffers.Builder, slot uint16) {
 	builder.PrependUint16Slot(0, slot, 0)
 }
-func SlotProgressAddTerm(builder *flatbuffers.Builder, epoch uint64) {
-	builder.PrependUint64Slot(1, epoch, 0)
+func SlotProgressAddTerm(builder *flatbuffers.Builder, term uint64) {
+	builder.PrependUint64Slot(1, term, 0)
 }
 func SlotProgressAddLast(builder *flatbuffers.Builder, last flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(last), 0)
 }
-func SlotProgressAddCommitted(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(settled), 0)
+func SlotProgressAddCommitted(builder *flatbuffers.Builder, committed flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(committed), 0)
 }
-func SlotProgressAddRecovered(builder *flatbuffers.Builder, firm bool) {
-	builder.PrependBoolSlot(4, firm, false)
+func SlotProgressAddRecovered(builder *flatbuffers.Builder, recovered bool) {
+	builder.PrependBoolSlot(4, recovered, false)
 }
 func SlotProgressEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type VoterMessageT struct {
-	Type             byte             `json:"kind"`
+	Type             byte             `json:"type"`
 	From             string           `json:"from"`
-	Incarnation      uint64           `json:"inc"`
-	VoterSetRevision uint64           `json:"roster"`
+	Incarnation      uint64           `json:"incarnation"`
+	VoterSetRevision uint64           `json:"voter_set_revision"`
 	Slot             uint16           `json:"slot"`
-	Term             uint64           `json:"epoch"`
-	Time             int64            `json:"at"`
-	Previous         *PositionT       `json:"prev"`
-	Last             *PositionT       `json:"mark"`
-	Committed        *PositionT       `json:"settled"`
-	LogTerm          uint64           `json:"joined"`
-	Joining          bool             `json:"first"`
+	Term             uint64           `json:"term"`
+	Time             int64            `json:"time"`
+	Previous         *PositionT       `json:"previous"`
+	Last             *PositionT       `json:"last"`
+	Committed        *PositionT       `json:"committed"`
+	LogTerm          uint64           `json:"log_term"`
+	Joining          bool             `json:"joining"`
 	Entries          []*EntryT        `json:"entries"`
 	Keys             []string         `json:"keys"`
-	Progress         []*SlotProgressT `json:"marks"`
+	Progress         []*SlotProgressT `json:"progress"`
 	Promised         uint64           `json:"promised"`
-	Generation       uint64           `json:"era"`
+	Generation       uint64           `json:"generation"`
 	More             bool             `json:"more"`
 }
 
@@ -433,9 +433,9 @@
 		return 0
 	}
 	fromOffset := builder.CreateString(t.From)
-	prevOffset := t.Previous.Pack(builder)
-	markOffset := t.Last.Pack(builder)
-	settledOffset := t.Committed.Pack(builder)
+	previousOffset := t.Previous.Pack(builder)
+	lastOffset := t.Last.Pack(builder)
+	committedOffset := t.Committed.Pack(builder)
 	entriesOffset := flatbuffers.UOffsetT(0)
 	if t.Entries != nil {
 		entriesLength := len(t.Entries)
@@ -462,18 +462,18 @@
 		}
 		keysOffset = builder.EndVector(keysLength)
 	}
-	marksOffset := flatbuffers.UOffsetT(0)
+	progressOffset := flatbuffers.UOffsetT(0)
 	if t.Progress != nil {
-		marksLength := len(t.Progress)
-		marksOffsets := make([]flatbuffers.UOffsetT, marksLength)
-		for j := 0; j < marksLength; j++ {
-			marksOffsets[j] = t.Progress[j].Pack(builder)
+		progressLength := len(t.Progress)
+		progressOffsets := make([]flatbuffers.UOffsetT, progressLength)
+		for j := 0; j < progressLength; j++ {
+			progressOffsets[j] = t.Progress[j].Pack(builder)
 		}
-		VoterMessageStartProgressVector(builder, marksLength)
-		for j := marksLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(marksOffsets[j])
+		VoterMessageStartProgressVector(builder, progressLength)
+		for j := progressLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(progressOffsets[j])
 		}
-		marksOffset = builder.EndVector(marksLength)
+		progressOffset = builder.EndVector(progressLength)
 	}
 	VoterMessageStart(builder)
 	VoterMessageAddType(builder, t.Type)
@@ -483,14 +483,14 @@
 	VoterMessageAddSlot(builder, t.Slot)
 	VoterMessageAddTerm(builder, t.Term)
 	VoterMessageAddTime(builder, t.Time)
-	VoterMessageAddPrevious(builder, prevOffset)
-	VoterMessageAddLast(builder, markOffset)
-	VoterMessageAddCommitted(builder, settledOffset)
+	VoterMessageAddPrevious(builder, previousOffset)
+	VoterMessageAddLast(builder, lastOffset)
+	VoterMessageAddCommitted(builder, committedOffset)
 	VoterMessageAddLogTerm(builder, t.LogTerm)
 	VoterMessageAddJoining(builder, t.Joining)
 	VoterMessageAddEntries(builder, entriesOffset)
 	VoterMessageAddKeys(builder, keysOffset)
-	VoterMessageAddProgress(builder, marksOffset)
+	VoterMessageAddProgress(builder, progressOffset)
 	VoterMessageAddPromised(builder, t.Promised)
 	VoterMessageAddGeneration(builder, t.Generation)
 	VoterMessageAddMore(builder, t.More)
@@ -522,9 +522,9 @@
 	for j := 0; j < keysLength; j++ {
 		t.Keys[j] = string(rcv.Keys(j))
 	}
-	marksLength := rcv.ProgressLength()
-	t.Progress = make([]*SlotProgressT, marksLength)
-	for j := 0; j < marksLength; j++ {
+	progressLength := rcv.ProgressLength()
+	t.Progress = make([]*SlotProgressT, progressLength)
+	for j := 0; j < progressLength; j++ {
 		x := SlotProgress{}
 		rcv.Progress(&x, j)
 		t.Progress[j] = x.UnPack()
@@ -809,41 +809,41 @@
 func VoterMessageStart(builder *flatbuffers.Builder) {
 	builder.StartObject(18)
 }
-func VoterMessageAddType(builder *flatbuffers.Builder, kind byte) {
-	builder.PrependByteSlot(0, kind, 0)
+func VoterMessageAddType(builder *flatbuffers.Builder, type_ byte) {
+	builder.PrependByteSlot(0, type_, 0)
 }
 func VoterMessageAddFrom(builder *flatbuffers.Builder, from flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(from), 0)
 }
-func VoterMessageAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(2, inc, 0)
+func VoterMessageAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(2, incarnation, 0)
 }
-func VoterMessageAddVoterSetRevision(builder *flatbuffers.Builder, roster uint64) {
-	builder.PrependUint64Slot(3, roster, 0)
+func VoterMessageAddVoterSetRevision(builder *flatbuffers.Builder, voterSetRevision uint64) {
+	builder.PrependUint64Slot(3, voterSetRevision, 0)
 }
 func VoterMessageAddSlot(builder *flatbuffers.Builder, slot uint16) {
 	builder.PrependUint16Slot(4, slot, 0)
 }
-func VoterMessageAddTerm(builder *flatbuffers.Builder, epoch uint64) {
-	builder.PrependUint64Slot(5, epoch, 0)
+func VoterMessageAddTerm(builder *flatbuffers.Builder, term uint64) {
+	builder.PrependUint64Slot(5, term, 0)
 }
-func VoterMessageAddTime(builder *flatbuffers.Builder, at int64) {
-	builder.PrependInt64Slot(6, at, 0)
+func VoterMessageAddTime(builder *flatbuffers.Builder, time int64) {
+	builder.PrependInt64Slot(6, time, 0)
 }
-func VoterMessageAddPrevious(builder *flatbuffers.Builder, prev flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(prev), 0)
+func VoterMessageAddPrevious(builder *flatbuffers.Builder, previous flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(previous), 0)
 }
-func VoterMessageAddLast(builder *flatbuffers.Builder, mark flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(mark), 0)
+func VoterMessageAddLast(builder *flatbuffers.Builder, last flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(last), 0)
 }
-func VoterMessageAddCommitted(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(settled), 0)
+func VoterMessageAddCommitted(builder *flatbuffers.Builder, committed flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(committed), 0)
 }
-func VoterMessageAddLogTerm(builder *flatbuffers.Builder, joined uint64) {
-	builder.PrependUint64Slot(10, joined, 0)
+func VoterMessageAddLogTerm(builder *flatbuffers.Builder, logTerm uint64) {
+	builder.PrependUint64Slot(10, logTerm, 0)
 }
-func VoterMessageAddJoining(builder *flatbuffers.Builder, first bool) {
-	builder.PrependBoolSlot(11, first, false)
+func VoterMessageAddJoining(builder *flatbuffers.Builder, joining bool) {
+	builder.PrependBoolSlot(11, joining, false)
 }
 func VoterMessageAddEntries(builder *flatbuffers.Builder, entries flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(entries), 0)
@@ -857,8 +857,8 @@
 func VoterMessageStartKeysVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func VoterMessageAddProgress(builder *flatbuffers.Builder, marks flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(14, flatbuffers.UOffsetT(marks), 0)
+func VoterMessageAddProgress(builder *flatbuffers.Builder, progress flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(14, flatbuffers.UOffsetT(progress), 0)
 }
 func VoterMessageStartProgressVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -866,8 +866,8 @@
 func VoterMessageAddPromised(builder *flatbuffers.Builder, promised uint64) {
 	builder.PrependUint64Slot(15, promised, 0)
 }
-func VoterMessageAddGeneration(builder *flatbuffers.Builder, era uint64) {
-	builder.PrependUint64Slot(16, era, 0)
+func VoterMessageAddGeneration(builder *flatbuffers.Builder, generation uint64) {
+	builder.PrependUint64Slot(16, generation, 0)
 }
 func VoterMessageAddMore(builder *flatbuffers.Builder, more bool) {
 	builder.PrependBoolSlot(17, more, false)
@@ -877,31 +877,31 @@
 }
 
 type RecordT struct {
-	Type      byte       `json:"kind"`
+	Type      byte       `json:"type"`
 	Slot      uint16     `json:"slot"`
-	Term      uint64     `json:"epoch"`
-	Last      *PositionT `json:"mark"`
-	Committed *PositionT `json:"settled"`
+	Term      uint64     `json:"term"`
+	Last      *PositionT `json:"last"`
+	Committed *PositionT `json:"committed"`
 	Entry     *EntryT    `json:"entry"`
-	VoterSet  *VoterSetT `json:"founding"`
+	VoterSet  *VoterSetT `json:"voter_set"`
 }
 
 func (t *RecordT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	markOffset := t.Last.Pack(builder)
-	settledOffset := t.Committed.Pack(builder)
+	lastOffset := t.Last.Pack(builder)
+	committedOffset := t.Committed.Pack(builder)
 	entryOffset := t.Entry.Pack(builder)
-	foundingOffset := t.VoterSet.Pack(builder)
+	voterSetOffset := t.VoterSet.Pack(builder)
 	RecordStart(builder)
 	RecordAddType(builder, t.Type)
 	RecordAddSlot(builder, t.Slot)
 	RecordAddTerm(builder, t.Term)
-	RecordAddLast(builder, markOffset)
-	RecordAddCommitted(builder, settledOffset)
+	RecordAddLast(builder, lastOffset)
+	RecordAddCommitted(builder, committedOffset)
 	RecordAddEntry(builder, entryOffset)
-	RecordAddVoterSet(builder, foundingOffset)
+	RecordAddVoterSet(builder, voterSetOffset)
 	return RecordEnd(builder)
 }
 
@@ -1042,26 +1042,26 @@
 func RecordStart(builder *flatbuffers.Builder) {
 	builder.StartObject(7)
 }
-func RecordAddType(builder *flatbuffers.Builder, kind byte) {
-	builder.PrependByteSlot(0, kind, 0)
+func RecordAddType(builder *flatbuffers.Builder, type_ byte) {
+	builder.PrependByteSlot(0, type_, 0)
 }
 func RecordAddSlot(builder *flatbuffers.Builder, slot uint16) {
 	builder.PrependUint16Slot(1, slot, 0)
 }
-func RecordAddTerm(builder *flatbuffers.Builder, epoch uint64) {
-	builder.PrependUint64Slot(2, epoch, 0)
+func RecordAddTerm(builder *flatbuffers.Builder, term uint64) {
+	builder.PrependUint64Slot(2, term, 0)
 }
-func RecordAddLast(builder *flatbuffers.Builder, mark flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(mark), 0)
+func RecordAddLast(builder *flatbuffers.Builder, last flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(last), 0)
 }
-func RecordAddCommitted(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(settled), 0)
+func RecordAddCommitted(builder *flatbuffers.Builder, committed flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(committed), 0)
 }
 func RecordAddEntry(builder *flatbuffers.Builder, entry flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(entry), 0)
 }
-func RecordAddVoterSet(builder *flatbuffers.Builder, founding flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(founding), 0)
+func RecordAddVoterSet(builder *flatbuffers.Builder, voterSet flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(voterSet), 0)
 }
 func RecordEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -1070,8 +1070,8 @@
 type VoterT struct {
 	Name        string `json:"name"`
 	Addr        string `json:"addr"`
-	Incarnation uint64 `json:"inc"`
-	Number      uint16 `json:"num"`
+	Incarnation uint64 `json:"incarnation"`
+	Number      uint16 `json:"number"`
 }
 
 func (t *VoterT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -1180,11 +1180,11 @@
 func VoterAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(addr), 0)
 }
-func VoterAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(2, inc, 0)
+func VoterAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(2, incarnation, 0)
 }
-func VoterAddNumber(builder *flatbuffers.Builder, num uint16) {
-	builder.PrependUint16Slot(3, num, 0)
+func VoterAddNumber(builder *flatbuffers.Builder, number uint16) {
+	builder.PrependUint16Slot(3, number, 0)
 }
 func VoterEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -1192,8 +1192,8 @@
 
 type VoterSetT struct {
 	Fleet       uint64    `json:"fleet"`
-	Incarnation uint64    `json:"inc"`
-	Revision    uint64    `json:"rev"`
+	Incarnation uint64    `json:"incarnation"`
+	Revision    uint64    `json:"revision"`
 	Voters      []*VoterT `json:"voters"`
 	Seats       uint16    `json:"seats"`
 }
@@ -1348,11 +1348,11 @@
 func VoterSetAddFleet(builder *flatbuffers.Builder, fleet uint64) {
 	builder.PrependUint64Slot(0, fleet, 0)
 }
-func VoterSetAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(1, inc, 0)
+func VoterSetAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(1, incarnation, 0)
 }
-func VoterSetAddRevision(builder *flatbuffers.Builder, rev uint64) {
-	builder.PrependUint64Slot(2, rev, 0)
+func VoterSetAddRevision(builder *flatbuffers.Builder, revision uint64) {
+	builder.PrependUint64Slot(2, revision, 0)
 }
 func VoterSetAddVoters(builder *flatbuffers.Builder, voters flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(voters), 0)
@@ -1370,9 +1370,9 @@
 type JoinRequestT struct {
 	Name          string `json:"name"`
 	Addr          string `json:"addr"`
-	Incarnation   uint64 `json:"inc"`
+	Incarnation   uint64 `json:"incarnation"`
 	Blank         bool   `json:"blank"`
-	InitialLaunch bool   `json:"first"`
+	InitialLaunch bool   `json:"initial_launch"`
 }
 
 func (t *JoinRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -1495,14 +1495,14 @@
 func JoinRequestAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(addr), 0)
 }
-func JoinRequestAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(2, inc, 0)
+func JoinRequestAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(2, incarnation, 0)
 }
 func JoinRequestAddBlank(builder *flatbuffers.Builder, blank bool) {
 	builder.PrependBoolSlot(3, blank, false)
 }
-func JoinRequestAddInitialLaunch(builder *flatbuffers.Builder, first bool) {
-	builder.PrependBoolSlot(4, first, false)
+func JoinRequestAddInitialLaunch(builder *flatbuffers.Builder, initialLaunch bool) {
+	builder.PrependBoolSlot(4, initialLaunch, false)
 }
 func JoinRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -1510,9 +1510,9 @@
 
 type JoinResponseT struct {
 	Name        string     `json:"name"`
-	Incarnation uint64     `json:"inc"`
+	Incarnation uint64     `json:"incarnation"`
 	Blank       bool       `json:"blank"`
-	VoterSet    *VoterSetT `json:"founding"`
+	VoterSet    *VoterSetT `json:"voter_set"`
 }
 
 func (t *JoinResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -1520,12 +1520,12 @@
 		return 0
 	}
 	nameOffset := builder.CreateString(t.Name)
-	foundingOffset := t.VoterSet.Pack(builder)
+	voterSetOffset := t.VoterSet.Pack(builder)
 	JoinResponseStart(builder)
 	JoinResponseAddName(builder, nameOffset)
 	JoinResponseAddIncarnation(builder, t.Incarnation)
 	JoinResponseAddBlank(builder, t.Blank)
-	JoinResponseAddVoterSet(builder, foundingOffset)
+	JoinResponseAddVoterSet(builder, voterSetOffset)
 	return JoinResponseEnd(builder)
 }
 
@@ -1623,14 +1623,14 @@
 func JoinResponseAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(name), 0)
 }
-func JoinResponseAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(1, inc, 0)
+func JoinResponseAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(1, incarnation, 0)
 }
 func JoinResponseAddBlank(builder *flatbuffers.Builder, blank bool) {
 	builder.PrependBoolSlot(2, blank, false)
 }
-func JoinResponseAddVoterSet(builder *flatbuffers.Builder, founding flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(founding), 0)
+func JoinResponseAddVoterSet(builder *flatbuffers.Builder, voterSet flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(voterSet), 0)
 }
 func JoinResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -1639,16 +1639,16 @@
 type NodeT struct {
 	Name        string   `json:"name"`
 	Role        string   `json:"role"`
-	Zone        string   `json:"site"`
+	Zone        string   `json:"zone"`
 	Addr        string   `json:"addr"`
 	Http        string   `json:"http"`
-	Incarnation uint64   `json:"inc"`
+	Incarnation uint64   `json:"incarnation"`
 	Ready       bool     `json:"ready"`
-	LeasedRoles []string `json:"duties"`
+	LeasedRoles []string `json:"leased_roles"`
 	Age         int64    `json:"age"`
-	ControlNode string   `json:"registrar"`
+	ControlNode string   `json:"control_node"`
 	ListStale   bool     `json:"list_stale"`
-	Unreachable []string `json:"silent"`
+	Unreachable []string `json:"unreachable"`
 	Reached     []string `json:"reached"`
 }
 
@@ -1658,35 +1658,35 @@
 	}
 	nameOffset := builder.CreateString(t.Name)
 	roleOffset := builder.CreateString(t.Role)
-	siteOffset := builder.CreateString(t.Zone)
+	zoneOffset := builder.CreateString(t.Zone)
 	addrOffset := builder.CreateString(t.Addr)
 	httpOffset := builder.CreateString(t.Http)
-	dutiesOffset := flatbuffers.UOffsetT(0)
+	leasedRolesOffset := flatbuffers.UOffsetT(0)
 	if t.LeasedRoles != nil {
-		dutiesLength := len(t.LeasedRoles)
-		dutiesOffsets := make([]flatbuffers.UOffsetT, dutiesLength)
-		for j := 0; j < dutiesLength; j++ {
-			dutiesOffsets[j] = builder.CreateString(t.LeasedRoles[j])
+		leasedRolesLength := len(t.LeasedRoles)
+		leasedRolesOffsets := make([]flatbuffers.UOffsetT, leasedRolesLength)
+		for j := 0; j < leasedRolesLength; j++ {
+			leasedRolesOffsets[j] = builder.CreateString(t.LeasedRoles[j])
 		}
-		NodeStartLeasedRolesVector(builder, dutiesLength)
-		for j := dutiesLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(dutiesOffsets[j])
+		NodeStartLeasedRolesVector(builder, leasedRolesLength)
+		for j := leasedRolesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(leasedRolesOffsets[j])
 		}
-		dutiesOffset = builder.EndVector(dutiesLength)
+		leasedRolesOffset = builder.EndVector(leasedRolesLength)
 	}
-	registrarOffset := builder.CreateString(t.ControlNode)
-	silentOffset := flatbuffers.UOffsetT(0)
+	controlNodeOffset := builder.CreateString(t.ControlNode)
+	unreachableOffset := flatbuffers.UOffsetT(0)
 	if t.Unreachable != nil {
-		silentLength := len(t.Unreachable)
-		silentOffsets := make([]flatbuffers.UOffsetT, silentLength)
-		for j := 0; j < silentLength; j++ {
-			silentOffsets[j] = builder.CreateString(t.Unreachable[j])
+		unreachableLength := len(t.Unreachable)
+		unreachableOffsets := make([]flatbuffers.UOffsetT, unreachableLength)
+		for j := 0; j < unreachableLength; j++ {
+			unreachableOffsets[j] = builder.CreateString(t.Unreachable[j])
 		}
-		NodeStartUnreachableVector(builder, silentLength)
-		for j := silentLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(silentOffsets[j])
+		NodeStartUnreachableVector(builder, unreachableLength)
+		for j := unreachableLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(unreachableOffsets[j])
 		}
-		silentOffset = builder.EndVector(silentLength)
+		unreachableOffset = builder.EndVector(unreachableLength)
 	}
 	reachedOffset := flatbuffers.UOffsetT(0)
 	if t.Reached != nil {
@@ -1704,16 +1704,16 @@
 	NodeStart(builder)
 	NodeAddName(builder, nameOffset)
 	NodeAddRole(builder, roleOffset)
-	NodeAddZone(builder, siteOffset)
+	NodeAddZone(builder, zoneOffset)
 	NodeAddAddr(builder, addrOffset)
 	NodeAddHttp(builder, httpOffset)
 	NodeAddIncarnation(builder, t.Incarnation)
 	NodeAddReady(builder, t.Ready)
-	NodeAddLeasedRoles(builder, dutiesOffset)
+	NodeAddLeasedRoles(builder, leasedRolesOffset)
 	NodeAddAge(builder, t.Age)
-	NodeAddControlNode(builder, registrarOffset)
+	NodeAddControlNode(builder, controlNodeOffset)
 	NodeAddListStale(builder, t.ListStale)
-	NodeAddUnreachable(builder, silentOffset)
+	NodeAddUnreachable(builder, unreachableOffset)
 	NodeAddReached(builder, reachedOffset)
 	return NodeEnd(builder)
 }
@@ -1726,17 +1726,17 @@
 	t.Http = string(rcv.Http())
 	t.Incarnation = rcv.Incarnation()
 	t.Ready = rcv.Ready()
-	dutiesLength := rcv.LeasedRolesLength()
-	t.LeasedRoles = make([]string, dutiesLength)
-	for j := 0; j < dutiesLength; j++ {
+	leasedRolesLength := rcv.LeasedRolesLength()
+	t.LeasedRoles = make([]string, leasedRolesLength)
+	for j := 0; j < leasedRolesLength; j++ {
 		t.LeasedRoles[j] = string(rcv.LeasedRoles(j))
 	}
 	t.Age = rcv.Age()
 	t.ControlNode = string(rcv.ControlNode())
 	t.ListStale = rcv.ListStale()
-	silentLength := rcv.UnreachableLength()
-	t.Unreachable = make([]string, silentLength)
-	for j := 0; j < silentLength; j++ {
+	unreachableLength := rcv.UnreachableLength()
+	t.Unreachable = make([]string, unreachableLength)
+	for j := 0; j < unreachableLength; j++ {
 		t.Unreachable[j] = string(rcv.Unreachable(j))
 	}
 	reachedLength := rcv.ReachedLength()
@@ -1938,8 +1938,8 @@
 func NodeAddRole(builder *flatbuffers.Builder, role flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(role), 0)
 }
-func NodeAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(site), 0)
+func NodeAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(zone), 0)
 }
 func NodeAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(addr), 0)
@@ -1947,14 +1947,14 @@
 func NodeAddHttp(builder *flatbuffers.Builder, http flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(http), 0)
 }
-func NodeAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(5, inc, 0)
+func NodeAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(5, incarnation, 0)
 }
 func NodeAddReady(builder *flatbuffers.Builder, ready bool) {
 	builder.PrependBoolSlot(6, ready, false)
 }
-func NodeAddLeasedRoles(builder *flatbuffers.Builder, duties flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(duties), 0)
+func NodeAddLeasedRoles(builder *flatbuffers.Builder, leasedRoles flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(leasedRoles), 0)
 }
 func NodeStartLeasedRolesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -1962,14 +1962,14 @@
 func NodeAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(8, age, 0)
 }
-func NodeAddControlNode(builder *flatbuffers.Builder, registrar flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(registrar), 0)
+func NodeAddControlNode(builder *flatbuffers.Builder, controlNode flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(controlNode), 0)
 }
 func NodeAddListStale(builder *flatbuffers.Builder, listStale bool) {
 	builder.PrependBoolSlot(10, listStale, false)
 }
-func NodeAddUnreachable(builder *flatbuffers.Builder, silent flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(silent), 0)
+func NodeAddUnreachable(builder *flatbuffers.Builder, unreachable flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(unreachable), 0)
 }
 func NodeStartUnreachableVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -1986,7 +1986,7 @@
 
 type HeartbeatRequestT struct {
 	Node         *NodeT `json:"node"`
-	HaveRevision uint64 `json:"have"`
+	HaveRevision uint64 `json:"have_revision"`
 }
 
 func (t *HeartbeatRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -2072,21 +2072,21 @@
 func HeartbeatRequestAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(node), 0)
 }
-func HeartbeatRequestAddHaveRevision(builder *flatbuffers.Builder, have uint64) {
-	builder.PrependUint64Slot(1, have, 0)
+func HeartbeatRequestAddHaveRevision(builder *flatbuffers.Builder, haveRevision uint64) {
+	builder.PrependUint64Slot(1, haveRevision, 0)
 }
 func HeartbeatRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type HeartbeatResponseT struct {
-	Revision     uint64   `json:"rev"`
+	Revision     uint64   `json:"revision"`
 	Age          int64    `json:"age"`
 	Plan         []byte   `json:"plan"`
-	Confirmed    bool     `json:"fresh"`
+	Confirmed    bool     `json:"confirmed"`
 	Nodes        []*NodeT `json:"nodes"`
-	ControlNodes []string `json:"registrars"`
-	Generation   uint64   `json:"era"`
+	ControlNodes []string `json:"control_nodes"`
+	Generation   uint64   `json:"generation"`
 }
 
 func (t *HeartbeatResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -2110,18 +2110,18 @@
 		}
 		nodesOffset = builder.EndVector(nodesLength)
 	}
-	registrarsOffset := flatbuffers.UOffsetT(0)
+	controlNodesOffset := flatbuffers.UOffsetT(0)
 	if t.ControlNodes != nil {
-		registrarsLength := len(t.ControlNodes)
-		registrarsOffsets := make([]flatbuffers.UOffsetT, registrarsLength)
-		for j := 0; j < registrarsLength; j++ {
-			registrarsOffsets[j] = builder.CreateString(t.ControlNodes[j])
+		controlNodesLength := len(t.ControlNodes)
+		controlNodesOffsets := make([]flatbuffers.UOffsetT, controlNodesLength)
+		for j := 0; j < controlNodesLength; j++ {
+			controlNodesOffsets[j] = builder.CreateString(t.ControlNodes[j])
 		}
-		HeartbeatResponseStartControlNodesVector(builder, registrarsLength)
-		for j := registrarsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(registrarsOffsets[j])
+		HeartbeatResponseStartControlNodesVector(builder, controlNodesLength)
+		for j := controlNodesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(controlNodesOffsets[j])
 		}
-		registrarsOffset = builder.EndVector(registrarsLength)
+		controlNodesOffset = builder.EndVector(controlNodesLength)
 	}
 	HeartbeatResponseStart(builder)
 	HeartbeatResponseAddRevision(builder, t.Revision)
@@ -2129,7 +2129,7 @@
 	HeartbeatResponseAddPlan(builder, planOffset)
 	HeartbeatResponseAddConfirmed(builder, t.Confirmed)
 	HeartbeatResponseAddNodes(builder, nodesOffset)
-	HeartbeatResponseAddControlNodes(builder, registrarsOffset)
+	HeartbeatResponseAddControlNodes(builder, controlNodesOffset)
 	HeartbeatResponseAddGeneration(builder, t.Generation)
 	return HeartbeatResponseEnd(builder)
 }
@@ -2146,9 +2146,9 @@
 		rcv.Nodes(&x, j)
 		t.Nodes[j] = x.UnPack()
 	}
-	registrarsLength := rcv.ControlNodesLength()
-	t.ControlNodes = make([]string, registrarsLength)
-	for j := 0; j < registrarsLength; j++ {
+	controlNodesLength := rcv.ControlNodesLength()
+	t.ControlNodes = make([]string, controlNodesLength)
+	for j := 0; j < controlNodesLength; j++ {
 		t.ControlNodes[j] = string(rcv.ControlNodes(j))
 	}
 	t.Generation = rcv.Generation()
@@ -2312,8 +2312,8 @@
 func HeartbeatResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(7)
 }
-func HeartbeatResponseAddRevision(builder *flatbuffers.Builder, rev uint64) {
-	builder.PrependUint64Slot(0, rev, 0)
+func HeartbeatResponseAddRevision(builder *flatbuffers.Builder, revision uint64) {
+	builder.PrependUint64Slot(0, revision, 0)
 }
 func HeartbeatResponseAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(1, age, 0)
@@ -2324,8 +2324,8 @@
 func HeartbeatResponseStartPlanVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func HeartbeatResponseAddConfirmed(builder *flatbuffers.Builder, fresh bool) {
-	builder.PrependBoolSlot(3, fresh, false)
+func HeartbeatResponseAddConfirmed(builder *flatbuffers.Builder, confirmed bool) {
+	builder.PrependBoolSlot(3, confirmed, false)
 }
 func HeartbeatResponseAddNodes(builder *flatbuffers.Builder, nodes flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(nodes), 0)
@@ -2333,21 +2333,21 @@
 func HeartbeatResponseStartNodesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func HeartbeatResponseAddControlNodes(builder *flatbuffers.Builder, registrars flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(registrars), 0)
+func HeartbeatResponseAddControlNodes(builder *flatbuffers.Builder, controlNodes flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(controlNodes), 0)
 }
 func HeartbeatResponseStartControlNodesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func HeartbeatResponseAddGeneration(builder *flatbuffers.Builder, era uint64) {
-	builder.PrependUint64Slot(6, era, 0)
+func HeartbeatResponseAddGeneration(builder *flatbuffers.Builder, generation uint64) {
+	builder.PrependUint64Slot(6, generation, 0)
 }
 func HeartbeatResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type SessionUpdateT struct {
-	ControlNode string   `json:"registrar"`
+	ControlNode string   `json:"control_node"`
 	Nodes       []*NodeT `json:"nodes"`
 	Hears       []string `json:"hears"`
 }
@@ -2356,7 +2356,7 @@
 	if t == nil {
 		return 0
 	}
-	registrarOffset := builder.CreateString(t.ControlNode)
+	controlNodeOffset := builder.CreateString(t.ControlNode)
 	nodesOffset := flatbuffers.UOffsetT(0)
 	if t.Nodes != nil {
 		nodesLength := len(t.Nodes)
@@ -2384,7 +2384,7 @@
 		hearsOffset = builder.EndVector(hearsLength)
 	}
 	SessionUpdateStart(builder)
-	SessionUpdateAddControlNode(builder, registrarOffset)
+	SessionUpdateAddControlNode(builder, controlNodeOffset)
 	SessionUpdateAddNodes(builder, nodesOffset)
 	SessionUpdateAddHears(builder, hearsOffset)
 	return SessionUpdateEnd(builder)
@@ -2490,8 +2490,8 @@
 func SessionUpdateStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func SessionUpdateAddControlNode(builder *flatbuffers.Builder, registrar flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(registrar), 0)
+func SessionUpdateAddControlNode(builder *flatbuffers.Builder, controlNode flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(controlNode), 0)
 }
 func SessionUpdateAddNodes(builder *flatbuffers.Builder, nodes flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(nodes), 0)
@@ -2510,14 +2510,14 @@
 }
 
 type OperationRequestT struct {
-	Type             byte   `json:"kind"`
+	Type             byte   `json:"type"`
 	Key              string `json:"key"`
-	Value            []byte `json:"val"`
-	ExpectedRevision uint64 `json:"expect"`
+	Value            []byte `json:"value"`
+	ExpectedRevision uint64 `json:"expected_revision"`
 	Holder           string `json:"holder"`
-	LeaseDuration    int64  `json:"term"`
+	LeaseDuration    int64  `json:"lease_duration"`
 	Hops             byte   `json:"hops"`
-	HaveRevision     uint64 `json:"have"`
+	HaveRevision     uint64 `json:"have_revision"`
 }
 
 func (t *OperationRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -2525,15 +2525,15 @@
 		return 0
 	}
 	keyOffset := builder.CreateString(t.Key)
-	valOffset := flatbuffers.UOffsetT(0)
+	valueOffset := flatbuffers.UOffsetT(0)
 	if t.Value != nil {
-		valOffset = builder.CreateByteString(t.Value)
+		valueOffset = builder.CreateByteString(t.Value)
 	}
 	holderOffset := builder.CreateString(t.Holder)
 	OperationRequestStart(builder)
 	OperationRequestAddType(builder, t.Type)
 	OperationRequestAddKey(builder, keyOffset)
-	OperationRequestAddValue(builder, valOffset)
+	OperationRequestAddValue(builder, valueOffset)
 	OperationRequestAddExpectedRevision(builder, t.ExpectedRevision)
 	OperationRequestAddHolder(builder, holderOffset)
 	OperationRequestAddLeaseDuration(builder, t.LeaseDuration)
@@ -2702,32 +2702,32 @@
 func OperationRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(8)
 }
-func OperationRequestAddType(builder *flatbuffers.Builder, kind byte) {
-	builder.PrependByteSlot(0, kind, 0)
+func OperationRequestAddType(builder *flatbuffers.Builder, type_ byte) {
+	builder.PrependByteSlot(0, type_, 0)
 }
 func OperationRequestAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(key), 0)
 }
-func OperationRequestAddValue(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(val), 0)
+func OperationRequestAddValue(builder *flatbuffers.Builder, value flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(value), 0)
 }
 func OperationRequestStartValueVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func OperationRequestAddExpectedRevision(builder *flatbuffers.Builder, expect uint64) {
-	builder.PrependUint64Slot(3, expect, 0)
+func OperationRequestAddExpectedRevision(builder *flatbuffers.Builder, expectedRevision uint64) {
+	builder.PrependUint64Slot(3, expectedRevision, 0)
 }
 func OperationRequestAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(holder), 0)
 }
-func OperationRequestAddLeaseDuration(builder *flatbuffers.Builder, term int64) {
-	builder.PrependInt64Slot(5, term, 0)
+func OperationRequestAddLeaseDuration(builder *flatbuffers.Builder, leaseDuration int64) {
+	builder.PrependInt64Slot(5, leaseDuration, 0)
 }
 func OperationRequestAddHops(builder *flatbuffers.Builder, hops byte) {
 	builder.PrependByteSlot(6, hops, 0)
 }
-func OperationRequestAddHaveRevision(builder *flatbuffers.Builder, have uint64) {
-	builder.PrependUint64Slot(7, have, 0)
+func OperationRequestAddHaveRevision(builder *flatbuffers.Builder, haveRevision uint64) {
+	builder.PrependUint64Slot(7, haveRevision, 0)
 }
 func OperationRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -2735,25 +2735,25 @@
 
 type OperationResponseT struct {
 	Status   byte   `json:"status"`
-	Revision uint64 `json:"rev"`
-	Value    []byte `json:"val"`
-	Leader   string `json:"owner"`
+	Revision uint64 `json:"revision"`
+	Value    []byte `json:"value"`
+	Leader   string `json:"leader"`
 }
 
 func (t *OperationResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	valOffset := flatbuffers.UOffsetT(0)
+	valueOffset := flatbuffers.UOffsetT(0)
 	if t.Value != nil {
-		valOffset = builder.CreateByteString(t.Value)
+		valueOffset = builder.CreateByteString(t.Value)
 	}
-	ownerOffset := builder.CreateString(t.Leader)
+	leaderOffset := builder.CreateString(t.Leader)
 	OperationResponseStart(builder)
 	OperationResponseAddStatus(builder, t.Status)
 	OperationResponseAddRevision(builder, t.Revision)
-	OperationResponseAddValue(builder, valOffset)
-	OperationResponseAddLeader(builder, ownerOffset)
+	OperationResponseAddValue(builder, valueOffset)
+	OperationResponseAddLeader(builder, leaderOffset)
 	return OperationResponseEnd(builder)
 }
 
@@ -2872,17 +2872,17 @@
 func OperationResponseAddStatus(builder *flatbuffers.Builder, status byte) {
 	builder.PrependByteSlot(0, status, 0)
 }
-func OperationResponseAddRevision(builder *flatbuffers.Builder, rev uint64) {
-	builder.PrependUint64Slot(1, rev, 0)
+func OperationResponseAddRevision(builder *flatbuffers.Builder, revision uint64) {
+	builder.PrependUint64Slot(1, revision, 0)
 }
-func OperationResponseAddValue(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(val), 0)
+func OperationResponseAddValue(builder *flatbuffers.Builder, value flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(value), 0)
 }
 func OperationResponseStartValueVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func OperationResponseAddLeader(builder *flatbuffers.Builder, owner flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(owner), 0)
+func OperationResponseAddLeader(builder *flatbuffers.Builder, leader flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(leader), 0)
 }
 func OperationResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -2892,7 +2892,7 @@
 	Hi     uint64 `json:"hi"`
 	Lo     uint64 `json:"lo"`
 	Check  uint32 `json:"check"`
-	Holder uint64 `json:"node"`
+	Holder uint64 `json:"holder"`
 	Op     byte   `json:"op"`
 }
 
@@ -3025,8 +3025,8 @@
 func CacheUpdateAddCheck(builder *flatbuffers.Builder, check uint32) {
 	builder.PrependUint32Slot(2, check, 0)
 }
-func CacheUpdateAddHolder(builder *flatbuffers.Builder, node uint64) {
-	builder.PrependUint64Slot(3, node, 0)
+func CacheUpdateAddHolder(builder *flatbuffers.Builder, holder uint64) {
+	builder.PrependUint64Slot(3, holder, 0)
 }
 func CacheUpdateAddOp(builder *flatbuffers.Builder, op byte) {
 	builder.PrependByteSlot(4, op, 0)
@@ -3038,17 +3038,17 @@
 type GrantT struct {
 	Engine         string            `json:"engine"`
 	Addr           string            `json:"addr"`
-	Zone           string            `json:"site"`
+	Zone           string            `json:"zone"`
 	Store          bool              `json:"store"`
-	NodeId         uint64            `json:"id"`
-	FencingToken   uint64            `json:"epoch"`
-	Capacity       uint32            `json:"room"`
+	NodeId         uint64            `json:"node_id"`
+	FencingToken   uint64            `json:"fencing_token"`
+	Capacity       uint32            `json:"capacity"`
 	Weights        string            `json:"weights"`
 	Load           uint32            `json:"load"`
 	Queue          uint32            `json:"queue"`
 	SlowUs         int64             `json:"slow_us"`
 	Age            int64             `json:"age"`
-	TransferScores []*TransferScoreT `json:"grades"`
+	TransferScores []*TransferScoreT `json:"transfer_scores"`
 }
 
 func (t *GrantT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -3057,25 +3057,25 @@
 	}
 	engineOffset := builder.CreateString(t.Engine)
 	addrOffset := builder.CreateString(t.Addr)
-	siteOffset := builder.CreateString(t.Zone)
+	zoneOffset := builder.CreateString(t.Zone)
 	weightsOffset := builder.CreateString(t.Weights)
-	gradesOffset := flatbuffers.UOffsetT(0)
+	transferScoresOffset := flatbuffers.UOffsetT(0)
 	if t.TransferScores != nil {
-		gradesLength := len(t.TransferScores)
-		gradesOffsets := make([]flatbuffers.UOffsetT, gradesLength)
-		for j := 0; j < gradesLength; j++ {
-			gradesOffsets[j] = t.TransferScores[j].Pack(builder)
+		transferScoresLength := len(t.TransferScores)
+		transferScoresOffsets := make([]flatbuffers.UOffsetT, transferScoresLength)
+		for j := 0; j < transferScoresLength; j++ {
+			transferScoresOffsets[j] = t.TransferScores[j].Pack(builder)
 		}
-		GrantStartTransferScoresVector(builder, gradesLength)
-		for j := gradesLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(gradesOffsets[j])
+		GrantStartTransferScoresVector(builder, transferScoresLength)
+		for j := transferScoresLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(transferScoresOffsets[j])
 		}
-		gradesOffset = builder.EndVector(gradesLength)
+		transferScoresOffset = builder.EndVector(transferScoresLength)
 	}
 	GrantStart(builder)
 	GrantAddEngine(builder, engineOffset)
 	GrantAddAddr(builder, addrOffset)
-	GrantAddZone(builder, siteOffset)
+	GrantAddZone(builder, zoneOffset)
 	GrantAddStore(builder, t.Store)
 	GrantAddNodeId(builder, t.NodeId)
 	GrantAddFencingToken(builder, t.FencingToken)
@@ -3085,7 +3085,7 @@
 	GrantAddQueue(builder, t.Queue)
 	GrantAddSlowUs(builder, t.SlowUs)
 	GrantAddAge(builder, t.Age)
-	GrantAddTransferScores(builder, gradesOffset)
+	GrantAddTransferScores(builder, transferScoresOffset)
 	return GrantEnd(builder)
 }
 
@@ -3102,9 +3102,9 @@
 	t.Queue = rcv.Queue()
 	t.SlowUs = rcv.SlowUs()
 	t.Age = rcv.Age()
-	gradesLength := rcv.TransferScoresLength()
-	t.TransferScores = make([]*TransferScoreT, gradesLength)
-	for j := 0; j < gradesLength; j++ {
+	transferScoresLength := rcv.TransferScoresLength()
+	t.TransferScores = make([]*TransferScoreT, transferScoresLength)
+	for j := 0; j < transferScoresLength; j++ {
 		x := TransferScore{}
 		rcv.TransferScores(&x, j)
 		t.TransferScores[j] = x.UnPack()
@@ -3304,20 +3304,20 @@
 func GrantAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(addr), 0)
 }
-func GrantAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(site), 0)
+func GrantAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(zone), 0)
 }
 func GrantAddStore(builder *flatbuffers.Builder, store bool) {
 	builder.PrependBoolSlot(3, store, false)
 }
-func GrantAddNodeId(builder *flatbuffers.Builder, id uint64) {
-	builder.PrependUint64Slot(4, id, 0)
+func GrantAddNodeId(builder *flatbuffers.Builder, nodeId uint64) {
+	builder.PrependUint64Slot(4, nodeId, 0)
 }
-func GrantAddFencingToken(builder *flatbuffers.Builder, epoch uint64) {
-	builder.PrependUint64Slot(5, epoch, 0)
+func GrantAddFencingToken(builder *flatbuffers.Builder, fencingToken uint64) {
+	builder.PrependUint64Slot(5, fencingToken, 0)
 }
-func GrantAddCapacity(builder *flatbuffers.Builder, room uint32) {
-	builder.PrependUint32Slot(6, room, 0)
+func GrantAddCapacity(builder *flatbuffers.Builder, capacity uint32) {
+	builder.PrependUint32Slot(6, capacity, 0)
 }
 func GrantAddWeights(builder *flatbuffers.Builder, weights flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(weights), 0)
@@ -3334,8 +3334,8 @@
 func GrantAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(11, age, 0)
 }
-func GrantAddTransferScores(builder *flatbuffers.Builder, grades flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(grades), 0)
+func GrantAddTransferScores(builder *flatbuffers.Builder, transferScores flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(transferScores), 0)
 }
 func GrantStartTransferScoresVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -3346,7 +3346,7 @@
 
 type TransferScoreT struct {
 	Peer     uint64 `json:"peer"`
-	Permille uint32 `json:"worth"`
+	Permille uint32 `json:"permille"`
 }
 
 func (t *TransferScoreT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -3430,8 +3430,8 @@
 func TransferScoreAddPeer(builder *flatbuffers.Builder, peer uint64) {
 	builder.PrependUint64Slot(0, peer, 0)
 }
-func TransferScoreAddPermille(builder *flatbuffers.Builder, worth uint32) {
-	builder.PrependUint32Slot(1, worth, 0)
+func TransferScoreAddPermille(builder *flatbuffers.Builder, permille uint32) {
+	builder.PrependUint32Slot(1, permille, 0)
 }
 func TransferScoreEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -3440,9 +3440,9 @@
 type TransferT struct {
 	Attempt  string          `json:"attempt"`
 	Engine   string          `json:"engine"`
-	FromNode uint64          `json:"peer"`
+	FromNode uint64          `json:"from_node"`
 	Total    uint32          `json:"total"`
-	Blocks   []*CacheUpdateT `json:"parts"`
+	Blocks   []*CacheUpdateT `json:"blocks"`
 }
 
 func (t *TransferT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -3451,25 +3451,25 @@
 	}
 	attemptOffset := builder.CreateString(t.Attempt)
 	engineOffset := builder.CreateString(t.Engine)
-	partsOffset := flatbuffers.UOffsetT(0)
+	blocksOffset := flatbuffers.UOffsetT(0)
 	if t.Blocks != nil {
-		partsLength := len(t.Blocks)
-		partsOffsets := make([]flatbuffers.UOffsetT, partsLength)
-		for j := 0; j < partsLength; j++ {
-			partsOffsets[j] = t.Blocks[j].Pack(builder)
+		blocksLength := len(t.Blocks)
+		blocksOffsets := make([]flatbuffers.UOffsetT, blocksLength)
+		for j := 0; j < blocksLength; j++ {
+			blocksOffsets[j] = t.Blocks[j].Pack(builder)
 		}
-		TransferStartBlocksVector(builder, partsLength)
-		for j := partsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(partsOffsets[j])
+		TransferStartBlocksVector(builder, blocksLength)
+		for j := blocksLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(blocksOffsets[j])
 		}
-		partsOffset = builder.EndVector(partsLength)
+		blocksOffset = builder.EndVector(blocksLength)
 	}
 	TransferStart(builder)
 	TransferAddAttempt(builder, attemptOffset)
 	TransferAddEngine(builder, engineOffset)
 	TransferAddFromNode(builder, t.FromNode)
 	TransferAddTotal(builder, t.Total)
-	TransferAddBlocks(builder, partsOffset)
+	TransferAddBlocks(builder, blocksOffset)
 	return TransferEnd(builder)
 }
 
@@ -3478,9 +3478,9 @@
 	t.Engine = string(rcv.Engine())
 	t.FromNode = rcv.FromNode()
 	t.Total = rcv.Total()
-	partsLength := rcv.BlocksLength()
-	t.Blocks = make([]*CacheUpdateT, partsLength)
-	for j := 0; j < partsLength; j++ {
+	blocksLength := rcv.BlocksLength()
+	t.Blocks = make([]*CacheUpdateT, blocksLength)
+	for j := 0; j < blocksLength; j++ {
 		x := CacheUpdate{}
 		rcv.Blocks(&x, j)
 		t.Blocks[j] = x.UnPack()
@@ -3592,14 +3592,14 @@
 func TransferAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(engine), 0)
 }
-func TransferAddFromNode(builder *flatbuffers.Builder, peer uint64) {
-	builder.PrependUint64Slot(2, peer, 0)
+func TransferAddFromNode(builder *flatbuffers.Builder, fromNode uint64) {
+	builder.PrependUint64Slot(2, fromNode, 0)
 }
 func TransferAddTotal(builder *flatbuffers.Builder, total uint32) {
 	builder.PrependUint32Slot(3, total, 0)
 }
-func TransferAddBlocks(builder *flatbuffers.Builder, parts flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(parts), 0)
+func TransferAddBlocks(builder *flatbuffers.Builder, blocks flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(blocks), 0)
 }
 func TransferStartBlocksVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -3611,7 +3611,7 @@
 type HolderLocationT struct {
 	Id     uint64 `json:"id"`
 	Engine string `json:"engine"`
-	Zone   string `json:"site"`
+	Zone   string `json:"zone"`
 	Store  bool   `json:"store"`
 }
 
@@ -3620,11 +3620,11 @@
 		return 0
 	}
 	engineOffset := builder.CreateString(t.Engine)
-	siteOffset := builder.CreateString(t.Zone)
+	zoneOffset := builder.CreateString(t.Zone)
 	HolderLocationStart(builder)
 	HolderLocationAddId(builder, t.Id)
 	HolderLocationAddEngine(builder, engineOffset)
-	HolderLocationAddZone(builder, siteOffset)
+	HolderLocationAddZone(builder, zoneOffset)
 	HolderLocationAddStore(builder, t.Store)
 	return HolderLocationEnd(builder)
 }
@@ -3721,8 +3721,8 @@
 func HolderLocationAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(engine), 0)
 }
-func HolderLocationAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(site), 0)
+func HolderLocationAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(zone), 0)
 }
 func HolderLocationAddStore(builder *flatbuffers.Builder, store bool) {
 	builder.PrependBoolSlot(3, store, false)
@@ -3733,9 +3733,9 @@
 
 type OutcomesT struct {
 	Engine    string `json:"engine"`
-	Failures  uint32 `json:"problems"`
-	Successes uint32 `json:"dones"`
-	StartUs   int64  `json:"first_us"`
+	Failures  uint32 `json:"failures"`
+	Successes uint32 `json:"successes"`
+	StartUs   int64  `json:"start_us"`
 }
 
 func (t *OutcomesT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -3844,14 +3844,14 @@
 func OutcomesAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(engine), 0)
 }
-func OutcomesAddFailures(builder *flatbuffers.Builder, problems uint32) {
-	builder.PrependUint32Slot(1, problems, 0)
+func OutcomesAddFailures(builder *flatbuffers.Builder, failures uint32) {
+	builder.PrependUint32Slot(1, failures, 0)
 }
-func OutcomesAddSuccesses(builder *flatbuffers.Builder, dones uint32) {
-	builder.PrependUint32Slot(2, dones, 0)
+func OutcomesAddSuccesses(builder *flatbuffers.Builder, successes uint32) {
+	builder.PrependUint32Slot(2, successes, 0)
 }
-func OutcomesAddStartUs(builder *flatbuffers.Builder, firstUs int64) {
-	builder.PrependInt64Slot(3, firstUs, 0)
+func OutcomesAddStartUs(builder *flatbuffers.Builder, startUs int64) {
+	builder.PrependInt64Slot(3, startUs, 0)
 }
 func OutcomesEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -3859,7 +3859,7 @@
 
 type DemandT struct {
 	Group    string `json:"group"`
-	Requests uint32 `json:"n"`
+	Requests uint32 `json:"requests"`
 }
 
 func (t *DemandT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -3940,8 +3940,8 @@
 func DemandAddGroup(builder *flatbuffers.Builder, group flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(group), 0)
 }
-func DemandAddRequests(builder *flatbuffers.Builder, n uint32) {
-	builder.PrependUint32Slot(1, n, 0)
+func DemandAddRequests(builder *flatbuffers.Builder, requests uint32) {
+	builder.PrependUint32Slot(1, requests, 0)
 }
 func DemandEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -3949,14 +3949,14 @@
 
 type CapacityRequestT struct {
 	Proxy              string       `json:"proxy"`
-	Zone               string       `json:"site"`
-	Incarnation        uint64       `json:"inc"`
-	Demand             []*DemandT   `json:"wants"`
+	Zone               string       `json:"zone"`
+	Incarnation        uint64       `json:"incarnation"`
+	Demand             []*DemandT   `json:"demand"`
 	Active             uint32       `json:"active"`
-	UpdatesIncarnation uint64       `json:"news_inc"`
-	UpdatesSince       uint64       `json:"news_since"`
-	Transfers          []*TransferT `json:"imports"`
-	Outcomes           []*OutcomesT `json:"seen"`
+	UpdatesIncarnation uint64       `json:"updates_incarnation"`
+	UpdatesSince       uint64       `json:"updates_since"`
+	Transfers          []*TransferT `json:"transfers"`
+	Outcomes           []*OutcomesT `json:"outcomes"`
 	To                 string       `json:"to"`
 }
 
@@ -3965,57 +3965,57 @@
 		return 0
 	}
 	proxyOffset := builder.CreateString(t.Proxy)
-	siteOffset := builder.CreateString(t.Zone)
-	wantsOffset := flatbuffers.UOffsetT(0)
+	zoneOffset := builder.CreateString(t.Zone)
+	demandOffset := flatbuffers.UOffsetT(0)
 	if t.Demand != nil {
-		wantsLength := len(t.Demand)
-		wantsOffsets := make([]flatbuffers.UOffsetT, wantsLength)
-		for j := 0; j < wantsLength; j++ {
-			wantsOffsets[j] = t.Demand[j].Pack(builder)
+		demandLength := len(t.Demand)
+		demandOffsets := make([]flatbuffers.UOffsetT, demandLength)
+		for j := 0; j < demandLength; j++ {
+			demandOffsets[j] = t.Demand[j].Pack(builder)
 		}
-		CapacityRequestStartDemandVector(builder, wantsLength)
-		for j := wantsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(wantsOffsets[j])
+		CapacityRequestStartDemandVector(builder, demandLength)
+		for j := demandLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(demandOffsets[j])
 		}
-		wantsOffset = builder.EndVector(wantsLength)
+		demandOffset = builder.EndVector(demandLength)
 	}
-	importsOffset := flatbuffers.UOffsetT(0)
+	transfersOffset := flatbuffers.UOffsetT(0)
 	if t.Transfers != nil {
-		importsLength := len(t.Transfers)
-		importsOffsets := make([]flatbuffers.UOffsetT, importsLength)
-		for j := 0; j < importsLength; j++ {
-			importsOffsets[j] = t.Transfers[j].Pack(builder)
+		transfersLength := len(t.Transfers)
+		transfersOffsets := make([]flatbuffers.UOffsetT, transfersLength)
+		for j := 0; j < transfersLength; j++ {
+			transfersOffsets[j] = t.Transfers[j].Pack(builder)
 		}
-		CapacityRequestStartTransfersVector(builder, importsLength)
-		for j := importsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(importsOffsets[j])
+		CapacityRequestStartTransfersVector(builder, transfersLength)
+		for j := transfersLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(transfersOffsets[j])
 		}
-		importsOffset = builder.EndVector(importsLength)
+		transfersOffset = builder.EndVector(transfersLength)
 	}
-	seenOffset := flatbuffers.UOffsetT(0)
+	outcomesOffset := flatbuffers.UOffsetT(0)
 	if t.Outcomes != nil {
-		seenLength := len(t.Outcomes)
-		seenOffsets := make([]flatbuffers.UOffsetT, seenLength)
-		for j := 0; j < seenLength; j++ {
-			seenOffsets[j] = t.Outcomes[j].Pack(builder)
+		outcomesLength := len(t.Outcomes)
+		outcomesOffsets := make([]flatbuffers.UOffsetT, outcomesLength)
+		for j := 0; j < outcomesLength; j++ {
+			outcomesOffsets[j] = t.Outcomes[j].Pack(builder)
 		}
-		CapacityRequestStartOutcomesVector(builder, seenLength)
-		for j := seenLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(seenOffsets[j])
+		CapacityRequestStartOutcomesVector(builder, outcomesLength)
+		for j := outcomesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(outcomesOffsets[j])
 		}
-		seenOffset = builder.EndVector(seenLength)
+		outcomesOffset = builder.EndVector(outcomesLength)
 	}
 	toOffset := builder.CreateString(t.To)
 	CapacityRequestStart(builder)
 	CapacityRequestAddProxy(builder, proxyOffset)
-	CapacityRequestAddZone(builder, siteOffset)
+	CapacityRequestAddZone(builder, zoneOffset)
 	CapacityRequestAddIncarnation(builder, t.Incarnation)
-	CapacityRequestAddDemand(builder, wantsOffset)
+	CapacityRequestAddDemand(builder, demandOffset)
 	CapacityRequestAddActive(builder, t.Active)
 	CapacityRequestAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
 	CapacityRequestAddUpdatesSince(builder, t.UpdatesSince)
-	CapacityRequestAddTransfers(builder, importsOffset)
-	CapacityRequestAddOutcomes(builder, seenOffset)
+	CapacityRequestAddTransfers(builder, transfersOffset)
+	CapacityRequestAddOutcomes(builder, outcomesOffset)
 	CapacityRequestAddTo(builder, toOffset)
 	return CapacityRequestEnd(builder)
 }
@@ -4024,9 +4024,9 @@
 	t.Proxy = string(rcv.Proxy())
 	t.Zone = string(rcv.Zone())
 	t.Incarnation = rcv.Incarnation()
-	wantsLength := rcv.DemandLength()
-	t.Demand = make([]*DemandT, wantsLength)
-	for j := 0; j < wantsLength; j++ {
+	demandLength := rcv.DemandLength()
+	t.Demand = make([]*DemandT, demandLength)
+	for j := 0; j < demandLength; j++ {
 		x := Demand{}
 		rcv.Demand(&x, j)
 		t.Demand[j] = x.UnPack()
@@ -4034,16 +4034,16 @@
 	t.Active = rcv.Active()
 	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
 	t.UpdatesSince = rcv.UpdatesSince()
-	importsLength := rcv.TransfersLength()
-	t.Transfers = make([]*TransferT, importsLength)
-	for j := 0; j < importsLength; j++ {
+	transfersLength := rcv.TransfersLength()
+	t.Transfers = make([]*TransferT, transfersLength)
+	for j := 0; j < transfersLength; j++ {
 		x := Transfer{}
 		rcv.Transfers(&x, j)
 		t.Transfers[j] = x.UnPack()
 	}
-	seenLength := rcv.OutcomesLength()
-	t.Outcomes = make([]*OutcomesT, seenLength)
-	for j := 0; j < seenLength; j++ {
+	outcomesLength := rcv.OutcomesLength()
+	t.Outcomes = make([]*OutcomesT, outcomesLength)
+	for j := 0; j < outcomesLength; j++ {
 		x := Outcomes{}
 		rcv.Outcomes(&x, j)
 		t.Outcomes[j] = x.UnPack()
@@ -4225,14 +4225,14 @@
 func CapacityRequestAddProxy(builder *flatbuffers.Builder, proxy flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(proxy), 0)
 }
-func CapacityRequestAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(site), 0)
+func CapacityRequestAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(zone), 0)
 }
-func CapacityRequestAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(2, inc, 0)
+func CapacityRequestAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(2, incarnation, 0)
 }
-func CapacityRequestAddDemand(builder *flatbuffers.Builder, wants flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(wants), 0)
+func CapacityRequestAddDemand(builder *flatbuffers.Builder, demand flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(demand), 0)
 }
 func CapacityRequestStartDemandVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -4240,20 +4240,20 @@
 func CapacityRequestAddActive(builder *flatbuffers.Builder, active uint32) {
 	builder.PrependUint32Slot(4, active, 0)
 }
-func CapacityRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
-	builder.PrependUint64Slot(5, newsInc, 0)
+func CapacityRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, updatesIncarnation uint64) {
+	builder.PrependUint64Slot(5, updatesIncarnation, 0)
 }
-func CapacityRequestAddUpdatesSince(builder *flatbuffers.Builder, newsSince uint64) {
-	builder.PrependUint64Slot(6, newsSince, 0)
+func CapacityRequestAddUpdatesSince(builder *flatbuffers.Builder, updatesSince uint64) {
+	builder.PrependUint64Slot(6, updatesSince, 0)
 }
-func CapacityRequestAddTransfers(builder *flatbuffers.Builder, imports flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(imports), 0)
+func CapacityRequestAddTransfers(builder *flatbuffers.Builder, transfers flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(transfers), 0)
 }
 func CapacityRequestStartTransfersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func CapacityRequestAddOutcomes(builder *flatbuffers.Builder, seen flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(seen), 0)
+func CapacityRequestAddOutcomes(builder *flatbuffers.Builder, outcomes flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(outcomes), 0)
 }
 func CapacityRequestStartOutcomesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -4266,34 +4266,34 @@
 }
 
 type CapacityResponseT struct {
-	IndexNode          string          `json:"custodian"`
-	Grants             []*GrantT       `json:"orders"`
+	IndexNode          string          `json:"index_node"`
+	Grants             []*GrantT       `json:"grants"`
 	Engines            []string        `json:"engines"`
-	HasUpdates         bool            `json:"news_from"`
-	UpdatesIncarnation uint64          `json:"news_inc"`
-	UpdatesSince       uint64          `json:"news_at"`
-	UpdatesNext        uint64          `json:"news_next"`
-	UpdatesReset       bool            `json:"news_reset"`
-	Updates            []*CacheUpdateT `json:"news"`
+	HasUpdates         bool            `json:"has_updates"`
+	UpdatesIncarnation uint64          `json:"updates_incarnation"`
+	UpdatesSince       uint64          `json:"updates_since"`
+	UpdatesNext        uint64          `json:"updates_next"`
+	UpdatesReset       bool            `json:"updates_reset"`
+	Updates            []*CacheUpdateT `json:"updates"`
 }
 
 func (t *CapacityResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	custodianOffset := builder.CreateString(t.IndexNode)
-	ordersOffset := flatbuffers.UOffsetT(0)
+	indexNodeOffset := builder.CreateString(t.IndexNode)
+	grantsOffset := flatbuffers.UOffsetT(0)
 	if t.Grants != nil {
-		ordersLength := len(t.Grants)
-		ordersOffsets := make([]flatbuffers.UOffsetT, ordersLength)
-		for j := 0; j < ordersLength; j++ {
-			ordersOffsets[j] = t.Grants[j].Pack(builder)
+		grantsLength := len(t.Grants)
+		grantsOffsets := make([]flatbuffers.UOffsetT, grantsLength)
+		for j := 0; j < grantsLength; j++ {
+			grantsOffsets[j] = t.Grants[j].Pack(builder)
 		}
-		CapacityResponseStartGrantsVector(builder, ordersLength)
-		for j := ordersLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(ordersOffsets[j])
+		CapacityResponseStartGrantsVector(builder, grantsLength)
+		for j := grantsLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(grantsOffsets[j])
 		}
-		ordersOffset = builder.EndVector(ordersLength)
+		grantsOffset = builder.EndVector(grantsLength)
 	}
 	enginesOffset := flatbuffers.UOffsetT(0)
 	if t.Engines != nil {
@@ -4308,37 +4308,37 @@
 		}
 		enginesOffset = builder.EndVector(enginesLength)
 	}
-	newsOffset := flatbuffers.UOffsetT(0)
+	updatesOffset := flatbuffers.UOffsetT(0)
 	if t.Updates != nil {
-		newsLength := len(t.Updates)
-		newsOffsets := make([]flatbuffers.UOffsetT, newsLength)
-		for j := 0; j < newsLength; j++ {
-			newsOffsets[j] = t.Updates[j].Pack(builder)
+		updatesLength := len(t.Updates)
+		updatesOffsets := make([]flatbuffers.UOffsetT, updatesLength)
+		for j := 0; j < updatesLength; j++ {
+			updatesOffsets[j] = t.Updates[j].Pack(builder)
 		}
-		CapacityResponseStartUpdatesVector(builder, newsLength)
-		for j := newsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(newsOffsets[j])
+		CapacityResponseStartUpdatesVector(builder, updatesLength)
+		for j := updatesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(updatesOffsets[j])
 		}
-		newsOffset = builder.EndVector(newsLength)
+		updatesOffset = builder.EndVector(updatesLength)
 	}
 	CapacityResponseStart(builder)
-	CapacityResponseAddIndexNode(builder, custodianOffset)
-	CapacityResponseAddGrants(builder, ordersOffset)
+	CapacityResponseAddIndexNode(builder, indexNodeOffset)
+	CapacityResponseAddGrants(builder, grantsOffset)
 	CapacityResponseAddEngines(builder, enginesOffset)
 	CapacityResponseAddHasUpdates(builder, t.HasUpdates)
 	CapacityResponseAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
 	CapacityResponseAddUpdatesSince(builder, t.UpdatesSince)
 	CapacityResponseAddUpdatesNext(builder, t.UpdatesNext)
 	CapacityResponseAddUpdatesReset(builder, t.UpdatesReset)
-	CapacityResponseAddUpdates(builder, newsOffset)
+	CapacityResponseAddUpdates(builder, updatesOffset)
 	return CapacityResponseEnd(builder)
 }
 
 func (rcv *CapacityResponse) UnPackTo(t *CapacityResponseT) {
 	t.IndexNode = string(rcv.IndexNode())
-	ordersLength := rcv.GrantsLength()
-	t.Grants = make([]*GrantT, ordersLength)
-	for j := 0; j < ordersLength; j++ {
+	grantsLength := rcv.GrantsLength()
+	t.Grants = make([]*GrantT, grantsLength)
+	for j := 0; j < grantsLength; j++ {
 		x := Grant{}
 		rcv.Grants(&x, j)
 		t.Grants[j] = x.UnPack()
@@ -4353,9 +4353,9 @@
 	t.UpdatesSince = rcv.UpdatesSince()
 	t.UpdatesNext = rcv.UpdatesNext()
 	t.UpdatesReset = rcv.UpdatesReset()
-	newsLength := rcv.UpdatesLength()
-	t.Updates = make([]*CacheUpdateT, newsLength)
-	for j := 0; j < newsLength; j++ {
+	updatesLength := rcv.UpdatesLength()
+	t.Updates = make([]*CacheUpdateT, updatesLength)
+	for j := 0; j < updatesLength; j++ {
 		x := CacheUpdate{}
 		rcv.Updates(&x, j)
 		t.Updates[j] = x.UnPack()
@@ -4526,11 +4526,11 @@
 func CapacityResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(9)
 }
-func CapacityResponseAddIndexNode(builder *flatbuffers.Builder, custodian flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(custodian), 0)
+func CapacityResponseAddIndexNode(builder *flatbuffers.Builder, indexNode flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(indexNode), 0)
 }
-func CapacityResponseAddGrants(builder *flatbuffers.Builder, orders flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(orders), 0)
+func CapacityResponseAddGrants(builder *flatbuffers.Builder, grants flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(grants), 0)
 }
 func CapacityResponseStartGrantsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -4541,23 +4541,23 @@
 func CapacityResponseStartEnginesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func CapacityResponseAddHasUpdates(builder *flatbuffers.Builder, newsFrom bool) {
-	builder.PrependBoolSlot(3, newsFrom, false)
+func CapacityResponseAddHasUpdates(builder *flatbuffers.Builder, hasUpdates bool) {
+	builder.PrependBoolSlot(3, hasUpdates, false)
 }
-func CapacityResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
-	builder.PrependUint64Slot(4, newsInc, 0)
+func CapacityResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, updatesIncarnation uint64) {
+	builder.PrependUint64Slot(4, updatesIncarnation, 0)
 }
-func CapacityResponseAddUpdatesSince(builder *flatbuffers.Builder, newsAt uint64) {
-	builder.PrependUint64Slot(5, newsAt, 0)
+func CapacityResponseAddUpdatesSince(builder *flatbuffers.Builder, updatesSince uint64) {
+	builder.PrependUint64Slot(5, updatesSince, 0)
 }
-func CapacityResponseAddUpdatesNext(builder *flatbuffers.Builder, newsNext uint64) {
-	builder.PrependUint64Slot(6, newsNext, 0)
+func CapacityResponseAddUpdatesNext(builder *flatbuffers.Builder, updatesNext uint64) {
+	builder.PrependUint64Slot(6, updatesNext, 0)
 }
-func CapacityResponseAddUpdatesReset(builder *flatbuffers.Builder, newsReset bool) {
-	builder.PrependBoolSlot(7, newsReset, false)
+func CapacityResponseAddUpdatesReset(builder *flatbuffers.Builder, updatesReset bool) {
+	builder.PrependBoolSlot(7, updatesReset, false)
 }
-func CapacityResponseAddUpdates(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(news), 0)
+func CapacityResponseAddUpdates(builder *flatbuffers.Builder, updates flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(updates), 0)
 }
 func CapacityResponseStartUpdatesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -4568,9 +4568,9 @@
 
 type UpdatesRequestT struct {
 	From        string   `json:"from"`
-	Feed        byte     `json:"kind"`
-	Zone        string   `json:"site"`
-	Incarnation uint64   `json:"inc"`
+	Feed        byte     `json:"feed"`
+	Zone        string   `json:"zone"`
+	Incarnation uint64   `json:"incarnation"`
 	Since       uint64   `json:"since"`
 	Shards      []uint16 `json:"shards"`
 }
@@ -4580,7 +4580,7 @@
 		return 0
 	}
 	fromOffset := builder.CreateString(t.From)
-	siteOffset := builder.CreateString(t.Zone)
+	zoneOffset := builder.CreateString(t.Zone)
 	shardsOffset := flatbuffers.UOffsetT(0)
 	if t.Shards != nil {
 		shardsLength := len(t.Shards)
@@ -4593,7 +4593,7 @@
 	UpdatesRequestStart(builder)
 	UpdatesRequestAddFrom(builder, fromOffset)
 	UpdatesRequestAddFeed(builder, t.Feed)
-	UpdatesRequestAddZone(builder, siteOffset)
+	UpdatesRequestAddZone(builder, zoneOffset)
 	UpdatesRequestAddIncarnation(builder, t.Incarnation)
 	UpdatesRequestAddSince(builder, t.Since)
 	UpdatesRequestAddShards(builder, shardsOffset)
@@ -4733,14 +4733,14 @@
 func UpdatesRequestAddFrom(builder *flatbuffers.Builder, from flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(from), 0)
 }
-func UpdatesRequestAddFeed(builder *flatbuffers.Builder, kind byte) {
-	builder.PrependByteSlot(1, kind, 0)
+func UpdatesRequestAddFeed(builder *flatbuffers.Builder, feed byte) {
+	builder.PrependByteSlot(1, feed, 0)
 }
-func UpdatesRequestAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(site), 0)
+func UpdatesRequestAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(zone), 0)
 }
-func UpdatesRequestAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(3, inc, 0)
+func UpdatesRequestAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(3, incarnation, 0)
 }
 func UpdatesRequestAddSince(builder *flatbuffers.Builder, since uint64) {
 	builder.PrependUint64Slot(4, since, 0)
@@ -4756,49 +4756,49 @@
 }
 
 type UpdatesResponseT struct {
-	Incarnation uint64             `json:"inc"`
+	Incarnation uint64             `json:"incarnation"`
 	Next        uint64             `json:"next"`
 	Reset       bool               `json:"reset"`
-	Updates     []*CacheUpdateT    `json:"news"`
-	Locations   []*HolderLocationT `json:"places"`
+	Updates     []*CacheUpdateT    `json:"updates"`
+	Locations   []*HolderLocationT `json:"locations"`
 }
 
 func (t *UpdatesResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	newsOffset := flatbuffers.UOffsetT(0)
+	updatesOffset := flatbuffers.UOffsetT(0)
 	if t.Updates != nil {
-		newsLength := len(t.Updates)
-		newsOffsets := make([]flatbuffers.UOffsetT, newsLength)
-		for j := 0; j < newsLength; j++ {
-			newsOffsets[j] = t.Updates[j].Pack(builder)
+		updatesLength := len(t.Updates)
+		updatesOffsets := make([]flatbuffers.UOffsetT, updatesLength)
+		for j := 0; j < updatesLength; j++ {
+			updatesOffsets[j] = t.Updates[j].Pack(builder)
 		}
-		UpdatesResponseStartUpdatesVector(builder, newsLength)
-		for j := newsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(newsOffsets[j])
+		UpdatesResponseStartUpdatesVector(builder, updatesLength)
+		for j := updatesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(updatesOffsets[j])
 		}
-		newsOffset = builder.EndVector(newsLength)
+		updatesOffset = builder.EndVector(updatesLength)
 	}
-	placesOffset := flatbuffers.UOffsetT(0)
+	locationsOffset := flatbuffers.UOffsetT(0)
 	if t.Locations != nil {
-		placesLength := len(t.Locations)
-		placesOffsets := make([]flatbuffers.UOffsetT, placesLength)
-		for j := 0; j < placesLength; j++ {
-			placesOffsets[j] = t.Locations[j].Pack(builder)
+		locationsLength := len(t.Locations)
+		locationsOffsets := make([]flatbuffers.UOffsetT, locationsLength)
+		for j := 0; j < locationsLength; j++ {
+			locationsOffsets[j] = t.Locations[j].Pack(builder)
 		}
-		UpdatesResponseStartLocationsVector(builder, placesLength)
-		for j := placesLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(placesOffsets[j])
+		UpdatesResponseStartLocationsVector(builder, locationsLength)
+		for j := locationsLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(locationsOffsets[j])
 		}
-		placesOffset = builder.EndVector(placesLength)
+		locationsOffset = builder.EndVector(locationsLength)
 	}
 	UpdatesResponseStart(builder)
 	UpdatesResponseAddIncarnation(builder, t.Incarnation)
 	UpdatesResponseAddNext(builder, t.Next)
 	UpdatesResponseAddReset(builder, t.Reset)
-	UpdatesResponseAddUpdates(builder, newsOffset)
-	UpdatesResponseAddLocations(builder, placesOffset)
+	UpdatesResponseAddUpdates(builder, updatesOffset)
+	UpdatesResponseAddLocations(builder, locationsOffset)
 	return UpdatesResponseEnd(builder)
 }
 
@@ -4806,16 +4806,16 @@
 	t.Incarnation = rcv.Incarnation()
 	t.Next = rcv.Next()
 	t.Reset = rcv.Reset()
-	newsLength := rcv.UpdatesLength()
-	t.Updates = make([]*CacheUpdateT, newsLength)
-	for j := 0; j < newsLength; j++ {
+	updatesLength := rcv.UpdatesLength()
+	t.Updates = make([]*CacheUpdateT, updatesLength)
+	for j := 0; j < updatesLength; j++ {
 		x := CacheUpdate{}
 		rcv.Updates(&x, j)
 		t.Updates[j] = x.UnPack()
 	}
-	placesLength := rcv.LocationsLength()
-	t.Locations = make([]*HolderLocationT, placesLength)
-	for j := 0; j < placesLength; j++ {
+	locationsLength := rcv.LocationsLength()
+	t.Locations = make([]*HolderLocationT, locationsLength)
+	for j := 0; j < locationsLength; j++ {
 		x := HolderLocation{}
 		rcv.Locations(&x, j)
 		t.Locations[j] = x.UnPack()
@@ -4937,8 +4937,8 @@
 func UpdatesResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(5)
 }
-func UpdatesResponseAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(0, inc, 0)
+func UpdatesResponseAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(0, incarnation, 0)
 }
 func UpdatesResponseAddNext(builder *flatbuffers.Builder, next uint64) {
 	builder.PrependUint64Slot(1, next, 0)
@@ -4946,14 +4946,14 @@
 func UpdatesResponseAddReset(builder *flatbuffers.Builder, reset bool) {
 	builder.PrependBoolSlot(2, reset, false)
 }
-func UpdatesResponseAddUpdates(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(news), 0)
+func UpdatesResponseAddUpdates(builder *flatbuffers.Builder, updates flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(updates), 0)
 }
 func UpdatesResponseStartUpdatesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func UpdatesResponseAddLocations(builder *flatbuffers.Builder, places flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(places), 0)
+func UpdatesResponseAddLocations(builder *flatbuffers.Builder, locations flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(locations), 0)
 }
 func UpdatesResponseStartLocationsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -4964,13 +4964,13 @@
 
 type FeedRequestT struct {
 	Node               *NodeT       `json:"node"`
-	HaveRevision       uint64       `json:"have"`
-	Demand             []*DemandT   `json:"wants"`
+	HaveRevision       uint64       `json:"have_revision"`
+	Demand             []*DemandT   `json:"demand"`
 	Active             uint32       `json:"active"`
-	UpdatesIncarnation uint64       `json:"news_inc"`
-	UpdatesSince       uint64       `json:"news_since"`
-	Transfers          []*TransferT `json:"imports"`
-	Outcomes           []*OutcomesT `json:"seen"`
+	UpdatesIncarnation uint64       `json:"updates_incarnation"`
+	UpdatesSince       uint64       `json:"updates_since"`
+	Transfers          []*TransferT `json:"transfers"`
+	Outcomes           []*OutcomesT `json:"outcomes"`
 }
 
 func (t *FeedRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -4978,63 +4978,63 @@
 		return 0
 	}
 	nodeOffset := t.Node.Pack(builder)
-	wantsOffset := flatbuffers.UOffsetT(0)
+	demandOffset := flatbuffers.UOffsetT(0)
 	if t.Demand != nil {
-		wantsLength := len(t.Demand)
-		wantsOffsets := make([]flatbuffers.UOffsetT, wantsLength)
-		for j := 0; j < wantsLength; j++ {
-			wantsOffsets[j] = t.Demand[j].Pack(builder)
+		demandLength := len(t.Demand)
+		demandOffsets := make([]flatbuffers.UOffsetT, demandLength)
+		for j := 0; j < demandLength; j++ {
+			demandOffsets[j] = t.Demand[j].Pack(builder)
 		}
-		FeedRequestStartDemandVector(builder, wantsLength)
-		for j := wantsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(wantsOffsets[j])
+		FeedRequestStartDemandVector(builder, demandLength)
+		for j := demandLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(demandOffsets[j])
 		}
-		wantsOffset = builder.EndVector(wantsLength)
+		demandOffset = builder.EndVector(demandLength)
 	}
-	importsOffset := flatbuffers.UOffsetT(0)
+	transfersOffset := flatbuffers.UOffsetT(0)
 	if t.Transfers != nil {
-		importsLength := len(t.Transfers)
-		importsOffsets := make([]flatbuffers.UOffsetT, importsLength)
-		for j := 0; j < importsLength; j++ {
-			importsOffsets[j] = t.Transfers[j].Pack(builder)
+		transfersLength := len(t.Transfers)
+		transfersOffsets := make([]flatbuffers.UOffsetT, transfersLength)
+		for j := 0; j < transfersLength; j++ {
+			transfersOffsets[j] = t.Transfers[j].Pack(builder)
 		}
-		FeedRequestStartTransfersVector(builder, importsLength)
-		for j := importsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(importsOffsets[j])
+		FeedRequestStartTransfersVector(builder, transfersLength)
+		for j := transfersLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(transfersOffsets[j])
 		}
-		importsOffset = builder.EndVector(importsLength)
+		transfersOffset = builder.EndVector(transfersLength)
 	}
-	seenOffset := flatbuffers.UOffsetT(0)
+	outcomesOffset := flatbuffers.UOffsetT(0)
 	if t.Outcomes != nil {
-		seenLength := len(t.Outcomes)
-		seenOffsets := make([]flatbuffers.UOffsetT, seenLength)
-		for j := 0; j < seenLength; j++ {
-			seenOffsets[j] = t.Outcomes[j].Pack(builder)
+		outcomesLength := len(t.Outcomes)
+		outcomesOffsets := make([]flatbuffers.UOffsetT, outcomesLength)
+		for j := 0; j < outcomesLength; j++ {
+			outcomesOffsets[j] = t.Outcomes[j].Pack(builder)
 		}
-		FeedRequestStartOutcomesVector(builder, seenLength)
-		for j := seenLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(seenOffsets[j])
+		FeedRequestStartOutcomesVector(builder, outcomesLength)
+		for j := outcomesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(outcomesOffsets[j])
 		}
-		seenOffset = builder.EndVector(seenLength)
+		outcomesOffset = builder.EndVector(outcomesLength)
 	}
 	FeedRequestStart(builder)
 	FeedRequestAddNode(builder, nodeOffset)
 	FeedRequestAddHaveRevision(builder, t.HaveRevision)
-	FeedRequestAddDemand(builder, wantsOffset)
+	FeedRequestAddDemand(builder, demandOffset)
 	FeedRequestAddActive(builder, t.Active)
 	FeedRequestAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
 	FeedRequestAddUpdatesSince(builder, t.UpdatesSince)
-	FeedRequestAddTransfers(builder, importsOffset)
-	FeedRequestAddOutcomes(builder, seenOffset)
+	FeedRequestAddTransfers(builder, transfersOffset)
+	FeedRequestAddOutcomes(builder, outcomesOffset)
 	return FeedRequestEnd(builder)
 }
 
 func (rcv *FeedRequest) UnPackTo(t *FeedRequestT) {
 	t.Node = rcv.Node(nil).UnPack()
 	t.HaveRevision = rcv.HaveRevision()
-	wantsLength := rcv.DemandLength()
-	t.Demand = make([]*DemandT, wantsLength)
-	for j := 0; j < wantsLength; j++ {
+	demandLength := rcv.DemandLength()
+	t.Demand = make([]*DemandT, demandLength)
+	for j := 0; j < demandLength; j++ {
 		x := Demand{}
 		rcv.Demand(&x, j)
 		t.Demand[j] = x.UnPack()
@@ -5042,16 +5042,16 @@
 	t.Active = rcv.Active()
 	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
 	t.UpdatesSince = rcv.UpdatesSince()
-	importsLength := rcv.TransfersLength()
-	t.Transfers = make([]*TransferT, importsLength)
-	for j := 0; j < importsLength; j++ {
+	transfersLength := rcv.TransfersLength()
+	t.Transfers = make([]*TransferT, transfersLength)
+	for j := 0; j < transfersLength; j++ {
 		x := Transfer{}
 		rcv.Transfers(&x, j)
 		t.Transfers[j] = x.UnPack()
 	}
-	seenLength := rcv.OutcomesLength()
-	t.Outcomes = make([]*OutcomesT, seenLength)
-	for j := 0; j < seenLength; j++ {
+	outcomesLength := rcv.OutcomesLength()
+	t.Outcomes = make([]*OutcomesT, outcomesLength)
+	for j := 0; j < outcomesLength; j++ {
 		x := Outcomes{}
 		rcv.Outcomes(&x, j)
 		t.Outcomes[j] = x.UnPack()
@@ -5221,11 +5221,11 @@
 func FeedRequestAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(node), 0)
 }
-func FeedRequestAddHaveRevision(builder *flatbuffers.Builder, have uint64) {
-	builder.PrependUint64Slot(1, have, 0)
+func FeedRequestAddHaveRevision(builder *flatbuffers.Builder, haveRevision uint64) {
+	builder.PrependUint64Slot(1, haveRevision, 0)
 }
-func FeedRequestAddDemand(builder *flatbuffers.Builder, wants flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(wants), 0)
+func FeedRequestAddDemand(builder *flatbuffers.Builder, demand flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(demand), 0)
 }
 func FeedRequestStartDemandVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -5233,20 +5233,20 @@
 func FeedRequestAddActive(builder *flatbuffers.Builder, active uint32) {
 	builder.PrependUint32Slot(3, active, 0)
 }
-func FeedRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
-	builder.PrependUint64Slot(4, newsInc, 0)
+func FeedRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, updatesIncarnation uint64) {
+	builder.PrependUint64Slot(4, updatesIncarnation, 0)
 }
-func FeedRequestAddUpdatesSince(builder *flatbuffers.Builder, newsSince uint64) {
-	builder.PrependUint64Slot(5, newsSince, 0)
+func FeedRequestAddUpdatesSince(builder *flatbuffers.Builder, updatesSince uint64) {
+	builder.PrependUint64Slot(5, updatesSince, 0)
 }
-func FeedRequestAddTransfers(builder *flatbuffers.Builder, imports flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(imports), 0)
+func FeedRequestAddTransfers(builder *flatbuffers.Builder, transfers flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(transfers), 0)
 }
 func FeedRequestStartTransfersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FeedRequestAddOutcomes(builder *flatbuffers.Builder, seen flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(seen), 0)
+func FeedRequestAddOutcomes(builder *flatbuffers.Builder, outcomes flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(outcomes), 0)
 }
 func FeedRequestStartOutcomesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -5256,17 +5256,17 @@
 }
 
 type FeedResponseT struct {
-	Revision           uint64          `json:"rev"`
+	Revision           uint64          `json:"revision"`
 	Age                int64           `json:"age"`
 	Plan               []byte          `json:"plan"`
-	Confirmed          bool            `json:"fresh"`
-	Grants             []*GrantT       `json:"orders"`
-	UpdatesIncarnation uint64          `json:"news_inc"`
-	UpdatesSince       uint64          `json:"news_at"`
-	UpdatesNext        uint64          `json:"news_next"`
-	UpdatesReset       bool            `json:"news_reset"`
-	Updates            []*CacheUpdateT `json:"news"`
-	Generation         uint64          `json:"era"`
+	Confirmed          bool            `json:"confirmed"`
+	Grants             []*GrantT       `json:"grants"`
+	UpdatesIncarnation uint64          `json:"updates_incarnation"`
+	UpdatesSince       uint64          `json:"updates_since"`
+	UpdatesNext        uint64          `json:"updates_next"`
+	UpdatesReset       bool            `json:"updates_reset"`
+	Updates            []*CacheUpdateT `json:"updates"`
+	Generation         uint64          `json:"generation"`
 }
 
 func (t *FeedResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -5277,43 +5277,43 @@
 	if t.Plan != nil {
 		planOffset = builder.CreateByteString(t.Plan)
 	}
-	ordersOffset := flatbuffers.UOffsetT(0)
+	grantsOffset := flatbuffers.UOffsetT(0)
 	if t.Grants != nil {
-		ordersLength := len(t.Grants)
-		ordersOffsets := make([]flatbuffers.UOffsetT, ordersLength)
-		for j := 0; j < ordersLength; j++ {
-			ordersOffsets[j] = t.Grants[j].Pack(builder)
+		grantsLength := len(t.Grants)
+		grantsOffsets := make([]flatbuffers.UOffsetT, grantsLength)
+		for j := 0; j < grantsLength; j++ {
+			grantsOffsets[j] = t.Grants[j].Pack(builder)
 		}
-		FeedResponseStartGrantsVector(builder, ordersLength)
-		for j := ordersLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(ordersOffsets[j])
+		FeedResponseStartGrantsVector(builder, grantsLength)
+		for j := grantsLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(grantsOffsets[j])
 		}
-		ordersOffset = builder.EndVector(ordersLength)
+		grantsOffset = builder.EndVector(grantsLength)
 	}
-	newsOffset := flatbuffers.UOffsetT(0)
+	updatesOffset := flatbuffers.UOffsetT(0)
 	if t.Updates != nil {
-		newsLength := len(t.Updates)
-		newsOffsets := make([]flatbuffers.UOffsetT, newsLength)
-		for j := 0; j < newsLength; j++ {
-			newsOffsets[j] = t.Updates[j].Pack(builder)
+		updatesLength := len(t.Updates)
+		updatesOffsets := make([]flatbuffers.UOffsetT, updatesLength)
+		for j := 0; j < updatesLength; j++ {
+			updatesOffsets[j] = t.Updates[j].Pack(builder)
 		}
-		FeedResponseStartUpdatesVector(builder, newsLength)
-		for j := newsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(newsOffsets[j])
+		FeedResponseStartUpdatesVector(builder, updatesLength)
+		for j := updatesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(updatesOffsets[j])
 		}
-		newsOffset = builder.EndVector(newsLength)
+		updatesOffset = builder.EndVector(updatesLength)
 	}
 	FeedResponseStart(builder)
 	FeedResponseAddRevision(builder, t.Revision)
 	FeedResponseAddAge(builder, t.Age)
 	FeedResponseAddPlan(builder, planOffset)
 	FeedResponseAddConfirmed(builder, t.Confirmed)
-	FeedResponseAddGrants(builder, ordersOffset)
+	FeedResponseAddGrants(builder, grantsOffset)
 	FeedResponseAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
 	FeedResponseAddUpdatesSince(builder, t.UpdatesSince)
 	FeedResponseAddUpdatesNext(builder, t.UpdatesNext)
 	FeedResponseAddUpdatesReset(builder, t.UpdatesReset)
-	FeedResponseAddUpdates(builder, newsOffset)
+	FeedResponseAddUpdates(builder, updatesOffset)
 	FeedResponseAddGeneration(builder, t.Generation)
 	return FeedResponseEnd(builder)
 }
@@ -5323,9 +5323,9 @@
 	t.Age = rcv.Age()
 	t.Plan = rcv.PlanBytes()
 	t.Confirmed = rcv.Confirmed()
-	ordersLength := rcv.GrantsLength()
-	t.Grants = make([]*GrantT, ordersLength)
-	for j := 0; j < ordersLength; j++ {
+	grantsLength := rcv.GrantsLength()
+	t.Grants = make([]*GrantT, grantsLength)
+	for j := 0; j < grantsLength; j++ {
 		x := Grant{}
 		rcv.Grants(&x, j)
 		t.Grants[j] = x.UnPack()
@@ -5334,9 +5334,9 @@
 	t.UpdatesSince = rcv.UpdatesSince()
 	t.UpdatesNext = rcv.UpdatesNext()
 	t.UpdatesReset = rcv.UpdatesReset()
-	newsLength := rcv.UpdatesLength()
-	t.Updates = make([]*CacheUpdateT, newsLength)
-	for j := 0; j < newsLength; j++ {
+	updatesLength := rcv.UpdatesLength()
+	t.Updates = make([]*CacheUpdateT, updatesLength)
+	for j := 0; j < updatesLength; j++ {
 		x := CacheUpdate{}
 		rcv.Updates(&x, j)
 		t.Updates[j] = x.UnPack()
@@ -5553,8 +5553,8 @@
 func FeedResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(11)
 }
-func FeedResponseAddRevision(builder *flatbuffers.Builder, rev uint64) {
-	builder.PrependUint64Slot(0, rev, 0)
+func FeedResponseAddRevision(builder *flatbuffers.Builder, revision uint64) {
+	builder.PrependUint64Slot(0, revision, 0)
 }
 func FeedResponseAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(1, age, 0)
@@ -5565,35 +5565,35 @@
 func FeedResponseStartPlanVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func FeedResponseAddConfirmed(builder *flatbuffers.Builder, fresh bool) {
-	builder.PrependBoolSlot(3, fresh, false)
+func FeedResponseAddConfirmed(builder *flatbuffers.Builder, confirmed bool) {
+	builder.PrependBoolSlot(3, confirmed, false)
 }
-func FeedResponseAddGrants(builder *flatbuffers.Builder, orders flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(orders), 0)
+func FeedResponseAddGrants(builder *flatbuffers.Builder, grants flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(grants), 0)
 }
 func FeedResponseStartGrantsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FeedResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
-	builder.PrependUint64Slot(5, newsInc, 0)
+func FeedResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, updatesIncarnation uint64) {
+	builder.PrependUint64Slot(5, updatesIncarnation, 0)
 }
-func FeedResponseAddUpdatesSince(builder *flatbuffers.Builder, newsAt uint64) {
-	builder.PrependUint64Slot(6, newsAt, 0)
+func FeedResponseAddUpdatesSince(builder *flatbuffers.Builder, updatesSince uint64) {
+	builder.PrependUint64Slot(6, updatesSince, 0)
 }
-func FeedResponseAddUpdatesNext(builder *flatbuffers.Builder, newsNext uint64) {
-	builder.PrependUint64Slot(7, newsNext, 0)
+func FeedResponseAddUpdatesNext(builder *flatbuffers.Builder, updatesNext uint64) {
+	builder.PrependUint64Slot(7, updatesNext, 0)
 }
-func FeedResponseAddUpdatesReset(builder *flatbuffers.Builder, newsReset bool) {
-	builder.PrependBoolSlot(8, newsReset, false)
+func FeedResponseAddUpdatesReset(builder *flatbuffers.Builder, updatesReset bool) {
+	builder.PrependBoolSlot(8, updatesReset, false)
 }
-func FeedResponseAddUpdates(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(news), 0)
+func FeedResponseAddUpdates(builder *flatbuffers.Builder, updates flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(updates), 0)
 }
 func FeedResponseStartUpdatesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FeedResponseAddGeneration(builder *flatbuffers.Builder, era uint64) {
-	builder.PrependUint64Slot(10, era, 0)
+func FeedResponseAddGeneration(builder *flatbuffers.Builder, generation uint64) {
+	builder.PrependUint64Slot(10, generation, 0)
 }
 func FeedResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -5693,12 +5693,12 @@
 	Id        string           `json:"id"`
 	Pool      string           `json:"pool"`
 	Addr      string           `json:"addr"`
-	Zone      string           `json:"site"`
+	Zone      string           `json:"zone"`
 	Draining  bool             `json:"draining"`
 	Slots     uint32           `json:"slots"`
 	Weights   []*ModelVersionT `json:"weights"`
-	Updating  bool             `json:"turning"`
-	Unhealthy bool             `json:"down"`
+	Updating  bool             `json:"updating"`
+	Unhealthy bool             `json:"unhealthy"`
 	Store     bool             `json:"store"`
 }
 
@@ -5709,7 +5709,7 @@
 	idOffset := builder.CreateString(t.Id)
 	poolOffset := builder.CreateString(t.Pool)
 	addrOffset := builder.CreateString(t.Addr)
-	siteOffset := builder.CreateString(t.Zone)
+	zoneOffset := builder.CreateString(t.Zone)
 	weightsOffset := flatbuffers.UOffsetT(0)
 	if t.Weights != nil {
 		weightsLength := len(t.Weights)
@@ -5727,7 +5727,7 @@
 	MapEngineAddId(builder, idOffset)
 	MapEngineAddPool(builder, poolOffset)
 	MapEngineAddAddr(builder, addrOffset)
-	MapEngineAddZone(builder, siteOffset)
+	MapEngineAddZone(builder, zoneOffset)
 	MapEngineAddDraining(builder, t.Draining)
 	MapEngineAddSlots(builder, t.Slots)
 	MapEngineAddWeights(builder, weightsOffset)
@@ -5916,8 +5916,8 @@
 func MapEngineAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(addr), 0)
 }
-func MapEngineAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(site), 0)
+func MapEngineAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(zone), 0)
 }
 func MapEngineAddDraining(builder *flatbuffers.Builder, draining bool) {
 	builder.PrependBoolSlot(4, draining, false)
@@ -5931,11 +5931,11 @@
 func MapEngineStartWeightsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapEngineAddUpdating(builder *flatbuffers.Builder, turning bool) {
-	builder.PrependBoolSlot(7, turning, false)
+func MapEngineAddUpdating(builder *flatbuffers.Builder, updating bool) {
+	builder.PrependBoolSlot(7, updating, false)
 }
-func MapEngineAddUnhealthy(builder *flatbuffers.Builder, down bool) {
-	builder.PrependBoolSlot(8, down, false)
+func MapEngineAddUnhealthy(builder *flatbuffers.Builder, unhealthy bool) {
+	builder.PrependBoolSlot(8, unhealthy, false)
 }
 func MapEngineAddStore(builder *flatbuffers.Builder, store bool) {
 	builder.PrependBoolSlot(9, store, false)
@@ -6054,11 +6054,11 @@
 
 type MapRequestT struct {
 	Node               *NodeT         `json:"node"`
-	Incarnation        uint64         `json:"inc"`
-	HaveRevision       uint64         `json:"have"`
-	HaveMap            uint64         `json:"map"`
-	UpdatesIncarnation uint64         `json:"news_inc"`
-	UpdatesSince       uint64         `json:"news_since"`
+	Incarnation        uint64         `json:"incarnation"`
+	HaveRevision       uint64         `json:"have_revision"`
+	HaveMap            uint64         `json:"have_map"`
+	UpdatesIncarnation uint64         `json:"updates_incarnation"`
+	UpdatesSince       uint64         `json:"updates_since"`
 	Hold               int64          `json:"hold"`
 	Loads              []*EngineLoadT `json:"loads"`
 }
@@ -6257,20 +6257,20 @@
 func MapRequestAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(node), 0)
 }
-func MapRequestAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(1, inc, 0)
+func MapRequestAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(1, incarnation, 0)
 }
-func MapRequestAddHaveRevision(builder *flatbuffers.Builder, have uint64) {
-	builder.PrependUint64Slot(2, have, 0)
+func MapRequestAddHaveRevision(builder *flatbuffers.Builder, haveRevision uint64) {
+	builder.PrependUint64Slot(2, haveRevision, 0)
 }
-func MapRequestAddHaveMap(builder *flatbuffers.Builder, map_ uint64) {
-	builder.PrependUint64Slot(3, map_, 0)
+func MapRequestAddHaveMap(builder *flatbuffers.Builder, haveMap uint64) {
+	builder.PrependUint64Slot(3, haveMap, 0)
 }
-func MapRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
-	builder.PrependUint64Slot(4, newsInc, 0)
+func MapRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, updatesIncarnation uint64) {
+	builder.PrependUint64Slot(4, updatesIncarnation, 0)
 }
-func MapRequestAddUpdatesSince(builder *flatbuffers.Builder, newsSince uint64) {
-	builder.PrependUint64Slot(5, newsSince, 0)
+func MapRequestAddUpdatesSince(builder *flatbuffers.Builder, updatesSince uint64) {
+	builder.PrependUint64Slot(5, updatesSince, 0)
 }
 func MapRequestAddHold(builder *flatbuffers.Builder, hold int64) {
 	builder.PrependInt64Slot(6, hold, 0)
@@ -6288,8 +6288,8 @@
 type EngineLoadT struct {
 	Node          uint64 `json:"node"`
 	Active        uint32 `json:"active"`
-	PrefillTokens uint32 `json:"reading"`
-	MemoryTokens  uint32 `json:"tokens"`
+	PrefillTokens uint32 `json:"prefill_tokens"`
+	MemoryTokens  uint32 `json:"memory_tokens"`
 }
 
 func (t *EngineLoadT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -6404,11 +6404,11 @@
 func EngineLoadAddActive(builder *flatbuffers.Builder, active uint32) {
 	builder.PrependUint32Slot(1, active, 0)
 }
-func EngineLoadAddPrefillTokens(builder *flatbuffers.Builder, reading uint32) {
-	builder.PrependUint32Slot(2, reading, 0)
+func EngineLoadAddPrefillTokens(builder *flatbuffers.Builder, prefillTokens uint32) {
+	builder.PrependUint32Slot(2, prefillTokens, 0)
 }
-func EngineLoadAddMemoryTokens(builder *flatbuffers.Builder, tokens uint32) {
-	builder.PrependUint32Slot(3, tokens, 0)
+func EngineLoadAddMemoryTokens(builder *flatbuffers.Builder, memoryTokens uint32) {
+	builder.PrependUint32Slot(3, memoryTokens, 0)
 }
 func EngineLoadEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -6658,35 +6658,35 @@
 }
 
 type MapResponseT struct {
-	Incarnation        uint64               `json:"inc"`
-	Zone               string               `json:"site"`
-	Waited             int64                `json:"held"`
+	Incarnation        uint64               `json:"incarnation"`
+	Zone               string               `json:"zone"`
+	Waited             int64                `json:"waited"`
 	Known              bool                 `json:"known"`
-	Revision           uint64               `json:"rev"`
+	Revision           uint64               `json:"revision"`
 	Age                int64                `json:"age"`
 	Config             []byte               `json:"config"`
 	Map                uint64               `json:"map"`
-	FullMap            bool                 `json:"whole"`
+	FullMap            bool                 `json:"full_map"`
 	ListAge            int64                `json:"list_age"`
 	Engines            []*MapEngineT        `json:"engines"`
-	Announced          []*AnnouncedVersionT `json:"named"`
+	Announced          []*AnnouncedVersionT `json:"announced"`
 	Proxies            uint32               `json:"proxies"`
 	Voters             []string             `json:"voters"`
-	UpdatesIncarnation uint64               `json:"news_inc"`
-	UpdatesNext        uint64               `json:"news_next"`
-	UpdatesReset       bool                 `json:"news_reset"`
-	Updates            []*CacheUpdateT      `json:"news"`
+	UpdatesIncarnation uint64               `json:"updates_incarnation"`
+	UpdatesNext        uint64               `json:"updates_next"`
+	UpdatesReset       bool                 `json:"updates_reset"`
+	Updates            []*CacheUpdateT      `json:"updates"`
 	Loads              []*EngineLoadT       `json:"loads"`
 	Complete           bool                 `json:"complete"`
-	AnnouncedTerm      uint64               `json:"named_epoch"`
-	AnnouncedAge       int64                `json:"named_age"`
+	AnnouncedTerm      uint64               `json:"announced_term"`
+	AnnouncedAge       int64                `json:"announced_age"`
 }
 
 func (t *MapResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	siteOffset := builder.CreateString(t.Zone)
+	zoneOffset := builder.CreateString(t.Zone)
 	configOffset := flatbuffers.UOffsetT(0)
 	if t.Config != nil {
 		configOffset = builder.CreateByteString(t.Config)
@@ -6704,18 +6704,18 @@
 		}
 		enginesOffset = builder.EndVector(enginesLength)
 	}
-	namedOffset := flatbuffers.UOffsetT(0)
+	announcedOffset := flatbuffers.UOffsetT(0)
 	if t.Announced != nil {
-		namedLength := len(t.Announced)
-		namedOffsets := make([]flatbuffers.UOffsetT, namedLength)
-		for j := 0; j < namedLength; j++ {
-			namedOffsets[j] = t.Announced[j].Pack(builder)
+		announcedLength := len(t.Announced)
+		announcedOffsets := make([]flatbuffers.UOffsetT, announcedLength)
+		for j := 0; j < announcedLength; j++ {
+			announcedOffsets[j] = t.Announced[j].Pack(builder)
 		}
-		MapResponseStartAnnouncedVector(builder, namedLength)
-		for j := namedLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(namedOffsets[j])
+		MapResponseStartAnnouncedVector(builder, announcedLength)
+		for j := announcedLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(announcedOffsets[j])
 		}
-		namedOffset = builder.EndVector(namedLength)
+		announcedOffset = builder.EndVector(announcedLength)
 	}
 	votersOffset := flatbuffers.UOffsetT(0)
 	if t.Voters != nil {
@@ -6730,18 +6730,18 @@
 		}
 		votersOffset = builder.EndVector(votersLength)
 	}
-	newsOffset := flatbuffers.UOffsetT(0)
+	updatesOffset := flatbuffers.UOffsetT(0)
 	if t.Updates != nil {
-		newsLength := len(t.Updates)
-		newsOffsets := make([]flatbuffers.UOffsetT, newsLength)
-		for j := 0; j < newsLength; j++ {
-			newsOffsets[j] = t.Updates[j].Pack(builder)
+		updatesLength := len(t.Updates)
+		updatesOffsets := make([]flatbuffers.UOffsetT, updatesLength)
+		for j := 0; j < updatesLength; j++ {
+			updatesOffsets[j] = t.Updates[j].Pack(builder)
 		}
-		MapResponseStartUpdatesVector(builder, newsLength)
-		for j := newsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(newsOffsets[j])
+		MapResponseStartUpdatesVector(builder, updatesLength)
+		for j := updatesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(updatesOffsets[j])
 		}
-		newsOffset = builder.EndVector(newsLength)
+		updatesOffset = builder.EndVector(updatesLength)
 	}
 	loadsOffset := flatbuffers.UOffsetT(0)
 	if t.Loads != nil {
@@ -6758,7 +6758,7 @@
 	}
 	MapResponseStart(builder)
 	MapResponseAddIncarnation(builder, t.Incarnation)
-	MapResponseAddZone(builder, siteOffset)
+	MapResponseAddZone(builder, zoneOffset)
 	MapResponseAddWaited(builder, t.Waited)
 	MapResponseAddKnown(builder, t.Known)
 	MapResponseAddRevision(builder, t.Revision)
@@ -6768,13 +6768,13 @@
 	MapResponseAddFullMap(builder, t.FullMap)
 	MapResponseAddListAge(builder, t.ListAge)
 	MapResponseAddEngines(builder, enginesOffset)
-	MapResponseAddAnnounced(builder, namedOffset)
+	MapResponseAddAnnounced(builder, announcedOffset)
 	MapResponseAddProxies(builder, t.Proxies)
 	MapResponseAddVoters(builder, votersOffset)
 	MapResponseAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
 	MapResponseAddUpdatesNext(builder, t.UpdatesNext)
 	MapResponseAddUpdatesReset(builder, t.UpdatesReset)
-	MapResponseAddUpdates(builder, newsOffset)
+	MapResponseAddUpdates(builder, updatesOffset)
 	MapResponseAddLoads(builder, loadsOffset)
 	MapResponseAddComplete(builder, t.Complete)
 	MapResponseAddAnnouncedTerm(builder, t.AnnouncedTerm)
@@ -6800,9 +6800,9 @@
 		rcv.Engines(&x, j)
 		t.Engines[j] = x.UnPack()
 	}
-	namedLength := rcv.AnnouncedLength()
-	t.Announced = make([]*AnnouncedVersionT, namedLength)
-	for j := 0; j < namedLength; j++ {
+	announcedLength := rcv.AnnouncedLength()
+	t.Announced = make([]*AnnouncedVersionT, announcedLength)
+	for j := 0; j < announcedLength; j++ {
 		x := AnnouncedVersion{}
 		rcv.Announced(&x, j)
 		t.Announced[j] = x.UnPack()
@@ -6816,9 +6816,9 @@
 	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
 	t.UpdatesNext = rcv.UpdatesNext()
 	t.UpdatesReset = rcv.UpdatesReset()
-	newsLength := rcv.UpdatesLength()
-	t.Updates = make([]*CacheUpdateT, newsLength)
-	for j := 0; j < newsLength; j++ {
+	updatesLength := rcv.UpdatesLength()
+	t.Updates = make([]*CacheUpdateT, updatesLength)
+	for j := 0; j < updatesLength; j++ {
 		x := CacheUpdate{}
 		rcv.Updates(&x, j)
 		t.Updates[j] = x.UnPack()
@@ -7193,20 +7193,20 @@
 func MapResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(22)
 }
-func MapResponseAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
-	builder.PrependUint64Slot(0, inc, 0)
+func MapResponseAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(0, incarnation, 0)
 }
-func MapResponseAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(site), 0)
+func MapResponseAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(zone), 0)
 }
-func MapResponseAddWaited(builder *flatbuffers.Builder, held int64) {
-	builder.PrependInt64Slot(2, held, 0)
+func MapResponseAddWaited(builder *flatbuffers.Builder, waited int64) {
+	builder.PrependInt64Slot(2, waited, 0)
 }
 func MapResponseAddKnown(builder *flatbuffers.Builder, known bool) {
 	builder.PrependBoolSlot(3, known, false)
 }
-func MapResponseAddRevision(builder *flatbuffers.Builder, rev uint64) {
-	builder.PrependUint64Slot(4, rev, 0)
+func MapResponseAddRevision(builder *flatbuffers.Builder, revision uint64) {
+	builder.PrependUint64Slot(4, revision, 0)
 }
 func MapResponseAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(5, age, 0)
@@ -7220,8 +7220,8 @@
 func MapResponseAddMap(builder *flatbuffers.Builder, map_ uint64) {
 	builder.PrependUint64Slot(7, map_, 0)
 }
-func MapResponseAddFullMap(builder *flatbuffers.Builder, whole bool) {
-	builder.PrependBoolSlot(8, whole, false)
+func MapResponseAddFullMap(builder *flatbuffers.Builder, fullMap bool) {
+	builder.PrependBoolSlot(8, fullMap, false)
 }
 func MapResponseAddListAge(builder *flatbuffers.Builder, listAge int64) {
 	builder.PrependInt64Slot(9, listAge, 0)
@@ -7232,8 +7232,8 @@
 func MapResponseStartEnginesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapResponseAddAnnounced(builder *flatbuffers.Builder, named flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(named), 0)
+func MapResponseAddAnnounced(builder *flatbuffers.Builder, announced flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(announced), 0)
 }
 func MapResponseStartAnnouncedVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -7247,17 +7247,17 @@
 func MapResponseStartVotersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
-	builder.PrependUint64Slot(14, newsInc, 0)
+func MapResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, updatesIncarnation uint64) {
+	builder.PrependUint64Slot(14, updatesIncarnation, 0)
 }
-func MapResponseAddUpdatesNext(builder *flatbuffers.Builder, newsNext uint64) {
-	builder.PrependUint64Slot(15, newsNext, 0)
+func MapResponseAddUpdatesNext(builder *flatbuffers.Builder, updatesNext uint64) {
+	builder.PrependUint64Slot(15, updatesNext, 0)
 }
-func MapResponseAddUpdatesReset(builder *flatbuffers.Builder, newsReset bool) {
-	builder.PrependBoolSlot(16, newsReset, false)
+func MapResponseAddUpdatesReset(builder *flatbuffers.Builder, updatesReset bool) {
+	builder.PrependBoolSlot(16, updatesReset, false)
 }
-func MapResponseAddUpdates(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(17, flatbuffers.UOffsetT(news), 0)
+func MapResponseAddUpdates(builder *flatbuffers.Builder, updates flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(17, flatbuffers.UOffsetT(updates), 0)
 }
 func MapResponseStartUpdatesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
@@ -7271,11 +7271,11 @@
 func MapResponseAddComplete(builder *flatbuffers.Builder, complete bool) {
 	builder.PrependBoolSlot(19, complete, false)
 }
-func MapResponseAddAnnouncedTerm(builder *flatbuffers.Builder, namedEpoch uint64) {
-	builder.PrependUint64Slot(20, namedEpoch, 0)
+func MapResponseAddAnnouncedTerm(builder *flatbuffers.Builder, announcedTerm uint64) {
+	builder.PrependUint64Slot(20, announcedTerm, 0)
 }
-func MapResponseAddAnnouncedAge(builder *flatbuffers.Builder, namedAge int64) {
-	builder.PrependInt64Slot(21, namedAge, 0)
+func MapResponseAddAnnouncedAge(builder *flatbuffers.Builder, announcedAge int64) {
+	builder.PrependInt64Slot(21, announcedAge, 0)
 }
 func MapResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
@@ -7370,68 +7370,68 @@
 
 type FrameT struct {
 	Ref               uint64              `json:"ref"`
-	VoterMessage      *VoterMessageT      `json:"settle"`
-	JoinRequest       *JoinRequestT       `json:"found_ask"`
-	JoinResponse      *JoinResponseT      `json:"found_tell"`
-	HeartbeatRequest  *HeartbeatRequestT  `json:"beat_ask"`
-	HeartbeatResponse *HeartbeatResponseT `json:"beat_tell"`
-	SessionUpdate     *SessionUpdateT     `json:"roll_tell"`
-	OperationRequest  *OperationRequestT  `json:"op_ask"`
-	OperationResponse *OperationResponseT `json:"op_tell"`
-	CapacityRequest   *CapacityRequestT   `json:"room_ask"`
-	CapacityResponse  *CapacityResponseT  `json:"room_tell"`
-	UpdatesRequest    *UpdatesRequestT    `json:"news_ask"`
-	UpdatesResponse   *UpdatesResponseT   `json:"news_tell"`
-	FeedRequest       *FeedRequestT       `json:"feed_ask"`
-	FeedResponse      *FeedResponseT      `json:"feed_tell"`
-	Error             *ErrorT             `json:"problem"`
-	MapRequest        *MapRequestT        `json:"map_ask"`
-	MapResponse       *MapResponseT       `json:"map_tell"`
-	LoadUpdate        *LoadUpdateT        `json:"load_tell"`
+	VoterMessage      *VoterMessageT      `json:"voter_message"`
+	JoinRequest       *JoinRequestT       `json:"join_request"`
+	JoinResponse      *JoinResponseT      `json:"join_response"`
+	HeartbeatRequest  *HeartbeatRequestT  `json:"heartbeat_request"`
+	HeartbeatResponse *HeartbeatResponseT `json:"heartbeat_response"`
+	SessionUpdate     *SessionUpdateT     `json:"session_update"`
+	OperationRequest  *OperationRequestT  `json:"operation_request"`
+	OperationResponse *OperationResponseT `json:"operation_response"`
+	CapacityRequest   *CapacityRequestT   `json:"capacity_request"`
+	CapacityResponse  *CapacityResponseT  `json:"capacity_response"`
+	UpdatesRequest    *UpdatesRequestT    `json:"updates_request"`
+	UpdatesResponse   *UpdatesResponseT   `json:"updates_response"`
+	FeedRequest       *FeedRequestT       `json:"feed_request"`
+	FeedResponse      *FeedResponseT      `json:"feed_response"`
+	Error             *ErrorT             `json:"error"`
+	MapRequest        *MapRequestT        `json:"map_request"`
+	MapResponse       *MapResponseT       `json:"map_response"`
+	LoadUpdate        *LoadUpdateT        `json:"load_update"`
 }
 
 func (t *FrameT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	settleOffset := t.VoterMessage.Pack(builder)
-	foundAskOffset := t.JoinRequest.Pack(builder)
-	foundTellOffset := t.JoinResponse.Pack(builder)
-	beatAskOffset := t.HeartbeatRequest.Pack(builder)
-	beatTellOffset := t.HeartbeatResponse.Pack(builder)
-	rollTellOffset := t.SessionUpdate.Pack(builder)
-	opAskOffset := t.OperationRequest.Pack(builder)
-	opTellOffset := t.OperationResponse.Pack(builder)
-	roomAskOffset := t.CapacityRequest.Pack(builder)
-	roomTellOffset := t.CapacityResponse.Pack(builder)
-	newsAskOffset := t.UpdatesRequest.Pack(builder)
-	newsTellOffset := t.UpdatesResponse.Pack(builder)
-	feedAskOffset := t.FeedRequest.Pack(builder)
-	feedTellOffset := t.FeedResponse.Pack(builder)
-	problemOffset := t.Error.Pack(builder)
-	mapAskOffset := t.MapRequest.Pack(builder)
-	mapTellOffset := t.MapResponse.Pack(builder)
-	loadTellOffset := t.LoadUpdate.Pack(builder)
+	voterMessageOffset := t.VoterMessage.Pack(builder)
+	joinRequestOffset := t.JoinRequest.Pack(builder)
+	joinResponseOffset := t.JoinResponse.Pack(builder)
+	heartbeatRequestOffset := t.HeartbeatRequest.Pack(builder)
+	heartbeatResponseOffset := t.HeartbeatResponse.Pack(builder)
+	sessionUpdateOffset := t.SessionUpdate.Pack(builder)
+	operationRequestOffset := t.OperationRequest.Pack(builder)
+	operationResponseOffset := t.OperationResponse.Pack(builder)
+	capacityRequestOffset := t.CapacityRequest.Pack(builder)
+	capacityResponseOffset := t.CapacityResponse.Pack(builder)
+	updatesRequestOffset := t.UpdatesRequest.Pack(builder)
+	updatesResponseOffset := t.UpdatesResponse.Pack(builder)
+	feedRequestOffset := t.FeedRequest.Pack(builder)
+	feedResponseOffset := t.FeedResponse.Pack(builder)
+	errorOffset := t.Error.Pack(builder)
+	mapRequestOffset := t.MapRequest.Pack(builder)
+	mapResponseOffset := t.MapResponse.Pack(builder)
+	loadUpdateOffset := t.LoadUpdate.Pack(builder)
 	FrameStart(builder)
 	FrameAddRef(builder, t.Ref)
-	FrameAddVoterMessage(builder, settleOffset)
-	FrameAddJoinRequest(builder, foundAskOffset)
-	FrameAddJoinResponse(builder, foundTellOffset)
-	FrameAddHeartbeatRequest(builder, beatAskOffset)
-	FrameAddHeartbeatResponse(builder, beatTellOffset)
-	FrameAddSessionUpdate(builder, rollTellOffset)
-	FrameAddOperationRequest(builder, opAskOffset)
-	FrameAddOperationResponse(builder, opTellOffset)
-	FrameAddCapacityRequest(builder, roomAskOffset)
-	FrameAddCapacityResponse(builder, roomTellOffset)
-	FrameAddUpdatesRequest(builder, newsAskOffset)
-	FrameAddUpdatesResponse(builder, newsTellOffset)
-	FrameAddFeedRequest(builder, feedAskOffset)
-	FrameAddFeedResponse(builder, feedTellOffset)
-	FrameAddError(builder, problemOffset)
-	FrameAddMapRequest(builder, mapAskOffset)
-	FrameAddMapResponse(builder, mapTellOffset)
-	FrameAddLoadUpdate(builder, loadTellOffset)
+	FrameAddVoterMessage(builder, voterMessageOffset)
+	FrameAddJoinRequest(builder, joinRequestOffset)
+	FrameAddJoinResponse(builder, joinResponseOffset)
+	FrameAddHeartbeatRequest(builder, heartbeatRequestOffset)
+	FrameAddHeartbeatResponse(builder, heartbeatResponseOffset)
+	FrameAddSessionUpdate(builder, sessionUpdateOffset)
+	FrameAddOperationRequest(builder, operationRequestOffset)
+	FrameAddOperationResponse(builder, operationResponseOffset)
+	FrameAddCapacityRequest(builder, capacityRequestOffset)
+	FrameAddCapacityResponse(builder, capacityResponseOffset)
+	FrameAddUpdatesRequest(builder, updatesRequestOffset)
+	FrameAddUpdatesResponse(builder, updatesResponseOffset)
+	FrameAddFeedRequest(builder, feedRequestOffset)
+	FrameAddFeedResponse(builder, feedResponseOffset)
+	FrameAddError(builder, errorOffset)
+	FrameAddMapRequest(builder, mapRequestOffset)
+	FrameAddMapResponse(builder, mapResponseOffset)
+	FrameAddLoadUpdate(builder, loadUpdateOffset)
 	return FrameEnd(builder)
 }
 
@@ -7745,59 +7745,59 @@
 func FrameAddRef(builder *flatbuffers.Builder, ref uint64) {
 	builder.PrependUint64Slot(0, ref, 0)
 }
-func FrameAddVoterMessage(builder *flatbuffers.Builder, settle flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(settle), 0)
+func FrameAddVoterMessage(builder *flatbuffers.Builder, voterMessage flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(voterMessage), 0)
 }
-func FrameAddJoinRequest(builder *flatbuffers.Builder, foundAsk flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(foundAsk), 0)
+func FrameAddJoinRequest(builder *flatbuffers.Builder, joinRequest flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(joinRequest), 0)
 }
-func FrameAddJoinResponse(builder *flatbuffers.Builder, foundTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(foundTell), 0)
+func FrameAddJoinResponse(builder *flatbuffers.Builder, joinResponse flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(joinResponse), 0)
 }
-func FrameAddHeartbeatRequest(builder *flatbuffers.Builder, beatAsk flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(beatAsk), 0)
+func FrameAddHeartbeatRequest(builder *flatbuffers.Builder, heartbeatRequest flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(heartbeatRequest), 0)
 }
-func FrameAddHeartbeatResponse(builder *flatbuffers.Builder, beatTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(beatTell), 0)
+func FrameAddHeartbeatResponse(builder *flatbuffers.Builder, heartbeatResponse flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(heartbeatResponse), 0)
 }
-func FrameAddSessionUpdate(builder *flatbuffers.Builder, rollTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(rollTell), 0)
+func FrameAddSessionUpdate(builder *flatbuffers.Builder, sessionUpdate flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(sessionUpdate), 0)
 }
-func FrameAddOperationRequest(builder *flatbuffers.Builder, opAsk flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(opAsk), 0)
+func FrameAddOperationRequest(builder *flatbuffers.Builder, operationRequest flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(operationRequest), 0)
 }
-func FrameAddOperationResponse(builder *flatbuffers.Builder, opTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(opTell), 0)
+func FrameAddOperationResponse(builder *flatbuffers.Builder, operationResponse flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(operationResponse), 0)
 }
-func FrameAddCapacityRequest(builder *flatbuffers.Builder, roomAsk flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(roomAsk), 0)
+func FrameAddCapacityRequest(builder *flatbuffers.Builder, capacityRequest flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(capacityRequest), 0)
 }
-func FrameAddCapacityResponse(builder *flatbuffers.Builder, roomTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(10, flatbuffers.UOffsetT(roomTell), 0)
+func FrameAddCapacityResponse(builder *flatbuffers.Builder, capacityResponse flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(10, flatbuffers.UOffsetT(capacityResponse), 0)
 }
-func FrameAddUpdatesRequest(builder *flatbuffers.Builder, newsAsk flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(newsAsk), 0)
+func FrameAddUpdatesRequest(builder *flatbuffers.Builder, updatesRequest flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(updatesRequest), 0)
 }
-func FrameAddUpdatesResponse(builder *flatbuffers.Builder, newsTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(newsTell), 0)
+func FrameAddUpdatesResponse(builder *flatbuffers.Builder, updatesResponse flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(updatesResponse), 0)
 }
-func FrameAddFeedRequest(builder *flatbuffers.Builder, feedAsk flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(13, flatbuffers.UOffsetT(feedAsk), 0)
+func FrameAddFeedRequest(builder *flatbuffers.Builder, feedRequest flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(13, flatbuffers.UOffsetT(feedRequest), 0)
 }
-func FrameAddFeedResponse(builder *flatbuffers.Builder, feedTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(14, flatbuffers.UOffsetT(feedTell), 0)
+func FrameAddFeedResponse(builder *flatbuffers.Builder, feedResponse flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(14, flatbuffers.UOffsetT(feedResponse), 0)
 }
-func FrameAddError(builder *flatbuffers.Builder, problem flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(15, flatbuffers.UOffsetT(problem), 0)
+func FrameAddError(builder *flatbuffers.Builder, error flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(15, flatbuffers.UOffsetT(error), 0)
 }
-func FrameAddMapRequest(builder *flatbuffers.Builder, mapAsk flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(16, flatbuffers.UOffsetT(mapAsk), 0)
+func FrameAddMapRequest(builder *flatbuffers.Builder, mapRequest flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(16, flatbuffers.UOffsetT(mapRequest), 0)
 }
-func FrameAddMapResponse(builder *flatbuffers.Builder, mapTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(17, flatbuffers.UOffsetT(mapTell), 0)
+func FrameAddMapResponse(builder *flatbuffers.Builder, mapResponse flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(17, flatbuffers.UOffsetT(mapResponse), 0)
 }
-func FrameAddLoadUpdate(builder *flatbuffers.Builder, loadTell flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(18, flatbuffers.UOffsetT(loadTell), 0)
+func FrameAddLoadUpdate(builder *flatbuffers.Builder, loadUpdate flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(18, flatbuffers.UOffsetT(loadUpdate), 0)
 }
 func FrameEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
