--- a/docs/logs_test.go
+++ b/docs/logs_test.go
@@ -13,6 +13,8 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"violetthread/quorum"
 )
 
 // logPage lists every log event with its keys, and every key with its meaning.
@@ -101,6 +103,9 @@
 	if len(arguments) == 0 {
 		return "" // testing.T.Error and its like
 	}
+	if call.Ellipsis.IsValid() {
+		return e.addTyped(arguments)
+	}
 	event, ok := literal(arguments[0])
 	if !ok {
 		return "the event is no literal"
@@ -117,6 +122,36 @@
 	return ""
 }
 
+// addTyped adds the events that the agreement core types itself, which are logged as
+// Info(event.Type.String(), event.KeysAndValues()...).
+func (e logEvents) addTyped(arguments []ast.Expr) string {
+	if len(arguments) != 2 || !callsMethod(arguments[0], "String") || !callsMethod(arguments[1], "KeysAndValues") {
+		return "the event is no literal, and no event of the agreement core"
+	}
+	for kind := quorum.EventType(1); ; kind++ {
+		pairs := quorum.Event{Type: kind}.KeysAndValues()
+		if pairs == nil {
+			return ""
+		}
+		if kind.Frequent() {
+			continue // left out of the log
+		}
+		e.add(kind.String())
+		for i := 0; i < len(pairs); i += 2 {
+			e.add(kind.String(), pairs[i].(string))
+		}
+	}
+}
+
+func callsMethod(expression ast.Expr, name string) bool {
+	call, ok := expression.(*ast.CallExpr)
+	if !ok {
+		return false
+	}
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	return ok && method.Sel.Name == name
+}
+
 func literal(expression ast.Expr) (string, bool) {
 	basic, ok := expression.(*ast.BasicLit)
 	if !ok || basic.Kind != token.STRING {
--- a/docs/symbols_test.go
+++ b/docs/symbols_test.go
@@ -11,18 +11,30 @@
 	"regexp"
 	"strings"
 	"testing"
+
+	"violetthread/internal/app/directory"
+	"violetthread/route"
 )
 
 // checkedPages name code by symbol; each symbol must be there.
 var checkedPages = []string{"control-safety.md", "architecture.md", "glossary.md", "design.md", "bounds.md", "platform.md"}
 
 var (
-	inCode     = regexp.MustCompile("`([^`\n]+)`")
-	testName   = regexp.MustCompile(`^(Test|Fuzz|Example|Benchmark)[A-Z0-9]\w*`)
-	symbolName = regexp.MustCompile(`^([a-z][\w/]*)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?$`)
-	fileName   = regexp.MustCompile(`^[\w.-]+(/[\w.-]+)+$`)
+	inCode      = regexp.MustCompile("`([^`\n]+)`")
+	testName    = regexp.MustCompile(`^(Test|Fuzz|Example|Benchmark)[A-Z0-9]\w*`)
+	symbolName  = regexp.MustCompile(`^([a-z][\w/]*)\.([A-Za-z]\w*)(?:\.([A-Za-z]\w*))?$`)
+	programName = regexp.MustCompile(`^violetthread(-[a-z]+)?$`)
+	fileName    = regexp.MustCompile(`^[\w.-]+(/[\w.-]+)+$`)
 )
 
+// storedKeys are keys of registers, which look like paths; the code spells them this way.
+var storedKeys = map[string]bool{
+	route.ConfigKey: true, route.WeightsKey: true, directory.RolloutKey: true, directory.WeightsRoleKey: true,
+}
+
+// libraries are packages of the language or of others that pages name.
+var libraries = map[string]bool{"net/http": true}
+
 // declared lists what the project's source declares: tests by name, and symbols as
 // package.Name and package.Type.Member, the package being the last part of its path.
 func declared(t *testing.T) map[string]bool {
@@ -128,6 +140,15 @@
 		}
 		return ""
 	}
+	if programName.MatchString(code) {
+		if _, err := os.Stat(filepath.Join("..", "cmd", code)); err != nil {
+			return "no such program"
+		}
+		return ""
+	}
+	if storedKeys[code] || libraries[code] {
+		return ""
+	}
 	if fileName.MatchString(code) {
 		if _, err := os.Stat(filepath.Join("..", code)); err != nil {
 			return "no such file"
@@ -163,7 +184,7 @@
 	for code, want := range map[string]string{
 		"quorum.Node.ReadUnderLease": "", "quorum.Node.NoSuchMethod": "no such symbol", "quorum.Entry.Revision": "",
 		"TestMissing": "", "TestNoSuchTest": "no such test", "docs/symbols_test.go": "", "docs/no-such.md": "no such file",
-		"scripts/test": "", "a few words": "",
+		"scripts/test": "", "a few words": "", "duty/weights": "", "violetthread-ctl": "", "violetthread-none": "no such program",
 	} {
 		if got := missing(names, code); got != want {
 			t.Errorf("%s: %q, want %q", code, got, want)
