--- /dev/null
+++ b/cmd/violetthread-ctl/view_proxies.go
@@ -0,0 +1,42 @@
+package main
+
+import (
+	"context"
+	"slices"
+	"strings"
+
+	"violetthread/internal/codec"
+)
+
+// proxies lists how fresh each gateway's plan is and what it does. The columns from
+// plan_rev on are its metrics.
+func (t *tool) proxies(ctx context.Context) (view, error) {
+	v := view{columns: []string{"proxy", "site", "ready", "plan_rev", "plan_age_us", "running", "hints", "tickets_total", "refused_total", "unknown_total", "retries_total"}}
+	fleet, err := t.fleet(ctx)
+	if err != nil {
+		return v, err
+	}
+	for _, n := range fleet.Nodes {
+		if n.Role != codec.RoleGateway {
+			continue
+		}
+		r := row{"proxy": n.Name, "site": n.Zone, "ready": n.Ready}
+		page, err := t.page(n.HTTP, "/metrics")
+		if err != nil {
+			r["problem"] = "does not answer: " + err.Error()
+		}
+		r.addMetrics(string(page), v.columns)
+		v.rows = append(v.rows, r)
+	}
+	return v, nil
+}
+
+// addMetrics takes the metrics that are columns, each once.
+func (r row) addMetrics(page string, columns []string) {
+	for _, line := range strings.Split(page, "\n") {
+		name, value, ok := strings.Cut(strings.TrimPrefix(line, "violetthread_"), " ")
+		if ok && slices.Contains(columns, name) && r[name] == nil {
+			r[name] = value
+		}
+	}
+}
--- a/internal/codec/desk.go
+++ b/internal/codec/desk.go
@@ -22,7 +22,7 @@
 // the one named me is among them.
 func ReadyIndexNodes(ns []*fb.NodeT, me string) (cs []index.Peer, in bool) {
 	for _, n := range ns {
-		if n.Role == "custodian" && n.Ready {
+		if n.Role == RoleIndexNode && n.Ready {
 			in = in || n.Name == me
 			cs = append(cs, index.Peer{Name: n.Name, Zone: n.Zone, Addr: n.Addr, Roles: n.LeasedRoles,
 				Reachability: index.Reachability{ListStale: n.ListStale, Silent: n.Unreachable, Reached: n.Reached}})
