--- a/index/duties.go
+++ b/index/duties.go
@@ -2,13 +2,13 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"slices"
 	"sort"
 	"strconv"
 	"strings"
 
 	"violetthread/cacheindex"
+	"violetthread/internal/rendezvous"
 )
 
 type roleLease struct {
@@ -50,14 +50,8 @@
 	return ds
 }
 
-func rendezvousScore(a, b string) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(a + "|" + b))
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	return x ^ x>>29
-}
+// rendezvousScore ranks candidates for a role, a zone or a wave.
+func rendezvousScore(a, b string) uint64 { return rendezvous.Weight(a, "|", b) }
 
 // Placement says which custodian should hold each duty: whoever holds it keeps it
 // while no node has more than its part and it can serve it; the rest goes by
--- a/internal/app/session/session.go
+++ b/internal/app/session/session.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"hash/fnv"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -12,6 +11,7 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/internal/clock"
+	"violetthread/internal/rendezvous"
 	"violetthread/internal/taskgroup"
 	"violetthread/internal/transport"
 	"violetthread/plan"
@@ -73,12 +73,7 @@
 		}
 	}
 	me := s.self().Name
-	w := func(a string) uint64 {
-		h := fnv.New64a()
-		_, _ = h.Write([]byte(me + "|" + a))
-		x := h.Sum64()
-		return (x ^ x>>29) * 0xff51afd7ed558ccd
-	}
+	w := func(a string) uint64 { return rendezvous.Score(me, a) }
 	slices.SortFunc(l, func(a, b string) int {
 		switch {
 		case a == b:
--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -1,24 +1,15 @@
 package placement
 
 import (
-	"hash/fnv"
 	"sort"
 	"strconv"
+
+	"violetthread/internal/rendezvous"
 )
 
-// affinity is the weight of a candidate for a block under rendezvous hashing: the block's home
-// is the candidate with the highest, which every proxy finds without talking to others. It is
-// not rendezvous.Score: the two mix differently, and a change would move every block's home.
-func affinity(block, candidate string) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(block))
-	_, _ = h.Write([]byte{0})
-	_, _ = h.Write([]byte(candidate))
-	x := h.Sum64()
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	return x ^ x>>29
-}
+// affinity is the weight of a candidate for a block: the block's home is the candidate with
+// the highest, which every proxy finds without talking to others.
+func affinity(block, candidate string) uint64 { return rendezvous.Weight(block, "\x00", candidate) }
 
 // sortByAffinity puts a block's home first.
 func sortByAffinity(engines []*Engine, block string) {
