--- a/internal/app/proxy/admission.go
+++ b/internal/app/proxy/admission.go
@@ -9,22 +9,19 @@
 
 	"violetthread/attempt"
 	"violetthread/internal/clock"
+	"violetthread/internal/rendezvous"
 	"violetthread/placement"
 	"violetthread/route"
 )
 
 const (
-	bodyReadTimeoutUS = 15_000_000 // longest that a body may take to come
+	bodyReadTimeoutUS = 15_000_000 // longest that a body may take to arrive
 	defaultBodyBytes  = 16 << 20   // where the configuration sets no bound
 	defaultTimeoutUS  = 30_000_000 // where neither the caller nor the route sets one
-
-	// versionSlackUS is how long before the bound on new weights engines with older ones
-	// get nothing new.
-	versionSlackUS = 800_000
 )
 
-// serve takes one request of a caller: it reads it whole, finds its route and tenant, and
-// passes it on.
+// serveRequest takes one request of a caller: it reads it whole, finds its route and tenant,
+// and forwards it.
 func (s *server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	arrived := clock.Now()
 	s.counts.arrived.Add(1)
@@ -37,7 +34,7 @@
 		s.respondError(w, http.StatusBadRequest, reasonMalformed, 0)
 		return
 	}
-	ask, err := s.adapter.ParseRequest(r.Header)
+	info, err := s.adapter.ParseRequest(r.Header)
 	if err != nil {
 		s.respondError(w, http.StatusBadRequest, reasonMalformed, 0)
 		return
@@ -47,7 +44,7 @@
 		return
 	}
 	// The body may have taken its time: what is in force is looked up after it.
-	f := &forwardedRequest{server: s, writer: w, request: r, info: ask, view: s.view.Load(), body: body, lastEventID: ask.LastEventID}
+	f := &forwardedRequest{server: s, writer: w, request: r, info: info, view: s.view.Load(), body: body, lastEventID: info.LastEventID}
 	if s.admit(f) {
 		f.prepare(arrived)
 		f.run()
@@ -69,9 +66,9 @@
 		s.respondError(w, http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
 		return nil, false
 	case err != nil:
-		panic(http.ErrAbortHandler) // it never came whole
+		panic(http.ErrAbortHandler) // it never arrived whole
 	}
-	_ = control.SetReadDeadline(noTime)
+	_ = control.SetReadDeadline(noDeadline)
 	return body, true
 }
 
@@ -90,7 +87,7 @@
 		}
 	}
 	age := f.view.age(clock.Now())
-	// What is refused for good must rest on news that is fresh.
+	// What is refused for good must rest on a configuration that is fresh.
 	tooOld := age > s.maxConfigAgeUS() || reason != "" && age > s.settings.Bounds.ConfigApplyUS/2
 	switch {
 	case tooOld:
@@ -104,13 +101,17 @@
 	return true
 }
 
-// prepare sets a request's deadline, what may be repeated of it, and what it asks of
-// placement.
+// prepare sets a request's deadline, what may be repeated of it, and what it asks of placement.
+// arrived is when it began to arrive, in monotonic microseconds.
 func (f *forwardedRequest) prepare(arrived int64) {
 	s := f.server
 	f.deadline = arrived + timeoutOf(f.info, f.route)
 	resumable := f.route.Semantics == route.EventStream && f.route.Resumable
-	f.forward = attempt.Forward{Repeatable: resumable || f.route.Semantics == route.Idempotent, Resumable: resumable, MaxEngines: max(1, f.route.MaxEngines)}
+	f.forward = attempt.Forward{
+		Repeatable: resumable || f.route.Semantics == route.Idempotent,
+		Resumable:  resumable,
+		MaxEngines: max(1, f.route.MaxEngines),
+	}
 	tenant := ""
 	if f.tenant != nil {
 		tenant = f.tenant.Name
@@ -129,9 +130,9 @@
 	s.retryWindow(f.placement.Pool).CountRequest(clock.Now())
 }
 
-// timeoutOf is the shorter of what the caller waits and what the route allows.
-func timeoutOf(ask RequestInfo, r *route.Route) int64 {
-	timeout := ask.TimeoutUS
+// timeoutOf is the shorter of what the caller waits and what the route allows, in microseconds.
+func timeoutOf(info RequestInfo, r *route.Route) int64 {
+	timeout := info.TimeoutUS
 	if t := r.TimeoutUS; t > 0 && (timeout <= 0 || t < timeout) {
 		timeout = t
 	}
@@ -141,19 +142,19 @@
 	return timeout
 }
 
-// poolOf draws a route's pool by weight, alike for every try of one name.
+// poolOf draws a route's pool by weight, alike for every request of one name.
 func poolOf(r *route.Route, name string) string {
 	sum := 0
-	for _, s := range r.Split {
-		sum += s.Weight
+	for _, share := range r.Split {
+		sum += share.Weight
 	}
 	if sum <= 0 {
 		return ""
 	}
-	x := int(score(name, r.Name) >> 11 % uint64(sum))
-	for _, s := range r.Split {
-		if x -= s.Weight; x < 0 {
-			return s.Pool
+	point := int(rendezvous.Score(name, r.Name) >> 11 % uint64(sum))
+	for _, share := range r.Split {
+		if point -= share.Weight; point < 0 {
+			return share.Pool
 		}
 	}
 	return r.Split[len(r.Split)-1].Pool
--- a/internal/app/proxy/callerconn.go
+++ b/internal/app/proxy/callerconn.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// callerConn is a caller's connection. It hands on one request at a time: what came
-// together with a request and lies beyond its end stays here until it is read for.
+// callerConn is a caller's connection. It hands on one request at a time: what arrived together
+// with a request and lies beyond its end stays here until the next one is read.
 type callerConn struct {
 	net.Conn
 	mu       sync.Mutex
@@ -34,6 +34,7 @@
 	return &callerConn{Conn: c, idle: idleState{limit: l.idleLimit}}, nil
 }
 
+// withCallerConn and callerConnOf carry a request's connection in its context.
 func withCallerConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, c)
 }
@@ -70,7 +71,7 @@
 	return taken, err
 }
 
-// doubt says why it is not clear where the request whose head came last ends; nil if it is.
+// ambiguity says why it is not clear where the request whose head came last ends; nil if it is.
 func (c *callerConn) ambiguity() error {
 	if c == nil {
 		return nil
@@ -80,7 +81,7 @@
 	return c.requests.ambiguity
 }
 
-// resetOnClose makes the end of the connection visible as one that was not planned.
+// resetOnClose makes the end of the connection visible as an abnormal one.
 func (c *callerConn) resetOnClose() {
 	if c == nil {
 		return
--- a/internal/app/proxy/answer.go
+++ b/internal/app/proxy/engineanswer.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxStrayAnswers = 2        // answers to former requests that are read away before the right one
+	maxStrayAnswers = 2        // answers to former requests that are discarded before the right one
 	maxStrayBytes   = 1 << 20  // how long such an answer may be
-	notRunBodyBytes = 64 << 10 // how long the body of a refusal may be
+	notRunBodyBytes = 64 << 10 // how long the body of a rejection may be
 	notRunBodyUS    = 50_000   // and how long it may take: the caller waits for another engine
 )
 
@@ -28,11 +28,11 @@
 		if answer.StatusCode < http.StatusOK {
 			continue // an interim answer
 		}
-		word := a.forwarded.server.adapter.ParseResponse(answer.StatusCode, answer.Header)
-		if a.matches(word, stray) {
-			return answer, word, outcome{}
+		info := a.forwarded.server.adapter.ParseResponse(answer.StatusCode, answer.Header)
+		if a.matches(info, stray) {
+			return answer, info, outcome{}
 		}
-		if a.conn.used == 0 || word.AttemptID == "" || stray == maxStrayAnswers || answer.Close {
+		if a.conn.used == 0 || info.AttemptID == "" || stray == maxStrayAnswers || answer.Close {
 			return nil, ResponseInfo{}, a.interrupted(reasonEngineMalformed)
 		}
 		if !discard(answer.Body, maxStrayBytes) {
@@ -42,16 +42,16 @@
 	}
 }
 
-// answersThis reports whether an answer belongs to this attempt. One without a name is
+// matches reports whether an answer belongs to this attempt. One without a name is
 // trusted only on a connection that carried nothing before.
-func (a *engineAttempt) matches(word ResponseInfo, stray int) bool {
-	if word.AttemptID == "" {
-		return word.NotRun && stray == 0 && a.conn.used == 0
+func (a *engineAttempt) matches(info ResponseInfo, stray int) bool {
+	if info.AttemptID == "" {
+		return info.NotRun && stray == 0 && a.conn.used == 0
 	}
-	return word.AttemptID == a.forwarded.info.AttemptID
+	return info.AttemptID == a.forwarded.info.AttemptID
 }
 
-// refusals are the statuses by which an engine says that it did not run a request.
+// notRunStatuses are the statuses by which an engine says that it did not run a request.
 var notRunStatuses = map[int]bool{
 	http.StatusBadRequest:         true,
 	http.StatusMisdirectedRequest: true,
@@ -59,7 +59,8 @@
 	http.StatusServiceUnavailable: true,
 }
 
-// skipped deals with an engine's word that it did not run the request.
+// notRun deals with an answer by which the engine says that it did not run the request. It
+// returns the answer if that was read to its end.
 func (a *engineAttempt) notRun(answer *http.Response) (outcome, *http.Response) {
 	if !notRunStatuses[answer.StatusCode] {
 		return a.interrupted(reasonEngineMalformed), nil
@@ -75,13 +76,13 @@
 	return end, answer
 }
 
-// discard reads a body away; false if it breaks off or is longer than limit.
+// discard reads a body to its end; false if it breaks off or is longer than limit.
 func discard(body io.Reader, limit int64) bool {
 	n, err := io.Copy(io.Discard, io.LimitReader(body, limit+1))
 	return err == nil && n <= limit
 }
 
-// promises are the statuses by which a caller is told that its request never ran.
+// promisesNotRun are the statuses by which a caller is told that its request never ran.
 var promisesNotRun = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
@@ -89,15 +90,15 @@
 	http.StatusServiceUnavailable: true,
 }
 
-// unfit says why an answer may not reach the caller; it is empty if it may.
-func rejectAnswer(answer *http.Response, word ResponseInfo) string {
+// rejectAnswer says why an answer may not reach the caller; it is empty if it may.
+func rejectAnswer(answer *http.Response, info ResponseInfo) string {
 	switch {
-	case answer.StatusCode < 300 && (!word.HasSuccessStamp || answer.Header.Get("Content-Encoding") != ""):
-		// A success without the engine's own mark, or in an encoding nobody asked for.
+	case answer.StatusCode < 300 && (!info.HasSuccessStamp || answer.Header.Get("Content-Encoding") != ""):
+		// A success without the engine's own stamp, or in an encoding nobody asked for.
 		return reasonEngineMalformed
 	case promisesNotRun[answer.StatusCode]:
-		// Passed on it would promise that the request never ran, which only the mark of
-		// a skipped one tells.
+		// Passed on it would promise that the request never ran, which only an
+		// engine's own answer of that kind shows.
 		return reasonEngineFailed
 	}
 	return ""
--- a/internal/app/proxy/engineattempt.go
+++ b/internal/app/proxy/engineattempt.go
@@ -14,7 +14,7 @@
 type engineAttempt struct {
 	forwarded *forwardedRequest
 	choice    *placement.Choice
-	id        string // in the ledger
+	id        string // in the forwarded request's record
 	conn      *engineConn
 
 	unreached bool // no connection came about, and the caller is not the reason
@@ -54,7 +54,7 @@
 	}
 	stop := context.AfterFunc(ctx, a.conn.kill)
 	end, answer := a.exchange()
-	// A connection is kept only after a whole answer, and if nobody has killed it.
+	// A connection is kept only after a complete answer, and if nobody has killed it.
 	if answer != nil && !answer.Close && stop() {
 		s.pool.put(engine.ID, a.conn, answer.Header)
 		return end
@@ -93,18 +93,18 @@
 	_ = a.conn.SetDeadline(time.Now().Add(clock.Duration(p.deadline + lateAnswerUS - now)))
 	s.counts.sends.Add(1)
 	_, writeErr := a.conn.Write(a.encodeRequest(now))
-	answer, word, end := a.readHead()
+	answer, info, end := a.readHead()
 	if answer == nil {
 		return end, nil
 	}
-	a.reportLoad(word)
+	a.reportLoad(info)
 	switch {
-	case word.NotRun: // an engine may refuse a request before it has read it whole
+	case info.NotRun: // an engine may refuse a request before it has read it whole
 		return a.notRun(answer)
 	case writeErr != nil:
 		return a.interrupted(reasonEngineLost), nil
 	}
-	if cause := rejectAnswer(answer, word); cause != "" {
+	if cause := rejectAnswer(answer, info); cause != "" {
 		return a.interrupted(cause), nil
 	}
 	if end = a.relay(answer); end != completed {
@@ -113,18 +113,18 @@
 	return end, answer
 }
 
-// noteLoad tells placement what the engine says of its load.
-func (a *engineAttempt) reportLoad(word ResponseInfo) {
-	if !word.HasLoad {
+// reportLoad tells placement what the engine reported of its load.
+func (a *engineAttempt) reportLoad(info ResponseInfo) {
+	if !info.HasLoad {
 		return
 	}
 	s := a.forwarded.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picker.ReportLoad(clock.Now(), a.choice.Engine.ID, word.Waiting)
+	s.picker.ReportLoad(clock.Now(), a.choice.Engine.ID, info.Waiting)
 }
 
-// broken is the outcome of an attempt that was sent and lost.
+// interrupted is the outcome of an attempt that was sent and lost.
 func (a *engineAttempt) interrupted(cause string) outcome {
 	switch {
 	case a.forwarded.request.Context().Err() != nil:
--- /dev/null
+++ b/internal/app/proxy/engineconn.go
@@ -0,0 +1,73 @@
+package proxy
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"net/http"
+
+	"github.com/gravitational/trace"
+	"golang.org/x/sys/unix"
+)
+
+// maxAnswerHeadBytes bounds the head of an engine's answer.
+const maxAnswerHeadBytes = 16 << 10
+
+// engineConn is a connection to one engine.
+type engineConn struct {
+	net.Conn
+	br          *bufio.Reader
+	used        int   // complete answers that it carried
+	usableUntil int64 // monotonic microseconds; not used again after it
+}
+
+// quiet reports whether the engine has neither closed the connection nor sent anything.
+func (c *engineConn) quiet() bool {
+	if c.br.Buffered() > 0 {
+		return false
+	}
+	t, ok := c.Conn.(*net.TCPConn)
+	if !ok {
+		return true
+	}
+	rc, err := t.SyscallConn()
+	if err != nil {
+		return false
+	}
+	clean := false
+	err = rc.Read(func(fd uintptr) bool {
+		var b [1]byte
+		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		clean = errors.Is(e, unix.EAGAIN)
+		return true
+	})
+	return err == nil && clean
+}
+
+// readHead reads the head of the next answer, to a request of this kind. An answer whose end is
+// ambiguous is an error.
+func (c *engineConn) readHead(request *http.Request) (*http.Response, error) {
+	for {
+		came, _ := c.br.Peek(c.br.Buffered())
+		if end := headEnd(came); end > 0 {
+			if _, err := framingOf(came[:end]); err != nil {
+				return nil, err
+			}
+			return http.ReadResponse(c.br, request)
+		}
+		if len(came) == c.br.Size() {
+			return nil, trace.LimitExceeded("the head of an answer is over %d bytes", c.br.Size())
+		}
+		if _, err := c.br.Peek(len(came) + 1); err != nil {
+			return nil, err
+		}
+	}
+}
+
+// kill drops a connection at once: what is still on its way is not sent any more.
+func (c *engineConn) kill() {
+	if t, ok := c.Conn.(*net.TCPConn); ok {
+		_ = t.SetLinger(0)
+	}
+	_ = c.Close()
+}
--- a/internal/app/proxy/message.go
+++ b/internal/app/proxy/enginerequest.go
@@ -21,7 +21,7 @@
 	"Upgrade":             true,
 }
 
-// message is the request as the engine gets it: method, path, query and body are the
+// encodeRequest is the request as the engine gets it: method, path, query and body are the
 // caller's own.
 func (a *engineAttempt) encodeRequest(now int64) []byte {
 	p := a.forwarded
--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -5,7 +5,8 @@
 	"slices"
 	"testing"
 
-	frames "violetthread/internal/codec"
+	"violetthread/internal/codec"
+	"violetthread/internal/controlorder"
 	"violetthread/placement"
 	"violetthread/route"
 	"violetthread/schema/fb"
@@ -70,8 +71,8 @@
 	use("nothing new", stands(2, 200_000), 101*second+100_000, "")
 	use("a third's older list", told(3, 9*second, "three", 0, 1), 102*second, "")
 	use("the platform is down", stands(3, 13*second), 102*second+pendingMapWaitUS+1, "three")
-	use("a node that just started", told(4, frames.AgeNeverRead, "none", 0, 1), 107*second, "")
-	use("and after a while", stands(4, frames.AgeNeverRead), 117*second, "")
+	use("a node that just started", told(4, codec.AgeNeverRead, "none", 0, 1), 107*second, "")
+	use("and after a while", stands(4, codec.AgeNeverRead), 117*second, "")
 	use("once it has looked", told(4, 0, "four", 0, 1), 118*second, "four")
 }
 
@@ -100,7 +101,7 @@
 		config, named int64
 		want          bool
 	}{
-		{true, 300_000, 300_000, false}, {true, 2 * second, 0, true}, {true, 0, 2 * second, true}, {false, 0, 0, true}, {true, 0, frames.AgeNeverRead, true},
+		{true, 300_000, 300_000, false}, {true, 2 * second, 0, true}, {true, 0, 2 * second, true}, {false, 0, 0, true}, {true, 0, codec.AgeNeverRead, true},
 	} {
 		if got := outOfTouch(&fb.MapTellT{Known: c.known, Age: c.config, NamedAge: c.named}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
@@ -182,10 +183,10 @@
 // after all others, though it is in the proxy's own zone and answers at once.
 func TestCutOffNodeIsNotClungTo(t *testing.T) {
 	const now = 100 * second
-	f := &follower{server: &server{settings: Settings{Name: "p", Zone: "north"}}, nodes: map[string]*controlNode{
-		"near": {zone: "north", failedAt: now - 100},
-		"far1": {zone: "south", failedAt: now - second},
-		"far2": {zone: "west", failedAt: now - second/2},
+	f := &follower{server: &server{settings: Settings{Name: "p", Zone: "north"}}, nodes: map[string]*controlorder.Node{
+		"near": {Zone: "north", FailedAt: now - 100},
+		"far1": {Zone: "south", FailedAt: now - second},
+		"far2": {Zone: "west", FailedAt: now - second/2},
 	}}
 	want := func(what string, now int64, names ...string) {
 		t.Helper()
@@ -194,9 +195,9 @@
 		}
 	}
 	want("all failed lately", now, "far1", "far2", "near")
-	f.nodes["far1"].failedAt = now
+	f.nodes["far1"].FailedAt = now
 	want("one failed again", now+1, "far2", "near", "far1")
-	f.nodes["far2"].failedAt = 0
+	f.nodes["far2"].FailedAt = 0
 	want("one answered well", now+1, "far2", "near", "far1")
 	want("a while later", now+2*second, "near", "far2", "far1")
 }
--- a/internal/app/proxy/passage.go
+++ b/internal/app/proxy/forwarded.go
@@ -13,17 +13,18 @@
 	"violetthread/route"
 )
 
-// passage is one caller's request on its way.
+// forwardedRequest is one caller's request on its way. It belongs to the goroutine that serves
+// it.
 type forwardedRequest struct {
 	server      *server
 	writer      http.ResponseWriter
 	request     *http.Request
 	info        RequestInfo
-	view        *view // in force when the request had come whole
+	view        *view // in force when the request had arrived whole
 	route       *route.Route
 	tenant      *route.Tenant // nil on a public route
 	body        []byte
-	deadline    int64
+	deadline    int64 // monotonic microseconds
 	forward     attempt.Forward
 	placement   placement.Request
 	lastEventID string // id of the last event that went out
@@ -33,21 +34,25 @@
 	// dispatchMarginUS is the least time that must be left for another attempt.
 	dispatchMarginUS = 5_000
 
-	ejectFullUS        = 250_000 // for an engine that turned a request away
-	ejectInterruptedUS = 400_000 // for an engine that broke off; doubles with each failure
-	ejectMisdirectedUS = 300_000 // for an address that is another engine's now, or has other weights; doubles
+	// versionSlackUS is how long before the bound on new weights engines with older ones get
+	// nothing new.
+	versionSlackUS = 800_000
+
+	ejectFullUS        = 250_000 // an engine that rejected a request
+	ejectInterruptedUS = 400_000 // an engine that broke off; doubles with each failure
+	ejectMisdirectedUS = 300_000 // an address that is another engine's now, or has other weights; doubles
 )
 
-// run derives the next move from the ledger until the request has ended.
+// run takes one step after the other until the request has ended.
 func (f *forwardedRequest) run() {
 	s := f.server
 	for {
 		now := clock.Now()
-		move := f.forward.Next(f.conditions(now))
-		switch move.Action {
+		decision := f.forward.Next(f.conditions(now))
+		switch decision.Action {
 		case attempt.ForwardSend:
-			// A budget that was spent meanwhile is seen at the next move.
-			if err := f.send(now, move.SpendsRetry); errors.Is(err, errNoEngine) {
+			// A budget that was spent meanwhile is seen at the next step.
+			if err := f.send(now, decision.SpendsRetry); errors.Is(err, errNoEngine) {
 				f.reject(reasonNoEngine)
 				return
 			}
@@ -55,26 +60,26 @@
 			s.counts.done.Add(1)
 			return
 		case attempt.ForwardReject:
-			f.reject(move.Reason)
+			f.reject(decision.Reason)
 			return
 		case attempt.ForwardLost:
-			f.respondLost(move.Reason)
+			f.respondLost(decision.Reason)
 			return
-		default: // PassCut: whatever came so far must not look whole
+		default: // ForwardAbort: whatever went out so far must not look complete
 			s.counts.aborted.Add(1)
 			f.abort()
 		}
 	}
 }
 
-// facts are what the ledger has to know beside its attempts.
+// conditions are what the decision rests on beside the attempts.
 func (f *forwardedRequest) conditions(now int64) attempt.Conditions {
 	f.server.mu.Lock()
 	defer f.server.mu.Unlock()
 	return attempt.Conditions{TimeLeft: now < f.deadline-dispatchMarginUS, RetryAllowed: f.server.retryWindow(f.placement.Pool).Allows(now)}
 }
 
-// lost says that the request may have run and has no answer.
+// respondLost says that the request may have run and has no answer.
 func (f *forwardedRequest) respondLost(reason string) {
 	f.server.counts.lost.Add(1)
 	if f.request.Context().Err() != nil {
@@ -87,7 +92,7 @@
 	f.server.respondError(f.writer, status, reason, 0)
 }
 
-// refuse promises that the request has not run and will not; it says that it is lost if
+// reject promises that the request has not run and will not; it says that it is lost if
 // an attempt may have run.
 func (f *forwardedRequest) reject(reason string) {
 	s := f.server
@@ -109,7 +114,7 @@
 	s.respondError(f.writer, http.StatusServiceUnavailable, reason, backoff)
 }
 
-// abort ends the connection so that the answer can't look whole: chunks and lengths tell,
+// abort ends the connection so that the answer can't look complete: chunks and lengths tell,
 // and where there may be neither, a reset does.
 func (f *forwardedRequest) abort() {
 	if !f.request.ProtoAtLeast(1, 1) {
@@ -124,7 +129,7 @@
 	errRetryBudget = trace.LimitExceeded("further attempts are bounded over the whole fleet; come back shortly")
 )
 
-// place chooses an engine and makes one attempt at it.
+// send selects an engine and makes one attempt at it.
 func (f *forwardedRequest) send(now int64, retry bool) error {
 	choice, err := f.pickEngine(now, retry)
 	if err != nil {
@@ -143,13 +148,13 @@
 	return nil
 }
 
-// choose picks an engine, counts the request there, and spends the budget of a retry.
+// pickEngine selects an engine, counts the request there, and spends the budget of a retry.
 func (f *forwardedRequest) pickEngine(now int64, retry bool) (placement.Choice, error) {
 	s := f.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	budget := s.retryWindow(f.placement.Pool)
-	if retry && !budget.Allows(now) {
+	window := s.retryWindow(f.placement.Pool)
+	if retry && !window.Allows(now) {
 		return placement.Choice{}, errRetryBudget
 	}
 	// A later attempt begins later: weights may have gone out of date since the first.
@@ -160,14 +165,19 @@
 	}
 	s.picker.RequestSent(&choice)
 	if retry {
-		budget.CountRetry(now)
+		window.CountRetry(now)
 		s.counts.retries.Add(1)
 	}
 	return choice, nil
 }
 
-// settle takes an attempt that has ended off its engine's load, and lets an engine rest
-// that failed or turned it away.
+// minVersion is the oldest version of a model that an attempt may begin on at the time now.
+func (s *server) minVersion(now int64, model string) uint64 {
+	return s.view.Load().minVersion(now, model, s.settings.Bounds.VersionApplyUS-versionSlackUS)
+}
+
+// release takes an attempt that has ended off its engine's load, and ejects an engine that
+// failed or rejected it.
 func (f *forwardedRequest) release(now int64, a *engineAttempt, end outcome) {
 	s, engine := f.server, a.choice.Engine.ID
 	s.mu.Lock()
--- a/internal/app/proxy/idle.go
+++ b/internal/app/proxy/idle.go
@@ -6,17 +6,27 @@
 	"net/http"
 	"os"
 	"time"
+
+	"violetthread/internal/clock"
 )
 
-// idleUnbounded is the server's own idle time-out. It is never reached: a callerConn ends
-// its rest by the limit in force.
+// idleUnbounded is net/http's idle time-out. It is never reached: a callerConn ends its rest by
+// the limit in force.
 const idleUnbounded = 24 * time.Hour
 
-// idleCheck is the longest time between two looks at the idle limit.
-const idleCheck = time.Second
+// idleCheckInterval is the longest time between two looks at the idle limit.
+const idleCheckInterval = time.Second
+
+// defaultIdleLimit is how long a connection may rest where the configuration says nothing.
+const defaultIdleLimit = 60 * time.Second
 
-// idleDefault is how long a connection may rest where the configuration says nothing.
-const idleDefault = 60 * time.Second
+// idleLimit is how long a caller's connection may rest under the configuration in force.
+func (s *server) idleLimit() time.Duration {
+	if t := s.view.Load().table; t != nil && t.Limits.IdleUS > 0 {
+		return clock.Duration(t.Limits.IdleUS)
+	}
+	return defaultIdleLimit
+}
 
 // idleState tells whether a caller's connection rests between two requests.
 type idleState struct {
@@ -31,16 +41,16 @@
 	if !now.Before(end) {
 		return now, true
 	}
-	next = now.Add(idleCheck)
+	next = now.Add(idleCheckInterval)
 	if end.Before(next) {
 		next = end
 	}
 	return next, false
 }
 
-// noteState follows the server's word on a connection: http.Server sets the deadline of
+// trackConnState follows net/http's state of a connection: http.Server sets the deadline of
 // an idle connection right after it.
-func noteState(conn net.Conn, state http.ConnState) {
+func trackConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*callerConn)
 	if !ok {
 		return
--- a/internal/app/proxy/idle_test.go
+++ b/internal/app/proxy/idle_test.go
@@ -41,10 +41,10 @@
 			limit = 0
 		}
 	}
-	noteState(c, http.StateIdle)
+	trackConnState(c, http.StateIdle)
 	_ = c.SetReadDeadline(time.Now().Add(idleUnbounded))
-	if d := time.Until(far.deadlines[0]); d > idleCheck {
-		t.Errorf("the limit is looked at again only after %v, want %v at most", d, idleCheck)
+	if d := time.Until(far.deadlines[0]); d > idleCheckInterval {
+		t.Errorf("the limit is looked at again only after %v, want %v at most", d, idleCheckInterval)
 	}
 	if _, err := c.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the read of a connection that rested for too long did not end")
@@ -58,8 +58,8 @@
 func TestIdleLimitOnlyAtRest(t *testing.T) {
 	far := &deadlineConn{}
 	c := &callerConn{Conn: far, idle: idleState{limit: func() time.Duration { return time.Hour }}}
-	noteState(c, http.StateIdle)
-	noteState(c, http.StateActive)
+	trackConnState(c, http.StateIdle)
+	trackConnState(c, http.StateActive)
 	want := time.Now().Add(time.Minute)
 	_ = c.SetReadDeadline(want)
 	if !far.deadlines[0].Equal(want) {
--- /dev/null
+++ b/internal/app/proxy/reject.go
@@ -0,0 +1,66 @@
+package proxy
+
+import (
+	"net/http"
+	"strconv"
+
+	"violetthread/attempt"
+	"violetthread/internal/daemon"
+)
+
+// Why a request was rejected, lost or aborted. The reason is told to the caller together with
+// its remedy; the texts are part of the API.
+const (
+	reasonNoRoute         = "no-route"
+	reasonKeyUnknown      = "key-unknown"
+	reasonMalformed       = "malformed"
+	reasonTooLarge        = "too-large"
+	reasonConfigNotFresh  = "config-not-fresh"
+	reasonConfigMissing   = "config-missing"
+	reasonNoEngine        = "no-engine"
+	reasonEngineLost      = "engine-lost"
+	reasonEngineFailed    = "engine-failed"
+	reasonEngineMalformed = "engine-malformed"
+	reasonDuePassed       = "due-passed"
+	reasonCallerGone      = "caller-gone"
+)
+
+// remedies says for each reason, those of the attempt package included, what the caller
+// can do.
+var remedies = map[string]string{
+	reasonNoRoute:             "check the host and the path, or have an operator add the route",
+	reasonKeyUnknown:          "send a key that the configuration holds",
+	reasonMalformed:           "send the request as the platform's pages say",
+	reasonTooLarge:            "send a smaller body",
+	reasonConfigNotFresh:      "come back shortly; this proxy is out of touch with the control nodes",
+	reasonConfigMissing:       "come back shortly; an operator's first configuration is awaited",
+	reasonNoEngine:            "come back shortly; no engine of the pool is in use",
+	attempt.ReasonEnginesFull: "come back shortly; the engines that were asked are full",
+	attempt.ReasonRetryBudget: "come back shortly; further tries are bounded over the whole fleet",
+	attempt.ReasonDeadline:    "allow more time",
+	reasonEngineLost:          "the request may have run; look before sending it again",
+	reasonEngineFailed:        "the request may have run; look before sending it again",
+	reasonEngineMalformed:     "the request may have run; look before sending it again",
+	reasonDuePassed:           "the request may have run; allow more time",
+	reasonCallerGone:          "nobody is left to be told",
+}
+
+// How long a caller is asked to stay away after a rejection, in microseconds.
+const (
+	backoffConfigMissing  = 300_000
+	backoffConfigNotFresh = 400_000
+	backoffNoEngine       = 300_000
+	backoffRefused        = 150_000
+)
+
+// respondError answers a request that is not forwarded, or whose answer was lost. A backoffUS
+// above 0 is told as Retry-After.
+func (s *server) respondError(w http.ResponseWriter, status int, reason string, backoffUS int64) {
+	if backoffUS > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(backoffUS)/1e6, 'f', 3, 64))
+	}
+	if s.daemon.Stopping() {
+		w.Header().Set("Connection", "close")
+	}
+	daemon.WriteJSON(w, status, daemon.ErrorResponse{Reason: reason, Remedy: remedies[reason]})
+}
--- a/internal/app/proxy/relay.go
+++ b/internal/app/proxy/relay.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"bufio"
 	"bytes"
 	"io"
 	"net/http"
@@ -15,9 +14,9 @@
 )
 
 const (
-	// wholeAnswerBytes is the size up to which an answer that is no stream is read whole
-	// before any of it goes out.
-	wholeAnswerBytes = 256 << 10
+	// bufferedAnswerBytes is the size up to which an answer that is no stream is read to its
+	// end before any of it goes out.
+	bufferedAnswerBytes = 256 << 10
 
 	// lateWriteUS is how much later than its deadline a caller may still read.
 	lateWriteUS = 2_000_000
@@ -38,90 +37,24 @@
 	return a.relayPlain(answer)
 }
 
-// relayStream passes events on as they arrive. The head goes out with the first whole
-// event, so that an answer that breaks before it can still come from elsewhere.
-func (a *engineAttempt) relayStream(answer *http.Response) outcome {
-	a.resumes = a.forwarded.forward.HeadSent
-	br := bufio.NewReaderSize(answer.Body, 4096)
-	for {
-		event, id, err := readEvent(br)
-		if err != nil && err != io.EOF {
-			return a.interrupted(reasonEngineLost)
-		}
-		if len(event) > 0 || !a.began {
-			a.startStream(answer)
-		}
-		if len(event) > 0 && !a.relayEvent(event, id) {
-			return a.interrupted(reasonCallerGone)
-		}
-		if err == io.EOF {
-			return completed
-		}
-	}
-}
-
-// beginStream sends the head, unless the stream goes on behind the head of another
-// engine. It does so once.
-func (a *engineAttempt) startStream(answer *http.Response) {
-	if a.began {
-		return
-	}
-	a.responseStarted()
-	if a.resumes {
-		a.forwarded.server.counts.resumed.Add(1)
-		return
-	}
-	a.writeHead(answer)
-}
-
-// relayEvent passes one event on, unless it went out before; false if the caller is gone.
-func (a *engineAttempt) relayEvent(event []byte, id string) bool {
-	p := a.forwarded
-	if !a.isNewEvent(id) {
-		return true
-	}
-	if _, err := p.writer.Write(event); err != nil {
-		return false
-	}
-	_ = http.NewResponseController(p.writer).Flush()
-	switch {
-	case id != "":
-		p.lastEventID = id
-	case len(bytes.TrimSpace(event)) > 0 && event[0] != ':':
-		p.forward.Resumable = false // nothing tells where to go on
-	}
-	return true
-}
-
-// fresh keeps an event from going out twice when a stream was taken up elsewhere. What
-// the first engine says goes out as it is.
-func (a *engineAttempt) isNewEvent(id string) bool {
-	if !a.resumes || id == "" || a.forwarded.lastEventID == "" {
-		return true
-	}
-	this, err1 := strconv.ParseInt(id, 10, 64)
-	last, err2 := strconv.ParseInt(a.forwarded.lastEventID, 10, 64)
-	return err1 != nil || err2 != nil || this > last
-}
-
 // relayPlain passes an answer on that is no stream.
 func (a *engineAttempt) relayPlain(answer *http.Response) outcome {
 	p := a.forwarded
 	var start bytes.Buffer
-	if _, err := io.Copy(&start, io.LimitReader(answer.Body, wholeAnswerBytes)); err != nil {
+	if _, err := io.Copy(&start, io.LimitReader(answer.Body, bufferedAnswerBytes)); err != nil {
 		return a.interrupted(reasonEngineLost)
 	}
 	if answer.StatusCode >= 500 && a.mayRunElsewhere() {
 		return a.interrupted(reasonEngineFailed)
 	}
-	whole := start.Len() < wholeAnswerBytes
+	complete := start.Len() < bufferedAnswerBytes
 	a.responseStarted()
-	a.setLength(answer, start.Len(), whole)
+	a.setLength(answer, start.Len(), complete)
 	a.writeHead(answer)
 	if _, err := p.writer.Write(start.Bytes()); err != nil {
 		return a.interrupted(reasonCallerGone)
 	}
-	if !whole {
+	if !complete {
 		if _, err := io.Copy(p.writer, answer.Body); err != nil {
 			return a.interrupted(reasonEngineLost)
 		}
@@ -145,12 +78,12 @@
 }
 
 // setLength tells the length of an answer that is no stream, if it is known.
-func (a *engineAttempt) setLength(answer *http.Response, read int, whole bool) {
+func (a *engineAttempt) setLength(answer *http.Response, read int, complete bool) {
 	if a.forwarded.request.Method == http.MethodHead {
 		return
 	}
 	length := answer.ContentLength
-	if length < 0 && whole {
+	if length < 0 && complete {
 		length = int64(read)
 	}
 	if length >= 0 {
@@ -179,8 +112,9 @@
 	p.writer.WriteHeader(answer.StatusCode)
 }
 
-// begin notes that the engine answers with content: what it read of the prompt is kept
-// there now, and told further at once; the engine's own word comes later (design §7).
+// responseStarted takes in that the engine answers with content: what it read of the prompt is
+// cached there now. The hints say so at once; the engine's own cache events come later
+// (docs/design.md §7).
 func (a *engineAttempt) responseStarted() {
 	s := a.forwarded.server
 	a.began = true
