--- a/internal/app/proxy/fleet.go
+++ b/internal/app/proxy/fleet.go
@@ -9,41 +9,41 @@
 )
 
 // loads reports what this proxy has in flight at each engine.
-func (s *server) loads() (loads []*fb.LoadT) {
+func (s *server) loads() (loads []*fb.EngineLoadT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for holder, l := range s.picker.OwnLoads() {
-		loads = append(loads, &fb.LoadT{Node: holder, Active: uint32(l.Requests), Reading: uint32(l.PrefillTokens), Tokens: uint32(l.MemoryTokens)})
+		loads = append(loads, &fb.EngineLoadT{Node: holder, Active: uint32(l.Requests), PrefillTokens: uint32(l.PrefillTokens), MemoryTokens: uint32(l.MemoryTokens)})
 	}
 	return loads
 }
 
 // setOtherLoads takes in what the other proxies have in flight, as of at, and whether the
 // hints are complete.
-func (s *server) setOtherLoads(state *fb.MapTellT, at int64) {
+func (s *server) setOtherLoads(state *fb.MapResponseT, at int64) {
 	others := map[uint64]placement.Load{}
 	for _, l := range state.Loads {
-		others[l.Node] = placement.Load{Requests: int(l.Active), PrefillTokens: int64(l.Reading), MemoryTokens: int64(l.Tokens)}
+		others[l.Node] = placement.Load{Requests: int(l.Active), PrefillTokens: int64(l.PrefillTokens), MemoryTokens: int64(l.MemoryTokens)}
 	}
 	s.mu.Lock()
 	s.picker.SetOtherLoads(at, others)
-	s.picker.HintsComplete = state.Complete && !state.NewsReset
+	s.picker.HintsComplete = state.Complete && !state.UpdatesReset
 	s.mu.Unlock()
 }
 
 // applyUpdates takes in changes of the prefix-cache location hints.
-func (s *server) applyUpdates(state *fb.MapTellT) {
+func (s *server) applyUpdates(state *fb.MapResponseT) {
 	s.hintMu.Lock()
 	defer s.hintMu.Unlock()
-	if state.NewsReset {
+	if state.UpdatesReset {
 		s.hints.Clear()
 	}
-	for _, update := range state.News {
+	for _, update := range state.Updates {
 		key := cacheindex.Key{Hi: update.Hi, Lo: update.Lo, Check: update.Check}
 		if cacheindex.UpdateOp(update.Op) == cacheindex.OpAdd {
-			s.hints.Put(key, update.Node)
+			s.hints.Put(key, update.Holder)
 		} else {
-			s.hints.Remove(key, update.Node)
+			s.hints.Remove(key, update.Holder)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func fleetOf(listed []*fb.MapEngineT, table *route.Table) (engines []*placement.Engine, stores []placement.Store) {
 	for _, e := range listed {
 		if e.Store {
-			stores = append(stores, placement.Store{Addr: e.Addr, Zone: e.Site, Unhealthy: e.Down})
+			stores = append(stores, placement.Store{Addr: e.Addr, Zone: e.Zone, Unhealthy: e.Unhealthy})
 			continue
 		}
 		cacheTokens := int64(0)
@@ -82,10 +82,10 @@
 			ID:              e.Id,
 			Pool:            e.Pool,
 			Addr:            e.Addr,
-			Zone:            e.Site,
+			Zone:            e.Zone,
 			Draining:        e.Draining,
-			UpdatingWeights: e.Turning,
-			Unhealthy:       e.Down,
+			UpdatingWeights: e.Updating,
+			Unhealthy:       e.Unhealthy,
 			Slots:           int(e.Slots),
 			CacheTokens:     cacheTokens,
 			Weights:         codec.UnpackWeights(e.Weights),
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -70,20 +70,20 @@
 	}
 	addr := order[0]
 	question := f.question(now, addr)
-	answer, err := f.server.controlNodes.Get(addr).Call(ctx, &fb.FrameT{MapAsk: question}, question.Hold+followTimeoutUS)
+	answer, err := f.server.controlNodes.Get(addr).Call(ctx, &fb.FrameT{MapRequest: question}, question.Hold+followTimeoutUS)
 	if ctx.Err() != nil {
 		return false
 	}
-	if err != nil || answer.MapTell == nil {
+	if err != nil || answer.MapResponse == nil {
 		f.nodeFailed(addr)
 		return len(order) > 1
 	}
-	return f.answered(now, addr, answer.MapTell)
+	return f.answered(now, addr, answer.MapResponse)
 }
 
 // question asks for what is new since this proxy's last answer. How long the node may hold it
 // until there is an update depends on what is known of the node.
-func (f *follower) question(now int64, addr string) *fb.MapAskT {
+func (f *follower) question(now int64, addr string) *fb.MapRequestT {
 	hold := int64(followHoldUS)
 	switch {
 	case f.server.view.Load().table == nil || f.nodes[addr].Zone == "":
@@ -91,25 +91,25 @@
 	case f.nodes[addr].FailedLately(now):
 		hold = retryHoldUS
 	}
-	return &fb.MapAskT{
-		Node:      f.server.self(),
-		Inc:       f.nodeIncarnation,
-		Have:      f.configRevision,
-		Map:       f.mapRevision,
-		NewsInc:   f.updatesIncarnation,
-		NewsSince: f.updatesNext,
-		Hold:      hold,
-		Loads:     f.server.loads(),
+	return &fb.MapRequestT{
+		Node:               f.server.self(),
+		Incarnation:        f.nodeIncarnation,
+		HaveRevision:       f.configRevision,
+		HaveMap:            f.mapRevision,
+		UpdatesIncarnation: f.updatesIncarnation,
+		UpdatesSince:       f.updatesNext,
+		Hold:               hold,
+		Loads:              f.server.loads(),
 	}
 }
 
 // answered takes in the answer to a question that was asked at the time now, and reports
 // whether the node is in touch.
-func (f *follower) answered(now int64, addr string, state *fb.MapTellT) bool {
+func (f *follower) answered(now int64, addr string, state *fb.MapResponseT) bool {
 	node := f.nodes[addr]
-	node.Zone, node.FailedAt = state.Site, 0
+	node.Zone, node.FailedAt = state.Zone, 0
 	// The answer left the node no sooner than it had held the question.
-	f.apply(state, now+state.Held)
+	f.apply(state, now+state.Waited)
 	if state.ListAge > staleListUS && now-node.StaleListAt > controlorder.AvoidStaleListUS {
 		node.StaleListAt = clock.Now()
 	}
@@ -119,7 +119,7 @@
 		return false
 	}
 	if f.current != addr {
-		f.server.daemon.Log.Info("control_node_followed", "control_node", addr, "zone", state.Site)
+		f.server.daemon.Log.Info("control_node_followed", "control_node", addr, "zone", state.Zone)
 		f.current = addr
 	}
 	return true
@@ -153,25 +153,25 @@
 }
 
 // apply publishes the state of the fleet as a node knows it, which left it no sooner than at.
-func (f *follower) apply(state *fb.MapTellT, at int64) {
+func (f *follower) apply(state *fb.MapResponseT, at int64) {
 	s := f.server
 	v := *s.view.Load()
 	engines, use := v.merge(state, at)
-	if state.Inc != f.nodeIncarnation {
-		f.nodeIncarnation, f.mapRevision = state.Inc, 0
+	if state.Incarnation != f.nodeIncarnation {
+		f.nodeIncarnation, f.mapRevision = state.Incarnation, 0
 	}
 	if v.mergeConfig(state, at, s.adapter.ParseConfig) {
-		s.daemon.Log.Info("config_applied", "revision", state.Rev, "version", v.table.Version, "age_us", state.Age)
+		s.daemon.Log.Info("config_applied", "revision", state.Revision, "version", v.table.Version, "age_us", state.Age)
 	}
 	f.configRevision = v.revision
 	s.view.Store(&v)
-	if state.Whole {
+	if state.FullMap {
 		f.mapRevision = state.Map
 	}
 	if use {
 		s.setFleet(engines, v.table)
 	}
-	f.updatesIncarnation, f.updatesNext = state.NewsInc, state.NewsNext
+	f.updatesIncarnation, f.updatesNext = state.UpdatesIncarnation, state.UpdatesNext
 	s.applyUpdates(state)
 	s.setOtherLoads(state, at)
 }
--- a/internal/app/proxy/view.go
+++ b/internal/app/proxy/view.go
@@ -59,37 +59,37 @@
 
 // merge takes in the fleet's state as a node knows it, which left the node no sooner than at.
 // It returns the map to be used from now on, if that is another one.
-func (v *view) merge(state *fb.MapTellT, at int64) (engines []*fb.MapEngineT, use bool) {
+func (v *view) merge(state *fb.MapResponseT, at int64) (engines []*fb.MapEngineT, use bool) {
 	// A node that is cut off has lost sight of other proxies, and does not know that they are
 	// still there: what each may spend must not grow by that.
 	if proxies := max(1, int(state.Proxies)); !outOfTouch(state) || proxies > v.proxies {
 		v.proxies = proxies
 	}
-	if state.Whole {
+	if state.FullMap {
 		announced := &route.Announcements{}
 		if v.announced != nil {
 			announced = v.announced.Clone()
 		}
 		announced.Merge(codec.UnpackVersionAges(state, at))
 		v.announced = announced
-		v.pending = &pendingMap{state.Inc, state.Engines, at}
+		v.pending = &pendingMap{state.Incarnation, state.Engines, at}
 	}
-	return v.mergeMap(state.Inc, at, state.ListAge)
+	return v.mergeMap(state.Incarnation, at, state.ListAge)
 }
 
 // mergeConfig takes in the configuration that a node knows, and returns whether it is another
 // one. A revision never goes back within this proxy's incarnation; an age counts only for the
 // revision in use.
-func (v *view) mergeConfig(state *fb.MapTellT, at int64, parse func(text []byte, revision uint64) *route.Table) (changed bool) {
-	if !state.Known || state.Rev < v.revision {
+func (v *view) mergeConfig(state *fb.MapResponseT, at int64, parse func(text []byte, revision uint64) *route.Table) (changed bool) {
+	if !state.Known || state.Revision < v.revision {
 		return false
 	}
-	if state.Rev > v.revision && len(state.Config) > 0 {
-		if table := parse(state.Config, state.Rev); table != nil {
-			v.table, v.revision, changed = table, state.Rev, true
+	if state.Revision > v.revision && len(state.Config) > 0 {
+		if table := parse(state.Config, state.Revision); table != nil {
+			v.table, v.revision, changed = table, state.Revision, true
 		}
 	}
-	if state.Rev == v.revision {
+	if state.Revision == v.revision {
 		v.configKnown, v.configAt = true, max(v.configAt, at-state.Age)
 	}
 	return changed
@@ -121,6 +121,6 @@
 
 // outOfTouch reports whether a node is cut off from the leader of a register. One that was
 // restarted while it is cut off knows no configuration at all.
-func outOfTouch(state *fb.MapTellT) bool {
-	return !state.Known || state.Age > staleRegister || state.NamedAge > staleRegister
+func outOfTouch(state *fb.MapResponseT) bool {
+	return !state.Known || state.Age > staleRegister || state.AnnouncedAge > staleRegister
 }
