--- a/agent/agent.go
+++ b/agent/agent.go
@@ -54,11 +54,11 @@
 
 // Poll answers the proxy with plan, grants and cache updates, and takes in its demand and
 // its reports.
-func (a *Agent) Poll(now int64, held *plan.Cached, generation uint64, poll *fb.FeedAskT) *fb.FeedTellT {
+func (a *Agent) Poll(now int64, cached *plan.Cached, generation uint64, poll *fb.FeedAskT) *fb.FeedTellT {
 	a.lastPoll, a.polledAt, a.polled = *poll, now, true
-	reply := &fb.FeedTellT{Rev: held.Revision, Age: held.Age(now), Fresh: held.Known, Era: generation}
-	if held.Revision != poll.Have {
-		reply.Plan = held.Raw
+	reply := &fb.FeedTellT{Rev: cached.Revision, Age: cached.Age(now), Fresh: cached.Known, Era: generation}
+	if cached.Revision != poll.Have {
+		reply.Plan = cached.Raw
 	}
 	for _, name := range a.sourceNames() {
 		source := a.sources[name]
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/schema/fb"
 )
@@ -10,7 +11,7 @@
 // indexNodes are index nodes of these names; i1 listens at addr1.
 func indexNodes(names ...string) (nodes []*fb.NodeT) {
 	for _, name := range names {
-		nodes = append(nodes, &fb.NodeT{Name: name, Role: indexNodeRole, Addr: addrOf(name)})
+		nodes = append(nodes, &fb.NodeT{Name: name, Role: membership.RoleIndexNode, Addr: addrOf(name)})
 	}
 	return nodes
 }
--- a/agent/query.go
+++ b/agent/query.go
@@ -1,9 +1,9 @@
 package agent
 
-import "violetthread/schema/fb"
-
-// indexNodeRole is the role that index nodes have in their heartbeats.
-const indexNodeRole = "custodian"
+import (
+	"violetthread/membership"
+	"violetthread/schema/fb"
+)
 
 // relayDuration is how long an index node that did not answer is queried through another
 // one before it is queried directly again, in microseconds.
@@ -46,7 +46,7 @@
 func addrsOfIndexNodes(nodes []*fb.NodeT) map[string]string {
 	addrs := map[string]string{}
 	for _, node := range nodes {
-		if node.Role == indexNodeRole && node.Addr != "" {
+		if node.Role == membership.RoleIndexNode && node.Addr != "" {
 			addrs[node.Name] = node.Addr
 		}
 	}
--- a/internal/app/agent/server.go
+++ b/internal/app/agent/server.go
@@ -14,6 +14,7 @@
 	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
 	"violetthread/internal/transport"
+	"violetthread/membership"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -31,16 +32,13 @@
 	operationTimeout = 1_900_000 // for an operation on a control key that the proxy asked for
 )
 
-// proxyRole is the role that the proxy beside this agent has in its heartbeats.
-const proxyRole = "remisier"
-
 // server is a running agent.
 type server struct {
 	settings  Settings
 	daemon    *daemon.Daemon
 	peers     *transport.PeerPool
 	session   *session.Session
-	proxyNode atomic.Pointer[fb.NodeT] // what the proxy last told of itself, for heartbeats
+	proxyNode atomic.Pointer[fb.NodeT] // the proxy's own state, as it last polled, for heartbeats
 
 	mu    sync.Mutex // guards agent
 	agent *agent.Agent
@@ -70,7 +68,7 @@
 		peers:    transport.NewPeerPool(process.Group),
 		agent:    agent.New(settings.Name, settings.Zone),
 	}
-	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: proxyRole, Site: settings.Zone, Addr: settings.TransportAddr})
+	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: membership.RoleGateway, Site: settings.Zone, Addr: settings.TransportAddr})
 	s.session = session.New(process.Group, s.peers, settings.Seeds, s.proxyNode.Load)
 	listener, err := net.Listen("tcp", settings.TransportAddr)
 	if err != nil {
@@ -78,7 +76,7 @@
 	}
 	transport.Serve(process.Group, listener, s.handleFrame)
 	s.session.Run()
-	process.Group.Go("orders", func(ctx context.Context) {
+	process.Group.Go("queries", func(ctx context.Context) {
 		taskgroup.Every(ctx, clock.Duration(queryInterval), s.queryIndexNodes)
 	})
 	s.registerMetrics()
@@ -139,7 +137,7 @@
 	queries := s.agent.Queries(clock.Now(), s.session.View().Nodes)
 	s.mu.Unlock()
 	for _, query := range queries {
-		s.daemon.Group.Go("orders.ask", func(ctx context.Context) { s.query(ctx, query) })
+		s.daemon.Group.Go("queries.ask", func(ctx context.Context) { s.query(ctx, query) })
 	}
 }
 
--- a/internal/app/control/api_status.go
+++ b/internal/app/control/api_status.go
@@ -59,11 +59,11 @@
 // serveFleet serves GET /v1/fleet.
 func (n *Node) serveFleet(w http.ResponseWriter, _ *http.Request) {
 	now := clock.Now()
-	held := n.plan.Load()
+	cached := n.plan.Load()
 	status := n.status.Load()
 	fleet := FleetStatus{
 		ControlNode:   n.settings.Name,
-		Plan:          PlanStatus{held.Revision, held.Age(now)},
+		Plan:          PlanStatus{cached.Revision, cached.Age(now)},
 		Slots:         []SlotStatus{},
 		Nodes:         []NodeStatus{},
 		ChangeAllowed: status.changeAllowed,
--- a/internal/app/control/bootstrap.go
+++ b/internal/app/control/bootstrap.go
@@ -21,7 +21,7 @@
 func (n *Node) firstStart() bool { return n.settings.Bootstrap && !n.removed.Load() }
 
 // tryBootstrap makes a fleet's first voter set out of what the seeds just replied, or says
-// what is waited for. Only seeds bootstrap, once each has told its incarnation and none
+// what is waited for. Only seeds bootstrap, once each has replied with its incarnation and none
 // knows a voter set; whoever meets a fleet that has one joins that (design §4.6). All seeds
 // work out the same voter set.
 func (n *Node) tryBootstrap(now int64, replies map[string]peerReply) (*fb.FoundingT, error) {
--- /dev/null
+++ b/internal/app/control/bootstrap_test.go
@@ -0,0 +1,82 @@
+package control
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"violetthread/schema/fb"
+)
+
+// seedNode is a node that was never in a voter set, with these seeds.
+func seedNode(name string, bootstrap bool, addr string, seeds ...string) *Node {
+	n := &Node{}
+	n.settings.Name, n.settings.Bootstrap = name, bootstrap
+	n.settings.TransportAddr, n.settings.Seeds = addr, seeds
+	n.incarnation.Store(uint64(len(name)) + 1)
+	return n
+}
+
+// TestBootstrapWaits: a fleet is bootstrapped by its seeds alone, once all of them have
+// just replied and none knows a voter set.
+func TestBootstrapWaits(t *testing.T) {
+	const now = 10_000_000
+	blank := func(name string) *fb.FoundTellT { return &fb.FoundTellT{Name: name, Inc: 9, Blank: true} }
+	for _, c := range []struct {
+		name    string
+		node    *Node
+		replies []peerReply
+		want    string // in the reason
+	}{
+		{"not told to", seedNode("a", false, "a:1", "a:1", "b:1"), nil, "no founded fleet"},
+		{"not a seed", seedNode("c", true, "c:1", "a:1", "b:1"), nil, "waiting for the seeds"},
+		{"a seed never replied", seedNode("a", true, "a:1", "a:1", "b:1"), nil, "every seed"},
+		{"a seed did not answer", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, nil}}, "every seed"},
+		{"an old reply", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now - replyLifetime - 1, blank("b")}}, "every seed"},
+		{"a fleet is there", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, &fb.FoundTellT{Name: "b", Inc: 9, Founding: &fb.FoundingT{}}}}, "to be let into"},
+		{"one name twice", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, blank("a")}}, "two control nodes are named a"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			replies := map[string]peerReply{}
+			for _, reply := range c.replies {
+				replies[reply.addr] = reply
+			}
+			set, err := c.node.tryBootstrap(now, replies)
+			var waiting *joinError
+			if set != nil || !errors.As(err, &waiting) || !strings.Contains(waiting.Reason, c.want) || waiting.Remedy == "" {
+				t.Errorf("%+v, %v", set, err)
+			}
+		})
+	}
+	lost := seedNode("a", true, "a:1", "a:1", "b:1")
+	lost.removed.Store(true)
+	if set, err := lost.tryBootstrap(now, map[string]peerReply{"b:1": {"b:1", now, blank("b")}}); set != nil || err == nil {
+		t.Errorf("a node that lost its seat bootstraps: %+v", set)
+	}
+}
+
+// TestSeedsAgree: all seeds work out the same voter set.
+func TestSeedsAgree(t *testing.T) {
+	const now = 10_000_000
+	a, b := seedNode("a", true, "a:1", "a:1", "b:1"), seedNode("bb", true, "b:1", "b:1", "a:1")
+	identity := func(n *Node) *fb.FoundTellT { return &fb.FoundTellT{Name: n.Name(), Inc: n.Incarnation()} }
+	first, err := a.tryBootstrap(now, map[string]peerReply{"b:1": {"b:1", now - replyLifetime, identity(b)}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	second, err := b.tryBootstrap(now, map[string]peerReply{"a:1": {"a:1", now, identity(a)}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if first.Fleet != second.Fleet || first.Rev != second.Rev || len(first.Voters) != 2 || first.Seats != 2 {
+		t.Fatalf("%+v, %+v", first, second)
+	}
+	for i := range first.Voters {
+		if *first.Voters[i] != *second.Voters[i] || first.Voters[i].Num != uint16(i+1) {
+			t.Errorf("voter %d: %+v, %+v", i, first.Voters[i], second.Voters[i])
+		}
+	}
+	if !a.isVoter(first) || !b.isVoter(first) {
+		t.Error("a seed is not in its own voter set")
+	}
+}
--- a/internal/app/control/doc.go
+++ b/internal/app/control/doc.go
@@ -23,7 +23,7 @@
 //
 // The voter belongs to one loop ("voter", see startLoops): everything else reaches it by
 // sending a function on Node.commands. The write-ahead log belongs to the writer's loop
-// ("disk.write") while the voter runs, and to the lifecycle's goroutine ("life")
+// ("disk.write") while the voter runs, and to the lifecycle's goroutine ("lifecycle")
 // otherwise. Methods of Node that are exported may be called from any goroutine. All
 // goroutines start in internal/taskgroup.
 //
--- a/internal/app/control/frames.go
+++ b/internal/app/control/frames.go
@@ -68,10 +68,10 @@
 // heartbeatReply is what a node learns from its heartbeat: the live nodes, the voters, and
 // the plan if it is not the one it has.
 func (n *Node) heartbeatReply(now int64, haveRevision uint64) *fb.BeatTellT {
-	held := n.plan.Load()
-	reply := &fb.BeatTellT{Rev: held.Revision, Age: held.Age(now), Fresh: held.Known, Nodes: n.sessions.Live(now), Era: n.generation.Load()}
-	if held.Revision != haveRevision {
-		reply.Plan = held.Raw
+	cached := n.plan.Load()
+	reply := &fb.BeatTellT{Rev: cached.Revision, Age: cached.Age(now), Fresh: cached.Known, Nodes: n.sessions.Live(now), Era: n.generation.Load()}
+	if cached.Revision != haveRevision {
+		reply.Plan = cached.Raw
 	}
 	if set := n.voterSet.Load(); set != nil {
 		reply.Registrars = voterAddrs(set)
--- a/internal/app/control/node.go
+++ b/internal/app/control/node.go
@@ -54,7 +54,7 @@
 	senders       map[string]chan *fb.FrameT // by address
 	results       map[uint64]chan quorum.Result
 	lastOperation uint64
-	logTight      bool // the voter was told that the log is nearly full
+	logTight      bool // the voter knows that the log is nearly full
 }
 
 // voterStatus is what the voter's loop publishes for others.
@@ -113,7 +113,7 @@
 	transport.Serve(process.Group, listener, transport.Chain(n.handleFrame))
 	process.OnDrain(n.leave)
 	n.registerRoutes()
-	process.Group.Go("life", n.runLifecycle)
+	process.Group.Go("lifecycle", n.runLifecycle)
 	return n, nil
 }
 
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -53,7 +53,7 @@
 // judgeAttempt is what the caller may be told after an attempt, whether one of the attempts
 // may still take effect, and whether to try again. After an attempt in doubt only an answer
 // that is right whatever became of it counts; a read is never in doubt.
-func judgeAttempt(kind quorum.OperationType, answer *fb.OpTellT, inDoubt bool) (told *fb.OpTellT, doubtful, again bool) {
+func judgeAttempt(kind quorum.OperationType, answer *fb.OpTellT, inDoubt bool) (report *fb.OpTellT, doubtful, again bool) {
 	switch status := quorum.Status(answer.Status); {
 	case status == quorum.StatusDone || status == quorum.StatusConflict || status == quorum.StatusGenerationClosed:
 		return answer, inDoubt, false
--- a/internal/app/control/operations_test.go
+++ b/internal/app/control/operations_test.go
@@ -8,7 +8,7 @@
 	"violetthread/schema/fb"
 )
 
-// TestVerdict: what may have taken effect is never told as undone, and only what may
+// TestVerdict: what may have taken effect is never reported as undone, and only what may
 // be done twice is tried again after a doubt.
 func TestVerdict(t *testing.T) {
 	const tryAgain, final = true, false
@@ -40,7 +40,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			answer, inDoubt, again := judgeAttempt(c.kind, &fb.OpTellT{Status: byte(c.status)}, c.inDoubt)
 			if quorum.Status(answer.Status) != c.wantStatus || inDoubt != c.wantInDoubt || again != c.wantAgain {
-				t.Errorf("kind %d status %d: told %d, doubt %v, again %v", c.kind, c.status, answer.Status, inDoubt, again)
+				t.Errorf("kind %d status %d: reported %d, doubt %v, again %v", c.kind, c.status, answer.Status, inDoubt, again)
 			}
 		})
 	}
--- a/internal/app/control/plan_cache.go
+++ b/internal/app/control/plan_cache.go
@@ -23,9 +23,9 @@
 func (n *Node) refreshPlan(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(planTimeout))
 	defer cancel()
-	held := n.plan.Load()
+	cached := n.plan.Load()
 	askedAt := clock.Now()
-	ask := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: held.Revision}
+	ask := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: cached.Revision}
 	answer := n.execute(ctx, ask)
 	if quorum.Status(answer.Status) != quorum.StatusDone {
 		if relayed := n.readPlanThroughPeer(ask); relayed != nil {
@@ -33,7 +33,7 @@
 		}
 	}
 	if quorum.Status(answer.Status) == quorum.StatusDone {
-		updated, _, _ := held.Apply(plan.Update{Revision: answer.Rev, Raw: answer.Val, Confirmed: true}, askedAt)
+		updated, _, _ := cached.Apply(plan.Update{Revision: answer.Rev, Raw: answer.Val, Confirmed: true}, askedAt)
 		n.plan.Store(&updated)
 	}
 }
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -67,7 +67,7 @@
 	}
 	every("probe", probeInterval, n.probeSilentVoters)
 	every("plan", planInterval, n.refreshPlan)
-	every("roll", sessionsInterval, n.broadcastSessions)
+	every("sessions", sessionsInterval, n.broadcastSessions)
 }
 
 // tickVoter runs a few times in each heartbeat interval, in the voter's loop.
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -11,7 +11,7 @@
 
 const (
 	checkpointPartRecords = 1024 // records written between other changes
-	checkpointAtPermille  = 350  // thousandths of the ring in use
+	checkpointAtPermille  = 350  // thousandths of the log in use; a checkpoint is due
 	tightAtPermille       = 750  // from here on new changes are refused until a checkpoint made room
 	maxBatchesPerSync     = 512  // that one sync covers
 )
--- a/internal/app/directory/cache_events.go
+++ b/internal/app/directory/cache_events.go
@@ -17,7 +17,7 @@
 // Microseconds.
 const (
 	eventPollPause   = 150_000 // between questions to one engine, so that events come in lots
-	eventPollTimeout = 900_000 // that an engine may hold a question for
+	eventPollTimeout = 900_000 // for which an engine may delay an answer
 	eventPollMargin  = 400_000 // beyond that, for the answer to come
 )
 
@@ -66,7 +66,7 @@
 			ctx, cancel := context.WithCancel(d.group.Context())
 			reader := &eventReader{directory: d, eventSource: source, stop: cancel}
 			d.readers[id] = reader
-			d.group.Go("directory.news", func(context.Context) { reader.run(ctx) })
+			d.group.Go("directory.cache_events", func(context.Context) { reader.run(ctx) })
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	eventSource
 	directory *Directory
 	stop      context.CancelFunc
-	epoch     string // of the source, as last told
+	epoch     string // of the source, as it last answered
 	cursor    string // of the next question; of run alone, as epoch
 	failures  int    // questions in a row that failed
 	answered  bool   // or failed, once
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -65,7 +65,7 @@
 	table          *route.Table        // of config; nil until one could be read
 	newestVersions map[string]uint64   // of weights: the newest version of each model
 	rolloutState   rollout.State       // of rollout
-	namings        route.Announcements // when each version was first known to be wanted
+	announcements  route.Announcements // when each version was first known to be wanted
 
 	listedEngines []Engine
 	listReadAt    int64 // 0: never
@@ -90,7 +90,7 @@
 	}
 	every("directory.registers", firstRefreshInterval, d.refreshDue)
 	every("directory.list", listPollInterval, d.refreshList)
-	every("directory.conduct", rolloutInterval, d.runRollout)
+	every("directory.rollout", rolloutInterval, d.runRollout)
 	every("directory.loads", loadsInterval, d.broadcastLoads)
 	return d
 }
--- a/internal/app/directory/engine_list.go
+++ b/internal/app/directory/engine_list.go
@@ -57,8 +57,8 @@
 	if len(voters) == 0 {
 		return 0, ""
 	}
-	line := slices.Sorted(slices.Values(voters))
-	return int64(max(0, slices.Index(line, self))), line[0]
+	ordered := slices.Sorted(slices.Values(voters))
+	return int64(max(0, slices.Index(ordered, self))), ordered[0]
 }
 
 // copyListFrom takes over the list that another core machine has.
@@ -69,18 +69,18 @@
 	if err != nil || answer.MapTell == nil {
 		return
 	}
-	told := answer.MapTell
+	mapReply := answer.MapTell
 	d.mu.Lock()
-	d.namings.Merge(codec.UnpackVersionAges(told, askedAt))
+	d.announcements.Merge(codec.UnpackVersionAges(mapReply, askedAt))
 	d.mu.Unlock()
-	if !told.Whole { // the list is still the one that was taken over last
+	if !mapReply.Whole { // the list is still the one that was taken over last
 		d.mu.Lock()
-		d.listReadAt = max(d.listReadAt, askedAt-told.ListAge)
+		d.listReadAt = max(d.listReadAt, askedAt-mapReply.ListAge)
 		d.mu.Unlock()
 		return
 	}
-	if d.adoptList(askedAt-told.ListAge, unpackEngines(told.Engines)) {
-		d.firstIncarnation, d.firstRevision = told.Inc, told.Map
+	if d.adoptList(askedAt-mapReply.ListAge, unpackEngines(mapReply.Engines)) {
+		d.firstIncarnation, d.firstRevision = mapReply.Inc, mapReply.Map
 	}
 }
 
--- a/internal/app/directory/ports.go
+++ b/internal/app/directory/ports.go
@@ -67,8 +67,8 @@
 	UpdateWeights(ctx context.Context, request UpdateRequest) UpdateResult
 	// RunningWeights is an engine's own word on its weights, and whether it is changing them.
 	RunningWeights(ctx context.Context, addr string) (weights map[string]uint64, busy bool, err error)
-	// CacheEvents asks an engine or store for what changed after a cursor, and may be held
-	// for waitUS microseconds.
+	// CacheEvents asks an engine or store for what changed after a cursor, which may
+	// delay its answer by waitUS microseconds until there is something.
 	CacheEvents(ctx context.Context, addr, cursor string, waitUS int64) (CacheEventPage, error)
 }
 
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -10,9 +10,9 @@
 	"violetthread/schema/fb"
 )
 
-// namedVersionsKept is how many versions of a model proxies are told of: who lags behind an
+// namedVersionsKept is how many versions of a model proxies learn of: who lags behind an
 // older announcement is late by that, whatever was announced since.
-const namedVersionsKept = 8
+const announcedVersionsKept = 8
 
 // readTimeout is how long the read of one register may take, in microseconds.
 const readTimeout = 700_000
@@ -63,9 +63,9 @@
 	}
 	d.newestVersions = newestOf(doc)
 	for _, model := range doc.Models {
-		for _, version := range model.Versions[max(0, len(model.Versions)-namedVersionsKept):] {
-			if _, known := d.namings.AnnouncedAt(model.Model, version); !known {
-				d.namings.Observe(model.Model, version, since)
+		for _, version := range model.Versions[max(0, len(model.Versions)-announcedVersionsKept):] {
+			if _, known := d.announcements.AnnouncedAt(model.Model, version); !known {
+				d.announcements.Observe(model.Model, version, since)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 // applyRoleChange takes in that another directory leads the rollout. Called under the lock.
 func (d *Directory) applyRoleChange(_ []byte, revision uint64, since int64) {
 	if revision > 1 { // the first leader followed nobody
-		d.namings.StartTerm(revision, since-takeoverWindow)
+		d.announcements.StartTerm(revision, since-takeoverWindow)
 	}
 }
 
--- a/internal/app/directory/registers_test.go
+++ b/internal/app/directory/registers_test.go
@@ -18,8 +18,8 @@
 	c.set(route.WeightsKey, next.Encode())
 }
 
-// toldAge is how long ago a proxy is told that a version was announced.
-func toldAge(t *testing.T, d *Directory, version uint64) int64 {
+// toldAge is how long ago a version was announced, as a proxy learns it.
+func announcedAge(t *testing.T, d *Directory, version uint64) int64 {
 	t.Helper()
 	a := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, clock.Now())
 	for _, n := range a.Named {
@@ -27,23 +27,23 @@
 			return n.Age
 		}
 	}
-	t.Fatalf("version %d is not told", version)
+	t.Fatalf("no proxy learns of version %d", version)
 	return 0
 }
 
-// A node that hears of new weights late does not tell that they are young: they may have
-// been named right after it last looked.
+// A node that reads new weights late does not take them for young: they may have been
+// announced right after it last read the register.
 func TestLateHearerTellsNoYoungAge(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
-	lastLook := clock.Now()
+	lastRead := clock.Now()
 	d.Refresh(t.Context())
-	d.weights.readAt -= 2_000_000 // the look was two seconds ago
-	lastLook -= 2_000_000
+	d.weights.readAt -= 2_000_000 // the read was two seconds ago
+	lastRead -= 2_000_000
 	control.announce(2)
 	d.Refresh(t.Context())
-	if age, least := toldAge(t, d, 2), clock.Now()-lastLook-100_000; age < least {
-		t.Errorf("told an age of %d us, it may be %d", age, least)
+	if age, least := announcedAge(t, d, 2), clock.Now()-lastRead-100_000; age < least {
+		t.Errorf("an age of %d us is replied, it may be %d", age, least)
 	}
 }
 
@@ -64,8 +64,8 @@
 	control.announce(1)
 	d.startedAt = clock.Now() - 3_000_000
 	d.Refresh(t.Context())
-	if age := toldAge(t, d, 1); age < 3_000_000 {
-		t.Errorf("told %d us by a node that started 3 s ago", age)
+	if age := announcedAge(t, d, 1); age < 3_000_000 {
+		t.Errorf("an age of %d us from a node that started 3 s ago", age)
 	}
 }
 
@@ -75,17 +75,17 @@
 	control.announce(1)
 	control.set(WeightsRoleKey, nil)
 	d.Refresh(t.Context())
-	d.namings.Observe("m", 1, clock.Now()-60_000_000)
-	if age := toldAge(t, d, 1); age < 60_000_000 {
-		t.Fatalf("told %d us", age)
+	d.announcements.Observe("m", 1, clock.Now()-60_000_000)
+	if age := announcedAge(t, d, 1); age < 60_000_000 {
+		t.Fatalf("an age of %d us", age)
 	}
 	control.set(WeightsRoleKey, []byte("another's"))
 	d.Refresh(t.Context())
-	if age := toldAge(t, d, 1); age < takeoverWindow || age > 3*takeoverWindow {
-		t.Errorf("told %d us after the leader changed", age)
+	if age := announcedAge(t, d, 1); age < takeoverWindow || age > 3*takeoverWindow {
+		t.Errorf("an age of %d us after the leader changed", age)
 	}
 	if got := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0).NamedEpoch; got != control.revisions[WeightsRoleKey] {
-		t.Errorf("epoch %d is told", got)
+		t.Errorf("term %d is replied", got)
 	}
 }
 
@@ -96,12 +96,12 @@
 	d.Refresh(t.Context())
 	control.firstReply = &fb.MapTellT{Named: []*fb.NamedT{{Model: "m", Version: 1, Age: 30_000_000}}, ListAge: 1_000_000}
 	d.copyListFrom(t.Context(), "a:1")
-	if age := toldAge(t, d, 1); age < 30_000_000 {
-		t.Errorf("told %d us, the first in line knows 30 s", age)
+	if age := announcedAge(t, d, 1); age < 30_000_000 {
+		t.Errorf("an age of %d us, the first node in line knows 30 s", age)
 	}
 }
 
-// What the registers of weights and roll-outs were last vouched for goes with each answer.
+// The age of the registers of weights and rollout goes with each reply.
 func TestAgeOfRegistersIsTold(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
@@ -110,6 +110,6 @@
 	control.unreadable = true
 	d.Refresh(t.Context())
 	if a := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0); a.NamedAge < 5_000_000 {
-		t.Errorf("an age of %d us is told of weights last vouched for 5 s ago", a.NamedAge)
+		t.Errorf("an age of %d us is replied of weights last confirmed 5 s ago", a.NamedAge)
 	}
 }
--- a/internal/app/directory/reply.go
+++ b/internal/app/directory/reply.go
@@ -8,18 +8,16 @@
 	"violetthread/internal/clock"
 	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
+	"violetthread/membership"
 	"violetthread/schema/fb"
 )
 
 // Microseconds.
 const (
-	maxReplyDelay = 400_000 // that a question is held for at the most
+	maxReplyDelay = 400_000 // by which a reply is delayed at the most
 	mapBatchDelay = 60_000  // changes of the map come in lots, and go out together
 )
 
-// proxyRole is the role that proxies have in their heartbeats.
-const proxyRole = "carrier"
-
 // Handle answers proxies and other nodes; nil if the frame is not for a directory.
 func (d *Directory) Handle(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
 	now := clock.Now()
@@ -39,8 +37,8 @@
 	return &fb.FrameT{MapTell: d.reply(frame.MapAsk, now)}
 }
 
-// awaitChange holds a question that came at a time until something urgent changed, or it
-// was held for long enough. It returns false if whoever asked is gone.
+// awaitChange delays the reply to a question that came at a time until something urgent changed, or it
+// was delayed for long enough. It returns false if whoever asked is gone.
 func (d *Directory) awaitChange(ctx context.Context, askedAt int64, ask *fb.MapAskT) bool {
 	end := askedAt + min(max(ask.Hold, 0), maxReplyDelay)
 	for {
@@ -96,7 +94,7 @@
 		reply.Config = d.config.value
 	}
 	for _, node := range live {
-		if node.Role == proxyRole {
+		if node.Role == membership.RoleProxy {
 			reply.Proxies++
 		}
 	}
@@ -105,8 +103,8 @@
 		reply.Engines = d.mapEngines()
 	}
 	if reply.Whole || ask.Node == nil {
-		reply.Named = d.namedVersions(now)
-		reply.NamedEpoch = d.namings.Term()
+		reply.Named = d.announcedVersions(now)
+		reply.NamedEpoch = d.announcements.Term()
 	}
 	if ask.Node != nil { // another core machine follows the engines itself
 		reply.Loads = d.loadsOfOthers(now, ask.Node.Name)
@@ -173,8 +171,8 @@
 
 // namedVersions tells how long ago each version of weights was announced. Called under the
 // lock.
-func (d *Directory) namedVersions(now int64) (out []*fb.NamedT) {
-	d.namings.Each(func(model string, version uint64, at int64) {
+func (d *Directory) announcedVersions(now int64) (out []*fb.NamedT) {
+	d.announcements.Each(func(model string, version uint64, at int64) {
 		out = append(out, &fb.NamedT{Model: model, Version: version, Age: now - at})
 	})
 	return out
--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -96,7 +96,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for model, version := range d.newestVersions {
-		at, _ := d.namings.AnnouncedAt(model, version)
+		at, _ := d.announcements.AnnouncedAt(model, version)
 		d.role.scheduler.Announce(model, version, at)
 	}
 	engines := map[string]rollout.Engine{}
@@ -151,7 +151,7 @@
 func (d *Directory) sendUpdates(requests []rollout.UpdateRequest, fencingToken uint64) {
 	for _, request := range requests {
 		d.role.inFlight.Add(1)
-		d.group.Go("directory.order", func(ctx context.Context) {
+		d.group.Go("directory.weight_update", func(ctx context.Context) {
 			defer d.role.inFlight.Done()
 			d.sendUpdate(ctx, request, fencingToken)
 		})
--- /dev/null
+++ b/membership/roles.go
@@ -0,0 +1,8 @@
+package membership
+
+// Roles of nodes, as their heartbeats have them. The values are part of the wire format.
+const (
+	RoleIndexNode = "custodian" // owns engines and a share of the prefix-cache index
+	RoleGateway   = "remisier"  // serves callers, with an agent beside it
+	RoleProxy     = "carrier"   // forwards requests to engines that the platform lists
+)
--- a/membership/sessions.go
+++ b/membership/sessions.go
@@ -55,9 +55,9 @@
 	if known := s.sessions[node.Name]; known != nil && known.heardAt >= heardAt {
 		return
 	}
-	kept := *node
-	kept.Registrar = via
-	s.sessions[node.Name] = &session{&kept, heardAt, via}
+	copied := *node
+	copied.Registrar = via
+	s.sessions[node.Name] = &session{&copied, heardAt, via}
 }
 
 // Merge takes in another control node's announcement: its own sessions, and those of
--- a/rollout/config.go
+++ b/rollout/config.go
@@ -24,7 +24,7 @@
 	// longer than LeaseDuration, and 4 s at least.
 	RetryAfter int64
 	// SlowAfter is how long an update counts against the others of its pool. Default 6 s; a
-	// longer one lets a stuck engine hold up others.
+	// longer one lets a stuck engine delay others.
 	SlowAfter int64
 }
 
