--- a/agent/agent.go
+++ b/agent/agent.go
@@ -14,7 +14,7 @@
 // Agent is that of one proxy. It is not safe for concurrent use.
 type Agent struct {
 	name, zone   string
-	lastPoll     fb.FeedAskT
+	lastPoll     fb.FeedRequestT
 	polledAt     int64
 	polled       bool                  // the proxy polled once
 	sources      map[string]*indexNode // by the index node's name
@@ -24,12 +24,12 @@
 
 // indexNode is what came from one index node, and what is to go there.
 type indexNode struct {
-	grants  []*fb.OrderT
+	grants  []*fb.GrantT
 	askedAt int64           // when the query was put that brought them
 	engines map[string]bool // that it owns
 	// Reports of the proxy that wait for the next query.
-	imports []*fb.ImportT
-	seen    []*fb.SeenT
+	imports []*fb.TransferT
+	seen    []*fb.OutcomesT
 
 	busy       bool  // a query is under way
 	relayUntil int64 // it is queried through another index node until then
@@ -39,7 +39,7 @@
 type updateBatch struct {
 	incarnation, since, next uint64
 	reset, present           bool
-	updates                  []*fb.NewsT
+	updates                  []*fb.CacheUpdateT
 }
 
 // follows reports whether a proxy that asks from this position can use the batch.
@@ -54,10 +54,10 @@
 
 // Poll answers the proxy with plan, grants and cache updates, and takes in its demand and
 // its reports.
-func (a *Agent) Poll(now int64, cached *plan.Cached, generation uint64, poll *fb.FeedAskT) *fb.FeedTellT {
+func (a *Agent) Poll(now int64, cached *plan.Cached, generation uint64, poll *fb.FeedRequestT) *fb.FeedResponseT {
 	a.lastPoll, a.polledAt, a.polled = *poll, now, true
-	reply := &fb.FeedTellT{Rev: cached.Revision, Age: cached.Age(now), Fresh: cached.Known, Era: generation}
-	if cached.Revision != poll.Have {
+	reply := &fb.FeedResponseT{Revision: cached.Revision, Age: cached.Age(now), Confirmed: cached.Known, Generation: generation}
+	if cached.Revision != poll.HaveRevision {
 		reply.Plan = cached.Raw
 	}
 	for _, name := range a.sourceNames() {
@@ -65,25 +65,25 @@
 		for _, grant := range source.grants {
 			aged := *grant
 			aged.Age += now - source.askedAt
-			reply.Orders = append(reply.Orders, &aged)
+			reply.Grants = append(reply.Grants, &aged)
 		}
 	}
 	a.queueReports(poll)
-	if batch := &a.cacheUpdates; batch.follows(poll.NewsInc, poll.NewsSince) {
-		reply.NewsInc, reply.NewsAt, reply.NewsNext = batch.incarnation, batch.since, batch.next
-		reply.NewsReset, reply.News = batch.reset, batch.updates
+	if batch := &a.cacheUpdates; batch.follows(poll.UpdatesIncarnation, poll.UpdatesSince) {
+		reply.UpdatesIncarnation, reply.UpdatesSince, reply.UpdatesNext = batch.incarnation, batch.since, batch.next
+		reply.UpdatesReset, reply.Updates = batch.reset, batch.updates
 	}
 	return reply
 }
 
 // queueReports keeps what the proxy reports of engines for the index nodes that own them.
-func (a *Agent) queueReports(poll *fb.FeedAskT) {
-	for _, imported := range poll.Imports {
+func (a *Agent) queueReports(poll *fb.FeedRequestT) {
+	for _, imported := range poll.Transfers {
 		if source := a.owner(imported.Engine); source != nil {
 			source.imports = append(source.imports, imported)
 		}
 	}
-	for _, seen := range poll.Seen {
+	for _, seen := range poll.Outcomes {
 		if source := a.owner(seen.Engine); source != nil {
 			source.seen = append(source.seen, seen)
 		}
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -21,7 +21,7 @@
 // queriesByNode polls an agent and returns its queries by the index node that each is for.
 func queriesByNode(t *testing.T, a *Agent, now int64, nodes []*fb.NodeT) map[string]Query {
 	t.Helper()
-	a.Poll(now, &plan.Cached{}, 0, &fb.FeedAskT{})
+	a.Poll(now, &plan.Cached{}, 0, &fb.FeedRequestT{})
 	queries := map[string]Query{}
 	for _, query := range a.Queries(now, nodes) {
 		queries[query.IndexNode] = query
@@ -45,7 +45,7 @@
 		}
 	}
 	a.HandleReply(queries["i1"], now, nil)
-	a.HandleReply(queries["i2"], now, &fb.RoomTellT{})
+	a.HandleReply(queries["i2"], now, &fb.CapacityResponseT{})
 	askedAt := now
 	now += 100_000
 	queries = queriesByNode(t, a, now, nodes)
@@ -58,9 +58,9 @@
 	if _, busy := queries["i3"]; busy {
 		t.Fatal("i3 was queried twice at a time")
 	}
-	a.HandleReply(queries["i1"], now, &fb.RoomTellT{Orders: []*fb.OrderT{{Engine: "e", Age: 7}}})
-	if reply := a.Poll(now+50, &plan.Cached{}, 0, &fb.FeedAskT{}); len(reply.Orders) != 1 || reply.Orders[0].Age != 57 {
-		t.Fatalf("%+v", reply.Orders)
+	a.HandleReply(queries["i1"], now, &fb.CapacityResponseT{Grants: []*fb.GrantT{{Engine: "e", Age: 7}}})
+	if reply := a.Poll(now+50, &plan.Cached{}, 0, &fb.FeedRequestT{}); len(reply.Grants) != 1 || reply.Grants[0].Age != 57 {
+		t.Fatalf("%+v", reply.Grants)
 	}
 	if query := queriesByNode(t, a, askedAt+relayDuration, nodes)["i1"]; query.Via != "i1" || query.Request.To != "" {
 		t.Fatalf("%+v", query)
@@ -71,7 +71,7 @@
 func TestNobodyPassesOn(t *testing.T) {
 	a := New("proxy", "north")
 	nodes := indexNodes("i1", "i2")
-	a.Poll(0, &plan.Cached{}, 0, &fb.FeedAskT{})
+	a.Poll(0, &plan.Cached{}, 0, &fb.FeedRequestT{})
 	for _, query := range a.Queries(0, nodes) {
 		a.HandleReply(query, 0, nil)
 	}
--- a/agent/query.go
+++ b/agent/query.go
@@ -13,7 +13,7 @@
 // at Addr: the same one, or another that relays it.
 type Query struct {
 	IndexNode, Via, Addr string
-	Request              *fb.RoomAskT
+	Request              *fb.CapacityRequestT
 }
 
 // Queries lists the queries to put now: one to each index node that has answered the last
@@ -57,15 +57,15 @@
 func (a *Agent) query(now int64, name string, live map[string]string) Query {
 	source := a.sources[name]
 	source.busy = true
-	request := &fb.RoomAskT{
-		Proxy:     a.name,
-		Site:      a.zone,
-		Wants:     a.lastPoll.Wants,
-		Active:    a.lastPoll.Active,
-		NewsInc:   a.lastPoll.NewsInc,
-		NewsSince: a.lastPoll.NewsSince,
-		Imports:   source.imports,
-		Seen:      source.seen,
+	request := &fb.CapacityRequestT{
+		Proxy:              a.name,
+		Zone:               a.zone,
+		Demand:             a.lastPoll.Demand,
+		Active:             a.lastPoll.Active,
+		UpdatesIncarnation: a.lastPoll.UpdatesIncarnation,
+		UpdatesSince:       a.lastPoll.UpdatesSince,
+		Transfers:          source.imports,
+		Outcomes:           source.seen,
 	}
 	source.imports, source.seen = nil, nil
 	via := a.relay(now, name, live)
@@ -96,7 +96,7 @@
 
 // HandleReply takes in the reply to a query that was put at a time; nil if there was none.
 // What the query reported may be lost then: cache locations and transfer scores stand that.
-func (a *Agent) HandleReply(query Query, askedAt int64, reply *fb.RoomTellT) {
+func (a *Agent) HandleReply(query Query, askedAt int64, reply *fb.CapacityResponseT) {
 	source := a.sources[query.IndexNode]
 	if source == nil {
 		return
@@ -108,18 +108,18 @@
 		}
 		return
 	}
-	source.grants, source.askedAt, source.engines = reply.Orders, askedAt, map[string]bool{}
-	for _, grant := range reply.Orders {
+	source.grants, source.askedAt, source.engines = reply.Grants, askedAt, map[string]bool{}
+	for _, grant := range reply.Grants {
 		source.engines[grant.Engine] = true
 	}
-	if reply.NewsFrom && (reply.NewsReset || len(reply.News) > 0 || reply.NewsInc != query.Request.NewsInc) {
+	if reply.HasUpdates && (reply.UpdatesReset || len(reply.Updates) > 0 || reply.UpdatesIncarnation != query.Request.UpdatesIncarnation) {
 		a.cacheUpdates = updateBatch{
-			incarnation: reply.NewsInc,
-			since:       reply.NewsAt,
-			next:        reply.NewsNext,
-			reset:       reply.NewsReset,
+			incarnation: reply.UpdatesIncarnation,
+			since:       reply.UpdatesSince,
+			next:        reply.UpdatesNext,
+			reset:       reply.UpdatesReset,
 			present:     true,
-			updates:     reply.News,
+			updates:     reply.Updates,
 		}
 	}
 }
--- a/internal/app/agent/server.go
+++ b/internal/app/agent/server.go
@@ -68,7 +68,7 @@
 		peers:    transport.NewPeerPool(process.Group),
 		agent:    agent.New(settings.Name, settings.Zone),
 	}
-	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: membership.RoleGateway, Site: settings.Zone, Addr: settings.TransportAddr})
+	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: membership.RoleGateway, Zone: settings.Zone, Addr: settings.TransportAddr})
 	s.session = session.New(process.Group, s.peers, settings.Seeds, s.proxyNode.Load)
 	listener, err := net.Listen("tcp", settings.TransportAddr)
 	if err != nil {
@@ -103,16 +103,16 @@
 // handleFrame answers the proxy.
 func (s *server) handleFrame(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
 	switch {
-	case frame.FeedAsk != nil && frame.FeedAsk.Node != nil:
-		return &fb.FrameT{FeedTell: s.feedProxy(frame.FeedAsk)}
-	case frame.OpAsk != nil:
-		return &fb.FrameT{OpTell: s.execute(ctx, frame.OpAsk)}
+	case frame.FeedRequest != nil && frame.FeedRequest.Node != nil:
+		return &fb.FrameT{FeedResponse: s.feedProxy(frame.FeedRequest)}
+	case frame.OperationRequest != nil:
+		return &fb.FrameT{OperationResponse: s.execute(ctx, frame.OperationRequest)}
 	}
 	return nil
 }
 
 // feedProxy answers a poll of the proxy.
-func (s *server) feedProxy(poll *fb.FeedAskT) *fb.FeedTellT {
+func (s *server) feedProxy(poll *fb.FeedRequestT) *fb.FeedResponseT {
 	s.proxyNode.Store(poll.Node)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,11 +122,11 @@
 
 // execute has a control node carry an operation out. Without an answer it may have taken
 // effect.
-func (s *server) execute(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+func (s *server) execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
 	answer, err := s.session.Propose(ctx, ask, operationTimeout)
 	if err != nil {
 		s.daemon.Log.Info("operation_unanswered", "key", ask.Key, "cause", err.Error())
-		return &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
+		return &fb.OperationResponseT{Status: byte(quorum.StatusUnknown)}
 	}
 	return answer
 }
@@ -144,10 +144,10 @@
 // query puts one query and takes its reply in.
 func (s *server) query(ctx context.Context, query agent.Query) {
 	askedAt := clock.Now()
-	answer, err := s.peers.Get(query.Addr).Call(ctx, &fb.FrameT{RoomAsk: query.Request}, queryTimeout)
-	var reply *fb.RoomTellT
+	answer, err := s.peers.Get(query.Addr).Call(ctx, &fb.FrameT{CapacityRequest: query.Request}, queryTimeout)
+	var reply *fb.CapacityResponseT
 	if err == nil {
-		reply = answer.RoomTell
+		reply = answer.CapacityResponse
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/app/control/bootstrap_test.go
+++ b/internal/app/control/bootstrap_test.go
@@ -21,7 +21,7 @@
 // just replied and none knows a voter set.
 func TestBootstrapWaits(t *testing.T) {
 	const now = 10_000_000
-	blank := func(name string) *fb.FoundTellT { return &fb.FoundTellT{Name: name, Inc: 9, Blank: true} }
+	blank := func(name string) *fb.JoinResponseT { return &fb.JoinResponseT{Name: name, Incarnation: 9, Blank: true} }
 	for _, c := range []struct {
 		name    string
 		node    *Node
@@ -33,7 +33,7 @@
 		{"a seed never replied", seedNode("a", true, "a:1", "a:1", "b:1"), nil, "every seed"},
 		{"a seed did not answer", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, nil}}, "every seed"},
 		{"an old reply", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now - replyLifetime - 1, blank("b")}}, "every seed"},
-		{"a fleet is there", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, &fb.FoundTellT{Name: "b", Inc: 9, Founding: &fb.FoundingT{}}}}, "to be let into"},
+		{"a fleet is there", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, &fb.JoinResponseT{Name: "b", Incarnation: 9, VoterSet: &fb.VoterSetT{}}}}, "to be let into"},
 		{"one name twice", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, blank("a")}}, "two control nodes are named a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,7 +59,9 @@
 func TestSeedsAgree(t *testing.T) {
 	const now = 10_000_000
 	a, b := seedNode("a", true, "a:1", "a:1", "b:1"), seedNode("bb", true, "b:1", "b:1", "a:1")
-	identity := func(n *Node) *fb.FoundTellT { return &fb.FoundTellT{Name: n.Name(), Inc: n.Incarnation()} }
+	identity := func(n *Node) *fb.JoinResponseT {
+		return &fb.JoinResponseT{Name: n.Name(), Incarnation: n.Incarnation()}
+	}
 	first, err := a.tryBootstrap(now, map[string]peerReply{"b:1": {"b:1", now - replyLifetime, identity(b)}})
 	if err != nil {
 		t.Fatal(err)
@@ -68,11 +70,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if first.Fleet != second.Fleet || first.Rev != second.Rev || len(first.Voters) != 2 || first.Seats != 2 {
+	if first.Fleet != second.Fleet || first.Revision != second.Revision || len(first.Voters) != 2 || first.Seats != 2 {
 		t.Fatalf("%+v, %+v", first, second)
 	}
 	for i := range first.Voters {
-		if *first.Voters[i] != *second.Voters[i] || first.Voters[i].Num != uint16(i+1) {
+		if *first.Voters[i] != *second.Voters[i] || first.Voters[i].Number != uint16(i+1) {
 			t.Errorf("voter %d: %+v, %+v", i, first.Voters[i], second.Voters[i])
 		}
 	}
