--- a/sim/core.go
+++ b/sim/core.go
@@ -263,7 +263,7 @@
 // in the midst of it: then the old state stands, and it is told again.
 func (n *ControlNode) retire() {
 	inc := n.cluster.newIncarnation()
-	if err := n.log.Checkpoint([][]byte{codec.PackFounding(&fb.FoundingT{Inc: inc})}); err != nil {
+	if err := n.log.Checkpoint([][]byte{codec.PackFounding(&fb.VoterSetT{Incarnation: inc})}); err != nil {
 		n.fail(err)
 		return
 	}
@@ -350,7 +350,7 @@
 		n.cluster.world.Violation("codec", "%v", err)
 		return
 	}
-	n.handle(n.node.Receive(n.Clock(), codec.UnpackMessage(f.Settle)))
+	n.handle(n.node.Receive(n.Clock(), codec.UnpackMessage(f.VoterMessage)))
 }
 
 func (n *ControlNode) sync() {
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -185,26 +185,26 @@
 	h.Every(150_000, func() {
 		r := m.controlNodes[m.current%len(m.controlNodes)]
 		at := h.Clock()
-		Call(h, r.Host, &fb.BeatAskT{Node: self(), Have: m.plan.Revision}, 600_000, func(q *fb.BeatAskT, rep func(*fb.BeatTellT)) {
+		Call(h, r.Host, &fb.HeartbeatRequestT{Node: self(), HaveRevision: m.plan.Revision}, 600_000, func(q *fb.HeartbeatRequestT, rep func(*fb.HeartbeatResponseT)) {
 			s := f.services[r]
 			if s == nil || r.node == nil {
 				return
 			}
 			now := r.Clock()
 			s.sessions.Heartbeat(now, q.Node)
-			t := &fb.BeatTellT{Rev: s.plan.Revision, Age: s.plan.Age(now), Fresh: s.plan.Known, Nodes: s.sessions.Live(now), Era: r.generation}
-			if t.Rev != q.Have {
+			t := &fb.HeartbeatResponseT{Revision: s.plan.Revision, Age: s.plan.Age(now), Confirmed: s.plan.Known, Nodes: s.sessions.Live(now), Generation: r.generation}
+			if t.Revision != q.HaveRevision {
 				t.Plan = s.plan.Raw
 			}
 			for _, v := range r.node.VoterSet().Voters {
-				t.Registrars = append(t.Registrars, v.Name)
+				t.ControlNodes = append(t.ControlNodes, v.Name)
 			}
 			rep(t)
-		}, func(t *fb.BeatTellT) {
-			m.nodes, m.generation = t.Nodes, max(m.generation, t.Era)
+		}, func(t *fb.HeartbeatResponseT) {
+			m.nodes, m.generation = t.Nodes, max(m.generation, t.Generation)
 			var known []*ControlNode
 			for _, o := range f.Cluster.Nodes {
-				if slices.Contains(t.Registrars, o.Name) {
+				if slices.Contains(t.ControlNodes, o.Name) {
 					known = append(known, o)
 				}
 			}
@@ -216,7 +216,7 @@
 			if len(known) > 0 {
 				m.controlNodes = known
 			}
-			m.plan, _, _ = m.plan.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
+			m.plan, _, _ = m.plan.Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
 			if got != nil {
 				got()
 			}
@@ -263,7 +263,7 @@
 	holder := fmt.Sprintf("%s#%x", n.Name, inc)
 	node := n.node
 	f.keepSession(n.Host, &n.session, func() *fb.NodeT {
-		status := &fb.NodeT{Name: n.Name, Role: "custodian", Site: n.Zone, Addr: n.Name, Inc: inc, Ready: !n.leaving}
+		status := &fb.NodeT{Name: n.Name, Role: "custodian", Zone: n.Zone, Addr: n.Name, Incarnation: inc, Ready: !n.leaving}
 		return codec.AddIndexNodeStatus(node, n.Clock(), status)
 	}, nil)
 	n.Every(200_000, func() {
@@ -318,10 +318,10 @@
 }
 
 // room answers an agent, or passes its question on to the index node that it is for.
-func (n *IndexNode) issueGrants(q *fb.RoomAskT, reply func(*fb.RoomTellT)) {
+func (n *IndexNode) issueGrants(q *fb.CapacityRequestT, reply func(*fb.CapacityResponseT)) {
 	if q.To == "" || q.To == n.Name {
 		t := codec.AnswerCapacity(n.node, n.Clock(), n.Name, q)
-		n.fleet.World.orderNews(t.News, t.NewsReset)
+		n.fleet.World.orderNews(t.Updates, t.UpdatesReset)
 		reply(t)
 		return
 	}
@@ -367,13 +367,13 @@
 		if o == nil || n.fleet.World.Rng.Intn(1000) < n.fleet.EventLossPermille {
 			continue
 		}
-		ask := func(q *fb.NewsAskT, got func(*fb.NewsTellT)) {
+		ask := func(q *fb.UpdatesRequestT, got func(*fb.UpdatesResponseT)) {
 			q.From = n.Name
-			Call(n.Host, o.Host, q, 800_000, func(q *fb.NewsAskT, rep func(*fb.NewsTellT)) { rep(o.newsTell(q)) }, got, func() {})
+			Call(n.Host, o.Host, q, 800_000, func(q *fb.UpdatesRequestT, rep func(*fb.UpdatesResponseT)) { rep(o.newsTell(q)) }, got, func() {})
 		}
 		if mine := k.HeldShards(n.Clock()); len(mine) > 0 {
 			cur := k.HoldingsCursor(p.Name)
-			ask(&fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: mine, Incarnation: cur.Incarnation, Since: cur.Next}, func(t *fb.UpdatesResponseT) {
 				if k.HoldingsCursor(p.Name) == cur {
 					codec.ApplyHoldings(k, n.Clock(), p.Name, t)
 				}
@@ -381,7 +381,7 @@
 		}
 		for _, s := range k.ServedZones() {
 			cur := *k.ZoneCursor(s, p.Name)
-			ask(&fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: cur.Incarnation, Since: cur.Next}, func(t *fb.NewsTellT) {
+			ask(&fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: s, Incarnation: cur.Incarnation, Since: cur.Next}, func(t *fb.UpdatesResponseT) {
 				if *k.ZoneCursor(s, p.Name) == cur {
 					k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
 				}
@@ -391,10 +391,10 @@
 }
 
 // newsTell answers another index node.
-func (n *IndexNode) newsTell(q *fb.NewsAskT) *fb.NewsTellT {
+func (n *IndexNode) newsTell(q *fb.UpdatesRequestT) *fb.UpdatesResponseT {
 	t := codec.AnswerUpdates(n.node, q)
-	n.fleet.World.orderNews(t.News, t.Reset)
-	n.fleet.World.orderPlaces(t.Places)
+	n.fleet.World.orderNews(t.Updates, t.Reset)
+	n.fleet.World.orderPlaces(t.Locations)
 	return t
 }
 
@@ -428,16 +428,16 @@
 
 func (a *Agent) start() {
 	a.session, a.agent = session{}, agent.New(a.gateway, a.Zone)
-	a.status = &fb.NodeT{Name: a.gateway, Role: "remisier", Site: a.Zone}
+	a.status = &fb.NodeT{Name: a.gateway, Role: "remisier", Zone: a.Zone}
 	agent := a.agent
 	a.fleet.keepSession(a.Host, &a.session, func() *fb.NodeT { return a.status }, nil)
 	a.Every(120_000, func() {
 		for _, query := range agent.Queries(a.Clock(), a.session.nodes) {
 			indexNode, at := a.fleet.indexNodeNamed(query.Via), a.Clock()
-			Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(t *fb.RoomTellT) {
+			Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(t *fb.CapacityResponseT) {
 				if a.fleet.HideTransferScores {
-					for _, o := range t.Orders {
-						o.Grades = nil
+					for _, o := range t.Grants {
+						o.TransferScores = nil
 					}
 				}
 				agent.HandleReply(query, at, t)
@@ -483,25 +483,25 @@
 	g.dispatcher, g.plan, g.hints, g.hintCursor, g.requests = dispatch.New(g.Name, g.Zone, g.incarnation), plan.Cached{}, cacheindex.NewTable(4096), codec.Cursor{}, map[uint64]*callerRequest{}
 	d := g.dispatcher
 	g.Every(100_000, func() {
-		q := codec.FillFeedRequest(d, &fb.FeedAskT{Node: &fb.NodeT{Name: g.Name, Role: "remisier", Site: g.Zone, Inc: g.incarnation, Ready: true},
-			Have: g.plan.Revision, NewsInc: g.hintCursor.Inc, NewsSince: g.hintCursor.Next})
+		q := codec.FillFeedRequest(d, &fb.FeedRequestT{Node: &fb.NodeT{Name: g.Name, Role: "remisier", Zone: g.Zone, Incarnation: g.incarnation, Ready: true},
+			HaveRevision: g.plan.Revision, UpdatesIncarnation: g.hintCursor.Inc, UpdatesSince: g.hintCursor.Next})
 		at := g.Clock()
 		r := g.agent
-		Call(g.Host, r.Host, q, 500_000, func(q *fb.FeedAskT, rep func(*fb.FeedTellT)) {
+		Call(g.Host, r.Host, q, 500_000, func(q *fb.FeedRequestT, rep func(*fb.FeedResponseT)) {
 			r.status = q.Node
-			rep(r.agent.Feed(r.Clock(), &r.session.plan, r.session.generation, q))
-		}, func(t *fb.FeedTellT) {
+			rep(r.agent.Poll(r.Clock(), &r.session.plan, r.session.generation, q))
+		}, func(t *fb.FeedResponseT) {
 			old := g.plan.Revision
-			g.plan, _, _ = g.plan.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
+			g.plan, _, _ = g.plan.Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
 			if g.plan.Revision < old {
 				f.World.Violation("fell back", "%s from revision %d to %d", g.Name, old, g.plan.Revision)
 			}
 			if g.plan.Plan != nil {
 				g.perform(d.ApplyPlan(g.Clock(), g.plan.Plan, g.plan.ConfirmedAt))
 			}
-			g.perform(d.ApplyGrants(g.Clock(), codec.UnpackGrants(t.Orders, g.Clock()-at)))
+			g.perform(d.ApplyGrants(g.Clock(), codec.UnpackGrants(t.Grants, g.Clock()-at)))
 			g.hintCursor = codec.ApplyUpdates(g.hints, g.hintCursor, t)
-			f.callerGeneration = max(f.callerGeneration, t.Era)
+			f.callerGeneration = max(f.callerGeneration, t.Generation)
 		}, func() {})
 	})
 	g.Every(dispatch.TickInterval, func() { g.perform(d.Tick(g.Clock())) })
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -352,24 +352,24 @@
 // frameValue lays out what the daemons send as a frame.
 func (e *goldenEncoder) frameValue(value any) bool {
 	switch v := value.(type) {
-	case *fb.BeatAskT:
-		e.frame(&fb.FrameT{BeatAsk: v})
-	case *fb.BeatTellT:
-		e.frame(&fb.FrameT{BeatTell: v})
-	case *fb.RollTellT:
-		e.frame(&fb.FrameT{RollTell: v})
-	case *fb.RoomAskT:
-		e.frame(&fb.FrameT{RoomAsk: v})
-	case *fb.RoomTellT:
-		e.frame(&fb.FrameT{RoomTell: v})
-	case *fb.NewsAskT:
-		e.frame(&fb.FrameT{NewsAsk: v})
-	case *fb.NewsTellT:
-		e.frame(&fb.FrameT{NewsTell: v})
-	case *fb.FeedAskT:
-		e.frame(&fb.FrameT{FeedAsk: v})
-	case *fb.FeedTellT:
-		e.frame(&fb.FrameT{FeedTell: v})
+	case *fb.HeartbeatRequestT:
+		e.frame(&fb.FrameT{HeartbeatRequest: v})
+	case *fb.HeartbeatResponseT:
+		e.frame(&fb.FrameT{HeartbeatResponse: v})
+	case *fb.SessionUpdateT:
+		e.frame(&fb.FrameT{SessionUpdate: v})
+	case *fb.CapacityRequestT:
+		e.frame(&fb.FrameT{CapacityRequest: v})
+	case *fb.CapacityResponseT:
+		e.frame(&fb.FrameT{CapacityResponse: v})
+	case *fb.UpdatesRequestT:
+		e.frame(&fb.FrameT{UpdatesRequest: v})
+	case *fb.UpdatesResponseT:
+		e.frame(&fb.FrameT{UpdatesResponse: v})
+	case *fb.FeedRequestT:
+		e.frame(&fb.FrameT{FeedRequest: v})
+	case *fb.FeedResponseT:
+		e.frame(&fb.FrameT{FeedResponse: v})
 	default:
 		return false
 	}
