--- a/internal/app/control/ready.go
+++ b/internal/app/control/ready.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"strings"
 
 	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
@@ -14,8 +13,8 @@
 // then the voter set, messages and results. Called from the voter's loop alone.
 func (n *Node) processReady(ready quorum.Ready) {
 	for _, e := range ready.Events {
-		if !strings.HasPrefix(e, "unheard") {
-			n.daemon.Log.Info("settle", "what", e)
+		if !e.Type.Frequent() {
+			n.daemon.Log.Info(e.Type.String(), e.KeysAndValues()...)
 		}
 	}
 	n.queueRecords(ready.Records)
