--- a/internal/app/proxy/server.go
+++ b/internal/app/proxy/server.go
@@ -87,7 +87,7 @@
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	d := daemon.New("carrier", settings.Name, settings.HTTP, max(settings.Bounds.GraceUS-graceSlackUS, minGraceUS))
+	d := daemon.New("violetthread-proxy", settings.Name, settings.HTTP, max(settings.Bounds.GraceUS-graceSlackUS, minGraceUS))
 	s := &server{
 		settings:       settings,
 		daemon:         d,
