--- a/agent/agent.go
+++ b/agent/agent.go
@@ -22,7 +22,7 @@
 // Agent is not safe for concurrent use.
 type Agent struct {
 	name, zone   string
-	poll         fb.FeedAskT
+	poll         fb.FeedRequestT
 	polledAt     int64
 	polled       bool
 	sources      map[string]*source
@@ -32,11 +32,11 @@
 
 // source is what came from one index node.
 type source struct {
-	orders     []*fb.OrderT
+	orders     []*fb.GrantT
 	askedAt    int64 // the question's time, from which the orders' ages count
 	engines    map[string]bool
-	imports    []*fb.ImportT
-	seen       []*fb.SeenT
+	imports    []*fb.TransferT
+	seen       []*fb.OutcomesT
 	busy       bool
 	relayUntil int64 // asked through another index node until then
 }
@@ -45,7 +45,7 @@
 type updateBatch struct {
 	incarnation, since, next uint64
 	reset, present           bool
-	updates                  []*fb.NewsT
+	updates                  []*fb.CacheUpdateT
 }
 
 // New makes the agent of the proxy of that name.
@@ -54,10 +54,10 @@
 }
 
 // Feed answers the proxy with plan, orders and news, and takes its own in.
-func (a *Agent) Feed(now int64, h *plan.Cached, era uint64, poll *fb.FeedAskT) *fb.FeedTellT {
+func (a *Agent) Poll(now int64, h *plan.Cached, era uint64, poll *fb.FeedRequestT) *fb.FeedResponseT {
 	a.poll, a.polledAt, a.polled = *poll, now, true
-	t := &fb.FeedTellT{Rev: h.Revision, Age: h.Age(now), Fresh: h.Known, Era: era}
-	if h.Revision != poll.Have {
+	t := &fb.FeedResponseT{Revision: h.Revision, Age: h.Age(now), Confirmed: h.Known, Generation: era}
+	if h.Revision != poll.HaveRevision {
 		t.Plan = h.Raw
 	}
 	for _, n := range a.names() {
@@ -65,21 +65,21 @@
 		for _, o := range c.orders {
 			x := *o
 			x.Age += now - c.askedAt
-			t.Orders = append(t.Orders, &x)
+			t.Grants = append(t.Grants, &x)
 		}
 	}
-	for _, i := range poll.Imports {
+	for _, i := range poll.Transfers {
 		if c := a.owner(i.Engine); c != nil {
 			c.imports = append(c.imports, i)
 		}
 	}
-	for _, s := range poll.Seen {
+	for _, s := range poll.Outcomes {
 		if c := a.owner(s.Engine); c != nil {
 			c.seen = append(c.seen, s)
 		}
 	}
-	if n := a.cacheUpdates; n.present && (n.reset || n.incarnation == poll.NewsInc && n.since == poll.NewsSince) {
-		t.NewsInc, t.NewsAt, t.NewsNext, t.NewsReset, t.News = n.incarnation, n.since, n.next, n.reset, n.updates
+	if n := a.cacheUpdates; n.present && (n.reset || n.incarnation == poll.UpdatesIncarnation && n.since == poll.UpdatesSince) {
+		t.UpdatesIncarnation, t.UpdatesSince, t.UpdatesNext, t.UpdatesReset, t.Updates = n.incarnation, n.since, n.next, n.reset, n.updates
 	}
 	return t
 }
@@ -106,7 +106,7 @@
 // at Addr: the same one, or another that passes it on.
 type Query struct {
 	IndexNode, Via, Addr string
-	Request              *fb.RoomAskT
+	Request              *fb.CapacityRequestT
 }
 
 // Asks lists the questions to put now: one to each index node that has answered
@@ -138,8 +138,8 @@
 			continue
 		}
 		c.busy = true
-		room := &fb.RoomAskT{Proxy: a.name, Site: a.zone, Wants: a.poll.Wants, Active: a.poll.Active,
-			NewsInc: a.poll.NewsInc, NewsSince: a.poll.NewsSince, Imports: c.imports, Seen: c.seen}
+		room := &fb.CapacityRequestT{Proxy: a.name, Zone: a.zone, Demand: a.poll.Demand, Active: a.poll.Active,
+			UpdatesIncarnation: a.poll.UpdatesIncarnation, UpdatesSince: a.poll.UpdatesSince, Transfers: c.imports, Outcomes: c.seen}
 		via := a.via(now, n, live)
 		if via != n {
 			room.To = n
@@ -172,7 +172,7 @@
 
 // Told takes in the answer to a question asked at time asked; nil is none. What
 // the question told may be lost then; hints and grades stand that.
-func (a *Agent) HandleReply(query Query, asked int64, t *fb.RoomTellT) {
+func (a *Agent) HandleResponse(query Query, asked int64, t *fb.CapacityResponseT) {
 	c := a.sources[query.IndexNode]
 	if c == nil {
 		return
@@ -184,11 +184,11 @@
 		}
 		return
 	}
-	c.orders, c.askedAt, c.engines = t.Orders, asked, map[string]bool{}
-	for _, o := range t.Orders {
+	c.orders, c.askedAt, c.engines = t.Grants, asked, map[string]bool{}
+	for _, o := range t.Grants {
 		c.engines[o.Engine] = true
 	}
-	if t.NewsFrom && (t.NewsReset || len(t.News) > 0 || t.NewsInc != query.Request.NewsInc) {
-		a.cacheUpdates = updateBatch{t.NewsInc, t.NewsAt, t.NewsNext, t.NewsReset, true, t.News}
+	if t.HasUpdates && (t.UpdatesReset || len(t.Updates) > 0 || t.UpdatesIncarnation != query.Request.UpdatesIncarnation) {
+		a.cacheUpdates = updateBatch{t.UpdatesIncarnation, t.UpdatesSince, t.UpdatesNext, t.UpdatesReset, true, t.Updates}
 	}
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -17,7 +17,7 @@
 		{Name: "i3", Role: "custodian", Addr: "addr3"},
 	}
 	ask := func(now int64) map[string]Query {
-		g.Feed(now, &plan.Cached{}, 0, &fb.FeedAskT{})
+		g.Poll(now, &plan.Cached{}, 0, &fb.FeedRequestT{})
 		out := map[string]Query{}
 		for _, a := range g.Queries(now, nodes) {
 			out[a.IndexNode] = a
@@ -34,8 +34,8 @@
 			t.Fatalf("%+v", a)
 		}
 	}
-	g.HandleReply(as["i1"], now, nil)
-	g.HandleReply(as["i2"], now, &fb.RoomTellT{})
+	g.HandleResponse(as["i1"], now, nil)
+	g.HandleResponse(as["i2"], now, &fb.CapacityResponseT{})
 	asked := now
 	now += 100_000
 	as = ask(now)
@@ -48,9 +48,9 @@
 	if _, busy := as["i3"]; busy {
 		t.Fatal("i3 was asked twice at a time")
 	}
-	g.HandleReply(as["i1"], now, &fb.RoomTellT{Orders: []*fb.OrderT{{Engine: "e", Age: 7}}})
-	if f := g.Feed(now+50, &plan.Cached{}, 0, &fb.FeedAskT{}); len(f.Orders) != 1 || f.Orders[0].Age != 57 {
-		t.Fatalf("%+v", f.Orders)
+	g.HandleResponse(as["i1"], now, &fb.CapacityResponseT{Grants: []*fb.GrantT{{Engine: "e", Age: 7}}})
+	if f := g.Poll(now+50, &plan.Cached{}, 0, &fb.FeedRequestT{}); len(f.Grants) != 1 || f.Grants[0].Age != 57 {
+		t.Fatalf("%+v", f.Grants)
 	}
 	if a := ask(asked + relayDuration)["i1"]; a.Via != "i1" || a.Request.To != "" {
 		t.Fatalf("%+v", a)
@@ -61,9 +61,9 @@
 func TestNobodyPassesOn(t *testing.T) {
 	g := New("proxy", "north")
 	nodes := []*fb.NodeT{{Name: "i1", Role: "custodian", Addr: "addr1"}, {Name: "i2", Role: "custodian", Addr: "addr2"}}
-	g.Feed(0, &plan.Cached{}, 0, &fb.FeedAskT{})
+	g.Poll(0, &plan.Cached{}, 0, &fb.FeedRequestT{})
 	for _, a := range g.Queries(0, nodes) {
-		g.HandleReply(a, 0, nil)
+		g.HandleResponse(a, 0, nil)
 	}
 	for _, a := range g.Queries(100, nodes) {
 		if a.Via != a.IndexNode {
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	s := &server{settings: settings, daemon: daemon, agent: agent.New(settings.Name, settings.Zone)}
-	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: "remisier", Site: settings.Zone, Addr: settings.TransportAddr})
+	s.proxyNode.Store(&fb.NodeT{Name: settings.Name, Role: "remisier", Zone: settings.Zone, Addr: settings.TransportAddr})
 	s.peers = transport.NewPeerPool(daemon.Group)
 	s.session = session.New(daemon.Group, s.peers, settings.Seeds, func() *fb.NodeT { return s.proxyNode.Load() })
 	l, err := net.Listen("tcp", settings.TransportAddr)
@@ -81,25 +81,25 @@
 
 func (s *server) handleFrame(ctx context.Context, f *fb.FrameT) *fb.FrameT {
 	switch {
-	case f.FeedAsk != nil && f.FeedAsk.Node != nil:
-		return &fb.FrameT{FeedTell: s.feedProxy(f.FeedAsk)}
-	case f.OpAsk != nil:
-		t, err := s.session.Propose(ctx, f.OpAsk, 1_900_000)
+	case f.FeedRequest != nil && f.FeedRequest.Node != nil:
+		return &fb.FrameT{FeedResponse: s.feedProxy(f.FeedRequest)}
+	case f.OperationRequest != nil:
+		t, err := s.session.Propose(ctx, f.OperationRequest, 1_900_000)
 		if err != nil {
-			s.daemon.Log.Info("op_unanswered", "key", f.OpAsk.Key, "cause", err.Error())
-			t = &fb.OpTellT{Status: byte(quorum.StatusUnknown)}
+			s.daemon.Log.Info("op_unanswered", "key", f.OperationRequest.Key, "cause", err.Error())
+			t = &fb.OperationResponseT{Status: byte(quorum.StatusUnknown)}
 		}
-		return &fb.FrameT{OpTell: t}
+		return &fb.FrameT{OperationResponse: t}
 	}
 	return nil
 }
 
-func (s *server) feedProxy(a *fb.FeedAskT) *fb.FeedTellT {
+func (s *server) feedProxy(a *fb.FeedRequestT) *fb.FeedResponseT {
 	s.proxyNode.Store(a.Node)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.session.View()
-	return s.agent.Feed(clock.Now(), &v.Cached, v.Generation, a)
+	return s.agent.Poll(clock.Now(), &v.Cached, v.Generation, a)
 }
 
 // round asks every index node for orders, each on its own.
@@ -110,14 +110,14 @@
 	for _, a := range as {
 		s.daemon.Group.Go("orders.ask", func(ctx context.Context) {
 			at := clock.Now()
-			f, err := s.peers.Get(a.Addr).Call(ctx, &fb.FrameT{RoomAsk: a.Request}, queryTimeout)
-			var t *fb.RoomTellT
+			f, err := s.peers.Get(a.Addr).Call(ctx, &fb.FrameT{CapacityRequest: a.Request}, queryTimeout)
+			var t *fb.CapacityResponseT
 			if err == nil {
-				t = f.RoomTell
+				t = f.CapacityResponse
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.agent.HandleReply(a, at, t)
+			s.agent.HandleResponse(a, at, t)
 		})
 	}
 }
--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -55,7 +55,7 @@
 
 // writeNotCommitted tells an operator that an operation has no result, and whether it may
 // take effect all the same.
-func writeNotCommitted(w http.ResponseWriter, answer *fb.OpTellT) {
+func writeNotCommitted(w http.ResponseWriter, answer *fb.OperationResponseT) {
 	w.Header().Set("Retry-After", "1")
 	switch quorum.Status(answer.Status) {
 	case quorum.StatusNotLeader:
--- a/internal/app/control/api_plan.go
+++ b/internal/app/control/api_plan.go
@@ -36,16 +36,16 @@
 }
 
 func (n *Node) readPlan(w http.ResponseWriter, r *http.Request) {
-	answer := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
+	answer := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey})
 	switch {
 	case quorum.Status(answer.Status) != quorum.StatusDone:
 		writeNotCommitted(w, answer)
-	case answer.Rev == 0:
+	case answer.Revision == 0:
 		writeError(w, http.StatusNotFound, "no-plan", "send a whole plan first, with violetthread-ctl plan put")
 	default:
-		w.Header().Set("ETag", etag(answer.Rev))
+		w.Header().Set("ETag", etag(answer.Revision))
 		w.Header().Set("Content-Type", "application/json")
-		_, raw, err := plan.Decode(answer.Val)
+		_, raw, err := plan.Decode(answer.Value)
 		if err != nil {
 			writeError(w, http.StatusInternalServerError, "unreadable", err.Error())
 			return
@@ -64,17 +64,17 @@
 	}
 	for range maxPlanAttempts {
 		// What is in force is read first in any case: the seal follows from it.
-		current := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey})
+		current := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey})
 		if quorum.Status(current.Status) != quorum.StatusDone {
 			writeNotCommitted(w, current)
 			return
 		}
-		sealed, _, err := change.Apply(current.Rev, current.Val)
+		sealed, _, err := change.Apply(current.Revision, current.Value)
 		if err != nil {
 			writeChangeError(w, err)
 			return
 		}
-		answer := n.Execute(r.Context(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: planKey, Val: sealed, Expect: current.Rev})
+		answer := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: planKey, Value: sealed, ExpectedRevision: current.Revision})
 		if quorum.Status(answer.Status) == quorum.StatusConflict && !change.Conditional {
 			continue // another operator's change came between; this one goes on top of it
 		}
@@ -102,14 +102,14 @@
 	return change, true
 }
 
-func (n *Node) writePlanResult(w http.ResponseWriter, r *http.Request, answer *fb.OpTellT) {
+func (n *Node) writePlanResult(w http.ResponseWriter, r *http.Request, answer *fb.OperationResponseT) {
 	switch quorum.Status(answer.Status) {
 	case quorum.StatusDone:
-		n.logPlanChanged(answer.Rev, r.Method, r.RemoteAddr)
-		w.Header().Set("ETag", etag(answer.Rev))
-		daemon.WriteJSON(w, http.StatusOK, PlanAccepted{answer.Rev})
+		n.logPlanChanged(answer.Revision, r.Method, r.RemoteAddr)
+		w.Header().Set("ETag", etag(answer.Revision))
+		daemon.WriteJSON(w, http.StatusOK, PlanAccepted{answer.Revision})
 	case quorum.StatusConflict:
-		writeRevisionConflict(w, answer.Rev)
+		writeRevisionConflict(w, answer.Revision)
 	default:
 		writeNotCommitted(w, answer)
 	}
--- a/internal/app/control/api_status.go
+++ b/internal/app/control/api_status.go
@@ -73,7 +73,7 @@
 		fleet.Slots = append(fleet.Slots, SlotStatus{i, slot.Leader, slot.Term, slot.Keys})
 	}
 	for _, node := range n.sessions.Live(now) {
-		fleet.Nodes = append(fleet.Nodes, NodeStatus{node.Name, node.Role, node.Site, node.Http, node.Addr, node.Ready, node.Registrar, node.Age, node.Duties})
+		fleet.Nodes = append(fleet.Nodes, NodeStatus{node.Name, node.Role, node.Zone, node.Http, node.Addr, node.Ready, node.ControlNode, node.Age, node.LeasedRoles})
 	}
 	if set := n.voterSet.Load(); set != nil {
 		fleet.VoterSetStep = codec.UnpackVoterSet(set).Step()
--- a/internal/app/control/api_voter_set.go
+++ b/internal/app/control/api_voter_set.go
@@ -67,34 +67,34 @@
 // identifyJoining asks a joining control node who it is, and that its disk is empty. Nil
 // means that the operator was answered.
 func (n *Node) identifyJoining(ctx context.Context, w http.ResponseWriter, addr string) *quorum.Voter {
-	ask := &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation()}
-	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{FoundAsk: ask}, joiningTimeout)
-	if err != nil || answer.FoundTell == nil || answer.FoundTell.Inc == 0 {
+	ask := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation()}
+	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: ask}, joiningTimeout)
+	if err != nil || answer.JoinResponse == nil || answer.JoinResponse.Incarnation == 0 {
 		writeUnchanged(w, http.StatusBadGateway, "newcomer-unreachable", "start the new control node first, and give its wire address as IP:port")
 		return nil
 	}
-	identity := answer.FoundTell
-	if identity.Founding != nil && len(identity.Founding.Voters) > 0 {
+	identity := answer.JoinResponse
+	if identity.VoterSet != nil && len(identity.VoterSet.Voters) > 0 {
 		writeUnchanged(w, http.StatusConflict, "newcomer-not-empty", "its disk belongs to a voter set already; give it an empty data_dir")
 		return nil
 	}
-	return &quorum.Voter{Name: identity.Name, Addr: addr, Incarnation: identity.Inc}
+	return &quorum.Voter{Name: identity.Name, Addr: addr, Incarnation: identity.Incarnation}
 }
 
 // commitVoterSet puts a changed voter set in force and answers the operator.
 func (n *Node) commitVoterSet(ctx context.Context, w http.ResponseWriter, change VoterSetChange, next quorum.VoterSet) {
-	current := n.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: quorum.VoterSetKey})
+	current := n.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: quorum.VoterSetKey})
 	if quorum.Status(current.Status) != quorum.StatusDone {
 		writeNotCommitted(w, current)
 		return
 	}
-	answer := n.Execute(ctx, &fb.OpAskT{Kind: byte(quorum.OpPut), Key: quorum.VoterSetKey, Val: next.Bytes(), Expect: current.Rev})
+	answer := n.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: current.Revision})
 	switch quorum.Status(answer.Status) {
 	case quorum.StatusDone:
 		n.logVoterSetChanged(next.Step(), change.Leaving, change.JoiningAddr)
 		daemon.WriteJSON(w, http.StatusOK, VoterSetAccepted{next.Step(), next.Voters})
 	case quorum.StatusConflict:
-		writeUnchanged(w, http.StatusConflict, "not-now", string(answer.Val))
+		writeUnchanged(w, http.StatusConflict, "not-now", string(answer.Value))
 	default:
 		writeNotCommitted(w, answer)
 	}
--- a/internal/app/control/bootstrap.go
+++ b/internal/app/control/bootstrap.go
@@ -24,9 +24,9 @@
 // what is waited for. Only seeds bootstrap, once each has told its incarnation and none
 // knows a voter set; whoever meets a fleet that has one joins that (design §4.6). All seeds
 // work out the same voter set.
-func (n *Node) tryBootstrap(now int64, replies map[string]peerReply) (*fb.FoundingT, error) {
+func (n *Node) tryBootstrap(now int64, replies map[string]peerReply) (*fb.VoterSetT, error) {
 	for _, reply := range replies {
-		if reply.reply != nil && reply.reply.Founding != nil {
+		if reply.reply != nil && reply.reply.VoterSet != nil {
 			return nil, &joinError{"waiting to be let into the fleet's voter set", "a majority of its control nodes must be up"}
 		}
 	}
@@ -36,28 +36,28 @@
 	if !slices.Contains(n.settings.Seeds, n.settings.TransportAddr) {
 		return nil, &joinError{"waiting for the seeds to found the fleet", "start the control nodes at " + strings.Join(n.settings.Seeds, ", ")}
 	}
-	voters := []*fb.VoterT{{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation()}}
+	voters := []*fb.VoterT{{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation()}}
 	for _, addr := range lo.Without(lo.Uniq(n.settings.Seeds), n.settings.TransportAddr) {
 		reply := replies[addr]
 		if reply.reply == nil || now-reply.askedAt > replyLifetime {
 			return nil, &joinError{"founding waits until every seed answers", addr + " does not"}
 		}
-		voters = append(voters, &fb.VoterT{Name: reply.reply.Name, Addr: addr, Inc: reply.reply.Inc})
+		voters = append(voters, &fb.VoterT{Name: reply.reply.Name, Addr: addr, Incarnation: reply.reply.Incarnation})
 	}
 	return firstVoterSet(voters)
 }
 
 // firstVoterSet is the voter set of a new fleet, whose number follows from its voters.
-func firstVoterSet(voters []*fb.VoterT) (*fb.FoundingT, error) {
+func firstVoterSet(voters []*fb.VoterT) (*fb.VoterSetT, error) {
 	sort.Slice(voters, func(i, j int) bool { return voters[i].Name < voters[j].Name })
 	hash := fnv.New64a()
 	for i, voter := range voters {
-		voter.Num = uint16(i + 1)
-		_, _ = fmt.Fprintf(hash, "%s|%s|%d;", voter.Name, voter.Addr, voter.Inc)
+		voter.Number = uint16(i + 1)
+		_, _ = fmt.Fprintf(hash, "%s|%s|%d;", voter.Name, voter.Addr, voter.Incarnation)
 		if i > 0 && voters[i-1].Name == voter.Name {
 			return nil, &joinError{"two control nodes are named " + voter.Name, "give each its own name"}
 		}
 	}
 	fleet := hash.Sum64() >> 24
-	return &fb.FoundingT{Fleet: fleet, Rev: quorum.FirstRevision(fleet), Voters: voters, Seats: uint16(len(voters))}, nil
+	return &fb.VoterSetT{Fleet: fleet, Revision: quorum.FirstRevision(fleet), Voters: voters, Seats: uint16(len(voters))}, nil
 }
--- a/internal/app/control/disk_image.go
+++ b/internal/app/control/disk_image.go
@@ -16,7 +16,7 @@
 // diskImage is what the disk holds.
 type diskImage struct {
 	incarnation uint64
-	voterSet    *fb.FoundingT // nil while this disk is in no voter set
+	voterSet    *fb.VoterSetT // nil while this disk is in no voter set
 	knownAddrs  []string      // whom to ask then
 	records     []quorum.Record
 	recordCount int // all that were read
@@ -89,13 +89,13 @@
 	return image, nil
 }
 
-func (i *diskImage) add(record quorum.Record, founding *fb.FoundingT) error {
+func (i *diskImage) add(record quorum.Record, founding *fb.VoterSetT) error {
 	switch {
-	case founding != nil && founding.Rev == 0: // of a disk in no voter set
-		i.incarnation, i.knownAddrs = founding.Inc, voterAddrs(founding)
+	case founding != nil && founding.Revision == 0: // of a disk in no voter set
+		i.incarnation, i.knownAddrs = founding.Incarnation, voterAddrs(founding)
 		return nil
 	case founding != nil:
-		i.incarnation = founding.Inc
+		i.incarnation = founding.Incarnation
 		return i.adoptVoterSet(founding)
 	case record.VoterSet != nil:
 		i.records = append(i.records, record)
@@ -106,7 +106,7 @@
 }
 
 // adoptVoterSet takes in a voter set, which must be of the same fleet as those before.
-func (i *diskImage) adoptVoterSet(set *fb.FoundingT) error {
+func (i *diskImage) adoptVoterSet(set *fb.VoterSetT) error {
 	if i.voterSet != nil {
 		before, fleet := codec.UnpackVoterSet(i.voterSet).Fleet(), codec.UnpackVoterSet(set).Fleet()
 		if before != fleet {
@@ -133,7 +133,7 @@
 		return err
 	}
 	image.incarnation = incarnation
-	return n.persistVoterSet(&fb.FoundingT{Inc: incarnation})
+	return n.persistVoterSet(&fb.VoterSetT{Incarnation: incarnation})
 }
 
 // randomIncarnation draws a number that is not 0 and fits a signed one.
@@ -146,7 +146,7 @@
 }
 
 // persistVoterSet appends and syncs a voter set.
-func (n *Node) persistVoterSet(set *fb.FoundingT) error {
+func (n *Node) persistVoterSet(set *fb.VoterSetT) error {
 	if err := n.storage.log.Append(codec.PackFounding(set)); err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 	}
 	voter := n.newVoter(image.voterSet, image.incarnation, image.records)
 	set := *image.voterSet
-	set.Inc = image.incarnation
+	set.Incarnation = image.incarnation
 	state := [][]byte{codec.PackFounding(&set)}
 	for _, record := range voter.Checkpoint() {
 		state = append(state, codec.PackRecord(record))
--- a/internal/app/control/disk_image_test.go
+++ b/internal/app/control/disk_image_test.go
@@ -30,7 +30,7 @@
 
 // fillDuringCheckpoint begins a checkpoint in a node's log and appends records, as a voter
 // does meanwhile, until the log has no room. It returns how many were written.
-func fillDuringCheckpoint(t *testing.T, node *Node, voterSet *fb.FoundingT) int {
+func fillDuringCheckpoint(t *testing.T, node *Node, voterSet *fb.VoterSetT) int {
 	t.Helper()
 	config := wal.Config{SegmentCount: node.settings.LogSegments, SegmentBytes: node.settings.LogSegmentBytes}
 	log, _, err := wal.Open(node.storage.fs, config)
@@ -64,7 +64,7 @@
 // state before anything else is written, and has all of it.
 func TestRoomAtStart(t *testing.T) {
 	node := newStoppedNode(t)
-	voterSet := &fb.FoundingT{Inc: 7, Rev: quorum.FirstRevision(9), Voters: []*fb.VoterT{{Name: "a", Addr: node.settings.TransportAddr, Inc: 7, Num: 1}}}
+	voterSet := &fb.VoterSetT{Incarnation: 7, Revision: quorum.FirstRevision(9), Voters: []*fb.VoterT{{Name: "a", Addr: node.settings.TransportAddr, Incarnation: 7, Number: 1}}}
 	written := fillDuringCheckpoint(t, node, voterSet)
 
 	node.storage.log, node.storage.lock = nil, nil
--- a/internal/app/control/frames.go
+++ b/internal/app/control/frames.go
@@ -37,27 +37,27 @@
 	}
 	now := clock.Now()
 	switch {
-	case frame.Settle != nil:
-		n.handleMessage(ctx, frame.Settle)
+	case frame.VoterMessage != nil:
+		n.handleMessage(ctx, frame.VoterMessage)
 		return nil
-	case frame.RollTell != nil:
-		n.sessions.Merge(now, frame.RollTell)
+	case frame.SessionUpdate != nil:
+		n.sessions.Merge(now, frame.SessionUpdate)
 		return nil
-	case frame.FoundAsk != nil:
-		return &fb.FrameT{FoundTell: n.voterSetReply(frame.FoundAsk)}
-	case frame.BeatAsk != nil && frame.BeatAsk.Node != nil:
-		n.sessions.Heartbeat(now, frame.BeatAsk.Node)
-		return &fb.FrameT{BeatTell: n.heartbeatReply(now, frame.BeatAsk.Have)}
-	case frame.OpAsk != nil:
+	case frame.JoinRequest != nil:
+		return &fb.FrameT{JoinResponse: n.voterSetReply(frame.JoinRequest)}
+	case frame.HeartbeatRequest != nil && frame.HeartbeatRequest.Node != nil:
+		n.sessions.Heartbeat(now, frame.HeartbeatRequest.Node)
+		return &fb.FrameT{HeartbeatResponse: n.heartbeatReply(now, frame.HeartbeatRequest.HaveRevision)}
+	case frame.OperationRequest != nil:
 		ctx, cancel := context.WithTimeout(ctx, clock.Duration(frameTimeout))
 		defer cancel()
-		return &fb.FrameT{OpTell: n.execute(ctx, frame.OpAsk)}
+		return &fb.FrameT{OperationResponse: n.execute(ctx, frame.OperationRequest)}
 	}
 	return nil
 }
 
 // handleMessage hands another voter's message to the voter.
-func (n *Node) handleMessage(ctx context.Context, packed *fb.SettleT) {
+func (n *Node) handleMessage(ctx context.Context, packed *fb.VoterMessageT) {
 	if !n.voting.Load() {
 		return
 	}
@@ -67,14 +67,14 @@
 
 // heartbeatReply is what a node learns from its heartbeat: the live nodes, the voters, and
 // the plan if it is not the one it has.
-func (n *Node) heartbeatReply(now int64, haveRevision uint64) *fb.BeatTellT {
+func (n *Node) heartbeatReply(now int64, haveRevision uint64) *fb.HeartbeatResponseT {
 	held := n.plan.Load()
-	reply := &fb.BeatTellT{Rev: held.Revision, Age: held.Age(now), Fresh: held.Known, Nodes: n.sessions.Live(now), Era: n.generation.Load()}
+	reply := &fb.HeartbeatResponseT{Revision: held.Revision, Age: held.Age(now), Confirmed: held.Known, Nodes: n.sessions.Live(now), Generation: n.generation.Load()}
 	if held.Revision != haveRevision {
 		reply.Plan = held.Raw
 	}
 	if set := n.voterSet.Load(); set != nil {
-		reply.Registrars = voterAddrs(set)
+		reply.ControlNodes = voterAddrs(set)
 	}
 	return reply
 }
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -25,16 +25,16 @@
 )
 
 // isVoter tells whether the very disk of this node votes in a voter set.
-func (n *Node) isVoter(set *fb.FoundingT) bool {
+func (n *Node) isVoter(set *fb.VoterSetT) bool {
 	return containsDisk(set, n.settings.Name, n.Incarnation())
 }
 
 // containsDisk tells whether a disk votes in a voter set.
-func containsDisk(set *fb.FoundingT, name string, incarnation uint64) bool {
-	return lo.ContainsBy(set.Voters, func(voter *fb.VoterT) bool { return voter.Name == name && voter.Inc == incarnation })
+func containsDisk(set *fb.VoterSetT, name string, incarnation uint64) bool {
+	return lo.ContainsBy(set.Voters, func(voter *fb.VoterT) bool { return voter.Name == name && voter.Incarnation == incarnation })
 }
 
-func voterAddrs(set *fb.FoundingT) []string {
+func voterAddrs(set *fb.VoterSetT) []string {
 	return lo.Map(set.Voters, func(voter *fb.VoterT, _ int) string { return voter.Addr })
 }
 
@@ -57,21 +57,21 @@
 type peerReply struct {
 	addr    string
 	askedAt int64
-	reply   *fb.FoundTellT // nil: no answer
+	reply   *fb.JoinResponseT // nil: no answer
 }
 
 // voterSet is the voter set that a reply bears, or nil.
-func (r peerReply) voterSet() *fb.FoundingT {
-	if r.reply == nil || r.reply.Founding == nil || r.reply.Founding.Rev == 0 {
+func (r peerReply) voterSet() *fb.VoterSetT {
+	if r.reply == nil || r.reply.VoterSet == nil || r.reply.VoterSet.Revision == 0 {
 		return nil
 	}
-	return r.reply.Founding
+	return r.reply.VoterSet
 }
 
 // join asks whoever may know a voter set, each on its own so that a dead one holds nobody
 // up, until one includes this disk or this node bootstrapped one with the seeds. False
 // means that the node ends.
-func (n *Node) join(ctx context.Context) (*fb.FoundingT, bool) {
+func (n *Node) join(ctx context.Context) (*fb.VoterSetT, bool) {
 	group := taskgroup.New(ctx, n.daemon.Log)
 	defer group.Stop()
 	replies := make(chan peerReply, maxPeerReplies)
@@ -124,28 +124,28 @@
 
 // askVoterSet asks one control node who it is and which voter set it follows. A blank one
 // asks to be admitted by that. Nil means that there was no answer.
-func (n *Node) askVoterSet(ctx context.Context, addr string, blank bool) *fb.FoundTellT {
-	ask := &fb.FoundAskT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Inc: n.Incarnation(), Blank: blank, First: n.firstStart()}
-	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{FoundAsk: ask}, askTimeout)
-	if err != nil || answer.FoundTell == nil || answer.FoundTell.Inc == 0 {
+func (n *Node) askVoterSet(ctx context.Context, addr string, blank bool) *fb.JoinResponseT {
+	ask := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation(), Blank: blank, InitialLaunch: n.firstStart()}
+	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: ask}, askTimeout)
+	if err != nil || answer.JoinResponse == nil || answer.JoinResponse.Incarnation == 0 {
 		return nil // who that is lies on a disk that was not read yet
 	}
-	return answer.FoundTell
+	return answer.JoinResponse
 }
 
 // voterSetReply answers who this is. A blank asker wants to be admitted; one that votes
 // may be the only way for a blank node here to find its fleet.
-func (n *Node) voterSetReply(ask *fb.FoundAskT) *fb.FoundTellT {
+func (n *Node) voterSetReply(ask *fb.JoinRequestT) *fb.JoinResponseT {
 	set := n.voterSet.Load()
 	_, err := netip.ParseAddrPort(ask.Addr)
 	switch {
-	case err != nil || ask.Name == "" || ask.Inc == 0:
+	case err != nil || ask.Name == "" || ask.Incarnation == 0:
 	case ask.Blank && set != nil && n.voting.Load():
-		n.admit(quorum.Voter{Name: ask.Name, Addr: ask.Addr, Incarnation: ask.Inc}, ask.First)
+		n.admit(quorum.Voter{Name: ask.Name, Addr: ask.Addr, Incarnation: ask.Incarnation}, ask.InitialLaunch)
 	case !ask.Blank && set == nil:
 		n.addKnownAddrs([]string{ask.Addr})
 	}
-	return &fb.FoundTellT{Name: n.settings.Name, Inc: n.Incarnation(), Blank: set == nil, Founding: set}
+	return &fb.JoinResponseT{Name: n.settings.Name, Incarnation: n.Incarnation(), Blank: set == nil, VoterSet: set}
 }
 
 // admit hands a blank node that asks for a seat to the voter.
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -62,7 +62,7 @@
 	if !ok {
 		return ctx.Err()
 	}
-	set.Inc = n.Incarnation()
+	set.Incarnation = n.Incarnation()
 	if err := n.runDiskStep(ctx, func() error { return n.persistVoterSet(set) }); err != nil {
 		return err
 	}
@@ -75,12 +75,12 @@
 // discardState drops the state of a disk that a newer voter set does not include, and its
 // incarnation with it. The log is restated as a checkpoint that holds nothing but the new
 // incarnation and whom to ask: until that is synced, the old state stays complete.
-func (n *Node) discardState(ctx context.Context, set *fb.FoundingT) error {
+func (n *Node) discardState(ctx context.Context, set *fb.VoterSetT) error {
 	incarnation, err := randomIncarnation()
 	if err != nil {
 		return err
 	}
-	blank := codec.PackFounding(&fb.FoundingT{Inc: incarnation, Voters: set.Voters})
+	blank := codec.PackFounding(&fb.VoterSetT{Incarnation: incarnation, Voters: set.Voters})
 	if err := n.runDiskStep(ctx, func() error { return n.storage.log.Checkpoint([][]byte{blank}) }); err != nil {
 		return err
 	}
--- a/internal/app/control/node.go
+++ b/internal/app/control/node.go
@@ -31,7 +31,7 @@
 	storage  storage
 
 	incarnation atomic.Uint64                       // of the disk; 0 until the disk was read
-	voterSet    atomic.Pointer[fb.FoundingT]        // the newest that this disk knows; nil: none
+	voterSet    atomic.Pointer[fb.VoterSetT]        // the newest that this disk knows; nil: none
 	voting      atomic.Bool                         // the voter runs
 	removed     atomic.Bool                         // the disk lost a seat since the process began
 	status      atomic.Pointer[voterStatus]         // as of the voter's last tick
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -22,13 +22,13 @@
 )
 
 // ExecuteOnce carries an operation out with one attempt.
-func (n *Node) ExecuteOnce(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+func (n *Node) ExecuteOnce(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
 	return n.execute(ctx, ask)
 }
 
 // Execute carries an operation out, trying again while it provably did nothing, or while
 // doing it twice is the same as once, for as long as Settings.OperationTimeout.
-func (n *Node) Execute(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+func (n *Node) Execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
 	timeout := lo.Ternary(n.settings.OperationTimeout > 0, n.settings.OperationTimeout, Defaults().OperationTimeout)
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(timeout))
 	defer cancel()
@@ -37,7 +37,7 @@
 		attempt := *ask
 		answer := n.execute(ctx, &attempt)
 		again := false
-		answer, inDoubt, again = judgeAttempt(quorum.OperationType(ask.Kind), answer, inDoubt)
+		answer, inDoubt, again = judgeAttempt(quorum.OperationType(ask.Type), answer, inDoubt)
 		if !again || !taskgroup.Sleep(ctx, attemptPause) {
 			return answer
 		}
@@ -53,7 +53,7 @@
 // judgeAttempt is what the caller may be told after an attempt, whether one of the attempts
 // may still take effect, and whether to try again. After an attempt in doubt only an answer
 // that is right whatever became of it counts; a read is never in doubt.
-func judgeAttempt(kind quorum.OperationType, answer *fb.OpTellT, inDoubt bool) (told *fb.OpTellT, doubtful, again bool) {
+func judgeAttempt(kind quorum.OperationType, answer *fb.OperationResponseT, inDoubt bool) (told *fb.OperationResponseT, doubtful, again bool) {
 	switch status := quorum.Status(answer.Status); {
 	case status == quorum.StatusDone || status == quorum.StatusConflict || status == quorum.StatusGenerationClosed:
 		return answer, inDoubt, false
@@ -69,10 +69,12 @@
 }
 
 // failed is the answer to an operation that has no result.
-func failed(status quorum.Status) *fb.OpTellT { return &fb.OpTellT{Status: byte(status)} }
+func failed(status quorum.Status) *fb.OperationResponseT {
+	return &fb.OperationResponseT{Status: byte(status)}
+}
 
 // execute carries an operation to the leader of its key's slot, which may be this node.
-func (n *Node) execute(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+func (n *Node) execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
 	if !n.voting.Load() {
 		if via := n.nextPeer(); via != "" && ask.Hops < maxHops {
 			return n.forward(ctx, via, ask)
@@ -80,12 +82,12 @@
 		return failed(quorum.StatusNotLeader)
 	}
 	result, ok := n.propose(ctx, quorum.Operation{
-		Type:             quorum.OperationType(ask.Kind),
+		Type:             quorum.OperationType(ask.Type),
 		Key:              ask.Key,
-		Value:            ask.Val,
-		ExpectedRevision: ask.Expect,
+		Value:            ask.Value,
+		ExpectedRevision: ask.ExpectedRevision,
 		Holder:           ask.Holder,
-		LeaseDuration:    ask.Term,
+		LeaseDuration:    ask.LeaseDuration,
 	})
 	if !ok {
 		return failed(quorum.StatusUnknown)
@@ -93,16 +95,16 @@
 	if result.Status == quorum.StatusNotLeader && result.Leader != "" && result.Leader != n.settings.Name && ask.Hops < maxHops {
 		return n.forwardToLeader(ctx, result.Leader, ask)
 	}
-	answer := &fb.OpTellT{Status: byte(result.Status), Rev: result.Revision, Val: result.Value, Owner: result.Leader}
-	if ask.Have != 0 && ask.Have == result.Revision {
-		answer.Val = nil
+	answer := &fb.OperationResponseT{Status: byte(result.Status), Revision: result.Revision, Value: result.Value, Leader: result.Leader}
+	if ask.HaveRevision != 0 && ask.HaveRevision == result.Revision {
+		answer.Value = nil
 	}
 	return answer
 }
 
 // forwardToLeader forwards an operation to the voter that leads the key's slot. While that
 // one is silent nothing is sent, so that it is safe to say so and try again.
-func (n *Node) forwardToLeader(ctx context.Context, leader string, ask *fb.OpAskT) *fb.OpTellT {
+func (n *Node) forwardToLeader(ctx context.Context, leader string, ask *fb.OperationRequestT) *fb.OperationResponseT {
 	set := n.voterSet.Load()
 	if set == nil || n.status.Load().silent[leader] {
 		return failed(quorum.StatusNotLeader)
@@ -116,15 +118,15 @@
 
 // forward hands an operation on. One that may be repeated is not waited for long: the
 // leader may be gone, and whoever asked tries again (Execute).
-func (n *Node) forward(ctx context.Context, addr string, ask *fb.OpAskT) *fb.OpTellT {
+func (n *Node) forward(ctx context.Context, addr string, ask *fb.OperationRequestT) *fb.OperationResponseT {
 	forwarded := *ask
 	forwarded.Hops++
-	timeout := lo.Ternary[int64](idempotent(quorum.OperationType(ask.Kind)), idempotentTimeout, forwardTimeout)
-	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OpAsk: &forwarded}, timeout)
-	if err != nil || answer.OpTell == nil {
+	timeout := lo.Ternary[int64](idempotent(quorum.OperationType(ask.Type)), idempotentTimeout, forwardTimeout)
+	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OperationRequest: &forwarded}, timeout)
+	if err != nil || answer.OperationResponse == nil {
 		return failed(quorum.StatusUnknown)
 	}
-	return answer.OpTell
+	return answer.OperationResponse
 }
 
 // nextPeer is the address of another control node, one after the other; "" if none is
--- a/internal/app/control/plan_cache.go
+++ b/internal/app/control/plan_cache.go
@@ -25,7 +25,7 @@
 	defer cancel()
 	held := n.plan.Load()
 	askedAt := clock.Now()
-	ask := &fb.OpAskT{Kind: byte(quorum.OpGet), Key: planKey, Have: held.Revision}
+	ask := &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey, HaveRevision: held.Revision}
 	answer := n.execute(ctx, ask)
 	if quorum.Status(answer.Status) != quorum.StatusDone {
 		if relayed := n.readPlanThroughPeer(ask); relayed != nil {
@@ -33,7 +33,7 @@
 		}
 	}
 	if quorum.Status(answer.Status) == quorum.StatusDone {
-		updated, _, _ := held.Apply(plan.Update{Revision: answer.Rev, Raw: answer.Val, Confirmed: true}, askedAt)
+		updated, _, _ := held.Apply(plan.Update{Revision: answer.Revision, Raw: answer.Value, Confirmed: true}, askedAt)
 		n.plan.Store(&updated)
 	}
 }
@@ -41,7 +41,7 @@
 // readPlanThroughPeer asks another control node, since the way to the leader may be cut
 // here and not elsewhere. It has its own time limit: that of the first question may be
 // used up.
-func (n *Node) readPlanThroughPeer(ask *fb.OpAskT) *fb.OpTellT {
+func (n *Node) readPlanThroughPeer(ask *fb.OperationRequestT) *fb.OperationResponseT {
 	via := n.nextPeer()
 	if via == "" {
 		return nil
@@ -49,9 +49,9 @@
 	ctx, cancel := context.WithTimeout(n.daemon.Group.Context(), clock.Duration(planTimeout))
 	defer cancel()
 	ask.Hops = 1
-	answer, err := n.peers.Get(via).Call(ctx, &fb.FrameT{OpAsk: ask}, planRelayTimeout)
+	answer, err := n.peers.Get(via).Call(ctx, &fb.FrameT{OperationRequest: ask}, planRelayTimeout)
 	if err != nil {
 		return nil
 	}
-	return answer.OpTell
+	return answer.OperationResponse
 }
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -47,7 +47,7 @@
 }
 
 // newVoter makes a voter from what a disk holds.
-func (n *Node) newVoter(set *fb.FoundingT, incarnation uint64, records []quorum.Record) *quorum.Node {
+func (n *Node) newVoter(set *fb.VoterSetT, incarnation uint64, records []quorum.Record) *quorum.Node {
 	config := quorum.DefaultConfig(n.settings.Name, incarnation)
 	config.GenerationDuration = n.settings.GenerationDuration
 	config.OpenGenerations = n.settings.OpenGenerations
@@ -110,7 +110,7 @@
 
 // broadcastSessions announces this node's sessions to the other voters.
 func (n *Node) broadcastSessions(context.Context) {
-	frame := &fb.FrameT{RollTell: n.sessions.Announcement(clock.Now())}
+	frame := &fb.FrameT{SessionUpdate: n.sessions.Announcement(clock.Now())}
 	taskgroup.TrySend(n.commands, func(int64) {
 		for _, peer := range n.voter.VoterSet().Voters {
 			n.sendTo(peer.Name, frame)
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -135,7 +135,7 @@
 
 func (w *writer) beginCheckpoint(state []quorum.Record) error {
 	set := *w.node.voterSet.Load()
-	set.Inc = w.node.Incarnation()
+	set.Incarnation = w.node.Incarnation()
 	if err := w.log.BeginCheckpoint(); err != nil {
 		return err
 	}
--- a/internal/app/directory/cache_events.go
+++ b/internal/app/directory/cache_events.go
@@ -176,7 +176,7 @@
 }
 
 // unsentEvents is the rest of a snapshot that a proxy gets in pages. Called under the lock.
-func (d *Directory) unsentEvents(ask *fb.MapAskT) []cacheindex.Update {
+func (d *Directory) unsentEvents(ask *fb.MapRequestT) []cacheindex.Update {
 	if ask.Node == nil || d.proxies[ask.Node.Name] == nil {
 		return nil
 	}
@@ -184,17 +184,17 @@
 }
 
 // nextEvents is the next page of cache events for a proxy. Called under the lock.
-func (d *Directory) nextEvents(ask *fb.MapAskT) cacheindex.UpdateBatch {
+func (d *Directory) nextEvents(ask *fb.MapRequestT) cacheindex.UpdateBatch {
 	var proxy *proxyState
 	if ask.Node != nil {
 		proxy = d.proxies[ask.Node.Name]
 	}
-	if proxy != nil && len(proxy.unsent) > 0 && ask.NewsInc == d.incarnation {
+	if proxy != nil && len(proxy.unsent) > 0 && ask.UpdatesIncarnation == d.incarnation {
 		page := proxy.unsent[:min(maxEventsPerReply, len(proxy.unsent))]
 		proxy.unsent = proxy.unsent[len(page):]
-		return cacheindex.UpdateBatch{Incarnation: ask.NewsInc, Next: ask.NewsSince, Updates: page}
+		return cacheindex.UpdateBatch{Incarnation: ask.UpdatesIncarnation, Next: ask.UpdatesSince, Updates: page}
 	}
-	batch := d.events.Since(ask.NewsInc, ask.NewsSince, maxEventsPerReply)
+	batch := d.events.Since(ask.UpdatesIncarnation, ask.UpdatesSince, maxEventsPerReply)
 	if proxy != nil {
 		proxy.unsent = nil
 		if batch.Reset && len(batch.Updates) > maxEventsPerReply {
--- a/internal/app/directory/engine_list.go
+++ b/internal/app/directory/engine_list.go
@@ -64,23 +64,23 @@
 // copyListFrom takes over the list that another core machine has.
 func (d *Directory) copyListFrom(ctx context.Context, addr string) {
 	askedAt := clock.Now()
-	ask := &fb.MapAskT{Inc: d.firstIncarnation, Map: d.firstRevision, NewsInc: 1}
-	answer, err := d.control.Call(ctx, addr, &fb.FrameT{MapAsk: ask}, firstTimeout)
-	if err != nil || answer.MapTell == nil {
+	ask := &fb.MapRequestT{Incarnation: d.firstIncarnation, HaveMap: d.firstRevision, UpdatesIncarnation: 1}
+	answer, err := d.control.Call(ctx, addr, &fb.FrameT{MapRequest: ask}, firstTimeout)
+	if err != nil || answer.MapResponse == nil {
 		return
 	}
-	told := answer.MapTell
+	told := answer.MapResponse
 	d.mu.Lock()
 	d.namings.Merge(codec.UnpackVersionAges(told, askedAt))
 	d.mu.Unlock()
-	if !told.Whole { // the list is still the one that was taken over last
+	if !told.FullMap { // the list is still the one that was taken over last
 		d.mu.Lock()
 		d.listReadAt = max(d.listReadAt, askedAt-told.ListAge)
 		d.mu.Unlock()
 		return
 	}
 	if d.adoptList(askedAt-told.ListAge, unpackEngines(told.Engines)) {
-		d.firstIncarnation, d.firstRevision = told.Inc, told.Map
+		d.firstIncarnation, d.firstRevision = told.Incarnation, told.Map
 	}
 }
 
@@ -94,7 +94,7 @@
 			ID:       engine.Id,
 			Pool:     engine.Pool,
 			Addr:     engine.Addr,
-			Zone:     engine.Site,
+			Zone:     engine.Zone,
 			Draining: engine.Draining,
 			Slots:    int(engine.Slots),
 			Weights:  codec.UnpackWeights(engine.Weights),
--- a/internal/app/directory/loads.go
+++ b/internal/app/directory/loads.go
@@ -18,12 +18,12 @@
 type proxyState struct {
 	heardAt int64
 	direct  bool // it asks this node
-	loads   []*fb.LoadT
+	loads   []*fb.EngineLoadT
 	unsent  []cacheindex.Update // of a snapshot that it gets in pages
 }
 
 // recordProxy takes in what a proxy tells of itself as it asks.
-func (d *Directory) recordProxy(now int64, ask *fb.MapAskT) {
+func (d *Directory) recordProxy(now int64, ask *fb.MapRequestT) {
 	d.control.RecordHeartbeat(now, ask.Node)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,7 +38,7 @@
 // way.
 func (d *Directory) broadcastLoads(context.Context) {
 	now := clock.Now()
-	loads := &fb.LoadTellT{}
+	loads := &fb.LoadUpdateT{}
 	d.mu.Lock()
 	for name, proxy := range d.proxies {
 		switch {
@@ -52,11 +52,11 @@
 	if len(loads.Proxies) == 0 {
 		return
 	}
-	d.control.Broadcast(&fb.FrameT{LoadTell: loads})
+	d.control.Broadcast(&fb.FrameT{LoadUpdate: loads})
 }
 
 // mergeLoads takes in what another core machine broadcast; the newer one counts.
-func (d *Directory) mergeLoads(now int64, loads *fb.LoadTellT) {
+func (d *Directory) mergeLoads(now int64, loads *fb.LoadUpdateT) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, heard := range loads.Proxies {
@@ -69,8 +69,8 @@
 
 // loadsOfOthers sums what all proxies but one have under way, by engine. Called under the
 // lock.
-func (d *Directory) loadsOfOthers(now int64, except string) (out []*fb.LoadT) {
-	sums := map[uint64]*fb.LoadT{}
+func (d *Directory) loadsOfOthers(now int64, except string) (out []*fb.EngineLoadT) {
+	sums := map[uint64]*fb.EngineLoadT{}
 	for name, proxy := range d.proxies {
 		if name == except || now-proxy.heardAt > loadsLifetime {
 			continue
@@ -78,13 +78,13 @@
 		for _, load := range proxy.loads {
 			sum := sums[load.Node]
 			if sum == nil {
-				sum = &fb.LoadT{Node: load.Node}
+				sum = &fb.EngineLoadT{Node: load.Node}
 				sums[load.Node] = sum
 				out = append(out, sum)
 			}
 			sum.Active += load.Active
-			sum.Reading += load.Reading
-			sum.Tokens += load.Tokens
+			sum.PrefillTokens += load.PrefillTokens
+			sum.MemoryTokens += load.MemoryTokens
 		}
 	}
 	return out
--- a/internal/app/directory/ports.go
+++ b/internal/app/directory/ports.go
@@ -75,9 +75,9 @@
 // Control is the control node beside it.
 type Control interface {
 	// Execute carries an operation on a control key out, with repeated attempts.
-	Execute(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT
+	Execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT
 	// ExecuteOnce carries it out with one attempt.
-	ExecuteOnce(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT
+	ExecuteOnce(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT
 	// VoterAddrs are the addresses of the control nodes that vote.
 	VoterAddrs() []string
 	// LiveNodes are the nodes whose sessions have not ended.
--- a/internal/app/directory/registers_test.go
+++ b/internal/app/directory/registers_test.go
@@ -21,8 +21,8 @@
 // toldAge is how long ago a proxy is told that a version was announced.
 func toldAge(t *testing.T, d *Directory, version uint64) int64 {
 	t.Helper()
-	a := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, clock.Now())
-	for _, n := range a.Named {
+	a := d.reply(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, clock.Now())
+	for _, n := range a.Announced {
 		if n.Version == version {
 			return n.Age
 		}
@@ -84,7 +84,7 @@
 	if age := toldAge(t, d, 1); age < takeoverWindow || age > 3*takeoverWindow {
 		t.Errorf("told %d us after the leader changed", age)
 	}
-	if got := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0).NamedEpoch; got != control.revisions[WeightsRoleKey] {
+	if got := d.reply(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, 0).AnnouncedTerm; got != control.revisions[WeightsRoleKey] {
 		t.Errorf("epoch %d is told", got)
 	}
 }
@@ -94,7 +94,7 @@
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
 	d.Refresh(t.Context())
-	control.firstReply = &fb.MapTellT{Named: []*fb.NamedT{{Model: "m", Version: 1, Age: 30_000_000}}, ListAge: 1_000_000}
+	control.firstReply = &fb.MapResponseT{Announced: []*fb.AnnouncedVersionT{{Model: "m", Version: 1, Age: 30_000_000}}, ListAge: 1_000_000}
 	d.copyListFrom(t.Context(), "a:1")
 	if age := toldAge(t, d, 1); age < 30_000_000 {
 		t.Errorf("told %d us, the first in line knows 30 s", age)
@@ -109,7 +109,7 @@
 	d.weights.readAt -= 5_000_000
 	control.unreadable = true
 	d.Refresh(t.Context())
-	if a := d.reply(&fb.MapAskT{Node: &fb.NodeT{Name: "p"}}, 0); a.NamedAge < 5_000_000 {
-		t.Errorf("an age of %d us is told of weights last vouched for 5 s ago", a.NamedAge)
+	if a := d.reply(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, 0); a.AnnouncedAge < 5_000_000 {
+		t.Errorf("an age of %d us is told of weights last vouched for 5 s ago", a.AnnouncedAge)
 	}
 }
--- a/internal/app/directory/reply.go
+++ b/internal/app/directory/reply.go
@@ -24,29 +24,29 @@
 func (d *Directory) Handle(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
 	now := clock.Now()
 	switch {
-	case frame.LoadTell != nil:
-		d.mergeLoads(now, frame.LoadTell)
+	case frame.LoadUpdate != nil:
+		d.mergeLoads(now, frame.LoadUpdate)
 		return nil
-	case frame.MapAsk == nil:
+	case frame.MapRequest == nil:
 		return nil
 	}
-	if frame.MapAsk.Node != nil {
-		d.recordProxy(now, frame.MapAsk)
+	if frame.MapRequest.Node != nil {
+		d.recordProxy(now, frame.MapRequest)
 	}
-	if !d.awaitChange(ctx, now, frame.MapAsk) {
+	if !d.awaitChange(ctx, now, frame.MapRequest) {
 		return nil
 	}
-	return &fb.FrameT{MapTell: d.reply(frame.MapAsk, now)}
+	return &fb.FrameT{MapResponse: d.reply(frame.MapRequest, now)}
 }
 
 // awaitChange holds a question that came at a time until something urgent changed, or it
 // was held for long enough. It returns false if whoever asked is gone.
-func (d *Directory) awaitChange(ctx context.Context, askedAt int64, ask *fb.MapAskT) bool {
+func (d *Directory) awaitChange(ctx context.Context, askedAt int64, ask *fb.MapRequestT) bool {
 	end := askedAt + min(max(ask.Hold, 0), maxReplyDelay)
 	for {
 		d.mu.Lock()
 		changed, urgent := d.changed, d.hasUrgentChange(ask, askedAt)
-		if ask.Map != d.mapRevision {
+		if ask.HaveMap != d.mapRevision {
 			end = min(end, askedAt+mapBatchDelay)
 		}
 		d.mu.Unlock()
@@ -64,35 +64,35 @@
 }
 
 // hasUrgentChange reports whether a question is answered at once. Called under the lock.
-func (d *Directory) hasUrgentChange(ask *fb.MapAskT, askedAt int64) bool {
+func (d *Directory) hasUrgentChange(ask *fb.MapRequestT, askedAt int64) bool {
 	switch {
-	case d.config.known && ask.Have != d.config.revision:
+	case d.config.known && ask.HaveRevision != d.config.revision:
 		return true
-	case ask.Inc != d.incarnation || ask.NewsInc != d.incarnation || len(d.unsentEvents(ask)) > 0:
+	case ask.Incarnation != d.incarnation || ask.UpdatesIncarnation != d.incarnation || len(d.unsentEvents(ask)) > 0:
 		return true
 	}
-	return ask.Map != d.mapRevision && clock.Now()-askedAt >= mapBatchDelay
+	return ask.HaveMap != d.mapRevision && clock.Now()-askedAt >= mapBatchDelay
 }
 
 // reply answers a question that came at a time.
-func (d *Directory) reply(ask *fb.MapAskT, askedAt int64) *fb.MapTellT {
+func (d *Directory) reply(ask *fb.MapRequestT, askedAt int64) *fb.MapResponseT {
 	voters, live := d.control.VoterAddrs(), d.control.LiveNodes(clock.Now())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
-	reply := &fb.MapTellT{
-		Inc:      d.incarnation,
-		Site:     d.settings.Zone,
-		Held:     now - askedAt,
-		Known:    d.config.known,
-		Rev:      d.config.revision,
-		Age:      now - d.config.readAt,
-		Map:      d.mapRevision,
-		ListAge:  ageSince(now, d.listReadAt),
-		Voters:   voters,
-		NamedAge: ageSince(now, min(d.weights.readAt, d.rollout.readAt)),
-	}
-	if ask.Have != d.config.revision {
+	reply := &fb.MapResponseT{
+		Incarnation:  d.incarnation,
+		Zone:         d.settings.Zone,
+		Waited:       now - askedAt,
+		Known:        d.config.known,
+		Revision:     d.config.revision,
+		Age:          now - d.config.readAt,
+		Map:          d.mapRevision,
+		ListAge:      ageSince(now, d.listReadAt),
+		Voters:       voters,
+		AnnouncedAge: ageSince(now, min(d.weights.readAt, d.rollout.readAt)),
+	}
+	if ask.HaveRevision != d.config.revision {
 		reply.Config = d.config.value
 	}
 	for _, node := range live {
@@ -100,13 +100,13 @@
 			reply.Proxies++
 		}
 	}
-	if ask.Inc != d.incarnation || ask.Map != d.mapRevision {
-		reply.Whole = true
+	if ask.Incarnation != d.incarnation || ask.HaveMap != d.mapRevision {
+		reply.FullMap = true
 		reply.Engines = d.mapEngines()
 	}
-	if reply.Whole || ask.Node == nil {
-		reply.Named = d.namedVersions(now)
-		reply.NamedEpoch = d.namings.Term()
+	if reply.FullMap || ask.Node == nil {
+		reply.Announced = d.namedVersions(now)
+		reply.AnnouncedTerm = d.namings.Term()
 	}
 	if ask.Node != nil { // another core machine follows the engines itself
 		reply.Loads = d.loadsOfOthers(now, ask.Node.Name)
@@ -116,20 +116,20 @@
 }
 
 // addEvents adds the next page of cache events for a proxy. Called under the lock.
-func (d *Directory) addEvents(reply *fb.MapTellT, ask *fb.MapAskT) {
+func (d *Directory) addEvents(reply *fb.MapResponseT, ask *fb.MapRequestT) {
 	batch := d.nextEvents(ask)
 	reply.Complete = len(d.readers) > 0 && len(d.unsentEvents(ask)) == 0
 	for _, reader := range d.readers {
 		reply.Complete = reply.Complete && reader.answered
 	}
-	reply.NewsInc, reply.NewsNext, reply.NewsReset = batch.Incarnation, batch.Next, batch.Reset
+	reply.UpdatesIncarnation, reply.UpdatesNext, reply.UpdatesReset = batch.Incarnation, batch.Next, batch.Reset
 	for _, event := range batch.Updates {
-		reply.News = append(reply.News, &fb.NewsT{
-			Hi:    event.Key.Hi,
-			Lo:    event.Key.Lo,
-			Check: event.Key.Check,
-			Node:  event.Node,
-			Op:    byte(event.Op),
+		reply.Updates = append(reply.Updates, &fb.CacheUpdateT{
+			Hi:     event.Key.Hi,
+			Lo:     event.Key.Lo,
+			Check:  event.Key.Check,
+			Holder: event.Node,
+			Op:     byte(event.Op),
 		})
 	}
 }
@@ -147,25 +147,25 @@
 	down := func(id string) bool { reader := d.readers[id]; return reader != nil && reader.down() }
 	for _, engine := range d.listedEngines {
 		shown := &fb.MapEngineT{
-			Id:       engine.ID,
-			Pool:     engine.Pool,
-			Addr:     engine.Addr,
-			Site:     engine.Zone,
-			Draining: engine.Draining,
-			Slots:    uint32(engine.Slots),
-			Down:     down(engine.ID),
+			Id:        engine.ID,
+			Pool:      engine.Pool,
+			Addr:      engine.Addr,
+			Zone:      engine.Zone,
+			Draining:  engine.Draining,
+			Slots:     uint32(engine.Slots),
+			Unhealthy: down(engine.ID),
 		}
 		for _, model := range slices.Sorted(maps.Keys(engine.Weights)) {
 			version := d.rolloutState.Version(engine.ID, model, engine.Weights[model])
-			shown.Weights = append(shown.Weights, &fb.ModelAtT{Model: model, Version: version})
+			shown.Weights = append(shown.Weights, &fb.ModelVersionT{Model: model, Version: version})
 		}
-		_, shown.Turning = d.rolloutState.Updates[engine.ID]
+		_, shown.Updating = d.rolloutState.Updates[engine.ID]
 		out = append(out, shown)
 	}
 	if d.table != nil {
 		for _, pool := range d.table.Stores() {
 			id := storeID(pool.StoreAddr)
-			out = append(out, &fb.MapEngineT{Id: id, Addr: pool.StoreAddr, Site: pool.Zone, Store: true, Down: down(id)})
+			out = append(out, &fb.MapEngineT{Id: id, Addr: pool.StoreAddr, Zone: pool.Zone, Store: true, Unhealthy: down(id)})
 		}
 	}
 	return out
@@ -173,9 +173,9 @@
 
 // namedVersions tells how long ago each version of weights was announced. Called under the
 // lock.
-func (d *Directory) namedVersions(now int64) (out []*fb.NamedT) {
+func (d *Directory) namedVersions(now int64) (out []*fb.AnnouncedVersionT) {
 	d.namings.Each(func(model string, version uint64, at int64) {
-		out = append(out, &fb.NamedT{Model: model, Version: version, Age: now - at})
+		out = append(out, &fb.AnnouncedVersionT{Model: model, Version: version, Age: now - at})
 	})
 	return out
 }
--- a/internal/app/directory/rollout_test.go
+++ b/internal/app/directory/rollout_test.go
@@ -23,7 +23,7 @@
 	revisions  map[string]uint64
 	unreadable bool // no register can be read
 	onRelease  func()
-	firstReply *fb.MapTellT // what the first node in line answers
+	firstReply *fb.MapResponseT // what the first node in line answers
 	voters     []string
 }
 
@@ -38,32 +38,32 @@
 	c.revisions[key]++
 }
 
-func (c *fakeControl) Execute(ctx context.Context, ask *fb.OpAskT) *fb.OpTellT {
+func (c *fakeControl) Execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
 	return c.ExecuteOnce(ctx, ask)
 }
 
-func (c *fakeControl) ExecuteOnce(_ context.Context, ask *fb.OpAskT) *fb.OpTellT {
-	if quorum.OperationType(ask.Kind) == quorum.OpRelease {
+func (c *fakeControl) ExecuteOnce(_ context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
+	if quorum.OperationType(ask.Type) == quorum.OpRelease {
 		c.onRelease()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.unreadable {
-		return &fb.OpTellT{Status: byte(quorum.StatusNotLeader)}
+		return &fb.OperationResponseT{Status: byte(quorum.StatusNotLeader)}
 	}
-	switch quorum.OperationType(ask.Kind) {
+	switch quorum.OperationType(ask.Type) {
 	case quorum.OpPut:
-		if ask.Expect != c.revisions[ask.Key] {
-			return &fb.OpTellT{Status: byte(quorum.StatusConflict), Rev: c.revisions[ask.Key]}
+		if ask.ExpectedRevision != c.revisions[ask.Key] {
+			return &fb.OperationResponseT{Status: byte(quorum.StatusConflict), Revision: c.revisions[ask.Key]}
 		}
-		c.values[ask.Key] = ask.Val
+		c.values[ask.Key] = ask.Value
 		c.revisions[ask.Key]++
 	case quorum.OpAcquire:
 		if c.revisions[ask.Key] == 0 {
 			c.revisions[ask.Key] = 1
 		}
 	}
-	return &fb.OpTellT{Status: byte(quorum.StatusDone), Rev: c.revisions[ask.Key], Val: c.values[ask.Key]}
+	return &fb.OperationResponseT{Status: byte(quorum.StatusDone), Revision: c.revisions[ask.Key], Value: c.values[ask.Key]}
 }
 
 func (c *fakeControl) VoterAddrs() []string             { return c.voters }
@@ -71,7 +71,7 @@
 func (c *fakeControl) RecordHeartbeat(int64, *fb.NodeT) {}
 func (c *fakeControl) Broadcast(*fb.FrameT)             {}
 func (c *fakeControl) Call(context.Context, string, *fb.FrameT, int64) (*fb.FrameT, error) {
-	return &fb.FrameT{MapTell: c.firstReply}, nil
+	return &fb.FrameT{MapResponse: c.firstReply}, nil
 }
 
 // fakePlatform counts update requests, and answers each once release says so.
--- a/internal/app/directory/weights_role.go
+++ b/internal/app/directory/weights_role.go
@@ -66,16 +66,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(renewTimeout))
 	defer cancel()
-	answer := d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpAcquire), Key: WeightsRoleKey, Holder: role.leaderID, Term: duration})
+	answer := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpAcquire), Key: WeightsRoleKey, Holder: role.leaderID, LeaseDuration: duration})
 	if quorum.Status(answer.Status) != quorum.StatusDone {
 		return now < lease.ExpiresAt
 	}
-	if answer.Rev != lease.FencingToken {
+	if answer.Revision != lease.FencingToken {
 		role.scheduler, role.heldSince = nil, now-takeoverWindow
 		role.startedAt, role.sentAt = 0, map[string]int64{}
-		d.logLeaseAcquired(answer.Rev)
+		d.logLeaseAcquired(answer.Revision)
 	}
-	role.lease.Store(&rollout.Lease{FencingToken: answer.Rev, ExpiresAt: now + duration - leaseSlack})
+	role.lease.Store(&rollout.Lease{FencingToken: answer.Revision, ExpiresAt: now + duration - leaseSlack})
 	return true
 }
 
@@ -92,5 +92,5 @@
 		return
 	}
 	role.inFlight.Wait()
-	d.control.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpRelease), Key: WeightsRoleKey, Holder: role.leaderID, Expect: lease.FencingToken})
+	d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpRelease), Key: WeightsRoleKey, Holder: role.leaderID, ExpectedRevision: lease.FencingToken})
 }
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -133,15 +133,15 @@
 
 // feed asks the agent for plan, orders and news, and tells it this proxy's need.
 func (g *gateway) feed(ctx context.Context) {
-	q := &fb.FeedAskT{Node: &fb.NodeT{Name: g.settings.Name, Role: "remisier", Site: g.settings.Zone, Http: g.settings.HTTPAddr, Inc: g.incarnation, Ready: g.daemon.Ready()},
-		Have: g.plan.Load().Revision, NewsInc: g.updateCursor.Inc, NewsSince: g.updateCursor.Next}
+	q := &fb.FeedRequestT{Node: &fb.NodeT{Name: g.settings.Name, Role: "remisier", Zone: g.settings.Zone, Http: g.settings.HTTPAddr, Incarnation: g.incarnation, Ready: g.daemon.Ready()},
+		HaveRevision: g.plan.Load().Revision, UpdatesIncarnation: g.updateCursor.Inc, UpdatesSince: g.updateCursor.Next}
 	g.mu.Lock()
 	codec.FillFeedRequest(g.dispatcher.Dispatcher, q)
 	g.mu.Unlock()
 	at := clock.Now()
-	f, err := g.agent.Call(ctx, &fb.FrameT{FeedAsk: q}, 500_000)
-	if err == nil && f.FeedTell != nil {
-		g.applyFeed(f.FeedTell, at)
+	f, err := g.agent.Call(ctx, &fb.FrameT{FeedRequest: q}, 500_000)
+	if err == nil && f.FeedResponse != nil {
+		g.applyFeed(f.FeedResponse, at)
 	}
 	g.updateReadiness()
 }
@@ -165,17 +165,17 @@
 	}
 }
 
-func (g *gateway) applyFeed(t *fb.FeedTellT, at int64) {
-	n, changed, err := g.plan.Load().Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
+func (g *gateway) applyFeed(t *fb.FeedResponseT, at int64) {
+	n, changed, err := g.plan.Load().Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
 	if err != nil {
-		g.daemon.Log.Info("plan_unreadable", "rev", t.Rev, "cause", err.Error())
+		g.daemon.Log.Info("plan_unreadable", "rev", t.Revision, "cause", err.Error())
 	}
 	g.plan.Store(&n)
 	if changed {
 		g.daemon.Log.Info("plan", "rev", n.Revision, "age_us", n.Age(clock.Now()))
 	}
 	// Ages count from the question: the answer may have been long on its way.
-	os := codec.UnpackGrants(t.Orders, clock.Now()-at)
+	os := codec.UnpackGrants(t.Grants, clock.Now()-at)
 	g.step(func(now int64) []dispatch.Action {
 		var acts []dispatch.Action
 		if n.Plan != nil {
@@ -183,8 +183,8 @@
 		}
 		return append(acts, g.dispatcher.ApplyGrants(now, os)...)
 	})
-	if t.Era > g.generation.Load() {
-		g.generation.Store(t.Era)
+	if t.Generation > g.generation.Load() {
+		g.generation.Store(t.Generation)
 	}
 	g.updateCursor = codec.ApplyUpdates(g.table, g.updateCursor, t)
 }
@@ -231,11 +231,11 @@
 // claimWord asks for a claim; "" means it is held.
 func (g *gateway) askClaim(ctx context.Context, a dispatch.Action) string {
 	at := clock.Now()
-	f, err := g.agent.Call(ctx, &fb.FrameT{OpAsk: &fb.OpAskT{Kind: byte(quorum.OpClaim), Key: a.ClaimKey, Val: []byte(a.ClaimNonce)}}, 2_000_000)
-	if err != nil || f.OpTell == nil {
+	f, err := g.agent.Call(ctx, &fb.FrameT{OperationRequest: &fb.OperationRequestT{Type: byte(quorum.OpClaim), Key: a.ClaimKey, Value: []byte(a.ClaimNonce)}}, 2_000_000)
+	if err != nil || f.OperationResponse == nil {
 		return "claim-unavailable"
 	}
-	switch quorum.Status(f.OpTell.Status) {
+	switch quorum.Status(f.OperationResponse.Status) {
 	case quorum.StatusDone:
 		g.claimLatency.add(clock.Now() - at)
 		return ""
@@ -248,7 +248,7 @@
 }
 
 func (g *gateway) releaseClaim(ctx context.Context, a dispatch.Action) {
-	_, err := g.agent.Call(ctx, &fb.FrameT{OpAsk: &fb.OpAskT{Kind: byte(quorum.OpUnclaim), Key: a.ClaimKey, Val: []byte(a.ClaimNonce)}}, 2_000_000)
+	_, err := g.agent.Call(ctx, &fb.FrameT{OperationRequest: &fb.OperationRequestT{Type: byte(quorum.OpUnclaim), Key: a.ClaimKey, Value: []byte(a.ClaimNonce)}}, 2_000_000)
 	if err != nil {
 		// The claim stays; a resend of this ticket will not run.
 		g.daemon.Log.Info("claim_kept", "group", a.Group, "ticket", a.RequestID, "cause", err.Error())
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -111,7 +111,7 @@
 func (n *indexNode) self() *fb.NodeT {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	status := &fb.NodeT{Name: n.settings.Name, Role: "custodian", Site: n.settings.Zone, Addr: n.settings.TransportAddr, Http: n.settings.HTTPAddr, Inc: n.incarnation, Ready: n.daemon.Ready()}
+	status := &fb.NodeT{Name: n.settings.Name, Role: "custodian", Zone: n.settings.Zone, Addr: n.settings.TransportAddr, Http: n.settings.HTTPAddr, Incarnation: n.incarnation, Ready: n.daemon.Ready()}
 	return codec.AddIndexNodeStatus(n.node.Node, clock.Now(), status)
 }
 
@@ -193,17 +193,17 @@
 		kind = quorum.OpRelease
 	}
 	at := clock.Now()
-	t, err := n.session.Propose(ctx, &fb.OpAskT{Kind: byte(kind), Key: a.Key, Expect: a.Token, Holder: n.leaseHolder, Term: index.LeaseDuration}, 1_000_000)
+	t, err := n.session.Propose(ctx, &fb.OperationRequestT{Type: byte(kind), Key: a.Key, ExpectedRevision: a.Token, Holder: n.leaseHolder, LeaseDuration: index.LeaseDuration}, 1_000_000)
 	n.withNode(func(now int64, k *replay.IndexNode) {
 		if err != nil {
 			k.LeaseAnswered(now, a, at, false, 0)
 			return
 		}
 		ok := quorum.Status(t.Status) == quorum.StatusDone
-		if ok && a.Token != t.Rev && !a.Release {
-			n.daemon.Log.Info("duty", "key", a.Key, "epoch", t.Rev)
+		if ok && a.Token != t.Revision && !a.Release {
+			n.daemon.Log.Info("duty", "key", a.Key, "epoch", t.Revision)
 		}
-		k.LeaseAnswered(now, a, at, ok, t.Rev)
+		k.LeaseAnswered(now, a, at, ok, t.Revision)
 	})
 }
 
@@ -286,7 +286,7 @@
 	var peers []index.Peer
 	for _, n := range n.session.View().Nodes {
 		if n.Role == "custodian" {
-			peers = append(peers, index.Peer{Name: n.Name, Addr: n.Addr, Roles: n.Duties})
+			peers = append(peers, index.Peer{Name: n.Name, Addr: n.Addr, Roles: n.LeasedRoles})
 		}
 	}
 	for _, p := range peers {
@@ -294,16 +294,16 @@
 	}
 }
 
-func (n *indexNode) askFeed(ctx context.Context, p index.Peer, q *fb.NewsAskT) (*fb.NewsTellT, bool) {
+func (n *indexNode) askFeed(ctx context.Context, p index.Peer, q *fb.UpdatesRequestT) (*fb.UpdatesResponseT, bool) {
 	q.From = n.settings.Name
 	if p.Name == n.settings.Name {
 		return n.answerFeed(q), true
 	}
-	f, err := n.book.Get(p.Addr).Call(ctx, &fb.FrameT{NewsAsk: q}, 800_000)
-	if err != nil || f.NewsTell == nil {
+	f, err := n.book.Get(p.Addr).Call(ctx, &fb.FrameT{UpdatesRequest: q}, 800_000)
+	if err != nil || f.UpdatesResponse == nil {
 		return nil, false
 	}
-	return f.NewsTell, true
+	return f.UpdatesResponse, true
 }
 
 func (n *indexNode) follow(ctx context.Context, p index.Peer) {
@@ -314,7 +314,7 @@
 		mine, cur, sites, pushes = k.HeldShards(now), k.HoldingsCursor(p.Name), k.ServedZones(), k.PrefetchZones(now)
 	})
 	if len(mine) > 0 {
-		if t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.HoldingsFeed, Shards: mine, Inc: cur.Incarnation, Since: cur.Next}); ok {
+		if t, ok := n.askFeed(ctx, p, &fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: mine, Incarnation: cur.Incarnation, Since: cur.Next}); ok {
 			n.withNode(func(now int64, k *replay.IndexNode) { codec.ApplyHoldings(k.Node, now, p.Name, t) })
 		}
 	}
@@ -324,7 +324,7 @@
 	for _, s := range sites {
 		var sc index.Cursor
 		n.withNode(func(_ int64, k *replay.IndexNode) { sc = *k.ZoneCursor(s, p.Name) })
-		if t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.ZoneFeed, Site: s, Inc: sc.Incarnation, Since: sc.Next}); ok {
+		if t, ok := n.askFeed(ctx, p, &fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: s, Incarnation: sc.Incarnation, Since: sc.Next}); ok {
 			n.withNode(func(_ int64, k *replay.IndexNode) {
 				k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
 			})
@@ -332,7 +332,7 @@
 	}
 }
 
-func (n *indexNode) answerFeed(q *fb.NewsAskT) (t *fb.NewsTellT) {
+func (n *indexNode) answerFeed(q *fb.UpdatesRequestT) (t *fb.UpdatesResponseT) {
 	n.withNode(func(_ int64, k *replay.IndexNode) { t = codec.AnswerUpdates(k.Node, q) })
 	return t
 }
@@ -343,13 +343,13 @@
 	n.mu.Lock()
 	cur := n.prefetchCursors[site+"|"+p.Name]
 	n.mu.Unlock()
-	t, ok := n.askFeed(ctx, p, &fb.NewsAskT{Kind: codec.PushFeed, Site: site, Inc: cur.Incarnation, Since: cur.Next})
+	t, ok := n.askFeed(ctx, p, &fb.UpdatesRequestT{Feed: codec.PushFeed, Zone: site, Incarnation: cur.Incarnation, Since: cur.Next})
 	if !ok {
 		return
 	}
 	var ps []index.Prefetch
 	n.withNode(func(now int64, k *replay.IndexNode) {
-		n.prefetchCursors[site+"|"+p.Name] = index.Cursor{Incarnation: t.Inc, Next: t.Next}
+		n.prefetchCursors[site+"|"+p.Name] = index.Cursor{Incarnation: t.Incarnation, Next: t.Next}
 		ps = k.Prefetches(now, site, codec.UnpackBatch(t), codec.UnpackPlaces(t))
 	})
 	for _, x := range ps {
@@ -359,12 +359,12 @@
 
 func (n *indexNode) handle(ctx context.Context, f *fb.FrameT) *fb.FrameT {
 	switch {
-	case f.RoomAsk != nil && f.RoomAsk.To != "" && f.RoomAsk.To != n.settings.Name:
+	case f.CapacityRequest != nil && f.CapacityRequest.To != "" && f.CapacityRequest.To != n.settings.Name:
 		return n.relay(ctx, f)
-	case f.RoomAsk != nil:
-		return &fb.FrameT{RoomTell: n.issueGrants(f.RoomAsk)}
-	case f.NewsAsk != nil:
-		return &fb.FrameT{NewsTell: n.answerFeed(f.NewsAsk)}
+	case f.CapacityRequest != nil:
+		return &fb.FrameT{CapacityResponse: n.issueGrants(f.CapacityRequest)}
+	case f.UpdatesRequest != nil:
+		return &fb.FrameT{UpdatesResponse: n.answerFeed(f.UpdatesRequest)}
 	}
 	return nil
 }
@@ -375,18 +375,18 @@
 // relay passes an agent's question on to the index node that it is for, which the agent
 // does not reach itself.
 func (n *indexNode) relay(ctx context.Context, f *fb.FrameT) *fb.FrameT {
-	to, ok := lo.Find(n.session.View().Nodes, func(n *fb.NodeT) bool { return n.Name == f.RoomAsk.To && n.Role == "custodian" })
+	to, ok := lo.Find(n.session.View().Nodes, func(n *fb.NodeT) bool { return n.Name == f.CapacityRequest.To && n.Role == "custodian" })
 	if !ok || to.Addr == n.settings.TransportAddr {
 		return nil
 	}
-	answer, err := n.book.Get(to.Addr).Call(ctx, &fb.FrameT{RoomAsk: f.RoomAsk}, relayTimeout)
-	if err != nil || answer.RoomTell == nil {
+	answer, err := n.book.Get(to.Addr).Call(ctx, &fb.FrameT{CapacityRequest: f.CapacityRequest}, relayTimeout)
+	if err != nil || answer.CapacityResponse == nil {
 		return nil
 	}
-	return &fb.FrameT{RoomTell: answer.RoomTell}
+	return &fb.FrameT{CapacityResponse: answer.CapacityResponse}
 }
 
-func (n *indexNode) issueGrants(q *fb.RoomAskT) (t *fb.RoomTellT) {
+func (n *indexNode) issueGrants(q *fb.CapacityRequestT) (t *fb.CapacityResponseT) {
 	n.withNode(func(now int64, k *replay.IndexNode) { t = codec.AnswerCapacity(k, now, n.settings.Name, q) })
 	return t
 }
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -70,37 +70,37 @@
 
 // hear takes in what a node says of the fleet's state, which left it no sooner than at.
 // It returns the map to be used from now on, if there is another one.
-func (v *view) merge(state *fb.MapTellT, at int64) (engines []*fb.MapEngineT, use bool) {
+func (v *view) merge(state *fb.MapResponseT, at int64) (engines []*fb.MapEngineT, use bool) {
 	// A node that is cut off has lost sight of other proxies, and does not know that they
 	// have gone: what each may spend must not grow by that.
 	if proxies := max(1, int(state.Proxies)); !outOfTouch(state) || proxies > v.proxies {
 		v.proxies = proxies
 	}
-	if state.Whole {
+	if state.FullMap {
 		announced := &route.Announcements{}
 		if v.announced != nil {
 			announced = v.announced.Clone()
 		}
 		announced.Merge(frames.UnpackVersionAges(state, at))
 		v.announced = announced
-		v.pending = &pendingMap{state.Inc, state.Engines, at}
+		v.pending = &pendingMap{state.Incarnation, state.Engines, at}
 	}
-	return v.mergeMap(state.Inc, at, state.ListAge)
+	return v.mergeMap(state.Incarnation, at, state.ListAge)
 }
 
 // hearConfig takes in the configuration that a node told, and returns whether it is
 // another one. A revision never goes back within a life; an age counts only for the
 // revision in use.
-func (v *view) mergeConfig(state *fb.MapTellT, at int64, parse func(text []byte, revision uint64) *route.Table) (changed bool) {
-	if !state.Known || state.Rev < v.revision {
+func (v *view) mergeConfig(state *fb.MapResponseT, at int64, parse func(text []byte, revision uint64) *route.Table) (changed bool) {
+	if !state.Known || state.Revision < v.revision {
 		return false
 	}
-	if state.Rev > v.revision && len(state.Config) > 0 {
-		if table := parse(state.Config, state.Rev); table != nil {
-			v.table, v.revision, changed = table, state.Rev, true
+	if state.Revision > v.revision && len(state.Config) > 0 {
+		if table := parse(state.Config, state.Revision); table != nil {
+			v.table, v.revision, changed = table, state.Revision, true
 		}
 	}
-	if state.Rev == v.revision {
+	if state.Revision == v.revision {
 		v.configKnown, v.configAt = true, max(v.configAt, at-state.Age)
 	}
 	return changed
@@ -132,8 +132,8 @@
 
 // behind reports whether a node is out of touch with the owner of a register. One that
 // was restarted while it is cut off knows no configuration at all.
-func outOfTouch(state *fb.MapTellT) bool {
-	return !state.Known || state.Age > staleRegister || state.NamedAge > staleRegister
+func outOfTouch(state *fb.MapResponseT) bool {
+	return !state.Known || state.Age > staleRegister || state.AnnouncedAge > staleRegister
 }
 
 // age is how long ago the configuration was known to be in force.
@@ -246,20 +246,20 @@
 	case f.nodes[addr].failedLately(now):
 		hold = retryHoldUS
 	}
-	question := &fb.MapAskT{Node: f.server.self(), Inc: f.nodeIncarnation, Have: f.configRevision, Map: f.mapRevision, NewsInc: f.updatesIncarnation, NewsSince: f.updatesNext, Hold: hold, Loads: f.server.loads()}
-	answer, err := f.server.controlNodes.Get(addr).Call(ctx, &fb.FrameT{MapAsk: question}, hold+followTimeoutUS)
+	question := &fb.MapRequestT{Node: f.server.self(), Incarnation: f.nodeIncarnation, HaveRevision: f.configRevision, HaveMap: f.mapRevision, UpdatesIncarnation: f.updatesIncarnation, UpdatesSince: f.updatesNext, Hold: hold, Loads: f.server.loads()}
+	answer, err := f.server.controlNodes.Get(addr).Call(ctx, &fb.FrameT{MapRequest: question}, hold+followTimeoutUS)
 	if ctx.Err() != nil {
 		return false
 	}
 	node := f.nodes[addr]
-	if err != nil || answer.MapTell == nil {
+	if err != nil || answer.MapResponse == nil {
 		f.nodeFailed(addr)
 		return len(nodes) > 1
 	}
-	state := answer.MapTell
-	node.zone, node.failedAt = state.Site, 0
+	state := answer.MapResponse
+	node.zone, node.failedAt = state.Zone, 0
 	// The answer left the node no sooner than it had held the question.
-	f.apply(state, now+state.Held)
+	f.apply(state, now+state.Waited)
 	if state.ListAge > staleListUS && now-node.staleListAt > staleListRetryUS {
 		node.staleListAt = clock.Now()
 	}
@@ -269,7 +269,7 @@
 		return false
 	}
 	if f.current != addr {
-		f.server.daemon.Log.Info("directory", "directory", addr, "site", state.Site)
+		f.server.daemon.Log.Info("directory", "directory", addr, "site", state.Zone)
 		f.current = addr
 	}
 	return true
@@ -303,19 +303,19 @@
 }
 
 // take publishes what a node told.
-func (f *follower) apply(state *fb.MapTellT, at int64) {
+func (f *follower) apply(state *fb.MapResponseT, at int64) {
 	s := f.server
 	v := *s.view.Load()
 	engines, use := v.merge(state, at)
-	if state.Inc != f.nodeIncarnation {
-		f.nodeIncarnation, f.mapRevision = state.Inc, 0
+	if state.Incarnation != f.nodeIncarnation {
+		f.nodeIncarnation, f.mapRevision = state.Incarnation, 0
 	}
 	if v.mergeConfig(state, at, s.adapter.ParseConfig) {
-		s.daemon.Log.Info("config", "rev", state.Rev, "version", v.table.Version, "age_us", state.Age)
+		s.daemon.Log.Info("config", "rev", state.Revision, "version", v.table.Version, "age_us", state.Age)
 	}
 	f.configRevision = v.revision
 	s.view.Store(&v)
-	if state.Whole {
+	if state.FullMap {
 		f.mapRevision = state.Map
 	}
 	if use {
@@ -324,38 +324,38 @@
 	f.applyUpdates(state)
 	others := map[uint64]placement.Load{}
 	for _, l := range state.Loads {
-		others[l.Node] = placement.Load{Requests: int(l.Active), PrefillTokens: int64(l.Reading), MemoryTokens: int64(l.Tokens)}
+		others[l.Node] = placement.Load{Requests: int(l.Active), PrefillTokens: int64(l.PrefillTokens), MemoryTokens: int64(l.MemoryTokens)}
 	}
 	s.mu.Lock()
 	s.picker.SetOtherLoads(at, others)
-	s.picker.HintsComplete = state.Complete && !state.NewsReset
+	s.picker.HintsComplete = state.Complete && !state.UpdatesReset
 	s.mu.Unlock()
 }
 
 // loads tells what this proxy has under way.
-func (s *server) loads() (out []*fb.LoadT) {
+func (s *server) loads() (out []*fb.EngineLoadT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n, l := range s.picker.OwnLoads() {
-		out = append(out, &fb.LoadT{Node: n, Active: uint32(l.Requests), Reading: uint32(l.PrefillTokens), Tokens: uint32(l.MemoryTokens)})
+		out = append(out, &fb.EngineLoadT{Node: n, Active: uint32(l.Requests), PrefillTokens: uint32(l.PrefillTokens), MemoryTokens: uint32(l.MemoryTokens)})
 	}
 	return out
 }
 
-func (f *follower) applyUpdates(state *fb.MapTellT) {
+func (f *follower) applyUpdates(state *fb.MapResponseT) {
 	hints := f.server.hints
-	f.updatesIncarnation, f.updatesNext = state.NewsInc, state.NewsNext
+	f.updatesIncarnation, f.updatesNext = state.UpdatesIncarnation, state.UpdatesNext
 	f.server.hintMu.Lock()
 	defer f.server.hintMu.Unlock()
-	if state.NewsReset {
+	if state.UpdatesReset {
 		hints.Clear()
 	}
-	for _, update := range state.News {
+	for _, update := range state.Updates {
 		key := cacheindex.Key{Hi: update.Hi, Lo: update.Lo, Check: update.Check}
 		if cacheindex.UpdateOp(update.Op) == cacheindex.OpAdd {
-			hints.Put(key, update.Node)
+			hints.Put(key, update.Holder)
 		} else {
-			hints.Remove(key, update.Node)
+			hints.Remove(key, update.Holder)
 		}
 	}
 }
@@ -366,7 +366,7 @@
 	var stores []placement.Store
 	for _, e := range listed {
 		if e.Store {
-			stores = append(stores, placement.Store{Addr: e.Addr, Zone: e.Site, Unhealthy: e.Down})
+			stores = append(stores, placement.Store{Addr: e.Addr, Zone: e.Zone, Unhealthy: e.Unhealthy})
 			continue
 		}
 		cacheTokens := int64(0)
@@ -375,8 +375,8 @@
 				cacheTokens = pool.CacheTokens
 			}
 		}
-		engines = append(engines, &placement.Engine{CacheTokens: cacheTokens, ID: e.Id, Pool: e.Pool, Addr: e.Addr, Zone: e.Site, Draining: e.Draining,
-			UpdatingWeights: e.Turning, Unhealthy: e.Down, Slots: int(e.Slots), Weights: frames.UnpackWeights(e.Weights)})
+		engines = append(engines, &placement.Engine{CacheTokens: cacheTokens, ID: e.Id, Pool: e.Pool, Addr: e.Addr, Zone: e.Zone, Draining: e.Draining,
+			UpdatingWeights: e.Updating, Unhealthy: e.Unhealthy, Slots: int(e.Slots), Weights: frames.UnpackWeights(e.Weights)})
 	}
 	s.mu.Lock()
 	s.picker.SetFleet(engines, stores)
--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -15,9 +15,9 @@
 
 // told is a whole answer of a node: its list of engines, by one engine's name, and when
 // weights of model m were named.
-func told(node uint64, listAge int64, engine string, namedAge int64, epoch uint64) *fb.MapTellT {
-	return &fb.MapTellT{Inc: node, Known: true, Whole: true, ListAge: listAge, Proxies: 3, NamedEpoch: epoch,
-		Engines: []*fb.MapEngineT{{Id: engine}}, Named: []*fb.NamedT{{Model: "m", Version: 2, Age: namedAge}}}
+func told(node uint64, listAge int64, engine string, namedAge int64, epoch uint64) *fb.MapResponseT {
+	return &fb.MapResponseT{Incarnation: node, Known: true, FullMap: true, ListAge: listAge, Proxies: 3, AnnouncedTerm: epoch,
+		Engines: []*fb.MapEngineT{{Id: engine}}, Announced: []*fb.AnnouncedVersionT{{Model: "m", Version: 2, Age: namedAge}}}
 }
 
 // Going over to a node that heard of weights late does not make older ones good again.
@@ -44,15 +44,15 @@
 }
 
 // An answer that stands does not bring the map again; then and later the newest list is used.
-func stands(node uint64, listAge int64) *fb.MapTellT {
-	return &fb.MapTellT{Inc: node, Known: true, ListAge: listAge, Proxies: 3}
+func stands(node uint64, listAge int64) *fb.MapResponseT {
+	return &fb.MapResponseT{Incarnation: node, Known: true, ListAge: listAge, Proxies: 3}
 }
 
 // A node's older list does not take the place of a newer one: an engine that leaves
 // would come back. It is used once the node has looked again, or after a while.
 func TestOlderListWaits(t *testing.T) {
 	v := &view{}
-	use := func(what string, m *fb.MapTellT, at int64, want string) {
+	use := func(what string, m *fb.MapResponseT, at int64, want string) {
 		t.Helper()
 		engines, ok := v.merge(m, at)
 		switch {
@@ -102,7 +102,7 @@
 	}{
 		{true, 300_000, 300_000, false}, {true, 2 * second, 0, true}, {true, 0, 2 * second, true}, {false, 0, 0, true}, {true, 0, frames.AgeNeverRead, true},
 	} {
-		if got := outOfTouch(&fb.MapTellT{Known: c.known, Age: c.config, NamedAge: c.named}); got != c.want {
+		if got := outOfTouch(&fb.MapResponseT{Known: c.known, Age: c.config, AnnouncedAge: c.named}); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -152,7 +152,7 @@
 		{8, "eight", true, 18 * second, 0, 9, 17*second - 300_000},  // another node's older one
 		{9, "", false, 19 * second, 0, 9, 17*second - 300_000},      // a node that just started
 	} {
-		told := &fb.MapTellT{Known: s.known, Rev: s.rev, Config: []byte(s.text), Age: s.age}
+		told := &fb.MapResponseT{Known: s.known, Revision: s.rev, Config: []byte(s.text), Age: s.age}
 		v.mergeConfig(told, s.at, parse)
 		if v.revision != s.wantRev || v.configAt != s.wantFrom {
 			t.Fatalf("step %d: revision %d in force at %d, want %d at %d", i, v.revision, v.configAt, s.wantRev, s.wantFrom)
--- a/internal/app/proxy/proxy.go
+++ b/internal/app/proxy/proxy.go
@@ -90,7 +90,7 @@
 }
 
 func (s *server) self() *fb.NodeT {
-	return &fb.NodeT{Name: s.settings.Name, Role: "carrier", Site: s.settings.Zone, Http: s.settings.HTTP, Inc: s.incarnation, Ready: s.daemon.Ready()}
+	return &fb.NodeT{Name: s.settings.Name, Role: "carrier", Zone: s.settings.Zone, Http: s.settings.HTTP, Incarnation: s.incarnation, Ready: s.daemon.Ready()}
 }
 
 func score(a, b string) uint64 {
--- a/internal/app/session/session.go
+++ b/internal/app/session/session.go
@@ -95,11 +95,11 @@
 	for _, a := range s.candidates() {
 		v := s.view.Load()
 		at := clock.Now()
-		r, err := s.book.Get(a).Call(ctx, &fb.FrameT{BeatAsk: &fb.BeatAskT{Node: s.self(), Have: v.Revision}}, heartbeatTimeout)
+		r, err := s.book.Get(a).Call(ctx, &fb.FrameT{HeartbeatRequest: &fb.HeartbeatRequestT{Node: s.self(), HaveRevision: v.Revision}}, heartbeatTimeout)
 		if ctx.Err() != nil {
 			return
 		}
-		if err != nil || r.BeatTell == nil {
+		if err != nil || r.HeartbeatResponse == nil {
 			s.mu.Lock()
 			if s.current == a {
 				s.group.Log().Info("session_lost", "registrar", a)
@@ -113,23 +113,23 @@
 			s.group.Log().Info("session", "registrar", a)
 		}
 		s.current = a
-		if len(r.BeatTell.Registrars) > 0 {
-			s.controlNodes = r.BeatTell.Registrars
+		if len(r.HeartbeatResponse.ControlNodes) > 0 {
+			s.controlNodes = r.HeartbeatResponse.ControlNodes
 		}
 		s.mu.Unlock()
-		s.publish(v, r.BeatTell, at)
+		s.publish(v, r.HeartbeatResponse, at)
 		return
 	}
 }
 
 // take publishes a new view. The age counts from before the question was sent,
 // so whatever the answer went through is in it (design §3).
-func (s *Session) publish(v *View, t *fb.BeatTellT, at int64) {
+func (s *Session) publish(v *View, t *fb.HeartbeatResponseT, at int64) {
 	n := *v
-	n.Nodes, n.Generation = t.Nodes, max(n.Generation, t.Era)
-	h, changed, err := v.Apply(plan.Update{Revision: t.Rev, Age: t.Age, Raw: t.Plan, Confirmed: t.Fresh}, at)
+	n.Nodes, n.Generation = t.Nodes, max(n.Generation, t.Generation)
+	h, changed, err := v.Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
 	if err != nil {
-		s.group.Log().Info("plan_unreadable", "rev", t.Rev, "cause", err.Error())
+		s.group.Log().Info("plan_unreadable", "rev", t.Revision, "cause", err.Error())
 	}
 	n.Cached = h
 	s.view.Store(&n)
@@ -140,7 +140,7 @@
 
 // Op asks for an operation on a key and waits up to us for its end. An error
 // means that the outcome is not known.
-func (s *Session) Propose(ctx context.Context, op *fb.OpAskT, us int64) (*fb.OpTellT, error) {
+func (s *Session) Propose(ctx context.Context, op *fb.OperationRequestT, us int64) (*fb.OperationResponseT, error) {
 	end := clock.Now() + us
 	var last error = trace.ConnectionProblem(nil, "no registrar is reachable; check the seeds and the core machines")
 	for i := 0; clock.Now() < end && ctx.Err() == nil; i++ {
@@ -149,21 +149,21 @@
 			break
 		}
 		cp := *op
-		r, err := s.book.Get(as[i%len(as)]).Call(ctx, &fb.FrameT{OpAsk: &cp}, max(1000, min(end-clock.Now(), us/2+1000)))
+		r, err := s.book.Get(as[i%len(as)]).Call(ctx, &fb.FrameT{OperationRequest: &cp}, max(1000, min(end-clock.Now(), us/2+1000)))
 		switch {
 		case err != nil:
 			last = err
-			if op.Kind == byte(quorum.OpPut) {
+			if op.Type == byte(quorum.OpPut) {
 				return nil, err // the one kind that must not be repeated blindly
 			}
-		case r.OpTell == nil:
+		case r.OperationResponse == nil:
 			last = trace.BadParameter("a registrar answered out of turn")
-		case quorum.Status(r.OpTell.Status) == quorum.StatusUnknown && op.Kind != byte(quorum.OpPut):
+		case quorum.Status(r.OperationResponse.Status) == quorum.StatusUnknown && op.Type != byte(quorum.OpPut):
 			last = trace.ConnectionProblem(nil, "the key changed owners meanwhile; ask again")
-		case quorum.Status(r.OpTell.Status) == quorum.StatusNotLeader:
+		case quorum.Status(r.OperationResponse.Status) == quorum.StatusNotLeader:
 			last = trace.ConnectionProblem(nil, "the key has no owner just now; try again in a second")
 		default:
-			return r.OpTell, nil
+			return r.OperationResponse, nil
 		}
 		if !taskgroup.Sleep(ctx, 20_000) {
 			break
--- a/internal/codec/check.go
+++ b/internal/codec/check.go
@@ -130,5 +130,5 @@
 
 var (
 	frameType = reflect.TypeOf(fb.FrameT{})
-	recType   = reflect.TypeOf(fb.RecT{})
+	recType   = reflect.TypeOf(fb.RecordT{})
 )
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -81,66 +81,66 @@
 	return body, nil
 }
 
-func ver(v quorum.Position) *fb.VerT {
+func ver(v quorum.Position) *fb.PositionT {
 	if v == (quorum.Position{}) {
 		return nil
 	}
-	return &fb.VerT{Epoch: v.Term, Seq: v.Index}
+	return &fb.PositionT{Term: v.Term, Index: v.Index}
 }
 
-func unver(v *fb.VerT) quorum.Position {
+func unver(v *fb.PositionT) quorum.Position {
 	if v == nil {
 		return quorum.Position{}
 	}
-	return quorum.Position{Term: v.Epoch, Index: v.Seq}
+	return quorum.Position{Term: v.Term, Index: v.Index}
 }
 
 func entry(e quorum.Entry) *fb.EntryT {
-	return &fb.EntryT{Key: e.Key, Ver: ver(e.Position), Rev: e.Revision, Val: e.Value}
+	return &fb.EntryT{Key: e.Key, Position: ver(e.Position), Revision: e.Revision, Value: e.Value}
 }
 
 func unentry(e *fb.EntryT) quorum.Entry {
 	if e == nil {
 		return quorum.Entry{}
 	}
-	return quorum.Entry{Key: e.Key, Position: unver(e.Ver), Revision: e.Rev, Value: e.Val}
+	return quorum.Entry{Key: e.Key, Position: unver(e.Position), Revision: e.Revision, Value: e.Value}
 }
 
 // Settle packs a voters' message.
 func PackMessage(m quorum.Message) *fb.FrameT {
-	return &fb.FrameT{Settle: &fb.SettleT{Kind: byte(m.Type), From: m.From, Inc: m.Incarnation, Roster: m.VoterSetRevision,
-		Slot: m.Slot, Epoch: m.Term, At: m.Time, Prev: ver(m.Previous), Mark: ver(m.Last), Settled: ver(m.Committed),
-		Joined: m.LogTerm, First: m.Joining, Keys: m.Keys, Promised: m.Promised, Era: m.Generation, More: m.More,
+	return &fb.FrameT{VoterMessage: &fb.VoterMessageT{Type: byte(m.Type), From: m.From, Incarnation: m.Incarnation, VoterSetRevision: m.VoterSetRevision,
+		Slot: m.Slot, Term: m.Term, Time: m.Time, Previous: ver(m.Previous), Last: ver(m.Last), Committed: ver(m.Committed),
+		LogTerm: m.LogTerm, Joining: m.Joining, Keys: m.Keys, Promised: m.Promised, Generation: m.Generation, More: m.More,
 		Entries: lo.Map(m.Entries, func(e quorum.Entry, _ int) *fb.EntryT { return entry(e) }),
-		Marks: lo.Map(m.Progress, func(k quorum.SlotProgress, _ int) *fb.MarkT {
-			return &fb.MarkT{Slot: k.Slot, Epoch: k.Term, Last: ver(k.Last), Settled: ver(k.Committed), Firm: k.Recovered}
+		Progress: lo.Map(m.Progress, func(k quorum.SlotProgress, _ int) *fb.SlotProgressT {
+			return &fb.SlotProgressT{Slot: k.Slot, Term: k.Term, Last: ver(k.Last), Committed: ver(k.Committed), Recovered: k.Recovered}
 		})}}
 }
 
 // Unsettle unpacks a voters' message.
-func UnpackMessage(t *fb.SettleT) quorum.Message {
-	return quorum.Message{Type: quorum.MessageType(t.Kind), From: t.From, Incarnation: t.Inc, VoterSetRevision: t.Roster,
-		Slot: t.Slot, Term: t.Epoch, Time: t.At, Previous: unver(t.Prev), Last: unver(t.Mark), Committed: unver(t.Settled),
-		LogTerm: t.Joined, Joining: t.First, Keys: t.Keys, Promised: t.Promised, Generation: t.Era, More: t.More,
+func UnpackMessage(t *fb.VoterMessageT) quorum.Message {
+	return quorum.Message{Type: quorum.MessageType(t.Type), From: t.From, Incarnation: t.Incarnation, VoterSetRevision: t.VoterSetRevision,
+		Slot: t.Slot, Term: t.Term, Time: t.Time, Previous: unver(t.Previous), Last: unver(t.Last), Committed: unver(t.Committed),
+		LogTerm: t.LogTerm, Joining: t.Joining, Keys: t.Keys, Promised: t.Promised, Generation: t.Generation, More: t.More,
 		Entries: lo.Map(t.Entries, func(e *fb.EntryT, _ int) quorum.Entry { return unentry(e) }),
-		Progress: lo.Map(t.Marks, func(k *fb.MarkT, _ int) quorum.SlotProgress {
-			return quorum.SlotProgress{Slot: k.Slot, Term: k.Epoch, Last: unver(k.Last), Committed: unver(k.Settled), Recovered: k.Firm}
+		Progress: lo.Map(t.Progress, func(k *fb.SlotProgressT, _ int) quorum.SlotProgress {
+			return quorum.SlotProgress{Slot: k.Slot, Term: k.Term, Last: unver(k.Last), Committed: unver(k.Committed), Recovered: k.Recovered}
 		})}
 }
 
 // Rec packs a record for the disk.
 func PackRecord(r quorum.Record) []byte {
-	t := &fb.RecT{Kind: byte(r.Type), Slot: r.Slot, Epoch: r.Term, Mark: ver(r.Last), Settled: ver(r.Committed)}
+	t := &fb.RecordT{Type: byte(r.Type), Slot: r.Slot, Term: r.Term, Last: ver(r.Last), Committed: ver(r.Committed)}
 	if r.Type == quorum.RecordEntry || r.Type == quorum.RecordDelete {
 		t.Entry = entry(r.Entry)
 	}
 	if r.VoterSet != nil {
-		t.Founding = PackVoterSet(*r.VoterSet, 0)
+		t.VoterSet = PackVoterSet(*r.VoterSet, 0)
 	}
 	return packRec(t)
 }
 
-func packRec(t *fb.RecT) []byte {
+func packRec(t *fb.RecordT) []byte {
 	b := flatbuffers.NewBuilder(256)
 	b.Finish(t.Pack(b))
 	return b.FinishedBytes()
@@ -150,38 +150,40 @@
 const kindFounding = 200
 
 // Founding packs the record that tells which fleet a ring belongs to.
-func PackFounding(f *fb.FoundingT) []byte { return packRec(&fb.RecT{Kind: kindFounding, Founding: f}) }
+func PackFounding(f *fb.VoterSetT) []byte {
+	return packRec(&fb.RecordT{Type: kindFounding, VoterSet: f})
+}
 
 // Unrec unpacks what the disk held; founding is set on that record alone.
-func UnpackRecord(d []byte) (r quorum.Record, founding *fb.FoundingT, err error) {
+func UnpackRecord(d []byte) (r quorum.Record, founding *fb.VoterSetT, err error) {
 	if err := Verify(d, recType); err != nil {
 		return r, nil, err
 	}
-	t := fb.GetRootAsRec(d, 0).UnPack()
-	if t.Kind == kindFounding {
-		if t.Founding == nil {
+	t := fb.GetRootAsRecord(d, 0).UnPack()
+	if t.Type == kindFounding {
+		if t.VoterSet == nil {
 			return r, nil, bad("founding")
 		}
-		return r, t.Founding, nil
+		return r, t.VoterSet, nil
 	}
-	if t.Founding != nil {
-		ro := UnpackVoterSet(t.Founding)
+	if t.VoterSet != nil {
+		ro := UnpackVoterSet(t.VoterSet)
 		r.VoterSet = &ro
 	}
-	return quorum.Record{VoterSet: r.VoterSet, Type: quorum.RecordType(t.Kind), Slot: t.Slot, Term: t.Epoch, Last: unver(t.Mark),
-		Committed: unver(t.Settled), Entry: unentry(t.Entry)}, nil, nil
+	return quorum.Record{VoterSet: r.VoterSet, Type: quorum.RecordType(t.Type), Slot: t.Slot, Term: t.Term, Last: unver(t.Last),
+		Committed: unver(t.Committed), Entry: unentry(t.Entry)}, nil, nil
 }
 
 // Roster packs a roster, with the incarnation of the disk it lies on.
-func PackVoterSet(ro quorum.VoterSet, inc uint64) *fb.FoundingT {
-	return &fb.FoundingT{Fleet: ro.Fleet(), Inc: inc, Rev: ro.Revision, Seats: ro.Seats, Voters: lo.Map(ro.Voters, func(v quorum.Voter, _ int) *fb.VoterT {
-		return &fb.VoterT{Name: v.Name, Addr: v.Addr, Inc: v.Incarnation, Num: v.Number}
+func PackVoterSet(ro quorum.VoterSet, inc uint64) *fb.VoterSetT {
+	return &fb.VoterSetT{Fleet: ro.Fleet(), Incarnation: inc, Revision: ro.Revision, Seats: ro.Seats, Voters: lo.Map(ro.Voters, func(v quorum.Voter, _ int) *fb.VoterT {
+		return &fb.VoterT{Name: v.Name, Addr: v.Addr, Incarnation: v.Incarnation, Number: v.Number}
 	})}
 }
 
 // Unroster unpacks a roster.
-func UnpackVoterSet(f *fb.FoundingT) quorum.VoterSet {
-	return quorum.VoterSet{Revision: f.Rev, Seats: f.Seats, Voters: lo.Map(f.Voters, func(v *fb.VoterT, _ int) quorum.Voter {
-		return quorum.Voter{Name: v.Name, Addr: v.Addr, Incarnation: v.Inc, Number: v.Num}
+func UnpackVoterSet(f *fb.VoterSetT) quorum.VoterSet {
+	return quorum.VoterSet{Revision: f.Revision, Seats: f.Seats, Voters: lo.Map(f.Voters, func(v *fb.VoterT, _ int) quorum.Voter {
+		return quorum.Voter{Name: v.Name, Addr: v.Addr, Incarnation: v.Incarnation, Number: v.Number}
 	})}
 }
--- a/internal/codec/record_test.go
+++ b/internal/codec/record_test.go
@@ -19,7 +19,7 @@
 		PackRecord(quorum.Record{Type: quorum.RecordLogState, Slot: 2, Term: 4, Last: quorum.Position{Term: 4}}),
 		PackRecord(quorum.Record{Type: quorum.RecordVoterSet, VoterSet: &roster}),
 		PackFounding(PackVoterSet(roster, 3)),
-		PackFounding(&fb.FoundingT{Inc: 8}),
+		PackFounding(&fb.VoterSetT{Incarnation: 8}),
 	}
 }
 
--- a/internal/codec/wire_test.go
+++ b/internal/codec/wire_test.go
@@ -20,9 +20,9 @@
 	return []*fb.FrameT{
 		PackMessage(quorum.Message{Type: quorum.MsgVoteGranted, From: "a", Incarnation: 7, VoterSetRevision: 1, Slot: 3, Term: 65537, Last: quorum.Position{Term: 1, Index: 2}, Entries: []quorum.Entry{e, e}, Keys: []string{"x", "yy"}}),
 		PackMessage(quorum.Message{Type: quorum.MsgHeartbeat, From: "b", Time: -5, Progress: []quorum.SlotProgress{{Slot: 1, Term: 2, Last: quorum.Position{Term: 2, Index: 1}}}}),
-		{Ref: 5, RoomTell: &fb.RoomTellT{Custodian: "c", Orders: []*fb.OrderT{{Engine: "e", Addr: "1.2.3.4:5", Room: 3, Grades: []*fb.GradeT{{Peer: 1, Worth: 2}}}}, News: []*fb.NewsT{{Hi: 1, Lo: 2, Op: 1}}}},
-		{BeatTell: &fb.BeatTellT{Rev: 3, Plan: []byte("{}"), Nodes: []*fb.NodeT{{Name: "n", Duties: []string{"duty/shard/1"}}}, Registrars: []string{"a", "b"}}},
-		{NewsAsk: &fb.NewsAskT{From: "x", Shards: []uint16{1, 2, 3}}},
+		{Ref: 5, CapacityResponse: &fb.CapacityResponseT{IndexNode: "c", Grants: []*fb.GrantT{{Engine: "e", Addr: "1.2.3.4:5", Capacity: 3, TransferScores: []*fb.TransferScoreT{{Peer: 1, Permille: 2}}}}, Updates: []*fb.CacheUpdateT{{Hi: 1, Lo: 2, Op: 1}}}},
+		{HeartbeatResponse: &fb.HeartbeatResponseT{Revision: 3, Plan: []byte("{}"), Nodes: []*fb.NodeT{{Name: "n", LeasedRoles: []string{"duty/shard/1"}}}, ControlNodes: []string{"a", "b"}}},
+		{UpdatesRequest: &fb.UpdatesRequestT{From: "x", Shards: []uint16{1, 2, 3}}},
 	}
 }
 
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := UnpackMessage(f.Settle); !reflect.DeepEqual(g, m) {
+	if g := UnpackMessage(f.VoterMessage); !reflect.DeepEqual(g, m) {
 		t.Fatalf("%+v became %+v", m, g)
 	}
 	c := quorum.Record{Type: quorum.RecordEntry, Slot: 5, Term: 6, Last: quorum.Position{Term: 1, Index: 2}, Committed: quorum.Position{Term: 1, Index: 1}, Entry: e}
@@ -130,9 +130,9 @@
 			t.Errorf("after %d of %d bytes: %v", n, len(whole), err)
 		}
 	}
-	large := Encode(&fb.FrameT{RoomTell: &fb.RoomTellT{Custodian: strings.Repeat("x", 3<<20)}})
+	large := Encode(&fb.FrameT{CapacityResponse: &fb.CapacityResponseT{IndexNode: strings.Repeat("x", 3<<20)}})
 	f, err := ReadFrame(iotest.OneByteReader(bytes.NewReader(large)))
-	if err != nil || len(f.RoomTell.Custodian) != 3<<20 {
+	if err != nil || len(f.CapacityResponse.IndexNode) != 3<<20 {
 		t.Fatalf("a frame that comes byte by byte: %v", err)
 	}
 }
@@ -152,8 +152,8 @@
 		if err != nil || !bytes.Equal(Encode(x), Encode(y)) {
 			t.Fatalf("%+v became %+v, %v", x, y, err)
 		}
-		if x.Settle != nil {
-			_ = PackMessage(UnpackMessage(x.Settle))
+		if x.VoterMessage != nil {
+			_ = PackMessage(UnpackMessage(x.VoterMessage))
 		}
 	})
 }
--- a/internal/e2e/core_test.go
+++ b/internal/e2e/core_test.go
@@ -170,7 +170,7 @@
 	for i := 0; len(seen) < 16; i++ {
 		k := fmt.Sprint("key", i)
 		if s := quorum.SlotOf(k, 16); !seen[s] {
-			if a := c.m[name].node.ExecuteOnce(ctx, &fb.OpAskT{Kind: byte(quorum.OpGet), Key: k}); quorum.Status(a.Status) != quorum.StatusDone {
+			if a := c.m[name].node.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: k}); quorum.Status(a.Status) != quorum.StatusDone {
 				return false
 			}
 			seen[s] = true
@@ -181,15 +181,15 @@
 
 func (c *core) put(name, key, val string) {
 	c.t.Helper()
-	if a := c.m[name].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: key, Val: []byte(val), Expect: quorum.AnyRevision}); quorum.Status(a.Status) != quorum.StatusDone {
+	if a := c.m[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision}); quorum.Status(a.Status) != quorum.StatusDone {
 		c.t.Fatalf("putting %s at %s ended in %d", key, name, a.Status)
 	}
 }
 
 func (c *core) reads(name, key, val string) {
 	c.t.Helper()
-	if a := c.m[name].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: key}); quorum.Status(a.Status) != quorum.StatusDone || string(a.Val) != val {
-		c.t.Fatalf("reading %s at %s ended in %d: %q, not %q", key, name, a.Status, a.Val, val)
+	if a := c.m[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key}); quorum.Status(a.Status) != quorum.StatusDone || string(a.Value) != val {
+		c.t.Fatalf("reading %s at %s ended in %d: %q, not %q", key, name, a.Status, a.Value, val)
 	}
 }
 
--- a/internal/e2e/disk_test.go
+++ b/internal/e2e/disk_test.go
@@ -37,7 +37,7 @@
 
 // try puts a value and returns how that ended.
 func (c *core) try(name, key, val string) quorum.Status {
-	a := c.m[name].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpPut), Key: key, Val: []byte(val), Expect: quorum.AnyRevision})
+	a := c.m[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision})
 	return quorum.Status(a.Status)
 }
 
@@ -145,8 +145,8 @@
 	}
 	c.bound("all are back", c.until("all are back", at, func() bool { return c.whole(all...) }), 10*time.Second)
 	// What was answered "unknown" may have taken effect, nothing else.
-	a := c.m["a"].node.Execute(context.Background(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: "plan"})
-	if v := string(a.Val); quorum.Status(a.Status) != quorum.StatusDone || v != "v1" && v != "never" {
+	a := c.m["a"].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: "plan"})
+	if v := string(a.Value); quorum.Status(a.Status) != quorum.StatusDone || v != "v1" && v != "never" {
 		t.Fatalf("read %d %q", a.Status, v)
 	}
 	c.putSoon("a", "plan", "v2")
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -38,7 +38,7 @@
 	at = time.Now()
 	c.bound("one of the rest is lost", c.until("its slots are owned", at, func() bool { return c.owned("z") }), 4*time.Second)
 	c.put("z", "plan", "v2")
-	if a := c.m["c"].node.ExecuteOnce(t.Context(), &fb.OpAskT{Kind: byte(quorum.OpGet), Key: "plan"}); string(a.Val) != "v2" {
-		t.Fatalf("read back: %q, status %d", a.Val, a.Status)
+	if a := c.m["c"].node.ExecuteOnce(t.Context(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: "plan"}); string(a.Value) != "v2" {
+		t.Fatalf("read back: %q, status %d", a.Value, a.Status)
 	}
 }
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -31,12 +31,12 @@
 type stewards struct {
 	mu     sync.Mutex
 	addrs  []string
-	script []func(at string) *fb.MapTellT
+	script []func(at string) *fb.MapResponseT
 	asked  []string
 	done   chan struct{}
 }
 
-func play(c *taskgroup.Group, ls []net.Listener, script []func(string) *fb.MapTellT) *stewards {
+func play(c *taskgroup.Group, ls []net.Listener, script []func(string) *fb.MapResponseT) *stewards {
 	s := &stewards{script: script, done: make(chan struct{})}
 	for _, l := range ls {
 		a := l.Addr().String()
@@ -47,16 +47,16 @@
 }
 
 func (s *stewards) answer(ctx context.Context, at string, f *fb.FrameT) *fb.FrameT {
-	if f.MapAsk == nil {
+	if f.MapRequest == nil {
 		return nil
 	}
 	s.mu.Lock()
 	i := len(s.asked)
 	if i < len(s.script) {
-		q := *f.MapAsk
+		q := *f.MapRequest
 		n := *q.Node
 		// Its life, its page and whether it serves callers already are its own affair.
-		n.Inc, n.Http, n.Ready = 0, "", false
+		n.Incarnation, n.Http, n.Ready = 0, "", false
 		q.Node = &n
 		b, _ := json.Marshal(q)
 		s.asked = append(s.asked, at+" "+string(b))
@@ -73,7 +73,7 @@
 	if t == nil {
 		return nil
 	}
-	return &fb.FrameT{MapTell: t}
+	return &fb.FrameT{MapResponse: t}
 }
 
 func listen(t *testing.T, at ...string) (ls []net.Listener) {
@@ -104,39 +104,39 @@
 func TestHollowAsksAsARealOne(t *testing.T) {
 	addrs := []string{free(t), free(t)}
 	site := map[string]string{addrs[0]: "north", addrs[1]: "south"}
-	tell := func(at string, rev, inc, m, next uint64, more func(*fb.MapTellT)) *fb.MapTellT {
-		a := &fb.MapTellT{Inc: inc, Site: site[at], Known: rev > 0, Rev: rev, Map: m, Voters: addrs, NewsInc: inc, NewsNext: next, Proxies: 1, Complete: true}
+	tell := func(at string, rev, inc, m, next uint64, more func(*fb.MapResponseT)) *fb.MapResponseT {
+		a := &fb.MapResponseT{Incarnation: inc, Zone: site[at], Known: rev > 0, Revision: rev, Map: m, Voters: addrs, UpdatesIncarnation: inc, UpdatesNext: next, Proxies: 1, Complete: true}
 		if more != nil {
 			more(a)
 		}
 		return a
 	}
-	step := func(rev, inc, m, next uint64, more func(*fb.MapTellT)) func(string) *fb.MapTellT {
-		return func(at string) *fb.MapTellT { return tell(at, rev, inc, m, next, more) }
+	step := func(rev, inc, m, next uint64, more func(*fb.MapResponseT)) func(string) *fb.MapResponseT {
+		return func(at string) *fb.MapResponseT { return tell(at, rev, inc, m, next, more) }
 	}
-	whole := func(v uint64) func(*fb.MapTellT) {
-		return func(a *fb.MapTellT) {
-			a.Whole, a.Config = true, document(v)
-			a.Engines = []*fb.MapEngineT{{Id: "e", Pool: "p", Addr: "127.0.0.1:9", Site: "north", Slots: 4}}
+	whole := func(v uint64) func(*fb.MapResponseT) {
+		return func(a *fb.MapResponseT) {
+			a.FullMap, a.Config = true, document(v)
+			a.Engines = []*fb.MapEngineT{{Id: "e", Pool: "p", Addr: "127.0.0.1:9", Zone: "north", Slots: 4}}
 		}
 	}
-	script := []func(string) *fb.MapTellT{
+	script := []func(string) *fb.MapResponseT{
 		step(0, 5, 1, 0, nil), // knows no configuration yet
-		step(1, 5, 3, 10, func(a *fb.MapTellT) { whole(1)(a); a.NewsReset = true }),
+		step(1, 5, 3, 10, func(a *fb.MapResponseT) { whole(1)(a); a.UpdatesReset = true }),
 		step(1, 5, 3, 10, nil),
-		step(1, 5, 3, 12, func(a *fb.MapTellT) {
-			a.News = []*fb.NewsT{{Hi: 1, Lo: 2, Node: 3, Op: 1}, {Hi: 1, Lo: 2, Node: 3, Op: 2}}
+		step(1, 5, 3, 12, func(a *fb.MapResponseT) {
+			a.Updates = []*fb.CacheUpdateT{{Hi: 1, Lo: 2, Holder: 3, Op: 1}, {Hi: 1, Lo: 2, Holder: 3, Op: 2}}
 		}),
 		step(2, 5, 4, 12, whole(2)),
-		step(2, 9, 1, 1, func(a *fb.MapTellT) { a.Whole, a.NewsReset = true, true }), // another life of it
+		step(2, 9, 1, 1, func(a *fb.MapResponseT) { a.FullMap, a.UpdatesReset = true, true }), // another life of it
 		step(2, 9, 1, 1, nil),
-		step(1, 9, 1, 1, func(a *fb.MapTellT) { a.Config = document(1) }),   // an older configuration
-		step(2, 9, 1, 1, func(a *fb.MapTellT) { a.Age = staleWord + 1000 }), // it may be cut off
+		step(1, 9, 1, 1, func(a *fb.MapResponseT) { a.Config = document(1) }),   // an older configuration
+		step(2, 9, 1, 1, func(a *fb.MapResponseT) { a.Age = staleWord + 1000 }), // it may be cut off
 		step(2, 7, 2, 5, whole(2)),
 		step(2, 7, 2, 6, nil),
 		step(2, 8, 3, 6, nil), // another life, and no map yet
 		step(2, 8, 3, 6, whole(2)),
-		func(string) *fb.MapTellT { return nil }, // it fails
+		func(string) *fb.MapResponseT { return nil }, // it fails
 		step(2, 7, 2, 6, nil),
 		step(2, 7, 2, 7, nil),
 	}
--- a/internal/scale/index_test.go
+++ b/internal/scale/index_test.go
@@ -124,10 +124,10 @@
 const snapshotNews = 20_000
 
 func snapshot() *fb.FrameT {
-	t := &fb.MapTellT{NewsReset: true}
+	t := &fb.MapResponseT{UpdatesReset: true}
 	for i := range snapshotNews {
 		k := indexKey(i)
-		t.News = append(t.News, &fb.NewsT{Hi: k.Hi, Lo: k.Lo, Check: k.Check, Node: uint64(i%1400+1) * 0x9e3779b97f4a7c15, Op: 1})
+		t.Updates = append(t.Updates, &fb.CacheUpdateT{Hi: k.Hi, Lo: k.Lo, Check: k.Check, Holder: uint64(i%1400+1) * 0x9e3779b97f4a7c15, Op: 1})
 	}
-	return &fb.FrameT{MapTell: t}
+	return &fb.FrameT{MapResponse: t}
 }
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -28,8 +28,8 @@
 	fars       map[string]*far
 	cur        string
 	known      bool
-	ask        fb.MapAskT // what it knows, as it says in its next question
-	nodes      []uint64   // engines that its requests lie at, one for each
+	ask        fb.MapRequestT // what it knows, as it says in its next question
+	nodes      []uint64       // engines that its requests lie at, one for each
 }
 
 type far struct {
@@ -68,13 +68,13 @@
 }
 
 // loads tells what it has under way; now and then a request ends and another begins.
-func (p *Proxy) loads() (out []*fb.LoadT) {
+func (p *Proxy) loads() (out []*fb.EngineLoadT) {
 	sum := map[uint64]uint32{}
 	for _, n := range p.nodes {
 		sum[n]++
 	}
 	for n, k := range sum {
-		out = append(out, &fb.LoadT{Node: n, Active: k, Reading: 700 * k, Tokens: 1200 * k})
+		out = append(out, &fb.EngineLoadT{Node: n, Active: k, PrefillTokens: 700 * k, MemoryTokens: 1200 * k})
 	}
 	return out
 }
@@ -138,7 +138,7 @@
 	a := l[0]
 	x := p.fars[a]
 	q := p.ask
-	q.Node = &fb.NodeT{Name: p.name, Role: "carrier", Site: p.site, Http: "127.0.0.1:1", Inc: p.inc, Ready: p.known}
+	q.Node = &fb.NodeT{Name: p.name, Role: "carrier", Zone: p.site, Http: "127.0.0.1:1", Incarnation: p.inc, Ready: p.known}
 	q.Hold, q.Loads = followHold, p.loads()
 	switch {
 	case !p.known || x.site == "":
@@ -146,17 +146,17 @@
 	case x.failedLately(now):
 		q.Hold = retryHold
 	}
-	r, err := p.book.Get(a).Call(ctx, &fb.FrameT{MapAsk: &q}, q.Hold+followPatient)
+	r, err := p.book.Get(a).Call(ctx, &fb.FrameT{MapRequest: &q}, q.Hold+followPatient)
 	if ctx.Err() != nil {
 		return false
 	}
-	if err != nil || r.MapTell == nil {
+	if err != nil || r.MapResponse == nil {
 		p.leave(a)
 		p.board.failed()
 		return len(l) > 1
 	}
-	t := r.MapTell
-	x.site, x.badAt = t.Site, 0
+	t := r.MapResponse
+	x.site, x.badAt = t.Zone, 0
 	p.take(t)
 	if !t.Known || t.Age > staleWord {
 		p.leave(a)
@@ -192,24 +192,24 @@
 	}
 }
 
-func (p *Proxy) take(t *fb.MapTellT) {
+func (p *Proxy) take(t *fb.MapResponseT) {
 	k := &p.ask
-	if t.Inc != k.Inc {
-		k.Inc, k.Map = t.Inc, 0
+	if t.Incarnation != k.Incarnation {
+		k.Incarnation, k.HaveMap = t.Incarnation, 0
 	}
-	h := heard{proxy: p.num, now: clock.Now(), complete: t.Complete, reset: t.NewsReset}
-	if t.Known && t.Rev > k.Have && len(t.Config) > 0 {
-		k.Have, p.known = t.Rev, true
+	h := heard{proxy: p.num, now: clock.Now(), complete: t.Complete, reset: t.UpdatesReset}
+	if t.Known && t.Revision > k.HaveRevision && len(t.Config) > 0 {
+		k.HaveRevision, p.known = t.Revision, true
 		h.config = len(t.Config)
 	}
-	h.rev = k.Have
-	if t.Whole {
-		k.Map = t.Map
+	h.rev = k.HaveRevision
+	if t.FullMap {
+		k.HaveMap = t.Map
 	}
-	k.NewsInc, k.NewsSince = t.NewsInc, t.NewsNext
-	if !t.NewsReset {
-		for _, n := range t.News {
-			h.news = append(h.news, cacheindex.Update{Key: cacheindex.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check}, Node: n.Node, Op: cacheindex.UpdateOp(n.Op)})
+	k.UpdatesIncarnation, k.UpdatesSince = t.UpdatesIncarnation, t.UpdatesNext
+	if !t.UpdatesReset {
+		for _, n := range t.Updates {
+			h.news = append(h.news, cacheindex.Update{Key: cacheindex.Key{Hi: n.Hi, Lo: n.Lo, Check: n.Check}, Node: n.Holder, Op: cacheindex.UpdateOp(n.Op)})
 		}
 	}
 	p.board.hear(h)
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -40,11 +40,13 @@
 	over bool
 }
 
-func question(name string) *fb.FrameT { return &fb.FrameT{NewsAsk: &fb.NewsAskT{From: name}} }
+func question(name string) *fb.FrameT {
+	return &fb.FrameT{UpdatesRequest: &fb.UpdatesRequestT{From: name}}
+}
 
 // answerTo is the answer to a question, which tells its name again.
 func answerTo(q *fb.FrameT) *fb.FrameT {
-	return &fb.FrameT{Ref: q.Ref, RoomTell: &fb.RoomTellT{Custodian: q.NewsAsk.From}}
+	return &fb.FrameT{Ref: q.Ref, CapacityResponse: &fb.CapacityResponseT{IndexNode: q.UpdatesRequest.From}}
 }
 
 func newGroup(t testing.TB) *taskgroup.Group {
@@ -89,12 +91,12 @@
 		if err != nil {
 			return
 		}
-		if q.NewsAsk == nil {
+		if q.UpdatesRequest == nil {
 			continue // nobody answers it
 		}
 		e.mu.Lock()
 		before, script := len(e.asked), e.script
-		e.asked = append(e.asked, q.NewsAsk.From)
+		e.asked = append(e.asked, q.UpdatesRequest.From)
 		e.mu.Unlock()
 		script(c, q, before)
 	}
@@ -128,8 +130,8 @@
 	if err != nil {
 		return false, nil
 	}
-	if a.RoomTell == nil || a.RoomTell.Custodian != name {
-		return false, fmt.Errorf("%s got the answer %+v", name, a.RoomTell)
+	if a.CapacityResponse == nil || a.CapacityResponse.IndexNode != name {
+		return false, fmt.Errorf("%s got the answer %+v", name, a.CapacityResponse)
 	}
 	return true, nil
 }
@@ -199,7 +201,7 @@
 			b := codec.Encode(answerTo(q))
 			if before == 0 {
 				b[offset] ^= 0x55
-				b = append(b, codec.Encode(answerTo(&fb.FrameT{Ref: q.Ref, NewsAsk: &fb.NewsAskT{From: "forged"}}))...)
+				b = append(b, codec.Encode(answerTo(&fb.FrameT{Ref: q.Ref, UpdatesRequest: &fb.UpdatesRequestT{From: "forged"}}))...)
 			}
 			c.say(b)
 		})
@@ -304,7 +306,7 @@
 			defer done.Done()
 			for range 50 {
 				a, err := p.Call(context.Background(), shared, patienceUS)
-				if err != nil || a.RoomTell.Custodian != "shared" {
+				if err != nil || a.CapacityResponse.IndexNode != "shared" {
 					t.Errorf("peer %d: %v", i, err)
 				}
 			}
@@ -323,7 +325,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := &fb.FrameT{RoomTell: &fb.RoomTellT{Custodian: "kept"}}
+	kept := &fb.FrameT{CapacityResponse: &fb.CapacityResponseT{IndexNode: "kept"}}
 	Serve(g, l, func(context.Context, *fb.FrameT) *fb.FrameT { return kept })
 	p := NewPeer(g, l.Addr().String())
 	var done sync.WaitGroup
@@ -332,7 +334,7 @@
 		g.Go("ask", func(context.Context) {
 			defer done.Done()
 			for range 20 {
-				if a, err := p.Call(context.Background(), question("x"), patienceUS); err != nil || a.RoomTell == nil {
+				if a, err := p.Call(context.Background(), question("x"), patienceUS); err != nil || a.CapacityResponse == nil {
 					t.Errorf("%+v, %v", a, err)
 				}
 			}
@@ -381,8 +383,8 @@
 	Serve(g, l, func(_ context.Context, q *fb.FrameT) *fb.FrameT {
 		mu.Lock()
 		defer mu.Unlock()
-		if q.NewsAsk != nil {
-			handled[q.NewsAsk.From]++
+		if q.UpdatesRequest != nil {
+			handled[q.UpdatesRequest.From]++
 			return answerTo(q)
 		}
 		return nil
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -174,8 +174,8 @@
 }
 
 func answered(a *fb.FrameT) (*fb.FrameT, error) {
-	if a.Problem != nil {
-		return nil, trace.BadParameter("%s: %s", a.Problem.Kind, a.Problem.Text)
+	if a.Error != nil {
+		return nil, trace.BadParameter("%s: %s", a.Error.Kind, a.Error.Text)
 	}
 	return a, nil
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -64,7 +64,7 @@
 			answer := h(ctx, f)
 			<-room
 			if answer == nil {
-				answer = &fb.FrameT{Problem: &fb.ProblemT{Kind: "unhandled", Text: "this process does not answer that"}}
+				answer = &fb.FrameT{Error: &fb.ErrorT{Kind: "unhandled", Text: "this process does not answer that"}}
 			}
 			taskgroup.Send(ctx, out, outgoing{withRef(answer, f.Ref), ctx})
 		})
@@ -73,7 +73,7 @@
 
 // unanswered reports whether a frame is of the kinds that nobody answers.
 func unanswered(f *fb.FrameT) bool {
-	return f.Settle != nil || f.RollTell != nil || f.LoadTell != nil
+	return f.VoterMessage != nil || f.SessionUpdate != nil || f.LoadUpdate != nil
 }
 
 // isGone reports whether the far end is simply not there any more.
--- a/membership/sessions.go
+++ b/membership/sessions.go
@@ -56,7 +56,7 @@
 		return
 	}
 	kept := *node
-	kept.Registrar = via
+	kept.ControlNode = via
 	s.sessions[node.Name] = &session{&kept, heardAt, via}
 }
 
@@ -64,14 +64,14 @@
 // others that it relays. What is relayed counts only while the control node that keeps the
 // session is unreachable from here, and is relayed no further: an age that went in a
 // circle would never grow old.
-func (s *Sessions) Merge(now int64, announcement *fb.RollTellT) {
+func (s *Sessions) Merge(now int64, announcement *fb.SessionUpdateT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sender := announcement.Registrar
+	sender := announcement.ControlNode
 	s.peers[sender] = &peer{heardAt: now, reachable: announcement.Hears}
 	firsthand := append(s.reachablePeers(now), s.self)
 	for _, node := range announcement.Nodes {
-		via := node.Registrar
+		via := node.ControlNode
 		if via == "" {
 			via = sender
 		}
@@ -139,10 +139,10 @@
 }
 
 // Announcement is what this control node tells the others.
-func (s *Sessions) Announcement(now int64) *fb.RollTellT {
+func (s *Sessions) Announcement(now int64) *fb.SessionUpdateT {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reachable := s.reachablePeers(now)
 	nodes := s.collect(now, func(via string) bool { return via == s.self || s.relays(via, reachable) })
-	return &fb.RollTellT{Registrar: s.self, Nodes: nodes, Hears: reachable}
+	return &fb.SessionUpdateT{ControlNode: s.self, Nodes: nodes, Hears: reachable}
 }
--- a/membership/sessions_test.go
+++ b/membership/sessions_test.go
@@ -68,13 +68,13 @@
 	const interval = 100_000
 	for now := int64(0); now < 2*SessionTimeout; now += interval {
 		// Each announcement takes as long as the time between two.
-		var announcements []*fb.RollTellT
+		var announcements []*fb.SessionUpdateT
 		for _, from := range survivors {
 			announcements = append(announcements, from.Announcement(now))
 		}
 		for _, to := range survivors {
 			for _, announcement := range announcements {
-				if announcement.Registrar != to.self {
+				if announcement.ControlNode != to.self {
 					to.Merge(now+interval, announcement)
 				}
 			}
@@ -92,12 +92,12 @@
 func TestFirsthandGoesBefore(t *testing.T) {
 	a := New("a")
 	a.Heartbeat(0, &fb.NodeT{Name: "node"})
-	a.Merge(1000, &fb.RollTellT{Registrar: "b", Nodes: []*fb.NodeT{{Name: "node", Registrar: "a"}}})
+	a.Merge(1000, &fb.SessionUpdateT{ControlNode: "b", Nodes: []*fb.NodeT{{Name: "node", ControlNode: "a"}}})
 	if live := a.Live(1000); len(live) != 1 || live[0].Age != 1000 {
 		t.Fatalf("%+v", live[0])
 	}
-	a.Merge(2000, &fb.RollTellT{Registrar: "b", Nodes: []*fb.NodeT{{Name: "node", Registrar: "b"}}})
-	if live := a.Live(2000); live[0].Age != 0 || live[0].Registrar != "b" {
+	a.Merge(2000, &fb.SessionUpdateT{ControlNode: "b", Nodes: []*fb.NodeT{{Name: "node", ControlNode: "b"}}})
+	if live := a.Live(2000); live[0].Age != 0 || live[0].ControlNode != "b" {
 		t.Fatalf("a node that went over to b: %+v", live[0])
 	}
 }
