--- a/schema/fb/desk_generated.go
+++ b/schema/fb/desk_generated.go
@@ -6,63 +6,63 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type VerT struct {
-	Epoch uint64 `json:"epoch"`
-	Seq   uint64 `json:"seq"`
+type PositionT struct {
+	Term  uint64 `json:"epoch"`
+	Index uint64 `json:"seq"`
 }
 
-func (t *VerT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *PositionT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	VerStart(builder)
-	VerAddEpoch(builder, t.Epoch)
-	VerAddSeq(builder, t.Seq)
-	return VerEnd(builder)
+	PositionStart(builder)
+	PositionAddTerm(builder, t.Term)
+	PositionAddIndex(builder, t.Index)
+	return PositionEnd(builder)
 }
 
-func (rcv *Ver) UnPackTo(t *VerT) {
-	t.Epoch = rcv.Epoch()
-	t.Seq = rcv.Seq()
+func (rcv *Position) UnPackTo(t *PositionT) {
+	t.Term = rcv.Term()
+	t.Index = rcv.Index()
 }
 
-func (rcv *Ver) UnPack() *VerT {
+func (rcv *Position) UnPack() *PositionT {
 	if rcv == nil {
 		return nil
 	}
-	t := &VerT{}
+	t := &PositionT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Ver struct {
+type Position struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsVer(buf []byte, offset flatbuffers.UOffsetT) *Ver {
+func GetRootAsPosition(buf []byte, offset flatbuffers.UOffsetT) *Position {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Ver{}
+	x := &Position{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsVer(buf []byte, offset flatbuffers.UOffsetT) *Ver {
+func GetSizePrefixedRootAsPosition(buf []byte, offset flatbuffers.UOffsetT) *Position {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Ver{}
+	x := &Position{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Ver) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Position) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Ver) Table() flatbuffers.Table {
+func (rcv *Position) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Ver) Epoch() uint64 {
+func (rcv *Position) Term() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -70,11 +70,11 @@
 	return 0
 }
 
-func (rcv *Ver) MutateEpoch(n uint64) bool {
+func (rcv *Position) MutateTerm(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Ver) Seq() uint64 {
+func (rcv *Position) Index() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -82,28 +82,28 @@
 	return 0
 }
 
-func (rcv *Ver) MutateSeq(n uint64) bool {
+func (rcv *Position) MutateIndex(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func VerStart(builder *flatbuffers.Builder) {
+func PositionStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func VerAddEpoch(builder *flatbuffers.Builder, epoch uint64) {
+func PositionAddTerm(builder *flatbuffers.Builder, epoch uint64) {
 	builder.PrependUint64Slot(0, epoch, 0)
 }
-func VerAddSeq(builder *flatbuffers.Builder, seq uint64) {
+func PositionAddIndex(builder *flatbuffers.Builder, seq uint64) {
 	builder.PrependUint64Slot(1, seq, 0)
 }
-func VerEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func PositionEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type EntryT struct {
-	Key string `json:"key"`
-	Ver *VerT  `json:"ver"`
-	Rev uint64 `json:"rev"`
-	Val []byte `json:"val"`
+	Key      string     `json:"key"`
+	Position *PositionT `json:"ver"`
+	Revision uint64     `json:"rev"`
+	Value    []byte     `json:"val"`
 }
 
 func (t *EntryT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -111,24 +111,24 @@
 		return 0
 	}
 	keyOffset := builder.CreateString(t.Key)
-	verOffset := t.Ver.Pack(builder)
+	verOffset := t.Position.Pack(builder)
 	valOffset := flatbuffers.UOffsetT(0)
-	if t.Val != nil {
-		valOffset = builder.CreateByteString(t.Val)
+	if t.Value != nil {
+		valOffset = builder.CreateByteString(t.Value)
 	}
 	EntryStart(builder)
 	EntryAddKey(builder, keyOffset)
-	EntryAddVer(builder, verOffset)
-	EntryAddRev(builder, t.Rev)
-	EntryAddVal(builder, valOffset)
+	EntryAddPosition(builder, verOffset)
+	EntryAddRevision(builder, t.Revision)
+	EntryAddValue(builder, valOffset)
 	return EntryEnd(builder)
 }
 
 func (rcv *Entry) UnPackTo(t *EntryT) {
 	t.Key = string(rcv.Key())
-	t.Ver = rcv.Ver(nil).UnPack()
-	t.Rev = rcv.Rev()
-	t.Val = rcv.ValBytes()
+	t.Position = rcv.Position(nil).UnPack()
+	t.Revision = rcv.Revision()
+	t.Value = rcv.ValueBytes()
 }
 
 func (rcv *Entry) UnPack() *EntryT {
@@ -175,12 +175,12 @@
 	return nil
 }
 
-func (rcv *Entry) Ver(obj *Ver) *Ver {
+func (rcv *Entry) Position(obj *Position) *Position {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Ver)
+			obj = new(Position)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -188,7 +188,7 @@
 	return nil
 }
 
-func (rcv *Entry) Rev() uint64 {
+func (rcv *Entry) Revision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -196,11 +196,11 @@
 	return 0
 }
 
-func (rcv *Entry) MutateRev(n uint64) bool {
+func (rcv *Entry) MutateRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *Entry) Val(j int) byte {
+func (rcv *Entry) Value(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -209,7 +209,7 @@
 	return 0
 }
 
-func (rcv *Entry) ValLength() int {
+func (rcv *Entry) ValueLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -217,7 +217,7 @@
 	return 0
 }
 
-func (rcv *Entry) ValBytes() []byte {
+func (rcv *Entry) ValueBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -225,7 +225,7 @@
 	return nil
 }
 
-func (rcv *Entry) MutateVal(j int, n byte) bool {
+func (rcv *Entry) MutateValue(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -240,90 +240,90 @@
 func EntryAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(key), 0)
 }
-func EntryAddVer(builder *flatbuffers.Builder, ver flatbuffers.UOffsetT) {
+func EntryAddPosition(builder *flatbuffers.Builder, ver flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(ver), 0)
 }
-func EntryAddRev(builder *flatbuffers.Builder, rev uint64) {
+func EntryAddRevision(builder *flatbuffers.Builder, rev uint64) {
 	builder.PrependUint64Slot(2, rev, 0)
 }
-func EntryAddVal(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
+func EntryAddValue(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(val), 0)
 }
-func EntryStartValVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func EntryStartValueVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
 func EntryEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type MarkT struct {
-	Slot    uint16 `json:"slot"`
-	Epoch   uint64 `json:"epoch"`
-	Last    *VerT  `json:"last"`
-	Settled *VerT  `json:"settled"`
-	Firm    bool   `json:"firm"`
+type SlotProgressT struct {
+	Slot      uint16     `json:"slot"`
+	Term      uint64     `json:"epoch"`
+	Last      *PositionT `json:"last"`
+	Committed *PositionT `json:"settled"`
+	Recovered bool       `json:"firm"`
 }
 
-func (t *MarkT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *SlotProgressT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	lastOffset := t.Last.Pack(builder)
-	settledOffset := t.Settled.Pack(builder)
-	MarkStart(builder)
-	MarkAddSlot(builder, t.Slot)
-	MarkAddEpoch(builder, t.Epoch)
-	MarkAddLast(builder, lastOffset)
-	MarkAddSettled(builder, settledOffset)
-	MarkAddFirm(builder, t.Firm)
-	return MarkEnd(builder)
+	settledOffset := t.Committed.Pack(builder)
+	SlotProgressStart(builder)
+	SlotProgressAddSlot(builder, t.Slot)
+	SlotProgressAddTerm(builder, t.Term)
+	SlotProgressAddLast(builder, lastOffset)
+	SlotProgressAddCommitted(builder, settledOffset)
+	SlotProgressAddRecovered(builder, t.Recovered)
+	return SlotProgressEnd(builder)
 }
 
-func (rcv *Mark) UnPackTo(t *MarkT) {
+func (rcv *SlotProgress) UnPackTo(t *SlotProgressT) {
 	t.Slot = rcv.Slot()
-	t.Epoch = rcv.Epoch()
+	t.Term = rcv.Term()
 	t.Last = rcv.Last(nil).UnPack()
-	t.Settled = rcv.Settled(nil).UnPack()
-	t.Firm = rcv.Firm()
+	t.Committed = rcv.Committed(nil).UnPack()
+	t.Recovered = rcv.Recovered()
 }
 
-func (rcv *Mark) UnPack() *MarkT {
+func (rcv *SlotProgress) UnPack() *SlotProgressT {
 	if rcv == nil {
 		return nil
 	}
-	t := &MarkT{}
+	t := &SlotProgressT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Mark struct {
+type SlotProgress struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsMark(buf []byte, offset flatbuffers.UOffsetT) *Mark {
+func GetRootAsSlotProgress(buf []byte, offset flatbuffers.UOffsetT) *SlotProgress {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Mark{}
+	x := &SlotProgress{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsMark(buf []byte, offset flatbuffers.UOffsetT) *Mark {
+func GetSizePrefixedRootAsSlotProgress(buf []byte, offset flatbuffers.UOffsetT) *SlotProgress {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Mark{}
+	x := &SlotProgress{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Mark) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *SlotProgress) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Mark) Table() flatbuffers.Table {
+func (rcv *SlotProgress) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Mark) Slot() uint16 {
+func (rcv *SlotProgress) Slot() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -331,11 +331,11 @@
 	return 0
 }
 
-func (rcv *Mark) MutateSlot(n uint16) bool {
+func (rcv *SlotProgress) MutateSlot(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(4, n)
 }
 
-func (rcv *Mark) Epoch() uint64 {
+func (rcv *SlotProgress) Term() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -343,16 +343,16 @@
 	return 0
 }
 
-func (rcv *Mark) MutateEpoch(n uint64) bool {
+func (rcv *SlotProgress) MutateTerm(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Mark) Last(obj *Ver) *Ver {
+func (rcv *SlotProgress) Last(obj *Position) *Position {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Ver)
+			obj = new(Position)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -360,12 +360,12 @@
 	return nil
 }
 
-func (rcv *Mark) Settled(obj *Ver) *Ver {
+func (rcv *SlotProgress) Committed(obj *Position) *Position {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Ver)
+			obj = new(Position)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -373,7 +373,7 @@
 	return nil
 }
 
-func (rcv *Mark) Firm() bool {
+func (rcv *SlotProgress) Recovered() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -381,61 +381,61 @@
 	return false
 }
 
-func (rcv *Mark) MutateFirm(n bool) bool {
+func (rcv *SlotProgress) MutateRecovered(n bool) bool {
 	return rcv._tab.MutateBoolSlot(12, n)
 }
 
-func MarkStart(builder *flatbuffers.Builder) {
+func SlotProgressStart(builder *flatbuffers.Builder) {
 	builder.StartObject(5)
 }
-func MarkAddSlot(builder *flatbuffers.Builder, slot uint16) {
+func SlotProgressAddSlot(builder *flatbuffers.Builder, slot uint16) {
 	builder.PrependUint16Slot(0, slot, 0)
 }
-func MarkAddEpoch(builder *flatbuffers.Builder, epoch uint64) {
+func SlotProgressAddTerm(builder *flatbuffers.Builder, epoch uint64) {
 	builder.PrependUint64Slot(1, epoch, 0)
 }
-func MarkAddLast(builder *flatbuffers.Builder, last flatbuffers.UOffsetT) {
+func SlotProgressAddLast(builder *flatbuffers.Builder, last flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(last), 0)
 }
-func MarkAddSettled(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
+func SlotProgressAddCommitted(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(settled), 0)
 }
-func MarkAddFirm(builder *flatbuffers.Builder, firm bool) {
+func SlotProgressAddRecovered(builder *flatbuffers.Builder, firm bool) {
 	builder.PrependBoolSlot(4, firm, false)
 }
-func MarkEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func SlotProgressEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type SettleT struct {
-	Kind     byte      `json:"kind"`
-	From     string    `json:"from"`
-	Inc      uint64    `json:"inc"`
-	Roster   uint64    `json:"roster"`
-	Slot     uint16    `json:"slot"`
-	Epoch    uint64    `json:"epoch"`
-	At       int64     `json:"at"`
-	Prev     *VerT     `json:"prev"`
-	Mark     *VerT     `json:"mark"`
-	Settled  *VerT     `json:"settled"`
-	Joined   uint64    `json:"joined"`
-	First    bool      `json:"first"`
-	Entries  []*EntryT `json:"entries"`
-	Keys     []string  `json:"keys"`
-	Marks    []*MarkT  `json:"marks"`
-	Promised uint64    `json:"promised"`
-	Era      uint64    `json:"era"`
-	More     bool      `json:"more"`
-}
-
-func (t *SettleT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+type VoterMessageT struct {
+	Type             byte             `json:"kind"`
+	From             string           `json:"from"`
+	Incarnation      uint64           `json:"inc"`
+	VoterSetRevision uint64           `json:"roster"`
+	Slot             uint16           `json:"slot"`
+	Term             uint64           `json:"epoch"`
+	Time             int64            `json:"at"`
+	Previous         *PositionT       `json:"prev"`
+	Last             *PositionT       `json:"mark"`
+	Committed        *PositionT       `json:"settled"`
+	LogTerm          uint64           `json:"joined"`
+	Joining          bool             `json:"first"`
+	Entries          []*EntryT        `json:"entries"`
+	Keys             []string         `json:"keys"`
+	Progress         []*SlotProgressT `json:"marks"`
+	Promised         uint64           `json:"promised"`
+	Generation       uint64           `json:"era"`
+	More             bool             `json:"more"`
+}
+
+func (t *VoterMessageT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	fromOffset := builder.CreateString(t.From)
-	prevOffset := t.Prev.Pack(builder)
-	markOffset := t.Mark.Pack(builder)
-	settledOffset := t.Settled.Pack(builder)
+	prevOffset := t.Previous.Pack(builder)
+	markOffset := t.Last.Pack(builder)
+	settledOffset := t.Committed.Pack(builder)
 	entriesOffset := flatbuffers.UOffsetT(0)
 	if t.Entries != nil {
 		entriesLength := len(t.Entries)
@@ -443,7 +443,7 @@
 		for j := 0; j < entriesLength; j++ {
 			entriesOffsets[j] = t.Entries[j].Pack(builder)
 		}
-		SettleStartEntriesVector(builder, entriesLength)
+		VoterMessageStartEntriesVector(builder, entriesLength)
 		for j := entriesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(entriesOffsets[j])
 		}
@@ -456,60 +456,60 @@
 		for j := 0; j < keysLength; j++ {
 			keysOffsets[j] = builder.CreateString(t.Keys[j])
 		}
-		SettleStartKeysVector(builder, keysLength)
+		VoterMessageStartKeysVector(builder, keysLength)
 		for j := keysLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(keysOffsets[j])
 		}
 		keysOffset = builder.EndVector(keysLength)
 	}
 	marksOffset := flatbuffers.UOffsetT(0)
-	if t.Marks != nil {
-		marksLength := len(t.Marks)
+	if t.Progress != nil {
+		marksLength := len(t.Progress)
 		marksOffsets := make([]flatbuffers.UOffsetT, marksLength)
 		for j := 0; j < marksLength; j++ {
-			marksOffsets[j] = t.Marks[j].Pack(builder)
+			marksOffsets[j] = t.Progress[j].Pack(builder)
 		}
-		SettleStartMarksVector(builder, marksLength)
+		VoterMessageStartProgressVector(builder, marksLength)
 		for j := marksLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(marksOffsets[j])
 		}
 		marksOffset = builder.EndVector(marksLength)
 	}
-	SettleStart(builder)
-	SettleAddKind(builder, t.Kind)
-	SettleAddFrom(builder, fromOffset)
-	SettleAddInc(builder, t.Inc)
-	SettleAddRoster(builder, t.Roster)
-	SettleAddSlot(builder, t.Slot)
-	SettleAddEpoch(builder, t.Epoch)
-	SettleAddAt(builder, t.At)
-	SettleAddPrev(builder, prevOffset)
-	SettleAddMark(builder, markOffset)
-	SettleAddSettled(builder, settledOffset)
-	SettleAddJoined(builder, t.Joined)
-	SettleAddFirst(builder, t.First)
-	SettleAddEntries(builder, entriesOffset)
-	SettleAddKeys(builder, keysOffset)
-	SettleAddMarks(builder, marksOffset)
-	SettleAddPromised(builder, t.Promised)
-	SettleAddEra(builder, t.Era)
-	SettleAddMore(builder, t.More)
-	return SettleEnd(builder)
-}
-
-func (rcv *Settle) UnPackTo(t *SettleT) {
-	t.Kind = rcv.Kind()
+	VoterMessageStart(builder)
+	VoterMessageAddType(builder, t.Type)
+	VoterMessageAddFrom(builder, fromOffset)
+	VoterMessageAddIncarnation(builder, t.Incarnation)
+	VoterMessageAddVoterSetRevision(builder, t.VoterSetRevision)
+	VoterMessageAddSlot(builder, t.Slot)
+	VoterMessageAddTerm(builder, t.Term)
+	VoterMessageAddTime(builder, t.Time)
+	VoterMessageAddPrevious(builder, prevOffset)
+	VoterMessageAddLast(builder, markOffset)
+	VoterMessageAddCommitted(builder, settledOffset)
+	VoterMessageAddLogTerm(builder, t.LogTerm)
+	VoterMessageAddJoining(builder, t.Joining)
+	VoterMessageAddEntries(builder, entriesOffset)
+	VoterMessageAddKeys(builder, keysOffset)
+	VoterMessageAddProgress(builder, marksOffset)
+	VoterMessageAddPromised(builder, t.Promised)
+	VoterMessageAddGeneration(builder, t.Generation)
+	VoterMessageAddMore(builder, t.More)
+	return VoterMessageEnd(builder)
+}
+
+func (rcv *VoterMessage) UnPackTo(t *VoterMessageT) {
+	t.Type = rcv.Type()
 	t.From = string(rcv.From())
-	t.Inc = rcv.Inc()
-	t.Roster = rcv.Roster()
+	t.Incarnation = rcv.Incarnation()
+	t.VoterSetRevision = rcv.VoterSetRevision()
 	t.Slot = rcv.Slot()
-	t.Epoch = rcv.Epoch()
-	t.At = rcv.At()
-	t.Prev = rcv.Prev(nil).UnPack()
-	t.Mark = rcv.Mark(nil).UnPack()
-	t.Settled = rcv.Settled(nil).UnPack()
-	t.Joined = rcv.Joined()
-	t.First = rcv.First()
+	t.Term = rcv.Term()
+	t.Time = rcv.Time()
+	t.Previous = rcv.Previous(nil).UnPack()
+	t.Last = rcv.Last(nil).UnPack()
+	t.Committed = rcv.Committed(nil).UnPack()
+	t.LogTerm = rcv.LogTerm()
+	t.Joining = rcv.Joining()
 	entriesLength := rcv.EntriesLength()
 	t.Entries = make([]*EntryT, entriesLength)
 	for j := 0; j < entriesLength; j++ {
@@ -522,55 +522,55 @@
 	for j := 0; j < keysLength; j++ {
 		t.Keys[j] = string(rcv.Keys(j))
 	}
-	marksLength := rcv.MarksLength()
-	t.Marks = make([]*MarkT, marksLength)
+	marksLength := rcv.ProgressLength()
+	t.Progress = make([]*SlotProgressT, marksLength)
 	for j := 0; j < marksLength; j++ {
-		x := Mark{}
-		rcv.Marks(&x, j)
-		t.Marks[j] = x.UnPack()
+		x := SlotProgress{}
+		rcv.Progress(&x, j)
+		t.Progress[j] = x.UnPack()
 	}
 	t.Promised = rcv.Promised()
-	t.Era = rcv.Era()
+	t.Generation = rcv.Generation()
 	t.More = rcv.More()
 }
 
-func (rcv *Settle) UnPack() *SettleT {
+func (rcv *VoterMessage) UnPack() *VoterMessageT {
 	if rcv == nil {
 		return nil
 	}
-	t := &SettleT{}
+	t := &VoterMessageT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Settle struct {
+type VoterMessage struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsSettle(buf []byte, offset flatbuffers.UOffsetT) *Settle {
+func GetRootAsVoterMessage(buf []byte, offset flatbuffers.UOffsetT) *VoterMessage {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Settle{}
+	x := &VoterMessage{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsSettle(buf []byte, offset flatbuffers.UOffsetT) *Settle {
+func GetSizePrefixedRootAsVoterMessage(buf []byte, offset flatbuffers.UOffsetT) *VoterMessage {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Settle{}
+	x := &VoterMessage{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Settle) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *VoterMessage) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Settle) Table() flatbuffers.Table {
+func (rcv *VoterMessage) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Settle) Kind() byte {
+func (rcv *VoterMessage) Type() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -578,11 +578,11 @@
 	return 0
 }
 
-func (rcv *Settle) MutateKind(n byte) bool {
+func (rcv *VoterMessage) MutateType(n byte) bool {
 	return rcv._tab.MutateByteSlot(4, n)
 }
 
-func (rcv *Settle) From() []byte {
+func (rcv *VoterMessage) From() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -590,7 +590,7 @@
 	return nil
 }
 
-func (rcv *Settle) Inc() uint64 {
+func (rcv *VoterMessage) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -598,11 +598,11 @@
 	return 0
 }
 
-func (rcv *Settle) MutateInc(n uint64) bool {
+func (rcv *VoterMessage) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *Settle) Roster() uint64 {
+func (rcv *VoterMessage) VoterSetRevision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -610,11 +610,11 @@
 	return 0
 }
 
-func (rcv *Settle) MutateRoster(n uint64) bool {
+func (rcv *VoterMessage) MutateVoterSetRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(10, n)
 }
 
-func (rcv *Settle) Slot() uint16 {
+func (rcv *VoterMessage) Slot() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -622,11 +622,11 @@
 	return 0
 }
 
-func (rcv *Settle) MutateSlot(n uint16) bool {
+func (rcv *VoterMessage) MutateSlot(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(12, n)
 }
 
-func (rcv *Settle) Epoch() uint64 {
+func (rcv *VoterMessage) Term() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -634,11 +634,11 @@
 	return 0
 }
 
-func (rcv *Settle) MutateEpoch(n uint64) bool {
+func (rcv *VoterMessage) MutateTerm(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *Settle) At() int64 {
+func (rcv *VoterMessage) Time() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -646,16 +646,16 @@
 	return 0
 }
 
-func (rcv *Settle) MutateAt(n int64) bool {
+func (rcv *VoterMessage) MutateTime(n int64) bool {
 	return rcv._tab.MutateInt64Slot(16, n)
 }
 
-func (rcv *Settle) Prev(obj *Ver) *Ver {
+func (rcv *VoterMessage) Previous(obj *Position) *Position {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Ver)
+			obj = new(Position)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -663,12 +663,12 @@
 	return nil
 }
 
-func (rcv *Settle) Mark(obj *Ver) *Ver {
+func (rcv *VoterMessage) Last(obj *Position) *Position {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Ver)
+			obj = new(Position)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -676,12 +676,12 @@
 	return nil
 }
 
-func (rcv *Settle) Settled(obj *Ver) *Ver {
+func (rcv *VoterMessage) Committed(obj *Position) *Position {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Ver)
+			obj = new(Position)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -689,7 +689,7 @@
 	return nil
 }
 
-func (rcv *Settle) Joined() uint64 {
+func (rcv *VoterMessage) LogTerm() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -697,11 +697,11 @@
 	return 0
 }
 
-func (rcv *Settle) MutateJoined(n uint64) bool {
+func (rcv *VoterMessage) MutateLogTerm(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(24, n)
 }
 
-func (rcv *Settle) First() bool {
+func (rcv *VoterMessage) Joining() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -709,11 +709,11 @@
 	return false
 }
 
-func (rcv *Settle) MutateFirst(n bool) bool {
+func (rcv *VoterMessage) MutateJoining(n bool) bool {
 	return rcv._tab.MutateBoolSlot(26, n)
 }
 
-func (rcv *Settle) Entries(obj *Entry, j int) bool {
+func (rcv *VoterMessage) Entries(obj *Entry, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -725,7 +725,7 @@
 	return false
 }
 
-func (rcv *Settle) EntriesLength() int {
+func (rcv *VoterMessage) EntriesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -733,7 +733,7 @@
 	return 0
 }
 
-func (rcv *Settle) Keys(j int) []byte {
+func (rcv *VoterMessage) Keys(j int) []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -742,7 +742,7 @@
 	return nil
 }
 
-func (rcv *Settle) KeysLength() int {
+func (rcv *VoterMessage) KeysLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -750,7 +750,7 @@
 	return 0
 }
 
-func (rcv *Settle) Marks(obj *Mark, j int) bool {
+func (rcv *VoterMessage) Progress(obj *SlotProgress, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -762,7 +762,7 @@
 	return false
 }
 
-func (rcv *Settle) MarksLength() int {
+func (rcv *VoterMessage) ProgressLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -770,7 +770,7 @@
 	return 0
 }
 
-func (rcv *Settle) Promised() uint64 {
+func (rcv *VoterMessage) Promised() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -778,11 +778,11 @@
 	return 0
 }
 
-func (rcv *Settle) MutatePromised(n uint64) bool {
+func (rcv *VoterMessage) MutatePromised(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(34, n)
 }
 
-func (rcv *Settle) Era() uint64 {
+func (rcv *VoterMessage) Generation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(36))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -790,11 +790,11 @@
 	return 0
 }
 
-func (rcv *Settle) MutateEra(n uint64) bool {
+func (rcv *VoterMessage) MutateGeneration(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(36, n)
 }
 
-func (rcv *Settle) More() bool {
+func (rcv *VoterMessage) More() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(38))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -802,156 +802,156 @@
 	return false
 }
 
-func (rcv *Settle) MutateMore(n bool) bool {
+func (rcv *VoterMessage) MutateMore(n bool) bool {
 	return rcv._tab.MutateBoolSlot(38, n)
 }
 
-func SettleStart(builder *flatbuffers.Builder) {
+func VoterMessageStart(builder *flatbuffers.Builder) {
 	builder.StartObject(18)
 }
-func SettleAddKind(builder *flatbuffers.Builder, kind byte) {
+func VoterMessageAddType(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(0, kind, 0)
 }
-func SettleAddFrom(builder *flatbuffers.Builder, from flatbuffers.UOffsetT) {
+func VoterMessageAddFrom(builder *flatbuffers.Builder, from flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(from), 0)
 }
-func SettleAddInc(builder *flatbuffers.Builder, inc uint64) {
+func VoterMessageAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(2, inc, 0)
 }
-func SettleAddRoster(builder *flatbuffers.Builder, roster uint64) {
+func VoterMessageAddVoterSetRevision(builder *flatbuffers.Builder, roster uint64) {
 	builder.PrependUint64Slot(3, roster, 0)
 }
-func SettleAddSlot(builder *flatbuffers.Builder, slot uint16) {
+func VoterMessageAddSlot(builder *flatbuffers.Builder, slot uint16) {
 	builder.PrependUint16Slot(4, slot, 0)
 }
-func SettleAddEpoch(builder *flatbuffers.Builder, epoch uint64) {
+func VoterMessageAddTerm(builder *flatbuffers.Builder, epoch uint64) {
 	builder.PrependUint64Slot(5, epoch, 0)
 }
-func SettleAddAt(builder *flatbuffers.Builder, at int64) {
+func VoterMessageAddTime(builder *flatbuffers.Builder, at int64) {
 	builder.PrependInt64Slot(6, at, 0)
 }
-func SettleAddPrev(builder *flatbuffers.Builder, prev flatbuffers.UOffsetT) {
+func VoterMessageAddPrevious(builder *flatbuffers.Builder, prev flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(prev), 0)
 }
-func SettleAddMark(builder *flatbuffers.Builder, mark flatbuffers.UOffsetT) {
+func VoterMessageAddLast(builder *flatbuffers.Builder, mark flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(mark), 0)
 }
-func SettleAddSettled(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
+func VoterMessageAddCommitted(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(settled), 0)
 }
-func SettleAddJoined(builder *flatbuffers.Builder, joined uint64) {
+func VoterMessageAddLogTerm(builder *flatbuffers.Builder, joined uint64) {
 	builder.PrependUint64Slot(10, joined, 0)
 }
-func SettleAddFirst(builder *flatbuffers.Builder, first bool) {
+func VoterMessageAddJoining(builder *flatbuffers.Builder, first bool) {
 	builder.PrependBoolSlot(11, first, false)
 }
-func SettleAddEntries(builder *flatbuffers.Builder, entries flatbuffers.UOffsetT) {
+func VoterMessageAddEntries(builder *flatbuffers.Builder, entries flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(entries), 0)
 }
-func SettleStartEntriesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func VoterMessageStartEntriesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func SettleAddKeys(builder *flatbuffers.Builder, keys flatbuffers.UOffsetT) {
+func VoterMessageAddKeys(builder *flatbuffers.Builder, keys flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(13, flatbuffers.UOffsetT(keys), 0)
 }
-func SettleStartKeysVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func VoterMessageStartKeysVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func SettleAddMarks(builder *flatbuffers.Builder, marks flatbuffers.UOffsetT) {
+func VoterMessageAddProgress(builder *flatbuffers.Builder, marks flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(14, flatbuffers.UOffsetT(marks), 0)
 }
-func SettleStartMarksVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func VoterMessageStartProgressVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func SettleAddPromised(builder *flatbuffers.Builder, promised uint64) {
+func VoterMessageAddPromised(builder *flatbuffers.Builder, promised uint64) {
 	builder.PrependUint64Slot(15, promised, 0)
 }
-func SettleAddEra(builder *flatbuffers.Builder, era uint64) {
+func VoterMessageAddGeneration(builder *flatbuffers.Builder, era uint64) {
 	builder.PrependUint64Slot(16, era, 0)
 }
-func SettleAddMore(builder *flatbuffers.Builder, more bool) {
+func VoterMessageAddMore(builder *flatbuffers.Builder, more bool) {
 	builder.PrependBoolSlot(17, more, false)
 }
-func SettleEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func VoterMessageEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type RecT struct {
-	Kind     byte       `json:"kind"`
-	Slot     uint16     `json:"slot"`
-	Epoch    uint64     `json:"epoch"`
-	Mark     *VerT      `json:"mark"`
-	Settled  *VerT      `json:"settled"`
-	Entry    *EntryT    `json:"entry"`
-	Founding *FoundingT `json:"founding"`
+type RecordT struct {
+	Type      byte       `json:"kind"`
+	Slot      uint16     `json:"slot"`
+	Term      uint64     `json:"epoch"`
+	Last      *PositionT `json:"mark"`
+	Committed *PositionT `json:"settled"`
+	Entry     *EntryT    `json:"entry"`
+	VoterSet  *VoterSetT `json:"founding"`
 }
 
-func (t *RecT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *RecordT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	markOffset := t.Mark.Pack(builder)
-	settledOffset := t.Settled.Pack(builder)
+	markOffset := t.Last.Pack(builder)
+	settledOffset := t.Committed.Pack(builder)
 	entryOffset := t.Entry.Pack(builder)
-	foundingOffset := t.Founding.Pack(builder)
-	RecStart(builder)
-	RecAddKind(builder, t.Kind)
-	RecAddSlot(builder, t.Slot)
-	RecAddEpoch(builder, t.Epoch)
-	RecAddMark(builder, markOffset)
-	RecAddSettled(builder, settledOffset)
-	RecAddEntry(builder, entryOffset)
-	RecAddFounding(builder, foundingOffset)
-	return RecEnd(builder)
-}
-
-func (rcv *Rec) UnPackTo(t *RecT) {
-	t.Kind = rcv.Kind()
+	foundingOffset := t.VoterSet.Pack(builder)
+	RecordStart(builder)
+	RecordAddType(builder, t.Type)
+	RecordAddSlot(builder, t.Slot)
+	RecordAddTerm(builder, t.Term)
+	RecordAddLast(builder, markOffset)
+	RecordAddCommitted(builder, settledOffset)
+	RecordAddEntry(builder, entryOffset)
+	RecordAddVoterSet(builder, foundingOffset)
+	return RecordEnd(builder)
+}
+
+func (rcv *Record) UnPackTo(t *RecordT) {
+	t.Type = rcv.Type()
 	t.Slot = rcv.Slot()
-	t.Epoch = rcv.Epoch()
-	t.Mark = rcv.Mark(nil).UnPack()
-	t.Settled = rcv.Settled(nil).UnPack()
+	t.Term = rcv.Term()
+	t.Last = rcv.Last(nil).UnPack()
+	t.Committed = rcv.Committed(nil).UnPack()
 	t.Entry = rcv.Entry(nil).UnPack()
-	t.Founding = rcv.Founding(nil).UnPack()
+	t.VoterSet = rcv.VoterSet(nil).UnPack()
 }
 
-func (rcv *Rec) UnPack() *RecT {
+func (rcv *Record) UnPack() *RecordT {
 	if rcv == nil {
 		return nil
 	}
-	t := &RecT{}
+	t := &RecordT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Rec struct {
+type Record struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsRec(buf []byte, offset flatbuffers.UOffsetT) *Rec {
+func GetRootAsRecord(buf []byte, offset flatbuffers.UOffsetT) *Record {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Rec{}
+	x := &Record{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsRec(buf []byte, offset flatbuffers.UOffsetT) *Rec {
+func GetSizePrefixedRootAsRecord(buf []byte, offset flatbuffers.UOffsetT) *Record {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Rec{}
+	x := &Record{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Rec) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Record) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Rec) Table() flatbuffers.Table {
+func (rcv *Record) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Rec) Kind() byte {
+func (rcv *Record) Type() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -959,11 +959,11 @@
 	return 0
 }
 
-func (rcv *Rec) MutateKind(n byte) bool {
+func (rcv *Record) MutateType(n byte) bool {
 	return rcv._tab.MutateByteSlot(4, n)
 }
 
-func (rcv *Rec) Slot() uint16 {
+func (rcv *Record) Slot() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -971,11 +971,11 @@
 	return 0
 }
 
-func (rcv *Rec) MutateSlot(n uint16) bool {
+func (rcv *Record) MutateSlot(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(6, n)
 }
 
-func (rcv *Rec) Epoch() uint64 {
+func (rcv *Record) Term() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -983,16 +983,16 @@
 	return 0
 }
 
-func (rcv *Rec) MutateEpoch(n uint64) bool {
+func (rcv *Record) MutateTerm(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *Rec) Mark(obj *Ver) *Ver {
+func (rcv *Record) Last(obj *Position) *Position {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Ver)
+			obj = new(Position)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -1000,12 +1000,12 @@
 	return nil
 }
 
-func (rcv *Rec) Settled(obj *Ver) *Ver {
+func (rcv *Record) Committed(obj *Position) *Position {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Ver)
+			obj = new(Position)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -1013,7 +1013,7 @@
 	return nil
 }
 
-func (rcv *Rec) Entry(obj *Entry) *Entry {
+func (rcv *Record) Entry(obj *Entry) *Entry {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
@@ -1026,12 +1026,12 @@
 	return nil
 }
 
-func (rcv *Rec) Founding(obj *Founding) *Founding {
+func (rcv *Record) VoterSet(obj *VoterSet) *VoterSet {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Founding)
+			obj = new(VoterSet)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -1039,39 +1039,39 @@
 	return nil
 }
 
-func RecStart(builder *flatbuffers.Builder) {
+func RecordStart(builder *flatbuffers.Builder) {
 	builder.StartObject(7)
 }
-func RecAddKind(builder *flatbuffers.Builder, kind byte) {
+func RecordAddType(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(0, kind, 0)
 }
-func RecAddSlot(builder *flatbuffers.Builder, slot uint16) {
+func RecordAddSlot(builder *flatbuffers.Builder, slot uint16) {
 	builder.PrependUint16Slot(1, slot, 0)
 }
-func RecAddEpoch(builder *flatbuffers.Builder, epoch uint64) {
+func RecordAddTerm(builder *flatbuffers.Builder, epoch uint64) {
 	builder.PrependUint64Slot(2, epoch, 0)
 }
-func RecAddMark(builder *flatbuffers.Builder, mark flatbuffers.UOffsetT) {
+func RecordAddLast(builder *flatbuffers.Builder, mark flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(mark), 0)
 }
-func RecAddSettled(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
+func RecordAddCommitted(builder *flatbuffers.Builder, settled flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(settled), 0)
 }
-func RecAddEntry(builder *flatbuffers.Builder, entry flatbuffers.UOffsetT) {
+func RecordAddEntry(builder *flatbuffers.Builder, entry flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(entry), 0)
 }
-func RecAddFounding(builder *flatbuffers.Builder, founding flatbuffers.UOffsetT) {
+func RecordAddVoterSet(builder *flatbuffers.Builder, founding flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(founding), 0)
 }
-func RecEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func RecordEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type VoterT struct {
-	Name string `json:"name"`
-	Addr string `json:"addr"`
-	Inc  uint64 `json:"inc"`
-	Num  uint16 `json:"num"`
+	Name        string `json:"name"`
+	Addr        string `json:"addr"`
+	Incarnation uint64 `json:"inc"`
+	Number      uint16 `json:"num"`
 }
 
 func (t *VoterT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -1083,16 +1083,16 @@
 	VoterStart(builder)
 	VoterAddName(builder, nameOffset)
 	VoterAddAddr(builder, addrOffset)
-	VoterAddInc(builder, t.Inc)
-	VoterAddNum(builder, t.Num)
+	VoterAddIncarnation(builder, t.Incarnation)
+	VoterAddNumber(builder, t.Number)
 	return VoterEnd(builder)
 }
 
 func (rcv *Voter) UnPackTo(t *VoterT) {
 	t.Name = string(rcv.Name())
 	t.Addr = string(rcv.Addr())
-	t.Inc = rcv.Inc()
-	t.Num = rcv.Num()
+	t.Incarnation = rcv.Incarnation()
+	t.Number = rcv.Number()
 }
 
 func (rcv *Voter) UnPack() *VoterT {
@@ -1147,7 +1147,7 @@
 	return nil
 }
 
-func (rcv *Voter) Inc() uint64 {
+func (rcv *Voter) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -1155,11 +1155,11 @@
 	return 0
 }
 
-func (rcv *Voter) MutateInc(n uint64) bool {
+func (rcv *Voter) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *Voter) Num() uint16 {
+func (rcv *Voter) Number() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -1167,7 +1167,7 @@
 	return 0
 }
 
-func (rcv *Voter) MutateNum(n uint16) bool {
+func (rcv *Voter) MutateNumber(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(10, n)
 }
 
@@ -1180,25 +1180,25 @@
 func VoterAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(addr), 0)
 }
-func VoterAddInc(builder *flatbuffers.Builder, inc uint64) {
+func VoterAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(2, inc, 0)
 }
-func VoterAddNum(builder *flatbuffers.Builder, num uint16) {
+func VoterAddNumber(builder *flatbuffers.Builder, num uint16) {
 	builder.PrependUint16Slot(3, num, 0)
 }
 func VoterEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type FoundingT struct {
-	Fleet  uint64    `json:"fleet"`
-	Inc    uint64    `json:"inc"`
-	Rev    uint64    `json:"rev"`
-	Voters []*VoterT `json:"voters"`
-	Seats  uint16    `json:"seats"`
+type VoterSetT struct {
+	Fleet       uint64    `json:"fleet"`
+	Incarnation uint64    `json:"inc"`
+	Revision    uint64    `json:"rev"`
+	Voters      []*VoterT `json:"voters"`
+	Seats       uint16    `json:"seats"`
 }
 
-func (t *FoundingT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *VoterSetT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -1209,25 +1209,25 @@
 		for j := 0; j < votersLength; j++ {
 			votersOffsets[j] = t.Voters[j].Pack(builder)
 		}
-		FoundingStartVotersVector(builder, votersLength)
+		VoterSetStartVotersVector(builder, votersLength)
 		for j := votersLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(votersOffsets[j])
 		}
 		votersOffset = builder.EndVector(votersLength)
 	}
-	FoundingStart(builder)
-	FoundingAddFleet(builder, t.Fleet)
-	FoundingAddInc(builder, t.Inc)
-	FoundingAddRev(builder, t.Rev)
-	FoundingAddVoters(builder, votersOffset)
-	FoundingAddSeats(builder, t.Seats)
-	return FoundingEnd(builder)
+	VoterSetStart(builder)
+	VoterSetAddFleet(builder, t.Fleet)
+	VoterSetAddIncarnation(builder, t.Incarnation)
+	VoterSetAddRevision(builder, t.Revision)
+	VoterSetAddVoters(builder, votersOffset)
+	VoterSetAddSeats(builder, t.Seats)
+	return VoterSetEnd(builder)
 }
 
-func (rcv *Founding) UnPackTo(t *FoundingT) {
+func (rcv *VoterSet) UnPackTo(t *VoterSetT) {
 	t.Fleet = rcv.Fleet()
-	t.Inc = rcv.Inc()
-	t.Rev = rcv.Rev()
+	t.Incarnation = rcv.Incarnation()
+	t.Revision = rcv.Revision()
 	votersLength := rcv.VotersLength()
 	t.Voters = make([]*VoterT, votersLength)
 	for j := 0; j < votersLength; j++ {
@@ -1238,43 +1238,43 @@
 	t.Seats = rcv.Seats()
 }
 
-func (rcv *Founding) UnPack() *FoundingT {
+func (rcv *VoterSet) UnPack() *VoterSetT {
 	if rcv == nil {
 		return nil
 	}
-	t := &FoundingT{}
+	t := &VoterSetT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Founding struct {
+type VoterSet struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsFounding(buf []byte, offset flatbuffers.UOffsetT) *Founding {
+func GetRootAsVoterSet(buf []byte, offset flatbuffers.UOffsetT) *VoterSet {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Founding{}
+	x := &VoterSet{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsFounding(buf []byte, offset flatbuffers.UOffsetT) *Founding {
+func GetSizePrefixedRootAsVoterSet(buf []byte, offset flatbuffers.UOffsetT) *VoterSet {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Founding{}
+	x := &VoterSet{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Founding) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *VoterSet) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Founding) Table() flatbuffers.Table {
+func (rcv *VoterSet) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Founding) Fleet() uint64 {
+func (rcv *VoterSet) Fleet() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -1282,11 +1282,11 @@
 	return 0
 }
 
-func (rcv *Founding) MutateFleet(n uint64) bool {
+func (rcv *VoterSet) MutateFleet(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Founding) Inc() uint64 {
+func (rcv *VoterSet) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -1294,11 +1294,11 @@
 	return 0
 }
 
-func (rcv *Founding) MutateInc(n uint64) bool {
+func (rcv *VoterSet) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Founding) Rev() uint64 {
+func (rcv *VoterSet) Revision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -1306,11 +1306,11 @@
 	return 0
 }
 
-func (rcv *Founding) MutateRev(n uint64) bool {
+func (rcv *VoterSet) MutateRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *Founding) Voters(obj *Voter, j int) bool {
+func (rcv *VoterSet) Voters(obj *Voter, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -1322,7 +1322,7 @@
 	return false
 }
 
-func (rcv *Founding) VotersLength() int {
+func (rcv *VoterSet) VotersLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -1330,7 +1330,7 @@
 	return 0
 }
 
-func (rcv *Founding) Seats() uint16 {
+func (rcv *VoterSet) Seats() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -1338,103 +1338,103 @@
 	return 0
 }
 
-func (rcv *Founding) MutateSeats(n uint16) bool {
+func (rcv *VoterSet) MutateSeats(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(12, n)
 }
 
-func FoundingStart(builder *flatbuffers.Builder) {
+func VoterSetStart(builder *flatbuffers.Builder) {
 	builder.StartObject(5)
 }
-func FoundingAddFleet(builder *flatbuffers.Builder, fleet uint64) {
+func VoterSetAddFleet(builder *flatbuffers.Builder, fleet uint64) {
 	builder.PrependUint64Slot(0, fleet, 0)
 }
-func FoundingAddInc(builder *flatbuffers.Builder, inc uint64) {
+func VoterSetAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(1, inc, 0)
 }
-func FoundingAddRev(builder *flatbuffers.Builder, rev uint64) {
+func VoterSetAddRevision(builder *flatbuffers.Builder, rev uint64) {
 	builder.PrependUint64Slot(2, rev, 0)
 }
-func FoundingAddVoters(builder *flatbuffers.Builder, voters flatbuffers.UOffsetT) {
+func VoterSetAddVoters(builder *flatbuffers.Builder, voters flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(voters), 0)
 }
-func FoundingStartVotersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func VoterSetStartVotersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FoundingAddSeats(builder *flatbuffers.Builder, seats uint16) {
+func VoterSetAddSeats(builder *flatbuffers.Builder, seats uint16) {
 	builder.PrependUint16Slot(4, seats, 0)
 }
-func FoundingEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func VoterSetEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type FoundAskT struct {
-	Name  string `json:"name"`
-	Addr  string `json:"addr"`
-	Inc   uint64 `json:"inc"`
-	Blank bool   `json:"blank"`
-	First bool   `json:"first"`
+type JoinRequestT struct {
+	Name          string `json:"name"`
+	Addr          string `json:"addr"`
+	Incarnation   uint64 `json:"inc"`
+	Blank         bool   `json:"blank"`
+	InitialLaunch bool   `json:"first"`
 }
 
-func (t *FoundAskT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *JoinRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	nameOffset := builder.CreateString(t.Name)
 	addrOffset := builder.CreateString(t.Addr)
-	FoundAskStart(builder)
-	FoundAskAddName(builder, nameOffset)
-	FoundAskAddAddr(builder, addrOffset)
-	FoundAskAddInc(builder, t.Inc)
-	FoundAskAddBlank(builder, t.Blank)
-	FoundAskAddFirst(builder, t.First)
-	return FoundAskEnd(builder)
+	JoinRequestStart(builder)
+	JoinRequestAddName(builder, nameOffset)
+	JoinRequestAddAddr(builder, addrOffset)
+	JoinRequestAddIncarnation(builder, t.Incarnation)
+	JoinRequestAddBlank(builder, t.Blank)
+	JoinRequestAddInitialLaunch(builder, t.InitialLaunch)
+	return JoinRequestEnd(builder)
 }
 
-func (rcv *FoundAsk) UnPackTo(t *FoundAskT) {
+func (rcv *JoinRequest) UnPackTo(t *JoinRequestT) {
 	t.Name = string(rcv.Name())
 	t.Addr = string(rcv.Addr())
-	t.Inc = rcv.Inc()
+	t.Incarnation = rcv.Incarnation()
 	t.Blank = rcv.Blank()
-	t.First = rcv.First()
+	t.InitialLaunch = rcv.InitialLaunch()
 }
 
-func (rcv *FoundAsk) UnPack() *FoundAskT {
+func (rcv *JoinRequest) UnPack() *JoinRequestT {
 	if rcv == nil {
 		return nil
 	}
-	t := &FoundAskT{}
+	t := &JoinRequestT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type FoundAsk struct {
+type JoinRequest struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsFoundAsk(buf []byte, offset flatbuffers.UOffsetT) *FoundAsk {
+func GetRootAsJoinRequest(buf []byte, offset flatbuffers.UOffsetT) *JoinRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &FoundAsk{}
+	x := &JoinRequest{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsFoundAsk(buf []byte, offset flatbuffers.UOffsetT) *FoundAsk {
+func GetSizePrefixedRootAsJoinRequest(buf []byte, offset flatbuffers.UOffsetT) *JoinRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &FoundAsk{}
+	x := &JoinRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *FoundAsk) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *JoinRequest) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *FoundAsk) Table() flatbuffers.Table {
+func (rcv *JoinRequest) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *FoundAsk) Name() []byte {
+func (rcv *JoinRequest) Name() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -1442,7 +1442,7 @@
 	return nil
 }
 
-func (rcv *FoundAsk) Addr() []byte {
+func (rcv *JoinRequest) Addr() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -1450,7 +1450,7 @@
 	return nil
 }
 
-func (rcv *FoundAsk) Inc() uint64 {
+func (rcv *JoinRequest) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -1458,11 +1458,11 @@
 	return 0
 }
 
-func (rcv *FoundAsk) MutateInc(n uint64) bool {
+func (rcv *JoinRequest) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *FoundAsk) Blank() bool {
+func (rcv *JoinRequest) Blank() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -1470,11 +1470,11 @@
 	return false
 }
 
-func (rcv *FoundAsk) MutateBlank(n bool) bool {
+func (rcv *JoinRequest) MutateBlank(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func (rcv *FoundAsk) First() bool {
+func (rcv *JoinRequest) InitialLaunch() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -1482,97 +1482,97 @@
 	return false
 }
 
-func (rcv *FoundAsk) MutateFirst(n bool) bool {
+func (rcv *JoinRequest) MutateInitialLaunch(n bool) bool {
 	return rcv._tab.MutateBoolSlot(12, n)
 }
 
-func FoundAskStart(builder *flatbuffers.Builder) {
+func JoinRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(5)
 }
-func FoundAskAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
+func JoinRequestAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(name), 0)
 }
-func FoundAskAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
+func JoinRequestAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(addr), 0)
 }
-func FoundAskAddInc(builder *flatbuffers.Builder, inc uint64) {
+func JoinRequestAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(2, inc, 0)
 }
-func FoundAskAddBlank(builder *flatbuffers.Builder, blank bool) {
+func JoinRequestAddBlank(builder *flatbuffers.Builder, blank bool) {
 	builder.PrependBoolSlot(3, blank, false)
 }
-func FoundAskAddFirst(builder *flatbuffers.Builder, first bool) {
+func JoinRequestAddInitialLaunch(builder *flatbuffers.Builder, first bool) {
 	builder.PrependBoolSlot(4, first, false)
 }
-func FoundAskEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func JoinRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type FoundTellT struct {
-	Name     string     `json:"name"`
-	Inc      uint64     `json:"inc"`
-	Blank    bool       `json:"blank"`
-	Founding *FoundingT `json:"founding"`
+type JoinResponseT struct {
+	Name        string     `json:"name"`
+	Incarnation uint64     `json:"inc"`
+	Blank       bool       `json:"blank"`
+	VoterSet    *VoterSetT `json:"founding"`
 }
 
-func (t *FoundTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *JoinResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	nameOffset := builder.CreateString(t.Name)
-	foundingOffset := t.Founding.Pack(builder)
-	FoundTellStart(builder)
-	FoundTellAddName(builder, nameOffset)
-	FoundTellAddInc(builder, t.Inc)
-	FoundTellAddBlank(builder, t.Blank)
-	FoundTellAddFounding(builder, foundingOffset)
-	return FoundTellEnd(builder)
+	foundingOffset := t.VoterSet.Pack(builder)
+	JoinResponseStart(builder)
+	JoinResponseAddName(builder, nameOffset)
+	JoinResponseAddIncarnation(builder, t.Incarnation)
+	JoinResponseAddBlank(builder, t.Blank)
+	JoinResponseAddVoterSet(builder, foundingOffset)
+	return JoinResponseEnd(builder)
 }
 
-func (rcv *FoundTell) UnPackTo(t *FoundTellT) {
+func (rcv *JoinResponse) UnPackTo(t *JoinResponseT) {
 	t.Name = string(rcv.Name())
-	t.Inc = rcv.Inc()
+	t.Incarnation = rcv.Incarnation()
 	t.Blank = rcv.Blank()
-	t.Founding = rcv.Founding(nil).UnPack()
+	t.VoterSet = rcv.VoterSet(nil).UnPack()
 }
 
-func (rcv *FoundTell) UnPack() *FoundTellT {
+func (rcv *JoinResponse) UnPack() *JoinResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &FoundTellT{}
+	t := &JoinResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type FoundTell struct {
+type JoinResponse struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsFoundTell(buf []byte, offset flatbuffers.UOffsetT) *FoundTell {
+func GetRootAsJoinResponse(buf []byte, offset flatbuffers.UOffsetT) *JoinResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &FoundTell{}
+	x := &JoinResponse{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsFoundTell(buf []byte, offset flatbuffers.UOffsetT) *FoundTell {
+func GetSizePrefixedRootAsJoinResponse(buf []byte, offset flatbuffers.UOffsetT) *JoinResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &FoundTell{}
+	x := &JoinResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *FoundTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *JoinResponse) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *FoundTell) Table() flatbuffers.Table {
+func (rcv *JoinResponse) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *FoundTell) Name() []byte {
+func (rcv *JoinResponse) Name() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -1580,7 +1580,7 @@
 	return nil
 }
 
-func (rcv *FoundTell) Inc() uint64 {
+func (rcv *JoinResponse) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -1588,11 +1588,11 @@
 	return 0
 }
 
-func (rcv *FoundTell) MutateInc(n uint64) bool {
+func (rcv *JoinResponse) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *FoundTell) Blank() bool {
+func (rcv *JoinResponse) Blank() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -1600,16 +1600,16 @@
 	return false
 }
 
-func (rcv *FoundTell) MutateBlank(n bool) bool {
+func (rcv *JoinResponse) MutateBlank(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *FoundTell) Founding(obj *Founding) *Founding {
+func (rcv *JoinResponse) VoterSet(obj *VoterSet) *VoterSet {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Founding)
+			obj = new(VoterSet)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -1617,39 +1617,39 @@
 	return nil
 }
 
-func FoundTellStart(builder *flatbuffers.Builder) {
+func JoinResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(4)
 }
-func FoundTellAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
+func JoinResponseAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(name), 0)
 }
-func FoundTellAddInc(builder *flatbuffers.Builder, inc uint64) {
+func JoinResponseAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(1, inc, 0)
 }
-func FoundTellAddBlank(builder *flatbuffers.Builder, blank bool) {
+func JoinResponseAddBlank(builder *flatbuffers.Builder, blank bool) {
 	builder.PrependBoolSlot(2, blank, false)
 }
-func FoundTellAddFounding(builder *flatbuffers.Builder, founding flatbuffers.UOffsetT) {
+func JoinResponseAddVoterSet(builder *flatbuffers.Builder, founding flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(founding), 0)
 }
-func FoundTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func JoinResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type NodeT struct {
-	Name      string   `json:"name"`
-	Role      string   `json:"role"`
-	Site      string   `json:"site"`
-	Addr      string   `json:"addr"`
-	Http      string   `json:"http"`
-	Inc       uint64   `json:"inc"`
-	Ready     bool     `json:"ready"`
-	Duties    []string `json:"duties"`
-	Age       int64    `json:"age"`
-	Registrar string   `json:"registrar"`
-	ListStale bool     `json:"list_stale"`
-	Silent    []string `json:"silent"`
-	Reached   []string `json:"reached"`
+	Name        string   `json:"name"`
+	Role        string   `json:"role"`
+	Zone        string   `json:"site"`
+	Addr        string   `json:"addr"`
+	Http        string   `json:"http"`
+	Incarnation uint64   `json:"inc"`
+	Ready       bool     `json:"ready"`
+	LeasedRoles []string `json:"duties"`
+	Age         int64    `json:"age"`
+	ControlNode string   `json:"registrar"`
+	ListStale   bool     `json:"list_stale"`
+	Unreachable []string `json:"silent"`
+	Reached     []string `json:"reached"`
 }
 
 func (t *NodeT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -1658,31 +1658,31 @@
 	}
 	nameOffset := builder.CreateString(t.Name)
 	roleOffset := builder.CreateString(t.Role)
-	siteOffset := builder.CreateString(t.Site)
+	siteOffset := builder.CreateString(t.Zone)
 	addrOffset := builder.CreateString(t.Addr)
 	httpOffset := builder.CreateString(t.Http)
 	dutiesOffset := flatbuffers.UOffsetT(0)
-	if t.Duties != nil {
-		dutiesLength := len(t.Duties)
+	if t.LeasedRoles != nil {
+		dutiesLength := len(t.LeasedRoles)
 		dutiesOffsets := make([]flatbuffers.UOffsetT, dutiesLength)
 		for j := 0; j < dutiesLength; j++ {
-			dutiesOffsets[j] = builder.CreateString(t.Duties[j])
+			dutiesOffsets[j] = builder.CreateString(t.LeasedRoles[j])
 		}
-		NodeStartDutiesVector(builder, dutiesLength)
+		NodeStartLeasedRolesVector(builder, dutiesLength)
 		for j := dutiesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(dutiesOffsets[j])
 		}
 		dutiesOffset = builder.EndVector(dutiesLength)
 	}
-	registrarOffset := builder.CreateString(t.Registrar)
+	registrarOffset := builder.CreateString(t.ControlNode)
 	silentOffset := flatbuffers.UOffsetT(0)
-	if t.Silent != nil {
-		silentLength := len(t.Silent)
+	if t.Unreachable != nil {
+		silentLength := len(t.Unreachable)
 		silentOffsets := make([]flatbuffers.UOffsetT, silentLength)
 		for j := 0; j < silentLength; j++ {
-			silentOffsets[j] = builder.CreateString(t.Silent[j])
+			silentOffsets[j] = builder.CreateString(t.Unreachable[j])
 		}
-		NodeStartSilentVector(builder, silentLength)
+		NodeStartUnreachableVector(builder, silentLength)
 		for j := silentLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(silentOffsets[j])
 		}
@@ -1704,16 +1704,16 @@
 	NodeStart(builder)
 	NodeAddName(builder, nameOffset)
 	NodeAddRole(builder, roleOffset)
-	NodeAddSite(builder, siteOffset)
+	NodeAddZone(builder, siteOffset)
 	NodeAddAddr(builder, addrOffset)
 	NodeAddHttp(builder, httpOffset)
-	NodeAddInc(builder, t.Inc)
+	NodeAddIncarnation(builder, t.Incarnation)
 	NodeAddReady(builder, t.Ready)
-	NodeAddDuties(builder, dutiesOffset)
+	NodeAddLeasedRoles(builder, dutiesOffset)
 	NodeAddAge(builder, t.Age)
-	NodeAddRegistrar(builder, registrarOffset)
+	NodeAddControlNode(builder, registrarOffset)
 	NodeAddListStale(builder, t.ListStale)
-	NodeAddSilent(builder, silentOffset)
+	NodeAddUnreachable(builder, silentOffset)
 	NodeAddReached(builder, reachedOffset)
 	return NodeEnd(builder)
 }
@@ -1721,23 +1721,23 @@
 func (rcv *Node) UnPackTo(t *NodeT) {
 	t.Name = string(rcv.Name())
 	t.Role = string(rcv.Role())
-	t.Site = string(rcv.Site())
+	t.Zone = string(rcv.Zone())
 	t.Addr = string(rcv.Addr())
 	t.Http = string(rcv.Http())
-	t.Inc = rcv.Inc()
+	t.Incarnation = rcv.Incarnation()
 	t.Ready = rcv.Ready()
-	dutiesLength := rcv.DutiesLength()
-	t.Duties = make([]string, dutiesLength)
+	dutiesLength := rcv.LeasedRolesLength()
+	t.LeasedRoles = make([]string, dutiesLength)
 	for j := 0; j < dutiesLength; j++ {
-		t.Duties[j] = string(rcv.Duties(j))
+		t.LeasedRoles[j] = string(rcv.LeasedRoles(j))
 	}
 	t.Age = rcv.Age()
-	t.Registrar = string(rcv.Registrar())
+	t.ControlNode = string(rcv.ControlNode())
 	t.ListStale = rcv.ListStale()
-	silentLength := rcv.SilentLength()
-	t.Silent = make([]string, silentLength)
+	silentLength := rcv.UnreachableLength()
+	t.Unreachable = make([]string, silentLength)
 	for j := 0; j < silentLength; j++ {
-		t.Silent[j] = string(rcv.Silent(j))
+		t.Unreachable[j] = string(rcv.Unreachable(j))
 	}
 	reachedLength := rcv.ReachedLength()
 	t.Reached = make([]string, reachedLength)
@@ -1798,7 +1798,7 @@
 	return nil
 }
 
-func (rcv *Node) Site() []byte {
+func (rcv *Node) Zone() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -1822,7 +1822,7 @@
 	return nil
 }
 
-func (rcv *Node) Inc() uint64 {
+func (rcv *Node) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -1830,7 +1830,7 @@
 	return 0
 }
 
-func (rcv *Node) MutateInc(n uint64) bool {
+func (rcv *Node) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
@@ -1846,7 +1846,7 @@
 	return rcv._tab.MutateBoolSlot(16, n)
 }
 
-func (rcv *Node) Duties(j int) []byte {
+func (rcv *Node) LeasedRoles(j int) []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -1855,7 +1855,7 @@
 	return nil
 }
 
-func (rcv *Node) DutiesLength() int {
+func (rcv *Node) LeasedRolesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -1875,7 +1875,7 @@
 	return rcv._tab.MutateInt64Slot(20, n)
 }
 
-func (rcv *Node) Registrar() []byte {
+func (rcv *Node) ControlNode() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -1895,7 +1895,7 @@
 	return rcv._tab.MutateBoolSlot(24, n)
 }
 
-func (rcv *Node) Silent(j int) []byte {
+func (rcv *Node) Unreachable(j int) []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -1904,7 +1904,7 @@
 	return nil
 }
 
-func (rcv *Node) SilentLength() int {
+func (rcv *Node) UnreachableLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -1938,7 +1938,7 @@
 func NodeAddRole(builder *flatbuffers.Builder, role flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(role), 0)
 }
-func NodeAddSite(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
+func NodeAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(site), 0)
 }
 func NodeAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
@@ -1947,31 +1947,31 @@
 func NodeAddHttp(builder *flatbuffers.Builder, http flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(http), 0)
 }
-func NodeAddInc(builder *flatbuffers.Builder, inc uint64) {
+func NodeAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(5, inc, 0)
 }
 func NodeAddReady(builder *flatbuffers.Builder, ready bool) {
 	builder.PrependBoolSlot(6, ready, false)
 }
-func NodeAddDuties(builder *flatbuffers.Builder, duties flatbuffers.UOffsetT) {
+func NodeAddLeasedRoles(builder *flatbuffers.Builder, duties flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(duties), 0)
 }
-func NodeStartDutiesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func NodeStartLeasedRolesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
 func NodeAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(8, age, 0)
 }
-func NodeAddRegistrar(builder *flatbuffers.Builder, registrar flatbuffers.UOffsetT) {
+func NodeAddControlNode(builder *flatbuffers.Builder, registrar flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(registrar), 0)
 }
 func NodeAddListStale(builder *flatbuffers.Builder, listStale bool) {
 	builder.PrependBoolSlot(10, listStale, false)
 }
-func NodeAddSilent(builder *flatbuffers.Builder, silent flatbuffers.UOffsetT) {
+func NodeAddUnreachable(builder *flatbuffers.Builder, silent flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(silent), 0)
 }
-func NodeStartSilentVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func NodeStartUnreachableVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
 func NodeAddReached(builder *flatbuffers.Builder, reached flatbuffers.UOffsetT) {
@@ -1984,64 +1984,64 @@
 	return builder.EndObject()
 }
 
-type BeatAskT struct {
-	Node *NodeT `json:"node"`
-	Have uint64 `json:"have"`
+type HeartbeatRequestT struct {
+	Node         *NodeT `json:"node"`
+	HaveRevision uint64 `json:"have"`
 }
 
-func (t *BeatAskT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *HeartbeatRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	nodeOffset := t.Node.Pack(builder)
-	BeatAskStart(builder)
-	BeatAskAddNode(builder, nodeOffset)
-	BeatAskAddHave(builder, t.Have)
-	return BeatAskEnd(builder)
+	HeartbeatRequestStart(builder)
+	HeartbeatRequestAddNode(builder, nodeOffset)
+	HeartbeatRequestAddHaveRevision(builder, t.HaveRevision)
+	return HeartbeatRequestEnd(builder)
 }
 
-func (rcv *BeatAsk) UnPackTo(t *BeatAskT) {
+func (rcv *HeartbeatRequest) UnPackTo(t *HeartbeatRequestT) {
 	t.Node = rcv.Node(nil).UnPack()
-	t.Have = rcv.Have()
+	t.HaveRevision = rcv.HaveRevision()
 }
 
-func (rcv *BeatAsk) UnPack() *BeatAskT {
+func (rcv *HeartbeatRequest) UnPack() *HeartbeatRequestT {
 	if rcv == nil {
 		return nil
 	}
-	t := &BeatAskT{}
+	t := &HeartbeatRequestT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type BeatAsk struct {
+type HeartbeatRequest struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsBeatAsk(buf []byte, offset flatbuffers.UOffsetT) *BeatAsk {
+func GetRootAsHeartbeatRequest(buf []byte, offset flatbuffers.UOffsetT) *HeartbeatRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &BeatAsk{}
+	x := &HeartbeatRequest{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsBeatAsk(buf []byte, offset flatbuffers.UOffsetT) *BeatAsk {
+func GetSizePrefixedRootAsHeartbeatRequest(buf []byte, offset flatbuffers.UOffsetT) *HeartbeatRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &BeatAsk{}
+	x := &HeartbeatRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *BeatAsk) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *HeartbeatRequest) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *BeatAsk) Table() flatbuffers.Table {
+func (rcv *HeartbeatRequest) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *BeatAsk) Node(obj *Node) *Node {
+func (rcv *HeartbeatRequest) Node(obj *Node) *Node {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
@@ -2054,7 +2054,7 @@
 	return nil
 }
 
-func (rcv *BeatAsk) Have() uint64 {
+func (rcv *HeartbeatRequest) HaveRevision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2062,34 +2062,34 @@
 	return 0
 }
 
-func (rcv *BeatAsk) MutateHave(n uint64) bool {
+func (rcv *HeartbeatRequest) MutateHaveRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func BeatAskStart(builder *flatbuffers.Builder) {
+func HeartbeatRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func BeatAskAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
+func HeartbeatRequestAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(node), 0)
 }
-func BeatAskAddHave(builder *flatbuffers.Builder, have uint64) {
+func HeartbeatRequestAddHaveRevision(builder *flatbuffers.Builder, have uint64) {
 	builder.PrependUint64Slot(1, have, 0)
 }
-func BeatAskEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func HeartbeatRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type BeatTellT struct {
-	Rev        uint64   `json:"rev"`
-	Age        int64    `json:"age"`
-	Plan       []byte   `json:"plan"`
-	Fresh      bool     `json:"fresh"`
-	Nodes      []*NodeT `json:"nodes"`
-	Registrars []string `json:"registrars"`
-	Era        uint64   `json:"era"`
+type HeartbeatResponseT struct {
+	Revision     uint64   `json:"rev"`
+	Age          int64    `json:"age"`
+	Plan         []byte   `json:"plan"`
+	Confirmed    bool     `json:"fresh"`
+	Nodes        []*NodeT `json:"nodes"`
+	ControlNodes []string `json:"registrars"`
+	Generation   uint64   `json:"era"`
 }
 
-func (t *BeatTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *HeartbeatResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -2104,41 +2104,41 @@
 		for j := 0; j < nodesLength; j++ {
 			nodesOffsets[j] = t.Nodes[j].Pack(builder)
 		}
-		BeatTellStartNodesVector(builder, nodesLength)
+		HeartbeatResponseStartNodesVector(builder, nodesLength)
 		for j := nodesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(nodesOffsets[j])
 		}
 		nodesOffset = builder.EndVector(nodesLength)
 	}
 	registrarsOffset := flatbuffers.UOffsetT(0)
-	if t.Registrars != nil {
-		registrarsLength := len(t.Registrars)
+	if t.ControlNodes != nil {
+		registrarsLength := len(t.ControlNodes)
 		registrarsOffsets := make([]flatbuffers.UOffsetT, registrarsLength)
 		for j := 0; j < registrarsLength; j++ {
-			registrarsOffsets[j] = builder.CreateString(t.Registrars[j])
+			registrarsOffsets[j] = builder.CreateString(t.ControlNodes[j])
 		}
-		BeatTellStartRegistrarsVector(builder, registrarsLength)
+		HeartbeatResponseStartControlNodesVector(builder, registrarsLength)
 		for j := registrarsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(registrarsOffsets[j])
 		}
 		registrarsOffset = builder.EndVector(registrarsLength)
 	}
-	BeatTellStart(builder)
-	BeatTellAddRev(builder, t.Rev)
-	BeatTellAddAge(builder, t.Age)
-	BeatTellAddPlan(builder, planOffset)
-	BeatTellAddFresh(builder, t.Fresh)
-	BeatTellAddNodes(builder, nodesOffset)
-	BeatTellAddRegistrars(builder, registrarsOffset)
-	BeatTellAddEra(builder, t.Era)
-	return BeatTellEnd(builder)
+	HeartbeatResponseStart(builder)
+	HeartbeatResponseAddRevision(builder, t.Revision)
+	HeartbeatResponseAddAge(builder, t.Age)
+	HeartbeatResponseAddPlan(builder, planOffset)
+	HeartbeatResponseAddConfirmed(builder, t.Confirmed)
+	HeartbeatResponseAddNodes(builder, nodesOffset)
+	HeartbeatResponseAddControlNodes(builder, registrarsOffset)
+	HeartbeatResponseAddGeneration(builder, t.Generation)
+	return HeartbeatResponseEnd(builder)
 }
 
-func (rcv *BeatTell) UnPackTo(t *BeatTellT) {
-	t.Rev = rcv.Rev()
+func (rcv *HeartbeatResponse) UnPackTo(t *HeartbeatResponseT) {
+	t.Revision = rcv.Revision()
 	t.Age = rcv.Age()
 	t.Plan = rcv.PlanBytes()
-	t.Fresh = rcv.Fresh()
+	t.Confirmed = rcv.Confirmed()
 	nodesLength := rcv.NodesLength()
 	t.Nodes = make([]*NodeT, nodesLength)
 	for j := 0; j < nodesLength; j++ {
@@ -2146,51 +2146,51 @@
 		rcv.Nodes(&x, j)
 		t.Nodes[j] = x.UnPack()
 	}
-	registrarsLength := rcv.RegistrarsLength()
-	t.Registrars = make([]string, registrarsLength)
+	registrarsLength := rcv.ControlNodesLength()
+	t.ControlNodes = make([]string, registrarsLength)
 	for j := 0; j < registrarsLength; j++ {
-		t.Registrars[j] = string(rcv.Registrars(j))
+		t.ControlNodes[j] = string(rcv.ControlNodes(j))
 	}
-	t.Era = rcv.Era()
+	t.Generation = rcv.Generation()
 }
 
-func (rcv *BeatTell) UnPack() *BeatTellT {
+func (rcv *HeartbeatResponse) UnPack() *HeartbeatResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &BeatTellT{}
+	t := &HeartbeatResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type BeatTell struct {
+type HeartbeatResponse struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsBeatTell(buf []byte, offset flatbuffers.UOffsetT) *BeatTell {
+func GetRootAsHeartbeatResponse(buf []byte, offset flatbuffers.UOffsetT) *HeartbeatResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &BeatTell{}
+	x := &HeartbeatResponse{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsBeatTell(buf []byte, offset flatbuffers.UOffsetT) *BeatTell {
+func GetSizePrefixedRootAsHeartbeatResponse(buf []byte, offset flatbuffers.UOffsetT) *HeartbeatResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &BeatTell{}
+	x := &HeartbeatResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *BeatTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *HeartbeatResponse) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *BeatTell) Table() flatbuffers.Table {
+func (rcv *HeartbeatResponse) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *BeatTell) Rev() uint64 {
+func (rcv *HeartbeatResponse) Revision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2198,11 +2198,11 @@
 	return 0
 }
 
-func (rcv *BeatTell) MutateRev(n uint64) bool {
+func (rcv *HeartbeatResponse) MutateRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *BeatTell) Age() int64 {
+func (rcv *HeartbeatResponse) Age() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -2210,11 +2210,11 @@
 	return 0
 }
 
-func (rcv *BeatTell) MutateAge(n int64) bool {
+func (rcv *HeartbeatResponse) MutateAge(n int64) bool {
 	return rcv._tab.MutateInt64Slot(6, n)
 }
 
-func (rcv *BeatTell) Plan(j int) byte {
+func (rcv *HeartbeatResponse) Plan(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -2223,7 +2223,7 @@
 	return 0
 }
 
-func (rcv *BeatTell) PlanLength() int {
+func (rcv *HeartbeatResponse) PlanLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -2231,7 +2231,7 @@
 	return 0
 }
 
-func (rcv *BeatTell) PlanBytes() []byte {
+func (rcv *HeartbeatResponse) PlanBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -2239,7 +2239,7 @@
 	return nil
 }
 
-func (rcv *BeatTell) MutatePlan(j int, n byte) bool {
+func (rcv *HeartbeatResponse) MutatePlan(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -2248,7 +2248,7 @@
 	return false
 }
 
-func (rcv *BeatTell) Fresh() bool {
+func (rcv *HeartbeatResponse) Confirmed() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -2256,11 +2256,11 @@
 	return false
 }
 
-func (rcv *BeatTell) MutateFresh(n bool) bool {
+func (rcv *HeartbeatResponse) MutateConfirmed(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func (rcv *BeatTell) Nodes(obj *Node, j int) bool {
+func (rcv *HeartbeatResponse) Nodes(obj *Node, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -2272,7 +2272,7 @@
 	return false
 }
 
-func (rcv *BeatTell) NodesLength() int {
+func (rcv *HeartbeatResponse) NodesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -2280,7 +2280,7 @@
 	return 0
 }
 
-func (rcv *BeatTell) Registrars(j int) []byte {
+func (rcv *HeartbeatResponse) ControlNodes(j int) []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -2289,7 +2289,7 @@
 	return nil
 }
 
-func (rcv *BeatTell) RegistrarsLength() int {
+func (rcv *HeartbeatResponse) ControlNodesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -2297,7 +2297,7 @@
 	return 0
 }
 
-func (rcv *BeatTell) Era() uint64 {
+func (rcv *HeartbeatResponse) Generation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2305,58 +2305,58 @@
 	return 0
 }
 
-func (rcv *BeatTell) MutateEra(n uint64) bool {
+func (rcv *HeartbeatResponse) MutateGeneration(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(16, n)
 }
 
-func BeatTellStart(builder *flatbuffers.Builder) {
+func HeartbeatResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(7)
 }
-func BeatTellAddRev(builder *flatbuffers.Builder, rev uint64) {
+func HeartbeatResponseAddRevision(builder *flatbuffers.Builder, rev uint64) {
 	builder.PrependUint64Slot(0, rev, 0)
 }
-func BeatTellAddAge(builder *flatbuffers.Builder, age int64) {
+func HeartbeatResponseAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(1, age, 0)
 }
-func BeatTellAddPlan(builder *flatbuffers.Builder, plan flatbuffers.UOffsetT) {
+func HeartbeatResponseAddPlan(builder *flatbuffers.Builder, plan flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(plan), 0)
 }
-func BeatTellStartPlanVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func HeartbeatResponseStartPlanVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func BeatTellAddFresh(builder *flatbuffers.Builder, fresh bool) {
+func HeartbeatResponseAddConfirmed(builder *flatbuffers.Builder, fresh bool) {
 	builder.PrependBoolSlot(3, fresh, false)
 }
-func BeatTellAddNodes(builder *flatbuffers.Builder, nodes flatbuffers.UOffsetT) {
+func HeartbeatResponseAddNodes(builder *flatbuffers.Builder, nodes flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(nodes), 0)
 }
-func BeatTellStartNodesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func HeartbeatResponseStartNodesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func BeatTellAddRegistrars(builder *flatbuffers.Builder, registrars flatbuffers.UOffsetT) {
+func HeartbeatResponseAddControlNodes(builder *flatbuffers.Builder, registrars flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(registrars), 0)
 }
-func BeatTellStartRegistrarsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func HeartbeatResponseStartControlNodesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func BeatTellAddEra(builder *flatbuffers.Builder, era uint64) {
+func HeartbeatResponseAddGeneration(builder *flatbuffers.Builder, era uint64) {
 	builder.PrependUint64Slot(6, era, 0)
 }
-func BeatTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func HeartbeatResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type RollTellT struct {
-	Registrar string   `json:"registrar"`
-	Nodes     []*NodeT `json:"nodes"`
-	Hears     []string `json:"hears"`
+type SessionUpdateT struct {
+	ControlNode string   `json:"registrar"`
+	Nodes       []*NodeT `json:"nodes"`
+	Hears       []string `json:"hears"`
 }
 
-func (t *RollTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *SessionUpdateT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	registrarOffset := builder.CreateString(t.Registrar)
+	registrarOffset := builder.CreateString(t.ControlNode)
 	nodesOffset := flatbuffers.UOffsetT(0)
 	if t.Nodes != nil {
 		nodesLength := len(t.Nodes)
@@ -2364,7 +2364,7 @@
 		for j := 0; j < nodesLength; j++ {
 			nodesOffsets[j] = t.Nodes[j].Pack(builder)
 		}
-		RollTellStartNodesVector(builder, nodesLength)
+		SessionUpdateStartNodesVector(builder, nodesLength)
 		for j := nodesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(nodesOffsets[j])
 		}
@@ -2377,21 +2377,21 @@
 		for j := 0; j < hearsLength; j++ {
 			hearsOffsets[j] = builder.CreateString(t.Hears[j])
 		}
-		RollTellStartHearsVector(builder, hearsLength)
+		SessionUpdateStartHearsVector(builder, hearsLength)
 		for j := hearsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(hearsOffsets[j])
 		}
 		hearsOffset = builder.EndVector(hearsLength)
 	}
-	RollTellStart(builder)
-	RollTellAddRegistrar(builder, registrarOffset)
-	RollTellAddNodes(builder, nodesOffset)
-	RollTellAddHears(builder, hearsOffset)
-	return RollTellEnd(builder)
+	SessionUpdateStart(builder)
+	SessionUpdateAddControlNode(builder, registrarOffset)
+	SessionUpdateAddNodes(builder, nodesOffset)
+	SessionUpdateAddHears(builder, hearsOffset)
+	return SessionUpdateEnd(builder)
 }
 
-func (rcv *RollTell) UnPackTo(t *RollTellT) {
-	t.Registrar = string(rcv.Registrar())
+func (rcv *SessionUpdate) UnPackTo(t *SessionUpdateT) {
+	t.ControlNode = string(rcv.ControlNode())
 	nodesLength := rcv.NodesLength()
 	t.Nodes = make([]*NodeT, nodesLength)
 	for j := 0; j < nodesLength; j++ {
@@ -2406,43 +2406,43 @@
 	}
 }
 
-func (rcv *RollTell) UnPack() *RollTellT {
+func (rcv *SessionUpdate) UnPack() *SessionUpdateT {
 	if rcv == nil {
 		return nil
 	}
-	t := &RollTellT{}
+	t := &SessionUpdateT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type RollTell struct {
+type SessionUpdate struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsRollTell(buf []byte, offset flatbuffers.UOffsetT) *RollTell {
+func GetRootAsSessionUpdate(buf []byte, offset flatbuffers.UOffsetT) *SessionUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &RollTell{}
+	x := &SessionUpdate{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsRollTell(buf []byte, offset flatbuffers.UOffsetT) *RollTell {
+func GetSizePrefixedRootAsSessionUpdate(buf []byte, offset flatbuffers.UOffsetT) *SessionUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &RollTell{}
+	x := &SessionUpdate{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *RollTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *SessionUpdate) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *RollTell) Table() flatbuffers.Table {
+func (rcv *SessionUpdate) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *RollTell) Registrar() []byte {
+func (rcv *SessionUpdate) ControlNode() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -2450,7 +2450,7 @@
 	return nil
 }
 
-func (rcv *RollTell) Nodes(obj *Node, j int) bool {
+func (rcv *SessionUpdate) Nodes(obj *Node, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -2462,7 +2462,7 @@
 	return false
 }
 
-func (rcv *RollTell) NodesLength() int {
+func (rcv *SessionUpdate) NodesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -2470,7 +2470,7 @@
 	return 0
 }
 
-func (rcv *RollTell) Hears(j int) []byte {
+func (rcv *SessionUpdate) Hears(j int) []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -2479,7 +2479,7 @@
 	return nil
 }
 
-func (rcv *RollTell) HearsLength() int {
+func (rcv *SessionUpdate) HearsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -2487,109 +2487,109 @@
 	return 0
 }
 
-func RollTellStart(builder *flatbuffers.Builder) {
+func SessionUpdateStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func RollTellAddRegistrar(builder *flatbuffers.Builder, registrar flatbuffers.UOffsetT) {
+func SessionUpdateAddControlNode(builder *flatbuffers.Builder, registrar flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(registrar), 0)
 }
-func RollTellAddNodes(builder *flatbuffers.Builder, nodes flatbuffers.UOffsetT) {
+func SessionUpdateAddNodes(builder *flatbuffers.Builder, nodes flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(nodes), 0)
 }
-func RollTellStartNodesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func SessionUpdateStartNodesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func RollTellAddHears(builder *flatbuffers.Builder, hears flatbuffers.UOffsetT) {
+func SessionUpdateAddHears(builder *flatbuffers.Builder, hears flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(hears), 0)
 }
-func RollTellStartHearsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func SessionUpdateStartHearsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func RollTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func SessionUpdateEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type OpAskT struct {
-	Kind   byte   `json:"kind"`
-	Key    string `json:"key"`
-	Val    []byte `json:"val"`
-	Expect uint64 `json:"expect"`
-	Holder string `json:"holder"`
-	Term   int64  `json:"term"`
-	Hops   byte   `json:"hops"`
-	Have   uint64 `json:"have"`
+type OperationRequestT struct {
+	Type             byte   `json:"kind"`
+	Key              string `json:"key"`
+	Value            []byte `json:"val"`
+	ExpectedRevision uint64 `json:"expect"`
+	Holder           string `json:"holder"`
+	LeaseDuration    int64  `json:"term"`
+	Hops             byte   `json:"hops"`
+	HaveRevision     uint64 `json:"have"`
 }
 
-func (t *OpAskT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *OperationRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	keyOffset := builder.CreateString(t.Key)
 	valOffset := flatbuffers.UOffsetT(0)
-	if t.Val != nil {
-		valOffset = builder.CreateByteString(t.Val)
+	if t.Value != nil {
+		valOffset = builder.CreateByteString(t.Value)
 	}
 	holderOffset := builder.CreateString(t.Holder)
-	OpAskStart(builder)
-	OpAskAddKind(builder, t.Kind)
-	OpAskAddKey(builder, keyOffset)
-	OpAskAddVal(builder, valOffset)
-	OpAskAddExpect(builder, t.Expect)
-	OpAskAddHolder(builder, holderOffset)
-	OpAskAddTerm(builder, t.Term)
-	OpAskAddHops(builder, t.Hops)
-	OpAskAddHave(builder, t.Have)
-	return OpAskEnd(builder)
-}
-
-func (rcv *OpAsk) UnPackTo(t *OpAskT) {
-	t.Kind = rcv.Kind()
+	OperationRequestStart(builder)
+	OperationRequestAddType(builder, t.Type)
+	OperationRequestAddKey(builder, keyOffset)
+	OperationRequestAddValue(builder, valOffset)
+	OperationRequestAddExpectedRevision(builder, t.ExpectedRevision)
+	OperationRequestAddHolder(builder, holderOffset)
+	OperationRequestAddLeaseDuration(builder, t.LeaseDuration)
+	OperationRequestAddHops(builder, t.Hops)
+	OperationRequestAddHaveRevision(builder, t.HaveRevision)
+	return OperationRequestEnd(builder)
+}
+
+func (rcv *OperationRequest) UnPackTo(t *OperationRequestT) {
+	t.Type = rcv.Type()
 	t.Key = string(rcv.Key())
-	t.Val = rcv.ValBytes()
-	t.Expect = rcv.Expect()
+	t.Value = rcv.ValueBytes()
+	t.ExpectedRevision = rcv.ExpectedRevision()
 	t.Holder = string(rcv.Holder())
-	t.Term = rcv.Term()
+	t.LeaseDuration = rcv.LeaseDuration()
 	t.Hops = rcv.Hops()
-	t.Have = rcv.Have()
+	t.HaveRevision = rcv.HaveRevision()
 }
 
-func (rcv *OpAsk) UnPack() *OpAskT {
+func (rcv *OperationRequest) UnPack() *OperationRequestT {
 	if rcv == nil {
 		return nil
 	}
-	t := &OpAskT{}
+	t := &OperationRequestT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type OpAsk struct {
+type OperationRequest struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsOpAsk(buf []byte, offset flatbuffers.UOffsetT) *OpAsk {
+func GetRootAsOperationRequest(buf []byte, offset flatbuffers.UOffsetT) *OperationRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &OpAsk{}
+	x := &OperationRequest{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsOpAsk(buf []byte, offset flatbuffers.UOffsetT) *OpAsk {
+func GetSizePrefixedRootAsOperationRequest(buf []byte, offset flatbuffers.UOffsetT) *OperationRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &OpAsk{}
+	x := &OperationRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *OpAsk) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *OperationRequest) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *OpAsk) Table() flatbuffers.Table {
+func (rcv *OperationRequest) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *OpAsk) Kind() byte {
+func (rcv *OperationRequest) Type() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -2597,11 +2597,11 @@
 	return 0
 }
 
-func (rcv *OpAsk) MutateKind(n byte) bool {
+func (rcv *OperationRequest) MutateType(n byte) bool {
 	return rcv._tab.MutateByteSlot(4, n)
 }
 
-func (rcv *OpAsk) Key() []byte {
+func (rcv *OperationRequest) Key() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -2609,7 +2609,7 @@
 	return nil
 }
 
-func (rcv *OpAsk) Val(j int) byte {
+func (rcv *OperationRequest) Value(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -2618,7 +2618,7 @@
 	return 0
 }
 
-func (rcv *OpAsk) ValLength() int {
+func (rcv *OperationRequest) ValueLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -2626,7 +2626,7 @@
 	return 0
 }
 
-func (rcv *OpAsk) ValBytes() []byte {
+func (rcv *OperationRequest) ValueBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -2634,7 +2634,7 @@
 	return nil
 }
 
-func (rcv *OpAsk) MutateVal(j int, n byte) bool {
+func (rcv *OperationRequest) MutateValue(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -2643,7 +2643,7 @@
 	return false
 }
 
-func (rcv *OpAsk) Expect() uint64 {
+func (rcv *OperationRequest) ExpectedRevision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2651,11 +2651,11 @@
 	return 0
 }
 
-func (rcv *OpAsk) MutateExpect(n uint64) bool {
+func (rcv *OperationRequest) MutateExpectedRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(10, n)
 }
 
-func (rcv *OpAsk) Holder() []byte {
+func (rcv *OperationRequest) Holder() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -2663,7 +2663,7 @@
 	return nil
 }
 
-func (rcv *OpAsk) Term() int64 {
+func (rcv *OperationRequest) LeaseDuration() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -2671,11 +2671,11 @@
 	return 0
 }
 
-func (rcv *OpAsk) MutateTerm(n int64) bool {
+func (rcv *OperationRequest) MutateLeaseDuration(n int64) bool {
 	return rcv._tab.MutateInt64Slot(14, n)
 }
 
-func (rcv *OpAsk) Hops() byte {
+func (rcv *OperationRequest) Hops() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -2683,11 +2683,11 @@
 	return 0
 }
 
-func (rcv *OpAsk) MutateHops(n byte) bool {
+func (rcv *OperationRequest) MutateHops(n byte) bool {
 	return rcv._tab.MutateByteSlot(16, n)
 }
 
-func (rcv *OpAsk) Have() uint64 {
+func (rcv *OperationRequest) HaveRevision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2695,112 +2695,112 @@
 	return 0
 }
 
-func (rcv *OpAsk) MutateHave(n uint64) bool {
+func (rcv *OperationRequest) MutateHaveRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(18, n)
 }
 
-func OpAskStart(builder *flatbuffers.Builder) {
+func OperationRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(8)
 }
-func OpAskAddKind(builder *flatbuffers.Builder, kind byte) {
+func OperationRequestAddType(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(0, kind, 0)
 }
-func OpAskAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
+func OperationRequestAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(key), 0)
 }
-func OpAskAddVal(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
+func OperationRequestAddValue(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(val), 0)
 }
-func OpAskStartValVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func OperationRequestStartValueVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func OpAskAddExpect(builder *flatbuffers.Builder, expect uint64) {
+func OperationRequestAddExpectedRevision(builder *flatbuffers.Builder, expect uint64) {
 	builder.PrependUint64Slot(3, expect, 0)
 }
-func OpAskAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
+func OperationRequestAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(holder), 0)
 }
-func OpAskAddTerm(builder *flatbuffers.Builder, term int64) {
+func OperationRequestAddLeaseDuration(builder *flatbuffers.Builder, term int64) {
 	builder.PrependInt64Slot(5, term, 0)
 }
-func OpAskAddHops(builder *flatbuffers.Builder, hops byte) {
+func OperationRequestAddHops(builder *flatbuffers.Builder, hops byte) {
 	builder.PrependByteSlot(6, hops, 0)
 }
-func OpAskAddHave(builder *flatbuffers.Builder, have uint64) {
+func OperationRequestAddHaveRevision(builder *flatbuffers.Builder, have uint64) {
 	builder.PrependUint64Slot(7, have, 0)
 }
-func OpAskEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func OperationRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type OpTellT struct {
-	Status byte   `json:"status"`
-	Rev    uint64 `json:"rev"`
-	Val    []byte `json:"val"`
-	Owner  string `json:"owner"`
+type OperationResponseT struct {
+	Status   byte   `json:"status"`
+	Revision uint64 `json:"rev"`
+	Value    []byte `json:"val"`
+	Leader   string `json:"owner"`
 }
 
-func (t *OpTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *OperationResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	valOffset := flatbuffers.UOffsetT(0)
-	if t.Val != nil {
-		valOffset = builder.CreateByteString(t.Val)
+	if t.Value != nil {
+		valOffset = builder.CreateByteString(t.Value)
 	}
-	ownerOffset := builder.CreateString(t.Owner)
-	OpTellStart(builder)
-	OpTellAddStatus(builder, t.Status)
-	OpTellAddRev(builder, t.Rev)
-	OpTellAddVal(builder, valOffset)
-	OpTellAddOwner(builder, ownerOffset)
-	return OpTellEnd(builder)
+	ownerOffset := builder.CreateString(t.Leader)
+	OperationResponseStart(builder)
+	OperationResponseAddStatus(builder, t.Status)
+	OperationResponseAddRevision(builder, t.Revision)
+	OperationResponseAddValue(builder, valOffset)
+	OperationResponseAddLeader(builder, ownerOffset)
+	return OperationResponseEnd(builder)
 }
 
-func (rcv *OpTell) UnPackTo(t *OpTellT) {
+func (rcv *OperationResponse) UnPackTo(t *OperationResponseT) {
 	t.Status = rcv.Status()
-	t.Rev = rcv.Rev()
-	t.Val = rcv.ValBytes()
-	t.Owner = string(rcv.Owner())
+	t.Revision = rcv.Revision()
+	t.Value = rcv.ValueBytes()
+	t.Leader = string(rcv.Leader())
 }
 
-func (rcv *OpTell) UnPack() *OpTellT {
+func (rcv *OperationResponse) UnPack() *OperationResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &OpTellT{}
+	t := &OperationResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type OpTell struct {
+type OperationResponse struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsOpTell(buf []byte, offset flatbuffers.UOffsetT) *OpTell {
+func GetRootAsOperationResponse(buf []byte, offset flatbuffers.UOffsetT) *OperationResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &OpTell{}
+	x := &OperationResponse{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsOpTell(buf []byte, offset flatbuffers.UOffsetT) *OpTell {
+func GetSizePrefixedRootAsOperationResponse(buf []byte, offset flatbuffers.UOffsetT) *OperationResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &OpTell{}
+	x := &OperationResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *OpTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *OperationResponse) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *OpTell) Table() flatbuffers.Table {
+func (rcv *OperationResponse) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *OpTell) Status() byte {
+func (rcv *OperationResponse) Status() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -2808,11 +2808,11 @@
 	return 0
 }
 
-func (rcv *OpTell) MutateStatus(n byte) bool {
+func (rcv *OperationResponse) MutateStatus(n byte) bool {
 	return rcv._tab.MutateByteSlot(4, n)
 }
 
-func (rcv *OpTell) Rev() uint64 {
+func (rcv *OperationResponse) Revision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2820,11 +2820,11 @@
 	return 0
 }
 
-func (rcv *OpTell) MutateRev(n uint64) bool {
+func (rcv *OperationResponse) MutateRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *OpTell) Val(j int) byte {
+func (rcv *OperationResponse) Value(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -2833,7 +2833,7 @@
 	return 0
 }
 
-func (rcv *OpTell) ValLength() int {
+func (rcv *OperationResponse) ValueLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -2841,7 +2841,7 @@
 	return 0
 }
 
-func (rcv *OpTell) ValBytes() []byte {
+func (rcv *OperationResponse) ValueBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -2849,7 +2849,7 @@
 	return nil
 }
 
-func (rcv *OpTell) MutateVal(j int, n byte) bool {
+func (rcv *OperationResponse) MutateValue(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -2858,7 +2858,7 @@
 	return false
 }
 
-func (rcv *OpTell) Owner() []byte {
+func (rcv *OperationResponse) Leader() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -2866,94 +2866,94 @@
 	return nil
 }
 
-func OpTellStart(builder *flatbuffers.Builder) {
+func OperationResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(4)
 }
-func OpTellAddStatus(builder *flatbuffers.Builder, status byte) {
+func OperationResponseAddStatus(builder *flatbuffers.Builder, status byte) {
 	builder.PrependByteSlot(0, status, 0)
 }
-func OpTellAddRev(builder *flatbuffers.Builder, rev uint64) {
+func OperationResponseAddRevision(builder *flatbuffers.Builder, rev uint64) {
 	builder.PrependUint64Slot(1, rev, 0)
 }
-func OpTellAddVal(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
+func OperationResponseAddValue(builder *flatbuffers.Builder, val flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(val), 0)
 }
-func OpTellStartValVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func OperationResponseStartValueVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func OpTellAddOwner(builder *flatbuffers.Builder, owner flatbuffers.UOffsetT) {
+func OperationResponseAddLeader(builder *flatbuffers.Builder, owner flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(owner), 0)
 }
-func OpTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func OperationResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type NewsT struct {
-	Hi    uint64 `json:"hi"`
-	Lo    uint64 `json:"lo"`
-	Check uint32 `json:"check"`
-	Node  uint64 `json:"node"`
-	Op    byte   `json:"op"`
+type CacheUpdateT struct {
+	Hi     uint64 `json:"hi"`
+	Lo     uint64 `json:"lo"`
+	Check  uint32 `json:"check"`
+	Holder uint64 `json:"node"`
+	Op     byte   `json:"op"`
 }
 
-func (t *NewsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *CacheUpdateT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	NewsStart(builder)
-	NewsAddHi(builder, t.Hi)
-	NewsAddLo(builder, t.Lo)
-	NewsAddCheck(builder, t.Check)
-	NewsAddNode(builder, t.Node)
-	NewsAddOp(builder, t.Op)
-	return NewsEnd(builder)
+	CacheUpdateStart(builder)
+	CacheUpdateAddHi(builder, t.Hi)
+	CacheUpdateAddLo(builder, t.Lo)
+	CacheUpdateAddCheck(builder, t.Check)
+	CacheUpdateAddHolder(builder, t.Holder)
+	CacheUpdateAddOp(builder, t.Op)
+	return CacheUpdateEnd(builder)
 }
 
-func (rcv *News) UnPackTo(t *NewsT) {
+func (rcv *CacheUpdate) UnPackTo(t *CacheUpdateT) {
 	t.Hi = rcv.Hi()
 	t.Lo = rcv.Lo()
 	t.Check = rcv.Check()
-	t.Node = rcv.Node()
+	t.Holder = rcv.Holder()
 	t.Op = rcv.Op()
 }
 
-func (rcv *News) UnPack() *NewsT {
+func (rcv *CacheUpdate) UnPack() *CacheUpdateT {
 	if rcv == nil {
 		return nil
 	}
-	t := &NewsT{}
+	t := &CacheUpdateT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type News struct {
+type CacheUpdate struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsNews(buf []byte, offset flatbuffers.UOffsetT) *News {
+func GetRootAsCacheUpdate(buf []byte, offset flatbuffers.UOffsetT) *CacheUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &News{}
+	x := &CacheUpdate{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsNews(buf []byte, offset flatbuffers.UOffsetT) *News {
+func GetSizePrefixedRootAsCacheUpdate(buf []byte, offset flatbuffers.UOffsetT) *CacheUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &News{}
+	x := &CacheUpdate{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *News) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *CacheUpdate) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *News) Table() flatbuffers.Table {
+func (rcv *CacheUpdate) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *News) Hi() uint64 {
+func (rcv *CacheUpdate) Hi() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2961,11 +2961,11 @@
 	return 0
 }
 
-func (rcv *News) MutateHi(n uint64) bool {
+func (rcv *CacheUpdate) MutateHi(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *News) Lo() uint64 {
+func (rcv *CacheUpdate) Lo() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2973,11 +2973,11 @@
 	return 0
 }
 
-func (rcv *News) MutateLo(n uint64) bool {
+func (rcv *CacheUpdate) MutateLo(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *News) Check() uint32 {
+func (rcv *CacheUpdate) Check() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -2985,11 +2985,11 @@
 	return 0
 }
 
-func (rcv *News) MutateCheck(n uint32) bool {
+func (rcv *CacheUpdate) MutateCheck(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(8, n)
 }
 
-func (rcv *News) Node() uint64 {
+func (rcv *CacheUpdate) Holder() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -2997,11 +2997,11 @@
 	return 0
 }
 
-func (rcv *News) MutateNode(n uint64) bool {
+func (rcv *CacheUpdate) MutateHolder(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(10, n)
 }
 
-func (rcv *News) Op() byte {
+func (rcv *CacheUpdate) Op() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -3009,145 +3009,145 @@
 	return 0
 }
 
-func (rcv *News) MutateOp(n byte) bool {
+func (rcv *CacheUpdate) MutateOp(n byte) bool {
 	return rcv._tab.MutateByteSlot(12, n)
 }
 
-func NewsStart(builder *flatbuffers.Builder) {
+func CacheUpdateStart(builder *flatbuffers.Builder) {
 	builder.StartObject(5)
 }
-func NewsAddHi(builder *flatbuffers.Builder, hi uint64) {
+func CacheUpdateAddHi(builder *flatbuffers.Builder, hi uint64) {
 	builder.PrependUint64Slot(0, hi, 0)
 }
-func NewsAddLo(builder *flatbuffers.Builder, lo uint64) {
+func CacheUpdateAddLo(builder *flatbuffers.Builder, lo uint64) {
 	builder.PrependUint64Slot(1, lo, 0)
 }
-func NewsAddCheck(builder *flatbuffers.Builder, check uint32) {
+func CacheUpdateAddCheck(builder *flatbuffers.Builder, check uint32) {
 	builder.PrependUint32Slot(2, check, 0)
 }
-func NewsAddNode(builder *flatbuffers.Builder, node uint64) {
+func CacheUpdateAddHolder(builder *flatbuffers.Builder, node uint64) {
 	builder.PrependUint64Slot(3, node, 0)
 }
-func NewsAddOp(builder *flatbuffers.Builder, op byte) {
+func CacheUpdateAddOp(builder *flatbuffers.Builder, op byte) {
 	builder.PrependByteSlot(4, op, 0)
 }
-func NewsEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func CacheUpdateEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type OrderT struct {
-	Engine  string    `json:"engine"`
-	Addr    string    `json:"addr"`
-	Site    string    `json:"site"`
-	Store   bool      `json:"store"`
-	Id      uint64    `json:"id"`
-	Epoch   uint64    `json:"epoch"`
-	Room    uint32    `json:"room"`
-	Weights string    `json:"weights"`
-	Load    uint32    `json:"load"`
-	Queue   uint32    `json:"queue"`
-	SlowUs  int64     `json:"slow_us"`
-	Age     int64     `json:"age"`
-	Grades  []*GradeT `json:"grades"`
+type GrantT struct {
+	Engine         string            `json:"engine"`
+	Addr           string            `json:"addr"`
+	Zone           string            `json:"site"`
+	Store          bool              `json:"store"`
+	NodeId         uint64            `json:"id"`
+	FencingToken   uint64            `json:"epoch"`
+	Capacity       uint32            `json:"room"`
+	Weights        string            `json:"weights"`
+	Load           uint32            `json:"load"`
+	Queue          uint32            `json:"queue"`
+	SlowUs         int64             `json:"slow_us"`
+	Age            int64             `json:"age"`
+	TransferScores []*TransferScoreT `json:"grades"`
 }
 
-func (t *OrderT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *GrantT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	engineOffset := builder.CreateString(t.Engine)
 	addrOffset := builder.CreateString(t.Addr)
-	siteOffset := builder.CreateString(t.Site)
+	siteOffset := builder.CreateString(t.Zone)
 	weightsOffset := builder.CreateString(t.Weights)
 	gradesOffset := flatbuffers.UOffsetT(0)
-	if t.Grades != nil {
-		gradesLength := len(t.Grades)
+	if t.TransferScores != nil {
+		gradesLength := len(t.TransferScores)
 		gradesOffsets := make([]flatbuffers.UOffsetT, gradesLength)
 		for j := 0; j < gradesLength; j++ {
-			gradesOffsets[j] = t.Grades[j].Pack(builder)
+			gradesOffsets[j] = t.TransferScores[j].Pack(builder)
 		}
-		OrderStartGradesVector(builder, gradesLength)
+		GrantStartTransferScoresVector(builder, gradesLength)
 		for j := gradesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(gradesOffsets[j])
 		}
 		gradesOffset = builder.EndVector(gradesLength)
 	}
-	OrderStart(builder)
-	OrderAddEngine(builder, engineOffset)
-	OrderAddAddr(builder, addrOffset)
-	OrderAddSite(builder, siteOffset)
-	OrderAddStore(builder, t.Store)
-	OrderAddId(builder, t.Id)
-	OrderAddEpoch(builder, t.Epoch)
-	OrderAddRoom(builder, t.Room)
-	OrderAddWeights(builder, weightsOffset)
-	OrderAddLoad(builder, t.Load)
-	OrderAddQueue(builder, t.Queue)
-	OrderAddSlowUs(builder, t.SlowUs)
-	OrderAddAge(builder, t.Age)
-	OrderAddGrades(builder, gradesOffset)
-	return OrderEnd(builder)
-}
-
-func (rcv *Order) UnPackTo(t *OrderT) {
+	GrantStart(builder)
+	GrantAddEngine(builder, engineOffset)
+	GrantAddAddr(builder, addrOffset)
+	GrantAddZone(builder, siteOffset)
+	GrantAddStore(builder, t.Store)
+	GrantAddNodeId(builder, t.NodeId)
+	GrantAddFencingToken(builder, t.FencingToken)
+	GrantAddCapacity(builder, t.Capacity)
+	GrantAddWeights(builder, weightsOffset)
+	GrantAddLoad(builder, t.Load)
+	GrantAddQueue(builder, t.Queue)
+	GrantAddSlowUs(builder, t.SlowUs)
+	GrantAddAge(builder, t.Age)
+	GrantAddTransferScores(builder, gradesOffset)
+	return GrantEnd(builder)
+}
+
+func (rcv *Grant) UnPackTo(t *GrantT) {
 	t.Engine = string(rcv.Engine())
 	t.Addr = string(rcv.Addr())
-	t.Site = string(rcv.Site())
+	t.Zone = string(rcv.Zone())
 	t.Store = rcv.Store()
-	t.Id = rcv.Id()
-	t.Epoch = rcv.Epoch()
-	t.Room = rcv.Room()
+	t.NodeId = rcv.NodeId()
+	t.FencingToken = rcv.FencingToken()
+	t.Capacity = rcv.Capacity()
 	t.Weights = string(rcv.Weights())
 	t.Load = rcv.Load()
 	t.Queue = rcv.Queue()
 	t.SlowUs = rcv.SlowUs()
 	t.Age = rcv.Age()
-	gradesLength := rcv.GradesLength()
-	t.Grades = make([]*GradeT, gradesLength)
+	gradesLength := rcv.TransferScoresLength()
+	t.TransferScores = make([]*TransferScoreT, gradesLength)
 	for j := 0; j < gradesLength; j++ {
-		x := Grade{}
-		rcv.Grades(&x, j)
-		t.Grades[j] = x.UnPack()
+		x := TransferScore{}
+		rcv.TransferScores(&x, j)
+		t.TransferScores[j] = x.UnPack()
 	}
 }
 
-func (rcv *Order) UnPack() *OrderT {
+func (rcv *Grant) UnPack() *GrantT {
 	if rcv == nil {
 		return nil
 	}
-	t := &OrderT{}
+	t := &GrantT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Order struct {
+type Grant struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsOrder(buf []byte, offset flatbuffers.UOffsetT) *Order {
+func GetRootAsGrant(buf []byte, offset flatbuffers.UOffsetT) *Grant {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Order{}
+	x := &Grant{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsOrder(buf []byte, offset flatbuffers.UOffsetT) *Order {
+func GetSizePrefixedRootAsGrant(buf []byte, offset flatbuffers.UOffsetT) *Grant {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Order{}
+	x := &Grant{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Order) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Grant) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Order) Table() flatbuffers.Table {
+func (rcv *Grant) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Order) Engine() []byte {
+func (rcv *Grant) Engine() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3155,7 +3155,7 @@
 	return nil
 }
 
-func (rcv *Order) Addr() []byte {
+func (rcv *Grant) Addr() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3163,7 +3163,7 @@
 	return nil
 }
 
-func (rcv *Order) Site() []byte {
+func (rcv *Grant) Zone() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3171,7 +3171,7 @@
 	return nil
 }
 
-func (rcv *Order) Store() bool {
+func (rcv *Grant) Store() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -3179,11 +3179,11 @@
 	return false
 }
 
-func (rcv *Order) MutateStore(n bool) bool {
+func (rcv *Grant) MutateStore(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func (rcv *Order) Id() uint64 {
+func (rcv *Grant) NodeId() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -3191,11 +3191,11 @@
 	return 0
 }
 
-func (rcv *Order) MutateId(n uint64) bool {
+func (rcv *Grant) MutateNodeId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *Order) Epoch() uint64 {
+func (rcv *Grant) FencingToken() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -3203,11 +3203,11 @@
 	return 0
 }
 
-func (rcv *Order) MutateEpoch(n uint64) bool {
+func (rcv *Grant) MutateFencingToken(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *Order) Room() uint32 {
+func (rcv *Grant) Capacity() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -3215,11 +3215,11 @@
 	return 0
 }
 
-func (rcv *Order) MutateRoom(n uint32) bool {
+func (rcv *Grant) MutateCapacity(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(16, n)
 }
 
-func (rcv *Order) Weights() []byte {
+func (rcv *Grant) Weights() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3227,7 +3227,7 @@
 	return nil
 }
 
-func (rcv *Order) Load() uint32 {
+func (rcv *Grant) Load() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -3235,11 +3235,11 @@
 	return 0
 }
 
-func (rcv *Order) MutateLoad(n uint32) bool {
+func (rcv *Grant) MutateLoad(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(20, n)
 }
 
-func (rcv *Order) Queue() uint32 {
+func (rcv *Grant) Queue() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -3247,11 +3247,11 @@
 	return 0
 }
 
-func (rcv *Order) MutateQueue(n uint32) bool {
+func (rcv *Grant) MutateQueue(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(22, n)
 }
 
-func (rcv *Order) SlowUs() int64 {
+func (rcv *Grant) SlowUs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -3259,11 +3259,11 @@
 	return 0
 }
 
-func (rcv *Order) MutateSlowUs(n int64) bool {
+func (rcv *Grant) MutateSlowUs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(24, n)
 }
 
-func (rcv *Order) Age() int64 {
+func (rcv *Grant) Age() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -3271,11 +3271,11 @@
 	return 0
 }
 
-func (rcv *Order) MutateAge(n int64) bool {
+func (rcv *Grant) MutateAge(n int64) bool {
 	return rcv._tab.MutateInt64Slot(26, n)
 }
 
-func (rcv *Order) Grades(obj *Grade, j int) bool {
+func (rcv *Grant) TransferScores(obj *TransferScore, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -3287,7 +3287,7 @@
 	return false
 }
 
-func (rcv *Order) GradesLength() int {
+func (rcv *Grant) TransferScoresLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -3295,112 +3295,112 @@
 	return 0
 }
 
-func OrderStart(builder *flatbuffers.Builder) {
+func GrantStart(builder *flatbuffers.Builder) {
 	builder.StartObject(13)
 }
-func OrderAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
+func GrantAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(engine), 0)
 }
-func OrderAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
+func GrantAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(addr), 0)
 }
-func OrderAddSite(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
+func GrantAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(site), 0)
 }
-func OrderAddStore(builder *flatbuffers.Builder, store bool) {
+func GrantAddStore(builder *flatbuffers.Builder, store bool) {
 	builder.PrependBoolSlot(3, store, false)
 }
-func OrderAddId(builder *flatbuffers.Builder, id uint64) {
+func GrantAddNodeId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(4, id, 0)
 }
-func OrderAddEpoch(builder *flatbuffers.Builder, epoch uint64) {
+func GrantAddFencingToken(builder *flatbuffers.Builder, epoch uint64) {
 	builder.PrependUint64Slot(5, epoch, 0)
 }
-func OrderAddRoom(builder *flatbuffers.Builder, room uint32) {
+func GrantAddCapacity(builder *flatbuffers.Builder, room uint32) {
 	builder.PrependUint32Slot(6, room, 0)
 }
-func OrderAddWeights(builder *flatbuffers.Builder, weights flatbuffers.UOffsetT) {
+func GrantAddWeights(builder *flatbuffers.Builder, weights flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(weights), 0)
 }
-func OrderAddLoad(builder *flatbuffers.Builder, load uint32) {
+func GrantAddLoad(builder *flatbuffers.Builder, load uint32) {
 	builder.PrependUint32Slot(8, load, 0)
 }
-func OrderAddQueue(builder *flatbuffers.Builder, queue uint32) {
+func GrantAddQueue(builder *flatbuffers.Builder, queue uint32) {
 	builder.PrependUint32Slot(9, queue, 0)
 }
-func OrderAddSlowUs(builder *flatbuffers.Builder, slowUs int64) {
+func GrantAddSlowUs(builder *flatbuffers.Builder, slowUs int64) {
 	builder.PrependInt64Slot(10, slowUs, 0)
 }
-func OrderAddAge(builder *flatbuffers.Builder, age int64) {
+func GrantAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(11, age, 0)
 }
-func OrderAddGrades(builder *flatbuffers.Builder, grades flatbuffers.UOffsetT) {
+func GrantAddTransferScores(builder *flatbuffers.Builder, grades flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(grades), 0)
 }
-func OrderStartGradesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func GrantStartTransferScoresVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func OrderEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func GrantEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type GradeT struct {
-	Peer  uint64 `json:"peer"`
-	Worth uint32 `json:"worth"`
+type TransferScoreT struct {
+	Peer     uint64 `json:"peer"`
+	Permille uint32 `json:"worth"`
 }
 
-func (t *GradeT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *TransferScoreT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	GradeStart(builder)
-	GradeAddPeer(builder, t.Peer)
-	GradeAddWorth(builder, t.Worth)
-	return GradeEnd(builder)
+	TransferScoreStart(builder)
+	TransferScoreAddPeer(builder, t.Peer)
+	TransferScoreAddPermille(builder, t.Permille)
+	return TransferScoreEnd(builder)
 }
 
-func (rcv *Grade) UnPackTo(t *GradeT) {
+func (rcv *TransferScore) UnPackTo(t *TransferScoreT) {
 	t.Peer = rcv.Peer()
-	t.Worth = rcv.Worth()
+	t.Permille = rcv.Permille()
 }
 
-func (rcv *Grade) UnPack() *GradeT {
+func (rcv *TransferScore) UnPack() *TransferScoreT {
 	if rcv == nil {
 		return nil
 	}
-	t := &GradeT{}
+	t := &TransferScoreT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Grade struct {
+type TransferScore struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsGrade(buf []byte, offset flatbuffers.UOffsetT) *Grade {
+func GetRootAsTransferScore(buf []byte, offset flatbuffers.UOffsetT) *TransferScore {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Grade{}
+	x := &TransferScore{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsGrade(buf []byte, offset flatbuffers.UOffsetT) *Grade {
+func GetSizePrefixedRootAsTransferScore(buf []byte, offset flatbuffers.UOffsetT) *TransferScore {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Grade{}
+	x := &TransferScore{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Grade) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *TransferScore) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Grade) Table() flatbuffers.Table {
+func (rcv *TransferScore) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Grade) Peer() uint64 {
+func (rcv *TransferScore) Peer() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -3408,11 +3408,11 @@
 	return 0
 }
 
-func (rcv *Grade) MutatePeer(n uint64) bool {
+func (rcv *TransferScore) MutatePeer(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Grade) Worth() uint32 {
+func (rcv *TransferScore) Permille() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -3420,110 +3420,110 @@
 	return 0
 }
 
-func (rcv *Grade) MutateWorth(n uint32) bool {
+func (rcv *TransferScore) MutatePermille(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(6, n)
 }
 
-func GradeStart(builder *flatbuffers.Builder) {
+func TransferScoreStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func GradeAddPeer(builder *flatbuffers.Builder, peer uint64) {
+func TransferScoreAddPeer(builder *flatbuffers.Builder, peer uint64) {
 	builder.PrependUint64Slot(0, peer, 0)
 }
-func GradeAddWorth(builder *flatbuffers.Builder, worth uint32) {
+func TransferScoreAddPermille(builder *flatbuffers.Builder, worth uint32) {
 	builder.PrependUint32Slot(1, worth, 0)
 }
-func GradeEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func TransferScoreEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type ImportT struct {
-	Attempt string   `json:"attempt"`
-	Engine  string   `json:"engine"`
-	Peer    uint64   `json:"peer"`
-	Total   uint32   `json:"total"`
-	Parts   []*NewsT `json:"parts"`
+type TransferT struct {
+	Attempt  string          `json:"attempt"`
+	Engine   string          `json:"engine"`
+	FromNode uint64          `json:"peer"`
+	Total    uint32          `json:"total"`
+	Blocks   []*CacheUpdateT `json:"parts"`
 }
 
-func (t *ImportT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *TransferT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	attemptOffset := builder.CreateString(t.Attempt)
 	engineOffset := builder.CreateString(t.Engine)
 	partsOffset := flatbuffers.UOffsetT(0)
-	if t.Parts != nil {
-		partsLength := len(t.Parts)
+	if t.Blocks != nil {
+		partsLength := len(t.Blocks)
 		partsOffsets := make([]flatbuffers.UOffsetT, partsLength)
 		for j := 0; j < partsLength; j++ {
-			partsOffsets[j] = t.Parts[j].Pack(builder)
+			partsOffsets[j] = t.Blocks[j].Pack(builder)
 		}
-		ImportStartPartsVector(builder, partsLength)
+		TransferStartBlocksVector(builder, partsLength)
 		for j := partsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(partsOffsets[j])
 		}
 		partsOffset = builder.EndVector(partsLength)
 	}
-	ImportStart(builder)
-	ImportAddAttempt(builder, attemptOffset)
-	ImportAddEngine(builder, engineOffset)
-	ImportAddPeer(builder, t.Peer)
-	ImportAddTotal(builder, t.Total)
-	ImportAddParts(builder, partsOffset)
-	return ImportEnd(builder)
+	TransferStart(builder)
+	TransferAddAttempt(builder, attemptOffset)
+	TransferAddEngine(builder, engineOffset)
+	TransferAddFromNode(builder, t.FromNode)
+	TransferAddTotal(builder, t.Total)
+	TransferAddBlocks(builder, partsOffset)
+	return TransferEnd(builder)
 }
 
-func (rcv *Import) UnPackTo(t *ImportT) {
+func (rcv *Transfer) UnPackTo(t *TransferT) {
 	t.Attempt = string(rcv.Attempt())
 	t.Engine = string(rcv.Engine())
-	t.Peer = rcv.Peer()
+	t.FromNode = rcv.FromNode()
 	t.Total = rcv.Total()
-	partsLength := rcv.PartsLength()
-	t.Parts = make([]*NewsT, partsLength)
+	partsLength := rcv.BlocksLength()
+	t.Blocks = make([]*CacheUpdateT, partsLength)
 	for j := 0; j < partsLength; j++ {
-		x := News{}
-		rcv.Parts(&x, j)
-		t.Parts[j] = x.UnPack()
+		x := CacheUpdate{}
+		rcv.Blocks(&x, j)
+		t.Blocks[j] = x.UnPack()
 	}
 }
 
-func (rcv *Import) UnPack() *ImportT {
+func (rcv *Transfer) UnPack() *TransferT {
 	if rcv == nil {
 		return nil
 	}
-	t := &ImportT{}
+	t := &TransferT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Import struct {
+type Transfer struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsImport(buf []byte, offset flatbuffers.UOffsetT) *Import {
+func GetRootAsTransfer(buf []byte, offset flatbuffers.UOffsetT) *Transfer {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Import{}
+	x := &Transfer{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsImport(buf []byte, offset flatbuffers.UOffsetT) *Import {
+func GetSizePrefixedRootAsTransfer(buf []byte, offset flatbuffers.UOffsetT) *Transfer {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Import{}
+	x := &Transfer{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Import) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Transfer) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Import) Table() flatbuffers.Table {
+func (rcv *Transfer) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Import) Attempt() []byte {
+func (rcv *Transfer) Attempt() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3531,7 +3531,7 @@
 	return nil
 }
 
-func (rcv *Import) Engine() []byte {
+func (rcv *Transfer) Engine() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3539,7 +3539,7 @@
 	return nil
 }
 
-func (rcv *Import) Peer() uint64 {
+func (rcv *Transfer) FromNode() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -3547,11 +3547,11 @@
 	return 0
 }
 
-func (rcv *Import) MutatePeer(n uint64) bool {
+func (rcv *Transfer) MutateFromNode(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *Import) Total() uint32 {
+func (rcv *Transfer) Total() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -3559,11 +3559,11 @@
 	return 0
 }
 
-func (rcv *Import) MutateTotal(n uint32) bool {
+func (rcv *Transfer) MutateTotal(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(10, n)
 }
 
-func (rcv *Import) Parts(obj *News, j int) bool {
+func (rcv *Transfer) Blocks(obj *CacheUpdate, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -3575,7 +3575,7 @@
 	return false
 }
 
-func (rcv *Import) PartsLength() int {
+func (rcv *Transfer) BlocksLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -3583,96 +3583,96 @@
 	return 0
 }
 
-func ImportStart(builder *flatbuffers.Builder) {
+func TransferStart(builder *flatbuffers.Builder) {
 	builder.StartObject(5)
 }
-func ImportAddAttempt(builder *flatbuffers.Builder, attempt flatbuffers.UOffsetT) {
+func TransferAddAttempt(builder *flatbuffers.Builder, attempt flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(attempt), 0)
 }
-func ImportAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
+func TransferAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(engine), 0)
 }
-func ImportAddPeer(builder *flatbuffers.Builder, peer uint64) {
+func TransferAddFromNode(builder *flatbuffers.Builder, peer uint64) {
 	builder.PrependUint64Slot(2, peer, 0)
 }
-func ImportAddTotal(builder *flatbuffers.Builder, total uint32) {
+func TransferAddTotal(builder *flatbuffers.Builder, total uint32) {
 	builder.PrependUint32Slot(3, total, 0)
 }
-func ImportAddParts(builder *flatbuffers.Builder, parts flatbuffers.UOffsetT) {
+func TransferAddBlocks(builder *flatbuffers.Builder, parts flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(parts), 0)
 }
-func ImportStartPartsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func TransferStartBlocksVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func ImportEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func TransferEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type PlaceT struct {
+type HolderLocationT struct {
 	Id     uint64 `json:"id"`
 	Engine string `json:"engine"`
-	Site   string `json:"site"`
+	Zone   string `json:"site"`
 	Store  bool   `json:"store"`
 }
 
-func (t *PlaceT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *HolderLocationT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	engineOffset := builder.CreateString(t.Engine)
-	siteOffset := builder.CreateString(t.Site)
-	PlaceStart(builder)
-	PlaceAddId(builder, t.Id)
-	PlaceAddEngine(builder, engineOffset)
-	PlaceAddSite(builder, siteOffset)
-	PlaceAddStore(builder, t.Store)
-	return PlaceEnd(builder)
+	siteOffset := builder.CreateString(t.Zone)
+	HolderLocationStart(builder)
+	HolderLocationAddId(builder, t.Id)
+	HolderLocationAddEngine(builder, engineOffset)
+	HolderLocationAddZone(builder, siteOffset)
+	HolderLocationAddStore(builder, t.Store)
+	return HolderLocationEnd(builder)
 }
 
-func (rcv *Place) UnPackTo(t *PlaceT) {
+func (rcv *HolderLocation) UnPackTo(t *HolderLocationT) {
 	t.Id = rcv.Id()
 	t.Engine = string(rcv.Engine())
-	t.Site = string(rcv.Site())
+	t.Zone = string(rcv.Zone())
 	t.Store = rcv.Store()
 }
 
-func (rcv *Place) UnPack() *PlaceT {
+func (rcv *HolderLocation) UnPack() *HolderLocationT {
 	if rcv == nil {
 		return nil
 	}
-	t := &PlaceT{}
+	t := &HolderLocationT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Place struct {
+type HolderLocation struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsPlace(buf []byte, offset flatbuffers.UOffsetT) *Place {
+func GetRootAsHolderLocation(buf []byte, offset flatbuffers.UOffsetT) *HolderLocation {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Place{}
+	x := &HolderLocation{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsPlace(buf []byte, offset flatbuffers.UOffsetT) *Place {
+func GetSizePrefixedRootAsHolderLocation(buf []byte, offset flatbuffers.UOffsetT) *HolderLocation {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Place{}
+	x := &HolderLocation{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Place) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *HolderLocation) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Place) Table() flatbuffers.Table {
+func (rcv *HolderLocation) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Place) Id() uint64 {
+func (rcv *HolderLocation) Id() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -3680,11 +3680,11 @@
 	return 0
 }
 
-func (rcv *Place) MutateId(n uint64) bool {
+func (rcv *HolderLocation) MutateId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Place) Engine() []byte {
+func (rcv *HolderLocation) Engine() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3692,7 +3692,7 @@
 	return nil
 }
 
-func (rcv *Place) Site() []byte {
+func (rcv *HolderLocation) Zone() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3700,7 +3700,7 @@
 	return nil
 }
 
-func (rcv *Place) Store() bool {
+func (rcv *HolderLocation) Store() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -3708,93 +3708,93 @@
 	return false
 }
 
-func (rcv *Place) MutateStore(n bool) bool {
+func (rcv *HolderLocation) MutateStore(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func PlaceStart(builder *flatbuffers.Builder) {
+func HolderLocationStart(builder *flatbuffers.Builder) {
 	builder.StartObject(4)
 }
-func PlaceAddId(builder *flatbuffers.Builder, id uint64) {
+func HolderLocationAddId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(0, id, 0)
 }
-func PlaceAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
+func HolderLocationAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(engine), 0)
 }
-func PlaceAddSite(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
+func HolderLocationAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(site), 0)
 }
-func PlaceAddStore(builder *flatbuffers.Builder, store bool) {
+func HolderLocationAddStore(builder *flatbuffers.Builder, store bool) {
 	builder.PrependBoolSlot(3, store, false)
 }
-func PlaceEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func HolderLocationEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type SeenT struct {
-	Engine   string `json:"engine"`
-	Problems uint32 `json:"problems"`
-	Dones    uint32 `json:"dones"`
-	FirstUs  int64  `json:"first_us"`
+type OutcomesT struct {
+	Engine    string `json:"engine"`
+	Failures  uint32 `json:"problems"`
+	Successes uint32 `json:"dones"`
+	StartUs   int64  `json:"first_us"`
 }
 
-func (t *SeenT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *OutcomesT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	engineOffset := builder.CreateString(t.Engine)
-	SeenStart(builder)
-	SeenAddEngine(builder, engineOffset)
-	SeenAddProblems(builder, t.Problems)
-	SeenAddDones(builder, t.Dones)
-	SeenAddFirstUs(builder, t.FirstUs)
-	return SeenEnd(builder)
+	OutcomesStart(builder)
+	OutcomesAddEngine(builder, engineOffset)
+	OutcomesAddFailures(builder, t.Failures)
+	OutcomesAddSuccesses(builder, t.Successes)
+	OutcomesAddStartUs(builder, t.StartUs)
+	return OutcomesEnd(builder)
 }
 
-func (rcv *Seen) UnPackTo(t *SeenT) {
+func (rcv *Outcomes) UnPackTo(t *OutcomesT) {
 	t.Engine = string(rcv.Engine())
-	t.Problems = rcv.Problems()
-	t.Dones = rcv.Dones()
-	t.FirstUs = rcv.FirstUs()
+	t.Failures = rcv.Failures()
+	t.Successes = rcv.Successes()
+	t.StartUs = rcv.StartUs()
 }
 
-func (rcv *Seen) UnPack() *SeenT {
+func (rcv *Outcomes) UnPack() *OutcomesT {
 	if rcv == nil {
 		return nil
 	}
-	t := &SeenT{}
+	t := &OutcomesT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Seen struct {
+type Outcomes struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsSeen(buf []byte, offset flatbuffers.UOffsetT) *Seen {
+func GetRootAsOutcomes(buf []byte, offset flatbuffers.UOffsetT) *Outcomes {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Seen{}
+	x := &Outcomes{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsSeen(buf []byte, offset flatbuffers.UOffsetT) *Seen {
+func GetSizePrefixedRootAsOutcomes(buf []byte, offset flatbuffers.UOffsetT) *Outcomes {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Seen{}
+	x := &Outcomes{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Seen) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Outcomes) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Seen) Table() flatbuffers.Table {
+func (rcv *Outcomes) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Seen) Engine() []byte {
+func (rcv *Outcomes) Engine() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3802,7 +3802,7 @@
 	return nil
 }
 
-func (rcv *Seen) Problems() uint32 {
+func (rcv *Outcomes) Failures() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -3810,11 +3810,11 @@
 	return 0
 }
 
-func (rcv *Seen) MutateProblems(n uint32) bool {
+func (rcv *Outcomes) MutateFailures(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(6, n)
 }
 
-func (rcv *Seen) Dones() uint32 {
+func (rcv *Outcomes) Successes() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -3822,11 +3822,11 @@
 	return 0
 }
 
-func (rcv *Seen) MutateDones(n uint32) bool {
+func (rcv *Outcomes) MutateSuccesses(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(8, n)
 }
 
-func (rcv *Seen) FirstUs() int64 {
+func (rcv *Outcomes) StartUs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -3834,87 +3834,87 @@
 	return 0
 }
 
-func (rcv *Seen) MutateFirstUs(n int64) bool {
+func (rcv *Outcomes) MutateStartUs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(10, n)
 }
 
-func SeenStart(builder *flatbuffers.Builder) {
+func OutcomesStart(builder *flatbuffers.Builder) {
 	builder.StartObject(4)
 }
-func SeenAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
+func OutcomesAddEngine(builder *flatbuffers.Builder, engine flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(engine), 0)
 }
-func SeenAddProblems(builder *flatbuffers.Builder, problems uint32) {
+func OutcomesAddFailures(builder *flatbuffers.Builder, problems uint32) {
 	builder.PrependUint32Slot(1, problems, 0)
 }
-func SeenAddDones(builder *flatbuffers.Builder, dones uint32) {
+func OutcomesAddSuccesses(builder *flatbuffers.Builder, dones uint32) {
 	builder.PrependUint32Slot(2, dones, 0)
 }
-func SeenAddFirstUs(builder *flatbuffers.Builder, firstUs int64) {
+func OutcomesAddStartUs(builder *flatbuffers.Builder, firstUs int64) {
 	builder.PrependInt64Slot(3, firstUs, 0)
 }
-func SeenEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func OutcomesEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type WantT struct {
-	Group string `json:"group"`
-	N     uint32 `json:"n"`
+type DemandT struct {
+	Group    string `json:"group"`
+	Requests uint32 `json:"n"`
 }
 
-func (t *WantT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *DemandT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	groupOffset := builder.CreateString(t.Group)
-	WantStart(builder)
-	WantAddGroup(builder, groupOffset)
-	WantAddN(builder, t.N)
-	return WantEnd(builder)
+	DemandStart(builder)
+	DemandAddGroup(builder, groupOffset)
+	DemandAddRequests(builder, t.Requests)
+	return DemandEnd(builder)
 }
 
-func (rcv *Want) UnPackTo(t *WantT) {
+func (rcv *Demand) UnPackTo(t *DemandT) {
 	t.Group = string(rcv.Group())
-	t.N = rcv.N()
+	t.Requests = rcv.Requests()
 }
 
-func (rcv *Want) UnPack() *WantT {
+func (rcv *Demand) UnPack() *DemandT {
 	if rcv == nil {
 		return nil
 	}
-	t := &WantT{}
+	t := &DemandT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Want struct {
+type Demand struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsWant(buf []byte, offset flatbuffers.UOffsetT) *Want {
+func GetRootAsDemand(buf []byte, offset flatbuffers.UOffsetT) *Demand {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Want{}
+	x := &Demand{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsWant(buf []byte, offset flatbuffers.UOffsetT) *Want {
+func GetSizePrefixedRootAsDemand(buf []byte, offset flatbuffers.UOffsetT) *Demand {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Want{}
+	x := &Demand{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Want) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Demand) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Want) Table() flatbuffers.Table {
+func (rcv *Demand) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Want) Group() []byte {
+func (rcv *Demand) Group() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -3922,7 +3922,7 @@
 	return nil
 }
 
-func (rcv *Want) N() uint32 {
+func (rcv *Demand) Requests() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -3930,164 +3930,164 @@
 	return 0
 }
 
-func (rcv *Want) MutateN(n uint32) bool {
+func (rcv *Demand) MutateRequests(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(6, n)
 }
 
-func WantStart(builder *flatbuffers.Builder) {
+func DemandStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func WantAddGroup(builder *flatbuffers.Builder, group flatbuffers.UOffsetT) {
+func DemandAddGroup(builder *flatbuffers.Builder, group flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(group), 0)
 }
-func WantAddN(builder *flatbuffers.Builder, n uint32) {
+func DemandAddRequests(builder *flatbuffers.Builder, n uint32) {
 	builder.PrependUint32Slot(1, n, 0)
 }
-func WantEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func DemandEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type RoomAskT struct {
-	Proxy     string     `json:"proxy"`
-	Site      string     `json:"site"`
-	Inc       uint64     `json:"inc"`
-	Wants     []*WantT   `json:"wants"`
-	Active    uint32     `json:"active"`
-	NewsInc   uint64     `json:"news_inc"`
-	NewsSince uint64     `json:"news_since"`
-	Imports   []*ImportT `json:"imports"`
-	Seen      []*SeenT   `json:"seen"`
-	To        string     `json:"to"`
+type CapacityRequestT struct {
+	Proxy              string       `json:"proxy"`
+	Zone               string       `json:"site"`
+	Incarnation        uint64       `json:"inc"`
+	Demand             []*DemandT   `json:"wants"`
+	Active             uint32       `json:"active"`
+	UpdatesIncarnation uint64       `json:"news_inc"`
+	UpdatesSince       uint64       `json:"news_since"`
+	Transfers          []*TransferT `json:"imports"`
+	Outcomes           []*OutcomesT `json:"seen"`
+	To                 string       `json:"to"`
 }
 
-func (t *RoomAskT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *CapacityRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	proxyOffset := builder.CreateString(t.Proxy)
-	siteOffset := builder.CreateString(t.Site)
+	siteOffset := builder.CreateString(t.Zone)
 	wantsOffset := flatbuffers.UOffsetT(0)
-	if t.Wants != nil {
-		wantsLength := len(t.Wants)
+	if t.Demand != nil {
+		wantsLength := len(t.Demand)
 		wantsOffsets := make([]flatbuffers.UOffsetT, wantsLength)
 		for j := 0; j < wantsLength; j++ {
-			wantsOffsets[j] = t.Wants[j].Pack(builder)
+			wantsOffsets[j] = t.Demand[j].Pack(builder)
 		}
-		RoomAskStartWantsVector(builder, wantsLength)
+		CapacityRequestStartDemandVector(builder, wantsLength)
 		for j := wantsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(wantsOffsets[j])
 		}
 		wantsOffset = builder.EndVector(wantsLength)
 	}
 	importsOffset := flatbuffers.UOffsetT(0)
-	if t.Imports != nil {
-		importsLength := len(t.Imports)
+	if t.Transfers != nil {
+		importsLength := len(t.Transfers)
 		importsOffsets := make([]flatbuffers.UOffsetT, importsLength)
 		for j := 0; j < importsLength; j++ {
-			importsOffsets[j] = t.Imports[j].Pack(builder)
+			importsOffsets[j] = t.Transfers[j].Pack(builder)
 		}
-		RoomAskStartImportsVector(builder, importsLength)
+		CapacityRequestStartTransfersVector(builder, importsLength)
 		for j := importsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(importsOffsets[j])
 		}
 		importsOffset = builder.EndVector(importsLength)
 	}
 	seenOffset := flatbuffers.UOffsetT(0)
-	if t.Seen != nil {
-		seenLength := len(t.Seen)
+	if t.Outcomes != nil {
+		seenLength := len(t.Outcomes)
 		seenOffsets := make([]flatbuffers.UOffsetT, seenLength)
 		for j := 0; j < seenLength; j++ {
-			seenOffsets[j] = t.Seen[j].Pack(builder)
+			seenOffsets[j] = t.Outcomes[j].Pack(builder)
 		}
-		RoomAskStartSeenVector(builder, seenLength)
+		CapacityRequestStartOutcomesVector(builder, seenLength)
 		for j := seenLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(seenOffsets[j])
 		}
 		seenOffset = builder.EndVector(seenLength)
 	}
 	toOffset := builder.CreateString(t.To)
-	RoomAskStart(builder)
-	RoomAskAddProxy(builder, proxyOffset)
-	RoomAskAddSite(builder, siteOffset)
-	RoomAskAddInc(builder, t.Inc)
-	RoomAskAddWants(builder, wantsOffset)
-	RoomAskAddActive(builder, t.Active)
-	RoomAskAddNewsInc(builder, t.NewsInc)
-	RoomAskAddNewsSince(builder, t.NewsSince)
-	RoomAskAddImports(builder, importsOffset)
-	RoomAskAddSeen(builder, seenOffset)
-	RoomAskAddTo(builder, toOffset)
-	return RoomAskEnd(builder)
-}
-
-func (rcv *RoomAsk) UnPackTo(t *RoomAskT) {
+	CapacityRequestStart(builder)
+	CapacityRequestAddProxy(builder, proxyOffset)
+	CapacityRequestAddZone(builder, siteOffset)
+	CapacityRequestAddIncarnation(builder, t.Incarnation)
+	CapacityRequestAddDemand(builder, wantsOffset)
+	CapacityRequestAddActive(builder, t.Active)
+	CapacityRequestAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
+	CapacityRequestAddUpdatesSince(builder, t.UpdatesSince)
+	CapacityRequestAddTransfers(builder, importsOffset)
+	CapacityRequestAddOutcomes(builder, seenOffset)
+	CapacityRequestAddTo(builder, toOffset)
+	return CapacityRequestEnd(builder)
+}
+
+func (rcv *CapacityRequest) UnPackTo(t *CapacityRequestT) {
 	t.Proxy = string(rcv.Proxy())
-	t.Site = string(rcv.Site())
-	t.Inc = rcv.Inc()
-	wantsLength := rcv.WantsLength()
-	t.Wants = make([]*WantT, wantsLength)
+	t.Zone = string(rcv.Zone())
+	t.Incarnation = rcv.Incarnation()
+	wantsLength := rcv.DemandLength()
+	t.Demand = make([]*DemandT, wantsLength)
 	for j := 0; j < wantsLength; j++ {
-		x := Want{}
-		rcv.Wants(&x, j)
-		t.Wants[j] = x.UnPack()
+		x := Demand{}
+		rcv.Demand(&x, j)
+		t.Demand[j] = x.UnPack()
 	}
 	t.Active = rcv.Active()
-	t.NewsInc = rcv.NewsInc()
-	t.NewsSince = rcv.NewsSince()
-	importsLength := rcv.ImportsLength()
-	t.Imports = make([]*ImportT, importsLength)
+	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
+	t.UpdatesSince = rcv.UpdatesSince()
+	importsLength := rcv.TransfersLength()
+	t.Transfers = make([]*TransferT, importsLength)
 	for j := 0; j < importsLength; j++ {
-		x := Import{}
-		rcv.Imports(&x, j)
-		t.Imports[j] = x.UnPack()
+		x := Transfer{}
+		rcv.Transfers(&x, j)
+		t.Transfers[j] = x.UnPack()
 	}
-	seenLength := rcv.SeenLength()
-	t.Seen = make([]*SeenT, seenLength)
+	seenLength := rcv.OutcomesLength()
+	t.Outcomes = make([]*OutcomesT, seenLength)
 	for j := 0; j < seenLength; j++ {
-		x := Seen{}
-		rcv.Seen(&x, j)
-		t.Seen[j] = x.UnPack()
+		x := Outcomes{}
+		rcv.Outcomes(&x, j)
+		t.Outcomes[j] = x.UnPack()
 	}
 	t.To = string(rcv.To())
 }
 
-func (rcv *RoomAsk) UnPack() *RoomAskT {
+func (rcv *CapacityRequest) UnPack() *CapacityRequestT {
 	if rcv == nil {
 		return nil
 	}
-	t := &RoomAskT{}
+	t := &CapacityRequestT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type RoomAsk struct {
+type CapacityRequest struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsRoomAsk(buf []byte, offset flatbuffers.UOffsetT) *RoomAsk {
+func GetRootAsCapacityRequest(buf []byte, offset flatbuffers.UOffsetT) *CapacityRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &RoomAsk{}
+	x := &CapacityRequest{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsRoomAsk(buf []byte, offset flatbuffers.UOffsetT) *RoomAsk {
+func GetSizePrefixedRootAsCapacityRequest(buf []byte, offset flatbuffers.UOffsetT) *CapacityRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &RoomAsk{}
+	x := &CapacityRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *RoomAsk) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *CapacityRequest) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *RoomAsk) Table() flatbuffers.Table {
+func (rcv *CapacityRequest) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *RoomAsk) Proxy() []byte {
+func (rcv *CapacityRequest) Proxy() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -4095,7 +4095,7 @@
 	return nil
 }
 
-func (rcv *RoomAsk) Site() []byte {
+func (rcv *CapacityRequest) Zone() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -4103,7 +4103,7 @@
 	return nil
 }
 
-func (rcv *RoomAsk) Inc() uint64 {
+func (rcv *CapacityRequest) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4111,11 +4111,11 @@
 	return 0
 }
 
-func (rcv *RoomAsk) MutateInc(n uint64) bool {
+func (rcv *CapacityRequest) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *RoomAsk) Wants(obj *Want, j int) bool {
+func (rcv *CapacityRequest) Demand(obj *Demand, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -4127,7 +4127,7 @@
 	return false
 }
 
-func (rcv *RoomAsk) WantsLength() int {
+func (rcv *CapacityRequest) DemandLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4135,7 +4135,7 @@
 	return 0
 }
 
-func (rcv *RoomAsk) Active() uint32 {
+func (rcv *CapacityRequest) Active() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -4143,11 +4143,11 @@
 	return 0
 }
 
-func (rcv *RoomAsk) MutateActive(n uint32) bool {
+func (rcv *CapacityRequest) MutateActive(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(12, n)
 }
 
-func (rcv *RoomAsk) NewsInc() uint64 {
+func (rcv *CapacityRequest) UpdatesIncarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4155,11 +4155,11 @@
 	return 0
 }
 
-func (rcv *RoomAsk) MutateNewsInc(n uint64) bool {
+func (rcv *CapacityRequest) MutateUpdatesIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *RoomAsk) NewsSince() uint64 {
+func (rcv *CapacityRequest) UpdatesSince() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4167,11 +4167,11 @@
 	return 0
 }
 
-func (rcv *RoomAsk) MutateNewsSince(n uint64) bool {
+func (rcv *CapacityRequest) MutateUpdatesSince(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(16, n)
 }
 
-func (rcv *RoomAsk) Imports(obj *Import, j int) bool {
+func (rcv *CapacityRequest) Transfers(obj *Transfer, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -4183,7 +4183,7 @@
 	return false
 }
 
-func (rcv *RoomAsk) ImportsLength() int {
+func (rcv *CapacityRequest) TransfersLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4191,7 +4191,7 @@
 	return 0
 }
 
-func (rcv *RoomAsk) Seen(obj *Seen, j int) bool {
+func (rcv *CapacityRequest) Outcomes(obj *Outcomes, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -4203,7 +4203,7 @@
 	return false
 }
 
-func (rcv *RoomAsk) SeenLength() int {
+func (rcv *CapacityRequest) OutcomesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4211,7 +4211,7 @@
 	return 0
 }
 
-func (rcv *RoomAsk) To() []byte {
+func (rcv *CapacityRequest) To() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -4219,77 +4219,77 @@
 	return nil
 }
 
-func RoomAskStart(builder *flatbuffers.Builder) {
+func CapacityRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(10)
 }
-func RoomAskAddProxy(builder *flatbuffers.Builder, proxy flatbuffers.UOffsetT) {
+func CapacityRequestAddProxy(builder *flatbuffers.Builder, proxy flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(proxy), 0)
 }
-func RoomAskAddSite(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
+func CapacityRequestAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(site), 0)
 }
-func RoomAskAddInc(builder *flatbuffers.Builder, inc uint64) {
+func CapacityRequestAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(2, inc, 0)
 }
-func RoomAskAddWants(builder *flatbuffers.Builder, wants flatbuffers.UOffsetT) {
+func CapacityRequestAddDemand(builder *flatbuffers.Builder, wants flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(wants), 0)
 }
-func RoomAskStartWantsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CapacityRequestStartDemandVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func RoomAskAddActive(builder *flatbuffers.Builder, active uint32) {
+func CapacityRequestAddActive(builder *flatbuffers.Builder, active uint32) {
 	builder.PrependUint32Slot(4, active, 0)
 }
-func RoomAskAddNewsInc(builder *flatbuffers.Builder, newsInc uint64) {
+func CapacityRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
 	builder.PrependUint64Slot(5, newsInc, 0)
 }
-func RoomAskAddNewsSince(builder *flatbuffers.Builder, newsSince uint64) {
+func CapacityRequestAddUpdatesSince(builder *flatbuffers.Builder, newsSince uint64) {
 	builder.PrependUint64Slot(6, newsSince, 0)
 }
-func RoomAskAddImports(builder *flatbuffers.Builder, imports flatbuffers.UOffsetT) {
+func CapacityRequestAddTransfers(builder *flatbuffers.Builder, imports flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(imports), 0)
 }
-func RoomAskStartImportsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CapacityRequestStartTransfersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func RoomAskAddSeen(builder *flatbuffers.Builder, seen flatbuffers.UOffsetT) {
+func CapacityRequestAddOutcomes(builder *flatbuffers.Builder, seen flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(seen), 0)
 }
-func RoomAskStartSeenVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CapacityRequestStartOutcomesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func RoomAskAddTo(builder *flatbuffers.Builder, to flatbuffers.UOffsetT) {
+func CapacityRequestAddTo(builder *flatbuffers.Builder, to flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(to), 0)
 }
-func RoomAskEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func CapacityRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type RoomTellT struct {
-	Custodian string    `json:"custodian"`
-	Orders    []*OrderT `json:"orders"`
-	Engines   []string  `json:"engines"`
-	NewsFrom  bool      `json:"news_from"`
-	NewsInc   uint64    `json:"news_inc"`
-	NewsAt    uint64    `json:"news_at"`
-	NewsNext  uint64    `json:"news_next"`
-	NewsReset bool      `json:"news_reset"`
-	News      []*NewsT  `json:"news"`
+type CapacityResponseT struct {
+	IndexNode          string          `json:"custodian"`
+	Grants             []*GrantT       `json:"orders"`
+	Engines            []string        `json:"engines"`
+	HasUpdates         bool            `json:"news_from"`
+	UpdatesIncarnation uint64          `json:"news_inc"`
+	UpdatesSince       uint64          `json:"news_at"`
+	UpdatesNext        uint64          `json:"news_next"`
+	UpdatesReset       bool            `json:"news_reset"`
+	Updates            []*CacheUpdateT `json:"news"`
 }
 
-func (t *RoomTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *CapacityResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	custodianOffset := builder.CreateString(t.Custodian)
+	custodianOffset := builder.CreateString(t.IndexNode)
 	ordersOffset := flatbuffers.UOffsetT(0)
-	if t.Orders != nil {
-		ordersLength := len(t.Orders)
+	if t.Grants != nil {
+		ordersLength := len(t.Grants)
 		ordersOffsets := make([]flatbuffers.UOffsetT, ordersLength)
 		for j := 0; j < ordersLength; j++ {
-			ordersOffsets[j] = t.Orders[j].Pack(builder)
+			ordersOffsets[j] = t.Grants[j].Pack(builder)
 		}
-		RoomTellStartOrdersVector(builder, ordersLength)
+		CapacityResponseStartGrantsVector(builder, ordersLength)
 		for j := ordersLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(ordersOffsets[j])
 		}
@@ -4302,103 +4302,103 @@
 		for j := 0; j < enginesLength; j++ {
 			enginesOffsets[j] = builder.CreateString(t.Engines[j])
 		}
-		RoomTellStartEnginesVector(builder, enginesLength)
+		CapacityResponseStartEnginesVector(builder, enginesLength)
 		for j := enginesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(enginesOffsets[j])
 		}
 		enginesOffset = builder.EndVector(enginesLength)
 	}
 	newsOffset := flatbuffers.UOffsetT(0)
-	if t.News != nil {
-		newsLength := len(t.News)
+	if t.Updates != nil {
+		newsLength := len(t.Updates)
 		newsOffsets := make([]flatbuffers.UOffsetT, newsLength)
 		for j := 0; j < newsLength; j++ {
-			newsOffsets[j] = t.News[j].Pack(builder)
+			newsOffsets[j] = t.Updates[j].Pack(builder)
 		}
-		RoomTellStartNewsVector(builder, newsLength)
+		CapacityResponseStartUpdatesVector(builder, newsLength)
 		for j := newsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(newsOffsets[j])
 		}
 		newsOffset = builder.EndVector(newsLength)
 	}
-	RoomTellStart(builder)
-	RoomTellAddCustodian(builder, custodianOffset)
-	RoomTellAddOrders(builder, ordersOffset)
-	RoomTellAddEngines(builder, enginesOffset)
-	RoomTellAddNewsFrom(builder, t.NewsFrom)
-	RoomTellAddNewsInc(builder, t.NewsInc)
-	RoomTellAddNewsAt(builder, t.NewsAt)
-	RoomTellAddNewsNext(builder, t.NewsNext)
-	RoomTellAddNewsReset(builder, t.NewsReset)
-	RoomTellAddNews(builder, newsOffset)
-	return RoomTellEnd(builder)
-}
-
-func (rcv *RoomTell) UnPackTo(t *RoomTellT) {
-	t.Custodian = string(rcv.Custodian())
-	ordersLength := rcv.OrdersLength()
-	t.Orders = make([]*OrderT, ordersLength)
+	CapacityResponseStart(builder)
+	CapacityResponseAddIndexNode(builder, custodianOffset)
+	CapacityResponseAddGrants(builder, ordersOffset)
+	CapacityResponseAddEngines(builder, enginesOffset)
+	CapacityResponseAddHasUpdates(builder, t.HasUpdates)
+	CapacityResponseAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
+	CapacityResponseAddUpdatesSince(builder, t.UpdatesSince)
+	CapacityResponseAddUpdatesNext(builder, t.UpdatesNext)
+	CapacityResponseAddUpdatesReset(builder, t.UpdatesReset)
+	CapacityResponseAddUpdates(builder, newsOffset)
+	return CapacityResponseEnd(builder)
+}
+
+func (rcv *CapacityResponse) UnPackTo(t *CapacityResponseT) {
+	t.IndexNode = string(rcv.IndexNode())
+	ordersLength := rcv.GrantsLength()
+	t.Grants = make([]*GrantT, ordersLength)
 	for j := 0; j < ordersLength; j++ {
-		x := Order{}
-		rcv.Orders(&x, j)
-		t.Orders[j] = x.UnPack()
+		x := Grant{}
+		rcv.Grants(&x, j)
+		t.Grants[j] = x.UnPack()
 	}
 	enginesLength := rcv.EnginesLength()
 	t.Engines = make([]string, enginesLength)
 	for j := 0; j < enginesLength; j++ {
 		t.Engines[j] = string(rcv.Engines(j))
 	}
-	t.NewsFrom = rcv.NewsFrom()
-	t.NewsInc = rcv.NewsInc()
-	t.NewsAt = rcv.NewsAt()
-	t.NewsNext = rcv.NewsNext()
-	t.NewsReset = rcv.NewsReset()
-	newsLength := rcv.NewsLength()
-	t.News = make([]*NewsT, newsLength)
+	t.HasUpdates = rcv.HasUpdates()
+	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
+	t.UpdatesSince = rcv.UpdatesSince()
+	t.UpdatesNext = rcv.UpdatesNext()
+	t.UpdatesReset = rcv.UpdatesReset()
+	newsLength := rcv.UpdatesLength()
+	t.Updates = make([]*CacheUpdateT, newsLength)
 	for j := 0; j < newsLength; j++ {
-		x := News{}
-		rcv.News(&x, j)
-		t.News[j] = x.UnPack()
+		x := CacheUpdate{}
+		rcv.Updates(&x, j)
+		t.Updates[j] = x.UnPack()
 	}
 }
 
-func (rcv *RoomTell) UnPack() *RoomTellT {
+func (rcv *CapacityResponse) UnPack() *CapacityResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &RoomTellT{}
+	t := &CapacityResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type RoomTell struct {
+type CapacityResponse struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsRoomTell(buf []byte, offset flatbuffers.UOffsetT) *RoomTell {
+func GetRootAsCapacityResponse(buf []byte, offset flatbuffers.UOffsetT) *CapacityResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &RoomTell{}
+	x := &CapacityResponse{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsRoomTell(buf []byte, offset flatbuffers.UOffsetT) *RoomTell {
+func GetSizePrefixedRootAsCapacityResponse(buf []byte, offset flatbuffers.UOffsetT) *CapacityResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &RoomTell{}
+	x := &CapacityResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *RoomTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *CapacityResponse) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *RoomTell) Table() flatbuffers.Table {
+func (rcv *CapacityResponse) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *RoomTell) Custodian() []byte {
+func (rcv *CapacityResponse) IndexNode() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -4406,7 +4406,7 @@
 	return nil
 }
 
-func (rcv *RoomTell) Orders(obj *Order, j int) bool {
+func (rcv *CapacityResponse) Grants(obj *Grant, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -4418,7 +4418,7 @@
 	return false
 }
 
-func (rcv *RoomTell) OrdersLength() int {
+func (rcv *CapacityResponse) GrantsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4426,7 +4426,7 @@
 	return 0
 }
 
-func (rcv *RoomTell) Engines(j int) []byte {
+func (rcv *CapacityResponse) Engines(j int) []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -4435,7 +4435,7 @@
 	return nil
 }
 
-func (rcv *RoomTell) EnginesLength() int {
+func (rcv *CapacityResponse) EnginesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4443,7 +4443,7 @@
 	return 0
 }
 
-func (rcv *RoomTell) NewsFrom() bool {
+func (rcv *CapacityResponse) HasUpdates() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -4451,11 +4451,11 @@
 	return false
 }
 
-func (rcv *RoomTell) MutateNewsFrom(n bool) bool {
+func (rcv *CapacityResponse) MutateHasUpdates(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func (rcv *RoomTell) NewsInc() uint64 {
+func (rcv *CapacityResponse) UpdatesIncarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4463,11 +4463,11 @@
 	return 0
 }
 
-func (rcv *RoomTell) MutateNewsInc(n uint64) bool {
+func (rcv *CapacityResponse) MutateUpdatesIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *RoomTell) NewsAt() uint64 {
+func (rcv *CapacityResponse) UpdatesSince() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4475,11 +4475,11 @@
 	return 0
 }
 
-func (rcv *RoomTell) MutateNewsAt(n uint64) bool {
+func (rcv *CapacityResponse) MutateUpdatesSince(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *RoomTell) NewsNext() uint64 {
+func (rcv *CapacityResponse) UpdatesNext() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4487,11 +4487,11 @@
 	return 0
 }
 
-func (rcv *RoomTell) MutateNewsNext(n uint64) bool {
+func (rcv *CapacityResponse) MutateUpdatesNext(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(16, n)
 }
 
-func (rcv *RoomTell) NewsReset() bool {
+func (rcv *CapacityResponse) UpdatesReset() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -4499,11 +4499,11 @@
 	return false
 }
 
-func (rcv *RoomTell) MutateNewsReset(n bool) bool {
+func (rcv *CapacityResponse) MutateUpdatesReset(n bool) bool {
 	return rcv._tab.MutateBoolSlot(18, n)
 }
 
-func (rcv *RoomTell) News(obj *News, j int) bool {
+func (rcv *CapacityResponse) Updates(obj *CacheUpdate, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -4515,7 +4515,7 @@
 	return false
 }
 
-func (rcv *RoomTell) NewsLength() int {
+func (rcv *CapacityResponse) UpdatesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4523,88 +4523,88 @@
 	return 0
 }
 
-func RoomTellStart(builder *flatbuffers.Builder) {
+func CapacityResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(9)
 }
-func RoomTellAddCustodian(builder *flatbuffers.Builder, custodian flatbuffers.UOffsetT) {
+func CapacityResponseAddIndexNode(builder *flatbuffers.Builder, custodian flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(custodian), 0)
 }
-func RoomTellAddOrders(builder *flatbuffers.Builder, orders flatbuffers.UOffsetT) {
+func CapacityResponseAddGrants(builder *flatbuffers.Builder, orders flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(orders), 0)
 }
-func RoomTellStartOrdersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CapacityResponseStartGrantsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func RoomTellAddEngines(builder *flatbuffers.Builder, engines flatbuffers.UOffsetT) {
+func CapacityResponseAddEngines(builder *flatbuffers.Builder, engines flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(engines), 0)
 }
-func RoomTellStartEnginesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CapacityResponseStartEnginesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func RoomTellAddNewsFrom(builder *flatbuffers.Builder, newsFrom bool) {
+func CapacityResponseAddHasUpdates(builder *flatbuffers.Builder, newsFrom bool) {
 	builder.PrependBoolSlot(3, newsFrom, false)
 }
-func RoomTellAddNewsInc(builder *flatbuffers.Builder, newsInc uint64) {
+func CapacityResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
 	builder.PrependUint64Slot(4, newsInc, 0)
 }
-func RoomTellAddNewsAt(builder *flatbuffers.Builder, newsAt uint64) {
+func CapacityResponseAddUpdatesSince(builder *flatbuffers.Builder, newsAt uint64) {
 	builder.PrependUint64Slot(5, newsAt, 0)
 }
-func RoomTellAddNewsNext(builder *flatbuffers.Builder, newsNext uint64) {
+func CapacityResponseAddUpdatesNext(builder *flatbuffers.Builder, newsNext uint64) {
 	builder.PrependUint64Slot(6, newsNext, 0)
 }
-func RoomTellAddNewsReset(builder *flatbuffers.Builder, newsReset bool) {
+func CapacityResponseAddUpdatesReset(builder *flatbuffers.Builder, newsReset bool) {
 	builder.PrependBoolSlot(7, newsReset, false)
 }
-func RoomTellAddNews(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
+func CapacityResponseAddUpdates(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(news), 0)
 }
-func RoomTellStartNewsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CapacityResponseStartUpdatesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func RoomTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func CapacityResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type NewsAskT struct {
-	From   string   `json:"from"`
-	Kind   byte     `json:"kind"`
-	Site   string   `json:"site"`
-	Inc    uint64   `json:"inc"`
-	Since  uint64   `json:"since"`
-	Shards []uint16 `json:"shards"`
+type UpdatesRequestT struct {
+	From        string   `json:"from"`
+	Feed        byte     `json:"kind"`
+	Zone        string   `json:"site"`
+	Incarnation uint64   `json:"inc"`
+	Since       uint64   `json:"since"`
+	Shards      []uint16 `json:"shards"`
 }
 
-func (t *NewsAskT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *UpdatesRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	fromOffset := builder.CreateString(t.From)
-	siteOffset := builder.CreateString(t.Site)
+	siteOffset := builder.CreateString(t.Zone)
 	shardsOffset := flatbuffers.UOffsetT(0)
 	if t.Shards != nil {
 		shardsLength := len(t.Shards)
-		NewsAskStartShardsVector(builder, shardsLength)
+		UpdatesRequestStartShardsVector(builder, shardsLength)
 		for j := shardsLength - 1; j >= 0; j-- {
 			builder.PrependUint16(t.Shards[j])
 		}
 		shardsOffset = builder.EndVector(shardsLength)
 	}
-	NewsAskStart(builder)
-	NewsAskAddFrom(builder, fromOffset)
-	NewsAskAddKind(builder, t.Kind)
-	NewsAskAddSite(builder, siteOffset)
-	NewsAskAddInc(builder, t.Inc)
-	NewsAskAddSince(builder, t.Since)
-	NewsAskAddShards(builder, shardsOffset)
-	return NewsAskEnd(builder)
+	UpdatesRequestStart(builder)
+	UpdatesRequestAddFrom(builder, fromOffset)
+	UpdatesRequestAddFeed(builder, t.Feed)
+	UpdatesRequestAddZone(builder, siteOffset)
+	UpdatesRequestAddIncarnation(builder, t.Incarnation)
+	UpdatesRequestAddSince(builder, t.Since)
+	UpdatesRequestAddShards(builder, shardsOffset)
+	return UpdatesRequestEnd(builder)
 }
 
-func (rcv *NewsAsk) UnPackTo(t *NewsAskT) {
+func (rcv *UpdatesRequest) UnPackTo(t *UpdatesRequestT) {
 	t.From = string(rcv.From())
-	t.Kind = rcv.Kind()
-	t.Site = string(rcv.Site())
-	t.Inc = rcv.Inc()
+	t.Feed = rcv.Feed()
+	t.Zone = string(rcv.Zone())
+	t.Incarnation = rcv.Incarnation()
 	t.Since = rcv.Since()
 	shardsLength := rcv.ShardsLength()
 	t.Shards = make([]uint16, shardsLength)
@@ -4613,43 +4613,43 @@
 	}
 }
 
-func (rcv *NewsAsk) UnPack() *NewsAskT {
+func (rcv *UpdatesRequest) UnPack() *UpdatesRequestT {
 	if rcv == nil {
 		return nil
 	}
-	t := &NewsAskT{}
+	t := &UpdatesRequestT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type NewsAsk struct {
+type UpdatesRequest struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsNewsAsk(buf []byte, offset flatbuffers.UOffsetT) *NewsAsk {
+func GetRootAsUpdatesRequest(buf []byte, offset flatbuffers.UOffsetT) *UpdatesRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &NewsAsk{}
+	x := &UpdatesRequest{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsNewsAsk(buf []byte, offset flatbuffers.UOffsetT) *NewsAsk {
+func GetSizePrefixedRootAsUpdatesRequest(buf []byte, offset flatbuffers.UOffsetT) *UpdatesRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &NewsAsk{}
+	x := &UpdatesRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *NewsAsk) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *UpdatesRequest) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *NewsAsk) Table() flatbuffers.Table {
+func (rcv *UpdatesRequest) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *NewsAsk) From() []byte {
+func (rcv *UpdatesRequest) From() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -4657,7 +4657,7 @@
 	return nil
 }
 
-func (rcv *NewsAsk) Kind() byte {
+func (rcv *UpdatesRequest) Feed() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -4665,11 +4665,11 @@
 	return 0
 }
 
-func (rcv *NewsAsk) MutateKind(n byte) bool {
+func (rcv *UpdatesRequest) MutateFeed(n byte) bool {
 	return rcv._tab.MutateByteSlot(6, n)
 }
 
-func (rcv *NewsAsk) Site() []byte {
+func (rcv *UpdatesRequest) Zone() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -4677,7 +4677,7 @@
 	return nil
 }
 
-func (rcv *NewsAsk) Inc() uint64 {
+func (rcv *UpdatesRequest) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4685,11 +4685,11 @@
 	return 0
 }
 
-func (rcv *NewsAsk) MutateInc(n uint64) bool {
+func (rcv *UpdatesRequest) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(10, n)
 }
 
-func (rcv *NewsAsk) Since() uint64 {
+func (rcv *UpdatesRequest) Since() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4697,11 +4697,11 @@
 	return 0
 }
 
-func (rcv *NewsAsk) MutateSince(n uint64) bool {
+func (rcv *UpdatesRequest) MutateSince(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *NewsAsk) Shards(j int) uint16 {
+func (rcv *UpdatesRequest) Shards(j int) uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -4710,7 +4710,7 @@
 	return 0
 }
 
-func (rcv *NewsAsk) ShardsLength() int {
+func (rcv *UpdatesRequest) ShardsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4718,7 +4718,7 @@
 	return 0
 }
 
-func (rcv *NewsAsk) MutateShards(j int, n uint16) bool {
+func (rcv *UpdatesRequest) MutateShards(j int, n uint16) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -4727,138 +4727,138 @@
 	return false
 }
 
-func NewsAskStart(builder *flatbuffers.Builder) {
+func UpdatesRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(6)
 }
-func NewsAskAddFrom(builder *flatbuffers.Builder, from flatbuffers.UOffsetT) {
+func UpdatesRequestAddFrom(builder *flatbuffers.Builder, from flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(from), 0)
 }
-func NewsAskAddKind(builder *flatbuffers.Builder, kind byte) {
+func UpdatesRequestAddFeed(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(1, kind, 0)
 }
-func NewsAskAddSite(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
+func UpdatesRequestAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(site), 0)
 }
-func NewsAskAddInc(builder *flatbuffers.Builder, inc uint64) {
+func UpdatesRequestAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(3, inc, 0)
 }
-func NewsAskAddSince(builder *flatbuffers.Builder, since uint64) {
+func UpdatesRequestAddSince(builder *flatbuffers.Builder, since uint64) {
 	builder.PrependUint64Slot(4, since, 0)
 }
-func NewsAskAddShards(builder *flatbuffers.Builder, shards flatbuffers.UOffsetT) {
+func UpdatesRequestAddShards(builder *flatbuffers.Builder, shards flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(shards), 0)
 }
-func NewsAskStartShardsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func UpdatesRequestStartShardsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(2, numElems, 2)
 }
-func NewsAskEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func UpdatesRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type NewsTellT struct {
-	Inc    uint64    `json:"inc"`
-	Next   uint64    `json:"next"`
-	Reset  bool      `json:"reset"`
-	News   []*NewsT  `json:"news"`
-	Places []*PlaceT `json:"places"`
+type UpdatesResponseT struct {
+	Incarnation uint64             `json:"inc"`
+	Next        uint64             `json:"next"`
+	Reset       bool               `json:"reset"`
+	Updates     []*CacheUpdateT    `json:"news"`
+	Locations   []*HolderLocationT `json:"places"`
 }
 
-func (t *NewsTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *UpdatesResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	newsOffset := flatbuffers.UOffsetT(0)
-	if t.News != nil {
-		newsLength := len(t.News)
+	if t.Updates != nil {
+		newsLength := len(t.Updates)
 		newsOffsets := make([]flatbuffers.UOffsetT, newsLength)
 		for j := 0; j < newsLength; j++ {
-			newsOffsets[j] = t.News[j].Pack(builder)
+			newsOffsets[j] = t.Updates[j].Pack(builder)
 		}
-		NewsTellStartNewsVector(builder, newsLength)
+		UpdatesResponseStartUpdatesVector(builder, newsLength)
 		for j := newsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(newsOffsets[j])
 		}
 		newsOffset = builder.EndVector(newsLength)
 	}
 	placesOffset := flatbuffers.UOffsetT(0)
-	if t.Places != nil {
-		placesLength := len(t.Places)
+	if t.Locations != nil {
+		placesLength := len(t.Locations)
 		placesOffsets := make([]flatbuffers.UOffsetT, placesLength)
 		for j := 0; j < placesLength; j++ {
-			placesOffsets[j] = t.Places[j].Pack(builder)
+			placesOffsets[j] = t.Locations[j].Pack(builder)
 		}
-		NewsTellStartPlacesVector(builder, placesLength)
+		UpdatesResponseStartLocationsVector(builder, placesLength)
 		for j := placesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(placesOffsets[j])
 		}
 		placesOffset = builder.EndVector(placesLength)
 	}
-	NewsTellStart(builder)
-	NewsTellAddInc(builder, t.Inc)
-	NewsTellAddNext(builder, t.Next)
-	NewsTellAddReset(builder, t.Reset)
-	NewsTellAddNews(builder, newsOffset)
-	NewsTellAddPlaces(builder, placesOffset)
-	return NewsTellEnd(builder)
+	UpdatesResponseStart(builder)
+	UpdatesResponseAddIncarnation(builder, t.Incarnation)
+	UpdatesResponseAddNext(builder, t.Next)
+	UpdatesResponseAddReset(builder, t.Reset)
+	UpdatesResponseAddUpdates(builder, newsOffset)
+	UpdatesResponseAddLocations(builder, placesOffset)
+	return UpdatesResponseEnd(builder)
 }
 
-func (rcv *NewsTell) UnPackTo(t *NewsTellT) {
-	t.Inc = rcv.Inc()
+func (rcv *UpdatesResponse) UnPackTo(t *UpdatesResponseT) {
+	t.Incarnation = rcv.Incarnation()
 	t.Next = rcv.Next()
 	t.Reset = rcv.Reset()
-	newsLength := rcv.NewsLength()
-	t.News = make([]*NewsT, newsLength)
+	newsLength := rcv.UpdatesLength()
+	t.Updates = make([]*CacheUpdateT, newsLength)
 	for j := 0; j < newsLength; j++ {
-		x := News{}
-		rcv.News(&x, j)
-		t.News[j] = x.UnPack()
+		x := CacheUpdate{}
+		rcv.Updates(&x, j)
+		t.Updates[j] = x.UnPack()
 	}
-	placesLength := rcv.PlacesLength()
-	t.Places = make([]*PlaceT, placesLength)
+	placesLength := rcv.LocationsLength()
+	t.Locations = make([]*HolderLocationT, placesLength)
 	for j := 0; j < placesLength; j++ {
-		x := Place{}
-		rcv.Places(&x, j)
-		t.Places[j] = x.UnPack()
+		x := HolderLocation{}
+		rcv.Locations(&x, j)
+		t.Locations[j] = x.UnPack()
 	}
 }
 
-func (rcv *NewsTell) UnPack() *NewsTellT {
+func (rcv *UpdatesResponse) UnPack() *UpdatesResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &NewsTellT{}
+	t := &UpdatesResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type NewsTell struct {
+type UpdatesResponse struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsNewsTell(buf []byte, offset flatbuffers.UOffsetT) *NewsTell {
+func GetRootAsUpdatesResponse(buf []byte, offset flatbuffers.UOffsetT) *UpdatesResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &NewsTell{}
+	x := &UpdatesResponse{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsNewsTell(buf []byte, offset flatbuffers.UOffsetT) *NewsTell {
+func GetSizePrefixedRootAsUpdatesResponse(buf []byte, offset flatbuffers.UOffsetT) *UpdatesResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &NewsTell{}
+	x := &UpdatesResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *NewsTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *UpdatesResponse) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *NewsTell) Table() flatbuffers.Table {
+func (rcv *UpdatesResponse) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *NewsTell) Inc() uint64 {
+func (rcv *UpdatesResponse) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4866,11 +4866,11 @@
 	return 0
 }
 
-func (rcv *NewsTell) MutateInc(n uint64) bool {
+func (rcv *UpdatesResponse) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *NewsTell) Next() uint64 {
+func (rcv *UpdatesResponse) Next() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -4878,11 +4878,11 @@
 	return 0
 }
 
-func (rcv *NewsTell) MutateNext(n uint64) bool {
+func (rcv *UpdatesResponse) MutateNext(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *NewsTell) Reset() bool {
+func (rcv *UpdatesResponse) Reset() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -4890,11 +4890,11 @@
 	return false
 }
 
-func (rcv *NewsTell) MutateReset(n bool) bool {
+func (rcv *UpdatesResponse) MutateReset(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *NewsTell) News(obj *News, j int) bool {
+func (rcv *UpdatesResponse) Updates(obj *CacheUpdate, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -4906,7 +4906,7 @@
 	return false
 }
 
-func (rcv *NewsTell) NewsLength() int {
+func (rcv *UpdatesResponse) UpdatesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4914,7 +4914,7 @@
 	return 0
 }
 
-func (rcv *NewsTell) Places(obj *Place, j int) bool {
+func (rcv *UpdatesResponse) Locations(obj *HolderLocation, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -4926,7 +4926,7 @@
 	return false
 }
 
-func (rcv *NewsTell) PlacesLength() int {
+func (rcv *UpdatesResponse) LocationsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -4934,167 +4934,167 @@
 	return 0
 }
 
-func NewsTellStart(builder *flatbuffers.Builder) {
+func UpdatesResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(5)
 }
-func NewsTellAddInc(builder *flatbuffers.Builder, inc uint64) {
+func UpdatesResponseAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(0, inc, 0)
 }
-func NewsTellAddNext(builder *flatbuffers.Builder, next uint64) {
+func UpdatesResponseAddNext(builder *flatbuffers.Builder, next uint64) {
 	builder.PrependUint64Slot(1, next, 0)
 }
-func NewsTellAddReset(builder *flatbuffers.Builder, reset bool) {
+func UpdatesResponseAddReset(builder *flatbuffers.Builder, reset bool) {
 	builder.PrependBoolSlot(2, reset, false)
 }
-func NewsTellAddNews(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
+func UpdatesResponseAddUpdates(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(news), 0)
 }
-func NewsTellStartNewsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func UpdatesResponseStartUpdatesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func NewsTellAddPlaces(builder *flatbuffers.Builder, places flatbuffers.UOffsetT) {
+func UpdatesResponseAddLocations(builder *flatbuffers.Builder, places flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(places), 0)
 }
-func NewsTellStartPlacesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func UpdatesResponseStartLocationsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func NewsTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func UpdatesResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type FeedAskT struct {
-	Node      *NodeT     `json:"node"`
-	Have      uint64     `json:"have"`
-	Wants     []*WantT   `json:"wants"`
-	Active    uint32     `json:"active"`
-	NewsInc   uint64     `json:"news_inc"`
-	NewsSince uint64     `json:"news_since"`
-	Imports   []*ImportT `json:"imports"`
-	Seen      []*SeenT   `json:"seen"`
+type FeedRequestT struct {
+	Node               *NodeT       `json:"node"`
+	HaveRevision       uint64       `json:"have"`
+	Demand             []*DemandT   `json:"wants"`
+	Active             uint32       `json:"active"`
+	UpdatesIncarnation uint64       `json:"news_inc"`
+	UpdatesSince       uint64       `json:"news_since"`
+	Transfers          []*TransferT `json:"imports"`
+	Outcomes           []*OutcomesT `json:"seen"`
 }
 
-func (t *FeedAskT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *FeedRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	nodeOffset := t.Node.Pack(builder)
 	wantsOffset := flatbuffers.UOffsetT(0)
-	if t.Wants != nil {
-		wantsLength := len(t.Wants)
+	if t.Demand != nil {
+		wantsLength := len(t.Demand)
 		wantsOffsets := make([]flatbuffers.UOffsetT, wantsLength)
 		for j := 0; j < wantsLength; j++ {
-			wantsOffsets[j] = t.Wants[j].Pack(builder)
+			wantsOffsets[j] = t.Demand[j].Pack(builder)
 		}
-		FeedAskStartWantsVector(builder, wantsLength)
+		FeedRequestStartDemandVector(builder, wantsLength)
 		for j := wantsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(wantsOffsets[j])
 		}
 		wantsOffset = builder.EndVector(wantsLength)
 	}
 	importsOffset := flatbuffers.UOffsetT(0)
-	if t.Imports != nil {
-		importsLength := len(t.Imports)
+	if t.Transfers != nil {
+		importsLength := len(t.Transfers)
 		importsOffsets := make([]flatbuffers.UOffsetT, importsLength)
 		for j := 0; j < importsLength; j++ {
-			importsOffsets[j] = t.Imports[j].Pack(builder)
+			importsOffsets[j] = t.Transfers[j].Pack(builder)
 		}
-		FeedAskStartImportsVector(builder, importsLength)
+		FeedRequestStartTransfersVector(builder, importsLength)
 		for j := importsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(importsOffsets[j])
 		}
 		importsOffset = builder.EndVector(importsLength)
 	}
 	seenOffset := flatbuffers.UOffsetT(0)
-	if t.Seen != nil {
-		seenLength := len(t.Seen)
+	if t.Outcomes != nil {
+		seenLength := len(t.Outcomes)
 		seenOffsets := make([]flatbuffers.UOffsetT, seenLength)
 		for j := 0; j < seenLength; j++ {
-			seenOffsets[j] = t.Seen[j].Pack(builder)
+			seenOffsets[j] = t.Outcomes[j].Pack(builder)
 		}
-		FeedAskStartSeenVector(builder, seenLength)
+		FeedRequestStartOutcomesVector(builder, seenLength)
 		for j := seenLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(seenOffsets[j])
 		}
 		seenOffset = builder.EndVector(seenLength)
 	}
-	FeedAskStart(builder)
-	FeedAskAddNode(builder, nodeOffset)
-	FeedAskAddHave(builder, t.Have)
-	FeedAskAddWants(builder, wantsOffset)
-	FeedAskAddActive(builder, t.Active)
-	FeedAskAddNewsInc(builder, t.NewsInc)
-	FeedAskAddNewsSince(builder, t.NewsSince)
-	FeedAskAddImports(builder, importsOffset)
-	FeedAskAddSeen(builder, seenOffset)
-	return FeedAskEnd(builder)
+	FeedRequestStart(builder)
+	FeedRequestAddNode(builder, nodeOffset)
+	FeedRequestAddHaveRevision(builder, t.HaveRevision)
+	FeedRequestAddDemand(builder, wantsOffset)
+	FeedRequestAddActive(builder, t.Active)
+	FeedRequestAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
+	FeedRequestAddUpdatesSince(builder, t.UpdatesSince)
+	FeedRequestAddTransfers(builder, importsOffset)
+	FeedRequestAddOutcomes(builder, seenOffset)
+	return FeedRequestEnd(builder)
 }
 
-func (rcv *FeedAsk) UnPackTo(t *FeedAskT) {
+func (rcv *FeedRequest) UnPackTo(t *FeedRequestT) {
 	t.Node = rcv.Node(nil).UnPack()
-	t.Have = rcv.Have()
-	wantsLength := rcv.WantsLength()
-	t.Wants = make([]*WantT, wantsLength)
+	t.HaveRevision = rcv.HaveRevision()
+	wantsLength := rcv.DemandLength()
+	t.Demand = make([]*DemandT, wantsLength)
 	for j := 0; j < wantsLength; j++ {
-		x := Want{}
-		rcv.Wants(&x, j)
-		t.Wants[j] = x.UnPack()
+		x := Demand{}
+		rcv.Demand(&x, j)
+		t.Demand[j] = x.UnPack()
 	}
 	t.Active = rcv.Active()
-	t.NewsInc = rcv.NewsInc()
-	t.NewsSince = rcv.NewsSince()
-	importsLength := rcv.ImportsLength()
-	t.Imports = make([]*ImportT, importsLength)
+	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
+	t.UpdatesSince = rcv.UpdatesSince()
+	importsLength := rcv.TransfersLength()
+	t.Transfers = make([]*TransferT, importsLength)
 	for j := 0; j < importsLength; j++ {
-		x := Import{}
-		rcv.Imports(&x, j)
-		t.Imports[j] = x.UnPack()
+		x := Transfer{}
+		rcv.Transfers(&x, j)
+		t.Transfers[j] = x.UnPack()
 	}
-	seenLength := rcv.SeenLength()
-	t.Seen = make([]*SeenT, seenLength)
+	seenLength := rcv.OutcomesLength()
+	t.Outcomes = make([]*OutcomesT, seenLength)
 	for j := 0; j < seenLength; j++ {
-		x := Seen{}
-		rcv.Seen(&x, j)
-		t.Seen[j] = x.UnPack()
+		x := Outcomes{}
+		rcv.Outcomes(&x, j)
+		t.Outcomes[j] = x.UnPack()
 	}
 }
 
-func (rcv *FeedAsk) UnPack() *FeedAskT {
+func (rcv *FeedRequest) UnPack() *FeedRequestT {
 	if rcv == nil {
 		return nil
 	}
-	t := &FeedAskT{}
+	t := &FeedRequestT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type FeedAsk struct {
+type FeedRequest struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsFeedAsk(buf []byte, offset flatbuffers.UOffsetT) *FeedAsk {
+func GetRootAsFeedRequest(buf []byte, offset flatbuffers.UOffsetT) *FeedRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &FeedAsk{}
+	x := &FeedRequest{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsFeedAsk(buf []byte, offset flatbuffers.UOffsetT) *FeedAsk {
+func GetSizePrefixedRootAsFeedRequest(buf []byte, offset flatbuffers.UOffsetT) *FeedRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &FeedAsk{}
+	x := &FeedRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *FeedAsk) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *FeedRequest) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *FeedAsk) Table() flatbuffers.Table {
+func (rcv *FeedRequest) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *FeedAsk) Node(obj *Node) *Node {
+func (rcv *FeedRequest) Node(obj *Node) *Node {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
@@ -5107,7 +5107,7 @@
 	return nil
 }
 
-func (rcv *FeedAsk) Have() uint64 {
+func (rcv *FeedRequest) HaveRevision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5115,11 +5115,11 @@
 	return 0
 }
 
-func (rcv *FeedAsk) MutateHave(n uint64) bool {
+func (rcv *FeedRequest) MutateHaveRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *FeedAsk) Wants(obj *Want, j int) bool {
+func (rcv *FeedRequest) Demand(obj *Demand, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -5131,7 +5131,7 @@
 	return false
 }
 
-func (rcv *FeedAsk) WantsLength() int {
+func (rcv *FeedRequest) DemandLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -5139,7 +5139,7 @@
 	return 0
 }
 
-func (rcv *FeedAsk) Active() uint32 {
+func (rcv *FeedRequest) Active() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -5147,11 +5147,11 @@
 	return 0
 }
 
-func (rcv *FeedAsk) MutateActive(n uint32) bool {
+func (rcv *FeedRequest) MutateActive(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(10, n)
 }
 
-func (rcv *FeedAsk) NewsInc() uint64 {
+func (rcv *FeedRequest) UpdatesIncarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5159,11 +5159,11 @@
 	return 0
 }
 
-func (rcv *FeedAsk) MutateNewsInc(n uint64) bool {
+func (rcv *FeedRequest) MutateUpdatesIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *FeedAsk) NewsSince() uint64 {
+func (rcv *FeedRequest) UpdatesSince() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5171,11 +5171,11 @@
 	return 0
 }
 
-func (rcv *FeedAsk) MutateNewsSince(n uint64) bool {
+func (rcv *FeedRequest) MutateUpdatesSince(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *FeedAsk) Imports(obj *Import, j int) bool {
+func (rcv *FeedRequest) Transfers(obj *Transfer, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -5187,7 +5187,7 @@
 	return false
 }
 
-func (rcv *FeedAsk) ImportsLength() int {
+func (rcv *FeedRequest) TransfersLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -5195,7 +5195,7 @@
 	return 0
 }
 
-func (rcv *FeedAsk) Seen(obj *Seen, j int) bool {
+func (rcv *FeedRequest) Outcomes(obj *Outcomes, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -5207,7 +5207,7 @@
 	return false
 }
 
-func (rcv *FeedAsk) SeenLength() int {
+func (rcv *FeedRequest) OutcomesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
