@@ -5215,61 +5215,61 @@
 	return 0
 }
 
-func FeedAskStart(builder *flatbuffers.Builder) {
+func FeedRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(8)
 }
-func FeedAskAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
+func FeedRequestAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(node), 0)
 }
-func FeedAskAddHave(builder *flatbuffers.Builder, have uint64) {
+func FeedRequestAddHaveRevision(builder *flatbuffers.Builder, have uint64) {
 	builder.PrependUint64Slot(1, have, 0)
 }
-func FeedAskAddWants(builder *flatbuffers.Builder, wants flatbuffers.UOffsetT) {
+func FeedRequestAddDemand(builder *flatbuffers.Builder, wants flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(wants), 0)
 }
-func FeedAskStartWantsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func FeedRequestStartDemandVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FeedAskAddActive(builder *flatbuffers.Builder, active uint32) {
+func FeedRequestAddActive(builder *flatbuffers.Builder, active uint32) {
 	builder.PrependUint32Slot(3, active, 0)
 }
-func FeedAskAddNewsInc(builder *flatbuffers.Builder, newsInc uint64) {
+func FeedRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
 	builder.PrependUint64Slot(4, newsInc, 0)
 }
-func FeedAskAddNewsSince(builder *flatbuffers.Builder, newsSince uint64) {
+func FeedRequestAddUpdatesSince(builder *flatbuffers.Builder, newsSince uint64) {
 	builder.PrependUint64Slot(5, newsSince, 0)
 }
-func FeedAskAddImports(builder *flatbuffers.Builder, imports flatbuffers.UOffsetT) {
+func FeedRequestAddTransfers(builder *flatbuffers.Builder, imports flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(imports), 0)
 }
-func FeedAskStartImportsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func FeedRequestStartTransfersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FeedAskAddSeen(builder *flatbuffers.Builder, seen flatbuffers.UOffsetT) {
+func FeedRequestAddOutcomes(builder *flatbuffers.Builder, seen flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(seen), 0)
 }
-func FeedAskStartSeenVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func FeedRequestStartOutcomesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FeedAskEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func FeedRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type FeedTellT struct {
-	Rev       uint64    `json:"rev"`
-	Age       int64     `json:"age"`
-	Plan      []byte    `json:"plan"`
-	Fresh     bool      `json:"fresh"`
-	Orders    []*OrderT `json:"orders"`
-	NewsInc   uint64    `json:"news_inc"`
-	NewsAt    uint64    `json:"news_at"`
-	NewsNext  uint64    `json:"news_next"`
-	NewsReset bool      `json:"news_reset"`
-	News      []*NewsT  `json:"news"`
-	Era       uint64    `json:"era"`
+type FeedResponseT struct {
+	Revision           uint64          `json:"rev"`
+	Age                int64           `json:"age"`
+	Plan               []byte          `json:"plan"`
+	Confirmed          bool            `json:"fresh"`
+	Grants             []*GrantT       `json:"orders"`
+	UpdatesIncarnation uint64          `json:"news_inc"`
+	UpdatesSince       uint64          `json:"news_at"`
+	UpdatesNext        uint64          `json:"news_next"`
+	UpdatesReset       bool            `json:"news_reset"`
+	Updates            []*CacheUpdateT `json:"news"`
+	Generation         uint64          `json:"era"`
 }
 
-func (t *FeedTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *FeedResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -5278,109 +5278,109 @@
 		planOffset = builder.CreateByteString(t.Plan)
 	}
 	ordersOffset := flatbuffers.UOffsetT(0)
-	if t.Orders != nil {
-		ordersLength := len(t.Orders)
+	if t.Grants != nil {
+		ordersLength := len(t.Grants)
 		ordersOffsets := make([]flatbuffers.UOffsetT, ordersLength)
 		for j := 0; j < ordersLength; j++ {
-			ordersOffsets[j] = t.Orders[j].Pack(builder)
+			ordersOffsets[j] = t.Grants[j].Pack(builder)
 		}
-		FeedTellStartOrdersVector(builder, ordersLength)
+		FeedResponseStartGrantsVector(builder, ordersLength)
 		for j := ordersLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(ordersOffsets[j])
 		}
 		ordersOffset = builder.EndVector(ordersLength)
 	}
 	newsOffset := flatbuffers.UOffsetT(0)
-	if t.News != nil {
-		newsLength := len(t.News)
+	if t.Updates != nil {
+		newsLength := len(t.Updates)
 		newsOffsets := make([]flatbuffers.UOffsetT, newsLength)
 		for j := 0; j < newsLength; j++ {
-			newsOffsets[j] = t.News[j].Pack(builder)
+			newsOffsets[j] = t.Updates[j].Pack(builder)
 		}
-		FeedTellStartNewsVector(builder, newsLength)
+		FeedResponseStartUpdatesVector(builder, newsLength)
 		for j := newsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(newsOffsets[j])
 		}
 		newsOffset = builder.EndVector(newsLength)
 	}
-	FeedTellStart(builder)
-	FeedTellAddRev(builder, t.Rev)
-	FeedTellAddAge(builder, t.Age)
-	FeedTellAddPlan(builder, planOffset)
-	FeedTellAddFresh(builder, t.Fresh)
-	FeedTellAddOrders(builder, ordersOffset)
-	FeedTellAddNewsInc(builder, t.NewsInc)
-	FeedTellAddNewsAt(builder, t.NewsAt)
-	FeedTellAddNewsNext(builder, t.NewsNext)
-	FeedTellAddNewsReset(builder, t.NewsReset)
-	FeedTellAddNews(builder, newsOffset)
-	FeedTellAddEra(builder, t.Era)
-	return FeedTellEnd(builder)
-}
-
-func (rcv *FeedTell) UnPackTo(t *FeedTellT) {
-	t.Rev = rcv.Rev()
+	FeedResponseStart(builder)
+	FeedResponseAddRevision(builder, t.Revision)
+	FeedResponseAddAge(builder, t.Age)
+	FeedResponseAddPlan(builder, planOffset)
+	FeedResponseAddConfirmed(builder, t.Confirmed)
+	FeedResponseAddGrants(builder, ordersOffset)
+	FeedResponseAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
+	FeedResponseAddUpdatesSince(builder, t.UpdatesSince)
+	FeedResponseAddUpdatesNext(builder, t.UpdatesNext)
+	FeedResponseAddUpdatesReset(builder, t.UpdatesReset)
+	FeedResponseAddUpdates(builder, newsOffset)
+	FeedResponseAddGeneration(builder, t.Generation)
+	return FeedResponseEnd(builder)
+}
+
+func (rcv *FeedResponse) UnPackTo(t *FeedResponseT) {
+	t.Revision = rcv.Revision()
 	t.Age = rcv.Age()
 	t.Plan = rcv.PlanBytes()
-	t.Fresh = rcv.Fresh()
-	ordersLength := rcv.OrdersLength()
-	t.Orders = make([]*OrderT, ordersLength)
+	t.Confirmed = rcv.Confirmed()
+	ordersLength := rcv.GrantsLength()
+	t.Grants = make([]*GrantT, ordersLength)
 	for j := 0; j < ordersLength; j++ {
-		x := Order{}
-		rcv.Orders(&x, j)
-		t.Orders[j] = x.UnPack()
-	}
-	t.NewsInc = rcv.NewsInc()
-	t.NewsAt = rcv.NewsAt()
-	t.NewsNext = rcv.NewsNext()
-	t.NewsReset = rcv.NewsReset()
-	newsLength := rcv.NewsLength()
-	t.News = make([]*NewsT, newsLength)
+		x := Grant{}
+		rcv.Grants(&x, j)
+		t.Grants[j] = x.UnPack()
+	}
+	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
+	t.UpdatesSince = rcv.UpdatesSince()
+	t.UpdatesNext = rcv.UpdatesNext()
+	t.UpdatesReset = rcv.UpdatesReset()
+	newsLength := rcv.UpdatesLength()
+	t.Updates = make([]*CacheUpdateT, newsLength)
 	for j := 0; j < newsLength; j++ {
-		x := News{}
-		rcv.News(&x, j)
-		t.News[j] = x.UnPack()
+		x := CacheUpdate{}
+		rcv.Updates(&x, j)
+		t.Updates[j] = x.UnPack()
 	}
-	t.Era = rcv.Era()
+	t.Generation = rcv.Generation()
 }
 
-func (rcv *FeedTell) UnPack() *FeedTellT {
+func (rcv *FeedResponse) UnPack() *FeedResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &FeedTellT{}
+	t := &FeedResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type FeedTell struct {
+type FeedResponse struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsFeedTell(buf []byte, offset flatbuffers.UOffsetT) *FeedTell {
+func GetRootAsFeedResponse(buf []byte, offset flatbuffers.UOffsetT) *FeedResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &FeedTell{}
+	x := &FeedResponse{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsFeedTell(buf []byte, offset flatbuffers.UOffsetT) *FeedTell {
+func GetSizePrefixedRootAsFeedResponse(buf []byte, offset flatbuffers.UOffsetT) *FeedResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &FeedTell{}
+	x := &FeedResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *FeedTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *FeedResponse) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *FeedTell) Table() flatbuffers.Table {
+func (rcv *FeedResponse) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *FeedTell) Rev() uint64 {
+func (rcv *FeedResponse) Revision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5388,11 +5388,11 @@
 	return 0
 }
 
-func (rcv *FeedTell) MutateRev(n uint64) bool {
+func (rcv *FeedResponse) MutateRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *FeedTell) Age() int64 {
+func (rcv *FeedResponse) Age() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -5400,11 +5400,11 @@
 	return 0
 }
 
-func (rcv *FeedTell) MutateAge(n int64) bool {
+func (rcv *FeedResponse) MutateAge(n int64) bool {
 	return rcv._tab.MutateInt64Slot(6, n)
 }
 
-func (rcv *FeedTell) Plan(j int) byte {
+func (rcv *FeedResponse) Plan(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -5413,7 +5413,7 @@
 	return 0
 }
 
-func (rcv *FeedTell) PlanLength() int {
+func (rcv *FeedResponse) PlanLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -5421,7 +5421,7 @@
 	return 0
 }
 
-func (rcv *FeedTell) PlanBytes() []byte {
+func (rcv *FeedResponse) PlanBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -5429,7 +5429,7 @@
 	return nil
 }
 
-func (rcv *FeedTell) MutatePlan(j int, n byte) bool {
+func (rcv *FeedResponse) MutatePlan(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -5438,7 +5438,7 @@
 	return false
 }
 
-func (rcv *FeedTell) Fresh() bool {
+func (rcv *FeedResponse) Confirmed() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -5446,11 +5446,11 @@
 	return false
 }
 
-func (rcv *FeedTell) MutateFresh(n bool) bool {
+func (rcv *FeedResponse) MutateConfirmed(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func (rcv *FeedTell) Orders(obj *Order, j int) bool {
+func (rcv *FeedResponse) Grants(obj *Grant, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -5462,7 +5462,7 @@
 	return false
 }
 
-func (rcv *FeedTell) OrdersLength() int {
+func (rcv *FeedResponse) GrantsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -5470,7 +5470,7 @@
 	return 0
 }
 
-func (rcv *FeedTell) NewsInc() uint64 {
+func (rcv *FeedResponse) UpdatesIncarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5478,11 +5478,11 @@
 	return 0
 }
 
-func (rcv *FeedTell) MutateNewsInc(n uint64) bool {
+func (rcv *FeedResponse) MutateUpdatesIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *FeedTell) NewsAt() uint64 {
+func (rcv *FeedResponse) UpdatesSince() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5490,11 +5490,11 @@
 	return 0
 }
 
-func (rcv *FeedTell) MutateNewsAt(n uint64) bool {
+func (rcv *FeedResponse) MutateUpdatesSince(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(16, n)
 }
 
-func (rcv *FeedTell) NewsNext() uint64 {
+func (rcv *FeedResponse) UpdatesNext() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5502,11 +5502,11 @@
 	return 0
 }
 
-func (rcv *FeedTell) MutateNewsNext(n uint64) bool {
+func (rcv *FeedResponse) MutateUpdatesNext(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(18, n)
 }
 
-func (rcv *FeedTell) NewsReset() bool {
+func (rcv *FeedResponse) UpdatesReset() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -5514,11 +5514,11 @@
 	return false
 }
 
-func (rcv *FeedTell) MutateNewsReset(n bool) bool {
+func (rcv *FeedResponse) MutateUpdatesReset(n bool) bool {
 	return rcv._tab.MutateBoolSlot(20, n)
 }
 
-func (rcv *FeedTell) News(obj *News, j int) bool {
+func (rcv *FeedResponse) Updates(obj *CacheUpdate, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -5530,7 +5530,7 @@
 	return false
 }
 
-func (rcv *FeedTell) NewsLength() int {
+func (rcv *FeedResponse) UpdatesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -5538,7 +5538,7 @@
 	return 0
 }
 
-func (rcv *FeedTell) Era() uint64 {
+func (rcv *FeedResponse) Generation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5546,117 +5546,117 @@
 	return 0
 }
 
-func (rcv *FeedTell) MutateEra(n uint64) bool {
+func (rcv *FeedResponse) MutateGeneration(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(24, n)
 }
 
-func FeedTellStart(builder *flatbuffers.Builder) {
+func FeedResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(11)
 }
-func FeedTellAddRev(builder *flatbuffers.Builder, rev uint64) {
+func FeedResponseAddRevision(builder *flatbuffers.Builder, rev uint64) {
 	builder.PrependUint64Slot(0, rev, 0)
 }
-func FeedTellAddAge(builder *flatbuffers.Builder, age int64) {
+func FeedResponseAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(1, age, 0)
 }
-func FeedTellAddPlan(builder *flatbuffers.Builder, plan flatbuffers.UOffsetT) {
+func FeedResponseAddPlan(builder *flatbuffers.Builder, plan flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(plan), 0)
 }
-func FeedTellStartPlanVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func FeedResponseStartPlanVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func FeedTellAddFresh(builder *flatbuffers.Builder, fresh bool) {
+func FeedResponseAddConfirmed(builder *flatbuffers.Builder, fresh bool) {
 	builder.PrependBoolSlot(3, fresh, false)
 }
-func FeedTellAddOrders(builder *flatbuffers.Builder, orders flatbuffers.UOffsetT) {
+func FeedResponseAddGrants(builder *flatbuffers.Builder, orders flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(orders), 0)
 }
-func FeedTellStartOrdersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func FeedResponseStartGrantsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FeedTellAddNewsInc(builder *flatbuffers.Builder, newsInc uint64) {
+func FeedResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
 	builder.PrependUint64Slot(5, newsInc, 0)
 }
-func FeedTellAddNewsAt(builder *flatbuffers.Builder, newsAt uint64) {
+func FeedResponseAddUpdatesSince(builder *flatbuffers.Builder, newsAt uint64) {
 	builder.PrependUint64Slot(6, newsAt, 0)
 }
-func FeedTellAddNewsNext(builder *flatbuffers.Builder, newsNext uint64) {
+func FeedResponseAddUpdatesNext(builder *flatbuffers.Builder, newsNext uint64) {
 	builder.PrependUint64Slot(7, newsNext, 0)
 }
-func FeedTellAddNewsReset(builder *flatbuffers.Builder, newsReset bool) {
+func FeedResponseAddUpdatesReset(builder *flatbuffers.Builder, newsReset bool) {
 	builder.PrependBoolSlot(8, newsReset, false)
 }
-func FeedTellAddNews(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
+func FeedResponseAddUpdates(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(news), 0)
 }
-func FeedTellStartNewsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func FeedResponseStartUpdatesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func FeedTellAddEra(builder *flatbuffers.Builder, era uint64) {
+func FeedResponseAddGeneration(builder *flatbuffers.Builder, era uint64) {
 	builder.PrependUint64Slot(10, era, 0)
 }
-func FeedTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func FeedResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type ModelAtT struct {
+type ModelVersionT struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
 
-func (t *ModelAtT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *ModelVersionT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	modelOffset := builder.CreateString(t.Model)
-	ModelAtStart(builder)
-	ModelAtAddModel(builder, modelOffset)
-	ModelAtAddVersion(builder, t.Version)
-	return ModelAtEnd(builder)
+	ModelVersionStart(builder)
+	ModelVersionAddModel(builder, modelOffset)
+	ModelVersionAddVersion(builder, t.Version)
+	return ModelVersionEnd(builder)
 }
 
-func (rcv *ModelAt) UnPackTo(t *ModelAtT) {
+func (rcv *ModelVersion) UnPackTo(t *ModelVersionT) {
 	t.Model = string(rcv.Model())
 	t.Version = rcv.Version()
 }
 
-func (rcv *ModelAt) UnPack() *ModelAtT {
+func (rcv *ModelVersion) UnPack() *ModelVersionT {
 	if rcv == nil {
 		return nil
 	}
-	t := &ModelAtT{}
+	t := &ModelVersionT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type ModelAt struct {
+type ModelVersion struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsModelAt(buf []byte, offset flatbuffers.UOffsetT) *ModelAt {
+func GetRootAsModelVersion(buf []byte, offset flatbuffers.UOffsetT) *ModelVersion {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &ModelAt{}
+	x := &ModelVersion{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsModelAt(buf []byte, offset flatbuffers.UOffsetT) *ModelAt {
+func GetSizePrefixedRootAsModelVersion(buf []byte, offset flatbuffers.UOffsetT) *ModelVersion {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &ModelAt{}
+	x := &ModelVersion{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *ModelAt) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *ModelVersion) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *ModelAt) Table() flatbuffers.Table {
+func (rcv *ModelVersion) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *ModelAt) Model() []byte {
+func (rcv *ModelVersion) Model() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -5664,7 +5664,7 @@
 	return nil
 }
 
-func (rcv *ModelAt) Version() uint64 {
+func (rcv *ModelVersion) Version() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -5672,34 +5672,34 @@
 	return 0
 }
 
-func (rcv *ModelAt) MutateVersion(n uint64) bool {
+func (rcv *ModelVersion) MutateVersion(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func ModelAtStart(builder *flatbuffers.Builder) {
+func ModelVersionStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func ModelAtAddModel(builder *flatbuffers.Builder, model flatbuffers.UOffsetT) {
+func ModelVersionAddModel(builder *flatbuffers.Builder, model flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(model), 0)
 }
-func ModelAtAddVersion(builder *flatbuffers.Builder, version uint64) {
+func ModelVersionAddVersion(builder *flatbuffers.Builder, version uint64) {
 	builder.PrependUint64Slot(1, version, 0)
 }
-func ModelAtEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func ModelVersionEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type MapEngineT struct {
-	Id       string      `json:"id"`
-	Pool     string      `json:"pool"`
-	Addr     string      `json:"addr"`
-	Site     string      `json:"site"`
-	Draining bool        `json:"draining"`
-	Slots    uint32      `json:"slots"`
-	Weights  []*ModelAtT `json:"weights"`
-	Turning  bool        `json:"turning"`
-	Down     bool        `json:"down"`
-	Store    bool        `json:"store"`
+	Id        string           `json:"id"`
+	Pool      string           `json:"pool"`
+	Addr      string           `json:"addr"`
+	Zone      string           `json:"site"`
+	Draining  bool             `json:"draining"`
+	Slots     uint32           `json:"slots"`
+	Weights   []*ModelVersionT `json:"weights"`
+	Updating  bool             `json:"turning"`
+	Unhealthy bool             `json:"down"`
+	Store     bool             `json:"store"`
 }
 
 func (t *MapEngineT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -5709,7 +5709,7 @@
 	idOffset := builder.CreateString(t.Id)
 	poolOffset := builder.CreateString(t.Pool)
 	addrOffset := builder.CreateString(t.Addr)
-	siteOffset := builder.CreateString(t.Site)
+	siteOffset := builder.CreateString(t.Zone)
 	weightsOffset := flatbuffers.UOffsetT(0)
 	if t.Weights != nil {
 		weightsLength := len(t.Weights)
@@ -5727,12 +5727,12 @@
 	MapEngineAddId(builder, idOffset)
 	MapEngineAddPool(builder, poolOffset)
 	MapEngineAddAddr(builder, addrOffset)
-	MapEngineAddSite(builder, siteOffset)
+	MapEngineAddZone(builder, siteOffset)
 	MapEngineAddDraining(builder, t.Draining)
 	MapEngineAddSlots(builder, t.Slots)
 	MapEngineAddWeights(builder, weightsOffset)
-	MapEngineAddTurning(builder, t.Turning)
-	MapEngineAddDown(builder, t.Down)
+	MapEngineAddUpdating(builder, t.Updating)
+	MapEngineAddUnhealthy(builder, t.Unhealthy)
 	MapEngineAddStore(builder, t.Store)
 	return MapEngineEnd(builder)
 }
@@ -5741,18 +5741,18 @@
 	t.Id = string(rcv.Id())
 	t.Pool = string(rcv.Pool())
 	t.Addr = string(rcv.Addr())
-	t.Site = string(rcv.Site())
+	t.Zone = string(rcv.Zone())
 	t.Draining = rcv.Draining()
 	t.Slots = rcv.Slots()
 	weightsLength := rcv.WeightsLength()
-	t.Weights = make([]*ModelAtT, weightsLength)
+	t.Weights = make([]*ModelVersionT, weightsLength)
 	for j := 0; j < weightsLength; j++ {
-		x := ModelAt{}
+		x := ModelVersion{}
 		rcv.Weights(&x, j)
 		t.Weights[j] = x.UnPack()
 	}
-	t.Turning = rcv.Turning()
-	t.Down = rcv.Down()
+	t.Updating = rcv.Updating()
+	t.Unhealthy = rcv.Unhealthy()
 	t.Store = rcv.Store()
 }
 
@@ -5816,7 +5816,7 @@
 	return nil
 }
 
-func (rcv *MapEngine) Site() []byte {
+func (rcv *MapEngine) Zone() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -5848,7 +5848,7 @@
 	return rcv._tab.MutateUint32Slot(14, n)
 }
 
-func (rcv *MapEngine) Weights(obj *ModelAt, j int) bool {
+func (rcv *MapEngine) Weights(obj *ModelVersion, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -5868,7 +5868,7 @@
 	return 0
 }
 
-func (rcv *MapEngine) Turning() bool {
+func (rcv *MapEngine) Updating() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -5876,11 +5876,11 @@
 	return false
 }
 
-func (rcv *MapEngine) MutateTurning(n bool) bool {
+func (rcv *MapEngine) MutateUpdating(n bool) bool {
 	return rcv._tab.MutateBoolSlot(18, n)
 }
 
-func (rcv *MapEngine) Down() bool {
+func (rcv *MapEngine) Unhealthy() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -5888,7 +5888,7 @@
 	return false
 }
 
-func (rcv *MapEngine) MutateDown(n bool) bool {
+func (rcv *MapEngine) MutateUnhealthy(n bool) bool {
 	return rcv._tab.MutateBoolSlot(20, n)
 }
 
@@ -5916,7 +5916,7 @@
 func MapEngineAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(addr), 0)
 }
-func MapEngineAddSite(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
+func MapEngineAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(site), 0)
 }
 func MapEngineAddDraining(builder *flatbuffers.Builder, draining bool) {
@@ -5931,10 +5931,10 @@
 func MapEngineStartWeightsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapEngineAddTurning(builder *flatbuffers.Builder, turning bool) {
+func MapEngineAddUpdating(builder *flatbuffers.Builder, turning bool) {
 	builder.PrependBoolSlot(7, turning, false)
 }
-func MapEngineAddDown(builder *flatbuffers.Builder, down bool) {
+func MapEngineAddUnhealthy(builder *flatbuffers.Builder, down bool) {
 	builder.PrependBoolSlot(8, down, false)
 }
 func MapEngineAddStore(builder *flatbuffers.Builder, store bool) {
@@ -5944,67 +5944,67 @@
 	return builder.EndObject()
 }
 
-type NamedT struct {
+type AnnouncedVersionT struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 	Age     int64  `json:"age"`
 }
 
-func (t *NamedT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *AnnouncedVersionT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	modelOffset := builder.CreateString(t.Model)
-	NamedStart(builder)
-	NamedAddModel(builder, modelOffset)
-	NamedAddVersion(builder, t.Version)
-	NamedAddAge(builder, t.Age)
-	return NamedEnd(builder)
+	AnnouncedVersionStart(builder)
+	AnnouncedVersionAddModel(builder, modelOffset)
+	AnnouncedVersionAddVersion(builder, t.Version)
+	AnnouncedVersionAddAge(builder, t.Age)
+	return AnnouncedVersionEnd(builder)
 }
 
-func (rcv *Named) UnPackTo(t *NamedT) {
+func (rcv *AnnouncedVersion) UnPackTo(t *AnnouncedVersionT) {
 	t.Model = string(rcv.Model())
 	t.Version = rcv.Version()
 	t.Age = rcv.Age()
 }
 
-func (rcv *Named) UnPack() *NamedT {
+func (rcv *AnnouncedVersion) UnPack() *AnnouncedVersionT {
 	if rcv == nil {
 		return nil
 	}
-	t := &NamedT{}
+	t := &AnnouncedVersionT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Named struct {
+type AnnouncedVersion struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsNamed(buf []byte, offset flatbuffers.UOffsetT) *Named {
+func GetRootAsAnnouncedVersion(buf []byte, offset flatbuffers.UOffsetT) *AnnouncedVersion {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Named{}
+	x := &AnnouncedVersion{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsNamed(buf []byte, offset flatbuffers.UOffsetT) *Named {
+func GetSizePrefixedRootAsAnnouncedVersion(buf []byte, offset flatbuffers.UOffsetT) *AnnouncedVersion {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Named{}
+	x := &AnnouncedVersion{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Named) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *AnnouncedVersion) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Named) Table() flatbuffers.Table {
+func (rcv *AnnouncedVersion) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Named) Model() []byte {
+func (rcv *AnnouncedVersion) Model() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -6012,7 +6012,7 @@
 	return nil
 }
 
-func (rcv *Named) Version() uint64 {
+func (rcv *AnnouncedVersion) Version() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6020,11 +6020,11 @@
 	return 0
 }
 
-func (rcv *Named) MutateVersion(n uint64) bool {
+func (rcv *AnnouncedVersion) MutateVersion(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Named) Age() int64 {
+func (rcv *AnnouncedVersion) Age() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -6032,38 +6032,38 @@
 	return 0
 }
 
-func (rcv *Named) MutateAge(n int64) bool {
+func (rcv *AnnouncedVersion) MutateAge(n int64) bool {
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func NamedStart(builder *flatbuffers.Builder) {
+func AnnouncedVersionStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func NamedAddModel(builder *flatbuffers.Builder, model flatbuffers.UOffsetT) {
+func AnnouncedVersionAddModel(builder *flatbuffers.Builder, model flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(model), 0)
 }
-func NamedAddVersion(builder *flatbuffers.Builder, version uint64) {
+func AnnouncedVersionAddVersion(builder *flatbuffers.Builder, version uint64) {
 	builder.PrependUint64Slot(1, version, 0)
 }
-func NamedAddAge(builder *flatbuffers.Builder, age int64) {
+func AnnouncedVersionAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(2, age, 0)
 }
-func NamedEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func AnnouncedVersionEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type MapAskT struct {
-	Node      *NodeT   `json:"node"`
-	Inc       uint64   `json:"inc"`
-	Have      uint64   `json:"have"`
-	Map       uint64   `json:"map"`
-	NewsInc   uint64   `json:"news_inc"`
-	NewsSince uint64   `json:"news_since"`
-	Hold      int64    `json:"hold"`
-	Loads     []*LoadT `json:"loads"`
+type MapRequestT struct {
+	Node               *NodeT         `json:"node"`
+	Incarnation        uint64         `json:"inc"`
+	HaveRevision       uint64         `json:"have"`
+	HaveMap            uint64         `json:"map"`
+	UpdatesIncarnation uint64         `json:"news_inc"`
+	UpdatesSince       uint64         `json:"news_since"`
+	Hold               int64          `json:"hold"`
+	Loads              []*EngineLoadT `json:"loads"`
 }
 
-func (t *MapAskT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *MapRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -6075,78 +6075,78 @@
 		for j := 0; j < loadsLength; j++ {
 			loadsOffsets[j] = t.Loads[j].Pack(builder)
 		}
-		MapAskStartLoadsVector(builder, loadsLength)
+		MapRequestStartLoadsVector(builder, loadsLength)
 		for j := loadsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(loadsOffsets[j])
 		}
 		loadsOffset = builder.EndVector(loadsLength)
 	}
-	MapAskStart(builder)
-	MapAskAddNode(builder, nodeOffset)
-	MapAskAddInc(builder, t.Inc)
-	MapAskAddHave(builder, t.Have)
-	MapAskAddMap(builder, t.Map)
-	MapAskAddNewsInc(builder, t.NewsInc)
-	MapAskAddNewsSince(builder, t.NewsSince)
-	MapAskAddHold(builder, t.Hold)
-	MapAskAddLoads(builder, loadsOffset)
-	return MapAskEnd(builder)
+	MapRequestStart(builder)
+	MapRequestAddNode(builder, nodeOffset)
+	MapRequestAddIncarnation(builder, t.Incarnation)
+	MapRequestAddHaveRevision(builder, t.HaveRevision)
+	MapRequestAddHaveMap(builder, t.HaveMap)
+	MapRequestAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
+	MapRequestAddUpdatesSince(builder, t.UpdatesSince)
+	MapRequestAddHold(builder, t.Hold)
+	MapRequestAddLoads(builder, loadsOffset)
+	return MapRequestEnd(builder)
 }
 
-func (rcv *MapAsk) UnPackTo(t *MapAskT) {
+func (rcv *MapRequest) UnPackTo(t *MapRequestT) {
 	t.Node = rcv.Node(nil).UnPack()
-	t.Inc = rcv.Inc()
-	t.Have = rcv.Have()
-	t.Map = rcv.Map()
-	t.NewsInc = rcv.NewsInc()
-	t.NewsSince = rcv.NewsSince()
+	t.Incarnation = rcv.Incarnation()
+	t.HaveRevision = rcv.HaveRevision()
+	t.HaveMap = rcv.HaveMap()
+	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
+	t.UpdatesSince = rcv.UpdatesSince()
 	t.Hold = rcv.Hold()
 	loadsLength := rcv.LoadsLength()
-	t.Loads = make([]*LoadT, loadsLength)
+	t.Loads = make([]*EngineLoadT, loadsLength)
 	for j := 0; j < loadsLength; j++ {
-		x := Load{}
+		x := EngineLoad{}
 		rcv.Loads(&x, j)
 		t.Loads[j] = x.UnPack()
 	}
 }
 
-func (rcv *MapAsk) UnPack() *MapAskT {
+func (rcv *MapRequest) UnPack() *MapRequestT {
 	if rcv == nil {
 		return nil
 	}
-	t := &MapAskT{}
+	t := &MapRequestT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type MapAsk struct {
+type MapRequest struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsMapAsk(buf []byte, offset flatbuffers.UOffsetT) *MapAsk {
+func GetRootAsMapRequest(buf []byte, offset flatbuffers.UOffsetT) *MapRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &MapAsk{}
+	x := &MapRequest{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsMapAsk(buf []byte, offset flatbuffers.UOffsetT) *MapAsk {
+func GetSizePrefixedRootAsMapRequest(buf []byte, offset flatbuffers.UOffsetT) *MapRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &MapAsk{}
+	x := &MapRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *MapAsk) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *MapRequest) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *MapAsk) Table() flatbuffers.Table {
+func (rcv *MapRequest) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *MapAsk) Node(obj *Node) *Node {
+func (rcv *MapRequest) Node(obj *Node) *Node {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
@@ -6159,7 +6159,7 @@
 	return nil
 }
 
-func (rcv *MapAsk) Inc() uint64 {
+func (rcv *MapRequest) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6167,11 +6167,11 @@
 	return 0
 }
 
-func (rcv *MapAsk) MutateInc(n uint64) bool {
+func (rcv *MapRequest) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *MapAsk) Have() uint64 {
+func (rcv *MapRequest) HaveRevision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6179,11 +6179,11 @@
 	return 0
 }
 
-func (rcv *MapAsk) MutateHave(n uint64) bool {
+func (rcv *MapRequest) MutateHaveRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *MapAsk) Map() uint64 {
+func (rcv *MapRequest) HaveMap() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6191,11 +6191,11 @@
 	return 0
 }
 
-func (rcv *MapAsk) MutateMap(n uint64) bool {
+func (rcv *MapRequest) MutateHaveMap(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(10, n)
 }
 
-func (rcv *MapAsk) NewsInc() uint64 {
+func (rcv *MapRequest) UpdatesIncarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6203,11 +6203,11 @@
 	return 0
 }
 
-func (rcv *MapAsk) MutateNewsInc(n uint64) bool {
+func (rcv *MapRequest) MutateUpdatesIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *MapAsk) NewsSince() uint64 {
+func (rcv *MapRequest) UpdatesSince() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6215,11 +6215,11 @@
 	return 0
 }
 
-func (rcv *MapAsk) MutateNewsSince(n uint64) bool {
+func (rcv *MapRequest) MutateUpdatesSince(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *MapAsk) Hold() int64 {
+func (rcv *MapRequest) Hold() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -6227,11 +6227,11 @@
 	return 0
 }
 
-func (rcv *MapAsk) MutateHold(n int64) bool {
+func (rcv *MapRequest) MutateHold(n int64) bool {
 	return rcv._tab.MutateInt64Slot(16, n)
 }
 
-func (rcv *MapAsk) Loads(obj *Load, j int) bool {
+func (rcv *MapRequest) Loads(obj *EngineLoad, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -6243,7 +6243,7 @@
 	return false
 }
 
-func (rcv *MapAsk) LoadsLength() int {
+func (rcv *MapRequest) LoadsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -6251,103 +6251,103 @@
 	return 0
 }
 
-func MapAskStart(builder *flatbuffers.Builder) {
+func MapRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(8)
 }
-func MapAskAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
+func MapRequestAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(node), 0)
 }
-func MapAskAddInc(builder *flatbuffers.Builder, inc uint64) {
+func MapRequestAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(1, inc, 0)
 }
-func MapAskAddHave(builder *flatbuffers.Builder, have uint64) {
+func MapRequestAddHaveRevision(builder *flatbuffers.Builder, have uint64) {
 	builder.PrependUint64Slot(2, have, 0)
 }
-func MapAskAddMap(builder *flatbuffers.Builder, map_ uint64) {
+func MapRequestAddHaveMap(builder *flatbuffers.Builder, map_ uint64) {
 	builder.PrependUint64Slot(3, map_, 0)
 }
-func MapAskAddNewsInc(builder *flatbuffers.Builder, newsInc uint64) {
+func MapRequestAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
 	builder.PrependUint64Slot(4, newsInc, 0)
 }
-func MapAskAddNewsSince(builder *flatbuffers.Builder, newsSince uint64) {
+func MapRequestAddUpdatesSince(builder *flatbuffers.Builder, newsSince uint64) {
 	builder.PrependUint64Slot(5, newsSince, 0)
 }
-func MapAskAddHold(builder *flatbuffers.Builder, hold int64) {
+func MapRequestAddHold(builder *flatbuffers.Builder, hold int64) {
 	builder.PrependInt64Slot(6, hold, 0)
 }
-func MapAskAddLoads(builder *flatbuffers.Builder, loads flatbuffers.UOffsetT) {
+func MapRequestAddLoads(builder *flatbuffers.Builder, loads flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(loads), 0)
 }
-func MapAskStartLoadsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MapRequestStartLoadsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapAskEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func MapRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type LoadT struct {
-	Node    uint64 `json:"node"`
-	Active  uint32 `json:"active"`
-	Reading uint32 `json:"reading"`
-	Tokens  uint32 `json:"tokens"`
+type EngineLoadT struct {
+	Node          uint64 `json:"node"`
+	Active        uint32 `json:"active"`
+	PrefillTokens uint32 `json:"reading"`
+	MemoryTokens  uint32 `json:"tokens"`
 }
 
-func (t *LoadT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *EngineLoadT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	LoadStart(builder)
-	LoadAddNode(builder, t.Node)
-	LoadAddActive(builder, t.Active)
-	LoadAddReading(builder, t.Reading)
-	LoadAddTokens(builder, t.Tokens)
-	return LoadEnd(builder)
+	EngineLoadStart(builder)
+	EngineLoadAddNode(builder, t.Node)
+	EngineLoadAddActive(builder, t.Active)
+	EngineLoadAddPrefillTokens(builder, t.PrefillTokens)
+	EngineLoadAddMemoryTokens(builder, t.MemoryTokens)
+	return EngineLoadEnd(builder)
 }
 
-func (rcv *Load) UnPackTo(t *LoadT) {
+func (rcv *EngineLoad) UnPackTo(t *EngineLoadT) {
 	t.Node = rcv.Node()
 	t.Active = rcv.Active()
-	t.Reading = rcv.Reading()
-	t.Tokens = rcv.Tokens()
+	t.PrefillTokens = rcv.PrefillTokens()
+	t.MemoryTokens = rcv.MemoryTokens()
 }
 
-func (rcv *Load) UnPack() *LoadT {
+func (rcv *EngineLoad) UnPack() *EngineLoadT {
 	if rcv == nil {
 		return nil
 	}
-	t := &LoadT{}
+	t := &EngineLoadT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Load struct {
+type EngineLoad struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsLoad(buf []byte, offset flatbuffers.UOffsetT) *Load {
+func GetRootAsEngineLoad(buf []byte, offset flatbuffers.UOffsetT) *EngineLoad {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Load{}
+	x := &EngineLoad{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsLoad(buf []byte, offset flatbuffers.UOffsetT) *Load {
+func GetSizePrefixedRootAsEngineLoad(buf []byte, offset flatbuffers.UOffsetT) *EngineLoad {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Load{}
+	x := &EngineLoad{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Load) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *EngineLoad) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Load) Table() flatbuffers.Table {
+func (rcv *EngineLoad) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Load) Node() uint64 {
+func (rcv *EngineLoad) Node() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6355,11 +6355,11 @@
 	return 0
 }
 
-func (rcv *Load) MutateNode(n uint64) bool {
+func (rcv *EngineLoad) MutateNode(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Load) Active() uint32 {
+func (rcv *EngineLoad) Active() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -6367,11 +6367,11 @@
 	return 0
 }
 
-func (rcv *Load) MutateActive(n uint32) bool {
+func (rcv *EngineLoad) MutateActive(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(6, n)
 }
 
-func (rcv *Load) Reading() uint32 {
+func (rcv *EngineLoad) PrefillTokens() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -6379,11 +6379,11 @@
 	return 0
 }
 
-func (rcv *Load) MutateReading(n uint32) bool {
+func (rcv *EngineLoad) MutatePrefillTokens(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(8, n)
 }
 
-func (rcv *Load) Tokens() uint32 {
+func (rcv *EngineLoad) MemoryTokens() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -6391,33 +6391,33 @@
 	return 0
 }
 
-func (rcv *Load) MutateTokens(n uint32) bool {
+func (rcv *EngineLoad) MutateMemoryTokens(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(10, n)
 }
 
-func LoadStart(builder *flatbuffers.Builder) {
+func EngineLoadStart(builder *flatbuffers.Builder) {
 	builder.StartObject(4)
 }
-func LoadAddNode(builder *flatbuffers.Builder, node uint64) {
+func EngineLoadAddNode(builder *flatbuffers.Builder, node uint64) {
 	builder.PrependUint64Slot(0, node, 0)
 }
-func LoadAddActive(builder *flatbuffers.Builder, active uint32) {
+func EngineLoadAddActive(builder *flatbuffers.Builder, active uint32) {
 	builder.PrependUint32Slot(1, active, 0)
 }
-func LoadAddReading(builder *flatbuffers.Builder, reading uint32) {
+func EngineLoadAddPrefillTokens(builder *flatbuffers.Builder, reading uint32) {
 	builder.PrependUint32Slot(2, reading, 0)
 }
-func LoadAddTokens(builder *flatbuffers.Builder, tokens uint32) {
+func EngineLoadAddMemoryTokens(builder *flatbuffers.Builder, tokens uint32) {
 	builder.PrependUint32Slot(3, tokens, 0)
 }
-func LoadEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func EngineLoadEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type ProxyLoadT struct {
-	Name  string   `json:"name"`
-	Age   int64    `json:"age"`
-	Loads []*LoadT `json:"loads"`
+	Name  string         `json:"name"`
+	Age   int64          `json:"age"`
+	Loads []*EngineLoadT `json:"loads"`
 }
 
 func (t *ProxyLoadT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -6449,9 +6449,9 @@
 	t.Name = string(rcv.Name())
 	t.Age = rcv.Age()
 	loadsLength := rcv.LoadsLength()
-	t.Loads = make([]*LoadT, loadsLength)
+	t.Loads = make([]*EngineLoadT, loadsLength)
 	for j := 0; j < loadsLength; j++ {
-		x := Load{}
+		x := EngineLoad{}
 		rcv.Loads(&x, j)
 		t.Loads[j] = x.UnPack()
 	}
@@ -6513,7 +6513,7 @@
 	return rcv._tab.MutateInt64Slot(6, n)
 }
 
-func (rcv *ProxyLoad) Loads(obj *Load, j int) bool {
+func (rcv *ProxyLoad) Loads(obj *EngineLoad, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -6552,11 +6552,11 @@
 	return builder.EndObject()
 }
 
-type LoadTellT struct {
+type LoadUpdateT struct {
 	Proxies []*ProxyLoadT `json:"proxies"`
 }
 
-func (t *LoadTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *LoadUpdateT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -6567,18 +6567,18 @@
 		for j := 0; j < proxiesLength; j++ {
 			proxiesOffsets[j] = t.Proxies[j].Pack(builder)
 		}
-		LoadTellStartProxiesVector(builder, proxiesLength)
+		LoadUpdateStartProxiesVector(builder, proxiesLength)
 		for j := proxiesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(proxiesOffsets[j])
 		}
 		proxiesOffset = builder.EndVector(proxiesLength)
 	}
-	LoadTellStart(builder)
-	LoadTellAddProxies(builder, proxiesOffset)
-	return LoadTellEnd(builder)
+	LoadUpdateStart(builder)
+	LoadUpdateAddProxies(builder, proxiesOffset)
+	return LoadUpdateEnd(builder)
 }
 
-func (rcv *LoadTell) UnPackTo(t *LoadTellT) {
+func (rcv *LoadUpdate) UnPackTo(t *LoadUpdateT) {
 	proxiesLength := rcv.ProxiesLength()
 	t.Proxies = make([]*ProxyLoadT, proxiesLength)
 	for j := 0; j < proxiesLength; j++ {
@@ -6588,43 +6588,43 @@
 	}
 }
 
-func (rcv *LoadTell) UnPack() *LoadTellT {
+func (rcv *LoadUpdate) UnPack() *LoadUpdateT {
 	if rcv == nil {
 		return nil
 	}
-	t := &LoadTellT{}
+	t := &LoadUpdateT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type LoadTell struct {
+type LoadUpdate struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsLoadTell(buf []byte, offset flatbuffers.UOffsetT) *LoadTell {
+func GetRootAsLoadUpdate(buf []byte, offset flatbuffers.UOffsetT) *LoadUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &LoadTell{}
+	x := &LoadUpdate{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsLoadTell(buf []byte, offset flatbuffers.UOffsetT) *LoadTell {
+func GetSizePrefixedRootAsLoadUpdate(buf []byte, offset flatbuffers.UOffsetT) *LoadUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &LoadTell{}
+	x := &LoadUpdate{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *LoadTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *LoadUpdate) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *LoadTell) Table() flatbuffers.Table {
+func (rcv *LoadUpdate) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *LoadTell) Proxies(obj *ProxyLoad, j int) bool {
+func (rcv *LoadUpdate) Proxies(obj *ProxyLoad, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -6636,7 +6636,7 @@
 	return false
 }
 
-func (rcv *LoadTell) ProxiesLength() int {
+func (rcv *LoadUpdate) ProxiesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -6644,49 +6644,49 @@
 	return 0
 }
 
-func LoadTellStart(builder *flatbuffers.Builder) {
+func LoadUpdateStart(builder *flatbuffers.Builder) {
 	builder.StartObject(1)
 }
-func LoadTellAddProxies(builder *flatbuffers.Builder, proxies flatbuffers.UOffsetT) {
+func LoadUpdateAddProxies(builder *flatbuffers.Builder, proxies flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(proxies), 0)
 }
-func LoadTellStartProxiesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func LoadUpdateStartProxiesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func LoadTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func LoadUpdateEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type MapTellT struct {
-	Inc        uint64        `json:"inc"`
-	Site       string        `json:"site"`
-	Held       int64         `json:"held"`
-	Known      bool          `json:"known"`
-	Rev        uint64        `json:"rev"`
-	Age        int64         `json:"age"`
-	Config     []byte        `json:"config"`
-	Map        uint64        `json:"map"`
-	Whole      bool          `json:"whole"`
-	ListAge    int64         `json:"list_age"`
-	Engines    []*MapEngineT `json:"engines"`
-	Named      []*NamedT     `json:"named"`
-	Proxies    uint32        `json:"proxies"`
-	Voters     []string      `json:"voters"`
-	NewsInc    uint64        `json:"news_inc"`
-	NewsNext   uint64        `json:"news_next"`
-	NewsReset  bool          `json:"news_reset"`
-	News       []*NewsT      `json:"news"`
-	Loads      []*LoadT      `json:"loads"`
-	Complete   bool          `json:"complete"`
-	NamedEpoch uint64        `json:"named_epoch"`
-	NamedAge   int64         `json:"named_age"`
-}
-
-func (t *MapTellT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+type MapResponseT struct {
+	Incarnation        uint64               `json:"inc"`
+	Zone               string               `json:"site"`
+	Waited             int64                `json:"held"`
+	Known              bool                 `json:"known"`
+	Revision           uint64               `json:"rev"`
+	Age                int64                `json:"age"`
+	Config             []byte               `json:"config"`
+	Map                uint64               `json:"map"`
+	FullMap            bool                 `json:"whole"`
+	ListAge            int64                `json:"list_age"`
+	Engines            []*MapEngineT        `json:"engines"`
+	Announced          []*AnnouncedVersionT `json:"named"`
+	Proxies            uint32               `json:"proxies"`
+	Voters             []string             `json:"voters"`
+	UpdatesIncarnation uint64               `json:"news_inc"`
+	UpdatesNext        uint64               `json:"news_next"`
+	UpdatesReset       bool                 `json:"news_reset"`
+	Updates            []*CacheUpdateT      `json:"news"`
+	Loads              []*EngineLoadT       `json:"loads"`
+	Complete           bool                 `json:"complete"`
+	AnnouncedTerm      uint64               `json:"named_epoch"`
+	AnnouncedAge       int64                `json:"named_age"`
+}
+
+func (t *MapResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	siteOffset := builder.CreateString(t.Site)
+	siteOffset := builder.CreateString(t.Zone)
 	configOffset := flatbuffers.UOffsetT(0)
 	if t.Config != nil {
 		configOffset = builder.CreateByteString(t.Config)
@@ -6698,20 +6698,20 @@
 		for j := 0; j < enginesLength; j++ {
 			enginesOffsets[j] = t.Engines[j].Pack(builder)
 		}
-		MapTellStartEnginesVector(builder, enginesLength)
+		MapResponseStartEnginesVector(builder, enginesLength)
 		for j := enginesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(enginesOffsets[j])
 		}
 		enginesOffset = builder.EndVector(enginesLength)
 	}
 	namedOffset := flatbuffers.UOffsetT(0)
-	if t.Named != nil {
-		namedLength := len(t.Named)
+	if t.Announced != nil {
+		namedLength := len(t.Announced)
 		namedOffsets := make([]flatbuffers.UOffsetT, namedLength)
 		for j := 0; j < namedLength; j++ {
-			namedOffsets[j] = t.Named[j].Pack(builder)
+			namedOffsets[j] = t.Announced[j].Pack(builder)
 		}
-		MapTellStartNamedVector(builder, namedLength)
+		MapResponseStartAnnouncedVector(builder, namedLength)
 		for j := namedLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(namedOffsets[j])
 		}
@@ -6724,20 +6724,20 @@
 		for j := 0; j < votersLength; j++ {
 			votersOffsets[j] = builder.CreateString(t.Voters[j])
 		}
-		MapTellStartVotersVector(builder, votersLength)
+		MapResponseStartVotersVector(builder, votersLength)
 		for j := votersLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(votersOffsets[j])
 		}
 		votersOffset = builder.EndVector(votersLength)
 	}
 	newsOffset := flatbuffers.UOffsetT(0)
-	if t.News != nil {
-		newsLength := len(t.News)
+	if t.Updates != nil {
+		newsLength := len(t.Updates)
 		newsOffsets := make([]flatbuffers.UOffsetT, newsLength)
 		for j := 0; j < newsLength; j++ {
-			newsOffsets[j] = t.News[j].Pack(builder)
+			newsOffsets[j] = t.Updates[j].Pack(builder)
 		}
-		MapTellStartNewsVector(builder, newsLength)
+		MapResponseStartUpdatesVector(builder, newsLength)
 		for j := newsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(newsOffsets[j])
 		}
@@ -6750,48 +6750,48 @@
 		for j := 0; j < loadsLength; j++ {
 			loadsOffsets[j] = t.Loads[j].Pack(builder)
 		}
-		MapTellStartLoadsVector(builder, loadsLength)
+		MapResponseStartLoadsVector(builder, loadsLength)
 		for j := loadsLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(loadsOffsets[j])
 		}
 		loadsOffset = builder.EndVector(loadsLength)
 	}
-	MapTellStart(builder)
-	MapTellAddInc(builder, t.Inc)
-	MapTellAddSite(builder, siteOffset)
-	MapTellAddHeld(builder, t.Held)
-	MapTellAddKnown(builder, t.Known)
-	MapTellAddRev(builder, t.Rev)
-	MapTellAddAge(builder, t.Age)
-	MapTellAddConfig(builder, configOffset)
-	MapTellAddMap(builder, t.Map)
-	MapTellAddWhole(builder, t.Whole)
-	MapTellAddListAge(builder, t.ListAge)
-	MapTellAddEngines(builder, enginesOffset)
-	MapTellAddNamed(builder, namedOffset)
-	MapTellAddProxies(builder, t.Proxies)
-	MapTellAddVoters(builder, votersOffset)
-	MapTellAddNewsInc(builder, t.NewsInc)
-	MapTellAddNewsNext(builder, t.NewsNext)
-	MapTellAddNewsReset(builder, t.NewsReset)
-	MapTellAddNews(builder, newsOffset)
-	MapTellAddLoads(builder, loadsOffset)
-	MapTellAddComplete(builder, t.Complete)
-	MapTellAddNamedEpoch(builder, t.NamedEpoch)
-	MapTellAddNamedAge(builder, t.NamedAge)
-	return MapTellEnd(builder)
-}
-
-func (rcv *MapTell) UnPackTo(t *MapTellT) {
-	t.Inc = rcv.Inc()
-	t.Site = string(rcv.Site())
-	t.Held = rcv.Held()
+	MapResponseStart(builder)
+	MapResponseAddIncarnation(builder, t.Incarnation)
+	MapResponseAddZone(builder, siteOffset)
+	MapResponseAddWaited(builder, t.Waited)
+	MapResponseAddKnown(builder, t.Known)
+	MapResponseAddRevision(builder, t.Revision)
+	MapResponseAddAge(builder, t.Age)
+	MapResponseAddConfig(builder, configOffset)
+	MapResponseAddMap(builder, t.Map)
+	MapResponseAddFullMap(builder, t.FullMap)
+	MapResponseAddListAge(builder, t.ListAge)
+	MapResponseAddEngines(builder, enginesOffset)
+	MapResponseAddAnnounced(builder, namedOffset)
+	MapResponseAddProxies(builder, t.Proxies)
+	MapResponseAddVoters(builder, votersOffset)
+	MapResponseAddUpdatesIncarnation(builder, t.UpdatesIncarnation)
+	MapResponseAddUpdatesNext(builder, t.UpdatesNext)
+	MapResponseAddUpdatesReset(builder, t.UpdatesReset)
+	MapResponseAddUpdates(builder, newsOffset)
+	MapResponseAddLoads(builder, loadsOffset)
+	MapResponseAddComplete(builder, t.Complete)
+	MapResponseAddAnnouncedTerm(builder, t.AnnouncedTerm)
+	MapResponseAddAnnouncedAge(builder, t.AnnouncedAge)
+	return MapResponseEnd(builder)
+}
+
+func (rcv *MapResponse) UnPackTo(t *MapResponseT) {
+	t.Incarnation = rcv.Incarnation()
+	t.Zone = string(rcv.Zone())
+	t.Waited = rcv.Waited()
 	t.Known = rcv.Known()
-	t.Rev = rcv.Rev()
+	t.Revision = rcv.Revision()
 	t.Age = rcv.Age()
 	t.Config = rcv.ConfigBytes()
 	t.Map = rcv.Map()
-	t.Whole = rcv.Whole()
+	t.FullMap = rcv.FullMap()
 	t.ListAge = rcv.ListAge()
 	enginesLength := rcv.EnginesLength()
 	t.Engines = make([]*MapEngineT, enginesLength)
@@ -6800,12 +6800,12 @@
 		rcv.Engines(&x, j)
 		t.Engines[j] = x.UnPack()
 	}
-	namedLength := rcv.NamedLength()
-	t.Named = make([]*NamedT, namedLength)
+	namedLength := rcv.AnnouncedLength()
+	t.Announced = make([]*AnnouncedVersionT, namedLength)
 	for j := 0; j < namedLength; j++ {
-		x := Named{}
-		rcv.Named(&x, j)
-		t.Named[j] = x.UnPack()
+		x := AnnouncedVersion{}
+		rcv.Announced(&x, j)
+		t.Announced[j] = x.UnPack()
 	}
 	t.Proxies = rcv.Proxies()
 	votersLength := rcv.VotersLength()
@@ -6813,65 +6813,65 @@
 	for j := 0; j < votersLength; j++ {
 		t.Voters[j] = string(rcv.Voters(j))
 	}
-	t.NewsInc = rcv.NewsInc()
-	t.NewsNext = rcv.NewsNext()
-	t.NewsReset = rcv.NewsReset()
-	newsLength := rcv.NewsLength()
-	t.News = make([]*NewsT, newsLength)
+	t.UpdatesIncarnation = rcv.UpdatesIncarnation()
+	t.UpdatesNext = rcv.UpdatesNext()
+	t.UpdatesReset = rcv.UpdatesReset()
+	newsLength := rcv.UpdatesLength()
+	t.Updates = make([]*CacheUpdateT, newsLength)
 	for j := 0; j < newsLength; j++ {
-		x := News{}
-		rcv.News(&x, j)
-		t.News[j] = x.UnPack()
+		x := CacheUpdate{}
+		rcv.Updates(&x, j)
+		t.Updates[j] = x.UnPack()
 	}
 	loadsLength := rcv.LoadsLength()
-	t.Loads = make([]*LoadT, loadsLength)
+	t.Loads = make([]*EngineLoadT, loadsLength)
 	for j := 0; j < loadsLength; j++ {
-		x := Load{}
+		x := EngineLoad{}
 		rcv.Loads(&x, j)
 		t.Loads[j] = x.UnPack()
 	}
 	t.Complete = rcv.Complete()
-	t.NamedEpoch = rcv.NamedEpoch()
-	t.NamedAge = rcv.NamedAge()
+	t.AnnouncedTerm = rcv.AnnouncedTerm()
+	t.AnnouncedAge = rcv.AnnouncedAge()
 }
 
-func (rcv *MapTell) UnPack() *MapTellT {
+func (rcv *MapResponse) UnPack() *MapResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &MapTellT{}
+	t := &MapResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type MapTell struct {
+type MapResponse struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsMapTell(buf []byte, offset flatbuffers.UOffsetT) *MapTell {
+func GetRootAsMapResponse(buf []byte, offset flatbuffers.UOffsetT) *MapResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &MapTell{}
+	x := &MapResponse{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsMapTell(buf []byte, offset flatbuffers.UOffsetT) *MapTell {
+func GetSizePrefixedRootAsMapResponse(buf []byte, offset flatbuffers.UOffsetT) *MapResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &MapTell{}
+	x := &MapResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *MapTell) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *MapResponse) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *MapTell) Table() flatbuffers.Table {
+func (rcv *MapResponse) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *MapTell) Inc() uint64 {
+func (rcv *MapResponse) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6879,11 +6879,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateInc(n uint64) bool {
+func (rcv *MapResponse) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *MapTell) Site() []byte {
+func (rcv *MapResponse) Zone() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -6891,7 +6891,7 @@
 	return nil
 }
 
-func (rcv *MapTell) Held() int64 {
+func (rcv *MapResponse) Waited() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -6899,11 +6899,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateHeld(n int64) bool {
+func (rcv *MapResponse) MutateWaited(n int64) bool {
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func (rcv *MapTell) Known() bool {
+func (rcv *MapResponse) Known() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -6911,11 +6911,11 @@
 	return false
 }
 
-func (rcv *MapTell) MutateKnown(n bool) bool {
+func (rcv *MapResponse) MutateKnown(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func (rcv *MapTell) Rev() uint64 {
+func (rcv *MapResponse) Revision() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6923,11 +6923,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateRev(n uint64) bool {
+func (rcv *MapResponse) MutateRevision(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *MapTell) Age() int64 {
+func (rcv *MapResponse) Age() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -6935,11 +6935,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateAge(n int64) bool {
+func (rcv *MapResponse) MutateAge(n int64) bool {
 	return rcv._tab.MutateInt64Slot(14, n)
 }
 
-func (rcv *MapTell) Config(j int) byte {
+func (rcv *MapResponse) Config(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -6948,7 +6948,7 @@
 	return 0
 }
 
-func (rcv *MapTell) ConfigLength() int {
+func (rcv *MapResponse) ConfigLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -6956,7 +6956,7 @@
 	return 0
 }
 
-func (rcv *MapTell) ConfigBytes() []byte {
+func (rcv *MapResponse) ConfigBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -6964,7 +6964,7 @@
 	return nil
 }
 
-func (rcv *MapTell) MutateConfig(j int, n byte) bool {
+func (rcv *MapResponse) MutateConfig(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -6973,7 +6973,7 @@
 	return false
 }
 
-func (rcv *MapTell) Map() uint64 {
+func (rcv *MapResponse) Map() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -6981,11 +6981,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateMap(n uint64) bool {
+func (rcv *MapResponse) MutateMap(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(18, n)
 }
 
-func (rcv *MapTell) Whole() bool {
+func (rcv *MapResponse) FullMap() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -6993,11 +6993,11 @@
 	return false
 }
 
-func (rcv *MapTell) MutateWhole(n bool) bool {
+func (rcv *MapResponse) MutateFullMap(n bool) bool {
 	return rcv._tab.MutateBoolSlot(20, n)
 }
 
-func (rcv *MapTell) ListAge() int64 {
+func (rcv *MapResponse) ListAge() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -7005,11 +7005,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateListAge(n int64) bool {
+func (rcv *MapResponse) MutateListAge(n int64) bool {
 	return rcv._tab.MutateInt64Slot(22, n)
 }
 
-func (rcv *MapTell) Engines(obj *MapEngine, j int) bool {
+func (rcv *MapResponse) Engines(obj *MapEngine, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -7021,7 +7021,7 @@
 	return false
 }
 
-func (rcv *MapTell) EnginesLength() int {
+func (rcv *MapResponse) EnginesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -7029,7 +7029,7 @@
 	return 0
 }
 
-func (rcv *MapTell) Named(obj *Named, j int) bool {
+func (rcv *MapResponse) Announced(obj *AnnouncedVersion, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -7041,7 +7041,7 @@
 	return false
 }
 
-func (rcv *MapTell) NamedLength() int {
+func (rcv *MapResponse) AnnouncedLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -7049,7 +7049,7 @@
 	return 0
 }
 
-func (rcv *MapTell) Proxies() uint32 {
+func (rcv *MapResponse) Proxies() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -7057,11 +7057,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateProxies(n uint32) bool {
+func (rcv *MapResponse) MutateProxies(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(28, n)
 }
 
-func (rcv *MapTell) Voters(j int) []byte {
+func (rcv *MapResponse) Voters(j int) []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -7070,7 +7070,7 @@
 	return nil
 }
 
-func (rcv *MapTell) VotersLength() int {
+func (rcv *MapResponse) VotersLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -7078,7 +7078,7 @@
 	return 0
 }
 
-func (rcv *MapTell) NewsInc() uint64 {
+func (rcv *MapResponse) UpdatesIncarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -7086,11 +7086,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateNewsInc(n uint64) bool {
+func (rcv *MapResponse) MutateUpdatesIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(32, n)
 }
 
-func (rcv *MapTell) NewsNext() uint64 {
+func (rcv *MapResponse) UpdatesNext() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -7098,11 +7098,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateNewsNext(n uint64) bool {
+func (rcv *MapResponse) MutateUpdatesNext(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(34, n)
 }
 
-func (rcv *MapTell) NewsReset() bool {
+func (rcv *MapResponse) UpdatesReset() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(36))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -7110,11 +7110,11 @@
 	return false
 }
 
-func (rcv *MapTell) MutateNewsReset(n bool) bool {
+func (rcv *MapResponse) MutateUpdatesReset(n bool) bool {
 	return rcv._tab.MutateBoolSlot(36, n)
 }
 
-func (rcv *MapTell) News(obj *News, j int) bool {
+func (rcv *MapResponse) Updates(obj *CacheUpdate, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(38))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -7126,7 +7126,7 @@
 	return false
 }
 
-func (rcv *MapTell) NewsLength() int {
+func (rcv *MapResponse) UpdatesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(38))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -7134,7 +7134,7 @@
 	return 0
 }
 
-func (rcv *MapTell) Loads(obj *Load, j int) bool {
+func (rcv *MapResponse) Loads(obj *EngineLoad, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(40))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -7146,7 +7146,7 @@
 	return false
 }
 
-func (rcv *MapTell) LoadsLength() int {
+func (rcv *MapResponse) LoadsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(40))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -7154,7 +7154,7 @@
 	return 0
 }
 
-func (rcv *MapTell) Complete() bool {
+func (rcv *MapResponse) Complete() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(42))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -7162,11 +7162,11 @@
 	return false
 }
 
-func (rcv *MapTell) MutateComplete(n bool) bool {
+func (rcv *MapResponse) MutateComplete(n bool) bool {
 	return rcv._tab.MutateBoolSlot(42, n)
 }
 
-func (rcv *MapTell) NamedEpoch() uint64 {
+func (rcv *MapResponse) AnnouncedTerm() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(44))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -7174,11 +7174,11 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateNamedEpoch(n uint64) bool {
+func (rcv *MapResponse) MutateAnnouncedTerm(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(44, n)
 }
 
-func (rcv *MapTell) NamedAge() int64 {
+func (rcv *MapResponse) AnnouncedAge() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(46))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -7186,160 +7186,160 @@
 	return 0
 }
 
-func (rcv *MapTell) MutateNamedAge(n int64) bool {
+func (rcv *MapResponse) MutateAnnouncedAge(n int64) bool {
 	return rcv._tab.MutateInt64Slot(46, n)
 }
 
-func MapTellStart(builder *flatbuffers.Builder) {
+func MapResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(22)
 }
-func MapTellAddInc(builder *flatbuffers.Builder, inc uint64) {
+func MapResponseAddIncarnation(builder *flatbuffers.Builder, inc uint64) {
 	builder.PrependUint64Slot(0, inc, 0)
 }
-func MapTellAddSite(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
+func MapResponseAddZone(builder *flatbuffers.Builder, site flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(site), 0)
 }
-func MapTellAddHeld(builder *flatbuffers.Builder, held int64) {
+func MapResponseAddWaited(builder *flatbuffers.Builder, held int64) {
 	builder.PrependInt64Slot(2, held, 0)
 }
-func MapTellAddKnown(builder *flatbuffers.Builder, known bool) {
+func MapResponseAddKnown(builder *flatbuffers.Builder, known bool) {
 	builder.PrependBoolSlot(3, known, false)
 }
-func MapTellAddRev(builder *flatbuffers.Builder, rev uint64) {
+func MapResponseAddRevision(builder *flatbuffers.Builder, rev uint64) {
 	builder.PrependUint64Slot(4, rev, 0)
 }
-func MapTellAddAge(builder *flatbuffers.Builder, age int64) {
+func MapResponseAddAge(builder *flatbuffers.Builder, age int64) {
 	builder.PrependInt64Slot(5, age, 0)
 }
-func MapTellAddConfig(builder *flatbuffers.Builder, config flatbuffers.UOffsetT) {
+func MapResponseAddConfig(builder *flatbuffers.Builder, config flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(config), 0)
 }
-func MapTellStartConfigVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MapResponseStartConfigVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func MapTellAddMap(builder *flatbuffers.Builder, map_ uint64) {
+func MapResponseAddMap(builder *flatbuffers.Builder, map_ uint64) {
 	builder.PrependUint64Slot(7, map_, 0)
 }
-func MapTellAddWhole(builder *flatbuffers.Builder, whole bool) {
+func MapResponseAddFullMap(builder *flatbuffers.Builder, whole bool) {
 	builder.PrependBoolSlot(8, whole, false)
 }
-func MapTellAddListAge(builder *flatbuffers.Builder, listAge int64) {
+func MapResponseAddListAge(builder *flatbuffers.Builder, listAge int64) {
 	builder.PrependInt64Slot(9, listAge, 0)
 }
-func MapTellAddEngines(builder *flatbuffers.Builder, engines flatbuffers.UOffsetT) {
+func MapResponseAddEngines(builder *flatbuffers.Builder, engines flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(10, flatbuffers.UOffsetT(engines), 0)
 }
-func MapTellStartEnginesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MapResponseStartEnginesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapTellAddNamed(builder *flatbuffers.Builder, named flatbuffers.UOffsetT) {
+func MapResponseAddAnnounced(builder *flatbuffers.Builder, named flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(named), 0)
 }
-func MapTellStartNamedVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MapResponseStartAnnouncedVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapTellAddProxies(builder *flatbuffers.Builder, proxies uint32) {
+func MapResponseAddProxies(builder *flatbuffers.Builder, proxies uint32) {
 	builder.PrependUint32Slot(12, proxies, 0)
 }
-func MapTellAddVoters(builder *flatbuffers.Builder, voters flatbuffers.UOffsetT) {
+func MapResponseAddVoters(builder *flatbuffers.Builder, voters flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(13, flatbuffers.UOffsetT(voters), 0)
 }
-func MapTellStartVotersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MapResponseStartVotersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapTellAddNewsInc(builder *flatbuffers.Builder, newsInc uint64) {
+func MapResponseAddUpdatesIncarnation(builder *flatbuffers.Builder, newsInc uint64) {
 	builder.PrependUint64Slot(14, newsInc, 0)
 }
-func MapTellAddNewsNext(builder *flatbuffers.Builder, newsNext uint64) {
+func MapResponseAddUpdatesNext(builder *flatbuffers.Builder, newsNext uint64) {
 	builder.PrependUint64Slot(15, newsNext, 0)
 }
-func MapTellAddNewsReset(builder *flatbuffers.Builder, newsReset bool) {
+func MapResponseAddUpdatesReset(builder *flatbuffers.Builder, newsReset bool) {
 	builder.PrependBoolSlot(16, newsReset, false)
 }
-func MapTellAddNews(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
+func MapResponseAddUpdates(builder *flatbuffers.Builder, news flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(17, flatbuffers.UOffsetT(news), 0)
 }
-func MapTellStartNewsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MapResponseStartUpdatesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapTellAddLoads(builder *flatbuffers.Builder, loads flatbuffers.UOffsetT) {
+func MapResponseAddLoads(builder *flatbuffers.Builder, loads flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(18, flatbuffers.UOffsetT(loads), 0)
 }
-func MapTellStartLoadsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MapResponseStartLoadsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MapTellAddComplete(builder *flatbuffers.Builder, complete bool) {
+func MapResponseAddComplete(builder *flatbuffers.Builder, complete bool) {
 	builder.PrependBoolSlot(19, complete, false)
 }
-func MapTellAddNamedEpoch(builder *flatbuffers.Builder, namedEpoch uint64) {
+func MapResponseAddAnnouncedTerm(builder *flatbuffers.Builder, namedEpoch uint64) {
 	builder.PrependUint64Slot(20, namedEpoch, 0)
 }
-func MapTellAddNamedAge(builder *flatbuffers.Builder, namedAge int64) {
+func MapResponseAddAnnouncedAge(builder *flatbuffers.Builder, namedAge int64) {
 	builder.PrependInt64Slot(21, namedAge, 0)
 }
-func MapTellEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func MapResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
-type ProblemT struct {
+type ErrorT struct {
 	Kind string `json:"kind"`
 	Text string `json:"text"`
 }
 
-func (t *ProblemT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *ErrorT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	kindOffset := builder.CreateString(t.Kind)
 	textOffset := builder.CreateString(t.Text)
-	ProblemStart(builder)
-	ProblemAddKind(builder, kindOffset)
-	ProblemAddText(builder, textOffset)
-	return ProblemEnd(builder)
+	ErrorStart(builder)
+	ErrorAddKind(builder, kindOffset)
+	ErrorAddText(builder, textOffset)
+	return ErrorEnd(builder)
 }
 
-func (rcv *Problem) UnPackTo(t *ProblemT) {
+func (rcv *Error) UnPackTo(t *ErrorT) {
 	t.Kind = string(rcv.Kind())
 	t.Text = string(rcv.Text())
 }
 
-func (rcv *Problem) UnPack() *ProblemT {
+func (rcv *Error) UnPack() *ErrorT {
 	if rcv == nil {
 		return nil
 	}
-	t := &ProblemT{}
+	t := &ErrorT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Problem struct {
+type Error struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsProblem(buf []byte, offset flatbuffers.UOffsetT) *Problem {
+func GetRootAsError(buf []byte, offset flatbuffers.UOffsetT) *Error {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Problem{}
+	x := &Error{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsProblem(buf []byte, offset flatbuffers.UOffsetT) *Problem {
+func GetSizePrefixedRootAsError(buf []byte, offset flatbuffers.UOffsetT) *Error {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Problem{}
+	x := &Error{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Problem) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Error) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Problem) Table() flatbuffers.Table {
+func (rcv *Error) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Problem) Kind() []byte {
+func (rcv *Error) Kind() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -7347,7 +7347,7 @@
 	return nil
 }
 
-func (rcv *Problem) Text() []byte {
+func (rcv *Error) Text() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -7355,106 +7355,106 @@
 	return nil
 }
 
-func ProblemStart(builder *flatbuffers.Builder) {
+func ErrorStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func ProblemAddKind(builder *flatbuffers.Builder, kind flatbuffers.UOffsetT) {
+func ErrorAddKind(builder *flatbuffers.Builder, kind flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(kind), 0)
 }
-func ProblemAddText(builder *flatbuffers.Builder, text flatbuffers.UOffsetT) {
+func ErrorAddText(builder *flatbuffers.Builder, text flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(text), 0)
 }
-func ProblemEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func ErrorEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
 
 type FrameT struct {
-	Ref       uint64      `json:"ref"`
-	Settle    *SettleT    `json:"settle"`
-	FoundAsk  *FoundAskT  `json:"found_ask"`
-	FoundTell *FoundTellT `json:"found_tell"`
-	BeatAsk   *BeatAskT   `json:"beat_ask"`
-	BeatTell  *BeatTellT  `json:"beat_tell"`
-	RollTell  *RollTellT  `json:"roll_tell"`
-	OpAsk     *OpAskT     `json:"op_ask"`
-	OpTell    *OpTellT    `json:"op_tell"`
-	RoomAsk   *RoomAskT   `json:"room_ask"`
-	RoomTell  *RoomTellT  `json:"room_tell"`
-	NewsAsk   *NewsAskT   `json:"news_ask"`
-	NewsTell  *NewsTellT  `json:"news_tell"`
-	FeedAsk   *FeedAskT   `json:"feed_ask"`
-	FeedTell  *FeedTellT  `json:"feed_tell"`
-	Problem   *ProblemT   `json:"problem"`
-	MapAsk    *MapAskT    `json:"map_ask"`
-	MapTell   *MapTellT   `json:"map_tell"`
-	LoadTell  *LoadTellT  `json:"load_tell"`
+	Ref               uint64              `json:"ref"`
+	VoterMessage      *VoterMessageT      `json:"settle"`
+	JoinRequest       *JoinRequestT       `json:"found_ask"`
+	JoinResponse      *JoinResponseT      `json:"found_tell"`
+	HeartbeatRequest  *HeartbeatRequestT  `json:"beat_ask"`
+	HeartbeatResponse *HeartbeatResponseT `json:"beat_tell"`
+	SessionUpdate     *SessionUpdateT     `json:"roll_tell"`
+	OperationRequest  *OperationRequestT  `json:"op_ask"`
+	OperationResponse *OperationResponseT `json:"op_tell"`
+	CapacityRequest   *CapacityRequestT   `json:"room_ask"`
+	CapacityResponse  *CapacityResponseT  `json:"room_tell"`
+	UpdatesRequest    *UpdatesRequestT    `json:"news_ask"`
+	UpdatesResponse   *UpdatesResponseT   `json:"news_tell"`
+	FeedRequest       *FeedRequestT       `json:"feed_ask"`
+	FeedResponse      *FeedResponseT      `json:"feed_tell"`
+	Error             *ErrorT             `json:"problem"`
+	MapRequest        *MapRequestT        `json:"map_ask"`
+	MapResponse       *MapResponseT       `json:"map_tell"`
+	LoadUpdate        *LoadUpdateT        `json:"load_tell"`
 }
 
 func (t *FrameT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	settleOffset := t.Settle.Pack(builder)
-	foundAskOffset := t.FoundAsk.Pack(builder)
-	foundTellOffset := t.FoundTell.Pack(builder)
-	beatAskOffset := t.BeatAsk.Pack(builder)
-	beatTellOffset := t.BeatTell.Pack(builder)
-	rollTellOffset := t.RollTell.Pack(builder)
-	opAskOffset := t.OpAsk.Pack(builder)
-	opTellOffset := t.OpTell.Pack(builder)
-	roomAskOffset := t.RoomAsk.Pack(builder)
-	roomTellOffset := t.RoomTell.Pack(builder)
-	newsAskOffset := t.NewsAsk.Pack(builder)
-	newsTellOffset := t.NewsTell.Pack(builder)
-	feedAskOffset := t.FeedAsk.Pack(builder)
-	feedTellOffset := t.FeedTell.Pack(builder)
-	problemOffset := t.Problem.Pack(builder)
-	mapAskOffset := t.MapAsk.Pack(builder)
-	mapTellOffset := t.MapTell.Pack(builder)
-	loadTellOffset := t.LoadTell.Pack(builder)
+	settleOffset := t.VoterMessage.Pack(builder)
+	foundAskOffset := t.JoinRequest.Pack(builder)
+	foundTellOffset := t.JoinResponse.Pack(builder)
+	beatAskOffset := t.HeartbeatRequest.Pack(builder)
+	beatTellOffset := t.HeartbeatResponse.Pack(builder)
+	rollTellOffset := t.SessionUpdate.Pack(builder)
+	opAskOffset := t.OperationRequest.Pack(builder)
+	opTellOffset := t.OperationResponse.Pack(builder)
+	roomAskOffset := t.CapacityRequest.Pack(builder)
+	roomTellOffset := t.CapacityResponse.Pack(builder)
+	newsAskOffset := t.UpdatesRequest.Pack(builder)
+	newsTellOffset := t.UpdatesResponse.Pack(builder)
+	feedAskOffset := t.FeedRequest.Pack(builder)
+	feedTellOffset := t.FeedResponse.Pack(builder)
+	problemOffset := t.Error.Pack(builder)
+	mapAskOffset := t.MapRequest.Pack(builder)
+	mapTellOffset := t.MapResponse.Pack(builder)
+	loadTellOffset := t.LoadUpdate.Pack(builder)
 	FrameStart(builder)
 	FrameAddRef(builder, t.Ref)
-	FrameAddSettle(builder, settleOffset)
-	FrameAddFoundAsk(builder, foundAskOffset)
-	FrameAddFoundTell(builder, foundTellOffset)
-	FrameAddBeatAsk(builder, beatAskOffset)
-	FrameAddBeatTell(builder, beatTellOffset)
-	FrameAddRollTell(builder, rollTellOffset)
-	FrameAddOpAsk(builder, opAskOffset)
-	FrameAddOpTell(builder, opTellOffset)
-	FrameAddRoomAsk(builder, roomAskOffset)
-	FrameAddRoomTell(builder, roomTellOffset)
-	FrameAddNewsAsk(builder, newsAskOffset)
-	FrameAddNewsTell(builder, newsTellOffset)
-	FrameAddFeedAsk(builder, feedAskOffset)
-	FrameAddFeedTell(builder, feedTellOffset)
-	FrameAddProblem(builder, problemOffset)
-	FrameAddMapAsk(builder, mapAskOffset)
-	FrameAddMapTell(builder, mapTellOffset)
-	FrameAddLoadTell(builder, loadTellOffset)
+	FrameAddVoterMessage(builder, settleOffset)
+	FrameAddJoinRequest(builder, foundAskOffset)
+	FrameAddJoinResponse(builder, foundTellOffset)
+	FrameAddHeartbeatRequest(builder, beatAskOffset)
+	FrameAddHeartbeatResponse(builder, beatTellOffset)
+	FrameAddSessionUpdate(builder, rollTellOffset)
+	FrameAddOperationRequest(builder, opAskOffset)
+	FrameAddOperationResponse(builder, opTellOffset)
+	FrameAddCapacityRequest(builder, roomAskOffset)
+	FrameAddCapacityResponse(builder, roomTellOffset)
+	FrameAddUpdatesRequest(builder, newsAskOffset)
+	FrameAddUpdatesResponse(builder, newsTellOffset)
+	FrameAddFeedRequest(builder, feedAskOffset)
+	FrameAddFeedResponse(builder, feedTellOffset)
+	FrameAddError(builder, problemOffset)
+	FrameAddMapRequest(builder, mapAskOffset)
+	FrameAddMapResponse(builder, mapTellOffset)
+	FrameAddLoadUpdate(builder, loadTellOffset)
 	return FrameEnd(builder)
 }
 
 func (rcv *Frame) UnPackTo(t *FrameT) {
 	t.Ref = rcv.Ref()
-	t.Settle = rcv.Settle(nil).UnPack()
-	t.FoundAsk = rcv.FoundAsk(nil).UnPack()
-	t.FoundTell = rcv.FoundTell(nil).UnPack()
-	t.BeatAsk = rcv.BeatAsk(nil).UnPack()
-	t.BeatTell = rcv.BeatTell(nil).UnPack()
-	t.RollTell = rcv.RollTell(nil).UnPack()
-	t.OpAsk = rcv.OpAsk(nil).UnPack()
-	t.OpTell = rcv.OpTell(nil).UnPack()
-	t.RoomAsk = rcv.RoomAsk(nil).UnPack()
-	t.RoomTell = rcv.RoomTell(nil).UnPack()
-	t.NewsAsk = rcv.NewsAsk(nil).UnPack()
-	t.NewsTell = rcv.NewsTell(nil).UnPack()
-	t.FeedAsk = rcv.FeedAsk(nil).UnPack()
-	t.FeedTell = rcv.FeedTell(nil).UnPack()
-	t.Problem = rcv.Problem(nil).UnPack()
-	t.MapAsk = rcv.MapAsk(nil).UnPack()
-	t.MapTell = rcv.MapTell(nil).UnPack()
-	t.LoadTell = rcv.LoadTell(nil).UnPack()
+	t.VoterMessage = rcv.VoterMessage(nil).UnPack()
+	t.JoinRequest = rcv.JoinRequest(nil).UnPack()
+	t.JoinResponse = rcv.JoinResponse(nil).UnPack()
+	t.HeartbeatRequest = rcv.HeartbeatRequest(nil).UnPack()
+	t.HeartbeatResponse = rcv.HeartbeatResponse(nil).UnPack()
+	t.SessionUpdate = rcv.SessionUpdate(nil).UnPack()
+	t.OperationRequest = rcv.OperationRequest(nil).UnPack()
+	t.OperationResponse = rcv.OperationResponse(nil).UnPack()
+	t.CapacityRequest = rcv.CapacityRequest(nil).UnPack()
+	t.CapacityResponse = rcv.CapacityResponse(nil).UnPack()
+	t.UpdatesRequest = rcv.UpdatesRequest(nil).UnPack()
+	t.UpdatesResponse = rcv.UpdatesResponse(nil).UnPack()
+	t.FeedRequest = rcv.FeedRequest(nil).UnPack()
+	t.FeedResponse = rcv.FeedResponse(nil).UnPack()
+	t.Error = rcv.Error(nil).UnPack()
+	t.MapRequest = rcv.MapRequest(nil).UnPack()
+	t.MapResponse = rcv.MapResponse(nil).UnPack()
+	t.LoadUpdate = rcv.LoadUpdate(nil).UnPack()
 }
 
 func (rcv *Frame) UnPack() *FrameT {
@@ -7505,12 +7505,12 @@
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Frame) Settle(obj *Settle) *Settle {
+func (rcv *Frame) VoterMessage(obj *VoterMessage) *VoterMessage {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Settle)
+			obj = new(VoterMessage)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7518,12 +7518,12 @@
 	return nil
 }
 
-func (rcv *Frame) FoundAsk(obj *FoundAsk) *FoundAsk {
+func (rcv *Frame) JoinRequest(obj *JoinRequest) *JoinRequest {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(FoundAsk)
+			obj = new(JoinRequest)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7531,12 +7531,12 @@
 	return nil
 }
 
-func (rcv *Frame) FoundTell(obj *FoundTell) *FoundTell {
+func (rcv *Frame) JoinResponse(obj *JoinResponse) *JoinResponse {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(FoundTell)
+			obj = new(JoinResponse)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7544,12 +7544,12 @@
 	return nil
 }
 
-func (rcv *Frame) BeatAsk(obj *BeatAsk) *BeatAsk {
+func (rcv *Frame) HeartbeatRequest(obj *HeartbeatRequest) *HeartbeatRequest {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(BeatAsk)
+			obj = new(HeartbeatRequest)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7557,12 +7557,12 @@
 	return nil
 }
 
-func (rcv *Frame) BeatTell(obj *BeatTell) *BeatTell {
+func (rcv *Frame) HeartbeatResponse(obj *HeartbeatResponse) *HeartbeatResponse {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(BeatTell)
+			obj = new(HeartbeatResponse)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7570,12 +7570,12 @@
 	return nil
 }
 
-func (rcv *Frame) RollTell(obj *RollTell) *RollTell {
+func (rcv *Frame) SessionUpdate(obj *SessionUpdate) *SessionUpdate {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(RollTell)
+			obj = new(SessionUpdate)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7583,12 +7583,12 @@
 	return nil
 }
 
-func (rcv *Frame) OpAsk(obj *OpAsk) *OpAsk {
+func (rcv *Frame) OperationRequest(obj *OperationRequest) *OperationRequest {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(OpAsk)
+			obj = new(OperationRequest)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7596,12 +7596,12 @@
 	return nil
 }
 
-func (rcv *Frame) OpTell(obj *OpTell) *OpTell {
+func (rcv *Frame) OperationResponse(obj *OperationResponse) *OperationResponse {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(OpTell)
+			obj = new(OperationResponse)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7609,12 +7609,12 @@
 	return nil
 }
 
-func (rcv *Frame) RoomAsk(obj *RoomAsk) *RoomAsk {
+func (rcv *Frame) CapacityRequest(obj *CapacityRequest) *CapacityRequest {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(RoomAsk)
+			obj = new(CapacityRequest)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7622,12 +7622,12 @@
 	return nil
 }
 
-func (rcv *Frame) RoomTell(obj *RoomTell) *RoomTell {
+func (rcv *Frame) CapacityResponse(obj *CapacityResponse) *CapacityResponse {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(RoomTell)
+			obj = new(CapacityResponse)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7635,12 +7635,12 @@
 	return nil
 }
 
-func (rcv *Frame) NewsAsk(obj *NewsAsk) *NewsAsk {
+func (rcv *Frame) UpdatesRequest(obj *UpdatesRequest) *UpdatesRequest {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(NewsAsk)
+			obj = new(UpdatesRequest)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7648,12 +7648,12 @@
 	return nil
 }
 
-func (rcv *Frame) NewsTell(obj *NewsTell) *NewsTell {
+func (rcv *Frame) UpdatesResponse(obj *UpdatesResponse) *UpdatesResponse {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(NewsTell)
+			obj = new(UpdatesResponse)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7661,12 +7661,12 @@
 	return nil
 }
 
-func (rcv *Frame) FeedAsk(obj *FeedAsk) *FeedAsk {
+func (rcv *Frame) FeedRequest(obj *FeedRequest) *FeedRequest {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(FeedAsk)
+			obj = new(FeedRequest)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7674,12 +7674,12 @@
 	return nil
 }
 
-func (rcv *Frame) FeedTell(obj *FeedTell) *FeedTell {
+func (rcv *Frame) FeedResponse(obj *FeedResponse) *FeedResponse {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(FeedTell)
+			obj = new(FeedResponse)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7687,12 +7687,12 @@
 	return nil
 }
 
-func (rcv *Frame) Problem(obj *Problem) *Problem {
+func (rcv *Frame) Error(obj *Error) *Error {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(Problem)
+			obj = new(Error)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7700,12 +7700,12 @@
 	return nil
 }
 
-func (rcv *Frame) MapAsk(obj *MapAsk) *MapAsk {
+func (rcv *Frame) MapRequest(obj *MapRequest) *MapRequest {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(36))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(MapAsk)
+			obj = new(MapRequest)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7713,12 +7713,12 @@
 	return nil
 }
 
-func (rcv *Frame) MapTell(obj *MapTell) *MapTell {
+func (rcv *Frame) MapResponse(obj *MapResponse) *MapResponse {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(38))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(MapTell)
+			obj = new(MapResponse)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7726,12 +7726,12 @@
 	return nil
 }
 
-func (rcv *Frame) LoadTell(obj *LoadTell) *LoadTell {
+func (rcv *Frame) LoadUpdate(obj *LoadUpdate) *LoadUpdate {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(40))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
 		if obj == nil {
-			obj = new(LoadTell)
+			obj = new(LoadUpdate)
 		}
 		obj.Init(rcv._tab.Bytes, x)
 		return obj
@@ -7745,58 +7745,58 @@
 func FrameAddRef(builder *flatbuffers.Builder, ref uint64) {
 	builder.PrependUint64Slot(0, ref, 0)
 }
-func FrameAddSettle(builder *flatbuffers.Builder, settle flatbuffers.UOffsetT) {
+func FrameAddVoterMessage(builder *flatbuffers.Builder, settle flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(settle), 0)
 }
-func FrameAddFoundAsk(builder *flatbuffers.Builder, foundAsk flatbuffers.UOffsetT) {
+func FrameAddJoinRequest(builder *flatbuffers.Builder, foundAsk flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(foundAsk), 0)
 }
-func FrameAddFoundTell(builder *flatbuffers.Builder, foundTell flatbuffers.UOffsetT) {
+func FrameAddJoinResponse(builder *flatbuffers.Builder, foundTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(foundTell), 0)
 }
-func FrameAddBeatAsk(builder *flatbuffers.Builder, beatAsk flatbuffers.UOffsetT) {
+func FrameAddHeartbeatRequest(builder *flatbuffers.Builder, beatAsk flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(beatAsk), 0)
 }
-func FrameAddBeatTell(builder *flatbuffers.Builder, beatTell flatbuffers.UOffsetT) {
+func FrameAddHeartbeatResponse(builder *flatbuffers.Builder, beatTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(beatTell), 0)
 }
-func FrameAddRollTell(builder *flatbuffers.Builder, rollTell flatbuffers.UOffsetT) {
+func FrameAddSessionUpdate(builder *flatbuffers.Builder, rollTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(rollTell), 0)
 }
-func FrameAddOpAsk(builder *flatbuffers.Builder, opAsk flatbuffers.UOffsetT) {
+func FrameAddOperationRequest(builder *flatbuffers.Builder, opAsk flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(opAsk), 0)
 }
-func FrameAddOpTell(builder *flatbuffers.Builder, opTell flatbuffers.UOffsetT) {
+func FrameAddOperationResponse(builder *flatbuffers.Builder, opTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(opTell), 0)
 }
-func FrameAddRoomAsk(builder *flatbuffers.Builder, roomAsk flatbuffers.UOffsetT) {
+func FrameAddCapacityRequest(builder *flatbuffers.Builder, roomAsk flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(9, flatbuffers.UOffsetT(roomAsk), 0)
 }
-func FrameAddRoomTell(builder *flatbuffers.Builder, roomTell flatbuffers.UOffsetT) {
+func FrameAddCapacityResponse(builder *flatbuffers.Builder, roomTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(10, flatbuffers.UOffsetT(roomTell), 0)
 }
-func FrameAddNewsAsk(builder *flatbuffers.Builder, newsAsk flatbuffers.UOffsetT) {
+func FrameAddUpdatesRequest(builder *flatbuffers.Builder, newsAsk flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(newsAsk), 0)
 }
-func FrameAddNewsTell(builder *flatbuffers.Builder, newsTell flatbuffers.UOffsetT) {
+func FrameAddUpdatesResponse(builder *flatbuffers.Builder, newsTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(newsTell), 0)
 }
-func FrameAddFeedAsk(builder *flatbuffers.Builder, feedAsk flatbuffers.UOffsetT) {
+func FrameAddFeedRequest(builder *flatbuffers.Builder, feedAsk flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(13, flatbuffers.UOffsetT(feedAsk), 0)
 }
-func FrameAddFeedTell(builder *flatbuffers.Builder, feedTell flatbuffers.UOffsetT) {
+func FrameAddFeedResponse(builder *flatbuffers.Builder, feedTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(14, flatbuffers.UOffsetT(feedTell), 0)
 }
-func FrameAddProblem(builder *flatbuffers.Builder, problem flatbuffers.UOffsetT) {
+func FrameAddError(builder *flatbuffers.Builder, problem flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(15, flatbuffers.UOffsetT(problem), 0)
 }
-func FrameAddMapAsk(builder *flatbuffers.Builder, mapAsk flatbuffers.UOffsetT) {
+func FrameAddMapRequest(builder *flatbuffers.Builder, mapAsk flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(16, flatbuffers.UOffsetT(mapAsk), 0)
 }
-func FrameAddMapTell(builder *flatbuffers.Builder, mapTell flatbuffers.UOffsetT) {
+func FrameAddMapResponse(builder *flatbuffers.Builder, mapTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(17, flatbuffers.UOffsetT(mapTell), 0)
 }
-func FrameAddLoadTell(builder *flatbuffers.Builder, loadTell flatbuffers.UOffsetT) {
+func FrameAddLoadUpdate(builder *flatbuffers.Builder, loadTell flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(18, flatbuffers.UOffsetT(loadTell), 0)
 }
 func FrameEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
--- a/sim/observed_order.go
+++ b/sim/observed_order.go
@@ -16,23 +16,23 @@
 
 // orderNews sorts hint news by part. What befell one part stays in its order, unless the
 // feed restates everything.
-func (w *World) orderNews(news []*fb.NewsT, restated bool) {
+func (w *World) orderNews(news []*fb.CacheUpdateT, restated bool) {
 	if w.observer == nil {
 		return
 	}
-	slices.SortStableFunc(news, func(a, b *fb.NewsT) int {
+	slices.SortStableFunc(news, func(a, b *fb.CacheUpdateT) int {
 		order := cmp.Or(cmp.Compare(a.Hi, b.Hi), cmp.Compare(a.Lo, b.Lo), cmp.Compare(a.Check, b.Check))
 		if restated {
-			order = cmp.Or(order, cmp.Compare(a.Node, b.Node))
+			order = cmp.Or(order, cmp.Compare(a.Holder, b.Holder))
 		}
 		return order
 	})
 }
 
 // orderPlaces sorts where holders lie.
-func (w *World) orderPlaces(places []*fb.PlaceT) {
+func (w *World) orderPlaces(places []*fb.HolderLocationT) {
 	if w.observer != nil {
-		slices.SortFunc(places, func(a, b *fb.PlaceT) int { return cmp.Compare(a.Id, b.Id) })
+		slices.SortFunc(places, func(a, b *fb.HolderLocationT) int { return cmp.Compare(a.Id, b.Id) })
 	}
 }
 
