--- a/agent/agent.go
+++ b/agent/agent.go
@@ -54,36 +54,36 @@
 
 // Poll answers the proxy with plan, grants and cache updates, and takes in its demand and
 // its reports.
-func (a *Agent) Poll(now int64, cached *plan.Cached, generation uint64, poll *fb.FeedRequestT) *fb.FeedResponseT {
-	a.lastPoll, a.polledAt, a.polled = *poll, now, true
-	reply := &fb.FeedResponseT{Revision: cached.Revision, Age: cached.Age(now), Confirmed: cached.Known, Generation: generation}
-	if cached.Revision != poll.HaveRevision {
-		reply.Plan = cached.Raw
+func (a *Agent) Poll(now int64, cached *plan.Cached, generation uint64, request *fb.FeedRequestT) *fb.FeedResponseT {
+	a.lastPoll, a.polledAt, a.polled = *request, now, true
+	response := &fb.FeedResponseT{Revision: cached.Revision, Age: cached.Age(now), Confirmed: cached.Known, Generation: generation}
+	if cached.Revision != request.HaveRevision {
+		response.Plan = cached.Raw
 	}
 	for _, name := range a.sourceNames() {
 		source := a.sources[name]
 		for _, grant := range source.grants {
 			aged := *grant
 			aged.Age += now - source.askedAt
-			reply.Grants = append(reply.Grants, &aged)
+			response.Grants = append(response.Grants, &aged)
 		}
 	}
-	a.queueReports(poll)
-	if batch := &a.cacheUpdates; batch.follows(poll.UpdatesIncarnation, poll.UpdatesSince) {
-		reply.UpdatesIncarnation, reply.UpdatesSince, reply.UpdatesNext = batch.incarnation, batch.since, batch.next
-		reply.UpdatesReset, reply.Updates = batch.reset, batch.updates
+	a.queueReports(request)
+	if batch := &a.cacheUpdates; batch.follows(request.UpdatesIncarnation, request.UpdatesSince) {
+		response.UpdatesIncarnation, response.UpdatesSince, response.UpdatesNext = batch.incarnation, batch.since, batch.next
+		response.UpdatesReset, response.Updates = batch.reset, batch.updates
 	}
-	return reply
+	return response
 }
 
 // queueReports keeps what the proxy reports of engines for the index nodes that own them.
-func (a *Agent) queueReports(poll *fb.FeedRequestT) {
-	for _, imported := range poll.Transfers {
+func (a *Agent) queueReports(request *fb.FeedRequestT) {
+	for _, imported := range request.Transfers {
 		if source := a.owner(imported.Engine); source != nil {
 			source.imports = append(source.imports, imported)
 		}
 	}
-	for _, seen := range poll.Outcomes {
+	for _, seen := range request.Outcomes {
 		if source := a.owner(seen.Engine); source != nil {
 			source.seen = append(source.seen, seen)
 		}
--- a/agent/query.go
+++ b/agent/query.go
@@ -17,7 +17,7 @@
 }
 
 // Queries lists the queries to put now: one to each index node that has answered the last
-// one, so that a slow one holds up nobody. Each must end in HandleReply.
+// one, so that a slow one holds up nobody. Each must end in HandleResponse.
 func (a *Agent) Queries(now int64, nodes []*fb.NodeT) []Query {
 	live := addrsOfIndexNodes(nodes)
 	for name, source := range a.sources {
@@ -94,32 +94,33 @@
 	return others[a.relayTurn%len(others)]
 }
 
-// HandleReply takes in the reply to a query that was put at a time; nil if there was none.
-// What the query reported may be lost then: cache locations and transfer scores stand that.
-func (a *Agent) HandleReply(query Query, askedAt int64, reply *fb.CapacityResponseT) {
+// HandleResponse takes in the response to a query that was put at a time; nil if there was
+// none. What the query reported may be lost then, which cache locations and transfer scores
+// tolerate.
+func (a *Agent) HandleResponse(query Query, askedAt int64, response *fb.CapacityResponseT) {
 	source := a.sources[query.IndexNode]
 	if source == nil {
 		return
 	}
 	source.busy = false
-	if reply == nil {
+	if response == nil {
 		if query.Via == query.IndexNode {
 			source.relayUntil = askedAt + relayDuration
 		}
 		return
 	}
-	source.grants, source.askedAt, source.engines = reply.Grants, askedAt, map[string]bool{}
-	for _, grant := range reply.Grants {
+	source.grants, source.askedAt, source.engines = response.Grants, askedAt, map[string]bool{}
+	for _, grant := range response.Grants {
 		source.engines[grant.Engine] = true
 	}
-	if reply.HasUpdates && (reply.UpdatesReset || len(reply.Updates) > 0 || reply.UpdatesIncarnation != query.Request.UpdatesIncarnation) {
+	if response.HasUpdates && (response.UpdatesReset || len(response.Updates) > 0 || response.UpdatesIncarnation != query.Request.UpdatesIncarnation) {
 		a.cacheUpdates = updateBatch{
-			incarnation: reply.UpdatesIncarnation,
-			since:       reply.UpdatesSince,
-			next:        reply.UpdatesNext,
-			reset:       reply.UpdatesReset,
+			incarnation: response.UpdatesIncarnation,
+			since:       response.UpdatesSince,
+			next:        response.UpdatesNext,
+			reset:       response.UpdatesReset,
 			present:     true,
-			updates:     reply.Updates,
+			updates:     response.Updates,
 		}
 	}
 }
--- a/internal/app/agent/server.go
+++ b/internal/app/agent/server.go
@@ -28,7 +28,7 @@
 // Microseconds.
 const (
 	queryInterval    = 120_000   // between two rounds of queries to the index nodes
-	queryTimeout     = 700_000   // for the reply to one
+	queryTimeout     = 700_000   // for the response to one
 	operationTimeout = 1_900_000 // for an operation on a control key that the proxy asked for
 )
 
@@ -122,13 +122,13 @@
 
 // execute has a control node carry an operation out. Without an answer it may have taken
 // effect.
-func (s *server) execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
-	answer, err := s.session.Propose(ctx, ask, operationTimeout)
+func (s *server) execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
+	response, err := s.session.Propose(ctx, request, operationTimeout)
 	if err != nil {
-		s.daemon.Log.Info("operation_unanswered", "key", ask.Key, "cause", err.Error())
+		s.daemon.Log.Info("operation_unanswered", "key", request.Key, "cause", err.Error())
 		return &fb.OperationResponseT{Status: byte(quorum.StatusUnknown)}
 	}
-	return answer
+	return response
 }
 
 // queryIndexNodes puts the queries that are due, each on its own.
@@ -141,15 +141,15 @@
 	}
 }
 
-// query puts one query and takes its reply in.
+// query puts one query and takes its response in.
 func (s *server) query(ctx context.Context, query agent.Query) {
 	askedAt := clock.Now()
 	answer, err := s.peers.Get(query.Addr).Call(ctx, &fb.FrameT{CapacityRequest: query.Request}, queryTimeout)
-	var reply *fb.CapacityResponseT
+	var response *fb.CapacityResponseT
 	if err == nil {
-		reply = answer.CapacityResponse
+		response = answer.CapacityResponse
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.agent.HandleReply(query, askedAt, reply)
+	s.agent.HandleResponse(query, askedAt, response)
 }
--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -55,9 +55,9 @@
 
 // writeNotCommitted tells an operator that an operation has no result, and whether it may
 // take effect all the same.
-func writeNotCommitted(w http.ResponseWriter, answer *fb.OperationResponseT) {
+func writeNotCommitted(w http.ResponseWriter, response *fb.OperationResponseT) {
 	w.Header().Set("Retry-After", "1")
-	switch quorum.Status(answer.Status) {
+	switch quorum.Status(response.Status) {
 	case quorum.StatusNotLeader:
 		writeError(w, http.StatusServiceUnavailable, "no-owner", "nothing was changed; a majority of control nodes must be up, then send again")
 	case quorum.StatusFull:
--- a/internal/app/control/api_plan.go
+++ b/internal/app/control/api_plan.go
@@ -36,16 +36,16 @@
 }
 
 func (n *Node) readPlan(w http.ResponseWriter, r *http.Request) {
-	answer := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey})
+	response := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey})
 	switch {
-	case quorum.Status(answer.Status) != quorum.StatusDone:
-		writeNotCommitted(w, answer)
-	case answer.Revision == 0:
+	case quorum.Status(response.Status) != quorum.StatusDone:
+		writeNotCommitted(w, response)
+	case response.Revision == 0:
 		writeError(w, http.StatusNotFound, "no-plan", "send a whole plan first, with violetthread-ctl plan put")
 	default:
-		w.Header().Set("ETag", etag(answer.Revision))
+		w.Header().Set("ETag", etag(response.Revision))
 		w.Header().Set("Content-Type", "application/json")
-		_, raw, err := plan.Decode(answer.Value)
+		_, raw, err := plan.Decode(response.Value)
 		if err != nil {
 			writeError(w, http.StatusInternalServerError, "unreadable", err.Error())
 			return
@@ -74,11 +74,11 @@
 			writeChangeError(w, err)
 			return
 		}
-		answer := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: planKey, Value: sealed, ExpectedRevision: current.Revision})
-		if quorum.Status(answer.Status) == quorum.StatusConflict && !change.Conditional {
+		response := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: planKey, Value: sealed, ExpectedRevision: current.Revision})
+		if quorum.Status(response.Status) == quorum.StatusConflict && !change.Conditional {
 			continue // another operator's change came between; this one goes on top of it
 		}
-		n.writePlanResult(w, r, answer)
+		n.writePlanResult(w, r, response)
 		return
 	}
 	writeError(w, http.StatusConflict, "too-busy", "many operators change the plan at once; send the patch again")
@@ -102,16 +102,16 @@
 	return change, true
 }
 
-func (n *Node) writePlanResult(w http.ResponseWriter, r *http.Request, answer *fb.OperationResponseT) {
-	switch quorum.Status(answer.Status) {
+func (n *Node) writePlanResult(w http.ResponseWriter, r *http.Request, response *fb.OperationResponseT) {
+	switch quorum.Status(response.Status) {
 	case quorum.StatusDone:
-		n.logPlanChanged(answer.Revision, r.Method, r.RemoteAddr)
-		w.Header().Set("ETag", etag(answer.Revision))
-		daemon.WriteJSON(w, http.StatusOK, PlanAccepted{answer.Revision})
+		n.logPlanChanged(response.Revision, r.Method, r.RemoteAddr)
+		w.Header().Set("ETag", etag(response.Revision))
+		daemon.WriteJSON(w, http.StatusOK, PlanAccepted{response.Revision})
 	case quorum.StatusConflict:
-		writeRevisionConflict(w, answer.Revision)
+		writeRevisionConflict(w, response.Revision)
 	default:
-		writeNotCommitted(w, answer)
+		writeNotCommitted(w, response)
 	}
 }
 
--- a/internal/app/control/api_voter_set.go
+++ b/internal/app/control/api_voter_set.go
@@ -67,13 +67,13 @@
 // identifyJoining asks a joining control node who it is, and that its disk is empty. Nil
 // means that the operator was answered.
 func (n *Node) identifyJoining(ctx context.Context, w http.ResponseWriter, addr string) *quorum.Voter {
-	ask := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation()}
-	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: ask}, joiningTimeout)
-	if err != nil || answer.JoinResponse == nil || answer.JoinResponse.Incarnation == 0 {
+	request := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation()}
+	response, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: request}, joiningTimeout)
+	if err != nil || response.JoinResponse == nil || response.JoinResponse.Incarnation == 0 {
 		writeUnchanged(w, http.StatusBadGateway, "newcomer-unreachable", "start the new control node first, and give its wire address as IP:port")
 		return nil
 	}
-	identity := answer.JoinResponse
+	identity := response.JoinResponse
 	if identity.VoterSet != nil && len(identity.VoterSet.Voters) > 0 {
 		writeUnchanged(w, http.StatusConflict, "newcomer-not-empty", "its disk belongs to a voter set already; give it an empty data_dir")
 		return nil
@@ -88,14 +88,14 @@
 		writeNotCommitted(w, current)
 		return
 	}
-	answer := n.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: current.Revision})
-	switch quorum.Status(answer.Status) {
+	response := n.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: current.Revision})
+	switch quorum.Status(response.Status) {
 	case quorum.StatusDone:
 		n.logVoterSetChanged(next.Step(), change.Leaving, change.JoiningAddr)
 		daemon.WriteJSON(w, http.StatusOK, VoterSetAccepted{next.Step(), next.Voters})
 	case quorum.StatusConflict:
-		writeUnchanged(w, http.StatusConflict, "not-now", string(answer.Value))
+		writeUnchanged(w, http.StatusConflict, "not-now", string(response.Value))
 	default:
-		writeNotCommitted(w, answer)
+		writeNotCommitted(w, response)
 	}
 }
--- a/internal/app/control/bootstrap.go
+++ b/internal/app/control/bootstrap.go
@@ -13,8 +13,8 @@
 	"violetthread/schema/fb"
 )
 
-// replyLifetime is how old a seed's reply may be for a bootstrap, in microseconds.
-const replyLifetime = 700_000
+// responseLifetime is how old a seed's response may be for a bootstrap, in microseconds.
+const responseLifetime = 700_000
 
 // firstStart reports whether this node belongs to a fleet that starts for the first time,
 // and never had a seat in it. One that lost its seat was replaced: its seat is taken.
@@ -24,9 +24,9 @@
 // what is waited for. Only seeds bootstrap, once each has replied with its incarnation and none
 // knows a voter set; whoever meets a fleet that has one joins that (design §4.6). All seeds
 // work out the same voter set.
-func (n *Node) tryBootstrap(now int64, replies map[string]peerReply) (*fb.VoterSetT, error) {
-	for _, reply := range replies {
-		if reply.reply != nil && reply.reply.VoterSet != nil {
+func (n *Node) tryBootstrap(now int64, responses map[string]peerResponse) (*fb.VoterSetT, error) {
+	for _, peer := range responses {
+		if peer.response != nil && peer.response.VoterSet != nil {
 			return nil, &joinError{"waiting to be let into the fleet's voter set", "a majority of its control nodes must be up"}
 		}
 	}
@@ -38,11 +38,11 @@
 	}
 	voters := []*fb.VoterT{{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation()}}
 	for _, addr := range lo.Without(lo.Uniq(n.settings.Seeds), n.settings.TransportAddr) {
-		reply := replies[addr]
-		if reply.reply == nil || now-reply.askedAt > replyLifetime {
+		peer := responses[addr]
+		if peer.response == nil || now-peer.askedAt > responseLifetime {
 			return nil, &joinError{"founding waits until every seed answers", addr + " does not"}
 		}
-		voters = append(voters, &fb.VoterT{Name: reply.reply.Name, Addr: addr, Incarnation: reply.reply.Incarnation})
+		voters = append(voters, &fb.VoterT{Name: peer.response.Name, Addr: addr, Incarnation: peer.response.Incarnation})
 	}
 	return firstVoterSet(voters)
 }
--- a/internal/app/control/bootstrap_test.go
+++ b/internal/app/control/bootstrap_test.go
@@ -23,25 +23,25 @@
 	const now = 10_000_000
 	blank := func(name string) *fb.JoinResponseT { return &fb.JoinResponseT{Name: name, Incarnation: 9, Blank: true} }
 	for _, c := range []struct {
-		name    string
-		node    *Node
-		replies []peerReply
-		want    string // in the reason
+		name      string
+		node      *Node
+		responses []peerResponse
+		want      string // in the reason
 	}{
 		{"not told to", seedNode("a", false, "a:1", "a:1", "b:1"), nil, "no founded fleet"},
 		{"not a seed", seedNode("c", true, "c:1", "a:1", "b:1"), nil, "waiting for the seeds"},
 		{"a seed never replied", seedNode("a", true, "a:1", "a:1", "b:1"), nil, "every seed"},
-		{"a seed did not answer", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, nil}}, "every seed"},
-		{"an old reply", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now - replyLifetime - 1, blank("b")}}, "every seed"},
-		{"a fleet is there", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, &fb.JoinResponseT{Name: "b", Incarnation: 9, VoterSet: &fb.VoterSetT{}}}}, "to be let into"},
-		{"one name twice", seedNode("a", true, "a:1", "a:1", "b:1"), []peerReply{{"b:1", now, blank("a")}}, "two control nodes are named a"},
+		{"a seed did not answer", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, nil}}, "every seed"},
+		{"an old reply", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now - responseLifetime - 1, blank("b")}}, "every seed"},
+		{"a fleet is there", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, &fb.JoinResponseT{Name: "b", Incarnation: 9, VoterSet: &fb.VoterSetT{}}}}, "to be let into"},
+		{"one name twice", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, blank("a")}}, "two control nodes are named a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			replies := map[string]peerReply{}
-			for _, reply := range c.replies {
-				replies[reply.addr] = reply
+			responses := map[string]peerResponse{}
+			for _, peer := range c.responses {
+				responses[peer.addr] = peer
 			}
-			set, err := c.node.tryBootstrap(now, replies)
+			set, err := c.node.tryBootstrap(now, responses)
 			var waiting *joinError
 			if set != nil || !errors.As(err, &waiting) || !strings.Contains(waiting.Reason, c.want) || waiting.Remedy == "" {
 				t.Errorf("%+v, %v", set, err)
@@ -50,7 +50,7 @@
 	}
 	lost := seedNode("a", true, "a:1", "a:1", "b:1")
 	lost.removed.Store(true)
-	if set, err := lost.tryBootstrap(now, map[string]peerReply{"b:1": {"b:1", now, blank("b")}}); set != nil || err == nil {
+	if set, err := lost.tryBootstrap(now, map[string]peerResponse{"b:1": {"b:1", now, blank("b")}}); set != nil || err == nil {
 		t.Errorf("a node that lost its seat bootstraps: %+v", set)
 	}
 }
@@ -62,11 +62,11 @@
 	identity := func(n *Node) *fb.JoinResponseT {
 		return &fb.JoinResponseT{Name: n.Name(), Incarnation: n.Incarnation()}
 	}
-	first, err := a.tryBootstrap(now, map[string]peerReply{"b:1": {"b:1", now - replyLifetime, identity(b)}})
+	first, err := a.tryBootstrap(now, map[string]peerResponse{"b:1": {"b:1", now - responseLifetime, identity(b)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := b.tryBootstrap(now, map[string]peerReply{"a:1": {"a:1", now, identity(a)}})
+	second, err := b.tryBootstrap(now, map[string]peerResponse{"a:1": {"a:1", now, identity(a)}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/control/frames.go
+++ b/internal/app/control/frames.go
@@ -30,8 +30,8 @@
 func (n *Node) handleFrame(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
 	if handlers := n.handlers.Load(); handlers != nil {
 		for _, handler := range *handlers {
-			if answer := handler(ctx, frame); answer != nil {
-				return answer
+			if response := handler(ctx, frame); response != nil {
+				return response
 			}
 		}
 	}
@@ -44,10 +44,10 @@
 		n.sessions.Merge(now, frame.SessionUpdate)
 		return nil
 	case frame.JoinRequest != nil:
-		return &fb.FrameT{JoinResponse: n.voterSetReply(frame.JoinRequest)}
+		return &fb.FrameT{JoinResponse: n.joinResponse(frame.JoinRequest)}
 	case frame.HeartbeatRequest != nil && frame.HeartbeatRequest.Node != nil:
 		n.sessions.Heartbeat(now, frame.HeartbeatRequest.Node)
-		return &fb.FrameT{HeartbeatResponse: n.heartbeatReply(now, frame.HeartbeatRequest.HaveRevision)}
+		return &fb.FrameT{HeartbeatResponse: n.heartbeatResponse(now, frame.HeartbeatRequest.HaveRevision)}
 	case frame.OperationRequest != nil:
 		ctx, cancel := context.WithTimeout(ctx, clock.Duration(frameTimeout))
 		defer cancel()
@@ -65,16 +65,16 @@
 	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Receive(now, message)) })
 }
 
-// heartbeatReply is what a node learns from its heartbeat: the live nodes, the voters, and
+// heartbeatResponse is what a node learns from its heartbeat: the live nodes, the voters, and
 // the plan if it is not the one it has.
-func (n *Node) heartbeatReply(now int64, haveRevision uint64) *fb.HeartbeatResponseT {
+func (n *Node) heartbeatResponse(now int64, haveRevision uint64) *fb.HeartbeatResponseT {
 	cached := n.plan.Load()
-	reply := &fb.HeartbeatResponseT{Revision: cached.Revision, Age: cached.Age(now), Confirmed: cached.Known, Nodes: n.sessions.Live(now), Generation: n.generation.Load()}
+	response := &fb.HeartbeatResponseT{Revision: cached.Revision, Age: cached.Age(now), Confirmed: cached.Known, Nodes: n.sessions.Live(now), Generation: n.generation.Load()}
 	if cached.Revision != haveRevision {
-		reply.Plan = cached.Raw
+		response.Plan = cached.Raw
 	}
 	if set := n.voterSet.Load(); set != nil {
-		reply.ControlNodes = voterAddrs(set)
+		response.ControlNodes = voterAddrs(set)
 	}
-	return reply
+	return response
 }
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	maxKnownAddrs  = 32
-	maxPeerReplies = 64 // replies that wait for the loop of join
+	maxKnownAddrs    = 32
+	maxPeerResponses = 64 // replies that wait for the loop of join
 )
 
 // isVoter tells whether the very disk of this node votes in a voter set.
@@ -53,19 +53,19 @@
 	return lo.Without(lo.Uniq(append(slices.Clone(n.knownAddrs), n.settings.Seeds...)), n.settings.TransportAddr, "")
 }
 
-// peerReply is what a control node answered to askVoterSet.
-type peerReply struct {
-	addr    string
-	askedAt int64
-	reply   *fb.JoinResponseT // nil: no answer
+// peerReply is what a control node answered to requestJoin.
+type peerResponse struct {
+	addr     string
+	askedAt  int64
+	response *fb.JoinResponseT // nil: no answer
 }
 
-// voterSet is the voter set that a reply bears, or nil.
-func (r peerReply) voterSet() *fb.VoterSetT {
-	if r.reply == nil || r.reply.VoterSet == nil || r.reply.VoterSet.Revision == 0 {
+// voterSet is the voter set that a response bears, or nil.
+func (r peerResponse) voterSet() *fb.VoterSetT {
+	if r.response == nil || r.response.VoterSet == nil || r.response.VoterSet.Revision == 0 {
 		return nil
 	}
-	return r.reply.VoterSet
+	return r.response.VoterSet
 }
 
 // join asks whoever may know a voter set, each on its own so that a dead one holds nobody
@@ -74,10 +74,10 @@
 func (n *Node) join(ctx context.Context) (*fb.VoterSetT, bool) {
 	group := taskgroup.New(ctx, n.daemon.Log)
 	defer group.Stop()
-	replies := make(chan peerReply, maxPeerReplies)
-	asked, latest := map[string]bool{}, map[string]peerReply{}
+	responses := make(chan peerResponse, maxPeerResponses)
+	asked, latest := map[string]bool{}, map[string]peerResponse{}
 	for {
-		n.askCandidates(group, asked, replies)
+		n.askCandidates(group, asked, responses)
 		if set, err := n.tryBootstrap(clock.Now(), latest); set != nil {
 			return set, true
 		} else if err != nil {
@@ -89,12 +89,12 @@
 			}
 			continue
 		}
-		reply, ok := taskgroup.Receive(ctx, replies)
+		peer, ok := taskgroup.Receive(ctx, responses)
 		if !ok {
 			return nil, false
 		}
-		latest[reply.addr] = reply
-		if set := reply.voterSet(); set != nil {
+		latest[peer.addr] = peer
+		if set := peer.voterSet(); set != nil {
 			if n.isVoter(set) {
 				return set, true
 			}
@@ -104,7 +104,7 @@
 }
 
 // askCandidates starts a loop of questions to each address that has none yet.
-func (n *Node) askCandidates(group *taskgroup.Group, asked map[string]bool, replies chan peerReply) {
+func (n *Node) askCandidates(group *taskgroup.Group, asked map[string]bool, responses chan peerResponse) {
 	for _, addr := range n.candidateAddrs() {
 		if asked[addr] {
 			continue
@@ -113,8 +113,8 @@
 		group.Go("ask", func(ctx context.Context) {
 			for ctx.Err() == nil {
 				askedAt := clock.Now()
-				reply := peerReply{addr, askedAt, n.askVoterSet(ctx, addr, true)}
-				if !taskgroup.Send(ctx, replies, reply) || !taskgroup.Sleep(ctx, askInterval) {
+				peer := peerResponse{addr, askedAt, n.requestJoin(ctx, addr, true)}
+				if !taskgroup.Send(ctx, responses, peer) || !taskgroup.Sleep(ctx, askInterval) {
 					return
 				}
 			}
@@ -122,28 +122,28 @@
 	}
 }
 
-// askVoterSet asks one control node who it is and which voter set it follows. A blank one
+// requestJoin asks one control node who it is and which voter set it follows. A blank one
 // asks to be admitted by that. Nil means that there was no answer.
-func (n *Node) askVoterSet(ctx context.Context, addr string, blank bool) *fb.JoinResponseT {
-	ask := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation(), Blank: blank, InitialLaunch: n.firstStart()}
-	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: ask}, askTimeout)
-	if err != nil || answer.JoinResponse == nil || answer.JoinResponse.Incarnation == 0 {
+func (n *Node) requestJoin(ctx context.Context, addr string, blank bool) *fb.JoinResponseT {
+	request := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation(), Blank: blank, InitialLaunch: n.firstStart()}
+	response, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: request}, askTimeout)
+	if err != nil || response.JoinResponse == nil || response.JoinResponse.Incarnation == 0 {
 		return nil // who that is lies on a disk that was not read yet
 	}
-	return answer.JoinResponse
+	return response.JoinResponse
 }
 
-// voterSetReply answers who this is. A blank asker wants to be admitted; one that votes
+// joinResponse answers who this is. A blank asker wants to be admitted; one that votes
 // may be the only way for a blank node here to find its fleet.
-func (n *Node) voterSetReply(ask *fb.JoinRequestT) *fb.JoinResponseT {
+func (n *Node) joinResponse(request *fb.JoinRequestT) *fb.JoinResponseT {
 	set := n.voterSet.Load()
-	_, err := netip.ParseAddrPort(ask.Addr)
+	_, err := netip.ParseAddrPort(request.Addr)
 	switch {
-	case err != nil || ask.Name == "" || ask.Incarnation == 0:
-	case ask.Blank && set != nil && n.voting.Load():
-		n.admit(quorum.Voter{Name: ask.Name, Addr: ask.Addr, Incarnation: ask.Incarnation}, ask.InitialLaunch)
-	case !ask.Blank && set == nil:
-		n.addKnownAddrs([]string{ask.Addr})
+	case err != nil || request.Name == "" || request.Incarnation == 0:
+	case request.Blank && set != nil && n.voting.Load():
+		n.admit(quorum.Voter{Name: request.Name, Addr: request.Addr, Incarnation: request.Incarnation}, request.InitialLaunch)
+	case !request.Blank && set == nil:
+		n.addKnownAddrs([]string{request.Addr})
 	}
 	return &fb.JoinResponseT{Name: n.settings.Name, Incarnation: n.Incarnation(), Blank: set == nil, VoterSet: set}
 }
--- a/internal/app/control/logging.go
+++ b/internal/app/control/logging.go
@@ -1,8 +1,20 @@
 package control
 
+import "violetthread/quorum"
+
 // Log events of a control node. Each is one line, event=NAME and the keys given here;
 // docs/logs.md says what they mean to an operator.
 
+// logVoterEvents logs the voter's own events, which quorum.Event documents, but for those
+// that any peer may cause at will.
+func (n *Node) logVoterEvents(events []quorum.Event) {
+	for _, event := range events {
+		if !event.Type.Frequent() {
+			n.daemon.Log.Info(event.Type.String(), event.KeysAndValues()...)
+		}
+	}
+}
+
 func (n *Node) logVoterSetJoined(fleet, step uint64, voters string) {
 	n.daemon.Log.Info("voter_set_joined", "fleet", fleet, "step", step, "voters", voters)
 }
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -22,24 +22,24 @@
 )
 
 // ExecuteOnce carries an operation out with one attempt.
-func (n *Node) ExecuteOnce(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
-	return n.execute(ctx, ask)
+func (n *Node) ExecuteOnce(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
+	return n.execute(ctx, request)
 }
 
 // Execute carries an operation out, trying again while it provably did nothing, or while
 // doing it twice is the same as once, for as long as Settings.OperationTimeout.
-func (n *Node) Execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
+func (n *Node) Execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
 	timeout := lo.Ternary(n.settings.OperationTimeout > 0, n.settings.OperationTimeout, Defaults().OperationTimeout)
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(timeout))
 	defer cancel()
 	inDoubt := false
 	for {
-		attempt := *ask
-		answer := n.execute(ctx, &attempt)
+		attempt := *request
+		response := n.execute(ctx, &attempt)
 		again := false
-		answer, inDoubt, again = judgeAttempt(quorum.OperationType(ask.Type), answer, inDoubt)
+		response, inDoubt, again = judgeAttempt(quorum.OperationType(request.Type), response, inDoubt)
 		if !again || !taskgroup.Sleep(ctx, attemptPause) {
-			return answer
+			return response
 		}
 	}
 }
@@ -53,18 +53,18 @@
 // judgeAttempt is what the caller may be told after an attempt, whether one of the attempts
 // may still take effect, and whether to try again. After an attempt in doubt only an answer
 // that is right whatever became of it counts; a read is never in doubt.
-func judgeAttempt(kind quorum.OperationType, answer *fb.OperationResponseT, inDoubt bool) (report *fb.OperationResponseT, doubtful, again bool) {
-	switch status := quorum.Status(answer.Status); {
+func judgeAttempt(kind quorum.OperationType, response *fb.OperationResponseT, inDoubt bool) (report *fb.OperationResponseT, doubtful, again bool) {
+	switch status := quorum.Status(response.Status); {
 	case status == quorum.StatusDone || status == quorum.StatusConflict || status == quorum.StatusGenerationClosed:
-		return answer, inDoubt, false
+		return response, inDoubt, false
 	case status == quorum.StatusUnknown && !idempotent(kind):
-		return answer, true, false
+		return response, true, false
 	case status == quorum.StatusUnknown:
-		return answer, inDoubt || kind != quorum.OpGet, true
+		return response, inDoubt || kind != quorum.OpGet, true
 	case inDoubt:
 		return failed(quorum.StatusUnknown), true, true
 	default:
-		return answer, false, status == quorum.StatusNotLeader
+		return response, false, status == quorum.StatusNotLeader
 	}
 }
 
@@ -74,37 +74,37 @@
 }
 
 // execute carries an operation to the leader of its key's slot, which may be this node.
-func (n *Node) execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
+func (n *Node) execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
 	if !n.voting.Load() {
-		if via := n.nextPeer(); via != "" && ask.Hops < maxHops {
-			return n.forward(ctx, via, ask)
+		if via := n.nextPeer(); via != "" && request.Hops < maxHops {
+			return n.forward(ctx, via, request)
 		}
 		return failed(quorum.StatusNotLeader)
 	}
 	result, ok := n.propose(ctx, quorum.Operation{
-		Type:             quorum.OperationType(ask.Type),
-		Key:              ask.Key,
-		Value:            ask.Value,
-		ExpectedRevision: ask.ExpectedRevision,
-		Holder:           ask.Holder,
-		LeaseDuration:    ask.LeaseDuration,
+		Type:             quorum.OperationType(request.Type),
+		Key:              request.Key,
+		Value:            request.Value,
+		ExpectedRevision: request.ExpectedRevision,
+		Holder:           request.Holder,
+		LeaseDuration:    request.LeaseDuration,
 	})
 	if !ok {
 		return failed(quorum.StatusUnknown)
 	}
-	if result.Status == quorum.StatusNotLeader && result.Leader != "" && result.Leader != n.settings.Name && ask.Hops < maxHops {
-		return n.forwardToLeader(ctx, result.Leader, ask)
+	if result.Status == quorum.StatusNotLeader && result.Leader != "" && result.Leader != n.settings.Name && request.Hops < maxHops {
+		return n.forwardToLeader(ctx, result.Leader, request)
 	}
-	answer := &fb.OperationResponseT{Status: byte(result.Status), Revision: result.Revision, Value: result.Value, Leader: result.Leader}
-	if ask.HaveRevision != 0 && ask.HaveRevision == result.Revision {
-		answer.Value = nil
+	response := &fb.OperationResponseT{Status: byte(result.Status), Revision: result.Revision, Value: result.Value, Leader: result.Leader}
+	if request.HaveRevision != 0 && request.HaveRevision == result.Revision {
+		response.Value = nil
 	}
-	return answer
+	return response
 }
 
 // forwardToLeader forwards an operation to the voter that leads the key's slot. While that
 // one is silent nothing is sent, so that it is safe to say so and try again.
-func (n *Node) forwardToLeader(ctx context.Context, leader string, ask *fb.OperationRequestT) *fb.OperationResponseT {
+func (n *Node) forwardToLeader(ctx context.Context, leader string, request *fb.OperationRequestT) *fb.OperationResponseT {
 	set := n.voterSet.Load()
 	if set == nil || n.status.Load().silent[leader] {
 		return failed(quorum.StatusNotLeader)
@@ -113,20 +113,20 @@
 	if !ok {
 		return failed(quorum.StatusNotLeader)
 	}
-	return n.forward(ctx, voter.Addr, ask)
+	return n.forward(ctx, voter.Addr, request)
 }
 
 // forward hands an operation on. One that may be repeated is not waited for long: the
 // leader may be gone, and whoever asked tries again (Execute).
-func (n *Node) forward(ctx context.Context, addr string, ask *fb.OperationRequestT) *fb.OperationResponseT {
-	forwarded := *ask
+func (n *Node) forward(ctx context.Context, addr string, request *fb.OperationRequestT) *fb.OperationResponseT {
+	forwarded := *request
 	forwarded.Hops++
-	timeout := lo.Ternary[int64](idempotent(quorum.OperationType(ask.Type)), idempotentTimeout, forwardTimeout)
-	answer, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OperationRequest: &forwarded}, timeout)
-	if err != nil || answer.OperationResponse == nil {
+	timeout := lo.Ternary[int64](idempotent(quorum.OperationType(request.Type)), idempotentTimeout, forwardTimeout)
+	response, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{OperationRequest: &forwarded}, timeout)
+	if err != nil || response.OperationResponse == nil {
 		return failed(quorum.StatusUnknown)
 	}
-	return answer.OperationResponse
+	return response.OperationResponse
 }
 
 // nextPeer is the address of another control node, one after the other; "" if none is
--- a/internal/app/control/operations_test.go
+++ b/internal/app/control/operations_test.go
@@ -38,9 +38,9 @@
 		{"lease in doubt, no leader", quorum.OpAcquire, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, tryAgain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			answer, inDoubt, again := judgeAttempt(c.kind, &fb.OperationResponseT{Status: byte(c.status)}, c.inDoubt)
-			if quorum.Status(answer.Status) != c.wantStatus || inDoubt != c.wantInDoubt || again != c.wantAgain {
-				t.Errorf("kind %d status %d: reported %d, doubt %v, again %v", c.kind, c.status, answer.Status, inDoubt, again)
+			response, inDoubt, again := judgeAttempt(c.kind, &fb.OperationResponseT{Status: byte(c.status)}, c.inDoubt)
+			if quorum.Status(response.Status) != c.wantStatus || inDoubt != c.wantInDoubt || again != c.wantAgain {
+				t.Errorf("kind %d status %d: reported %d, doubt %v, again %v", c.kind, c.status, response.Status, inDoubt, again)
 			}
 		})
 	}
--- a/internal/app/control/plan_cache.go
+++ b/internal/app/control/plan_cache.go
@@ -25,15 +25,15 @@
 	defer cancel()
 	cached := n.plan.Load()
 	askedAt := clock.Now()
-	ask := &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey, HaveRevision: cached.Revision}
-	answer := n.execute(ctx, ask)
-	if quorum.Status(answer.Status) != quorum.StatusDone {
-		if relayed := n.readPlanThroughPeer(ask); relayed != nil {
-			answer = relayed
+	request := &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey, HaveRevision: cached.Revision}
+	response := n.execute(ctx, request)
+	if quorum.Status(response.Status) != quorum.StatusDone {
+		if relayedResponse := n.readPlanThroughPeer(request); relayedResponse != nil {
+			response = relayedResponse
 		}
 	}
-	if quorum.Status(answer.Status) == quorum.StatusDone {
-		updated, _, _ := cached.Apply(plan.Update{Revision: answer.Revision, Raw: answer.Value, Confirmed: true}, askedAt)
+	if quorum.Status(response.Status) == quorum.StatusDone {
+		updated, _, _ := cached.Apply(plan.Update{Revision: response.Revision, Raw: response.Value, Confirmed: true}, askedAt)
 		n.plan.Store(&updated)
 	}
 }
@@ -41,17 +41,17 @@
 // readPlanThroughPeer asks another control node, since the way to the leader may be cut
 // here and not elsewhere. It has its own time limit: that of the first question may be
 // used up.
-func (n *Node) readPlanThroughPeer(ask *fb.OperationRequestT) *fb.OperationResponseT {
+func (n *Node) readPlanThroughPeer(request *fb.OperationRequestT) *fb.OperationResponseT {
 	via := n.nextPeer()
 	if via == "" {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(n.daemon.Group.Context(), clock.Duration(planTimeout))
 	defer cancel()
-	ask.Hops = 1
-	answer, err := n.peers.Get(via).Call(ctx, &fb.FrameT{OperationRequest: ask}, planRelayTimeout)
+	request.Hops = 1
+	response, err := n.peers.Get(via).Call(ctx, &fb.FrameT{OperationRequest: request}, planRelayTimeout)
 	if err != nil {
 		return nil
 	}
-	return answer.OperationResponse
+	return response.OperationResponse
 }
--- a/internal/app/control/probe.go
+++ b/internal/app/control/probe.go
@@ -58,10 +58,10 @@
 
 // probe asks one control node for its voter set, which the voter takes in.
 func (n *Node) probe(ctx context.Context, addr string) {
-	answer := n.askVoterSet(ctx, addr, false)
-	if answer == nil || answer.VoterSet == nil || answer.VoterSet.Revision == 0 {
+	response := n.requestJoin(ctx, addr, false)
+	if response == nil || response.VoterSet == nil || response.VoterSet.Revision == 0 {
 		return
 	}
-	set := codec.UnpackVoterSet(answer.VoterSet)
+	set := codec.UnpackVoterSet(response.VoterSet)
 	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.ObserveVoterSet(now, set)) })
 }
--- a/internal/app/control/ready.go
+++ b/internal/app/control/ready.go
@@ -12,11 +12,7 @@
 // processReady carries out the effects of one step of the voter: records to the disk,
 // then the voter set, messages and results. Called from the voter's loop alone.
 func (n *Node) processReady(ready quorum.Ready) {
-	for _, e := range ready.Events {
-		if !e.Type.Frequent() {
-			n.daemon.Log.Info(e.Type.String(), e.KeysAndValues()...)
-		}
-	}
+	n.logVoterEvents(ready.Events)
 	n.queueRecords(ready.Records)
 	if ready.VoterSet != nil {
 		n.adoptVoterSet(*ready.VoterSet)
--- a/internal/app/directory/cache_events.go
+++ b/internal/app/directory/cache_events.go
@@ -10,9 +10,9 @@
 	"violetthread/schema/fb"
 )
 
-// maxEventsPerReply bounds the cache events in one reply: proxies' links are narrow, and a
-// reply that takes too long is given up and asked of another node, who would begin anew.
-const maxEventsPerReply = 1500
+// maxEventsPerResponse bounds the cache events in one response: proxies' links are narrow,
+// and a response that takes too long is given up and asked of another node, who would begin anew.
+const maxEventsPerResponse = 1500
 
 // Microseconds.
 const (
@@ -176,29 +176,29 @@
 }
 
 // unsentEvents is the rest of a snapshot that a proxy gets in pages. Called under the lock.
-func (d *Directory) unsentEvents(ask *fb.MapRequestT) []cacheindex.Update {
-	if ask.Node == nil || d.proxies[ask.Node.Name] == nil {
+func (d *Directory) unsentEvents(request *fb.MapRequestT) []cacheindex.Update {
+	if request.Node == nil || d.proxies[request.Node.Name] == nil {
 		return nil
 	}
-	return d.proxies[ask.Node.Name].unsent
+	return d.proxies[request.Node.Name].unsent
 }
 
 // nextEvents is the next page of cache events for a proxy. Called under the lock.
-func (d *Directory) nextEvents(ask *fb.MapRequestT) cacheindex.UpdateBatch {
+func (d *Directory) nextEvents(request *fb.MapRequestT) cacheindex.UpdateBatch {
 	var proxy *proxyState
-	if ask.Node != nil {
-		proxy = d.proxies[ask.Node.Name]
+	if request.Node != nil {
+		proxy = d.proxies[request.Node.Name]
 	}
-	if proxy != nil && len(proxy.unsent) > 0 && ask.UpdatesIncarnation == d.incarnation {
-		page := proxy.unsent[:min(maxEventsPerReply, len(proxy.unsent))]
+	if proxy != nil && len(proxy.unsent) > 0 && request.UpdatesIncarnation == d.incarnation {
+		page := proxy.unsent[:min(maxEventsPerResponse, len(proxy.unsent))]
 		proxy.unsent = proxy.unsent[len(page):]
-		return cacheindex.UpdateBatch{Incarnation: ask.UpdatesIncarnation, Next: ask.UpdatesSince, Updates: page}
+		return cacheindex.UpdateBatch{Incarnation: request.UpdatesIncarnation, Next: request.UpdatesSince, Updates: page}
 	}
-	batch := d.events.Since(ask.UpdatesIncarnation, ask.UpdatesSince, maxEventsPerReply)
+	batch := d.events.Since(request.UpdatesIncarnation, request.UpdatesSince, maxEventsPerResponse)
 	if proxy != nil {
 		proxy.unsent = nil
-		if batch.Reset && len(batch.Updates) > maxEventsPerReply {
-			batch.Updates, proxy.unsent = batch.Updates[:maxEventsPerReply], batch.Updates[maxEventsPerReply:]
+		if batch.Reset && len(batch.Updates) > maxEventsPerResponse {
+			batch.Updates, proxy.unsent = batch.Updates[:maxEventsPerResponse], batch.Updates[maxEventsPerResponse:]
 		}
 	}
 	return batch
--- a/internal/app/directory/engine_list.go
+++ b/internal/app/directory/engine_list.go
@@ -64,12 +64,12 @@
 // copyListFrom takes over the list that another core machine has.
 func (d *Directory) copyListFrom(ctx context.Context, addr string) {
 	askedAt := clock.Now()
-	ask := &fb.MapRequestT{Incarnation: d.firstIncarnation, HaveMap: d.firstRevision, UpdatesIncarnation: 1}
-	answer, err := d.control.Call(ctx, addr, &fb.FrameT{MapRequest: ask}, firstTimeout)
-	if err != nil || answer.MapResponse == nil {
+	request := &fb.MapRequestT{Incarnation: d.firstIncarnation, HaveMap: d.firstRevision, UpdatesIncarnation: 1}
+	response, err := d.control.Call(ctx, addr, &fb.FrameT{MapRequest: request}, firstTimeout)
+	if err != nil || response.MapResponse == nil {
 		return
 	}
-	mapReply := answer.MapResponse
+	mapReply := response.MapResponse
 	d.mu.Lock()
 	d.announcements.Merge(codec.UnpackVersionAges(mapReply, askedAt))
 	d.mu.Unlock()
--- a/internal/app/directory/loads.go
+++ b/internal/app/directory/loads.go
@@ -23,15 +23,15 @@
 }
 
 // recordProxy takes in what a proxy tells of itself as it asks.
-func (d *Directory) recordProxy(now int64, ask *fb.MapRequestT) {
-	d.control.RecordHeartbeat(now, ask.Node)
+func (d *Directory) recordProxy(now int64, request *fb.MapRequestT) {
+	d.control.RecordHeartbeat(now, request.Node)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	proxy := &proxyState{heardAt: now, direct: true, loads: ask.Loads}
-	if known := d.proxies[ask.Node.Name]; known != nil && known.direct {
+	proxy := &proxyState{heardAt: now, direct: true, loads: request.Loads}
+	if known := d.proxies[request.Node.Name]; known != nil && known.direct {
 		proxy.unsent = known.unsent
 	}
-	d.proxies[ask.Node.Name] = proxy
+	d.proxies[request.Node.Name] = proxy
 }
 
 // broadcastLoads tells the other core machines what the proxies that ask here have under
--- a/internal/app/directory/reply.go
+++ b/internal/app/directory/map_response.go
@@ -14,8 +14,8 @@
 
 // Microseconds.
 const (
-	maxReplyDelay = 400_000 // by which a reply is delayed at the most
-	mapBatchDelay = 60_000  // changes of the map come in lots, and go out together
+	maxResponseDelay = 400_000 // by which a response is delayed at the most
+	mapBatchDelay    = 60_000  // changes of the map come in lots, and go out together
 )
 
 // Handle answers proxies and other nodes; nil if the frame is not for a directory.
@@ -34,17 +34,17 @@
 	if !d.awaitChange(ctx, now, frame.MapRequest) {
 		return nil
 	}
-	return &fb.FrameT{MapResponse: d.reply(frame.MapRequest, now)}
+	return &fb.FrameT{MapResponse: d.respond(frame.MapRequest, now)}
 }
 
-// awaitChange delays the reply to a question that came at a time until something urgent changed, or it
-// was delayed for long enough. It returns false if whoever asked is gone.
-func (d *Directory) awaitChange(ctx context.Context, askedAt int64, ask *fb.MapRequestT) bool {
-	end := askedAt + min(max(ask.Hold, 0), maxReplyDelay)
+// awaitChange delays the response to a question that came at a time until something urgent
+// changed, or it was delayed for long enough. It returns false if whoever asked is gone.
+func (d *Directory) awaitChange(ctx context.Context, askedAt int64, request *fb.MapRequestT) bool {
+	end := askedAt + min(max(request.Hold, 0), maxResponseDelay)
 	for {
 		d.mu.Lock()
-		changed, urgent := d.changed, d.hasUrgentChange(ask, askedAt)
-		if ask.HaveMap != d.mapRevision {
+		changed, urgent := d.changed, d.hasUrgentChange(request, askedAt)
+		if request.HaveMap != d.mapRevision {
 			end = min(end, askedAt+mapBatchDelay)
 		}
 		d.mu.Unlock()
@@ -62,23 +62,23 @@
 }
 
 // hasUrgentChange reports whether a question is answered at once. Called under the lock.
-func (d *Directory) hasUrgentChange(ask *fb.MapRequestT, askedAt int64) bool {
+func (d *Directory) hasUrgentChange(request *fb.MapRequestT, askedAt int64) bool {
 	switch {
-	case d.config.known && ask.HaveRevision != d.config.revision:
+	case d.config.known && request.HaveRevision != d.config.revision:
 		return true
-	case ask.Incarnation != d.incarnation || ask.UpdatesIncarnation != d.incarnation || len(d.unsentEvents(ask)) > 0:
+	case request.Incarnation != d.incarnation || request.UpdatesIncarnation != d.incarnation || len(d.unsentEvents(request)) > 0:
 		return true
 	}
-	return ask.HaveMap != d.mapRevision && clock.Now()-askedAt >= mapBatchDelay
+	return request.HaveMap != d.mapRevision && clock.Now()-askedAt >= mapBatchDelay
 }
 
-// reply answers a question that came at a time.
-func (d *Directory) reply(ask *fb.MapRequestT, askedAt int64) *fb.MapResponseT {
+// respond answers a question that came at a time.
+func (d *Directory) respond(request *fb.MapRequestT, askedAt int64) *fb.MapResponseT {
 	voters, live := d.control.VoterAddrs(), d.control.LiveNodes(clock.Now())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
-	reply := &fb.MapResponseT{
+	response := &fb.MapResponseT{
 		Incarnation:  d.incarnation,
 		Zone:         d.settings.Zone,
 		Waited:       now - askedAt,
@@ -90,39 +90,39 @@
 		Voters:       voters,
 		AnnouncedAge: ageSince(now, min(d.weights.readAt, d.rollout.readAt)),
 	}
-	if ask.HaveRevision != d.config.revision {
-		reply.Config = d.config.value
+	if request.HaveRevision != d.config.revision {
+		response.Config = d.config.value
 	}
 	for _, node := range live {
 		if node.Role == membership.RoleProxy {
-			reply.Proxies++
+			response.Proxies++
 		}
 	}
-	if ask.Incarnation != d.incarnation || ask.HaveMap != d.mapRevision {
-		reply.FullMap = true
-		reply.Engines = d.mapEngines()
+	if request.Incarnation != d.incarnation || request.HaveMap != d.mapRevision {
+		response.FullMap = true
+		response.Engines = d.mapEngines()
 	}
-	if reply.FullMap || ask.Node == nil {
-		reply.Announced = d.announcedVersions(now)
-		reply.AnnouncedTerm = d.announcements.Term()
+	if response.FullMap || request.Node == nil {
+		response.Announced = d.announcedVersions(now)
+		response.AnnouncedTerm = d.announcements.Term()
 	}
-	if ask.Node != nil { // another core machine follows the engines itself
-		reply.Loads = d.loadsOfOthers(now, ask.Node.Name)
-		d.addEvents(reply, ask)
+	if request.Node != nil { // another core machine follows the engines itself
+		response.Loads = d.loadsOfOthers(now, request.Node.Name)
+		d.addEvents(response, request)
 	}
-	return reply
+	return response
 }
 
 // addEvents adds the next page of cache events for a proxy. Called under the lock.
-func (d *Directory) addEvents(reply *fb.MapResponseT, ask *fb.MapRequestT) {
-	batch := d.nextEvents(ask)
-	reply.Complete = len(d.readers) > 0 && len(d.unsentEvents(ask)) == 0
+func (d *Directory) addEvents(response *fb.MapResponseT, request *fb.MapRequestT) {
+	batch := d.nextEvents(request)
+	response.Complete = len(d.readers) > 0 && len(d.unsentEvents(request)) == 0
 	for _, reader := range d.readers {
-		reply.Complete = reply.Complete && reader.answered
+		response.Complete = response.Complete && reader.answered
 	}
-	reply.UpdatesIncarnation, reply.UpdatesNext, reply.UpdatesReset = batch.Incarnation, batch.Next, batch.Reset
+	response.UpdatesIncarnation, response.UpdatesNext, response.UpdatesReset = batch.Incarnation, batch.Next, batch.Reset
 	for _, event := range batch.Updates {
-		reply.Updates = append(reply.Updates, &fb.CacheUpdateT{
+		response.Updates = append(response.Updates, &fb.CacheUpdateT{
 			Hi:     event.Key.Hi,
 			Lo:     event.Key.Lo,
 			Check:  event.Key.Check,
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -95,27 +95,27 @@
 	have := r.revision
 	d.mu.Unlock()
 	askedAt := clock.Now()
-	answer := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key, HaveRevision: have})
-	if quorum.Status(answer.Status) != quorum.StatusDone {
+	response := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key, HaveRevision: have})
+	if quorum.Status(response.Status) != quorum.StatusDone {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if r.known && answer.Revision < r.revision {
+	if r.known && response.Revision < r.revision {
 		return
 	}
-	changed := answer.Revision != r.revision
-	if changed && len(answer.Value) == 0 {
+	changed := response.Revision != r.revision
+	if changed && len(response.Value) == 0 {
 		return // its value did not come along
 	}
 	lastRead := r.readAt
 	if !r.known {
 		lastRead = d.startedAt
 	}
-	r.known, r.revision, r.readAt = true, answer.Revision, max(r.readAt, askedAt)
+	r.known, r.revision, r.readAt = true, response.Revision, max(r.readAt, askedAt)
 	if changed {
-		r.value = answer.Value
-		apply(answer.Value, answer.Revision, changedSince(lastRead, clock.Now()))
+		r.value = response.Value
+		apply(response.Value, response.Revision, changedSince(lastRead, clock.Now()))
 		d.mapRevision++
 		d.notify()
 	}
--- a/internal/app/directory/registers_test.go
+++ b/internal/app/directory/registers_test.go
@@ -21,7 +21,7 @@
 // toldAge is how long ago a version was announced, as a proxy learns it.
 func announcedAge(t *testing.T, d *Directory, version uint64) int64 {
 	t.Helper()
-	a := d.reply(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, clock.Now())
+	a := d.respond(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, clock.Now())
 	for _, n := range a.Announced {
 		if n.Version == version {
 			return n.Age
@@ -84,7 +84,7 @@
 	if age := announcedAge(t, d, 1); age < takeoverWindow || age > 3*takeoverWindow {
 		t.Errorf("an age of %d us after the leader changed", age)
 	}
-	if got := d.reply(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, 0).AnnouncedTerm; got != control.revisions[WeightsRoleKey] {
+	if got := d.respond(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, 0).AnnouncedTerm; got != control.revisions[WeightsRoleKey] {
 		t.Errorf("term %d is replied", got)
 	}
 }
@@ -109,7 +109,7 @@
 	d.weights.readAt -= 5_000_000
 	control.unreadable = true
 	d.Refresh(t.Context())
-	if a := d.reply(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, 0); a.AnnouncedAge < 5_000_000 {
+	if a := d.respond(&fb.MapRequestT{Node: &fb.NodeT{Name: "p"}}, 0); a.AnnouncedAge < 5_000_000 {
 		t.Errorf("an age of %d us is replied of weights last confirmed 5 s ago", a.AnnouncedAge)
 	}
 }
--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -71,17 +71,17 @@
 
 // newScheduler makes a scheduler that goes on where the last leader left off.
 func (d *Directory) newScheduler(ctx context.Context, now int64) bool {
-	answer := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: RolloutKey})
-	if quorum.Status(answer.Status) != quorum.StatusDone {
+	response := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: RolloutKey})
+	if quorum.Status(response.Status) != quorum.StatusDone {
 		return false
 	}
-	state, err := rollout.UnmarshalState(answer.Value)
+	state, err := rollout.UnmarshalState(response.Value)
 	if err != nil {
 		d.logStateUnreadable(err)
 	}
 	config := rollout.DefaultConfig(d.settings.Bounds.VersionApplyUS, d.settings.Bounds.LeaseUS)
 	role := d.role
-	role.scheduler, role.stateRevision = rollout.New(config, now, role.heldSince, state), answer.Revision
+	role.scheduler, role.stateRevision = rollout.New(config, now, role.heldSince, state), response.Revision
 	if role.startedAt == 0 {
 		role.startedAt = now
 	} else {
@@ -123,13 +123,13 @@
 // saveState writes the rollout's state before anybody acts on it.
 func (d *Directory) saveState(ctx context.Context, role *weightsRole) bool {
 	value := role.scheduler.State.Marshal()
-	answer := d.control.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: RolloutKey, Value: value, ExpectedRevision: role.stateRevision})
-	if quorum.Status(answer.Status) != quorum.StatusDone {
+	response := d.control.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: RolloutKey, Value: value, ExpectedRevision: role.stateRevision})
+	if quorum.Status(response.Status) != quorum.StatusDone {
 		role.scheduler = nil // the next one reads what is in the register
 		return false
 	}
-	role.stateRevision = answer.Revision
-	d.publishState(value, answer.Revision)
+	role.stateRevision = response.Revision
+	d.publishState(value, response.Revision)
 	return true
 }
 
--- a/internal/app/directory/rollout_test.go
+++ b/internal/app/directory/rollout_test.go
@@ -38,12 +38,12 @@
 	c.revisions[key]++
 }
 
-func (c *fakeControl) Execute(ctx context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
-	return c.ExecuteOnce(ctx, ask)
+func (c *fakeControl) Execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
+	return c.ExecuteOnce(ctx, request)
 }
 
-func (c *fakeControl) ExecuteOnce(_ context.Context, ask *fb.OperationRequestT) *fb.OperationResponseT {
-	if quorum.OperationType(ask.Type) == quorum.OpRelease {
+func (c *fakeControl) ExecuteOnce(_ context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
+	if quorum.OperationType(request.Type) == quorum.OpRelease {
 		c.onRelease()
 	}
 	c.mu.Lock()
@@ -51,19 +51,19 @@
 	if c.unreadable {
 		return &fb.OperationResponseT{Status: byte(quorum.StatusNotLeader)}
 	}
-	switch quorum.OperationType(ask.Type) {
+	switch quorum.OperationType(request.Type) {
 	case quorum.OpPut:
-		if ask.ExpectedRevision != c.revisions[ask.Key] {
-			return &fb.OperationResponseT{Status: byte(quorum.StatusConflict), Revision: c.revisions[ask.Key]}
+		if request.ExpectedRevision != c.revisions[request.Key] {
+			return &fb.OperationResponseT{Status: byte(quorum.StatusConflict), Revision: c.revisions[request.Key]}
 		}
-		c.values[ask.Key] = ask.Value
-		c.revisions[ask.Key]++
+		c.values[request.Key] = request.Value
+		c.revisions[request.Key]++
 	case quorum.OpAcquire:
-		if c.revisions[ask.Key] == 0 {
-			c.revisions[ask.Key] = 1
+		if c.revisions[request.Key] == 0 {
+			c.revisions[request.Key] = 1
 		}
 	}
-	return &fb.OperationResponseT{Status: byte(quorum.StatusDone), Revision: c.revisions[ask.Key], Value: c.values[ask.Key]}
+	return &fb.OperationResponseT{Status: byte(quorum.StatusDone), Revision: c.revisions[request.Key], Value: c.values[request.Key]}
 }
 
 func (c *fakeControl) VoterAddrs() []string             { return c.voters }
--- a/internal/app/directory/weights_role.go
+++ b/internal/app/directory/weights_role.go
@@ -66,16 +66,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(renewTimeout))
 	defer cancel()
-	answer := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpAcquire), Key: WeightsRoleKey, Holder: role.leaderID, LeaseDuration: duration})
-	if quorum.Status(answer.Status) != quorum.StatusDone {
+	response := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpAcquire), Key: WeightsRoleKey, Holder: role.leaderID, LeaseDuration: duration})
+	if quorum.Status(response.Status) != quorum.StatusDone {
 		return now < lease.ExpiresAt
 	}
-	if answer.Revision != lease.FencingToken {
+	if response.Revision != lease.FencingToken {
 		role.scheduler, role.heldSince = nil, now-takeoverWindow
 		role.startedAt, role.sentAt = 0, map[string]int64{}
-		d.logLeaseAcquired(answer.Revision)
+		d.logLeaseAcquired(response.Revision)
 	}
-	role.lease.Store(&rollout.Lease{FencingToken: answer.Revision, ExpiresAt: now + duration - leaseSlack})
+	role.lease.Store(&rollout.Lease{FencingToken: response.Revision, ExpiresAt: now + duration - leaseSlack})
 	return true
 }
 
