--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -16,19 +16,19 @@
 	t.Parallel()
 	const perSecond, seconds, era = 200, 40, 1_000_000
 	world := NewWorld(5)
-	c := NewCluster(world, 4)
-	c.generationUS = era
-	c.logConfig = wal.Config{SegmentCount: 32, SegmentBytes: 64 << 10}
-	c.Start()
-	h := world.NewHost("desk", "north", func() {})
-	h.Start()
+	cluster := NewCluster(world, 4)
+	cluster.generationUS = era
+	cluster.logConfig = wal.Config{SegmentCount: 32, SegmentBytes: 64 << 10}
+	cluster.Start()
+	host := world.NewHost("desk", "north", func() {})
+	host.Start()
 	got, most, n := map[quorum.Status]int{}, 0, 0
 	late := map[quorum.Status]int{}
 	eras := map[int]uint64{}
 	ask := func(i int, era uint64, nonce string, count map[quorum.Status]int) {
-		r := c.Nodes[world.Rng.Intn(4)]
-		Call(h, r.Host, quorum.Operation{Type: quorum.OpClaim, Key: quorum.ClaimKey(era, fmt.Sprintf("dealing-desk/order-%08d", i)), Value: []byte(nonce)}, 2_000_000,
-			func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) }, func(a quorum.Result) { count[a.Status]++ }, func() { count[0]++ })
+		node := cluster.Nodes[world.Rng.Intn(4)]
+		Call(host, node.Host, quorum.Operation{Type: quorum.OpClaim, Key: quorum.ClaimKey(era, fmt.Sprintf("dealing-desk/order-%08d", i)), Value: []byte(nonce)}, 2_000_000,
+			func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) }, func(result quorum.Result) { count[result.Status]++ }, func() { count[0]++ })
 	}
 	var next func()
 	next = func() {
@@ -37,15 +37,15 @@
 		}
 		n++
 		i := n
-		eras[i] = max(1, c.newestGeneration())
+		eras[i] = max(1, cluster.newestGeneration())
 		ask(i, eras[i], fmt.Sprintf("remisier4/k3f9a2b1c/%x", i), got)
 		if i > 50 {
 			j := 1 + world.Rng.Intn(i-50)
 			ask(j, eras[j], fmt.Sprintf("remisier7/z81k2b1c/%x", i), late)
 		}
-		for _, r := range c.Nodes {
-			if r.node != nil {
-				most = max(most, r.node.StateBytes())
+		for _, node := range cluster.Nodes {
+			if node.node != nil {
+				most = max(most, node.node.StateBytes())
 			}
 		}
 		world.At(world.now+1_000_000/perSecond, next)
@@ -55,9 +55,9 @@
 	if len(world.violations) > 0 {
 		t.Fatal(world.violations)
 	}
-	room := int(int64(c.logConfig.SegmentCount)*c.logConfig.SegmentBytes) / 4 * 3 / 4
+	room := int(int64(cluster.logConfig.SegmentCount)*cluster.logConfig.SegmentBytes) / 4 * 3 / 4
 	t.Logf("%d claims: %v; asked for again: %v; %d eras; at most %d of %d bytes; a claim's record takes %d bytes",
-		n, got, late, c.newestGeneration(), most, room, len(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 9, Term: 1 << 18, Last: quorum.Position{Term: 1 << 18, Index: 1 << 20},
+		n, got, late, cluster.newestGeneration(), most, room, len(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 9, Term: 1 << 18, Last: quorum.Position{Term: 1 << 18, Index: 1 << 20},
 			Committed: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Entry: quorum.Entry{Key: "claim/12345/dealing-desk/order-00000001", Position: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Revision: 1, Value: []byte("remisier4/k3f9a2b1c/ffffff")}})))
 	if got[quorum.StatusDone] != n || late[quorum.StatusDone] > 0 {
 		t.Errorf("of %d claims %v; asked for again %v", n, got, late)
--- a/sim/config_followers.go
+++ b/sim/config_followers.go
@@ -57,37 +57,37 @@
 
 func (d *Directory) ask(key string, into *confirmedVersion, version func([]byte) (uint64, bool)) {
 	at := d.node.Clock()
-	d.node.proposeOnce(quorum.Operation{Type: quorum.OpGet, Key: key}, 0, at+readTimeoutUS, func(a quorum.Result) {
-		if a.Status != quorum.StatusDone {
+	d.node.proposeOnce(quorum.Operation{Type: quorum.OpGet, Key: key}, 0, at+readTimeoutUS, func(result quorum.Result) {
+		if result.Status != quorum.StatusDone {
 			return
 		}
-		if into.known && a.Revision == into.revision {
+		if into.known && result.Revision == into.revision {
 			into.confirmedAt = max(into.confirmedAt, at)
 			return
 		}
-		if v, ok := version(a.Value); ok {
-			into.update(confirmedVersion{true, a.Revision, v, at})
+		if v, ok := version(result.Value); ok {
+			into.update(confirmedVersion{true, result.Revision, v, at})
 		}
 	})
 }
 
 func configVersion(value []byte) (uint64, bool) {
-	d, err := readConfig(value)
+	document, err := readConfig(value)
 	if err != nil {
 		return 0, false
 	}
-	return d.Version, true
+	return document.Version, true
 }
 
 func weightsVersion(value []byte, model string) (uint64, bool) {
 	if len(value) == 0 {
 		return 0, true
 	}
-	d, err := route.DecodeWeights(value)
+	versions, err := route.DecodeWeights(value)
 	if err != nil {
 		return 0, false
 	}
-	return d.Latest(model), true
+	return versions.Latest(model), true
 }
 
 // Directories are those of a core, by node; one begins anew with its node.
@@ -96,14 +96,14 @@
 }
 
 // NewDirectories puts a directory beside each control node.
-func NewDirectories(c *Cluster) *Directories {
-	ds := &Directories{byNode: map[*ControlNode]*Directory{}}
-	c.onBoot = func(r *ControlNode) {
-		d := &Directory{node: r}
-		ds.byNode[r] = d
-		r.Every(directoryRefreshInterval, d.refresh)
+func NewDirectories(cluster *Cluster) *Directories {
+	directories := &Directories{byNode: map[*ControlNode]*Directory{}}
+	cluster.onBoot = func(node *ControlNode) {
+		d := &Directory{node: node}
+		directories.byNode[node] = d
+		node.Every(directoryRefreshInterval, d.refresh)
 	}
-	return ds
+	return directories
 }
 
 // ConfigProxy serves by the configuration that directories tell it.
@@ -118,14 +118,14 @@
 }
 
 // NewConfigProxy adds a proxy.
-func NewConfigProxy(c *Cluster, name, site string, dirs *Directories) *ConfigProxy {
-	p := &ConfigProxy{cluster: c, directories: dirs}
-	p.Host = c.world.NewHost(name, site, func() {
-		p.config, p.weights, p.directory = confirmedVersion{}, confirmedVersion{}, nil
-		p.pausedUntil = map[*ControlNode]int64{}
-		p.Every(proxyPollInterval, p.poll)
+func NewConfigProxy(cluster *Cluster, name, site string, dirs *Directories) *ConfigProxy {
+	proxy := &ConfigProxy{cluster: cluster, directories: dirs}
+	proxy.Host = cluster.world.NewHost(name, site, func() {
+		proxy.config, proxy.weights, proxy.directory = confirmedVersion{}, confirmedVersion{}, nil
+		proxy.pausedUntil = map[*ControlNode]int64{}
+		proxy.Every(proxyPollInterval, proxy.poll)
 	})
-	return p
+	return proxy
 }
 
 // words is a directory's answer: ages, since no two hosts' clocks agree.
@@ -168,8 +168,8 @@
 	first := p.world.Rng.Intn(len(nodes))
 	p.directory = nodes[first]
 	for i := range nodes {
-		if r := nodes[(first+i)%len(nodes)]; !r.removed && p.pausedUntil[r] <= p.Clock() {
-			p.directory = r
+		if node := nodes[(first+i)%len(nodes)]; !node.removed && p.pausedUntil[node] <= p.Clock() {
+			p.directory = node
 			break
 		}
 	}
@@ -200,31 +200,31 @@
 
 // Watch judges until the world ends.
 func (c *ServeChecker) Watch(world *World) {
-	for _, p := range c.proxies {
-		if p.Serves() {
-			c.check(world, p)
+	for _, proxy := range c.proxies {
+		if proxy.Serves() {
+			c.check(world, proxy)
 		}
 	}
 	world.At(world.now+checkInterval, func() { c.Watch(world) })
 }
 
-func (c *ServeChecker) check(world *World, p *ConfigProxy) {
-	vouched := world.now - (p.Clock() - p.config.confirmedAt)
-	if floor := c.config.inForceAt(vouched); floor > p.config.version {
-		world.Violation("vouched for an older configuration", "%s holds version %d as in force at %d, when %d was", p.Name, p.config.version, vouched, floor)
+func (c *ServeChecker) check(world *World, proxy *ConfigProxy) {
+	vouched := world.now - (proxy.Clock() - proxy.config.confirmedAt)
+	if floor := c.config.inForceAt(vouched); floor > proxy.config.version {
+		world.Violation("vouched for an older configuration", "%s holds version %d as in force at %d, when %d was", proxy.Name, proxy.config.version, vouched, floor)
 	}
-	if at := c.config.replacedAt(p.config.version); at > 0 {
+	if at := c.config.replacedAt(proxy.config.version); at > 0 {
 		old := world.now - at
 		c.OldestConfigUS = max(c.OldestConfigUS, old)
 		if old > ApplyBound {
-			world.Violation("old configuration in use", "%s serves by version %d, replaced %d us ago", p.Name, p.config.version, old)
+			world.Violation("old configuration in use", "%s serves by version %d, replaced %d us ago", proxy.Name, proxy.config.version, old)
 		}
 	}
-	if !p.weights.known {
+	if !proxy.weights.known {
 		return
 	}
-	vouched = world.now - (p.Clock() - p.weights.confirmedAt)
-	if floor := c.weights.namedAt(vouched); floor > p.weights.version {
-		world.Violation("vouched for older weights", "%s holds version %d as the newest at %d, when %d was", p.Name, p.weights.version, vouched, floor)
+	vouched = world.now - (proxy.Clock() - proxy.weights.confirmedAt)
+	if floor := c.weights.namedAt(vouched); floor > proxy.weights.version {
+		world.Violation("vouched for older weights", "%s holds version %d as the newest at %d, when %d was", proxy.Name, proxy.weights.version, vouched, floor)
 	}
 }
--- a/sim/config_history.go
+++ b/sim/config_history.go
@@ -66,34 +66,34 @@
 }
 
 // begin notes an order that is about to be sent.
-func (h *ConfigHistory) begin(o *ConfigOrder) {
-	o.sentAt = h.world.now
-	h.orders = append(h.orders, o)
+func (h *ConfigHistory) begin(order *ConfigOrder) {
+	order.sentAt = h.world.now
+	h.orders = append(h.orders, order)
 }
 
 // acked judges an acknowledgement.
-func (h *ConfigHistory) acknowledged(o *ConfigOrder, resent bool) {
-	if o.acknowledgedAt == 0 {
-		o.acknowledgedAt = h.world.now
+func (h *ConfigHistory) acknowledged(order *ConfigOrder, resent bool) {
+	if order.acknowledgedAt == 0 {
+		order.acknowledgedAt = h.world.now
 		h.Acknowledged++
 		if resent {
 			h.AcknowledgedAfterResend++
 		}
-		if h.newest > o.version {
-			h.MostBehind = max(h.MostBehind, h.newest-o.version)
+		if h.newest > order.version {
+			h.MostBehind = max(h.MostBehind, h.newest-order.version)
 		}
 	}
-	h.link(o)
-	h.seen(o.version)
+	h.link(order)
+	h.seen(order.version)
 }
 
 // link holds that one order leads to a version.
-func (h *ConfigHistory) link(o *ConfigOrder) {
-	if other := h.accepted[o.version]; other != nil && other != o {
-		h.world.Violation("two under one number", "orders %d and %d both are version %d", other.id, o.id, o.version)
+func (h *ConfigHistory) link(order *ConfigOrder) {
+	if other := h.accepted[order.version]; other != nil && other != order {
+		h.world.Violation("two under one number", "orders %d and %d both are version %d", other.id, order.id, order.version)
 		return
 	}
-	h.accepted[o.version] = o
+	h.accepted[order.version] = order
 }
 
 // seen notes that a version is in force, or was.
@@ -105,40 +105,40 @@
 }
 
 // refused notes a refusal; whether it was right shows at the end.
-func (h *ConfigHistory) rejected(o *ConfigOrder, from int64) {
-	o.rejections = append(o.rejections, interval{from, h.world.now})
+func (h *ConfigHistory) rejected(order *ConfigOrder, from int64) {
+	order.rejections = append(order.rejections, interval{from, h.world.now})
 	h.Rejected++
 }
 
 // read judges a reading that was asked for at a true time.
 func (h *ConfigHistory) read(from int64, value []byte) {
-	d, err := readConfig(value)
+	document, err := readConfig(value)
 	if err != nil {
 		h.world.Violation("unreadable", "%v", err)
 		return
 	}
-	if floor := h.inForceAt(from); d.Version < floor {
-		h.world.Violation("older configuration", "version %d was read at %d..%d, %d was in force before", d.Version, from, h.world.now, floor)
+	if floor := h.inForceAt(from); document.Version < floor {
+		h.world.Violation("older configuration", "version %d was read at %d..%d, %d was in force before", document.Version, from, h.world.now, floor)
 	}
 	h.Reads++
-	h.reads = append(h.reads, configRead{interval{from, h.world.now}, d.Version})
-	h.seen(d.Version)
-	if o := h.orderOf(d); o != nil {
-		h.link(o)
+	h.reads = append(h.reads, configRead{interval{from, h.world.now}, document.Version})
+	h.seen(document.Version)
+	if order := h.orderOf(document); order != nil {
+		h.link(order)
 	}
-	h.compare(d, value)
+	h.compare(document, value)
 }
 
 // orderOf is the order that made a configuration: each brings a key of its own.
-func (h *ConfigHistory) orderOf(d *route.Document) *ConfigOrder {
-	_, rest, found := strings.Cut(string(d.Text), keyPrefix)
+func (h *ConfigHistory) orderOf(document *route.Document) *ConfigOrder {
+	_, rest, found := strings.Cut(string(document.Text), keyPrefix)
 	if !found {
 		return nil
 	}
 	number, _, _ := strings.Cut(rest, `"`)
 	id, err := strconv.Atoi(number)
-	if err != nil || id < 1 || id > len(h.orders) || h.orders[id-1].version != d.Version {
-		h.world.Violation("an order that nobody sent", "version %d holds the key of %q", d.Version, number)
+	if err != nil || id < 1 || id > len(h.orders) || h.orders[id-1].version != document.Version {
+		h.world.Violation("an order that nobody sent", "version %d holds the key of %q", document.Version, number)
 		return nil
 	}
 	return h.orders[id-1]
@@ -173,19 +173,19 @@
 }
 
 // compare holds what was read against what the orders taken make, to the byte.
-func (h *ConfigHistory) compare(d *route.Document, value []byte) {
-	if d.Version == 0 {
+func (h *ConfigHistory) compare(document *route.Document, value []byte) {
+	if document.Version == 0 {
 		return
 	}
-	want, ok := h.document(d.Version)
+	want, ok := h.document(document.Version)
 	if !ok {
 		// An order without a clear answer was taken on the way: which one, only the
 		// text tells.
-		h.docs[d.Version] = &orderedDoc{d, value}
+		h.docs[document.Version] = &orderedDoc{document, value}
 		return
 	}
 	if !bytes.Equal(want.value, value) {
-		h.world.Violation("read back as something else", "version %d is %d bytes, the orders make %d", d.Version, len(value), len(want.value))
+		h.world.Violation("read back as something else", "version %d is %d bytes, the orders make %d", document.Version, len(value), len(want.value))
 	}
 }
 
@@ -194,17 +194,17 @@
 	if d, ok := h.docs[version]; ok {
 		return d, true
 	}
-	o := h.accepted[version]
-	if o == nil {
+	order := h.accepted[version]
+	if order == nil {
 		return nil, false
 	}
 	base, ok := h.document(version - 1)
 	if !ok {
 		return nil, false
 	}
-	next, out, _ := o.change.Apply(base.document, h.texts.Translate, h.texts.Words)
+	next, out, _ := order.change.Apply(base.document, h.texts.Translate, h.texts.Words)
 	if out != route.Accepted {
-		h.world.Violation("taken on another base", "order %d is %v on version %d", o.id, out, version-1)
+		h.world.Violation("taken on another base", "order %d is %v on version %d", order.id, out, version-1)
 		return nil, false
 	}
 	h.docs[version] = &orderedDoc{next, next.Encode()}
@@ -213,22 +213,22 @@
 
 // Close judges the refusals, once all is known that will be.
 func (h *ConfigHistory) Close() {
-	for _, o := range h.orders {
-		for _, r := range o.rejections {
-			h.checkRejection(o, r)
+	for _, order := range h.orders {
+		for _, r := range order.rejections {
+			h.checkRejection(order, r)
 		}
 	}
 }
 
-func (h *ConfigHistory) checkRejection(o *ConfigOrder, r interval) {
-	if h.accepted[o.version] == o {
-		h.world.Violation("taken and refused", "order %d for version %d, sent at %d, acknowledged at %d, was refused at %d..%d", o.id, o.version, o.sentAt, o.acknowledgedAt, r.from, r.to)
+func (h *ConfigHistory) checkRejection(order *ConfigOrder, r interval) {
+	if h.accepted[order.version] == order {
+		h.world.Violation("taken and refused", "order %d for version %d, sent at %d, acknowledged at %d, was refused at %d..%d", order.id, order.version, order.sentAt, order.acknowledgedAt, r.from, r.to)
 		return
 	}
-	since, ok := h.known[o.change.Base]
-	current := o.change.Base == 0 || ok && since < r.from
-	if current && h.earliestAfter(o.change.Base) > r.to {
-		h.world.Violation("refused wrongly", "order %d on version %d was refused at %d..%d, and that was current", o.id, o.change.Base, r.from, r.to)
+	since, ok := h.known[order.change.Base]
+	current := order.change.Base == 0 || ok && since < r.from
+	if current && h.earliestAfter(order.change.Base) > r.to {
+		h.world.Violation("refused wrongly", "order %d on version %d was refused at %d..%d, and that was current", order.id, order.change.Base, r.from, r.to)
 	}
 }
 
@@ -236,9 +236,9 @@
 // order that did it was sent by then, and who read the version did so before.
 func (h *ConfigHistory) earliestAfter(version uint64) int64 {
 	at := int64(1) << 62
-	for _, o := range h.orders {
-		if o.change.Base == version && h.mayHaveMade(o) {
-			at = min(at, o.sentAt)
+	for _, order := range h.orders {
+		if order.change.Base == version && h.mayHaveMade(order) {
+			at = min(at, order.sentAt)
 		}
 	}
 	for _, r := range h.reads {
@@ -251,7 +251,7 @@
 
 // mayLead tells whether an order may have led to its version. One that was refused did
 // not, or that is a fault of its own.
-func (h *ConfigHistory) mayHaveMade(o *ConfigOrder) bool {
-	t := h.accepted[o.version]
-	return t == o || t == nil && len(o.rejections) == 0
+func (h *ConfigHistory) mayHaveMade(order *ConfigOrder) bool {
+	t := h.accepted[order.version]
+	return t == order || t == nil && len(order.rejections) == 0
 }
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -42,9 +42,9 @@
 }
 
 // NewConfigOperator adds an operator.
-func NewConfigOperator(c *Cluster, name, site string, h *ConfigHistory) *ConfigOperator {
-	o := &ConfigOperator{cluster: c, history: h, Pause: 100_000, silent: map[*ControlNode]int64{}}
-	o.Host = c.world.NewHost(name, site, func() { o.After(1+c.world.Rng.Int63n(o.Pause+1), o.next) })
+func NewConfigOperator(cluster *Cluster, name, site string, history *ConfigHistory) *ConfigOperator {
+	o := &ConfigOperator{cluster: cluster, history: history, Pause: 100_000, silent: map[*ControlNode]int64{}}
+	o.Host = cluster.world.NewHost(name, site, func() { o.After(1+cluster.world.Rng.Int63n(o.Pause+1), o.next) })
 	return o
 }
 
@@ -67,14 +67,14 @@
 	if o.Routes != nil {
 		routes = o.Routes(o.count)
 	}
-	c := route.Change{Base: o.Base, HasBase: true}
+	change := route.Change{Base: o.Base, HasBase: true}
 	if o.Base == 0 || routes > 0 {
-		c.Replace = true
-		c.Body = []byte(wholeText(order, max(routes, 3)))
-		return c
+		change.Replace = true
+		change.Body = []byte(wholeText(order, max(routes, 3)))
+		return change
 	}
-	c.Body = []byte(mergeText(order))
-	return c
+	change.Body = []byte(mergeText(order))
+	return change
 }
 
 // mergedRoutes is how many routes merges take turns in replacing.
@@ -137,10 +137,10 @@
 func (o *ConfigOperator) chooseNode() *ControlNode {
 	var rest []*ControlNode
 	now := o.cluster.world.now
-	for _, r := range o.cluster.Nodes {
-		at, silent := o.silent[r]
-		if r != o.last && !r.removed && !(silent && now-at < operatorShuns) {
-			rest = append(rest, r)
+	for _, node := range o.cluster.Nodes {
+		at, silent := o.silent[node]
+		if node != o.last && !node.removed && !(silent && now-at < operatorShuns) {
+			rest = append(rest, node)
 		}
 	}
 	if len(rest) == 0 {
@@ -154,8 +154,8 @@
 	o.After(int64(min(o.sends, operatorPauses))*operatorPause, o.send)
 }
 
-func (o *ConfigOperator) answered(order *ConfigOrder, r Reply, from int64) {
-	switch r.Outcome {
+func (o *ConfigOperator) answered(order *ConfigOrder, answer Reply, from int64) {
+	switch answer.Outcome {
 	case OutcomeAccepted:
 		o.history.acknowledged(order, o.sends > 1)
 		o.Base = order.version
@@ -165,7 +165,7 @@
 		}
 	case OutcomeStale:
 		o.history.rejected(order, from)
-		o.Base = r.Version
+		o.Base = answer.Version
 		o.finish()
 	case OutcomeInvalid:
 		o.cluster.world.Violation("a good order was declined", "order %d on version %d", order.id, order.change.Base)
@@ -194,9 +194,9 @@
 }
 
 // NewConfigReader adds a reader.
-func NewConfigReader(c *Cluster, name, site string, h *ConfigHistory, every int64) *ConfigReader {
-	r := &ConfigReader{cluster: c, history: h}
-	r.Host = c.world.NewHost(name, site, func() { r.Every(every, r.read) })
+func NewConfigReader(cluster *Cluster, name, site string, history *ConfigHistory, every int64) *ConfigReader {
+	r := &ConfigReader{cluster: cluster, history: history}
+	r.Host = cluster.world.NewHost(name, site, func() { r.Every(every, r.read) })
 	return r
 }
 
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -50,12 +50,12 @@
 // NewConfigWorld makes one of so many control nodes, with nobody around them yet.
 func NewConfigWorld(seed int64, nodes int, texts Texts) *ConfigWorld {
 	world := NewWorld(seed)
-	c := NewCluster(world, nodes)
-	c.leaseUS, c.logConfig = platformLeaseUS, configLog
-	cw := &ConfigWorld{World: world, Cluster: c, Config: NewConfigHistory(world, texts), Weights: NewWeightsHistory(world)}
-	cw.directories = NewDirectories(c)
-	cw.Serve = &ServeChecker{config: cw.Config, weights: cw.Weights}
-	return cw
+	cluster := NewCluster(world, nodes)
+	cluster.leaseUS, cluster.logConfig = platformLeaseUS, configLog
+	configWorld := &ConfigWorld{World: world, Cluster: cluster, Config: NewConfigHistory(world, texts), Weights: NewWeightsHistory(world)}
+	configWorld.directories = NewDirectories(cluster)
+	configWorld.Serve = &ServeChecker{config: configWorld.Config, weights: configWorld.Weights}
+	return configWorld
 }
 
 // AddOperators adds operators, the first of which brings the first configuration.
@@ -92,8 +92,8 @@
 // Start boots the control nodes and, once they had time to find each other, the rest.
 func (cw *ConfigWorld) Start() {
 	cw.Cluster.Start()
-	for _, p := range cw.Proxies {
-		p.Start()
+	for _, proxy := range cw.Proxies {
+		proxy.Start()
 	}
 	cw.World.At(1_000_000, func() {
 		for _, o := range cw.Operators {
@@ -111,12 +111,12 @@
 
 // Owner is the control node that vouches for a key just now, nil for none.
 func (c *Cluster) LeaderOf(key string) *ControlNode {
-	for _, r := range c.Nodes {
-		if !r.up || r.frozen || r.node == nil {
+	for _, node := range c.Nodes {
+		if !node.up || node.frozen || node.node == nil {
 			continue
 		}
-		if _, ok := r.node.ReadUnderLease(r.Clock(), key); ok {
-			return r
+		if _, ok := node.node.ReadUnderLease(node.Clock(), key); ok {
+			return node
 		}
 	}
 	return nil
@@ -141,8 +141,8 @@
 
 // allUp reports whether all control nodes take part.
 func (cw *ConfigWorld) allUp() bool {
-	for _, r := range cw.Cluster.Nodes {
-		if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
+	for _, node := range cw.Cluster.Nodes {
+		if !node.up || node.node == nil || !node.node.AllSlotsRecovered() {
 			return false
 		}
 	}
@@ -152,11 +152,11 @@
 // AllFirm reports whether all nodes that are up are members and every slot is won and
 // finished under the present roster.
 func (cw *ConfigWorld) AllRecovered() bool {
-	for _, r := range cw.Cluster.Nodes {
-		if r.removed {
+	for _, node := range cw.Cluster.Nodes {
+		if node.removed {
 			continue
 		}
-		if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
+		if !node.up || node.node == nil || !node.node.AllSlotsRecovered() {
 			return false
 		}
 	}
--- a/sim/core.go
+++ b/sim/core.go
@@ -68,18 +68,18 @@
 
 // NewCore adds n control nodes.
 func NewCluster(world *World, n int) *Cluster {
-	c := &Cluster{world: world, generationUS: 800_000, logConfig: smallLog}
-	c.voterSet.Revision = quorum.FirstRevision(7)
+	cluster := &Cluster{world: world, generationUS: 800_000, logConfig: smallLog}
+	cluster.voterSet.Revision = quorum.FirstRevision(7)
 	for i := 0; i < n; i++ {
-		r := c.newNode()
-		c.voterSet.Voters = append(c.voterSet.Voters, quorum.Voter{Name: r.Name, Addr: r.Name, Incarnation: r.incarnation, Number: uint16(i + 1)})
-		r.voterSet = c.voterSet
+		node := cluster.newNode()
+		cluster.voterSet.Voters = append(cluster.voterSet.Voters, quorum.Voter{Name: node.Name, Addr: node.Name, Incarnation: node.incarnation, Number: uint16(i + 1)})
+		node.voterSet = cluster.voterSet
 	}
-	for _, r := range c.Nodes {
-		r.voterSet = c.voterSet
+	for _, node := range cluster.Nodes {
+		node.voterSet = cluster.voterSet
 	}
-	world.invariants = append(world.invariants, c.checkOneLeader)
-	return c
+	world.invariants = append(world.invariants, cluster.checkOneLeader)
+	return cluster
 }
 
 // restart boots the machine again, unless it is gone for good.
@@ -92,21 +92,21 @@
 // newNode adds a machine with an empty disk that is in no roster yet.
 func (c *Cluster) newNode() *ControlNode {
 	i := len(c.Nodes)
-	r := &ControlNode{cluster: c, Disk: NewDisk(c.world), incarnation: uint64(100 + i)}
-	r.Host = c.world.NewHost(fmt.Sprint("registrar", i), zones[i%len(zones)], r.start)
-	c.Nodes = append(c.Nodes, r)
+	node := &ControlNode{cluster: c, Disk: NewDisk(c.world), incarnation: uint64(100 + i)}
+	node.Host = c.world.NewHost(fmt.Sprint("registrar", i), zones[i%len(zones)], node.start)
+	c.Nodes = append(c.Nodes, node)
 	if c.onNewNode != nil {
-		c.onNewNode(r)
+		c.onNewNode(node)
 	}
-	return r
+	return node
 }
 
 var zones = []string{"north", "east", "south", "west"}
 
 // Start boots all nodes.
 func (c *Cluster) Start() {
-	for _, r := range c.Nodes {
-		r.Start()
+	for _, node := range c.Nodes {
+		node.Start()
 	}
 }
 
@@ -118,24 +118,24 @@
 		return
 	}
 	n.log = ring
-	var recs []quorum.Record
-	for _, b := range raw {
-		c, _, err := codec.UnpackRecord(b)
+	var records []quorum.Record
+	for _, data := range raw {
+		record, _, err := codec.UnpackRecord(data)
 		if err != nil {
 			n.fail(err)
 			return
 		}
-		recs = append(recs, c)
+		records = append(records, record)
 	}
-	p := quorum.DefaultConfig(n.Name, n.incarnation)
-	p.GenerationDuration, p.OpenGenerations = n.cluster.generationUS, 3
+	config := quorum.DefaultConfig(n.Name, n.incarnation)
+	config.GenerationDuration, config.OpenGenerations = n.cluster.generationUS, 3
 	if n.cluster.leaseUS > 0 {
-		p.LeaseDuration = n.cluster.leaseUS
+		config.LeaseDuration = n.cluster.leaseUS
 	}
-	p.MaxStateBytes = int(int64(n.cluster.logConfig.SegmentCount) * n.cluster.logConfig.SegmentBytes / 4)
+	config.MaxStateBytes = int(int64(n.cluster.logConfig.SegmentCount) * n.cluster.logConfig.SegmentBytes / 4)
 	n.node = nil
 	if len(n.voterSet.Voters) > 0 {
-		n.node = quorum.New(p, n.voterSet, n.Clock(), recs)
+		n.node = quorum.New(config, n.voterSet, n.Clock(), records)
 		if err := n.checkpointIfFull(); err != nil {
 			n.node = nil // there is no room for the state itself
 			n.fail(err)
@@ -143,9 +143,9 @@
 		}
 	} else if n.cluster.selfHealing {
 		at := n.cluster.world.now
-		n.Every(50_000, func() { n.requestAdmission(p, at) })
+		n.Every(50_000, func() { n.requestAdmission(config, at) })
 	} else {
-		n.Every(200_000, func() { n.pollVoterSet(p) })
+		n.Every(200_000, func() { n.pollVoterSet(config) })
 	}
 	if n.cluster.selfHealing {
 		n.Every(150_000, n.pollNewerVoterSets)
@@ -153,7 +153,7 @@
 	if n.cluster.onBoot != nil {
 		n.cluster.onBoot(n)
 	}
-	n.Every(p.HeartbeatInterval/4, func() {
+	n.Every(config.HeartbeatInterval/4, func() {
 		if n.Failure == nil && n.node != nil {
 			n.node.SetDiskLow(n.log.UsedPermille() > 750)
 			n.handle(n.node.Tick(n.Clock()))
@@ -165,20 +165,20 @@
 }
 
 // join asks another machine for a roster that holds this disk.
-func (n *ControlNode) pollVoterSet(p quorum.Config) {
+func (n *ControlNode) pollVoterSet(config quorum.Config) {
 	if n.node != nil {
 		return
 	}
-	o := n.cluster.Nodes[n.cluster.world.Rng.Intn(len(n.cluster.Nodes))]
-	Call(n.Host, o.Host, 0, 300_000, func(_ int, rep func(quorum.VoterSet)) {
-		if o.node != nil {
-			rep(o.node.VoterSet())
+	other := n.cluster.Nodes[n.cluster.world.Rng.Intn(len(n.cluster.Nodes))]
+	Call(n.Host, other.Host, 0, 300_000, func(_ int, reply func(quorum.VoterSet)) {
+		if other.node != nil {
+			reply(other.node.VoterSet())
 		}
-	}, func(ro quorum.VoterSet) {
-		if v, ok := ro.Find(n.Name); ok && v.Incarnation == n.incarnation && n.node == nil {
-			n.voterSet = ro
-			n.node = quorum.New(p, ro, n.Clock(), nil)
-			n.cluster.world.Notef("%s joins at step %d", n.Name, ro.Step())
+	}, func(voterSet quorum.VoterSet) {
+		if voter, ok := voterSet.Find(n.Name); ok && voter.Incarnation == n.incarnation && n.node == nil {
+			n.voterSet = voterSet
+			n.node = quorum.New(config, voterSet, n.Clock(), nil)
+			n.cluster.world.Notef("%s joins at step %d", n.Name, voterSet.Step())
 		}
 	}, func() {})
 }
@@ -191,28 +191,28 @@
 
 // beLetIn asks all other machines for a place in their roster, as the daemon of a blank
 // disk does.
-func (n *ControlNode) requestAdmission(p quorum.Config, at int64) {
+func (n *ControlNode) requestAdmission(config quorum.Config, at int64) {
 	if n.node != nil {
 		return
 	}
-	me := quorum.Voter{Name: n.Name, Addr: n.Name, Incarnation: n.incarnation}
-	for _, o := range n.cluster.Nodes {
-		if o == n {
+	self := quorum.Voter{Name: n.Name, Addr: n.Name, Incarnation: n.incarnation}
+	for _, other := range n.cluster.Nodes {
+		if other == n {
 			continue
 		}
-		Call(n.Host, o.Host, 0, 500_000, func(_ int, rep func(quorum.VoterSet)) {
-			if o.node != nil && o.Failure == nil {
-				ro := o.node.VoterSet()
-				o.handle(o.node.AdmitVoter(o.Clock(), me))
-				rep(ro)
+		Call(n.Host, other.Host, 0, 500_000, func(_ int, reply func(quorum.VoterSet)) {
+			if other.node != nil && other.Failure == nil {
+				voterSet := other.node.VoterSet()
+				other.handle(other.node.AdmitVoter(other.Clock(), self))
+				reply(voterSet)
 			}
-		}, func(ro quorum.VoterSet) {
-			if n.node != nil || !n.isMemberOf(ro) {
+		}, func(voterSet quorum.VoterSet) {
+			if n.node != nil || !n.isMemberOf(voterSet) {
 				return
 			}
-			n.voterSet = ro
-			n.node = quorum.New(p, ro, n.Clock(), nil)
-			n.cluster.world.Notef("%s joins at step %d", n.Name, ro.Step())
+			n.voterSet = voterSet
+			n.node = quorum.New(config, voterSet, n.Clock(), nil)
+			n.cluster.world.Notef("%s joins at step %d", n.Name, voterSet.Step())
 			n.cluster.Joins++
 			var firm func()
 			firm = func() {
@@ -227,9 +227,9 @@
 	}
 }
 
-func (n *ControlNode) isMemberOf(ro quorum.VoterSet) bool {
-	v, ok := ro.Find(n.Name)
-	return ok && v.Incarnation == n.incarnation
+func (n *ControlNode) isMemberOf(voterSet quorum.VoterSet) bool {
+	voter, ok := voterSet.Find(n.Name)
+	return ok && voter.Incarnation == n.incarnation
 }
 
 // probe asks for newer rosters while voters are silent, as the daemon does.
@@ -237,21 +237,21 @@
 	if n.node == nil || n.Failure != nil {
 		return
 	}
-	for _, v := range n.node.VoterSet().Voters {
-		if n.node.Silence(n.Clock(), v.Name) < 250_000 {
+	for _, voter := range n.node.VoterSet().Voters {
+		if n.node.Silence(n.Clock(), voter.Name) < 250_000 {
 			continue
 		}
-		for _, o := range n.cluster.Nodes {
-			if o == n {
+		for _, other := range n.cluster.Nodes {
+			if other == n {
 				continue
 			}
-			Call(n.Host, o.Host, 0, 500_000, func(_ int, rep func(quorum.VoterSet)) {
-				if o.node != nil && o.Failure == nil {
-					rep(o.node.VoterSet())
+			Call(n.Host, other.Host, 0, 500_000, func(_ int, reply func(quorum.VoterSet)) {
+				if other.node != nil && other.Failure == nil {
+					reply(other.node.VoterSet())
 				}
-			}, func(ro quorum.VoterSet) {
+			}, func(voterSet quorum.VoterSet) {
 				if n.node != nil && n.Failure == nil {
-					n.handle(n.node.ObserveVoterSet(n.Clock(), ro))
+					n.handle(n.node.ObserveVoterSet(n.Clock(), voterSet))
 				}
 			}, func() {})
 		}
@@ -302,8 +302,8 @@
 	for _, e := range o.Events {
 		n.cluster.world.Notef("%s %s", n.Name, e)
 	}
-	for _, c := range o.Records {
-		if err := n.log.Append(codec.PackRecord(c)); err != nil {
+	for _, record := range o.Records {
+		if err := n.log.Append(codec.PackRecord(record)); err != nil {
 			n.fail(err)
 			return
 		}
@@ -313,27 +313,27 @@
 		n.sync()
 	}
 	for _, s := range o.Messages {
-		for _, p := range n.cluster.Nodes {
-			if p.Name == s.To {
-				m := s.Message
-				n.cluster.world.observe("frame", n.Name, p.Name, m)
-				n.Send(p.Host, func() { p.receive(m) })
+		for _, peer := range n.cluster.Nodes {
+			if peer.Name == s.To {
+				message := s.Message
+				n.cluster.world.observe("frame", n.Name, peer.Name, message)
+				n.Send(peer.Host, func() { peer.receive(message) })
 				if n.cluster.onMessage != nil {
-					n.cluster.onMessage(p, m)
+					n.cluster.onMessage(peer, message)
 				}
 			}
 		}
 	}
-	for _, a := range o.Results {
-		f := n.pending[a.ID]
-		if f == nil {
+	for _, result := range o.Results {
+		reply := n.pending[result.ID]
+		if reply == nil {
 			continue
 		}
-		delete(n.pending, a.ID)
-		if n.cluster.beforeResult != nil && n.cluster.beforeResult(n, a) {
+		delete(n.pending, result.ID)
+		if n.cluster.beforeResult != nil && n.cluster.beforeResult(n, result) {
 			return
 		}
-		f(a)
+		reply(result)
 	}
 	if o.VoterSet != nil && n.cluster.selfHealing && !n.isMemberOf(*o.VoterSet) {
 		n.retire()
@@ -341,16 +341,16 @@
 }
 
 // recv takes a message through the very codec of the wires.
-func (n *ControlNode) receive(m quorum.Message) {
-	if n.node == nil || n.Failure != nil || n.cluster.dropsMessage != nil && n.cluster.dropsMessage(m) {
+func (n *ControlNode) receive(message quorum.Message) {
+	if n.node == nil || n.Failure != nil || n.cluster.dropsMessage != nil && n.cluster.dropsMessage(message) {
 		return
 	}
-	f, err := codec.Decode(codec.Encode(codec.PackMessage(m))[8:])
+	frame, err := codec.Decode(codec.Encode(codec.PackMessage(message))[8:])
 	if err != nil {
 		n.cluster.world.Violation("codec", "%v", err)
 		return
 	}
-	n.handle(n.node.Receive(n.Clock(), codec.UnpackMessage(f.VoterMessage)))
+	n.handle(n.node.Receive(n.Clock(), codec.UnpackMessage(frame.VoterMessage)))
 }
 
 func (n *ControlNode) sync() {
@@ -389,8 +389,8 @@
 		return nil
 	}
 	var parts [][]byte
-	for _, c := range n.node.Checkpoint() {
-		parts = append(parts, codec.PackRecord(c))
+	for _, record := range n.node.Checkpoint() {
+		parts = append(parts, codec.PackRecord(record))
 	}
 	return n.log.Checkpoint(parts)
 }
@@ -418,12 +418,12 @@
 		}
 		k = min(len(n.checkpointRest), 1)
 	}
-	var recs [][]byte
-	for _, c := range n.checkpointRest[:k] {
-		recs = append(recs, codec.PackRecord(c))
+	var encoded [][]byte
+	for _, record := range n.checkpointRest[:k] {
+		encoded = append(encoded, codec.PackRecord(record))
 	}
 	n.checkpointRest = n.checkpointRest[k:]
-	if err := n.log.AppendCheckpoint(recs); err != nil || len(n.checkpointRest) > 0 {
+	if err := n.log.AppendCheckpoint(encoded); err != nil || len(n.checkpointRest) > 0 {
 		return err
 	}
 	n.checkpointing = false
@@ -438,14 +438,14 @@
 }
 
 // Do starts an operation on this node.
-func (n *ControlNode) Propose(op quorum.Operation, f func(quorum.Result)) {
+func (n *ControlNode) Propose(op quorum.Operation, reply func(quorum.Result)) {
 	if n.node == nil || n.Failure != nil {
-		f(quorum.Result{Status: quorum.StatusNotLeader})
+		reply(quorum.Result{Status: quorum.StatusNotLeader})
 		return
 	}
 	n.lastOperationID++
 	op.ID = n.lastOperationID
-	n.pending[op.ID] = f
+	n.pending[op.ID] = reply
 	n.handle(n.node.Propose(n.Clock(), op))
 }
 
@@ -460,18 +460,18 @@
 
 // Op carries an operation to the owner, as the daemons do, with one hop.
 func (n *ControlNode) Forward(op quorum.Operation, hops int, reply func(quorum.Result)) {
-	n.Propose(op, func(a quorum.Result) {
-		if a.Status != quorum.StatusNotLeader || a.Leader == "" || a.Leader == n.Name || hops >= 2 {
-			reply(a)
+	n.Propose(op, func(result quorum.Result) {
+		if result.Status != quorum.StatusNotLeader || result.Leader == "" || result.Leader == n.Name || hops >= 2 {
+			reply(result)
 			return
 		}
-		if n.isSilent(a.Leader) {
+		if n.isSilent(result.Leader) {
 			reply(quorum.Result{Status: quorum.StatusNotLeader})
 			return
 		}
-		for _, p := range n.cluster.Nodes {
-			if p.Name == a.Leader {
-				Call(n.Host, p.Host, op, 700_000, func(q quorum.Operation, rep func(quorum.Result)) { p.Forward(q, hops+1, rep) },
+		for _, peer := range n.cluster.Nodes {
+			if peer.Name == result.Leader {
+				Call(n.Host, peer.Host, op, 700_000, func(operation quorum.Operation, rep func(quorum.Result)) { peer.Forward(operation, hops+1, rep) },
 					reply, func() { reply(quorum.Result{Status: quorum.StatusUnknown}) })
 				return
 			}
@@ -486,18 +486,18 @@
 		return
 	}
 	owner := map[int]string{}
-	for _, r := range c.Nodes {
-		if !r.up || r.node == nil {
+	for _, node := range c.Nodes {
+		if !node.up || node.node == nil {
 			continue
 		}
-		for i, s := range r.node.Status(r.Clock()) {
-			if !s.IsLeader {
+		for i, status := range node.node.Status(node.Clock()) {
+			if !status.IsLeader {
 				continue
 			}
 			if o := owner[i]; o != "" {
-				c.world.Violation("two owners", "slot %d: %s and %s", i, o, r.Name)
+				c.world.Violation("two owners", "slot %d: %s and %s", i, o, node.Name)
 			}
-			owner[i] = r.Name
+			owner[i] = node.Name
 		}
 	}
 }
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -12,23 +12,23 @@
 // changes linearizable, slots and duties single-owned and claims single-held,
 // and come back within ten seconds.
 func TestCoreDays(t *testing.T) {
-	for _, f := range ClusterFaults {
-		t.Run(string(f), func(t *testing.T) {
+	for _, fault := range ClusterFaults {
+		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			acks, won, terms, ckpts, joined := 0, 0, 0, 0, 0
 			for seed := int64(1); seed <= 3; seed++ {
-				d := RunCluster(seed, f, 12_000_000)
-				if len(d.Violations) > 0 {
-					k := max(0, len(d.Notes)-60)
-					t.Fatalf("seed %d: %v\n%s", seed, d.Violations, strings.Join(d.Notes[k:], "\n"))
+				result := RunCluster(seed, fault, 12_000_000)
+				if len(result.Violations) > 0 {
+					k := max(0, len(result.Notes)-60)
+					t.Fatalf("seed %d: %v\n%s", seed, result.Violations, strings.Join(result.Notes[k:], "\n"))
 				}
-				acks, won, terms, ckpts, joined = acks+d.Acknowledged, won+d.ClaimsWon, terms+d.LeaseTerms, ckpts+d.Checkpoints, joined+d.Joins
+				acks, won, terms, ckpts, joined = acks+result.Acknowledged, won+result.ClaimsWon, terms+result.LeaseTerms, ckpts+result.Checkpoints, joined+result.Joins
 			}
 			t.Logf("%d checkpoints, %d joined", ckpts, joined)
-			if f == FaultSelfHealing && joined < 3 {
+			if fault == FaultSelfHealing && joined < 3 {
 				t.Fatalf("%d machines were let in", joined)
 			}
-			if acks < 100 || won < 30 || terms < 4 || ckpts == 0 && f != FaultKillAll {
+			if acks < 100 || won < 30 || terms < 4 || ckpts == 0 && fault != FaultKillAll {
 				t.Fatalf("%d changes acknowledged, %d claims won, %d terms: too little to prove anything", acks, won, terms)
 			}
 		})
@@ -41,15 +41,15 @@
 	s := newStage(t, 1, "plan")
 	s.put("plan", "v1")
 	lost := 0
-	s.c.dropsMessage = func(m quorum.Message) bool {
-		if m.Type == quorum.MsgAppendAck {
+	s.c.dropsMessage = func(message quorum.Message) bool {
+		if message.Type == quorum.MsgAppendAck {
 			lost++
 		}
-		return m.Type == quorum.MsgAppendAck
+		return message.Type == quorum.MsgAppendAck
 	}
 	s.w.At(s.w.now+300_000, func() { s.c.dropsMessage = nil })
-	if a := s.put("plan", "v2"); a.Status != quorum.StatusDone || lost == 0 {
-		t.Fatalf("%d words lost: %+v", lost, a)
+	if result := s.put("plan", "v2"); result.Status != quorum.StatusDone || lost == 0 {
+		t.Fatalf("%d words lost: %+v", lost, result)
 	}
 	if len(s.w.violations) > 0 {
 		t.Fatal(s.w.violations)
@@ -70,21 +70,21 @@
 func TestFailedCandidateFollows(t *testing.T) {
 	s := newStage(t, 1, "plan")
 	s.put("plan", "v1")
-	o, i := s.settle(), quorum.SlotOf("plan", 16)
-	r := s.c.Nodes[0]
-	if r == o {
-		r = s.c.Nodes[1]
+	other, i := s.settle(), quorum.SlotOf("plan", 16)
+	node := s.c.Nodes[0]
+	if node == other {
+		node = s.c.Nodes[1]
 	}
-	at := func(r *ControlNode) quorum.SlotStatus { return r.node.Status(r.Clock())[i] }
-	s.w.Cut(o.Name, r.Name)
+	at := func(node *ControlNode) quorum.SlotStatus { return node.node.Status(node.Clock())[i] }
+	s.w.Cut(other.Name, node.Name)
 	s.w.Run(s.w.now + 4_000_000)
-	if at(r).Term <= at(o).Term {
-		t.Fatalf("nothing was sought: %+v beside %+v", at(r), at(o))
+	if at(node).Term <= at(other).Term {
+		t.Fatalf("nothing was sought: %+v beside %+v", at(node), at(other))
 	}
 	s.w.HealAll()
 	s.w.Run(s.w.now + 2_000_000)
-	if o = s.owner(); o == nil || at(r).Leader != o.Name || at(r).Term != at(o).Term || at(r).Last != at(o).Last {
-		t.Fatalf("it does not follow: %+v", at(r))
+	if other = s.owner(); other == nil || at(node).Leader != other.Name || at(node).Term != at(other).Term || at(node).Last != at(other).Last {
+		t.Fatalf("it does not follow: %+v", at(node))
 	}
 	if len(s.w.violations) > 0 {
 		t.Fatal(s.w.violations)
--- a/sim/day.go
+++ b/sim/day.go
@@ -41,53 +41,53 @@
 )
 
 // RunFleet runs one day of so many microseconds.
-func RunFleet(seed int64, day Day, us int64, z FleetSize) FleetResult {
-	f := NewFleet(seed, z)
-	world := f.World
-	s := NewFleetOperator(f)
-	world.At(1_300_000, func() { s.PutPlan(nil) })
-	world.At(fleetStartUS-500_000, func() { f.sendRequests(s, us) })
-	world.At(fleetStartUS, func() { f.injectFaults(day, s, us) })
-	world.Run(us)
-	f.endFaults()
+func RunFleet(seed int64, day Day, durationUS int64, size FleetSize) FleetResult {
+	fleet := NewFleet(seed, size)
+	world := fleet.World
+	operator := NewFleetOperator(fleet)
+	world.At(1_300_000, func() { operator.PutPlan(nil) })
+	world.At(fleetStartUS-500_000, func() { fleet.sendRequests(operator, durationUS) })
+	world.At(fleetStartUS, func() { fleet.injectFaults(day, operator, durationUS) })
+	world.Run(durationUS)
+	fleet.endFaults()
 	// Callers go on; service must come back.
-	f.checker.lastCompletion = 0
-	world.At(us, func() { f.sendRequests(s, us+10_000_000) })
-	for world.now < us+10_000_000 && f.checker.lastCompletion == 0 && len(world.violations) == 0 {
+	fleet.checker.lastCompletion = 0
+	world.At(durationUS, func() { fleet.sendRequests(operator, durationUS+10_000_000) })
+	for world.now < durationUS+10_000_000 && fleet.checker.lastCompletion == 0 && len(world.violations) == 0 {
 		world.Run(world.now + 20_000)
 	}
-	r := FleetResult{RecoveryUS: world.now - us}
-	if f.checker.lastCompletion == 0 && len(world.violations) == 0 {
+	result := FleetResult{RecoveryUS: world.now - durationUS}
+	if fleet.checker.lastCompletion == 0 && len(world.violations) == 0 {
 		world.Violation("not back", "no ticket was done within ten seconds after the last fault")
 	}
-	for _, p := range f.Gateways {
-		if p.up {
-			f.Tally.Arrived += p.dispatcher.Counters.Arrived
-			f.Tally.Retries += p.dispatcher.Counters.Retries
-			f.Tally.Attempts += p.dispatcher.Counters.Attempts
+	for _, gateway := range fleet.Gateways {
+		if gateway.up {
+			fleet.Tally.Arrived += gateway.dispatcher.Counters.Arrived
+			fleet.Tally.Retries += gateway.dispatcher.Counters.Retries
+			fleet.Tally.Attempts += gateway.dispatcher.Counters.Attempts
 		}
 	}
 	// A tenth of traffic, and what each proxy's budget may have saved up.
-	if t := f.Tally; t.Retries > t.Arrived/10+1 {
+	if t := fleet.Tally; t.Retries > t.Arrived/10+1 {
 		world.Violation("retries", "%d retries for %d tickets", t.Retries, t.Arrived)
 	}
-	r.Tally, r.Violations, r.Notes = f.Tally, world.violations, world.notes
-	return r
+	result.Tally, result.Violations, result.Notes = fleet.Tally, world.violations, world.notes
+	return result
 }
 
 // call sends tickets until a true time, some of them twice at two proxies.
-func (f *Fleet) sendRequests(s *FleetOperator, until int64) {
+func (f *Fleet) sendRequests(operator *FleetOperator, until int64) {
 	world := f.World
 	if world.now >= until {
 		return
 	}
-	world.At(world.now+5_000+world.Rng.Int63n(40_000), func() { f.sendRequests(s, until) })
+	world.At(world.now+5_000+world.Rng.Int63n(40_000), func() { f.sendRequests(operator, until) })
 	f.requestsSent++
-	g := simGroups[world.Rng.Intn(len(simGroups))]
+	group := simGroups[world.Rng.Intn(len(simGroups))]
 	kind := []string{"check", "confirmation", "tag"}[world.Rng.Intn(3)]
 	prompt := fmt.Sprintf("%d", f.requestsSent)
 	if kind != "tag" {
-		doc := g
+		doc := group
 		if f.Documents > 0 {
 			doc += fmt.Sprint(world.Rng.Intn(f.Documents))
 		}
@@ -98,7 +98,7 @@
 	if onceKinds[kind] && world.Rng.Intn(8) == 0 {
 		n = 2 + world.Rng.Intn(2)
 	}
-	key := s.keyNumbers[g]
+	key := operator.keyNumbers[group]
 	if key > 0 && world.Rng.Intn(5) == 0 {
 		key-- // a caller that still uses the key that was taken
 	}
@@ -108,26 +108,26 @@
 		pace = 200_000 + world.Rng.Int63n(1_300_000) // a long answer: much happens while it runs
 	}
 	for i := 0; i < n; i++ {
-		p := f.Gateways[world.Rng.Intn(len(f.Gateways))]
-		x := &callerRequest{group: g, kind: kind, id: fmt.Sprint("t", f.requestsSent), keyDigest: simKey(g, key), gateway: p, generation: era, pieceDelayUS: pace}
+		gateway := f.Gateways[world.Rng.Intn(len(f.Gateways))]
+		request := &callerRequest{group: group, kind: kind, id: fmt.Sprint("t", f.requestsSent), keyDigest: simKey(group, key), gateway: gateway, generation: era, pieceDelayUS: pace}
 		after := int64(i) * world.Rng.Int63n(3_000_000)
 		if i > 0 && world.Rng.Intn(4) == 0 {
 			after += world.Rng.Int63n(20_000_000) // a resend long after
 		}
 		world.At(world.now+after, func() {
 			f.Tally.Sent++
-			x.deadline = world.now + due
-			if !p.up {
+			request.deadline = world.now + due
+			if !gateway.up {
 				f.Tally.Lost++
 				return
 			}
-			l := p.process
-			world.At(world.now+300, func() { p.runIn(l, func() { p.admit(x, prompt, due) }) })
+			l := gateway.process
+			world.At(world.now+300, func() { gateway.runIn(l, func() { gateway.admit(request, prompt, due) }) })
 		})
 	}
 }
 
-func (f *Fleet) injectFaults(day Day, s *FleetOperator, until int64) {
+func (f *Fleet) injectFaults(day Day, operator *FleetOperator, until int64) {
 	world := f.World
 	switch day {
 	case DayCalm:
@@ -148,7 +148,7 @@
 		if day == DayAll {
 			k = kinds[world.Rng.Intn(len(kinds))]
 		}
-		f.injectFault(k, s)
+		f.injectFault(k, operator)
 		world.At(world.now+300_000+world.Rng.Int63n(2_500_000), next)
 	}
 	next()
@@ -156,7 +156,7 @@
 		var ops func()
 		ops = func() {
 			if world.now < until {
-				f.injectFault(DayOperators, s)
+				f.injectFault(DayOperators, operator)
 				world.At(world.now+4_000_000+world.Rng.Int63n(4_000_000), ops)
 			}
 		}
@@ -164,22 +164,22 @@
 	}
 }
 
-func pick[T any](world *World, xs []T) T { return xs[world.Rng.Intn(len(xs))] }
+func pick[T any](world *World, list []T) T { return list[world.Rng.Intn(len(list))] }
 
-func (f *Fleet) injectFault(k Day, s *FleetOperator) {
+func (f *Fleet) injectFault(day Day, operator *FleetOperator) {
 	world := f.World
-	harm := func(h *Host, most int64) {
+	harm := func(host *Host, most int64) {
 		d := 50_000 + world.Rng.Int63n(most)
 		switch world.Rng.Intn(3) {
 		case 0:
-			h.Freeze()
-			world.At(world.now+d, h.Thaw)
+			host.Freeze()
+			world.At(world.now+d, host.Thaw)
 		default:
-			h.Kill()
-			world.At(world.now+d, h.Start)
+			host.Kill()
+			world.At(world.now+d, host.Start)
 		}
 	}
-	switch k {
+	switch day {
 	case DayGateways:
 		if world.Rng.Intn(2) == 0 {
 			harm(pick(world, f.Gateways).Host, 3_000_000)
@@ -188,18 +188,18 @@
 		}
 	case DayIndex:
 		if world.Rng.Intn(6) == 0 {
-			for _, c := range f.IndexNodes {
-				harm(c.Host, 1_500_000)
+			for _, indexNode := range f.IndexNodes {
+				harm(indexNode.Host, 1_500_000)
 			}
 			return
 		}
-		c := pick(world, f.IndexNodes)
+		indexNode := pick(world, f.IndexNodes)
 		if world.Rng.Intn(4) == 0 {
-			world.Isolate(c.Name)
+			world.Isolate(indexNode.Name)
 			world.At(world.now+world.Rng.Int63n(4_000_000), world.HealAll)
 			return
 		}
-		harm(c.Host, 5_000_000)
+		harm(indexNode.Host, 5_000_000)
 	case DayControl:
 		switch world.Rng.Intn(8) {
 		case 0:
@@ -212,18 +212,18 @@
 			f.Cluster.injectFault(FaultKill)
 		}
 	case DayEngines:
-		e := pick(world, f.Engines)
+		engine := pick(world, f.Engines)
 		switch world.Rng.Intn(4) {
 		case 0:
-			if !e.store {
-				s.DrainEngine(e.Name, 2_000_000+world.Rng.Int63n(8_000_000))
+			if !engine.store {
+				operator.DrainEngine(engine.Name, 2_000_000+world.Rng.Int63n(8_000_000))
 			}
 		case 1:
-			e.Freeze()
-			world.At(world.now+world.Rng.Int63n(2_000_000), e.Thaw)
+			engine.Freeze()
+			world.At(world.now+world.Rng.Int63n(2_000_000), engine.Thaw)
 		default:
-			e.Kill()
-			world.At(world.now+50_000+world.Rng.Int63n(4_000_000), e.Start)
+			engine.Kill()
+			world.At(world.now+50_000+world.Rng.Int63n(4_000_000), engine.Start)
 		}
 	case DayNetwork:
 		switch world.Rng.Intn(4) {
@@ -236,55 +236,55 @@
 		}
 		world.At(world.now+200_000+world.Rng.Int63n(3_000_000), world.HealAll)
 	case DayWeights:
-		e := pick(world, f.Engines)
+		engine := pick(world, f.Engines)
 		switch world.Rng.Intn(7) {
 		case 0, 1, 2:
-			s.NameWeights()
+			operator.NameWeights()
 		case 3:
-			e.ignoresWeights = true
-			world.At(world.now+2_000_000+world.Rng.Int63n(20_000_000), func() { e.ignoresWeights = false })
+			engine.ignoresWeights = true
+			world.At(world.now+2_000_000+world.Rng.Int63n(20_000_000), func() { engine.ignoresWeights = false })
 		case 4:
-			e.loadDelayUS = world.Rng.Int63n(4_000_000)
+			engine.loadDelayUS = world.Rng.Int63n(4_000_000)
 		case 5:
 			// It dies half turned, or at once, and comes back with what it had.
-			world.At(world.now+world.Rng.Int63n(1_500_000), e.Kill)
-			world.At(world.now+2_000_000+world.Rng.Int63n(2_000_000), e.Start)
+			world.At(world.now+world.Rng.Int63n(1_500_000), engine.Kill)
+			world.At(world.now+2_000_000+world.Rng.Int63n(2_000_000), engine.Start)
 		default:
-			c := pick(world, f.IndexNodes)
-			c.Kill()
-			world.At(world.now+100_000+world.Rng.Int63n(3_000_000), c.Start)
+			indexNode := pick(world, f.IndexNodes)
+			indexNode.Kill()
+			world.At(world.now+100_000+world.Rng.Int63n(3_000_000), indexNode.Start)
 		}
 	case DayReplacement:
 		n := len(f.Cluster.Nodes)
 		f.Cluster.replaceVoter()
 		if len(f.Cluster.Nodes) > n && world.Rng.Intn(2) == 0 {
 			// The machine's other program goes with it, and starts on the new one.
-			c := pick(world, f.IndexNodes)
-			c.Kill()
-			world.At(world.now+1_000_000+world.Rng.Int63n(3_000_000), c.Start)
+			indexNode := pick(world, f.IndexNodes)
+			indexNode.Kill()
+			world.At(world.now+1_000_000+world.Rng.Int63n(3_000_000), indexNode.Start)
 		} else if world.Rng.Intn(3) == 0 {
-			f.injectFault(DayControl, s)
+			f.injectFault(DayControl, operator)
 		}
 	case DayIsolation:
-		g := pick(world, simGroups)
+		group := pick(world, simGroups)
 		switch world.Rng.Intn(6) {
 		case 0:
-			s.NameWeights()
+			operator.NameWeights()
 		case 1, 2:
-			s.ToggleGroup(g)
+			operator.ToggleGroup(group)
 		default:
-			s.ToggleIsolation(g)
+			operator.ToggleIsolation(group)
 		}
 	case DayOperators:
 		switch world.Rng.Intn(4) {
 		case 0:
-			s.NameWeights()
+			operator.NameWeights()
 		case 1:
 			for i := int64(0); i < 10; i++ {
-				world.At(world.now+i*30_000, func() { s.PutPlan(nil) })
+				world.At(world.now+i*30_000, func() { operator.PutPlan(nil) })
 			}
 		default:
-			s.RevokeKey(pick(world, simGroups))
+			operator.RevokeKey(pick(world, simGroups))
 		}
 	}
 }
@@ -297,16 +297,16 @@
 	f.Cluster.powerLossArmed = false
 	world.HealAll()
 	lost := map[*Host]bool{}
-	for _, r := range f.Cluster.Nodes {
-		lost[r.Host] = r.removed
+	for _, node := range f.Cluster.Nodes {
+		lost[node.Host] = node.removed
 	}
-	for _, h := range world.hosts {
-		h.Thaw()
-		if !lost[h] {
-			h.Start()
+	for _, host := range world.hosts {
+		host.Thaw()
+		if !lost[host] {
+			host.Start()
 		}
 	}
-	for _, r := range f.Cluster.Nodes {
-		r.Disk.SyncDelayUS = 0
+	for _, node := range f.Cluster.Nodes {
+		node.Disk.SyncDelayUS = 0
 	}
 }
--- a/sim/day_catchup.go
+++ b/sim/day_catchup.go
@@ -93,8 +93,8 @@
 	d.Config.Close()
 	r := &d.result
 	r.Changes = int(d.Config.newest)
-	for _, n := range d.Cluster.Nodes {
-		r.Checkpoints += n.Checkpoints
+	for _, newNode := range d.Cluster.Nodes {
+		r.Checkpoints += newNode.Checkpoints
 	}
 	r.Violations, r.Notes = world.violations, world.notes
 	return *r
@@ -119,47 +119,47 @@
 		return // checkpoints come by themselves
 	}
 	world.At(world.now+100_000+world.Rng.Int63n(500_000), func() {
-		r := d.Cluster.Nodes[world.Rng.Intn(len(d.Cluster.Nodes))]
+		node := d.Cluster.Nodes[world.Rng.Intn(len(d.Cluster.Nodes))]
 		d.busy = true
-		d.end(r, d.setback == SetbackWiped)
+		d.end(node, d.setback == SetbackWiped)
 		away := world.Rng.Int63n(downMost)
 		if d.setback == SetbackRestarts {
 			away = world.Rng.Int63n(restartMost)
 		}
-		world.At(world.now+away, func() { d.begin(r) })
+		world.At(world.now+away, func() { d.begin(node) })
 	})
 }
 
 // end ends a member's process, by a kill or with the power, and its disk if asked for.
-func (d *CatchupDay) end(r *ControlNode, wiped bool) {
+func (d *CatchupDay) end(node *ControlNode, wiped bool) {
 	d.result.Setbacks++
 	switch {
 	case wiped:
-		r.loseDisk()
+		node.loseDisk()
 	case d.World.Rng.Intn(2) == 0:
-		r.LosePower()
+		node.LosePower()
 	default:
-		r.Kill()
+		node.Kill()
 	}
 }
 
 // begin starts the member again and waits until it holds all that is settled.
-func (d *CatchupDay) begin(r *ControlNode) {
+func (d *CatchupDay) begin(node *ControlNode) {
 	world := d.World
 	at := world.now
 	bound := syncTime(len(d.Cluster.Nodes))
-	r.restart()
+	node.restart()
 	var look func()
 	look = func() {
 		took := world.now - at
-		if d.holdsAll(r) {
+		if d.holdsAll(node) {
 			d.result.SlowestCatchupUS = max(d.result.SlowestCatchupUS, took)
 			d.busy = false
 			d.next()
 			return
 		}
 		if took > bound {
-			world.Violation("not caught up", "%s does not hold all that is settled %d us after its start", r.Name, took)
+			world.Violation("not caught up", "%s does not hold all that is settled %d us after its start", node.Name, took)
 			return
 		}
 		world.At(world.now+checkInterval, look)
@@ -169,22 +169,22 @@
 
 // holdsAll reports whether a member votes and holds every slot up to what its owner
 // knows to be settled.
-func (d *CatchupDay) holdsAll(r *ControlNode) bool {
-	if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
+func (d *CatchupDay) holdsAll(node *ControlNode) bool {
+	if !node.up || node.node == nil || !node.node.AllSlotsRecovered() {
 		return false
 	}
-	held := r.node.Status(r.Clock())
+	held := node.node.Status(node.Clock())
 	owned := make([]bool, len(held))
-	for _, o := range d.Cluster.Nodes {
-		if !o.up || o.node == nil {
+	for _, other := range d.Cluster.Nodes {
+		if !other.up || other.node == nil {
 			continue
 		}
-		for i, s := range o.node.Status(o.Clock()) {
-			if !s.IsLeader {
+		for i, status := range other.node.Status(other.Clock()) {
+			if !status.IsLeader {
 				continue
 			}
 			owned[i] = true
-			if held[i].Last.Before(s.Committed) {
+			if held[i].Last.Before(status.Committed) {
 				return false
 			}
 		}
@@ -200,9 +200,9 @@
 // cutsCheckpoint ends a process at the next record of a checkpoint in turn, while all
 // members are up and hold everything. The member's next checkpoint is left whole: what
 // is cut short takes room, and a ring that never sees a whole one is full in the end.
-func (d *CatchupDay) cutsCheckpoint(r *ControlNode, written, of int) bool {
-	if d.rests[r] {
-		d.rests[r] = written < of-1
+func (d *CatchupDay) cutsCheckpoint(node *ControlNode, written, of int) bool {
+	if d.rests[node] {
+		d.rests[node] = written < of-1
 		return false
 	}
 	if d.busy || written != d.step || !d.allUp() {
@@ -213,46 +213,46 @@
 		d.step = 0
 	}
 	d.result.CutRecords++
-	d.rests[r], d.busy = true, true
-	d.end(r, false)
-	d.World.At(d.World.now+1+d.World.Rng.Int63n(restartMost), func() { d.begin(r) })
+	d.rests[node], d.busy = true, true
+	d.end(node, false)
+	d.World.At(d.World.now+1+d.World.Rng.Int63n(restartMost), func() { d.begin(node) })
 	return true
 }
 
 // watchOwner judges that whoever answers for the configuration has the newest one.
 func (d *CatchupDay) watchLeader() {
 	world := d.World
-	for _, r := range d.Cluster.Nodes {
-		if r.up && !r.frozen && r.node != nil {
-			d.checkLeader(r)
+	for _, node := range d.Cluster.Nodes {
+		if node.up && !node.frozen && node.node != nil {
+			d.checkLeader(node)
 		}
 	}
 	world.At(world.now+checkInterval/2, d.watchLeader)
 }
 
-func (d *CatchupDay) checkLeader(r *ControlNode) {
-	e, ok := r.node.ReadUnderLease(r.Clock(), route.ConfigKey)
+func (d *CatchupDay) checkLeader(node *ControlNode) {
+	entry, ok := node.node.ReadUnderLease(node.Clock(), route.ConfigKey)
 	if !ok {
 		return
 	}
-	if r.Name != d.leader {
-		d.leader = r.Name
+	if node.Name != d.leader {
+		d.leader = node.Name
 		d.result.Leaders++
 	}
-	if floor := d.Config.inForceAt(d.World.now); d.versionOf(e) < floor {
-		d.World.Violation("an owner with old state", "%s answers with version %d, %d was in force", r.Name, d.versionOf(e), floor)
+	if floor := d.Config.inForceAt(d.World.now); d.versionOf(entry) < floor {
+		d.World.Violation("an owner with old state", "%s answers with version %d, %d was in force", node.Name, d.versionOf(entry), floor)
 	}
 }
 
 // versionOf is the version that a register's entry holds; a revision has one value.
-func (d *CatchupDay) versionOf(e quorum.Entry) uint64 {
-	if v, ok := d.version[e.Revision]; ok {
+func (d *CatchupDay) versionOf(entry quorum.Entry) uint64 {
+	if v, ok := d.version[entry.Revision]; ok {
 		return v
 	}
-	v, ok := configVersion(e.Value)
+	v, ok := configVersion(entry.Value)
 	if !ok {
-		d.World.Violation("unreadable", "revision %d of the configuration", e.Revision)
+		d.World.Violation("unreadable", "revision %d of the configuration", entry.Revision)
 	}
-	d.version[e.Revision] = v
+	d.version[entry.Revision] = v
 	return v
 }
--- a/sim/day_cutoff.go
+++ b/sim/day_cutoff.go
@@ -55,11 +55,11 @@
 	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acknowledged > 3 && d.Weights.Acknowledged > 0 }); !ok {
 		world.Violation("not begun", "no configuration was acknowledged after %d us", world.now)
 	}
-	for _, p := range cuts {
+	for _, partition := range cuts {
 		if len(world.violations) > 0 {
 			break
 		}
-		d.cut(p, &r)
+		d.cut(partition, &r)
 	}
 	d.Config.Close()
 	r.Acknowledged, r.Rejected, r.Reads, r.Named = d.Config.Acknowledged, d.Config.Rejected, d.Config.Reads, d.Weights.Acknowledged
@@ -85,31 +85,31 @@
 
 // cut cuts as many machines off as may be lost, or one, for 20 s, and waits until all
 // is back.
-func (d *CutoffDay) cut(p Partition, r *CutoffResult) {
+func (d *CutoffDay) cut(partition Partition, result *CutoffResult) {
 	world := d.World
-	machines := d.choose(r.Cuts%2 == 0)
+	machines := d.choose(result.Cuts%2 == 0)
 	inside := []*Host{d.inside.Host, d.reader.Host}
 	for _, proxy := range d.onSide {
 		inside = append(inside, proxy.Host)
 	}
-	for _, m := range machines {
-		inside = append(inside, m.Host)
+	for _, machine := range machines {
+		inside = append(inside, machine.Host)
 	}
-	world.CutOff(p, inside)
-	if p == PartitionForgot {
+	world.CutOff(partition, inside)
+	if partition == PartitionForgot {
 		d.restartOutside(machines)
 	}
 	d.reader.Only = machines
-	d.watchGap(world.now+cutLasts, r)
+	d.watchGap(world.now+cutLasts, result)
 	world.Rejoin(inside)
 	d.reader.Only = nil
 	world.Notef("healed")
-	r.Cuts++
+	result.Cuts++
 	missing := d.back(machines)
 	took, ok := d.Until(backBound, func() bool { return missing() == "" })
-	r.SlowestRecoveryUS = max(r.SlowestRecoveryUS, took)
+	result.SlowestRecoveryUS = max(result.SlowestRecoveryUS, took)
 	if !ok {
-		world.Violation("not back", "%s was not in service %d us after a cut of kind %s", missing(), backBound, p)
+		world.Violation("not back", "%s was not in service %d us after a cut of kind %s", missing(), backBound, partition)
 	}
 	world.Run(world.now + calmBetween)
 }
@@ -118,10 +118,10 @@
 // know of no lease that they granted.
 func (d *CutoffDay) restartOutside(machines []*ControlNode) {
 	world := d.World
-	for _, r := range d.Cluster.Nodes {
-		if !slices.Contains(machines, r) {
-			r.Kill()
-			world.At(world.now+1_000+world.Rng.Int63n(30_000), r.restart)
+	for _, node := range d.Cluster.Nodes {
+		if !slices.Contains(machines, node) {
+			node.Kill()
+			world.At(world.now+1_000+world.Rng.Int63n(30_000), node.restart)
 		}
 	}
 }
@@ -132,8 +132,8 @@
 	n := 1 + world.Rng.Intn(tolerates(len(d.Cluster.Nodes)))
 	nodes := d.Cluster.Nodes
 	first := world.Rng.Intn(len(nodes))
-	if o := d.Cluster.LeaderOf(route.ConfigKey); o != nil && owner {
-		first = slices.Index(nodes, o)
+	if other := d.Cluster.LeaderOf(route.ConfigKey); other != nil && owner {
+		first = slices.Index(nodes, other)
 	}
 	var out []*ControlNode
 	for i := range n {
@@ -144,7 +144,7 @@
 
 // watchGap runs until a time and judges that changes go on being acknowledged on the
 // side of the majority.
-func (d *CutoffDay) watchGap(until int64, r *CutoffResult) {
+func (d *CutoffDay) watchGap(until int64, result *CutoffResult) {
 	world := d.World
 	acks, at, owned := d.Config.Acknowledged, world.now, world.now
 	for world.now < until && len(world.violations) == 0 {
@@ -155,11 +155,11 @@
 		if d.HasConfigLeader() {
 			owned = world.now
 		}
-		r.LongestWithoutLeaderUS = max(r.LongestWithoutLeaderUS, world.now-owned)
+		result.LongestWithoutLeaderUS = max(result.LongestWithoutLeaderUS, world.now-owned)
 		if world.now-owned > ownerBound {
 			world.Violation("no owner", "of the configuration for %d us, with a majority in touch", world.now-owned)
 		}
-		r.LongestGapUS = max(r.LongestGapUS, world.now-at)
+		result.LongestGapUS = max(result.LongestGapUS, world.now-at)
 		if world.now-at > acknowledgementBoundUS {
 			world.Violation("no change acknowledged", "for %d us, with a majority in touch", world.now-at)
 		}
@@ -171,22 +171,22 @@
 // had no clear answer yet. It is empty once all is back.
 func (d *CutoffDay) back(machines []*ControlNode) func() string {
 	answered := map[*ControlNode]bool{}
-	for _, m := range machines {
-		d.probe(m, answered)
+	for _, machine := range machines {
+		d.probe(machine, answered)
 	}
 	told := map[*ConfigOperator]bool{}
 	for _, o := range d.Operators {
 		o.OnFinished = func() { told[o] = true }
 	}
 	return func() string {
-		for _, p := range d.Proxies {
-			if !p.Serves() {
-				return p.Name
+		for _, proxy := range d.Proxies {
+			if !proxy.Serves() {
+				return proxy.Name
 			}
 		}
-		for _, m := range machines {
-			if !answered[m] {
-				return m.Name
+		for _, machine := range machines {
+			if !answered[machine] {
+				return machine.Name
 			}
 		}
 		for _, o := range d.Operators {
@@ -199,13 +199,13 @@
 }
 
 // probe reads the configuration at a node until that answers.
-func (d *CutoffDay) probe(m *ControlNode, answered map[*ControlNode]bool) {
+func (d *CutoffDay) probe(machine *ControlNode, answered map[*ControlNode]bool) {
 	r := d.Readers[0]
-	r.readAt(m, func(ok bool) {
+	r.readAt(machine, func(ok bool) {
 		if ok {
-			answered[m] = true
+			answered[machine] = true
 			return
 		}
-		r.After(20_000, func() { d.probe(m, answered) })
+		r.After(20_000, func() { d.probe(machine, answered) })
 	})
 }
--- a/sim/day_cutoff_test.go
+++ b/sim/day_cutoff_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func seconds(us int64) string { return fmt.Sprintf("%.2f s", float64(us)/1e6) }
+func seconds(durationUS int64) string { return fmt.Sprintf("%.2f s", float64(durationUS)/1e6) }
 
 // TestCutoffDays: a control machine, or as many as may be lost, is cut off for 20 s twice
 // a day, in each of six ways with VT_SEEDS. No answer vouches for an older configuration than the last
--- a/sim/day_messages.go
+++ b/sim/day_messages.go
@@ -60,28 +60,28 @@
 }
 
 // echo repeats a message, soon or late, whatever became of its receiver's process.
-func (d *MessagesDay) echo(to *ControlNode, m quorum.Message) {
+func (d *MessagesDay) echo(receiver *ControlNode, message quorum.Message) {
 	world := d.world
 	draw := world.Rng.Intn(100)
 	switch {
 	case draw < echoSoonPercent:
-		d.repeat(to, m, world.Rng.Int63n(echoSoon))
+		d.repeat(receiver, message, world.Rng.Int63n(echoSoon))
 	case draw < echoSoonPercent+echoLatePercent:
-		d.repeat(to, m, world.Rng.Int63n(echoLate))
+		d.repeat(receiver, message, world.Rng.Int63n(echoLate))
 	}
 }
 
-func (d *MessagesDay) repeat(to *ControlNode, m quorum.Message, after int64) {
-	world, life := d.world, to.process
+func (d *MessagesDay) repeat(receiver *ControlNode, message quorum.Message, after int64) {
+	world, process := d.world, receiver.process
 	world.At(world.now+after, func() {
-		if !to.up || to.frozen {
+		if !receiver.up || receiver.frozen {
 			return
 		}
 		d.result.Repeated++
-		if to.process != life {
+		if receiver.process != process {
 			d.result.ToNextProcess++
 		}
-		to.receive(m)
+		receiver.receive(message)
 	})
 }
 
@@ -91,9 +91,9 @@
 	if world.now >= d.until {
 		return
 	}
-	for _, a := range d.core.Nodes {
-		for _, b := range d.core.Nodes {
-			world.linkDelayUS[[2]string{a.Name, b.Name}] = world.Rng.Int63n(messageJitter)
+	for _, one := range d.core.Nodes {
+		for _, other := range d.core.Nodes {
+			world.linkDelayUS[[2]string{one.Name, other.Name}] = world.Rng.Int63n(messageJitter)
 		}
 	}
 	world.At(world.now+jitterEvery, d.jitter)
@@ -105,22 +105,22 @@
 	if world.now >= d.until {
 		return
 	}
-	r := d.core.Nodes[world.Rng.Intn(len(d.core.Nodes))]
+	node := d.core.Nodes[world.Rng.Intn(len(d.core.Nodes))]
 	d.result.Restarts++
 	if world.Rng.Intn(2) == 0 {
-		r.LosePower()
+		node.LosePower()
 	} else {
-		r.Kill()
+		node.Kill()
 	}
-	world.At(world.now+1+world.Rng.Int63n(500_000), r.restart)
+	world.At(world.now+1+world.Rng.Int63n(500_000), node.restart)
 	world.At(world.now+500_000+world.Rng.Int63n(1_500_000), d.restarts)
 }
 
 func (d *MessagesDay) mend() {
 	d.core.onMessage = nil
 	d.world.HealAll()
-	for _, r := range d.core.Nodes {
-		r.restart()
+	for _, node := range d.core.Nodes {
+		node.restart()
 	}
 }
 
--- a/sim/day_races.go
+++ b/sim/day_races.go
@@ -29,8 +29,8 @@
 // RaceTroubles lists the kills and the steps.
 func RaceTroubles() []RaceTrouble {
 	out := []RaceTrouble{KillSynced, KillAnswering, PowerAnswered}
-	for _, s := range OrderSteps {
-		out = append(out, RaceTrouble(s))
+	for _, step := range OrderSteps {
+		out = append(out, RaceTrouble(step))
 	}
 	return out
 }
@@ -83,27 +83,27 @@
 
 // begin brings the trouble about until its time is over.
 func (d *RaceDay) begin() {
-	c := d.Cluster
+	cluster := d.Cluster
 	d.until = d.World.now + d.lasts
 	switch d.trouble {
 	case KillSynced:
-		c.beforeSynced = d.killsSynced
+		cluster.beforeSynced = d.killsSynced
 	case KillAnswering:
-		c.beforeResult = d.killsAnswering
+		cluster.beforeResult = d.killsAnswering
 	case PowerAnswered:
 		// By onTaken, at the very acknowledgement.
 	case RaceTrouble(StepWrite), RaceTrouble(StepWriteOK):
-		c.dropsMessage = d.dropsMessage
+		cluster.dropsMessage = d.dropsMessage
 	default:
-		c.losesStep = d.losesStep
+		cluster.losesStep = d.losesStep
 	}
 }
 
 // finish ends the trouble and waits until every operator had a clear answer and the
 // newest configuration was read back.
 func (d *RaceDay) finish() {
-	c, world := d.Cluster, d.World
-	c.beforeSynced, c.beforeResult, c.dropsMessage, c.losesStep = nil, nil, nil, nil
+	cluster, world := d.Cluster, d.World
+	cluster.beforeSynced, cluster.beforeResult, cluster.dropsMessage, cluster.losesStep = nil, nil, nil, nil
 	told := map[*ConfigOperator]bool{}
 	for _, o := range d.Operators {
 		o.OnFinished = func() { told[o] = true }
@@ -120,9 +120,9 @@
 }
 
 func (d *RaceDay) collect() {
-	r, h := &d.result, d.Config
-	r.Orders, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(h.orders), h.Acknowledged, h.AcknowledgedAfterResend, h.Rejected, h.Reads
-	r.MostBehind = h.MostBehind
+	r, history := &d.result, d.Config
+	r.Orders, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(history.orders), history.Acknowledged, history.AcknowledgedAfterResend, history.Rejected, history.Reads
+	r.MostBehind = history.MostBehind
 	for _, o := range d.Operators {
 		r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestTaken)
 	}
@@ -130,8 +130,8 @@
 }
 
 // losesStep loses some messages of one step.
-func (d *RaceDay) losesStep(s OrderStep) bool {
-	if RaceTrouble(s) != d.trouble {
+func (d *RaceDay) losesStep(step OrderStep) bool {
+	if RaceTrouble(step) != d.trouble {
 		return false
 	}
 	return d.losesOne()
@@ -147,45 +147,45 @@
 
 // dropsMessage loses some of the messages between owner and voters, of the
 // configuration's slot.
-func (d *RaceDay) dropsMessage(m quorum.Message) bool {
+func (d *RaceDay) dropsMessage(message quorum.Message) bool {
 	kind := quorum.MsgAppend
 	if d.trouble == RaceTrouble(StepWriteOK) {
 		kind = quorum.MsgAppendAck
 	}
-	return m.Type == kind && m.Slot == slotOf(route.ConfigKey) && d.losesOne()
+	return message.Type == kind && message.Slot == slotOf(route.ConfigKey) && d.losesOne()
 }
 
 // killsSynced kills the configuration's owner when its records are on disk and its voter
 // does not know yet.
-func (d *RaceDay) killsSynced(r *ControlNode) bool {
-	if d.Cluster.LeaderOf(route.ConfigKey) != r {
+func (d *RaceDay) killsSynced(node *ControlNode) bool {
+	if d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
-	return d.kills(r)
+	return d.kills(node)
 }
 
 // killsAnswering kills the owner when a change is on a majority's disks and nobody was
 // told.
-func (d *RaceDay) killsAnswering(r *ControlNode, a quorum.Result) bool {
-	if a.Status != quorum.StatusDone || d.Cluster.LeaderOf(route.ConfigKey) != r {
+func (d *RaceDay) killsAnswering(node *ControlNode, result quorum.Result) bool {
+	if result.Status != quorum.StatusDone || d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
-	return d.kills(r)
+	return d.kills(node)
 }
 
 // kills ends a process now and then, while all others are up, and starts it again.
-func (d *RaceDay) kills(r *ControlNode) bool {
+func (d *RaceDay) kills(node *ControlNode) bool {
 	world := d.World
 	if !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return false
 	}
 	d.result.Kills++
 	if world.Rng.Intn(2) == 0 {
-		r.LosePower()
+		node.LosePower()
 	} else {
-		r.Kill()
+		node.Kill()
 	}
-	world.At(world.now+100_000+world.Rng.Int63n(2_000_000), r.restart)
+	world.At(world.now+100_000+world.Rng.Int63n(2_000_000), node.restart)
 	return true
 }
 
@@ -196,8 +196,8 @@
 		return
 	}
 	d.result.Kills++
-	for _, r := range d.Cluster.Nodes {
-		r.LosePower()
-		world.At(world.now+50_000+world.Rng.Int63n(500_000), r.restart)
+	for _, node := range d.Cluster.Nodes {
+		node.LosePower()
+		world.At(world.now+50_000+world.Rng.Int63n(500_000), node.restart)
 	}
 }
--- a/sim/day_resend_test.go
+++ b/sim/day_resend_test.go
@@ -12,34 +12,34 @@
 func TestResendAfterHundredsOfChanges(t *testing.T) {
 	t.Parallel()
 	for _, seed := range daySeeds(1) {
-		cw := NewConfigWorld(seed, 4, platformTexts)
-		cw.AddReaders(1, 200_000)
-		cw.AddOperators(1)
-		late := cw.Operators[0]
+		configWorld := NewConfigWorld(seed, 4, platformTexts)
+		configWorld.AddReaders(1, 200_000)
+		configWorld.AddOperators(1)
+		late := configWorld.Operators[0]
 		late.Pause, late.LosesReplies = 20_000, true
-		cw.Start()
-		world := cw.World
+		configWorld.Start()
+		world := configWorld.World
 		world.Run(1_500_000) // its first order is taken, and it does not hear of that
-		cw.AddOperators(7)
-		for _, o := range cw.Operators[1:] {
+		configWorld.AddOperators(7)
+		for _, o := range configWorld.Operators[1:] {
 			o.Pause = 20_000
 			o.Start()
 		}
-		took, ok := cw.Until(60_000_000, func() bool { return cw.Config.newest > changesBehind })
+		took, ok := configWorld.Until(60_000_000, func() bool { return configWorld.Config.newest > changesBehind })
 		if !ok {
-			t.Fatalf("seed %d: %d changes after %s: %v", seed, cw.Config.newest, seconds(took), world.violations)
+			t.Fatalf("seed %d: %d changes after %s: %v", seed, configWorld.Config.newest, seconds(took), world.violations)
 		}
 		late.LosesReplies = false
 		acks := 0
 		late.OnAccepted = func(*ConfigOrder) { acks++ }
-		back, ok := cw.Until(acknowledgementBoundUS, func() bool { return acks > 0 })
-		cw.Config.Close()
+		back, ok := configWorld.Until(acknowledgementBoundUS, func() bool { return acks > 0 })
+		configWorld.Config.Close()
 		if !ok || len(world.violations) > 0 {
 			t.Fatalf("seed %d: %v, or the order is not acknowledged", seed, world.violations)
 		}
-		t.Logf("seed %d: %d changes in %s, %d behind the one that was sent again, acknowledged after %s", seed, cw.Config.newest, seconds(took), cw.Config.MostBehind, seconds(back))
-		if cw.Config.MostBehind < changesBehind/2 {
-			t.Errorf("only %d changes were made meanwhile: too little to prove anything", cw.Config.MostBehind)
+		t.Logf("seed %d: %d changes in %s, %d behind the one that was sent again, acknowledged after %s", seed, configWorld.Config.newest, seconds(took), configWorld.Config.MostBehind, seconds(back))
+		if configWorld.Config.MostBehind < changesBehind/2 {
+			t.Errorf("only %d changes were made meanwhile: too little to prove anything", configWorld.Config.MostBehind)
 		}
 	}
 }
--- a/sim/day_secondloss.go
+++ b/sim/day_secondloss.go
@@ -80,20 +80,20 @@
 }
 
 // RunSecondLoss runs one.
-func RunSecondLoss(seed int64, l SecondLoss) SecondLossResult {
-	cw := NewConfigWorld(seed, l.Nodes, Texts{})
-	cw.Cluster.logConfig = smallLog
-	cw.Cluster.selfHealing = true
-	cw.Cluster.keepSeats()
-	s := &secondLossRun{SecondLoss: l, cw: cw, writer: NewSlotWriter(cw.Cluster)}
-	cw.Cluster.Start()
-	world := cw.World
+func RunSecondLoss(seed int64, loss SecondLoss) SecondLossResult {
+	configWorld := NewConfigWorld(seed, loss.Nodes, Texts{})
+	configWorld.Cluster.logConfig = smallLog
+	configWorld.Cluster.selfHealing = true
+	configWorld.Cluster.keepSeats()
+	s := &secondLossRun{SecondLoss: loss, cw: configWorld, writer: NewSlotWriter(configWorld.Cluster)}
+	configWorld.Cluster.Start()
+	world := configWorld.World
 	world.At(500_000, s.writer.Start)
-	if _, ok := cw.Until(4_000_000, func() bool { return cw.AllRecovered() && s.writer.AcknowledgedSince(0) }); !ok {
+	if _, ok := configWorld.Until(4_000_000, func() bool { return configWorld.AllRecovered() && s.writer.AcknowledgedSince(0) }); !ok {
 		world.Violation("not begun", "not every slot took a change within %d us", world.now)
 	}
 	s.prelude()
-	world.Run(max(world.now, s.from) + l.Instant)
+	world.Run(max(world.now, s.from) + loss.Instant)
 	s.strike()
 	s.settle()
 	s.result.Acknowledged, s.result.Violations, s.result.Notes = s.writer.Acknowledged(), world.violations, world.notes
@@ -164,8 +164,8 @@
 // keepSeats has the roster count the seats that the fleet keeps, as at a founding.
 func (c *Cluster) keepSeats() {
 	c.voterSet.Seats = uint16(len(c.voterSet.Voters))
-	for _, r := range c.Nodes {
-		r.voterSet = c.voterSet
+	for _, node := range c.Nodes {
+		node.voterSet = c.voterSet
 	}
 }
 
@@ -192,16 +192,16 @@
 	if r.cw.World.now < r.counts {
 		spare--
 	}
-	var up []*ControlNode
+	var live []*ControlNode
 	for _, node := range r.cw.Cluster.Nodes {
 		if node.up && node.node != nil && !node.removed {
-			up = append(up, node)
+			live = append(live, node)
 		}
 	}
 	world := r.cw.World
-	world.Rng.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
-	slices.SortStableFunc(up, func(a, b *ControlNode) int {
-		x, y := a.node.Status(a.Clock())[slot], b.node.Status(b.Clock())[slot]
+	world.Rng.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
+	slices.SortStableFunc(live, func(one, other *ControlNode) int {
+		x, y := one.node.Status(one.Clock())[slot], other.node.Status(other.Clock())[slot]
 		switch {
 		case y.Last.Before(x.Last) || x.IsLeader && !y.IsLeader:
 			return -1
@@ -210,7 +210,7 @@
 		}
 		return 0
 	})
-	return up[:min(spare, len(up))]
+	return live[:min(spare, len(live))]
 }
 
 // lose loses machines at once.
--- a/sim/day_secondloss_test.go
+++ b/sim/day_secondloss_test.go
@@ -20,9 +20,9 @@
 				var served, firm int64
 				runs, acks, gone := 0, 0, 0
 				for _, seed := range daySeeds(1) {
-					for i, l := range secondLosses(seed, nodes, prelude) {
-						r := RunSecondLoss(seed*1000+int64(i), l)
-						failDay(t, seed*1000+int64(i), r.Violations, append(r.Notes, l.String()))
+					for i, loss := range secondLosses(seed, nodes, prelude) {
+						r := RunSecondLoss(seed*1000+int64(i), loss)
+						failDay(t, seed*1000+int64(i), r.Violations, append(r.Notes, loss.String()))
 						served, firm = max(served, r.RecoveryUS), max(firm, r.RejoinUS)
 						runs, acks, gone = runs+1, acks+r.Acknowledged, gone+r.Lost
 					}
--- a/sim/engines.go
+++ b/sim/engines.go
@@ -43,24 +43,24 @@
 	madeAt         int64
 }
 
-func newEngine(f *Fleet, name, site string, store bool) *Engine {
-	e := &Engine{fleet: f, store: store, capacity: 12, maxBlocks: 120, startWeights: "w1"}
-	e.Host = f.World.NewHost(name, site, e.start)
-	e.onStop = func() {
-		for _, a := range e.attemptIDs() {
-			e.runs[a].interrupt()
+func newEngine(fleet *Fleet, name, site string, store bool) *Engine {
+	engine := &Engine{fleet: fleet, store: store, capacity: 12, maxBlocks: 120, startWeights: "w1"}
+	engine.Host = fleet.World.NewHost(name, site, engine.start)
+	engine.onStop = func() {
+		for _, a := range engine.attemptIDs() {
+			engine.runs[a].interrupt()
 		}
 	}
-	return e
+	return engine
 }
 
 func (e *Engine) attemptIDs() []string {
-	var as []string
+	var ids []string
 	for a := range e.runs {
-		as = append(as, a)
+		ids = append(ids, a)
 	}
-	sort.Strings(as)
-	return as
+	sort.Strings(ids)
+	return ids
 }
 
 func (e *Engine) start() {
@@ -71,33 +71,33 @@
 
 func (e *Engine) nodeID() uint64 { return cacheindex.NodeID(e.Name, e.incarnation) }
 
-func (e *Engine) publish(v index.Event) {
+func (e *Engine) publish(event index.Event) {
 	e.lastSequence++
-	v.Seq = e.lastSequence
+	event.Seq = e.lastSequence
 	if e.fleet.World.Rng.Intn(1000) < e.fleet.EventLossPermille {
 		return // lost
 	}
-	e.events = append(e.events, v)
+	e.events = append(e.events, event)
 	if len(e.events) > 400 {
 		e.events = e.events[200:]
 	}
 }
 
-func (e *Engine) addBlock(k cacheindex.Key, m blockOrigin) {
-	if _, ok := e.holdings[k]; ok {
+func (e *Engine) addBlock(key cacheindex.Key, origin blockOrigin) {
+	if _, ok := e.holdings[key]; ok {
 		return
 	}
-	e.holdings[k] = m
-	e.evictionOrder = append(e.evictionOrder, k)
-	e.publish(index.Event{Added: true, Block: k, HasBlock: true})
+	e.holdings[key] = origin
+	e.evictionOrder = append(e.evictionOrder, key)
+	e.publish(index.Event{Added: true, Block: key, HasBlock: true})
 	if len(e.evictionOrder) > e.maxBlocks {
-		o := e.evictionOrder[0]
+		evicted := e.evictionOrder[0]
 		e.evictionOrder = e.evictionOrder[1:]
-		m := e.holdings[o]
-		delete(e.holdings, o)
-		e.publish(index.Event{Removed: true, Block: o, HasBlock: true})
-		if st := e.fleet.engineNamed("store"); !e.store && st != nil {
-			e.Send(st.Host, func() { st.addBlock(o, m) })
+		origin := e.holdings[evicted]
+		delete(e.holdings, evicted)
+		e.publish(index.Event{Removed: true, Block: evicted, HasBlock: true})
+		if store := e.fleet.engineNamed("store"); !e.store && store != nil {
+			e.Send(store.Host, func() { store.addBlock(evicted, origin) })
 		}
 	}
 }
@@ -107,18 +107,18 @@
 }
 
 func (e *Engine) report(inc, after uint64) index.Report {
-	r := index.Report{Incarnation: e.incarnation, Weights: e.weights, Running: len(e.runs), Capacity: e.capacity, LastSeq: e.lastSequence}
+	report := index.Report{Incarnation: e.incarnation, Weights: e.weights, Running: len(e.runs), Capacity: e.capacity, LastSeq: e.lastSequence}
 	if e.loading != "" {
-		r.Capacity = 0
+		report.Capacity = 0
 	}
 	if inc == e.incarnation {
-		for _, v := range e.events {
-			if v.Seq > after {
-				r.Events = append(r.Events, v)
+		for _, event := range e.events {
+			if event.Seq > after {
+				report.Events = append(report.Events, event)
 			}
 		}
 	}
-	return r
+	return report
 }
 
 // turn changes weights once what runs has ended.
@@ -145,8 +145,8 @@
 	if e.weights, e.loading = e.loading, ""; true {
 		e.startWeights = e.weights
 	}
-	for _, k := range e.evictionOrder {
-		e.publish(index.Event{Removed: true, Block: k, HasBlock: true})
+	for _, key := range e.evictionOrder {
+		e.publish(index.Event{Removed: true, Block: key, HasBlock: true})
 	}
 	e.holdings, e.evictionOrder = map[cacheindex.Key]blockOrigin{}, nil
 	e.fleet.World.Notef("%s turned to %s", e.Name, e.weights)
@@ -199,10 +199,10 @@
 	r.reply(500, func() { r.finish(attempt.Interrupted, "engine-lost") })
 }
 
-func (r *engineRun) finish(s attempt.State, cause string) {
+func (r *engineRun) finish(state attempt.State, cause string) {
 	if !r.closed {
 		r.closed = true
-		r.gateway.progress(r.action, s, cause)
+		r.gateway.progress(r.action, state, cause)
 	}
 }
 
@@ -223,107 +223,107 @@
 }
 
 // begin is a run arriving at the engine.
-func (e *Engine) startRun(r *engineRun) {
-	a := r.action
-	if r.cancelled || r.received || r.engineProcess != e.process {
+func (e *Engine) startRun(run *engineRun) {
+	action := run.action
+	if run.cancelled || run.received || run.engineProcess != e.process {
 		return
 	}
 	e.arrivalTimes = append(e.arrivalTimes, e.fleet.World.now)
-	r.received = true // a wire does not repeat what it carries
+	run.received = true // a wire does not repeat what it carries
 	why := ""
 	switch {
-	case a.Grant.NodeID != e.nodeID():
+	case action.Grant.NodeID != e.nodeID():
 		why = "other-life"
-	case a.Grant.FencingToken < e.fencingToken:
+	case action.Grant.FencingToken < e.fencingToken:
 		why = "old-epoch"
-		e.fleet.World.Violation("two owners' orders", "%s got a run under epoch %d after %d", e.Name, a.Grant.FencingToken, e.fencingToken)
-	case a.Weights != e.weights || e.loading != "":
+		e.fleet.World.Violation("two owners' orders", "%s got a run under epoch %d after %d", e.Name, action.Grant.FencingToken, e.fencingToken)
+	case action.Weights != e.weights || e.loading != "":
 		why = "other-weights"
 	case len(e.runs) >= e.capacity:
 		why = "busy"
 	}
 	if why != "" {
-		r.reply(400, func() { r.finish(attempt.NotStarted, why) })
+		run.reply(400, func() { run.finish(attempt.NotStarted, why) })
 		return
 	}
-	e.fencingToken = a.Grant.FencingToken
-	e.runs[a.AttemptID] = r
-	e.fleet.checker.runStarted(e, r)
+	e.fencingToken = action.Grant.FencingToken
+	e.runs[action.AttemptID] = run
+	e.fleet.checker.runStarted(e, run)
 	e.startTimes = append(e.startTimes, e.fleet.World.now)
 	if e.interruptsRuns {
 		e.After(5_000, func() {
-			r.release()
-			r.interrupt()
+			run.release()
+			run.interrupt()
 		})
 		return
 	}
-	fresh := blockOrigin{r.request.group, a.Weights, e.fleet.World.now}
+	fresh := blockOrigin{run.request.group, action.Weights, e.fleet.World.now}
 	reused := fresh
 	have := 0
-	for i := len(a.Chain) - 1; i >= 0; i-- {
-		if m, ok := e.holdings[a.Chain[i]]; ok {
-			have, reused = i+1, m
-			e.fleet.checker.blockReused(m, r)
+	for i := len(action.Chain) - 1; i >= 0; i-- {
+		if origin, ok := e.holdings[action.Chain[i]]; ok {
+			have, reused = i+1, origin
+			e.fleet.checker.blockReused(origin, run)
 			break
 		}
 	}
 	own, vain := have, int64(0)
-	if a.TransferBlock+1 > have {
-		if e.fleet.SlowTransfersFrom[a.TransferAddr] {
-			vain = a.TransferWaitUS // the bound on waiting, then a plain recompute
+	if action.TransferBlock+1 > have {
+		if e.fleet.SlowTransfersFrom[action.TransferAddr] {
+			vain = action.TransferWaitUS // the bound on waiting, then a plain recompute
 			e.fleet.Tally.TransfersInVain++
-		} else if p := e.fleet.engineNamed(a.TransferAddr); p != nil && p.up && !p.frozen && e.fleet.World.Rng.Intn(1000) >= e.fleet.TransferFailurePermille && !e.fleet.World.cutLinks[[2]string{e.Name, p.Name}] && !e.fleet.World.cutLinks[[2]string{p.Name, e.Name}] {
-			if m, ok := p.holdings[a.Chain[a.TransferBlock]]; ok {
-				e.fleet.checker.blockReused(m, r)
-				have, reused = a.TransferBlock+1, m
+		} else if p := e.fleet.engineNamed(action.TransferAddr); p != nil && p.up && !p.frozen && e.fleet.World.Rng.Intn(1000) >= e.fleet.TransferFailurePermille && !e.fleet.World.cutLinks[[2]string{e.Name, p.Name}] && !e.fleet.World.cutLinks[[2]string{p.Name, e.Name}] {
+			if origin, ok := p.holdings[action.Chain[action.TransferBlock]]; ok {
+				e.fleet.checker.blockReused(origin, run)
+				have, reused = action.TransferBlock+1, origin
 			}
 		}
 	}
-	e.fleet.Tally.Blocks += len(a.Chain)
+	e.fleet.Tally.Blocks += len(action.Chain)
 	e.fleet.Tally.Reused += have
 	e.fleet.Tally.Transferred += have - own
-	r.reply(400, func() {
-		if !r.closed {
-			r.gateway.progress(a, attempt.Started, "")
+	run.reply(400, func() {
+		if !run.closed {
+			run.gateway.progress(action, attempt.Started, "")
 		}
 	})
-	fill := vain + int64(len(a.Chain)-have)*4_000
+	fill := vain + int64(len(action.Chain)-have)*4_000
 	e.fleet.Tally.FirstUS += fill
 	e.After(fill+1000, func() {
-		if r.ended || r.engineProcess != e.process {
+		if run.ended || run.engineProcess != e.process {
 			return
 		}
-		for i, k := range a.Chain {
+		for i, key := range action.Chain {
 			if i < have {
-				e.addBlock(k, reused)
+				e.addBlock(key, reused)
 			} else {
-				e.addBlock(k, fresh)
+				e.addBlock(key, fresh)
 			}
 		}
-		e.publish(index.Event{FinishedAttempt: a.AttemptID, RecomputedBytes: uint64(len(a.Chain) - have)})
-		e.sendPieces(r)
+		e.publish(index.Event{FinishedAttempt: action.AttemptID, RecomputedBytes: uint64(len(action.Chain) - have)})
+		e.sendPieces(run)
 	})
 }
 
-func (e *Engine) sendPieces(r *engineRun) {
-	if r.ended || r.engineProcess != e.process {
+func (e *Engine) sendPieces(run *engineRun) {
+	if run.ended || run.engineProcess != e.process {
 		return
 	}
-	if r.isCut() {
-		e.After(50_000, func() { e.sendPieces(r) }) // the wire's buffers fill; nothing moves
+	if run.isCut() {
+		e.After(50_000, func() { e.sendPieces(run) }) // the wire's buffers fill; nothing moves
 		return
 	}
-	if r.piecesSent < piecesPerRun {
-		n := r.piecesSent
-		r.piecesSent++
-		r.reply(400, func() {
-			if !r.closed {
-				r.gateway.deliverPiece(r, n)
+	if run.piecesSent < piecesPerRun {
+		n := run.piecesSent
+		run.piecesSent++
+		run.reply(400, func() {
+			if !run.closed {
+				run.gateway.deliverPiece(run, n)
 			}
 		})
-		e.After(int64(20_000+e.fleet.World.Rng.Intn(60_000))+r.request.pieceDelayUS, func() { e.sendPieces(r) })
+		e.After(int64(20_000+e.fleet.World.Rng.Intn(60_000))+run.request.pieceDelayUS, func() { e.sendPieces(run) })
 		return
 	}
-	r.release()
-	r.reply(400, func() { r.finish(attempt.Completed, "") })
+	run.release()
+	run.reply(400, func() { run.finish(attempt.Completed, "") })
 }
--- a/sim/faults.go
+++ b/sim/faults.go
@@ -33,10 +33,10 @@
 var ClusterFaults = []Fault{FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultLossyLinks, FaultSlowDisks, FaultSlowLinks, FaultForgottenPromises, FaultPartialAppend, FaultReplacement, FaultLeave, FaultForgottenLeader, FaultSelfHealing, FaultAll}
 
 // Plague brings about a fault again and again until a true time, then mends all.
-func (c *Cluster) InjectFaults(f Fault, until int64) {
+func (c *Cluster) InjectFaults(fault Fault, until int64) {
 	world := c.world
-	c.selfHealing = f == FaultSelfHealing
-	if f == FaultLossyLinks || f == FaultAll {
+	c.selfHealing = fault == FaultSelfHealing
+	if fault == FaultLossyLinks || fault == FaultAll {
 		world.LossPermille, world.DuplicatePermille = 30, 30
 	}
 	all := []Fault{FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultSlowDisks, FaultSlowLinks, FaultForgottenPromises, FaultPartialAppend, FaultReplacement, FaultLeave, FaultForgottenLeader}
@@ -45,8 +45,8 @@
 		if world.now >= until {
 			return
 		}
-		g := f
-		if f == FaultAll {
+		g := fault
+		if fault == FaultAll {
 			g = all[world.Rng.Intn(len(all))]
 		}
 		c.injectFault(g)
@@ -61,153 +61,153 @@
 		c.powerLossArmed = false
 		world.LossPermille, world.DuplicatePermille = 0, 0
 		world.HealAll()
-		for _, r := range c.Nodes {
-			r.Disk.SyncDelayUS = 0
-			r.Thaw()
-			if !r.removed {
-				r.Start()
+		for _, node := range c.Nodes {
+			node.Disk.SyncDelayUS = 0
+			node.Thaw()
+			if !node.removed {
+				node.Start()
 			}
 		}
 	})
 }
 
-func (c *Cluster) injectFault(f Fault) {
+func (c *Cluster) injectFault(fault Fault) {
 	world := c.world
-	r := c.Nodes[world.Rng.Intn(len(c.Nodes))]
-	back := func(rs ...*ControlNode) {
-		for _, r := range rs {
-			world.At(world.now+50_000+world.Rng.Int63n(2_000_000), r.restart)
+	node := c.Nodes[world.Rng.Intn(len(c.Nodes))]
+	back := func(nodes ...*ControlNode) {
+		for _, node := range nodes {
+			world.At(world.now+50_000+world.Rng.Int63n(2_000_000), node.restart)
 		}
 	}
-	switch f {
+	switch fault {
 	case FaultKill:
-		r.Kill()
-		back(r)
+		node.Kill()
+		back(node)
 	case FaultKillAll:
-		for _, r := range c.Nodes {
-			r.Kill()
+		for _, node := range c.Nodes {
+			node.Kill()
 		}
 		back(c.Nodes...)
 	case FaultPowerLoss:
 		if world.Rng.Intn(2) == 0 {
 			// Everybody's power goes just after an acknowledgement, while disks
 			// are slow: what was acknowledged without a sync is gone.
-			for _, r := range c.Nodes {
-				r.Disk.SyncDelayUS = 40_000
+			for _, node := range c.Nodes {
+				node.Disk.SyncDelayUS = 40_000
 			}
 			c.powerLossArmed = true
 			return
 		}
-		rs := []*ControlNode{r}
+		nodes := []*ControlNode{node}
 		if world.Rng.Intn(3) == 0 {
-			rs = c.Nodes
+			nodes = c.Nodes
 		}
-		for _, r := range rs {
-			r.LosePower()
+		for _, node := range nodes {
+			node.LosePower()
 		}
-		back(rs...)
+		back(nodes...)
 	case FaultFreeze:
-		r.Freeze()
-		world.At(world.now+100_000+world.Rng.Int63n(4_000_000), r.Thaw)
+		node.Freeze()
+		world.At(world.now+100_000+world.Rng.Int63n(4_000_000), node.Thaw)
 	case FaultPartition:
 		world.HealAll()
 		side := world.Rng.Intn(1 << len(c.Nodes))
-		for i, a := range c.Nodes {
-			for j, b := range c.Nodes {
+		for i, one := range c.Nodes {
+			for j, other := range c.Nodes {
 				if side>>i&1 != side>>j&1 {
-					world.Cut(a.Name, b.Name)
+					world.Cut(one.Name, other.Name)
 				}
 			}
 		}
 		world.Notef("core cut %b", side)
 	case FaultOneWay:
 		world.HealAll()
-		for _, b := range c.Nodes {
+		for _, other := range c.Nodes {
 			if world.Rng.Intn(2) == 0 {
-				world.Cut(r.Name, b.Name)
+				world.Cut(node.Name, other.Name)
 			} else {
-				world.Cut(b.Name, r.Name)
+				world.Cut(other.Name, node.Name)
 			}
 		}
-		world.Notef("%s cut one way", r.Name)
+		world.Notef("%s cut one way", node.Name)
 	case FaultSlowLinks:
 		world.linkDelayUS = map[[2]string]int64{}
-		for _, b := range c.Nodes {
-			if r != b && world.Rng.Intn(2) == 0 {
-				world.linkDelayUS[[2]string{r.Name, b.Name}] = world.Rng.Int63n(1_200_000)
+		for _, other := range c.Nodes {
+			if node != other && world.Rng.Intn(2) == 0 {
+				world.linkDelayUS[[2]string{node.Name, other.Name}] = world.Rng.Int63n(1_200_000)
 			}
-			if r != b && world.Rng.Intn(2) == 0 {
-				world.linkDelayUS[[2]string{b.Name, r.Name}] = world.Rng.Int63n(1_200_000)
+			if node != other && world.Rng.Intn(2) == 0 {
+				world.linkDelayUS[[2]string{other.Name, node.Name}] = world.Rng.Int63n(1_200_000)
 			}
 		}
 		if world.Rng.Intn(2) == 0 {
 			// Answers lag behind, then nothing goes out any more: what still
 			// comes in is old.
-			for _, b := range c.Nodes {
-				world.linkDelayUS[[2]string{r.Name, b.Name}] = 0
-				world.linkDelayUS[[2]string{b.Name, r.Name}] = 900_000
+			for _, other := range c.Nodes {
+				world.linkDelayUS[[2]string{node.Name, other.Name}] = 0
+				world.linkDelayUS[[2]string{other.Name, node.Name}] = 900_000
 			}
 			world.At(world.now+1_300_000, func() {
-				for _, b := range c.Nodes {
-					world.Cut(r.Name, b.Name)
+				for _, other := range c.Nodes {
+					world.Cut(node.Name, other.Name)
 				}
-				world.Notef("%s speaks to nobody, and hears late", r.Name)
+				world.Notef("%s speaks to nobody, and hears late", node.Name)
 			})
 			world.At(world.now+3_500_000, world.HealAll)
 		}
 	case FaultForgottenPromises:
 		world.HealAll()
-		world.Notef("%s cut off, the others restart", r.Name)
-		for _, b := range c.Nodes {
-			if r == b {
+		world.Notef("%s cut off, the others restart", node.Name)
+		for _, other := range c.Nodes {
+			if node == other {
 				continue
 			}
-			world.CutBoth(r.Name, b.Name)
-			b.Kill()
-			world.At(world.now+1000+world.Rng.Int63n(30_000), b.restart)
+			world.CutBoth(node.Name, other.Name)
+			other.Kill()
+			world.At(world.now+1000+world.Rng.Int63n(30_000), other.restart)
 		}
 	case FaultPartialAppend:
 		world.HealAll()
-		for _, b := range c.Nodes {
+		for _, other := range c.Nodes {
 			if world.Rng.Intn(3) > 0 {
-				world.Cut(r.Name, b.Name) // its changes reach nobody, or one
+				world.Cut(node.Name, other.Name) // its changes reach nobody, or one
 			}
 		}
 		world.At(world.now+20_000+world.Rng.Int63n(100_000), func() {
-			r.Kill()
+			node.Kill()
 			world.HealAll()
 		})
-		world.At(world.now+400_000+world.Rng.Int63n(4_000_000), r.restart)
+		world.At(world.now+400_000+world.Rng.Int63n(4_000_000), node.restart)
 	case FaultForgottenLeader:
 		// One node hears nothing of an owner and waits for its lease to end;
 		// then the owner is cut off and the others forget what they promised.
 		world.HealAll()
-		b := c.Nodes[world.Rng.Intn(len(c.Nodes))]
-		if b == r {
+		other := c.Nodes[world.Rng.Intn(len(c.Nodes))]
+		if other == node {
 			return
 		}
-		world.CutBoth(r.Name, b.Name)
+		world.CutBoth(node.Name, other.Name)
 		world.At(world.now+1_200_000+world.Rng.Int63n(600_000), func() {
-			world.Notef("%s is cut off and forgotten", r.Name)
+			world.Notef("%s is cut off and forgotten", node.Name)
 			for _, x := range c.Nodes {
-				if x == r {
+				if x == node {
 					continue
 				}
-				world.CutBoth(r.Name, x.Name)
-				if x != b {
+				world.CutBoth(node.Name, x.Name)
+				if x != other {
 					x.Kill()
 					world.At(world.now+1_000, x.restart)
 				}
 			}
 		})
 	case FaultLeave:
-		if !r.up || r.frozen || r.node == nil {
+		if !node.up || node.frozen || node.node == nil {
 			return
 		}
-		world.Notef("%s leaves politely", r.Name)
-		r.handle(r.node.Leave(r.Clock()))
-		r.After(20_000+world.Rng.Int63n(200_000), r.Kill)
-		world.At(world.now+300_000+world.Rng.Int63n(1_000_000), r.restart)
+		world.Notef("%s leaves politely", node.Name)
+		node.handle(node.node.Leave(node.Clock()))
+		node.After(20_000+world.Rng.Int63n(200_000), node.Kill)
+		world.At(world.now+300_000+world.Rng.Int63n(1_000_000), node.restart)
 	case FaultReplacement:
 		c.replaceVoter()
 		if world.Rng.Intn(2) == 0 {
@@ -216,10 +216,10 @@
 	case FaultSelfHealing:
 		c.strikeOneMachine()
 	case FaultSlowDisks:
-		for _, r := range c.Nodes {
-			r.Disk.SyncDelayUS = 0
+		for _, node := range c.Nodes {
+			node.Disk.SyncDelayUS = 0
 			if world.Rng.Intn(3) == 0 {
-				r.Disk.SyncDelayUS = world.Rng.Int63n(3_000_000)
+				node.Disk.SyncDelayUS = world.Rng.Int63n(3_000_000)
 			}
 		}
 	}
@@ -227,62 +227,62 @@
 
 // voters are the machines in the newest roster that any of them has.
 func (c *Cluster) currentVoters() (quorum.VoterSet, []*ControlNode) {
-	var ro quorum.VoterSet
-	for _, r := range c.Nodes {
-		if r.node != nil && r.node.VoterSet().Revision > ro.Revision {
-			ro = r.node.VoterSet()
+	var voterSet quorum.VoterSet
+	for _, node := range c.Nodes {
+		if node.node != nil && node.node.VoterSet().Revision > voterSet.Revision {
+			voterSet = node.node.VoterSet()
 		}
 	}
 	var out []*ControlNode
-	for _, r := range c.Nodes {
-		if v, ok := ro.Find(r.Name); ok && v.Incarnation == r.incarnation {
-			out = append(out, r)
+	for _, node := range c.Nodes {
+		if voter, ok := voterSet.Find(node.Name); ok && voter.Incarnation == node.incarnation {
+			out = append(out, node)
 		}
 	}
-	return ro, out
+	return voterSet, out
 }
 
 // replace takes a machine away for good, disk and all, and has an operator put an
 // empty one in its place, until the step is taken.
 func (c *Cluster) replaceVoter() {
 	world := c.world
-	ro, in := c.currentVoters()
-	if c.replacing || len(in) < 4 {
+	voterSet, members := c.currentVoters()
+	if c.replacing || len(members) < 4 {
 		return
 	}
 	c.replacing = true
-	old := in[world.Rng.Intn(len(in))]
+	old := members[world.Rng.Intn(len(members))]
 	old.Kill()
 	old.Disk.Wipe()
 	old.removed = true
-	n := c.newNode()
-	n.Start()
-	world.Notef("%s is to replace %s after step %d", n.Name, old.Name, ro.Step())
-	op := world.NewHost("roster-operator-"+n.Name, "north", func() {})
-	op.Start()
+	newNode := c.newNode()
+	newNode.Start()
+	world.Notef("%s is to replace %s after step %d", newNode.Name, old.Name, voterSet.Step())
+	host := world.NewHost("roster-operator-"+newNode.Name, "north", func() {})
+	host.Start()
 	var try func()
 	try = func() {
-		ro, in := c.currentVoters()
-		if v, ok := ro.Find(n.Name); ok && v.Incarnation == n.incarnation {
+		voterSet, members := c.currentVoters()
+		if voter, ok := voterSet.Find(newNode.Name); ok && voter.Incarnation == newNode.incarnation {
 			c.replacing = false
 			c.Replacements++
 			return
 		}
-		next, err := ro.Next(old.Name, &quorum.Voter{Name: n.Name, Incarnation: n.incarnation})
+		next, err := voterSet.Next(old.Name, &quorum.Voter{Name: newNode.Name, Incarnation: newNode.incarnation})
 		if err != nil {
 			world.Violation("roster", "%v", err)
 			return
 		}
-		r := in[world.Rng.Intn(len(in))]
-		Call(op, r.Host, quorum.Operation{Type: quorum.OpGet, Key: quorum.VoterSetKey}, 900_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) },
-			func(a quorum.Result) {
-				if a.Status != quorum.StatusDone {
+		node := members[world.Rng.Intn(len(members))]
+		Call(host, node.Host, quorum.Operation{Type: quorum.OpGet, Key: quorum.VoterSetKey}, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+			func(result quorum.Result) {
+				if result.Status != quorum.StatusDone {
 					return
 				}
-				Call(op, r.Host, quorum.Operation{Type: quorum.OpPut, Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: a.Revision}, 900_000,
-					func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) }, func(quorum.Result) {}, func() {})
+				Call(host, node.Host, quorum.Operation{Type: quorum.OpPut, Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: result.Revision}, 900_000,
+					func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) }, func(quorum.Result) {}, func() {})
 			}, func() {})
-		op.After(300_000, try)
+		host.After(300_000, try)
 	}
 	try()
 }
@@ -291,45 +291,45 @@
 // its power, or goes and another comes; one that went may return, with its old disk.
 func (c *Cluster) strikeOneMachine() {
 	world := c.world
-	ro, in := c.currentVoters()
-	for _, r := range c.Nodes {
-		if !r.removed && (!r.up || r.node == nil || r.node.VoterSet().Revision != ro.Revision || !r.node.AllSlotsRecovered()) {
+	voterSet, members := c.currentVoters()
+	for _, node := range c.Nodes {
+		if !node.removed && (!node.up || node.node == nil || node.node.VoterSet().Revision != voterSet.Revision || !node.node.AllSlotsRecovered()) {
 			return
 		}
 	}
-	if len(in) < 3 {
+	if len(members) < 3 {
 		return
 	}
-	r := in[world.Rng.Intn(len(in))]
+	node := members[world.Rng.Intn(len(members))]
 	soon := world.now + 50_000 + world.Rng.Int63n(2_500_000)
 	switch world.Rng.Intn(6) {
 	case 0, 1:
-		world.Notef("%s loses its disk", r.Name)
-		r.loseDisk()
-		world.At(soon, r.restart)
+		world.Notef("%s loses its disk", node.Name)
+		node.loseDisk()
+		world.At(soon, node.restart)
 	case 2:
-		world.Notef("%s goes, and another comes", r.Name)
-		r.Kill()
-		r.removed = true
-		n := c.newNode()
-		world.At(soon, n.Start)
+		world.Notef("%s goes, and another comes", node.Name)
+		node.Kill()
+		node.removed = true
+		newNode := c.newNode()
+		world.At(soon, newNode.Start)
 	case 3:
-		for _, o := range c.Nodes {
-			if o.removed {
-				world.Notef("%s returns with its old disk", o.Name)
-				o.removed = false
-				o.Start()
+		for _, other := range c.Nodes {
+			if other.removed {
+				world.Notef("%s returns with its old disk", other.Name)
+				other.removed = false
+				other.Start()
 				return
 			}
 		}
 		fallthrough
 	case 4:
-		r.LosePower()
-		world.At(soon, r.restart)
+		node.LosePower()
+		world.At(soon, node.restart)
 	case 5:
-		for _, o := range c.Nodes {
-			o.LosePower()
-			world.At(world.now+50_000+world.Rng.Int63n(300_000), o.restart)
+		for _, other := range c.Nodes {
+			other.LosePower()
+			world.At(world.now+50_000+world.Rng.Int63n(300_000), other.restart)
 		}
 	}
 }
@@ -340,10 +340,10 @@
 		return
 	}
 	c.powerLossArmed = false
-	for _, r := range c.Nodes {
-		r.LosePower()
-		r.Disk.SyncDelayUS = 0
-		c.world.At(c.world.now+50_000+c.world.Rng.Int63n(1_000_000), r.restart)
+	for _, node := range c.Nodes {
+		node.LosePower()
+		node.Disk.SyncDelayUS = 0
+		c.world.At(c.world.now+50_000+c.world.Rng.Int63n(1_000_000), node.restart)
 	}
 }
 
@@ -360,33 +360,33 @@
 }
 
 // RunCore runs one day.
-func RunCluster(seed int64, f Fault, us int64) ClusterResult {
+func RunCluster(seed int64, fault Fault, durationUS int64) ClusterResult {
 	world := NewWorld(seed)
-	c := NewCluster(world, 4)
-	c.Start()
-	h := NewHistory(world, "plan")
+	cluster := NewCluster(world, 4)
+	cluster.Start()
+	history := NewHistory(world, "plan")
 	for i := 0; i < 3; i++ {
-		NewRegisterClient(c, fmt.Sprint("operator", i), h, 60).Start()
+		NewRegisterClient(cluster, fmt.Sprint("operator", i), history, 60).Start()
 	}
 	// Keys that are seldom changed and often read show what surfaces late.
 	for i := 0; i < 4; i++ {
-		NewRegisterClient(c, fmt.Sprint("reader", i), NewHistory(world, fmt.Sprint("rare", i)), 8).Start()
+		NewRegisterClient(cluster, fmt.Sprint("reader", i), NewHistory(world, fmt.Sprint("rare", i)), 8).Start()
 	}
-	cl, ho := NewClaimClients(c, 3), NewLeaseClients(c, 3)
-	c.InjectFaults(f, us)
-	ho.injectFaults(us)
-	world.Run(us)
-	n := h.Acknowledged
-	for world.now < us+10_000_000 && h.Acknowledged == n && len(world.violations) == 0 {
+	cl, ho := NewClaimClients(cluster, 3), NewLeaseClients(cluster, 3)
+	cluster.InjectFaults(fault, durationUS)
+	ho.injectFaults(durationUS)
+	world.Run(durationUS)
+	n := history.Acknowledged
+	for world.now < durationUS+10_000_000 && history.Acknowledged == n && len(world.violations) == 0 {
 		world.Run(world.now + 50_000)
 	}
-	d := ClusterResult{Acknowledged: h.Acknowledged, ClaimsWon: cl.Won, LateClaims: cl.Late, LeaseTerms: ho.Leases, Replacements: c.Replacements, RecoveryUS: world.now - us, Joins: c.Joins, SlowestJoinUS: c.SlowestJoinUS}
-	if h.Acknowledged == n && len(world.violations) == 0 {
+	result := ClusterResult{Acknowledged: history.Acknowledged, ClaimsWon: cl.Won, LateClaims: cl.Late, LeaseTerms: ho.Leases, Replacements: cluster.Replacements, RecoveryUS: world.now - durationUS, Joins: cluster.Joins, SlowestJoinUS: cluster.SlowestJoinUS}
+	if history.Acknowledged == n && len(world.violations) == 0 {
 		world.Violation("not back", "no change was acknowledged within ten seconds after the last fault")
 	}
-	for _, r := range c.Nodes {
-		d.Checkpoints += r.Checkpoints
+	for _, node := range cluster.Nodes {
+		result.Checkpoints += node.Checkpoints
 	}
-	d.Violations, d.Notes = world.violations, world.notes
-	return d
+	result.Violations, result.Notes = world.violations, world.notes
+	return result
 }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -71,87 +71,87 @@
 // NewFleet makes a fleet and starts it.
 func NewFleet(seed int64, size FleetSize) *Fleet {
 	world := NewWorld(seed)
-	f := &Fleet{World: world, Cluster: NewCluster(world, 4), services: map[*ControlNode]*controlServices{}}
-	f.Cluster.generationUS = 4_000_000
-	f.Cluster.logConfig = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
-	f.checker = newChecker(f)
-	f.Platform = world.NewHost("platform", "north", func() {})
-	f.Platform.Start()
-	for _, r := range f.Cluster.Nodes {
-		f.addServices(r)
+	fleet := &Fleet{World: world, Cluster: NewCluster(world, 4), services: map[*ControlNode]*controlServices{}}
+	fleet.Cluster.generationUS = 4_000_000
+	fleet.Cluster.logConfig = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
+	fleet.checker = newChecker(fleet)
+	fleet.Platform = world.NewHost("platform", "north", func() {})
+	fleet.Platform.Start()
+	for _, r := range fleet.Cluster.Nodes {
+		fleet.addServices(r)
 	}
-	f.Cluster.onNewNode = f.addServices
-	f.Cluster.Start()
+	fleet.Cluster.onNewNode = fleet.addServices
+	fleet.Cluster.Start()
 	for i := 0; i < size.Engines; i++ {
-		e := newEngine(f, fmt.Sprintf("e%02d", i), zones[i%len(zones)], false)
-		f.Engines = append(f.Engines, e)
-		f.listing = append(f.listing, index.ListedEngine{Name: e.Name, Addr: e.Name, Zone: e.Zone})
-		e.Start()
+		engine := newEngine(fleet, fmt.Sprintf("e%02d", i), zones[i%len(zones)], false)
+		fleet.Engines = append(fleet.Engines, engine)
+		fleet.listing = append(fleet.listing, index.ListedEngine{Name: engine.Name, Addr: engine.Name, Zone: engine.Zone})
+		engine.Start()
 	}
-	st := newEngine(f, "store", zones[0], true)
-	f.Engines = append(f.Engines, st)
-	f.listing = append(f.listing, index.ListedEngine{Name: "store", Addr: "store", Zone: zones[0], Store: true})
-	st.Start()
+	store := newEngine(fleet, "store", zones[0], true)
+	fleet.Engines = append(fleet.Engines, store)
+	fleet.listing = append(fleet.listing, index.ListedEngine{Name: "store", Addr: "store", Zone: zones[0], Store: true})
+	store.Start()
 	for i := 0; i < 4; i++ {
-		c := &IndexNode{fleet: f}
-		c.Host = world.NewHost(fmt.Sprint("custodian", i), zones[i], c.start)
-		f.IndexNodes = append(f.IndexNodes, c)
-		c.Start()
+		indexNode := &IndexNode{fleet: fleet}
+		indexNode.Host = world.NewHost(fmt.Sprint("custodian", i), zones[i], indexNode.start)
+		fleet.IndexNodes = append(fleet.IndexNodes, indexNode)
+		indexNode.Start()
 	}
 	for i := 0; i < size.Gateways; i++ {
-		r := &Agent{fleet: f, gateway: fmt.Sprint("remisier", i)}
+		r := &Agent{fleet: fleet, gateway: fmt.Sprint("remisier", i)}
 		r.Host = world.NewHost(fmt.Sprint("runner", i), zones[i%len(zones)], r.start)
-		p := &Gateway{fleet: f, agent: r}
-		p.Host = world.NewHost(r.gateway, r.Zone, p.start)
-		p.onStop = p.stopped
-		f.Agents, f.Gateways = append(f.Agents, r), append(f.Gateways, p)
+		gateway := &Gateway{fleet: fleet, agent: r}
+		gateway.Host = world.NewHost(r.gateway, r.Zone, gateway.start)
+		gateway.onStop = gateway.stopped
+		fleet.Agents, fleet.Gateways = append(fleet.Agents, r), append(fleet.Gateways, gateway)
 		r.Start()
-		p.Start()
+		gateway.Start()
 	}
-	world.invariants = append(world.invariants, f.checker.checkInvariants)
-	return f
+	world.invariants = append(world.invariants, fleet.checker.checkInvariants)
+	return fleet
 }
 
 // besides adds sessions and the plan's cache to a registrar's start.
-func (f *Fleet) addServices(r *ControlNode) {
-	vote, world := r.boot, f.World
-	r.boot = func() {
+func (f *Fleet) addServices(node *ControlNode) {
+	vote, world := node.boot, f.World
+	node.boot = func() {
 		vote()
-		if r.Failure != nil {
+		if node.Failure != nil {
 			return
 		}
-		s := &controlServices{sessions: membership.New(r.Name)}
-		f.services[r] = s
-		r.Every(150_000, func() {
-			at := r.Clock()
+		services := &controlServices{sessions: membership.New(node.Name)}
+		f.services[node] = services
+		node.Every(150_000, func() {
+			at := node.Clock()
 			get := quorum.Operation{Type: quorum.OpGet, Key: planKey}
-			take := func(a quorum.Result) bool {
-				if a.Status == quorum.StatusDone && f.services[r] == s {
-					s.plan, _, _ = s.plan.Apply(plan.Update{Revision: a.Revision, Raw: a.Value, Confirmed: true}, at)
+			take := func(result quorum.Result) bool {
+				if result.Status == quorum.StatusDone && f.services[node] == services {
+					services.plan, _, _ = services.plan.Apply(plan.Update{Revision: result.Revision, Raw: result.Value, Confirmed: true}, at)
 				}
-				return a.Status == quorum.StatusDone
+				return result.Status == quorum.StatusDone
 			}
-			r.Forward(get, 0, func(a quorum.Result) {
-				o := f.Cluster.Nodes[world.Rng.Intn(len(f.Cluster.Nodes))]
-				if take(a) || o == r {
+			node.Forward(get, 0, func(result quorum.Result) {
+				other := f.Cluster.Nodes[world.Rng.Intn(len(f.Cluster.Nodes))]
+				if take(result) || other == node {
 					return
 				}
 				// The way to the owner may be cut here and not elsewhere.
-				Call(r.Host, o.Host, get, 600_000, func(q quorum.Operation, rep func(quorum.Result)) { o.Forward(q, 1, rep) },
-					func(a quorum.Result) { take(a) }, func() {})
+				Call(node.Host, other.Host, get, 600_000, func(operation quorum.Operation, reply func(quorum.Result)) { other.Forward(operation, 1, reply) },
+					func(result quorum.Result) { take(result) }, func() {})
 			})
 		})
-		r.Every(300_000, func() {
-			t := s.sessions.Announcement(r.Clock())
-			if r.node == nil {
+		node.Every(300_000, func() {
+			t := services.sessions.Announcement(node.Clock())
+			if node.node == nil {
 				return // in no roster yet
 			}
-			for _, o := range f.Cluster.Nodes {
-				if _, in := r.node.VoterSet().Find(o.Name); in && o != r {
-					world.observe("sessions", r.Name, o.Name, t)
-					r.Send(o.Host, func() {
-						if x := f.services[o]; x != nil {
-							x.sessions.Merge(o.Clock(), t)
+			for _, other := range f.Cluster.Nodes {
+				if _, in := node.node.VoterSet().Find(other.Name); in && other != node {
+					world.observe("sessions", node.Name, other.Name, t)
+					node.Send(other.Host, func() {
+						if x := f.services[other]; x != nil {
+							x.sessions.Merge(other.Clock(), t)
 						}
 					})
 				}
@@ -169,47 +169,47 @@
 	generation   uint64
 }
 
-func (f *Fleet) keepSession(h *Host, m *session, self func() *fb.NodeT, got func()) {
+func (f *Fleet) keepSession(host *Host, m *session, self func() *fb.NodeT, got func()) {
 	// Three seeds out of the voters of when it started (operators keep the settings
 	// up), whatever becomes of them later; every answer tells the voters.
 	first := f.World.Rng.Intn(4)
 	if m.controlNodes == nil {
-		_, in := f.Cluster.currentVoters()
-		for i := 0; i < min(3, len(in)); i++ {
-			m.controlNodes = append(m.controlNodes, in[(first+i)%len(in)])
+		_, members := f.Cluster.currentVoters()
+		for i := 0; i < min(3, len(members)); i++ {
+			m.controlNodes = append(m.controlNodes, members[(first+i)%len(members)])
 		}
-		if len(in) == 0 {
+		if len(members) == 0 {
 			m.controlNodes = f.Cluster.Nodes[:3]
 		}
 	}
-	h.Every(150_000, func() {
-		r := m.controlNodes[m.current%len(m.controlNodes)]
-		at := h.Clock()
-		Call(h, r.Host, &fb.HeartbeatRequestT{Node: self(), HaveRevision: m.plan.Revision}, 600_000, func(q *fb.HeartbeatRequestT, rep func(*fb.HeartbeatResponseT)) {
-			s := f.services[r]
-			if s == nil || r.node == nil {
+	host.Every(150_000, func() {
+		node := m.controlNodes[m.current%len(m.controlNodes)]
+		at := host.Clock()
+		Call(host, node.Host, &fb.HeartbeatRequestT{Node: self(), HaveRevision: m.plan.Revision}, 600_000, func(request *fb.HeartbeatRequestT, reply func(*fb.HeartbeatResponseT)) {
+			services := f.services[node]
+			if services == nil || node.node == nil {
 				return
 			}
-			now := r.Clock()
-			s.sessions.Heartbeat(now, q.Node)
-			t := &fb.HeartbeatResponseT{Revision: s.plan.Revision, Age: s.plan.Age(now), Confirmed: s.plan.Known, Nodes: s.sessions.Live(now), Generation: r.generation}
-			if t.Revision != q.HaveRevision {
-				t.Plan = s.plan.Raw
+			now := node.Clock()
+			services.sessions.Heartbeat(now, request.Node)
+			t := &fb.HeartbeatResponseT{Revision: services.plan.Revision, Age: services.plan.Age(now), Confirmed: services.plan.Known, Nodes: services.sessions.Live(now), Generation: node.generation}
+			if t.Revision != request.HaveRevision {
+				t.Plan = services.plan.Raw
 			}
-			for _, v := range r.node.VoterSet().Voters {
-				t.ControlNodes = append(t.ControlNodes, v.Name)
+			for _, voter := range node.node.VoterSet().Voters {
+				t.ControlNodes = append(t.ControlNodes, voter.Name)
 			}
-			rep(t)
+			reply(t)
 		}, func(t *fb.HeartbeatResponseT) {
 			m.nodes, m.generation = t.Nodes, max(m.generation, t.Generation)
 			var known []*ControlNode
-			for _, o := range f.Cluster.Nodes {
-				if slices.Contains(t.ControlNodes, o.Name) {
-					known = append(known, o)
+			for _, other := range f.Cluster.Nodes {
+				if slices.Contains(t.ControlNodes, other.Name) {
+					known = append(known, other)
 				}
 			}
-			for i, o := range known {
-				if o == r {
+			for i, other := range known {
+				if other == node {
 					m.current = i
 				}
 			}
@@ -225,23 +225,23 @@
 }
 
 // op carries an operation through registrars until one answers for the owner.
-func (f *Fleet) propose(h *Host, m *session, at int, op quorum.Operation, left int64, end func(quorum.Result, bool)) {
-	r := m.controlNodes[at%len(m.controlNodes)]
+func (f *Fleet) propose(host *Host, m *session, at int, op quorum.Operation, left int64, end func(quorum.Result, bool)) {
+	node := m.controlNodes[at%len(m.controlNodes)]
 	t0 := f.World.now
 	next := func() {
 		if l := left - (f.World.now - t0); l > 30_000 && op.Type != quorum.OpPut {
-			h.After(20_000, func() { f.propose(h, m, at+1, op, l-20_000, end) })
+			host.After(20_000, func() { f.propose(host, m, at+1, op, l-20_000, end) })
 		} else {
 			end(quorum.Result{}, false)
 		}
 	}
-	Call(h, r.Host, op, min(left, 900_000), func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) },
-		func(a quorum.Result) {
-			if a.Status == quorum.StatusNotLeader || a.Status == quorum.StatusUnknown {
+	Call(host, node.Host, op, min(left, 900_000), func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		func(result quorum.Result) {
+			if result.Status == quorum.StatusNotLeader || result.Status == quorum.StatusUnknown {
 				next()
 				return
 			}
-			end(a, true)
+			end(result, true)
 		}, next)
 }
 
@@ -256,21 +256,21 @@
 }
 
 func (n *IndexNode) start() {
-	f, world := n.fleet, n.fleet.World
+	fleet, world := n.fleet, n.fleet.World
 	n.session, n.leaving = session{}, false
 	inc := uint64(world.Rng.Int63()) >> 24
 	n.node = index.New(n.Name, n.Zone, inc)
 	holder := fmt.Sprintf("%s#%x", n.Name, inc)
 	node := n.node
-	f.keepSession(n.Host, &n.session, func() *fb.NodeT {
+	fleet.keepSession(n.Host, &n.session, func() *fb.NodeT {
 		status := &fb.NodeT{Name: n.Name, Role: "custodian", Zone: n.Zone, Addr: n.Name, Incarnation: inc, Ready: !n.leaving}
 		return codec.AddIndexNodeStatus(node, n.Clock(), status)
 	}, nil)
 	n.Every(200_000, func() {
 		at := n.Clock()
-		Call(n.Host, f.Platform, 0, 600_000, func(_ int, rep func([]index.ListedEngine)) { rep(slices.Clone(f.listing)) },
+		Call(n.Host, fleet.Platform, 0, 600_000, func(_ int, reply func([]index.ListedEngine)) { reply(slices.Clone(fleet.listing)) },
 			func(l []index.ListedEngine) { node.SetListing(at, l) }, func() {
-				if !f.Platform.up { // its machine refuses connections
+				if !fleet.Platform.up { // its machine refuses connections
 					node.ConfirmListing(at)
 				}
 			})
@@ -280,11 +280,11 @@
 		if n.session.plan.Plan != nil {
 			node.ApplyPlan(n.session.plan.Plan, n.session.plan.ConfirmedAt)
 		}
-		cs, me := codec.ReadyIndexNodes(n.session.nodes, n.Name)
+		peers, me := codec.ReadyIndexNodes(n.session.nodes, n.Name)
 		if !me && !n.leaving {
 			return
 		}
-		if node.SetPeers(cs); n.leaving {
+		if node.SetPeers(peers); n.leaving {
 			if node.SetPeers(nil); node.HoldsNoLeases() {
 				n.Kill()
 				return
@@ -292,13 +292,13 @@
 		}
 		asks := node.LeaseOps(now)
 		world.orderDuties(asks)
-		for _, a := range asks {
-			op := quorum.Operation{Type: quorum.OpAcquire, Key: a.Key, ExpectedRevision: a.Token, Holder: holder, LeaseDuration: index.LeaseDuration}
-			if a.Release {
+		for _, leaseOp := range asks {
+			op := quorum.Operation{Type: quorum.OpAcquire, Key: leaseOp.Key, ExpectedRevision: leaseOp.Token, Holder: holder, LeaseDuration: index.LeaseDuration}
+			if leaseOp.Release {
 				op.Type = quorum.OpRelease
 			}
-			f.propose(n.Host, &n.session, world.Rng.Intn(4), op, 1_000_000, func(ans quorum.Result, ok bool) {
-				node.LeaseAnswered(n.Clock(), a, now, ok && ans.Status == quorum.StatusDone, ans.Revision)
+			fleet.propose(n.Host, &n.session, world.Rng.Intn(4), op, 1_000_000, func(ans quorum.Result, ok bool) {
+				node.LeaseAnswered(n.Clock(), leaseOp, now, ok && ans.Status == quorum.StatusDone, ans.Revision)
 			})
 		}
 	})
@@ -308,9 +308,9 @@
 			n.pollEngine(node, p)
 		}
 		for _, t := range node.WeightUpdates(now) {
-			if e := f.engineNamed(t.Engine); e != nil {
-				world.observe("turn", n.Name, e.Name, t)
-				n.Send(e.Host, func() { e.updateWeights(t.Weights, t.FencingToken) })
+			if engine := fleet.engineNamed(t.Engine); engine != nil {
+				world.observe("turn", n.Name, engine.Name, t)
+				n.Send(engine.Host, func() { engine.updateWeights(t.Weights, t.FencingToken) })
 			}
 		}
 	})
@@ -318,15 +318,15 @@
 }
 
 // room answers an agent, or passes its question on to the index node that it is for.
-func (n *IndexNode) issueGrants(q *fb.CapacityRequestT, reply func(*fb.CapacityResponseT)) {
-	if q.To == "" || q.To == n.Name {
-		t := codec.AnswerCapacity(n.node, n.Clock(), n.Name, q)
-		n.fleet.World.orderNews(t.Updates, t.UpdatesReset)
-		reply(t)
+func (n *IndexNode) issueGrants(request *fb.CapacityRequestT, reply func(*fb.CapacityResponseT)) {
+	if request.To == "" || request.To == n.Name {
+		response := codec.AnswerCapacity(n.node, n.Clock(), n.Name, request)
+		n.fleet.World.orderNews(response.Updates, response.UpdatesReset)
+		reply(response)
 		return
 	}
-	if o := n.fleet.indexNodeNamed(q.To); o != nil {
-		Call(n.Host, o.Host, q, relayTimeout, o.issueGrants, reply, func() {})
+	if other := n.fleet.indexNodeNamed(request.To); other != nil {
+		Call(n.Host, other.Host, request, relayTimeout, other.issueGrants, reply, func() {})
 	}
 }
 
@@ -339,51 +339,53 @@
 	parts    []cacheindex.Key
 }
 
-func (n *IndexNode) pollEngine(k *index.Node, p index.Poll) {
-	e := n.fleet.engineNamed(p.Engine)
-	if e == nil {
+func (n *IndexNode) pollEngine(indexNode *index.Node, p index.Poll) {
+	engine := n.fleet.engineNamed(p.Engine)
+	if engine == nil {
 		return
 	}
 	ask := func(inc, after uint64) {
 		at := n.Clock()
-		Call(n.Host, e.Host, 0, 800_000, func(_ int, rep func(index.Report)) { rep(e.report(inc, after)) },
-			func(r index.Report) { k.ApplyReport(n.Clock(), at, p.Engine, r) }, func() {})
+		Call(n.Host, engine.Host, 0, 800_000, func(_ int, rep func(index.Report)) { rep(engine.report(inc, after)) },
+			func(report index.Report) { indexNode.ApplyReport(n.Clock(), at, p.Engine, report) }, func() {})
 	}
 	if !p.NeedsHoldings {
 		ask(p.Incarnation, p.AfterSeq)
 		return
 	}
-	Call(n.Host, e.Host, 0, 800_000, func(_ int, rep func(engineParts)) { rep(engineParts{e.incarnation, e.lastSequence, e.heldBlocks()}) },
+	Call(n.Host, engine.Host, 0, 800_000, func(_ int, rep func(engineParts)) {
+		rep(engineParts{engine.incarnation, engine.lastSequence, engine.heldBlocks()})
+	},
 		func(x engineParts) {
-			k.ResetHoldings(n.Clock(), p.Engine, x.inc, x.seq, x.parts)
+			indexNode.ResetHoldings(n.Clock(), p.Engine, x.inc, x.seq, x.parts)
 			ask(x.inc, x.seq)
 		}, func() {})
 }
 
-func (n *IndexNode) followPeers(k *index.Node) {
-	cs, _ := codec.ReadyIndexNodes(n.session.nodes, n.Name)
-	for _, p := range cs {
-		o := n.fleet.indexNodeNamed(p.Name)
-		if o == nil || n.fleet.World.Rng.Intn(1000) < n.fleet.EventLossPermille {
+func (n *IndexNode) followPeers(indexNode *index.Node) {
+	peers, _ := codec.ReadyIndexNodes(n.session.nodes, n.Name)
+	for _, p := range peers {
+		other := n.fleet.indexNodeNamed(p.Name)
+		if other == nil || n.fleet.World.Rng.Intn(1000) < n.fleet.EventLossPermille {
 			continue
 		}
 		ask := func(q *fb.UpdatesRequestT, got func(*fb.UpdatesResponseT)) {
 			q.From = n.Name
-			Call(n.Host, o.Host, q, 800_000, func(q *fb.UpdatesRequestT, rep func(*fb.UpdatesResponseT)) { rep(o.newsTell(q)) }, got, func() {})
+			Call(n.Host, other.Host, q, 800_000, func(q *fb.UpdatesRequestT, reply func(*fb.UpdatesResponseT)) { reply(other.newsTell(q)) }, got, func() {})
 		}
-		if mine := k.HeldShards(n.Clock()); len(mine) > 0 {
-			cur := k.HoldingsCursor(p.Name)
-			ask(&fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: mine, Incarnation: cur.Incarnation, Since: cur.Next}, func(t *fb.UpdatesResponseT) {
-				if k.HoldingsCursor(p.Name) == cur {
-					codec.ApplyHoldings(k, n.Clock(), p.Name, t)
+		if mine := indexNode.HeldShards(n.Clock()); len(mine) > 0 {
+			cur := indexNode.HoldingsCursor(p.Name)
+			ask(&fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: mine, Incarnation: cur.Incarnation, Since: cur.Next}, func(response *fb.UpdatesResponseT) {
+				if indexNode.HoldingsCursor(p.Name) == cur {
+					codec.ApplyHoldings(indexNode, n.Clock(), p.Name, response)
 				}
 			})
 		}
-		for _, s := range k.ServedZones() {
-			cur := *k.ZoneCursor(s, p.Name)
-			ask(&fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: s, Incarnation: cur.Incarnation, Since: cur.Next}, func(t *fb.UpdatesResponseT) {
-				if *k.ZoneCursor(s, p.Name) == cur {
-					k.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(t))
+		for _, s := range indexNode.ServedZones() {
+			cur := *indexNode.ZoneCursor(s, p.Name)
+			ask(&fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: s, Incarnation: cur.Incarnation, Since: cur.Next}, func(response *fb.UpdatesResponseT) {
+				if *indexNode.ZoneCursor(s, p.Name) == cur {
+					indexNode.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(response))
 				}
 			})
 		}
@@ -392,25 +394,25 @@
 
 // newsTell answers another index node.
 func (n *IndexNode) newsTell(q *fb.UpdatesRequestT) *fb.UpdatesResponseT {
-	t := codec.AnswerUpdates(n.node, q)
-	n.fleet.World.orderNews(t.Updates, t.Reset)
-	n.fleet.World.orderPlaces(t.Locations)
-	return t
+	response := codec.AnswerUpdates(n.node, q)
+	n.fleet.World.orderNews(response.Updates, response.Reset)
+	n.fleet.World.orderPlaces(response.Locations)
+	return response
 }
 
 func (f *Fleet) engineNamed(n string) *Engine {
-	for _, e := range f.Engines {
-		if e.Name == n {
-			return e
+	for _, engine := range f.Engines {
+		if engine.Name == n {
+			return engine
 		}
 	}
 	return nil
 }
 
 func (f *Fleet) indexNodeNamed(n string) *IndexNode {
-	for _, c := range f.IndexNodes {
-		if c.Name == n {
-			return c
+	for _, indexNode := range f.IndexNodes {
+		if indexNode.Name == n {
+			return indexNode
 		}
 	}
 	return nil
@@ -434,13 +436,13 @@
 	a.Every(120_000, func() {
 		for _, query := range agent.Queries(a.Clock(), a.session.nodes) {
 			indexNode, at := a.fleet.indexNodeNamed(query.Via), a.Clock()
-			Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(t *fb.CapacityResponseT) {
+			Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(response *fb.CapacityResponseT) {
 				if a.fleet.HideTransferScores {
-					for _, o := range t.Grants {
+					for _, o := range response.Grants {
 						o.TransferScores = nil
 					}
 				}
-				agent.HandleReply(query, at, t)
+				agent.HandleReply(query, at, response)
 			}, func() { agent.HandleReply(query, at, nil) })
 		}
 	})
@@ -478,51 +480,51 @@
 }
 
 func (g *Gateway) start() {
-	f := g.fleet
-	g.incarnation = uint64(f.World.Rng.Int63()) >> 24
+	fleet := g.fleet
+	g.incarnation = uint64(fleet.World.Rng.Int63()) >> 24
 	g.dispatcher, g.plan, g.hints, g.hintCursor, g.requests = dispatch.New(g.Name, g.Zone, g.incarnation), plan.Cached{}, cacheindex.NewTable(4096), codec.Cursor{}, map[uint64]*callerRequest{}
-	d := g.dispatcher
+	dispatcher := g.dispatcher
 	g.Every(100_000, func() {
-		q := codec.FillFeedRequest(d, &fb.FeedRequestT{Node: &fb.NodeT{Name: g.Name, Role: "remisier", Zone: g.Zone, Incarnation: g.incarnation, Ready: true},
+		q := codec.FillFeedRequest(dispatcher, &fb.FeedRequestT{Node: &fb.NodeT{Name: g.Name, Role: "remisier", Zone: g.Zone, Incarnation: g.incarnation, Ready: true},
 			HaveRevision: g.plan.Revision, UpdatesIncarnation: g.hintCursor.Inc, UpdatesSince: g.hintCursor.Next})
 		at := g.Clock()
-		r := g.agent
-		Call(g.Host, r.Host, q, 500_000, func(q *fb.FeedRequestT, rep func(*fb.FeedResponseT)) {
-			r.status = q.Node
-			rep(r.agent.Poll(r.Clock(), &r.session.plan, r.session.generation, q))
-		}, func(t *fb.FeedResponseT) {
+		agent := g.agent
+		Call(g.Host, agent.Host, q, 500_000, func(q *fb.FeedRequestT, reply func(*fb.FeedResponseT)) {
+			agent.status = q.Node
+			reply(agent.agent.Poll(agent.Clock(), &agent.session.plan, agent.session.generation, q))
+		}, func(response *fb.FeedResponseT) {
 			old := g.plan.Revision
-			g.plan, _, _ = g.plan.Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
+			g.plan, _, _ = g.plan.Apply(plan.Update{Revision: response.Revision, Age: response.Age, Raw: response.Plan, Confirmed: response.Confirmed}, at)
 			if g.plan.Revision < old {
-				f.World.Violation("fell back", "%s from revision %d to %d", g.Name, old, g.plan.Revision)
+				fleet.World.Violation("fell back", "%s from revision %d to %d", g.Name, old, g.plan.Revision)
 			}
 			if g.plan.Plan != nil {
-				g.perform(d.ApplyPlan(g.Clock(), g.plan.Plan, g.plan.ConfirmedAt))
+				g.perform(dispatcher.ApplyPlan(g.Clock(), g.plan.Plan, g.plan.ConfirmedAt))
 			}
-			g.perform(d.ApplyGrants(g.Clock(), codec.UnpackGrants(t.Grants, g.Clock()-at)))
-			g.hintCursor = codec.ApplyUpdates(g.hints, g.hintCursor, t)
-			f.callerGeneration = max(f.callerGeneration, t.Generation)
+			g.perform(dispatcher.ApplyGrants(g.Clock(), codec.UnpackGrants(response.Grants, g.Clock()-at)))
+			g.hintCursor = codec.ApplyUpdates(g.hints, g.hintCursor, response)
+			fleet.callerGeneration = max(fleet.callerGeneration, response.Generation)
 		}, func() {})
 	})
-	g.Every(dispatch.TickInterval, func() { g.perform(d.Tick(g.Clock())) })
+	g.Every(dispatch.TickInterval, func() { g.perform(dispatcher.Tick(g.Clock())) })
 }
 
 // died tells callers and engines that their wires broke.
 func (g *Gateway) stopped() {
-	f := g.fleet
+	fleet := g.fleet
 	c := g.dispatcher.Counters
-	f.Tally.Arrived += c.Arrived
-	f.Tally.Retries += c.Retries
-	f.Tally.Attempts += c.Attempts
+	fleet.Tally.Arrived += c.Arrived
+	fleet.Tally.Retries += c.Retries
+	fleet.Tally.Attempts += c.Attempts
 	for _, ref := range sortedRefs(g.requests) {
-		s := g.requests[ref]
-		if !s.ended {
-			s.ended = true
-			f.Tally.Lost++
+		request := g.requests[ref]
+		if !request.ended {
+			request.ended = true
+			fleet.Tally.Lost++
 		}
-		for _, a := range s.attempts {
-			if r := s.runs[a]; r != nil {
-				r.cancel()
+		for _, a := range request.attempts {
+			if run := request.runs[a]; run != nil {
+				run.cancel()
 			}
 		}
 	}
@@ -540,11 +542,11 @@
 
 // arrive is a ticket at the proxy's door.
 func (g *Gateway) admit(sent *callerRequest, prompt string, dueUS int64) {
-	f := g.fleet
+	fleet := g.fleet
 	now := g.Clock()
-	sent.deadline = f.World.now + dueUS // it counts from arrival
+	sent.deadline = fleet.World.now + dueUS // it counts from arrival
 	compiled := g.plan.Plan
-	refused := func(why string) { f.requestEnded(sent, attempt.Rejected, why) }
+	refused := func(why string) { fleet.requestEnded(sent, attempt.Rejected, why) }
 	if compiled == nil || g.plan.Age(now) > dispatch.MaxPlanAge {
 		refused("plan-not-fresh")
 		return
@@ -568,69 +570,69 @@
 	}
 	sent.planRevision, sent.runs = compiled.Revision, map[string]*engineRun{}
 	g.requests[request.Ref] = sent
-	acts, no := g.dispatcher.Admit(now, request)
-	if no != nil {
+	actions, rejection := g.dispatcher.Admit(now, request)
+	if rejection != nil {
 		delete(g.requests, request.Ref)
-		refused(no.Reason)
+		refused(rejection.Reason)
 		return
 	}
-	f.checker.requestAdmitted(sent)
-	g.perform(acts)
+	fleet.checker.requestAdmitted(sent)
+	g.perform(actions)
 }
 
-func (g *Gateway) perform(acts []dispatch.Action) {
-	f := g.fleet
-	for _, a := range acts {
-		f.World.observe("act", g.Name, "", a)
-		s := g.requests[a.Ref]
-		switch a.Type {
+func (g *Gateway) perform(actions []dispatch.Action) {
+	fleet := g.fleet
+	for _, action := range actions {
+		fleet.World.observe("act", g.Name, "", action)
+		request := g.requests[action.Ref]
+		switch action.Type {
 		case dispatch.ActionClaim, dispatch.ActionReleaseClaim:
-			op := quorum.Operation{Type: quorum.OpClaim, Key: a.ClaimKey, Value: []byte(a.ClaimNonce)}
-			if a.Type == dispatch.ActionReleaseClaim {
+			op := quorum.Operation{Type: quorum.OpClaim, Key: action.ClaimKey, Value: []byte(action.ClaimNonce)}
+			if action.Type == dispatch.ActionReleaseClaim {
 				op.Type = quorum.OpUnclaim
 			}
-			g.claim(a, op)
+			g.claim(action, op)
 		case dispatch.ActionStartAttempt:
-			if s != nil {
-				g.startAttempt(s, a)
+			if request != nil {
+				g.startAttempt(request, action)
 			}
 		case dispatch.ActionCancelAttempt:
-			if s != nil {
-				if r := s.runs[a.AttemptID]; r != nil {
-					r.cancel()
+			if request != nil {
+				if run := request.runs[action.AttemptID]; run != nil {
+					run.cancel()
 				}
 			}
 		case dispatch.ActionFinish:
-			if s != nil {
-				delete(g.requests, a.Ref)
-				f.requestEnded(s, a.Outcome, a.Reason)
+			if request != nil {
+				delete(g.requests, action.Ref)
+				fleet.requestEnded(request, action.Outcome, action.Reason)
 			}
 		}
 	}
 }
 
 // claim goes by the agent to the control nodes, as in the daemons.
-func (g *Gateway) claim(a dispatch.Action, op quorum.Operation) {
-	r := g.agent
-	Call(g.Host, r.Host, op, 2_000_000, func(q quorum.Operation, rep func(quorum.Result)) {
-		g.fleet.propose(r.Host, &r.session, r.session.current, q, 1_900_000, func(ans quorum.Result, ok bool) {
+func (g *Gateway) claim(action dispatch.Action, op quorum.Operation) {
+	agent := g.agent
+	Call(g.Host, agent.Host, op, 2_000_000, func(operation quorum.Operation, reply func(quorum.Result)) {
+		g.fleet.propose(agent.Host, &agent.session, agent.session.current, operation, 1_900_000, func(ans quorum.Result, ok bool) {
 			if !ok {
 				ans.Status = quorum.StatusUnknown
 			}
-			rep(ans)
+			reply(ans)
 		})
 	}, func(ans quorum.Result) {
-		if a.Type != dispatch.ActionClaim {
+		if action.Type != dispatch.ActionClaim {
 			return
 		}
-		c := map[quorum.Status]attempt.ClaimState{quorum.StatusDone: attempt.ClaimGranted, quorum.StatusConflict: attempt.ClaimTaken, quorum.StatusGenerationClosed: attempt.ClaimClosed}[ans.Status]
-		if c == attempt.ClaimNotRequested {
-			c = attempt.ClaimUnknown
+		claim := map[quorum.Status]attempt.ClaimState{quorum.StatusDone: attempt.ClaimGranted, quorum.StatusConflict: attempt.ClaimTaken, quorum.StatusGenerationClosed: attempt.ClaimClosed}[ans.Status]
+		if claim == attempt.ClaimNotRequested {
+			claim = attempt.ClaimUnknown
 		}
-		g.perform(g.dispatcher.ClaimAnswered(g.Clock(), a.Ref, c))
+		g.perform(g.dispatcher.ClaimAnswered(g.Clock(), action.Ref, claim))
 	}, func() {
-		if a.Type == dispatch.ActionClaim {
-			g.perform(g.dispatcher.ClaimAnswered(g.Clock(), a.Ref, attempt.ClaimUnknown))
+		if action.Type == dispatch.ActionClaim {
+			g.perform(g.dispatcher.ClaimAnswered(g.Clock(), action.Ref, attempt.ClaimUnknown))
 		}
 	})
 }
@@ -641,52 +643,52 @@
 	cause string
 }
 
-func (g *Gateway) progress(a dispatch.Action, st attempt.State, cause string) {
-	g.fleet.World.observe("attempt", g.Name, a.AttemptID, attemptNote{st, cause})
-	g.perform(g.dispatcher.AttemptProgressed(g.Clock(), a.Ref, a.AttemptID, st, cause))
+func (g *Gateway) progress(action dispatch.Action, st attempt.State, cause string) {
+	g.fleet.World.observe("attempt", g.Name, action.AttemptID, attemptNote{st, cause})
+	g.perform(g.dispatcher.AttemptProgressed(g.Clock(), action.Ref, action.AttemptID, st, cause))
 }
 
 // startRun dials an engine: a connection that fails is proof that nothing began.
-func (g *Gateway) startAttempt(s *callerRequest, a dispatch.Action) {
-	f := g.fleet
-	s.attempts = append(s.attempts, a.AttemptID)
-	e := f.engineNamed(a.Grant.Addr)
-	if g.Clock() > a.StartBefore {
-		g.After(1, func() { g.progress(a, attempt.NotStarted, "woke-late") })
+func (g *Gateway) startAttempt(request *callerRequest, action dispatch.Action) {
+	fleet := g.fleet
+	request.attempts = append(request.attempts, action.AttemptID)
+	engine := fleet.engineNamed(action.Grant.Addr)
+	if g.Clock() > action.StartBefore {
+		g.After(1, func() { g.progress(action, attempt.NotStarted, "woke-late") })
 		return
 	}
-	if e == nil || !e.up {
-		g.After(300, func() { g.progress(a, attempt.NotStarted, "unreachable") })
+	if engine == nil || !engine.up {
+		g.After(300, func() { g.progress(action, attempt.NotStarted, "unreachable") })
 		return
 	}
-	if e.frozen || f.World.cutLinks[[2]string{g.Name, e.Name}] || f.World.cutLinks[[2]string{e.Name, g.Name}] {
-		g.After(400_000, func() { g.progress(a, attempt.NotStarted, "unreachable") })
+	if engine.frozen || fleet.World.cutLinks[[2]string{g.Name, engine.Name}] || fleet.World.cutLinks[[2]string{engine.Name, g.Name}] {
+		g.After(400_000, func() { g.progress(action, attempt.NotStarted, "unreachable") })
 		return
 	}
-	r := &engineRun{fleet: f, request: s, gateway: g, action: a, engine: e, engineProcess: e.process, gatewayProcess: g.process}
-	s.runs[a.AttemptID] = r
-	g.Send(e.Host, func() { e.startRun(r) })
+	run := &engineRun{fleet: fleet, request: request, gateway: g, action: action, engine: engine, engineProcess: engine.process, gatewayProcess: g.process}
+	request.runs[action.AttemptID] = run
+	g.Send(engine.Host, func() { engine.startRun(run) })
 	// A wire whose far end dies is noticed; one whose messages are lost only by
 	// the due.
-	g.After(5_000, func() { r.checkEngine() })
+	g.After(5_000, func() { run.checkEngine() })
 }
 
 // out passes a piece on to the caller.
-func (g *Gateway) deliverPiece(r *engineRun, n int) {
-	g.fleet.World.observe("piece", g.Name, r.action.AttemptID, n)
-	s := r.request
-	if s.ended || g.requests[r.action.Ref] != s {
+func (g *Gateway) deliverPiece(run *engineRun, n int) {
+	g.fleet.World.observe("piece", g.Name, run.action.AttemptID, n)
+	request := run.request
+	if request.ended || g.requests[run.action.Ref] != request {
 		return
 	}
-	if n == 0 && !g.dispatcher.AllowFirstByte(r.action.Ref, r.action.AttemptID) {
+	if n == 0 && !g.dispatcher.AllowFirstByte(run.action.Ref, run.action.AttemptID) {
 		return
 	}
-	if s.piecesFrom != "" && s.piecesFrom != r.action.AttemptID || n != s.pieces {
-		g.fleet.World.Violation("stitched", "%s/%s got piece %d of %s after %d of %s", s.group, s.id, n, r.action.AttemptID, s.pieces, s.piecesFrom)
+	if request.piecesFrom != "" && request.piecesFrom != run.action.AttemptID || n != request.pieces {
+		g.fleet.World.Violation("stitched", "%s/%s got piece %d of %s after %d of %s", request.group, request.id, n, run.action.AttemptID, request.pieces, request.piecesFrom)
 	}
-	s.piecesFrom = r.action.AttemptID
-	s.pieces++
-	g.fleet.checker.pieceDelivered(s)
+	request.piecesFrom = run.action.AttemptID
+	request.pieces++
+	g.fleet.checker.pieceDelivered(request)
 }
 
 // ticketEnd is what an observer is told of a ticket's end.
@@ -696,12 +698,12 @@
 }
 
 // ended is what the caller is told last.
-func (f *Fleet) requestEnded(s *callerRequest, o attempt.Outcome, why string) {
-	if s.ended {
-		f.World.Violation("two ends", "%s/%s", s.group, s.id)
+func (f *Fleet) requestEnded(request *callerRequest, outcome attempt.Outcome, why string) {
+	if request.ended {
+		f.World.Violation("two ends", "%s/%s", request.group, request.id)
 	}
-	f.World.observe("ended", s.group, s.id, ticketEnd{o, why})
-	s.ended = true
-	s.reason = why
-	f.checker.requestEnded(s, o, why)
+	f.World.observe("ended", request.group, request.id, ticketEnd{outcome, why})
+	request.ended = true
+	request.reason = why
+	f.checker.requestEnded(request, outcome, why)
 }
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -10,17 +10,17 @@
 // TestFleetDays: none of what must never happen does, on any kind of day, and
 // service is back within ten seconds of the last fault.
 func TestFleetDays(t *testing.T) {
-	for _, d := range Days {
-		t.Run(string(d), func(t *testing.T) {
+	for _, day := range Days {
+		t.Run(string(day), func(t *testing.T) {
 			t.Parallel()
 			done := 0
 			for seed := int64(1); seed <= 2; seed++ {
-				r := RunFleet(seed, d, 20_000_000, small)
-				if len(r.Violations) > 0 {
-					t.Fatalf("seed %d: %v\n%s", seed, r.Violations, strings.Join(r.Notes[max(0, len(r.Notes)-60):], "\n"))
+				result := RunFleet(seed, day, 20_000_000, small)
+				if len(result.Violations) > 0 {
+					t.Fatalf("seed %d: %v\n%s", seed, result.Violations, strings.Join(result.Notes[max(0, len(result.Notes)-60):], "\n"))
 				}
-				done += r.Done
-				t.Logf("%+v back %d", r.Tally, r.RecoveryUS)
+				done += result.Done
+				t.Logf("%+v back %d", result.Tally, result.RecoveryUS)
 			}
 			if done < 200 {
 				t.Fatalf("only %d tickets were done; the days prove nothing", done)
@@ -41,28 +41,28 @@
 // bound is over, and the others carry on.
 func TestStuckEngine(t *testing.T) {
 	t.Parallel()
-	f := NewFleet(4, small)
-	f.engineNamed("e02").ignoresWeights = true
-	s := NewFleetOperator(f)
-	world := f.World
-	world.At(1_300_000, func() { s.PutPlan(nil) })
-	world.At(2_500_000, func() { f.sendRequests(s, 40_000_000) })
-	world.At(5_000_000, s.NameWeights)
+	fleet := NewFleet(4, small)
+	fleet.engineNamed("e02").ignoresWeights = true
+	operator := NewFleetOperator(fleet)
+	world := fleet.World
+	world.At(1_300_000, func() { operator.PutPlan(nil) })
+	world.At(2_500_000, func() { fleet.sendRequests(operator, 40_000_000) })
+	world.At(5_000_000, operator.NameWeights)
 	world.Run(40_000_000)
 	if len(world.violations) > 0 {
 		t.Fatal(world.violations)
 	}
-	if f.Tally.WeightsNamed != 1 || f.Tally.Done < 500 {
-		t.Fatalf("%+v", f.Tally)
+	if fleet.Tally.WeightsNamed != 1 || fleet.Tally.Done < 500 {
+		t.Fatalf("%+v", fleet.Tally)
 	}
 	late := 0
-	for _, r := range f.engineNamed("e02").startTimes {
+	for _, r := range fleet.engineNamed("e02").startTimes {
 		if r > 5_000_000+weightUpdateBoundUS {
 			late++
 		}
 	}
-	if late > 0 || len(f.engineNamed("e02").startTimes) == 0 {
-		t.Fatalf("the stuck engine ran %d tickets, %d after the bound", len(f.engineNamed("e02").startTimes), late)
+	if late > 0 || len(fleet.engineNamed("e02").startTimes) == 0 {
+		t.Fatalf("the stuck engine ran %d tickets, %d after the bound", len(fleet.engineNamed("e02").startTimes), late)
 	}
 }
 
@@ -71,21 +71,21 @@
 func TestHandOversAreLearnt(t *testing.T) {
 	t.Parallel()
 	run := func(unlearnt bool) Tally {
-		f := NewFleet(6, FleetSize{Gateways: 4, Engines: 8})
-		f.HideTransferScores = unlearnt
-		f.SlowTransfersFrom = map[string]bool{"e00": true, "e02": true, "e04": true, "e06": true}
-		f.Documents = 8
-		for _, e := range f.Engines {
-			e.capacity, e.maxBlocks = 4, 60 // parts come and go, so that there is something to hand over
+		fleet := NewFleet(6, FleetSize{Gateways: 4, Engines: 8})
+		fleet.HideTransferScores = unlearnt
+		fleet.SlowTransfersFrom = map[string]bool{"e00": true, "e02": true, "e04": true, "e06": true}
+		fleet.Documents = 8
+		for _, engine := range fleet.Engines {
+			engine.capacity, engine.maxBlocks = 4, 60 // parts come and go, so that there is something to hand over
 		}
-		s := NewFleetOperator(f)
-		f.World.At(1_300_000, func() { s.PutPlan(nil) })
-		f.World.At(2_500_000, func() { f.sendRequests(s, 60_000_000) })
-		f.World.Run(65_000_000)
-		if len(f.World.violations) > 0 {
-			t.Fatal(f.World.violations)
+		operator := NewFleetOperator(fleet)
+		fleet.World.At(1_300_000, func() { operator.PutPlan(nil) })
+		fleet.World.At(2_500_000, func() { fleet.sendRequests(operator, 60_000_000) })
+		fleet.World.Run(65_000_000)
+		if len(fleet.World.violations) > 0 {
+			t.Fatal(fleet.World.violations)
 		}
-		return f.Tally
+		return fleet.Tally
 	}
 	with, without := run(false), run(true)
 	mean := func(x Tally) int64 { return x.FirstUS / int64(x.Runs) }
@@ -100,29 +100,29 @@
 // what runs before a key that was taken meanwhile has worked for five seconds.
 func TestCutOffProxyEndsStreams(t *testing.T) {
 	t.Parallel()
-	f := NewFleet(8, small)
-	s := NewFleetOperator(f)
-	world := f.World
-	world.At(1_300_000, func() { s.PutPlan(nil) })
+	fleet := NewFleet(8, small)
+	operator := NewFleetOperator(fleet)
+	world := fleet.World
+	world.At(1_300_000, func() { operator.PutPlan(nil) })
 	began := 0
 	world.At(5_000_000, func() {
-		p := f.Gateways[0]
+		gateway := fleet.Gateways[0]
 		for i := 0; i < 6; i++ {
-			x := &callerRequest{group: "desk", kind: "check", id: string(rune('a' + i)), keyDigest: simKey("desk", 0), gateway: p, pieceDelayUS: 1_500_000}
-			p.After(int64(300+i*100), func() { p.admit(x, "long", 8_000_000) })
+			request := &callerRequest{group: "desk", kind: "check", id: string(rune('a' + i)), keyDigest: simKey("desk", 0), gateway: gateway, pieceDelayUS: 1_500_000}
+			gateway.After(int64(300+i*100), func() { gateway.admit(request, "long", 8_000_000) })
 		}
 	})
 	world.At(5_400_000, func() {
-		began = f.Tally.Runs
-		world.Isolate(f.Agents[0].Name) // the agent is cut off; caller, proxy and engines are not
-		s.RevokeKey("desk")
+		began = fleet.Tally.Runs
+		world.Isolate(fleet.Agents[0].Name) // the agent is cut off; caller, proxy and engines are not
+		operator.RevokeKey("desk")
 	})
 	world.Run(16_000_000)
 	if len(world.violations) > 0 {
 		t.Fatal(world.violations)
 	}
-	if began < 6 || f.Tally.KeysRevoked != 1 || f.Tally.Unknown < 6 {
-		t.Fatalf("%d ran; %+v", began, f.Tally)
+	if began < 6 || fleet.Tally.KeysRevoked != 1 || fleet.Tally.Unknown < 6 {
+		t.Fatalf("%d ran; %+v", began, fleet.Tally)
 	}
 }
 
@@ -130,26 +130,26 @@
 // silent; it gets nothing new all the same, and service is back with the platform.
 func TestPlatformOutOfReach(t *testing.T) {
 	t.Parallel()
-	f := NewFleet(12, small)
-	s := NewFleetOperator(f)
-	world := f.World
-	world.At(1_300_000, func() { s.PutPlan(nil) })
-	world.At(2_500_000, func() { f.sendRequests(s, 20_000_000) })
+	fleet := NewFleet(12, small)
+	operator := NewFleetOperator(fleet)
+	world := fleet.World
+	world.At(1_300_000, func() { operator.PutPlan(nil) })
+	world.At(2_500_000, func() { fleet.sendRequests(operator, 20_000_000) })
 	world.At(5_000_000, func() {
 		world.Isolate("platform")
 		for _, e := range []string{"e00", "e01", "e02"} {
-			s.DrainEngine(e, 8_000_000)
+			operator.DrainEngine(e, 8_000_000)
 		}
 	})
 	world.At(12_000_000, world.HealAll)
 	world.Run(12_500_000)
-	was := f.Tally.Done
+	was := fleet.Tally.Done
 	world.Run(20_000_000)
 	if len(world.violations) > 0 {
 		t.Fatal(world.violations)
 	}
-	if f.Tally.EnginesDrained != 3 || f.Tally.Done-was < 100 {
-		t.Fatalf("%d done after it was back; %+v", f.Tally.Done-was, f.Tally)
+	if fleet.Tally.EnginesDrained != 3 || fleet.Tally.Done-was < 100 {
+		t.Fatalf("%d done after it was back; %+v", fleet.Tally.Done-was, fleet.Tally)
 	}
 }
 
@@ -158,32 +158,32 @@
 // them on those parts.
 func TestFrozenEngineAndAWall(t *testing.T) {
 	t.Parallel()
-	f := NewFleet(3, FleetSize{Gateways: 2, Engines: 1})
-	s := NewFleetOperator(f)
-	world := f.World
-	e := f.engineNamed("e00")
-	send1 := func(g, id string) {
-		p := f.Gateways[0]
-		x := &callerRequest{group: g, kind: "check", id: id, keyDigest: simKey(g, 0), gateway: p}
-		p.admit(x, strings.Repeat("words that both groups send. ", 300), 8_000_000)
+	fleet := NewFleet(3, FleetSize{Gateways: 2, Engines: 1})
+	operator := NewFleetOperator(fleet)
+	world := fleet.World
+	engine := fleet.engineNamed("e00")
+	send1 := func(group, id string) {
+		gateway := fleet.Gateways[0]
+		request := &callerRequest{group: group, kind: "check", id: id, keyDigest: simKey(group, 0), gateway: gateway}
+		gateway.admit(request, strings.Repeat("words that both groups send. ", 300), 8_000_000)
 	}
-	world.At(1_300_000, func() { s.PutPlan(nil) })
+	world.At(1_300_000, func() { operator.PutPlan(nil) })
 	world.At(5_000_000, func() { send1("desk", "made") })
 	reused, sent := 0, 0
-	world.At(7_000_000, func() { send1("east", "goes-on"); reused = f.Tally.Reused })
+	world.At(7_000_000, func() { send1("east", "goes-on"); reused = fleet.Tally.Reused })
 	world.At(8_000_000, func() {
-		reused = f.Tally.Reused - reused
+		reused = fleet.Tally.Reused - reused
 		send1("east", "on-its-way")
-		sent = f.Tally.Runs
-		world.At(world.now+100, e.Freeze)
-		s.ToggleIsolation("desk")
+		sent = fleet.Tally.Runs
+		world.At(world.now+100, engine.Freeze)
+		operator.ToggleIsolation("desk")
 	})
-	world.At(11_500_000, e.Thaw)
+	world.At(11_500_000, engine.Thaw)
 	world.Run(18_000_000)
 	if len(world.violations) > 0 {
 		t.Fatal(world.violations)
 	}
-	if reused == 0 || sent != 2 || f.Tally.IsolationChanges != 1 || f.Tally.Done < 2 {
-		t.Fatalf("%d reused, %d sent: %+v", reused, sent, f.Tally)
+	if reused == 0 || sent != 2 || fleet.Tally.IsolationChanges != 1 || fleet.Tally.Done < 2 {
+		t.Fatalf("%d reused, %d sent: %+v", reused, sent, fleet.Tally)
 	}
 }
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -104,12 +104,12 @@
 	}
 	add("snapshot", func(t *testing.T, seed int64) []string {
 		d := newSnapshotDay(t, seed, 60)
-		r := d.alive()[0]
-		r.Kill()
-		r.loseDisk()
+		node := d.alive()[0]
+		node.Kill()
+		node.loseDisk()
 		d.world.Run(d.world.now + 1_000_000)
-		r.Start()
-		d.until(d.size.sync, func() bool { return d.caughtUp(r) })
+		node.Start()
+		d.until(d.size.sync, func() bool { return d.caughtUp(node) })
 		return d.world.violations
 	})
 	for _, fault := range []string{"the owner of most engines dies in a roll-out", "a site is lost"} {
@@ -268,9 +268,9 @@
 	e.out = append(e.out, 0)
 }
 
-func (e *goldenEncoder) bytes(b []byte) {
-	e.number(int64(len(b)))
-	e.out = append(e.out, b...)
+func (e *goldenEncoder) bytes(data []byte) {
+	e.number(int64(len(data)))
+	e.out = append(e.out, data...)
 }
 
 func (e *goldenEncoder) text(s string) {
@@ -278,12 +278,12 @@
 	e.out = append(e.out, s...)
 }
 
-func (e *goldenEncoder) frame(f *fb.FrameT) { e.bytes(codec.Encode(f)) }
+func (e *goldenEncoder) frame(frame *fb.FrameT) { e.bytes(codec.Encode(frame)) }
 
-func (e *goldenEncoder) part(k cacheindex.Key) {
-	e.unsigned(k.Hi)
-	e.unsigned(k.Lo)
-	e.unsigned(uint64(k.Check))
+func (e *goldenEncoder) part(key cacheindex.Key) {
+	e.unsigned(key.Hi)
+	e.unsigned(key.Lo)
+	e.unsigned(uint64(key.Check))
 }
 
 // value lays out whatever is observed; it returns false for what it does not know.
@@ -420,46 +420,46 @@
 	}
 }
 
-func (e *goldenEncoder) report(r index.Report) {
-	e.unsigned(r.Incarnation)
-	e.text(r.Weights)
-	e.number(int64(r.Running))
-	e.number(int64(r.QueueLength))
-	e.number(int64(r.Capacity))
-	e.number(r.SlowUS)
-	e.unsigned(r.LastSeq)
-	e.number(int64(len(r.Events)))
-	for _, v := range r.Events {
-		e.unsigned(v.Seq)
-		e.flag(v.Added)
-		e.flag(v.Removed)
-		e.text(v.FinishedAttempt)
-		e.unsigned(v.RecomputedBytes)
-		e.part(v.Block)
-		e.flag(v.HasBlock)
+func (e *goldenEncoder) report(report index.Report) {
+	e.unsigned(report.Incarnation)
+	e.text(report.Weights)
+	e.number(int64(report.Running))
+	e.number(int64(report.QueueLength))
+	e.number(int64(report.Capacity))
+	e.number(report.SlowUS)
+	e.unsigned(report.LastSeq)
+	e.number(int64(len(report.Events)))
+	for _, event := range report.Events {
+		e.unsigned(event.Seq)
+		e.flag(event.Added)
+		e.flag(event.Removed)
+		e.text(event.FinishedAttempt)
+		e.unsigned(event.RecomputedBytes)
+		e.part(event.Block)
+		e.flag(event.HasBlock)
 	}
 }
 
-func (e *goldenEncoder) act(a dispatch.Action) {
-	e.unsigned(uint64(a.Type))
-	e.unsigned(a.Ref)
-	for _, s := range []string{a.Group, a.RequestID, a.ClaimNonce, a.ClaimKey, a.AttemptID} {
+func (e *goldenEncoder) act(action dispatch.Action) {
+	e.unsigned(uint64(action.Type))
+	e.unsigned(action.Ref)
+	for _, s := range []string{action.Group, action.RequestID, action.ClaimNonce, action.ClaimKey, action.AttemptID} {
 		e.text(s)
 	}
-	e.order(a.Grant)
-	for _, s := range []string{a.Domain, a.Weights, a.Kind, a.Prompt} {
+	e.order(action.Grant)
+	for _, s := range []string{action.Domain, action.Weights, action.Kind, action.Prompt} {
 		e.text(s)
 	}
-	e.parts(a.Chain)
-	e.number(int64(a.TransferBlock))
-	e.unsigned(a.TransferNode)
-	e.text(a.TransferAddr)
-	e.number(a.TransferWaitUS)
-	e.number(a.Deadline)
-	e.number(a.StartBefore)
-	e.text(string(a.Outcome))
-	e.text(a.Reason)
-	e.number(a.RetryAfterUS)
+	e.parts(action.Chain)
+	e.number(int64(action.TransferBlock))
+	e.unsigned(action.TransferNode)
+	e.text(action.TransferAddr)
+	e.number(action.TransferWaitUS)
+	e.number(action.Deadline)
+	e.number(action.StartBefore)
+	e.text(string(action.Outcome))
+	e.text(action.Reason)
+	e.number(action.RetryAfterUS)
 }
 
 func (e *goldenEncoder) order(o dispatch.EngineGrant) {
--- a/sim/history.go
+++ b/sim/history.go
@@ -36,13 +36,13 @@
 		h.world.Violation("two values", "%s revision %d was %q and %q", h.key, o.revision, v, o.value)
 	}
 	h.values[o.revision] = o.value
-	for _, p := range h.operations {
+	for _, earlier := range h.operations {
 		switch {
-		case p.returned < o.invoked && (o.revision < p.revision || o.write && o.revision == p.revision):
-			h.world.Violation("went back", "%s: revision %d at %d..%d after %d was seen at %d..%d", h.key, o.revision, o.invoked, o.returned, p.revision, p.invoked, p.returned)
-		case o.returned < p.invoked && (p.revision < o.revision || p.write && o.revision == p.revision):
-			h.world.Violation("went back", "%s: revision %d after %d", h.key, p.revision, o.revision)
-		case o.write && p.write && o.revision == p.revision:
+		case earlier.returned < o.invoked && (o.revision < earlier.revision || o.write && o.revision == earlier.revision):
+			h.world.Violation("went back", "%s: revision %d at %d..%d after %d was seen at %d..%d", h.key, o.revision, o.invoked, o.returned, earlier.revision, earlier.invoked, earlier.returned)
+		case o.returned < earlier.invoked && (earlier.revision < o.revision || earlier.write && o.revision == earlier.revision):
+			h.world.Violation("went back", "%s: revision %d after %d", h.key, earlier.revision, o.revision)
+		case o.write && earlier.write && o.revision == earlier.revision:
 			h.world.Violation("two changes", "%s: revision %d was given twice", h.key, o.revision)
 		}
 	}
@@ -63,25 +63,25 @@
 }
 
 // NewOperator adds a client.
-func NewRegisterClient(c *Cluster, name string, h *History, puts int) *RegisterClient {
-	o := &RegisterClient{cluster: c, history: h, writePercent: puts}
-	o.Host = c.world.NewHost(name, "north", func() { o.Every(40_000, o.act) })
+func NewRegisterClient(cluster *Cluster, name string, history *History, puts int) *RegisterClient {
+	o := &RegisterClient{cluster: cluster, history: history, writePercent: puts}
+	o.Host = cluster.world.NewHost(name, "north", func() { o.Every(40_000, o.act) })
 	return o
 }
 
 func (c *RegisterClient) act() {
 	world := c.cluster.world
-	r := c.cluster.Nodes[world.Rng.Intn(len(c.cluster.Nodes))]
+	node := c.cluster.Nodes[world.Rng.Intn(len(c.cluster.Nodes))]
 	op := quorum.Operation{Type: quorum.OpGet, Key: c.history.key}
 	c.operations++
 	if world.Rng.Intn(100) < c.writePercent {
 		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, quorum.AnyRevision, []byte(fmt.Sprintf("%s-%d", c.Name, c.operations))
 	}
 	from := world.now
-	Call(c.Host, r.Host, op, 900_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) },
-		func(a quorum.Result) {
-			if a.Status == quorum.StatusDone {
-				c.history.add(observedOperation{from, world.now, a.Revision, string(a.Value), op.Type == quorum.OpPut})
+	Call(c.Host, node.Host, op, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		func(result quorum.Result) {
+			if result.Status == quorum.StatusDone {
+				c.history.add(observedOperation{from, world.now, result.Revision, string(result.Value), op.Type == quorum.OpPut})
 				if op.Type == quorum.OpPut {
 					c.cluster.changeAcknowledged()
 				}
@@ -100,44 +100,44 @@
 }
 
 // NewClaimers adds n clients that race for claims.
-func NewClaimClients(c *Cluster, n int) *ClaimClients {
-	x := &ClaimClients{cluster: c, holder: map[string]string{}}
+func NewClaimClients(cluster *Cluster, n int) *ClaimClients {
+	x := &ClaimClients{cluster: cluster, holder: map[string]string{}}
 	for i := 0; i < n; i++ {
-		h := c.world.NewHost(fmt.Sprint("claimer", i), "east", nil)
+		host := cluster.world.NewHost(fmt.Sprint("claimer", i), "east", nil)
 		k := 0
-		h.boot = func() {
-			h.Every(25_000, func() {
+		host.boot = func() {
+			host.Every(25_000, func() {
 				k++
-				era := max(1, c.newestGeneration())
-				x.claim(h, quorum.ClaimKey(era, fmt.Sprintf("g/%d", k/2)), fmt.Sprintf("%s-%d-%d", h.Name, h.process, k))
+				era := max(1, cluster.newestGeneration())
+				x.claim(host, quorum.ClaimKey(era, fmt.Sprintf("g/%d", k/2)), fmt.Sprintf("%s-%d-%d", host.Name, host.process, k))
 				if k%8 == 0 {
 					// Much later somebody asks for what was long ago granted.
-					x.claim(h, quorum.ClaimKey(max(1, era-min(era, uint64(c.world.Rng.Intn(9)))), fmt.Sprintf("g/%d", c.world.Rng.Intn(k/2+1))), fmt.Sprintf("%s-%d-%d-late", h.Name, h.process, k))
+					x.claim(host, quorum.ClaimKey(max(1, era-min(era, uint64(cluster.world.Rng.Intn(9)))), fmt.Sprintf("g/%d", cluster.world.Rng.Intn(k/2+1))), fmt.Sprintf("%s-%d-%d-late", host.Name, host.process, k))
 				}
 			})
 		}
-		h.Start()
+		host.Start()
 	}
 	return x
 }
 
 // newest is the newest era that any control node heard of.
 func (c *Cluster) newestGeneration() (e uint64) {
-	for _, r := range c.Nodes {
-		e = max(e, r.generation)
+	for _, node := range c.Nodes {
+		e = max(e, node.generation)
 	}
 	return e
 }
 
-func (c *ClaimClients) claim(h *Host, key, nonce string) {
-	r := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
-	Call(h, r.Host, quorum.Operation{Type: quorum.OpClaim, Key: key, Value: []byte(nonce)}, 900_000,
-		func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) },
-		func(a quorum.Result) {
-			if a.Status == quorum.StatusGenerationClosed {
+func (c *ClaimClients) claim(host *Host, key, nonce string) {
+	node := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
+	Call(host, node.Host, quorum.Operation{Type: quorum.OpClaim, Key: key, Value: []byte(nonce)}, 900_000,
+		func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		func(result quorum.Result) {
+			if result.Status == quorum.StatusGenerationClosed {
 				c.Late++
 			}
-			if a.Status != quorum.StatusDone {
+			if result.Status != quorum.StatusDone {
 				return
 			}
 			if o := c.holder[key]; o != "" && o != nonce {
@@ -157,38 +157,38 @@
 }
 
 // NewHolders adds n clients that contend for one duty.
-func NewLeaseClients(c *Cluster, n int) *LeaseClients {
-	x := &LeaseClients{cluster: c, leaseEnds: map[*Host]int64{}}
+func NewLeaseClients(cluster *Cluster, n int) *LeaseClients {
+	x := &LeaseClients{cluster: cluster, leaseEnds: map[*Host]int64{}}
 	for i := 0; i < n; i++ {
-		h := c.world.NewHost(fmt.Sprint("holder", i), "south", nil)
-		h.boot = func() {
+		host := cluster.world.NewHost(fmt.Sprint("holder", i), "south", nil)
+		host.boot = func() {
 			epoch := uint64(0)
-			x.leaseEnds[h] = 0
-			h.Every(150_000, func() { x.acquire(h, &epoch) })
+			x.leaseEnds[host] = 0
+			host.Every(150_000, func() { x.acquire(host, &epoch) })
 		}
-		x.hosts = append(x.hosts, h)
-		h.Start()
+		x.hosts = append(x.hosts, host)
+		host.Start()
 	}
-	c.world.invariants = append(c.world.invariants, x.checkOneHolder)
+	cluster.world.invariants = append(cluster.world.invariants, x.checkOneHolder)
 	return x
 }
 
 const simLeaseUS = 900_000
 
-func (c *LeaseClients) acquire(h *Host, epoch *uint64) {
-	r := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
-	at := h.Clock()
-	Call(h, r.Host, quorum.Operation{Type: quorum.OpAcquire, Key: "duty/one", ExpectedRevision: *epoch, Holder: fmt.Sprint(h.Name, "#", h.process), LeaseDuration: simLeaseUS}, 500_000,
-		func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) },
-		func(a quorum.Result) {
-			if a.Status != quorum.StatusDone {
+func (c *LeaseClients) acquire(host *Host, epoch *uint64) {
+	node := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
+	at := host.Clock()
+	Call(host, node.Host, quorum.Operation{Type: quorum.OpAcquire, Key: "duty/one", ExpectedRevision: *epoch, Holder: fmt.Sprint(host.Name, "#", host.process), LeaseDuration: simLeaseUS}, 500_000,
+		func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		func(result quorum.Result) {
+			if result.Status != quorum.StatusDone {
 				return
 			}
-			if *epoch != a.Revision {
+			if *epoch != result.Revision {
 				c.Leases++
 			}
-			*epoch = a.Revision
-			c.leaseEnds[h] = max(c.leaseEnds[h], at+simLeaseUS-50_000)
+			*epoch = result.Revision
+			c.leaseEnds[host] = max(c.leaseEnds[host], at+simLeaseUS-50_000)
 		}, func() {})
 }
 
@@ -196,34 +196,34 @@
 func (c *LeaseClients) injectFaults(until int64) {
 	world := c.cluster.world
 	if world.now >= until {
-		for _, h := range c.hosts {
-			h.Thaw()
-			h.Start()
+		for _, host := range c.hosts {
+			host.Thaw()
+			host.Start()
 		}
 		return
 	}
-	h := c.hosts[world.Rng.Intn(len(c.hosts))]
+	host := c.hosts[world.Rng.Intn(len(c.hosts))]
 	d := 50_000 + world.Rng.Int63n(2_500_000)
 	if world.Rng.Intn(2) == 0 {
-		h.Freeze()
-		world.At(world.now+d, h.Thaw)
+		host.Freeze()
+		world.At(world.now+d, host.Thaw)
 	} else {
-		h.Kill()
-		world.At(world.now+d, h.Start)
+		host.Kill()
+		world.At(world.now+d, host.Start)
 	}
 	world.At(world.now+300_000+world.Rng.Int63n(2_000_000), func() { c.injectFaults(until) })
 }
 
 func (c *LeaseClients) checkOneHolder() {
 	n := ""
-	for _, h := range c.hosts {
-		u := c.leaseEnds[h]
-		if !h.up || h.Clock() >= u {
+	for _, host := range c.hosts {
+		endsAt := c.leaseEnds[host]
+		if !host.up || host.Clock() >= endsAt {
 			continue
 		}
 		if n != "" {
-			c.cluster.world.Violation("two holders", "%s and %s", n, h.Name)
+			c.cluster.world.Violation("two holders", "%s and %s", n, host.Name)
 		}
-		n = h.Name
+		n = host.Name
 	}
 }
--- a/sim/judge.go
+++ b/sim/judge.go
@@ -48,8 +48,8 @@
 	revision uint64
 }
 
-func newChecker(f *Fleet) *checker {
-	return &checker{fleet: f, revokedAt: map[string]int64{}, drainingSince: map[string]int64{}, isolated: map[string][]span{}, removed: map[string][]span{}, runsByAttempt: map[string]map[string]int{}, completions: map[string]int{}}
+func newChecker(fleet *Fleet) *checker {
+	return &checker{fleet: fleet, revokedAt: map[string]int64{}, drainingSince: map[string]int64{}, isolated: map[string][]span{}, removed: map[string][]span{}, runsByAttempt: map[string]map[string]int{}, completions: map[string]int{}}
 }
 
 // inForce is the newest revision that must be in force everywhere by now.
@@ -63,49 +63,49 @@
 	return r
 }
 
-func (c *checker) requestAdmitted(s *callerRequest) {
-	if r := c.inForce(planBoundUS); s.planRevision < r {
-		c.fleet.World.Violation("old plan", "%s allowed %s/%s under revision %d, %d is in force", s.gateway.Name, s.group, s.id, s.planRevision, r)
+func (c *checker) requestAdmitted(request *callerRequest) {
+	if r := c.inForce(planBoundUS); request.planRevision < r {
+		c.fleet.World.Violation("old plan", "%s allowed %s/%s under revision %d, %d is in force", request.gateway.Name, request.group, request.id, request.planRevision, r)
 	}
-	c.checkKey(s, "was allowed")
+	c.checkKey(request, "was allowed")
 }
 
-func (c *checker) checkKey(s *callerRequest, what string) {
-	if at, ok := c.revokedAt[s.keyDigest]; ok && c.fleet.World.now-at > revocationBoundUS {
-		c.fleet.World.Violation("key works", "%s/%s %s %d us after its key was taken away", s.group, s.id, what, c.fleet.World.now-at)
+func (c *checker) checkKey(request *callerRequest, what string) {
+	if at, ok := c.revokedAt[request.keyDigest]; ok && c.fleet.World.now-at > revocationBoundUS {
+		c.fleet.World.Violation("key works", "%s/%s %s %d us after its key was taken away", request.group, request.id, what, c.fleet.World.now-at)
 	} else if ok {
 		c.fleet.Tally.SlowestRevocationUS = max(c.fleet.Tally.SlowestRevocationUS, c.fleet.World.now-at)
 	}
 }
 
-func (c *checker) pieceDelivered(s *callerRequest) { c.checkKey(s, "got a piece") }
+func (c *checker) pieceDelivered(request *callerRequest) { c.checkKey(request, "got a piece") }
 
 var onceKinds = map[string]bool{"tag": true, "confirmation": true}
 
-func (c *checker) runStarted(e *Engine, r *engineRun) {
-	f := c.fleet
-	f.Tally.Runs++
-	s := r.request
-	k := s.group + "/" + s.id
+func (c *checker) runStarted(engine *Engine, run *engineRun) {
+	fleet := c.fleet
+	fleet.Tally.Runs++
+	request := run.request
+	k := request.group + "/" + request.id
 	if c.runsByAttempt[k] == nil {
 		c.runsByAttempt[k] = map[string]int{}
 	}
-	c.runsByAttempt[k][r.action.AttemptID]++
-	if onceKinds[s.kind] && len(c.runsByAttempt[k]) > 1 || c.runsByAttempt[k][r.action.AttemptID] > 1 {
-		f.World.Violation("ran twice", "%s (%s): %v", k, s.kind, c.runsByAttempt[k])
+	c.runsByAttempt[k][run.action.AttemptID]++
+	if onceKinds[request.kind] && len(c.runsByAttempt[k]) > 1 || c.runsByAttempt[k][run.action.AttemptID] > 1 {
+		fleet.World.Violation("ran twice", "%s (%s): %v", k, request.kind, c.runsByAttempt[k])
 	}
-	c.checkKey(s, "began")
-	if n, old := c.oldestUnfollowed(r.action.Weights, weightUpdateBoundUS); old {
-		f.World.Violation("old weights served", "%s ran %s under %s, %d us after %s was named", e.Name, k, r.action.Weights, f.World.now-n.acknowledgedAt, n.name)
+	c.checkKey(request, "began")
+	if naming, old := c.oldestUnfollowed(run.action.Weights, weightUpdateBoundUS); old {
+		fleet.World.Violation("old weights served", "%s ran %s under %s, %d us after %s was named", engine.Name, k, run.action.Weights, fleet.World.now-naming.acknowledgedAt, naming.name)
 	}
-	if at, ok := c.drainingSince[e.Name]; ok {
-		if f.World.now-at > drainBoundUS {
-			f.World.Violation("leaving", "%s got work %d us after it showed as leaving", e.Name, f.World.now-at)
+	if at, ok := c.drainingSince[engine.Name]; ok {
+		if fleet.World.now-at > drainBoundUS {
+			fleet.World.Violation("leaving", "%s got work %d us after it showed as leaving", engine.Name, fleet.World.now-at)
 		}
-		f.Tally.SlowestDrainUS = max(f.Tally.SlowestDrainUS, f.World.now-at)
+		fleet.Tally.SlowestDrainUS = max(fleet.Tally.SlowestDrainUS, fleet.World.now-at)
 	}
-	if s.ended {
-		f.World.Violation("ran after its end", "%s attempt %s", k, r.action.AttemptID)
+	if request.ended {
+		fleet.World.Violation("ran after its end", "%s attempt %s", k, run.action.AttemptID)
 	}
 }
 
@@ -117,9 +117,9 @@
 
 // between reports whether a span lies between the making of a part and its use,
 // with the time that a plan has to come into force.
-func (c *checker) heldBetween(ss []span, m blockOrigin) bool {
-	for _, x := range ss {
-		if x.from > 0 && m.madeAt < x.to && c.fleet.World.now > x.from+planBoundUS {
+func (c *checker) heldBetween(ss []span, origin blockOrigin) bool {
+	for _, interval := range ss {
+		if interval.from > 0 && origin.madeAt < interval.to && c.fleet.World.now > interval.from+planBoundUS {
 			return true
 		}
 	}
@@ -127,9 +127,9 @@
 }
 
 // behind reports whether a group was surely walled off at a time.
-func (c *checker) wasIsolated(g string, at, since int64) bool {
-	for _, x := range c.isolated[g] {
-		if x.from > 0 && x.from+since <= at && at < x.to {
+func (c *checker) wasIsolated(group string, at, since int64) bool {
+	for _, interval := range c.isolated[group] {
+		if interval.from > 0 && interval.from+since <= at && at < interval.to {
 			return true
 		}
 	}
@@ -138,75 +138,75 @@
 
 // reused judges a run that goes on from a kept part, by who made it and by what
 // has been walled off, removed or named since, in true time.
-func (c *checker) blockReused(m blockOrigin, r *engineRun) {
-	world, g := c.fleet.World, r.request.group
+func (c *checker) blockReused(origin blockOrigin, run *engineRun) {
+	world, group := c.fleet.World, run.request.group
 	switch {
-	case m.weights != r.action.Weights:
-		world.Violation("older weights' cache", "%s/%s ran under %s on cache made under %s", g, r.request.id, r.action.Weights, m.weights)
-	case len(c.namings) > 0 && c.weights == m.weights && m.madeAt < c.namings[len(c.namings)-1].sentAt && world.now > c.weightsNamedAt+planBoundUS:
-		world.Violation("older weights' cache", "%s/%s ran on cache of %d, %s was named again at %d", g, r.request.id, m.madeAt, m.weights, c.namings[len(c.namings)-1].sentAt)
-	case m.group != g && (c.heldBetween(c.isolated[m.group], m) || c.heldBetween(c.isolated[g], m)):
-		world.Violation("wall crossed", "%s/%s ran on cache that %s made at %d; walls since: %v %v", g, r.request.id, m.group, m.madeAt, c.isolated[m.group], c.isolated[g])
-	case m.group == g && c.heldBetween(c.removed[g], m) && (c.wasIsolated(g, m.madeAt, 0) || c.wasIsolated(g, world.now, planBoundUS)):
-		world.Violation("wall crossed", "%s/%s ran on cache that another group of that name made at %d", g, r.request.id, m.madeAt)
+	case origin.weights != run.action.Weights:
+		world.Violation("older weights' cache", "%s/%s ran under %s on cache made under %s", group, run.request.id, run.action.Weights, origin.weights)
+	case len(c.namings) > 0 && c.weights == origin.weights && origin.madeAt < c.namings[len(c.namings)-1].sentAt && world.now > c.weightsNamedAt+planBoundUS:
+		world.Violation("older weights' cache", "%s/%s ran on cache of %d, %s was named again at %d", group, run.request.id, origin.madeAt, origin.weights, c.namings[len(c.namings)-1].sentAt)
+	case origin.group != group && (c.heldBetween(c.isolated[origin.group], origin) || c.heldBetween(c.isolated[group], origin)):
+		world.Violation("wall crossed", "%s/%s ran on cache that %s made at %d; walls since: %v %v", group, run.request.id, origin.group, origin.madeAt, c.isolated[origin.group], c.isolated[group])
+	case origin.group == group && c.heldBetween(c.removed[group], origin) && (c.wasIsolated(group, origin.madeAt, 0) || c.wasIsolated(group, world.now, planBoundUS)):
+		world.Violation("wall crossed", "%s/%s ran on cache that another group of that name made at %d", group, run.request.id, origin.madeAt)
 	}
 }
 
-func (c *checker) requestEnded(s *callerRequest, o attempt.Outcome, why string) {
-	f := c.fleet
-	k := s.group + "/" + s.id
+func (c *checker) requestEnded(request *callerRequest, outcome attempt.Outcome, why string) {
+	fleet := c.fleet
+	k := request.group + "/" + request.id
 	if c.onRequestEnded != nil {
-		c.onRequestEnded(s, o)
+		c.onRequestEnded(request, outcome)
 	}
-	switch o {
+	switch outcome {
 	case attempt.Done:
-		f.Tally.Done++
-		c.lastCompletion = f.World.now
-		if s.pieces != piecesPerRun {
-			f.World.Violation("looks whole", "%s was done with %d pieces", k, s.pieces)
+		fleet.Tally.Done++
+		c.lastCompletion = fleet.World.now
+		if request.pieces != piecesPerRun {
+			fleet.World.Violation("looks whole", "%s was done with %d pieces", k, request.pieces)
 		}
-		if c.completions[k]++; onceKinds[s.kind] && c.completions[k] > 1 {
-			f.World.Violation("done twice", "%s", k)
+		if c.completions[k]++; onceKinds[request.kind] && c.completions[k] > 1 {
+			fleet.World.Violation("done twice", "%s", k)
 		}
 	case attempt.Rejected:
-		f.Tally.Rejected++
-		if s.pieces > 0 {
-			f.World.Violation("refused late", "%s was refused after a piece", k)
+		fleet.Tally.Rejected++
+		if request.pieces > 0 {
+			fleet.World.Violation("refused late", "%s was refused after a piece", k)
 		}
-		for _, a := range s.attempts {
+		for _, a := range request.attempts {
 			if c.runsByAttempt[k][a] > 0 {
-				f.World.Violation("refused and ran", "%s (%s): attempt %s ran", k, why, a)
+				fleet.World.Violation("refused and ran", "%s (%s): attempt %s ran", k, why, a)
 			}
 		}
 	default:
-		f.Tally.Unknown++
+		fleet.Tally.Unknown++
 	}
-	if f.World.now > s.deadline+500_000 && s.gateway.up && !s.gateway.frozen && f.World.now > s.gateway.thawedAt+100_000 {
-		f.World.Violation("late word", "%s was told %s %d us after its due", k, o, f.World.now-s.deadline)
+	if fleet.World.now > request.deadline+500_000 && request.gateway.up && !request.gateway.frozen && fleet.World.now > request.gateway.thawedAt+100_000 {
+		fleet.World.Violation("late word", "%s was told %s %d us after its due", k, outcome, fleet.World.now-request.deadline)
 	}
 }
 
 // step holds what must be true at every instant.
 func (c *checker) checkInvariants() {
-	f := c.fleet
-	if f.World.Events%32 != 0 {
+	fleet := c.fleet
+	if fleet.World.Events%32 != 0 {
 		return
 	}
 	owner := map[string]string{}
-	for _, c := range f.IndexNodes {
+	for _, c := range fleet.IndexNodes {
 		if !c.up {
 			continue
 		}
 		for _, d := range c.node.HeldRoles(c.Clock()) {
 			if o := owner[d]; o != "" {
-				f.World.Violation("two owners", "%s: %s and %s", d, o, c.Name)
+				fleet.World.Violation("two owners", "%s: %s and %s", d, o, c.Name)
 			}
 			owner[d] = c.Name
 		}
 	}
-	if f.World.Events%256 == 0 {
-		for _, e := range f.Engines {
-			c.checkEngineWeights(e)
+	if fleet.World.Events%256 == 0 {
+		for _, engine := range fleet.Engines {
+			c.checkEngineWeights(engine)
 		}
 	}
 }
@@ -228,23 +228,23 @@
 // turned holds each engine to each naming by itself, from when the engine could
 // last be told: up, not frozen, listed and not leaving. One that refuses to turn is
 // out of our hands; that it serves nothing any more is judged at every run.
-func (c *checker) checkEngineWeights(e *Engine) {
-	f := c.fleet
-	if e.store {
+func (c *checker) checkEngineWeights(engine *Engine) {
+	fleet := c.fleet
+	if engine.store {
 		return
 	}
-	if !e.up || e.frozen || e.ignoresWeights || c.drainingSince[e.Name] != 0 || f.World.hasCutLink(e.Host) {
-		e.unreachableUntil = f.World.now
+	if !engine.up || engine.frozen || engine.ignoresWeights || c.drainingSince[engine.Name] != 0 || fleet.World.hasCutLink(engine.Host) {
+		engine.unreachableUntil = fleet.World.now
 		return
 	}
 	for i, n := range c.namings {
-		if slices.ContainsFunc(c.namings[i:], func(m naming) bool { return m.name == e.weights }) || c.weightsBeingSent == e.weights {
+		if slices.ContainsFunc(c.namings[i:], func(m naming) bool { return m.name == engine.weights }) || c.weightsBeingSent == engine.weights {
 			continue
 		}
-		took := f.World.now - max(n.acknowledgedAt, e.unreachableUntil)
-		f.Tally.SlowestWeightUpdateUS = max(f.Tally.SlowestWeightUpdateUS, took)
+		took := fleet.World.now - max(n.acknowledgedAt, engine.unreachableUntil)
+		fleet.Tally.SlowestWeightUpdateUS = max(fleet.Tally.SlowestWeightUpdateUS, took)
 		if took > weightUpdateBoundUS {
-			f.World.Violation("old weights", "%s runs %s %d us after %s was named", e.Name, e.weights, f.World.now-n.acknowledgedAt, n.name)
+			fleet.World.Violation("old weights", "%s runs %s %d us after %s was named", engine.Name, engine.weights, fleet.World.now-n.acknowledgedAt, n.name)
 		}
 		return
 	}
@@ -253,7 +253,7 @@
 // Groups of a simulated deployment; the walled ones share nothing.
 var simGroups = []string{"desk", "east", "west", "walled"}
 
-func simKey(g string, n int) string { return plan.KeyDigest(fmt.Sprintf("%s-%d", g, n)) }
+func simKey(group string, n int) string { return plan.KeyDigest(fmt.Sprintf("%s-%d", group, n)) }
 
 // Script is what operators and the platform do on a day.
 type FleetOperator struct {
@@ -269,12 +269,12 @@
 }
 
 // NewScript puts a first plan in force and keeps operators at work.
-func NewFleetOperator(f *Fleet) *FleetOperator {
-	s := &FleetOperator{fleet: f, keyNumbers: map[string]int{}, open: map[string]bool{"desk": true, "east": true, "west": true}, removed: map[string]bool{}, weights: 1}
-	f.checker.isolated["walled"] = []span{{1, forever}}
-	s.host = f.World.NewHost("operator", "north", func() {})
-	s.host.Start()
-	return s
+func NewFleetOperator(fleet *Fleet) *FleetOperator {
+	operator := &FleetOperator{fleet: fleet, keyNumbers: map[string]int{}, open: map[string]bool{"desk": true, "east": true, "west": true}, removed: map[string]bool{}, weights: 1}
+	fleet.checker.isolated["walled"] = []span{{1, forever}}
+	operator.host = fleet.World.NewHost("operator", "north", func() {})
+	operator.host.Start()
+	return operator
 }
 
 func (o *FleetOperator) nextPlan() []byte {
@@ -284,17 +284,17 @@
 		"confirmation": {DueUS: 6_000_000, TypicalUS: 300_000, Once: true},
 		"tag":          {DueUS: 5_000_000, TypicalUS: 250_000, Once: true},
 	}, Notes: map[string]any{"n": o.plansMade}}
-	for i, g := range simGroups {
-		if o.removed[g] {
+	for i, group := range simGroups {
+		if o.removed[group] {
 			continue
 		}
-		p.Groups[g] = plan.Group{Share: float64(4 - i), Isolated: !o.open[g], Keys: []string{simKey(g, o.keyNumbers[g])}}
+		p.Groups[group] = plan.Group{Share: float64(4 - i), Isolated: !o.open[group], Keys: []string{simKey(group, o.keyNumbers[group])}}
 	}
-	b, _ := json.Marshal(p)
-	if _, fs := plan.Parse(b); len(fs) > 0 {
+	data, _ := json.Marshal(p)
+	if _, fs := plan.Parse(data); len(fs) > 0 {
 		o.fleet.World.Violation("plan", "%v", fs)
 	}
-	return b
+	return data
 }
 
 // Put sends a plan and tells the judge when it was acknowledged.
@@ -303,24 +303,24 @@
 		return
 	}
 	o.busy = true
-	b := o.nextPlan()
+	data := o.nextPlan()
 	var try func(i int)
 	again := func(i int) { o.host.After(50_000, func() { try(i + 1) }) }
 	try = func(i int) {
-		o.propose(i, quorum.Operation{Type: quorum.OpGet, Key: planKey}, again, func(at quorum.Result) {
-			v, err := plan.Encode(at.Value, b, at.Revision+1)
+		o.propose(i, quorum.Operation{Type: quorum.OpGet, Key: planKey}, again, func(current quorum.Result) {
+			v, err := plan.Encode(current.Value, data, current.Revision+1)
 			if err != nil {
 				o.fleet.World.Violation("plan", "%v", err)
 				return
 			}
-			o.propose(i, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: v, ExpectedRevision: at.Revision}, again, func(a quorum.Result) {
+			o.propose(i, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: v, ExpectedRevision: current.Revision}, again, func(result quorum.Result) {
 				o.busy = false
-				o.fleet.checker.acknowledged = append(o.fleet.checker.acknowledged, acknowledgement{o.fleet.World.now, a.Revision})
+				o.fleet.checker.acknowledged = append(o.fleet.checker.acknowledged, acknowledgement{o.fleet.World.now, result.Revision})
 				o.fleet.Tally.PlansAcknowledged++
-				if a.Revision <= o.revision {
-					o.fleet.World.Violation("lost plan", "revision %d was given after %d", a.Revision, o.revision)
+				if result.Revision <= o.revision {
+					o.fleet.World.Violation("lost plan", "revision %d was given after %d", result.Revision, o.revision)
 				}
-				o.revision = a.Revision
+				o.revision = result.Revision
 				if then != nil {
 					then()
 				}
@@ -332,63 +332,63 @@
 
 // ask carries an operator's operation to a control node.
 func (o *FleetOperator) propose(i int, op quorum.Operation, no func(int), yes func(quorum.Result)) {
-	r := o.fleet.Cluster.Nodes[i%len(o.fleet.Cluster.Nodes)] // an operator tries all that ever were
-	Call(o.host, r.Host, op, 1_500_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) },
-		func(a quorum.Result) {
-			if a.Status != quorum.StatusDone {
+	node := o.fleet.Cluster.Nodes[i%len(o.fleet.Cluster.Nodes)] // an operator tries all that ever were
+	Call(o.host, node.Host, op, 1_500_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		func(result quorum.Result) {
+			if result.Status != quorum.StatusDone {
 				no(i)
 				return
 			}
-			yes(a)
+			yes(result)
 		}, func() { no(i) })
 }
 
 // TakeKey replaces a group's key; the old one must stop working.
-func (o *FleetOperator) RevokeKey(g string) {
+func (o *FleetOperator) RevokeKey(group string) {
 	if o.busy {
 		return
 	}
-	old := simKey(g, o.keyNumbers[g])
-	o.keyNumbers[g]++
+	old := simKey(group, o.keyNumbers[group])
+	o.keyNumbers[group]++
 	o.PutPlan(func() {
 		o.fleet.checker.revokedAt[old] = o.fleet.World.now
 		o.fleet.Tally.KeysRevoked++
-		o.fleet.World.Notef("key of %s taken", g)
+		o.fleet.World.Notef("key of %s taken", group)
 	})
 }
 
 // Wall walls a group off, or opens it.
-func (o *FleetOperator) ToggleIsolation(g string) {
-	if o.busy || o.removed[g] {
+func (o *FleetOperator) ToggleIsolation(group string) {
+	if o.busy || o.removed[group] {
 		return
 	}
-	o.open[g] = !o.open[g]
-	o.putChange(o.fleet.checker.isolated, g, !o.open[g])
+	o.open[group] = !o.open[group]
+	o.putChange(o.fleet.checker.isolated, group, !o.open[group])
 }
 
 // Remove takes a group out of the plan, or puts one of that name in again.
-func (o *FleetOperator) ToggleGroup(g string) {
-	if o.busy || g == "desk" { // one group stays
+func (o *FleetOperator) ToggleGroup(group string) {
+	if o.busy || group == "desk" { // one group stays
 		return
 	}
-	o.removed[g] = !o.removed[g]
-	o.putChange(o.fleet.checker.removed, g, o.removed[g])
+	o.removed[group] = !o.removed[group]
+	o.putChange(o.fleet.checker.removed, group, o.removed[group])
 }
 
 // spell puts the plan in force and tells the judge what began or ended with it.
-func (o *FleetOperator) putChange(m map[string][]span, g string, begins bool) {
-	if n := len(m[g]); !begins && n > 0 {
-		m[g][n-1].to = o.fleet.World.now
+func (o *FleetOperator) putChange(m map[string][]span, group string, begins bool) {
+	if n := len(m[group]); !begins && n > 0 {
+		m[group][n-1].to = o.fleet.World.now
 	}
 	if begins {
-		m[g] = append(m[g], span{0, forever}) // from its acknowledgement on
+		m[group] = append(m[group], span{0, forever}) // from its acknowledgement on
 	}
 	o.PutPlan(func() {
-		if n := len(m[g]); begins {
-			m[g][n-1].from = o.fleet.World.now
+		if n := len(m[group]); begins {
+			m[group][n-1].from = o.fleet.World.now
 		}
 		o.fleet.Tally.IsolationChanges++
-		o.fleet.World.Notef("walls moved: %s, open %v, gone %v", g, o.open[g], o.removed[g])
+		o.fleet.World.Notef("walls moved: %s, open %v, gone %v", group, o.open[group], o.removed[group])
 	})
 }
 
@@ -414,23 +414,23 @@
 
 // Leave marks an engine as leaving, and lists it again later.
 func (o *FleetOperator) DrainEngine(n string, back int64) {
-	f := o.fleet
+	fleet := o.fleet
 	mark := func(v bool) {
-		for i := range f.listing {
-			if f.listing[i].Name == n {
-				f.listing[i].Leaving = v
+		for i := range fleet.listing {
+			if fleet.listing[i].Name == n {
+				fleet.listing[i].Leaving = v
 			}
 		}
 	}
-	if f.checker.drainingSince[n] != 0 {
+	if fleet.checker.drainingSince[n] != 0 {
 		return
 	}
 	mark(true)
-	f.checker.drainingSince[n] = f.World.now
-	f.Tally.EnginesDrained++
-	f.World.Notef("%s leaving", n)
-	f.World.At(f.World.now+back, func() {
+	fleet.checker.drainingSince[n] = fleet.World.now
+	fleet.Tally.EnginesDrained++
+	fleet.World.Notef("%s leaving", n)
+	fleet.World.At(fleet.World.now+back, func() {
 		mark(false)
-		delete(f.checker.drainingSince, n)
+		delete(fleet.checker.drainingSince, n)
 	})
 }
--- a/sim/last.go
+++ b/sim/last.go
@@ -91,17 +91,17 @@
 	},
 }
 
-func (f *Fleet) restartHost(h *Host) {
-	h.Kill()
-	f.World.At(f.World.now+100_000, h.Start)
+func (f *Fleet) restartHost(host *Host) {
+	host.Kill()
+	f.World.At(f.World.now+100_000, host.Start)
 }
 
 // planOwner is the control node that owns the plan's slot.
 func (f *Fleet) planLeader() *ControlNode {
-	for _, r := range f.Cluster.Nodes {
-		if r.node != nil {
-			if _, ok := r.node.ReadUnderLease(r.Clock(), planKey); ok {
-				return r
+	for _, node := range f.Cluster.Nodes {
+		if node.node != nil {
+			if _, ok := node.node.ReadUnderLease(node.Clock(), planKey); ok {
+				return node
 			}
 		}
 	}
@@ -111,24 +111,24 @@
 // busiest is the index node that holds most duties of a kind.
 func (f *Fleet) busiestIndexNode(kind string) *IndexNode {
 	best, most := f.IndexNodes[0], -1
-	for _, c := range f.IndexNodes {
+	for _, indexNode := range f.IndexNodes {
 		n := 0
-		for _, d := range c.node.HeldRoles(c.Clock()) {
+		for _, d := range indexNode.node.HeldRoles(indexNode.Clock()) {
 			if strings.HasPrefix(d, kind) {
 				n++
 			}
 		}
 		if n > most {
-			best, most = c, n
+			best, most = indexNode, n
 		}
 	}
 	return best
 }
 
 func (f *Fleet) indexNodeIn(s string) *IndexNode {
-	for _, c := range f.IndexNodes {
-		if c.Zone == s {
-			return c
+	for _, indexNode := range f.IndexNodes {
+		if indexNode.Zone == s {
+			return indexNode
 		}
 	}
 	return f.IndexNodes[0]
@@ -138,20 +138,20 @@
 // a once-only ticket at every proxy every 150 ms, and a plan every 400 ms. It returns
 // when the last of them that failed was followed by one that did not, over all proxies
 // that live; 0 means that they failed to the end.
-func RunFinalFault(seed int64, fault string, z FleetSize) (back int64, wrong []string) {
-	f := NewFleet(seed, z)
-	world := f.World
-	s := NewFleetOperator(f)
-	world.At(1_300_000, func() { s.PutPlan(nil) })
+func RunFinalFault(seed int64, fault string, size FleetSize) (back int64, wrong []string) {
+	fleet := NewFleet(seed, size)
+	world := fleet.World
+	operator := NewFleetOperator(fleet)
+	world.At(1_300_000, func() { operator.PutPlan(nil) })
 	at := 6_000_000 + world.Rng.Int63n(1_000_000)
-	world.At(3_000_000, func() { f.sendRequests(s, at+10_000_000) })
+	world.At(3_000_000, func() { fleet.sendRequests(operator, at+10_000_000) })
 	world.Run(at)
 	if len(world.violations) > 0 {
 		return 0, world.violations
 	}
-	f.nameWeights = s.NameWeights
-	FinalFaults[fault](f)
-	f.checker.lastCompletion = 0
+	fleet.nameWeights = operator.NameWeights
+	FinalFaults[fault](fleet)
+	fleet.checker.lastCompletion = 0
 	type word struct{ sent, done int64 } // done 0: it failed
 	told := map[string][]*word{}
 	byID := map[string]*word{}
@@ -159,34 +159,34 @@
 	prober := world.NewHost("prober", "north", func() {})
 	prober.Start()
 	prober.Every(150_000, func() {
-		for _, p := range f.Gateways {
-			if !p.up || p.frozen || world.now > at+10_000_000 {
+		for _, gateway := range fleet.Gateways {
+			if !gateway.up || gateway.frozen || world.now > at+10_000_000 {
 				continue
 			}
 			n++
-			x := &callerRequest{group: "desk", kind: "tag", id: fmt.Sprint("probe", n), keyDigest: simKey("desk", 0), gateway: p, generation: max(1, f.callerGeneration), probe: true}
+			request := &callerRequest{group: "desk", kind: "tag", id: fmt.Sprint("probe", n), keyDigest: simKey("desk", 0), gateway: gateway, generation: max(1, fleet.callerGeneration), probe: true}
 			o := &word{sent: world.now - at}
-			byID[x.id] = o
-			told[p.Name] = append(told[p.Name], o)
-			p.After(300, func() { p.admit(x, "probe", 5_000_000) })
+			byID[request.id] = o
+			told[gateway.Name] = append(told[gateway.Name], o)
+			gateway.After(300, func() { gateway.admit(request, "probe", 5_000_000) })
 		}
 	})
 	prober.Every(400_000, func() {
-		if world.now > at+10_000_000 || s.busy {
+		if world.now > at+10_000_000 || operator.busy {
 			return
 		}
 		o := &word{sent: world.now - at}
 		told["plan"] = append(told["plan"], o)
-		s.PutPlan(func() { o.done = world.now - at })
+		operator.PutPlan(func() { o.done = world.now - at })
 	})
-	f.checker.onRequestEnded = func(x *callerRequest, o attempt.Outcome) {
-		if x.probe && o == attempt.Done {
-			byID[x.id].done = world.now - at
+	fleet.checker.onRequestEnded = func(request *callerRequest, o attempt.Outcome) {
+		if request.probe && o == attempt.Done {
+			byID[request.id].done = world.now - at
 		}
 	}
 	world.Run(at + 16_000_000)
 	for _, name := range sortedNames(told) {
-		if h := world.hostNamed(name); h != nil && !h.up {
+		if host := world.hostNamed(name); host != nil && !host.up {
 			continue
 		}
 		var mine int64
@@ -206,19 +206,19 @@
 	return back, world.violations
 }
 
-func sortedNames[V any](m map[string]V) []string {
-	var ns []string
-	for n := range m {
-		ns = append(ns, n)
+func sortedNames[V any](byName map[string]V) []string {
+	var names []string
+	for n := range byName {
+		names = append(names, n)
 	}
-	sort.Strings(ns)
-	return ns
+	sort.Strings(names)
+	return names
 }
 
 func (w *World) hostNamed(name string) *Host {
-	for _, h := range w.hosts {
-		if h.Name == name {
-			return h
+	for _, host := range w.hosts {
+		if host.Name == name {
+			return host
 		}
 	}
 	return nil
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -20,9 +20,9 @@
 	ops     *[]lincheck.Operation
 }
 
-func newRecorder(c *Cluster, client int, key string, changes int, ops *[]lincheck.Operation) *recorder {
-	r := &recorder{core: c, key: key, client: client, changes: changes, ops: ops}
-	r.Host = c.world.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.act) })
+func newRecorder(cluster *Cluster, client int, key string, changes int, ops *[]lincheck.Operation) *recorder {
+	r := &recorder{core: cluster, key: key, client: client, changes: changes, ops: ops}
+	r.Host = cluster.world.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.act) })
 	return r
 }
 
@@ -37,19 +37,19 @@
 		// A request that the network repeats must not change the key twice.
 		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.seen, []byte(seen.Value)
 	}
-	Call(r.Host, node.Host, op, 900_000, func(q quorum.Operation, reply func(quorum.Result)) { node.Forward(q, 0, reply) },
-		func(a quorum.Result) { r.answered(seen, a) },
+	Call(r.Host, node.Host, op, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		func(result quorum.Result) { r.answered(seen, result) },
 		func() { r.keep(seen) })
 }
 
 // answered takes all but a confirmation as unknown: where requests are repeated, one may
 // be refused although its twin took effect.
-func (r *recorder) answered(seen lincheck.Operation, a quorum.Result) {
-	if a.Status == quorum.StatusDone || a.Status == quorum.StatusConflict {
-		r.seen = max(r.seen, a.Revision)
+func (r *recorder) answered(seen lincheck.Operation, result quorum.Result) {
+	if result.Status == quorum.StatusDone || result.Status == quorum.StatusConflict {
+		r.seen = max(r.seen, result.Revision)
 	}
-	if a.Status == quorum.StatusDone {
-		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.world.now, a.Revision, string(a.Value)
+	if result.Status == quorum.StatusDone {
+		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.world.now, result.Revision, string(result.Value)
 	}
 	r.keep(seen)
 }
@@ -59,12 +59,12 @@
 // TestLinearizable: what operators see of a key on core days, answers lost and unknown
 // ones included, is explained by one order of their operations.
 func TestLinearizable(t *testing.T) {
-	for _, f := range ClusterFaults {
-		t.Run(string(f), func(t *testing.T) {
+	for _, fault := range ClusterFaults {
+		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			confirmed, unknown := 0, 0
 			for seed := int64(1); seed <= 2; seed++ {
-				for key, ops := range recordedDay(seed, f) {
+				for key, ops := range recordedDay(seed, fault) {
 					if err := lincheck.Check(ops); err != nil {
 						t.Fatalf("seed %d: %s: %v", seed, key, err)
 					}
@@ -86,19 +86,19 @@
 }
 
 // recordedDay is a core day with operators at a busy key and at one seldom changed.
-func recordedDay(seed int64, f Fault) map[string][]lincheck.Operation {
+func recordedDay(seed int64, fault Fault) map[string][]lincheck.Operation {
 	const length = 8_000_000
 	world := NewWorld(seed)
-	c := NewCluster(world, 4)
-	c.Start()
+	cluster := NewCluster(world, 4)
+	cluster.Start()
 	plan, rare := &[]lincheck.Operation{}, &[]lincheck.Operation{}
 	for i := range 3 {
-		newRecorder(c, i, "plan", 60, plan).Start()
+		newRecorder(cluster, i, "plan", 60, plan).Start()
 	}
 	for i := range 2 {
-		newRecorder(c, 3+i, "rare", 8, rare).Start()
+		newRecorder(cluster, 3+i, "rare", 8, rare).Start()
 	}
-	c.InjectFaults(f, length)
+	cluster.InjectFaults(fault, length)
 	world.Run(length + 3_000_000)
 	return map[string][]lincheck.Operation{"plan": *plan, "rare": *rare}
 }
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -49,19 +49,19 @@
 
 func newMembershipDay(seed int64, size coreSize) *membershipDay {
 	world := NewWorld(seed)
-	c := NewCluster(world, size.machines)
-	c.selfHealing = true
-	c.voterSet.Seats = uint16(size.machines)
-	for _, r := range c.Nodes {
-		r.voterSet = c.voterSet
+	cluster := NewCluster(world, size.machines)
+	cluster.selfHealing = true
+	cluster.voterSet.Seats = uint16(size.machines)
+	for _, node := range cluster.Nodes {
+		node.voterSet = cluster.voterSet
 	}
-	d := &membershipDay{Cluster: c, size: size, h: NewHistory(world, "plan")}
-	c.Start()
+	d := &membershipDay{Cluster: cluster, size: size, h: NewHistory(world, "plan")}
+	cluster.Start()
 	for i := 0; i < 3; i++ {
-		NewRegisterClient(c, fmt.Sprint("operator", i), d.h, 60).Start()
+		NewRegisterClient(cluster, fmt.Sprint("operator", i), d.h, 60).Start()
 	}
 	for i := 0; i < 4; i++ {
-		NewRegisterClient(c, fmt.Sprint("reader", i), NewHistory(world, fmt.Sprint("rare", i)), 8).Start()
+		NewRegisterClient(cluster, fmt.Sprint("reader", i), NewHistory(world, fmt.Sprint("rare", i)), 8).Start()
 	}
 	world.Run(4_000_000)
 	return d
@@ -69,99 +69,99 @@
 
 // alive lists the machines that are up and vote, drawn in any order.
 func (d *membershipDay) alive() []*ControlNode {
-	_, in := d.currentVoters()
-	in = slices.DeleteFunc(in, func(r *ControlNode) bool { return !r.up || r.removed })
-	d.world.Rng.Shuffle(len(in), func(i, j int) { in[i], in[j] = in[j], in[i] })
-	return in
+	_, members := d.currentVoters()
+	members = slices.DeleteFunc(members, func(node *ControlNode) bool { return !node.up || node.removed })
+	d.world.Rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+	return members
 }
 
 // stop tells a machine to stop and ends its process once it may go, as the daemon does.
-func (d *membershipDay) stop(r *ControlNode, then func()) {
-	d.world.Notef("%s is told to stop", r.Name)
-	r.handle(r.node.Leave(r.Clock()))
+func (d *membershipDay) stop(node *ControlNode, then func()) {
+	d.world.Notef("%s is told to stop", node.Name)
+	node.handle(node.node.Leave(node.Clock()))
 	last := d.world.now + 900_000
 	var wait func()
 	wait = func() {
-		if r.node.RemovalPending() && d.world.now < last {
-			r.After(100_000, wait)
+		if node.node.RemovalPending() && d.world.now < last {
+			node.After(100_000, wait)
 			return
 		}
-		r.Kill()
+		node.Kill()
 		then()
 	}
-	r.After(100_000, wait)
+	node.After(100_000, wait)
 }
 
 // bring does a change and returns when it counts as over, and the machines come or gone.
 func (d *membershipDay) bring(c coreChange) int64 {
 	world := d.world
-	in := d.alive()
+	members := d.alive()
 	switch c {
 	case repaired, replaced:
 		over := world.now
-		for _, r := range in[:1+world.Rng.Intn(d.size.tolerated)] {
+		for _, node := range members[:1+world.Rng.Intn(d.size.tolerated)] {
 			back := world.now + 1_000_000
 			over = max(over, back+d.size.sync)
 			if c == repaired {
-				d.world.Notef("%s loses its disk", r.Name)
-				r.loseDisk()
-				world.At(back, r.restart)
+				d.world.Notef("%s loses its disk", node.Name)
+				node.loseDisk()
+				world.At(back, node.restart)
 				continue
 			}
-			d.world.Notef("%s is gone", r.Name)
-			r.LosePower()
-			r.removed = true
+			d.world.Notef("%s is gone", node.Name)
+			node.LosePower()
+			node.removed = true
 			world.At(back, d.newNode().Start)
 		}
 		return over
 	case planned, hurried:
-		n := d.newNode()
-		n.Start()
+		newNode := d.newNode()
+		newNode.Start()
 		at := world.now + d.size.sync
 		if c == hurried {
 			at = world.now + 1_000_000
 		}
-		world.At(at, func() { d.stop(in[0], func() { in[0].removed = true }) })
+		world.At(at, func() { d.stop(members[0], func() { members[0].removed = true }) })
 		return world.now + d.size.sync + 1
 	default:
-		r := in[0]
-		d.stop(r, func() {
-			world.At(world.now+500_000, func() { d.restart(r) })
+		node := members[0]
+		d.stop(node, func() {
+			world.At(world.now+500_000, func() { d.restart(node) })
 		})
 		return world.now + 600_000 + d.size.sync
 	}
 }
 
 // restart boots a machine with its disk; one that no roster holds begins anew.
-func (d *membershipDay) restart(r *ControlNode) {
-	if ro, _ := d.currentVoters(); !r.isMemberOf(ro) {
-		r.loseDisk()
+func (d *membershipDay) restart(node *ControlNode) {
+	if voterSet, _ := d.currentVoters(); !node.isMemberOf(voterSet) {
+		node.loseDisk()
 	}
-	r.restart()
+	node.restart()
 }
 
 // strike loses as many machines as are tolerated, the plan's owner among them every
 // other time, and returns how long after it a change was acknowledged; 0 is never.
 func (d *membershipDay) strike(l coreLoss) int64 {
 	world := d.world
-	in := d.alive()
+	members := d.alive()
 	if world.Rng.Intn(2) == 0 {
-		slices.SortStableFunc(in, func(a, b *ControlNode) int {
-			return owns(b) - owns(a)
+		slices.SortStableFunc(members, func(one, other *ControlNode) int {
+			return owns(other) - owns(one)
 		})
 	}
-	for i, r := range in {
+	for i, node := range members {
 		switch {
 		case l == gone && i < d.size.tolerated:
-			r.LosePower()
-			r.removed = true
+			node.LosePower()
+			node.removed = true
 		case l == wiped && i < d.size.tolerated:
-			d.world.Notef("%s loses its disk", r.Name)
-			r.loseDisk()
-			world.At(world.now+1_000_000, r.restart)
+			d.world.Notef("%s loses its disk", node.Name)
+			node.loseDisk()
+			world.At(world.now+1_000_000, node.restart)
 		case l == wiped:
-			r.LosePower()
-			world.At(world.now+50_000+world.Rng.Int63n(300_000), r.restart)
+			node.LosePower()
+			world.At(world.now+50_000+world.Rng.Int63n(300_000), node.restart)
 		}
 	}
 	from, n := world.now, d.h.Acknowledged
@@ -177,8 +177,8 @@
 	return 0
 }
 
-func owns(r *ControlNode) int {
-	if _, ok := r.node.ReadUnderLease(r.Clock(), planKey); ok {
+func owns(node *ControlNode) int {
+	if _, ok := node.node.ReadUnderLease(node.Clock(), planKey); ok {
 		return 1
 	}
 	return 0
@@ -223,8 +223,8 @@
 						if back == 0 {
 							stuck++
 							if stuck == 1 {
-								ro, in := d.currentVoters()
-								t.Errorf("seed %d: no majority is left: %d voters, %d of them alive\n%s", seed, len(ro.Voters), len(in), strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
+								voterSet, members := d.currentVoters()
+								t.Errorf("seed %d: no majority is left: %d voters, %d of them alive\n%s", seed, len(voterSet.Voters), len(members), strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
 							}
 						}
 						worst = max(worst, back)
@@ -238,18 +238,18 @@
 
 // caughtUp reports whether a machine votes in the newest roster and holds every slot's
 // line up to its owner's last change.
-func (d *membershipDay) caughtUp(r *ControlNode) bool {
-	ro, _ := d.currentVoters()
-	if r.node == nil || !r.up || !r.isMemberOf(ro) || r.node.VoterSet().Revision != ro.Revision || !r.node.AllSlotsRecovered() {
+func (d *membershipDay) caughtUp(node *ControlNode) bool {
+	voterSet, _ := d.currentVoters()
+	if node.node == nil || !node.up || !node.isMemberOf(voterSet) || node.node.VoterSet().Revision != voterSet.Revision || !node.node.AllSlotsRecovered() {
 		return false
 	}
-	at := r.node.Status(r.Clock())
-	for _, o := range d.Nodes {
-		if o.node == nil || !o.up || o.node.VoterSet().Revision != ro.Revision {
+	at := node.node.Status(node.Clock())
+	for _, other := range d.Nodes {
+		if other.node == nil || !other.up || other.node.VoterSet().Revision != voterSet.Revision {
 			continue
 		}
-		for i, s := range o.node.Status(o.Clock()) {
-			if s.IsLeader && at[i].Last.Before(s.Committed) {
+		for i, status := range other.node.Status(other.Clock()) {
+			if status.IsLeader && at[i].Last.Before(status.Committed) {
 				return false
 			}
 		}
@@ -279,27 +279,27 @@
 			for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 				for kind, change := range []coreChange{repaired, replaced, planned, restarted} {
 					d := newMembershipDay(seed, size)
-					r := d.alive()[0]
+					node := d.alive()[0]
 					switch change {
 					case repaired:
-						r.loseDisk()
+						node.loseDisk()
 						d.world.Run(d.world.now + 1_000_000)
-						r.restart()
+						node.restart()
 					case replaced:
-						r.LosePower()
-						r.removed = true
+						node.LosePower()
+						node.removed = true
 						d.world.Run(d.world.now + 1_000_000)
-						r = d.newNode()
-						r.Start()
+						node = d.newNode()
+						node.Start()
 					case planned:
-						r = d.newNode()
-						r.Start()
+						node = d.newNode()
+						node.Start()
 					case restarted:
-						d.stop(r, func() {})
+						d.stop(node, func() {})
 						d.world.Run(d.world.now + 1_000_000)
-						d.restart(r)
+						d.restart(node)
 					}
-					took, ok := d.until(size.sync, func() bool { return d.caughtUp(r) })
+					took, ok := d.until(size.sync, func() bool { return d.caughtUp(node) })
 					if len(d.world.violations) > 0 {
 						t.Fatalf("seed %d, %s: %v", seed, change, d.world.violations)
 					}
@@ -326,40 +326,40 @@
 				var worst int64
 				for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 					d := newMembershipDay(seed, size)
-					r := d.alive()[0]
-					n := d.newNode()
-					n.Start()
+					node := d.alive()[0]
+					newNode := d.newNode()
+					newNode.Start()
 					d.world.Run(d.world.now + size.sync)
 					bound, dropped := int64(2_000_000), true
 					if polite {
 						bound = 500_000
 					}
 					end := func() {
-						ro, _ := d.currentVoters()
-						r.removed, dropped = true, !polite || !r.isMemberOf(ro) || len(ro.Voters)%2 == 1
+						voterSet, _ := d.currentVoters()
+						node.removed, dropped = true, !polite || !node.isMemberOf(voterSet) || len(voterSet.Voters)%2 == 1
 					}
 					if polite {
-						d.stop(r, end)
+						d.stop(node, end)
 					} else {
-						r.LosePower()
+						node.LosePower()
 						end()
 					}
 					// The rest, without the machine that goes, bears the losses tolerated.
 					took, ok := d.until(bound, func() bool {
-						ro, in := d.currentVoters()
+						voterSet, members := d.currentVoters()
 						live := 0
-						for _, v := range in {
-							if v != r && d.caughtUp(v) {
+						for _, v := range members {
+							if v != node && d.caughtUp(v) {
 								live++
 							}
 						}
-						return live-size.tolerated >= ro.Majority()
+						return live-size.tolerated >= voterSet.Majority()
 					})
 					if len(d.world.violations) > 0 || !ok {
 						t.Fatalf("seed %d: in %d us the rest does not bear %d losses: %v\n%s", seed, took, size.tolerated, d.world.violations, strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
 					}
 					d.world.Run(d.world.now + 1_000_000)
-					if !dropped || !r.removed {
+					if !dropped || !node.removed {
 						t.Errorf("seed %d: it ended while the others kept its seat, or did not end", seed)
 					}
 					worst = max(worst, took)
