--- a/sim/move_test.go
+++ b/sim/move_test.go
@@ -18,31 +18,31 @@
 		var orphan, out, settled []int64
 		moved, resyncs, failed, sent := 0, uint64(0), 0, 0
 		for seed := int64(1); seed <= max(n, 2); seed++ {
-			f := NewFleet(seed, FleetSize{Gateways: 9, Engines: 18})
-			s := NewFleetOperator(f)
-			world := f.World
-			world.At(1_300_000, func() { s.PutPlan(nil) })
-			world.At(2_500_000, func() { f.sendRequests(s, 16_000_000) })
+			fleet := NewFleet(seed, FleetSize{Gateways: 9, Engines: 18})
+			operator := NewFleetOperator(fleet)
+			world := fleet.World
+			world.At(1_300_000, func() { operator.PutPlan(nil) })
+			world.At(2_500_000, func() { fleet.sendRequests(operator, 16_000_000) })
 			world.Run(8_000_000)
-			c := f.busiestIndexNode("duty/engine/")
-			moved += len(c.node.HeldRoles(c.Clock()))
+			indexNode := fleet.busiestIndexNode("duty/engine/")
+			moved += len(indexNode.node.HeldRoles(indexNode.Clock()))
 			was := uint64(0)
-			for _, x := range f.IndexNodes {
+			for _, x := range fleet.IndexNodes {
 				was += x.node.Counters.Resyncs
 			}
 			lone, last := map[string]int64{}, int64(0) // duty -> how long nobody held it
 			idle := int64(0)                           // engine-microseconds out of use, over proxies
 			const step = 10_000
 			if polite {
-				c.leaving = true
+				indexNode.leaving = true
 			} else {
-				c.Kill()
+				indexNode.Kill()
 			}
-			from := f.Tally
+			from := fleet.Tally
 			for world.now < 16_000_000 && len(world.violations) == 0 {
 				world.Run(world.now + step)
 				held := map[string]bool{}
-				for _, x := range f.IndexNodes {
+				for _, x := range fleet.IndexNodes {
 					if x.up {
 						for _, d := range x.node.HeldRoles(x.Clock()) {
 							held[d] = true
@@ -50,8 +50,8 @@
 					}
 				}
 				all := true
-				for _, e := range f.Engines {
-					if d := index.EngineRole(e.Name); !held[d] {
+				for _, engine := range fleet.Engines {
+					if d := index.EngineRole(engine.Name); !held[d] {
 						lone[d] += step
 						all = false
 					}
@@ -65,9 +65,9 @@
 				if !all {
 					last = world.now - 8_000_000
 				}
-				for _, p := range f.Gateways {
-					for _, e := range f.Engines {
-						if !e.store && p.dispatcher.GrantAge(p.Clock(), e.Name) > dispatch.MaxGrantAge {
+				for _, gateway := range fleet.Gateways {
+					for _, engine := range fleet.Engines {
+						if !engine.store && gateway.dispatcher.GrantAge(gateway.Clock(), engine.Name) > dispatch.MaxGrantAge {
 							idle += step
 						}
 					}
@@ -76,22 +76,22 @@
 			if len(world.violations) > 0 {
 				t.Fatalf("seed %d: %v", seed, world.violations)
 			}
-			for _, us := range lone {
-				orphan = append(orphan, us)
+			for _, durationUS := range lone {
+				orphan = append(orphan, durationUS)
 			}
 			if len(lone) == 0 {
 				orphan = append(orphan, 0)
 			}
 			settled = append(settled, last)
 			out = append(out, idle/9)
-			for _, x := range f.IndexNodes {
-				if x != c {
+			for _, x := range fleet.IndexNodes {
+				if x != indexNode {
 					resyncs += x.node.Counters.Resyncs
 				}
 			}
-			resyncs -= min(resyncs, was-c.node.Counters.Resyncs)
-			failed += f.Tally.Rejected - from.Rejected
-			sent += f.Tally.Sent - from.Sent
+			resyncs -= min(resyncs, was-indexNode.node.Counters.Resyncs)
+			failed += fleet.Tally.Rejected - from.Rejected
+			sent += fleet.Tally.Sent - from.Sent
 			if last > 5_000_000 {
 				t.Errorf("seed %d: a duty had no owner after %d us", seed, last)
 			}
--- a/sim/observed_order.go
+++ b/sim/observed_order.go
@@ -42,12 +42,12 @@
 		return
 	}
 	back := asks[:0:0]
-	for _, a := range asks {
-		if !a.Release {
+	for _, leaseOp := range asks {
+		if !leaseOp.Release {
 			break
 		}
-		back = append(back, a)
+		back = append(back, leaseOp)
 	}
-	slices.SortFunc(back, func(a, b index.LeaseOp) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(back, func(leaseOp, b index.LeaseOp) int { return strings.Compare(leaseOp.Key, b.Key) })
 	copy(asks, back)
 }
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -24,7 +24,7 @@
 	n     int
 }
 
-func (r *race) act(h *Host, who int) {
+func (r *race) act(host *Host, who int) {
 	world := r.c.world
 	r.n++
 	body := fmt.Sprintf(`{"notes":{"op%d":%d,"big":12345678901234567890%d}}`, who, r.n, r.n%10)
@@ -50,25 +50,25 @@
 	reg := func() *ControlNode { return r.c.Nodes[world.Rng.Intn(len(r.c.Nodes))] }
 	at := reg()
 	from := world.now
-	Call(h, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, func(q quorum.Operation, rep func(quorum.Result)) { at.Forward(q, 0, rep) },
-		func(a quorum.Result) {
-			if a.Status != quorum.StatusDone {
+	Call(host, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { at.Forward(operation, 0, reply) },
+		func(result quorum.Result) {
+			if result.Status != quorum.StatusDone {
 				return
 			}
-			r.read(from, a)
-			sealed, raw, err := c.Apply(a.Revision, a.Value)
+			r.read(from, result)
+			sealed, raw, err := c.Apply(result.Revision, result.Value)
 			if err != nil {
 				var other plan.RevisionConflictError
-				if a.Revision > 0 && (c.Conditional && c.ExpectedRevision == a.Revision || !c.Conditional && !errors.As(err, &other)) {
+				if result.Revision > 0 && (c.Conditional && c.ExpectedRevision == result.Revision || !c.Conditional && !errors.As(err, &other)) {
 					world.Violation("a good change was declined", "%v", err)
 				}
 				r.done["declined"]++
 				return
 			}
-			_, was, _ := plan.Decode(a.Value)
-			to, sent := reg(), world.now
-			Call(h, to.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: a.Revision}, 900_000,
-				func(q quorum.Operation, rep func(quorum.Result)) { to.Forward(q, 0, rep) },
+			_, was, _ := plan.Decode(result.Value)
+			receiver, sent := reg(), world.now
+			Call(host, receiver.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: result.Revision}, 900_000,
+				func(operation quorum.Operation, reply func(quorum.Result)) { receiver.Forward(operation, 0, reply) },
 				func(b quorum.Result) {
 					switch b.Status {
 					case quorum.StatusDone:
@@ -89,19 +89,19 @@
 }
 
 // read judges what a registrar gives back.
-func (r *race) read(from int64, a quorum.Result) {
+func (r *race) read(from int64, result quorum.Result) {
 	world := r.c.world
-	r.h.add(observedOperation{from, world.now, a.Revision, string(a.Value), false})
-	_, raw, err := plan.Decode(a.Value)
+	r.h.add(observedOperation{from, world.now, result.Revision, string(result.Value), false})
+	_, raw, err := plan.Decode(result.Value)
 	if err != nil {
-		world.Violation("unreadable", "revision %d: %v", a.Revision, err)
+		world.Violation("unreadable", "revision %d: %v", result.Revision, err)
 		return
 	}
-	if want, ok := r.texts[a.Revision]; ok && !bytes.Equal(want, raw) {
-		world.Violation("read back as something else", "revision %d: %q, acknowledged was %q", a.Revision, raw, want)
+	if want, ok := r.texts[result.Revision]; ok && !bytes.Equal(want, raw) {
+		world.Violation("read back as something else", "revision %d: %q, acknowledged was %q", result.Revision, raw, want)
 	}
-	if c, ok := r.how[a.Revision]; ok && !c.Patch && !bytes.Equal(c.Body, raw) {
-		world.Violation("not to the byte", "revision %d: %q, sent was %q", a.Revision, raw, c.Body)
+	if c, ok := r.how[result.Revision]; ok && !c.Patch && !bytes.Equal(c.Body, raw) {
+		world.Violation("not to the byte", "revision %d: %q, sent was %q", result.Revision, raw, c.Body)
 	}
 }
 
@@ -126,18 +126,18 @@
 func operatorsRace(t *testing.T, fault Fault, seeds int64, sum map[string]int) {
 	for seed := int64(1); seed <= seeds; seed++ {
 		world := NewWorld(seed)
-		c := NewCluster(world, 4)
-		c.logConfig.SegmentBytes = 64 << 10 // plans are larger than claims
-		c.Start()
-		r := &race{c: c, h: NewHistory(world, planKey), texts: map[uint64][]byte{}, base: map[uint64][]byte{}, how: map[uint64]plan.Change{}, done: map[string]int{}}
+		cluster := NewCluster(world, 4)
+		cluster.logConfig.SegmentBytes = 64 << 10 // plans are larger than claims
+		cluster.Start()
+		r := &race{c: cluster, h: NewHistory(world, planKey), texts: map[uint64][]byte{}, base: map[uint64][]byte{}, how: map[uint64]plan.Change{}, done: map[string]int{}}
 		for i := 0; i < 4; i++ {
-			var h *Host
-			h = world.NewHost(fmt.Sprint("operator", i), zones[i], func() {
-				h.Every(60_000, func() { r.act(h, i) })
+			var host *Host
+			host = world.NewHost(fmt.Sprint("operator", i), zones[i], func() {
+				host.Every(60_000, func() { r.act(host, i) })
 			})
-			h.Start()
+			host.Start()
 		}
-		c.InjectFaults(fault, 12_000_000)
+		cluster.InjectFaults(fault, 12_000_000)
 		world.Run(16_000_000)
 		if len(world.violations) > 0 {
 			t.Fatalf("%s, seed %d: %v", fault, seed, world.violations)
--- a/sim/partition.go
+++ b/sim/partition.go
@@ -17,22 +17,22 @@
 var Partitions = []Partition{PartitionSilent, PartitionHears, PartitionHeard, PartitionReset, PartitionFrozen, PartitionForgot}
 
 // CutOff cuts the hosts inside off from all others. Rejoin ends it.
-func (w *World) CutOff(p Partition, inside []*Host) {
+func (w *World) CutOff(partition Partition, inside []*Host) {
 	within := map[*Host]bool{}
-	for _, h := range inside {
-		within[h] = true
-		w.Notef("%s is cut off: %s", h.Name, p)
-		if p == PartitionFrozen {
-			h.Freeze()
+	for _, host := range inside {
+		within[host] = true
+		w.Notef("%s is cut off: %s", host.Name, partition)
+		if partition == PartitionFrozen {
+			host.Freeze()
 		}
 	}
-	if p == PartitionFrozen {
+	if partition == PartitionFrozen {
 		return
 	}
 	for _, in := range inside {
 		for _, out := range w.hosts {
 			if !within[out] {
-				w.cutOneOff(p, in.Name, out.Name)
+				w.cutOneOff(partition, in.Name, out.Name)
 			}
 		}
 	}
@@ -41,20 +41,20 @@
 // Rejoin ends all partitions.
 func (w *World) Rejoin(inside []*Host) {
 	w.HealAll()
-	for _, h := range inside {
-		h.Thaw()
+	for _, host := range inside {
+		host.Thaw()
 	}
 }
 
 // part cuts one host inside off from one outside.
-func (w *World) cutOneOff(p Partition, in, out string) {
-	if p != PartitionHears {
+func (w *World) cutOneOff(partition Partition, in, out string) {
+	if partition != PartitionHears {
 		w.Cut(out, in)
 	}
-	if p != PartitionHeard {
+	if partition != PartitionHeard {
 		w.Cut(in, out)
 	}
-	if p == PartitionReset {
+	if partition == PartitionReset {
 		w.resetLinks[[2]string{in, out}] = true
 	}
 }
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -26,10 +26,10 @@
 }
 
 func (s *stage) owner() *ControlNode {
-	for _, r := range s.c.Nodes {
-		if r.up && r.node != nil {
-			if _, ok := r.node.ReadUnderLease(r.Clock(), s.h.key); ok {
-				return r
+	for _, node := range s.c.Nodes {
+		if node.up && node.node != nil {
+			if _, ok := node.node.ReadUnderLease(node.Clock(), s.h.key); ok {
+				return node
 			}
 		}
 	}
@@ -43,8 +43,8 @@
 		if len(s.w.violations) > 0 {
 			s.t.Fatal(s.w.violations)
 		}
-		if o := s.owner(); o != nil {
-			return o
+		if other := s.owner(); other != nil {
+			return other
 		}
 	}
 	s.t.Fatal("no owner")
@@ -52,18 +52,18 @@
 }
 
 // do runs an operation on a node and tells the history when it is answered.
-func (s *stage) do(r *ControlNode, op quorum.Operation) (a quorum.Result) {
+func (s *stage) do(node *ControlNode, op quorum.Operation) (result quorum.Result) {
 	from := s.w.now
-	Call(s.n, r.Host, op, 2_000_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) }, func(x quorum.Result) {
-		a = x
+	Call(s.n, node.Host, op, 2_000_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) }, func(x quorum.Result) {
+		result = x
 		if x.Status == quorum.StatusDone && op.Key == s.h.key {
 			s.h.add(observedOperation{from, s.w.now, x.Revision, string(x.Value), op.Type == quorum.OpPut})
 		}
 	}, func() {})
-	for end := s.w.now + 2_100_000; s.w.now < end && a.Status == 0; {
+	for end := s.w.now + 2_100_000; s.w.now < end && result.Status == 0; {
 		s.w.Run(s.w.now + 5_000)
 	}
-	return a
+	return result
 }
 
 func (s *stage) get() quorum.Result {
@@ -76,30 +76,30 @@
 
 // torn makes the owner take a change that reaches nobody, and die of it.
 func (s *stage) torn() *ControlNode {
-	o := s.settle()
-	for _, r := range s.c.Nodes {
-		s.w.Cut(o.Name, r.Name)
+	other := s.settle()
+	for _, node := range s.c.Nodes {
+		s.w.Cut(other.Name, node.Name)
 	}
-	o.Propose(quorum.Operation{Type: quorum.OpPut, Key: s.h.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
+	other.Propose(quorum.Operation{Type: quorum.OpPut, Key: s.h.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
 	s.w.Run(s.w.now + 60_000)
-	o.Kill()
+	other.Kill()
 	s.w.HealAll()
-	return o
+	return other
 }
 
 // turnUntil kills the owner again and again, restarting it, until it is want, or
 // until it is no more when want is nil.
 func (s *stage) turnUntil(want *ControlNode) {
 	for i := 0; i < 30; i++ {
-		o := s.settle()
+		other := s.settle()
 		s.get()
 		s.moveOn()
-		if o == want {
+		if other == want {
 			return
 		}
-		o.Kill()
+		other.Kill()
 		s.w.Run(s.w.now + 2_600_000)
-		o.Start()
+		other.Start()
 		s.w.Run(s.w.now + 300_000)
 		if want == nil && i > 4 {
 			return
@@ -122,10 +122,10 @@
 func (s *stage) lostChange() *ControlNode {
 	s.put(s.h.key, "v1")
 	s.moveOn()
-	a := s.torn()
+	one := s.torn()
 	s.get()
 	s.moveOn()
-	return a
+	return one
 }
 
 // moveOn moves the slot's marks on, in memory and on disk.
@@ -140,14 +140,14 @@
 func TestPhantom(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		s := newStage(t, seed, "rare")
-		a := s.lostChange()
-		a.Start()
+		one := s.lostChange()
+		one.Start()
 		s.w.Run(s.w.now + 1_500_000)
-		s.turnUntil(a)
+		s.turnUntil(one)
 		s.get()
-		a.Kill()
+		one.Kill()
 		s.get()
-		a.Start()
+		one.Start()
 		s.turnUntil(nil)
 		if len(s.w.violations) > 0 {
 			t.Fatalf("seed %d: %v", seed, s.w.violations)
@@ -160,15 +160,15 @@
 func TestOldLine(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		s := newStage(t, seed, "rare")
-		a := s.lostChange()
-		b := s.settle()
-		s.w.CutBoth(a.Name, b.Name)
-		a.Start()
+		one := s.lostChange()
+		other := s.settle()
+		s.w.CutBoth(one.Name, other.Name)
+		one.Start()
 		s.w.Run(s.w.now + 1_200_000)
-		b.Kill()
+		other.Kill()
 		s.get() // the third line was elected with the old owner's vote
 		s.w.HealAll()
-		b.Start()
+		other.Start()
 		s.turnUntil(nil)
 		if len(s.w.violations) > 0 {
 			t.Fatalf("seed %d: %v", seed, s.w.violations)
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -48,26 +48,26 @@
 // time by this node's clock.
 func (n *ControlNode) proposeOnce(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
 	over := false
-	end := func(a quorum.Result) {
+	end := func(result quorum.Result) {
 		if !over {
 			over = true
-			reply(a)
+			reply(result)
 		}
 	}
 	n.After(max(1, until-n.Clock()), func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
-	n.Propose(op, func(a quorum.Result) {
-		if a.Status != quorum.StatusNotLeader || a.Leader == "" || a.Leader == n.Name || hops >= maxHops {
-			end(a)
+	n.Propose(op, func(result quorum.Result) {
+		if result.Status != quorum.StatusNotLeader || result.Leader == "" || result.Leader == n.Name || hops >= maxHops {
+			end(result)
 			return
 		}
-		n.passToLeader(op, hops, a.Leader, end)
+		n.passToLeader(op, hops, result.Leader, end)
 	})
 }
 
 // pass hands an operation on to the owner of its key.
 func (n *ControlNode) passToLeader(op quorum.Operation, hops int, owner string, end func(quorum.Result)) {
-	to := n.cluster.nodeNamed(owner)
-	if to == nil || n.node == nil || n.node.Silence(n.Clock(), owner) > passSilenceLimit {
+	receiver := n.cluster.nodeNamed(owner)
+	if receiver == nil || n.node == nil || n.node.Silence(n.Clock(), owner) > passSilenceLimit {
 		end(quorum.Result{Status: quorum.StatusNotLeader})
 		return
 	}
@@ -76,15 +76,15 @@
 		limit = passReadTimeoutUS
 	}
 	ask, tell := stepsOf(op.Type)
-	Call(n.Host, to.Host, op, limit,
-		func(q quorum.Operation, answer func(quorum.Result)) {
+	Call(n.Host, receiver.Host, op, limit,
+		func(operation quorum.Operation, answer func(quorum.Result)) {
 			if !n.cluster.isStepLost(ask) {
-				to.proposeOnce(q, hops+1, to.Clock()+limit, answer)
+				receiver.proposeOnce(operation, hops+1, receiver.Clock()+limit, answer)
 			}
 		},
-		func(a quorum.Result) {
+		func(result quorum.Result) {
 			if !n.cluster.isStepLost(tell) {
-				end(a)
+				end(result)
 			}
 		},
 		func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
@@ -92,9 +92,9 @@
 
 // named is the control node of a name, nil if there is none.
 func (c *Cluster) nodeNamed(name string) *ControlNode {
-	for _, r := range c.Nodes {
-		if r.Name == name {
-			return r
+	for _, node := range c.Nodes {
+		if node.Name == name {
+			return node
 		}
 	}
 	return nil
@@ -143,8 +143,8 @@
 	}
 	voters := n.node.VoterSet().Voters
 	heard := 0
-	for _, v := range voters {
-		if n.node.Silence(n.Clock(), v.Name) <= passSilenceLimit {
+	for _, voter := range voters {
+		if n.node.Silence(n.Clock(), voter.Name) <= passSilenceLimit {
 			heard++
 		}
 	}
@@ -177,21 +177,21 @@
 	e.node.proposeOnce(quorum.Operation{Type: quorum.OpGet, Key: e.key}, 0, e.until, e.readDone)
 }
 
-func (e *registerEdit) readDone(a quorum.Result) {
+func (e *registerEdit) readDone(result quorum.Result) {
 	if e.finished {
 		return
 	}
-	if a.Status != quorum.StatusDone {
+	if result.Status != quorum.StatusDone {
 		e.retryAfter(retryWithoutLeader)
 		return
 	}
-	next, reply := e.decide(a.Value, a.Revision)
+	next, reply := e.decide(result.Value, result.Revision)
 	if next == nil {
 		e.finishUnchanged(reply)
 		return
 	}
-	put := quorum.Operation{Type: quorum.OpPut, Key: e.key, Value: next, ExpectedRevision: a.Revision}
-	e.node.proposeOnce(put, 0, e.until, func(a quorum.Result) { e.putDone(a, reply) })
+	put := quorum.Operation{Type: quorum.OpPut, Key: e.key, Value: next, ExpectedRevision: result.Revision}
+	e.node.proposeOnce(put, 0, e.until, func(result quorum.Result) { e.putDone(result, reply) })
 }
 
 // decided answers without a change, unless the read has grown old: this process may
@@ -203,8 +203,8 @@
 	e.end(reply)
 }
 
-func (e *registerEdit) putDone(a quorum.Result, reply Reply) {
-	switch a.Status {
+func (e *registerEdit) putDone(result quorum.Result, reply Reply) {
+	switch result.Status {
 	case quorum.StatusDone:
 		e.end(reply)
 	case quorum.StatusConflict:
@@ -226,18 +226,18 @@
 }
 
 // changeConfiguration decides a change of the configuration.
-func changeConfiguration(c route.Change, texts Texts) decideFunc {
+func changeConfiguration(change route.Change, texts Texts) decideFunc {
 	return func(value []byte, revision uint64) ([]byte, Reply) {
 		var current *route.Document
 		version := uint64(0)
 		if revision != 0 {
-			d, err := route.DecodeDocument(value)
+			document, err := route.DecodeDocument(value)
 			if err != nil {
 				return nil, Reply{Outcome: OutcomeUnknown}
 			}
-			current, version = d, d.Version
+			current, version = document, document.Version
 		}
-		next, out, _ := c.Apply(current, texts.Translate, texts.Words)
+		next, out, _ := change.Apply(current, texts.Translate, texts.Words)
 		switch out {
 		case route.Accepted:
 			return next.Encode(), Reply{OutcomeAccepted, next.Version}
@@ -258,11 +258,11 @@
 	return func(value []byte, revision uint64) ([]byte, Reply) {
 		current := &route.WeightVersions{}
 		if revision != 0 {
-			d, err := route.DecodeWeights(value)
+			versions, err := route.DecodeWeights(value)
 			if err != nil {
 				return nil, Reply{Outcome: OutcomeUnknown}
 			}
-			current = d
+			current = versions
 		}
 		next, finding := current.Add(model, version)
 		switch {
@@ -302,12 +302,12 @@
 var OrderSteps = []OrderStep{StepOrder, StepReadAsk, StepReadTell, StepPutAsk, StepWrite, StepWriteOK, StepPutTell, StepReply}
 
 // stepsOf are the steps of an operation that is passed to its owner.
-func stepsOf(k quorum.OperationType) (ask, tell OrderStep) {
-	if k == quorum.OpGet {
+func stepsOf(operationType quorum.OperationType) (ask, tell OrderStep) {
+	if operationType == quorum.OpGet {
 		return StepReadAsk, StepReadTell
 	}
 	return StepPutAsk, StepPutTell
 }
 
 // lost tells whether a step gets lost.
-func (c *Cluster) isStepLost(s OrderStep) bool { return c.losesStep != nil && c.losesStep(s) }
+func (c *Cluster) isStepLost(step OrderStep) bool { return c.losesStep != nil && c.losesStep(step) }
--- a/sim/retries_test.go
+++ b/sim/retries_test.go
@@ -14,33 +14,33 @@
 	for _, bad := range []string{"breaks off", "refuses", "crashes"} {
 		t.Run(bad, func(t *testing.T) {
 			t.Parallel()
-			f := NewFleet(21, FleetSize{Gateways: 9, Engines: 6})
-			s := NewFleetOperator(f)
-			world := f.World
-			e := f.engineNamed("e03")
+			fleet := NewFleet(21, FleetSize{Gateways: 9, Engines: 6})
+			operator := NewFleetOperator(fleet)
+			world := fleet.World
+			engine := fleet.engineNamed("e03")
 			resent := 0
-			f.checker.onRequestEnded = func(x *callerRequest, o attempt.Outcome) {
-				if o != attempt.Done && !x.probe && x.reason != "duplicate" && world.now < 24_000_000 {
+			fleet.checker.onRequestEnded = func(x *callerRequest, outcome attempt.Outcome) {
+				if outcome != attempt.Done && !x.probe && x.reason != "duplicate" && world.now < 24_000_000 {
 					// A caller that sends again at once, elsewhere, under the same name.
 					resent++
 					y := &callerRequest{group: x.group, kind: x.kind, id: x.id, keyDigest: x.keyDigest, generation: x.generation, probe: true}
-					y.gateway = f.Gateways[world.Rng.Intn(len(f.Gateways))]
-					f.Tally.Sent++
+					y.gateway = fleet.Gateways[world.Rng.Intn(len(fleet.Gateways))]
+					fleet.Tally.Sent++
 					y.gateway.After(1_000, func() { y.gateway.admit(y, "again", 5_000_000) })
 				}
 			}
-			world.At(1_300_000, func() { s.PutPlan(nil) })
+			world.At(1_300_000, func() { operator.PutPlan(nil) })
 			world.At(2_500_000, func() {
 				for i := 0; i < 8; i++ { // some 300 tickets a second
-					f.sendRequests(s, 30_000_000)
+					fleet.sendRequests(operator, 30_000_000)
 				}
 			})
 			count := func(from, to int64) (mine, all int) {
-				for _, x := range f.Engines {
+				for _, x := range fleet.Engines {
 					for _, at := range x.arrivalTimes {
 						if at >= from && at < to {
 							all++
-							if x == e {
+							if x == engine {
 								mine++
 							}
 						}
@@ -51,24 +51,24 @@
 			world.At(8_000_000, func() {
 				switch bad {
 				case "breaks off":
-					e.interruptsRuns = true
+					engine.interruptsRuns = true
 				case "refuses":
-					e.capacity = 0
+					engine.capacity = 0
 				default:
-					e.Kill()
+					engine.Kill()
 				}
 			})
 			world.At(16_000_000, func() {
-				e.interruptsRuns, e.capacity = false, 12
-				e.Start()
+				engine.interruptsRuns, engine.capacity = false, 12
+				engine.Start()
 			})
 			world.Run(34_000_000)
 			if len(world.violations) > 0 {
 				t.Fatal(world.violations)
 			}
 			var arrived, retries, attempts uint64
-			for _, p := range f.Gateways {
-				c := p.dispatcher.Counters
+			for _, gateway := range fleet.Gateways {
+				c := gateway.dispatcher.Counters
 				arrived, retries, attempts = arrived+c.Arrived, retries+c.Retries, attempts+c.Attempts
 			}
 			while, all := count(9_000_000, 16_000_000)
--- a/sim/shares_test.go
+++ b/sim/shares_test.go
@@ -58,13 +58,13 @@
 			late, refused, worst := 0, 0, 0
 			for seed := int64(9); seed < 9+max(n, 2); seed++ {
 				got := share(t, seed, c)
-				for g, e := range entitled(got) {
-					x, s := got[g], sum[g]
+				for group, e := range entitled(got) {
+					x, s := got[group], sum[group]
 					if float64(x.done) < 0.8*e-3 {
-						t.Errorf("seed %d: %s got %d of the %.0f that it is entitled to: %+v", seed, g, x.done, e, x)
+						t.Errorf("seed %d: %s got %d of the %.0f that it is entitled to: %+v", seed, group, x.done, e, x)
 					}
-					sum[g] = portion{s.sent + x.sent, s.done + x.done, s.refused + x.refused, s.late + x.late, s.unknown + x.unknown}
-					due[g] += e
+					sum[group] = portion{s.sent + x.sent, s.done + x.done, s.refused + x.refused, s.late + x.late, s.unknown + x.unknown}
+					due[group] += e
 					late, refused = late+x.late, refused+x.refused
 					if x.refused > 50 {
 						worst = max(worst, x.late*1000/x.refused)
@@ -74,9 +74,9 @@
 			if late*1000 > refused*25 || worst > 60 {
 				t.Errorf("%d of %d refusals came late, %d‰ at worst", late, refused, worst)
 			}
-			for _, g := range simGroups {
-				if s := sum[g]; s.sent > 0 {
-					t.Logf("| %s | %s | %d | %.0f | %d | %d | %d | %d |", c, g, s.sent, due[g], s.done, s.refused, s.late, s.unknown)
+			for _, group := range simGroups {
+				if s := sum[group]; s.sent > 0 {
+					t.Logf("| %s | %s | %d | %.0f | %d | %d | %d | %d |", c, group, s.sent, due[group], s.done, s.refused, s.late, s.unknown)
 				}
 			}
 		})
@@ -92,23 +92,23 @@
 		left += float64(x.done)
 	}
 	out, open := map[string]float64{}, map[string]bool{}
-	for g := range got {
-		open[g] = true
+	for group := range got {
+		open[group] = true
 	}
 	for len(open) > 0 {
 		sum := 0.0
-		for g := range open {
-			sum += shares[g]
+		for group := range open {
+			sum += shares[group]
 		}
 		full := ""
-		for _, g := range simGroups {
-			if open[g] && float64(got[g].sent) <= left*shares[g]/sum {
-				full = g
+		for _, group := range simGroups {
+			if open[group] && float64(got[group].sent) <= left*shares[group]/sum {
+				full = group
 			}
 		}
 		if full == "" {
-			for g := range open {
-				out[g] = left * shares[g] / sum
+			for group := range open {
+				out[group] = left * shares[group] / sum
 			}
 			return out
 		}
@@ -121,19 +121,19 @@
 
 func share(t *testing.T, seed int64, name string) map[string]portion {
 	c := crowds[name]
-	f := NewFleet(seed, FleetSize{Gateways: 3, Engines: 3})
-	for _, e := range f.Engines {
-		e.capacity = 8
+	fleet := NewFleet(seed, FleetSize{Gateways: 3, Engines: 3})
+	for _, engine := range fleet.Engines {
+		engine.capacity = 8
 	}
-	s := NewFleetOperator(f)
-	world := f.World
+	operator := NewFleetOperator(fleet)
+	world := fleet.World
 	got := map[string]portion{}
-	f.checker.onRequestEnded = func(x *callerRequest, o attempt.Outcome) {
+	fleet.checker.onRequestEnded = func(x *callerRequest, outcome attempt.Outcome) {
 		if x.sentAt < crowdFrom {
 			return
 		}
 		g := got[x.group]
-		switch o {
+		switch outcome {
 		case attempt.Done:
 			g.done++
 		case attempt.Rejected:
@@ -164,14 +164,14 @@
 		}
 		world.At(world.now+c.gap, func() { send1(c, p) })
 	}
-	world.At(1_300_000, func() { s.PutPlan(nil) })
+	world.At(1_300_000, func() { operator.PutPlan(nil) })
 	for _, x := range c.who {
 		for _, p := range x.at {
-			world.At(max(4_000_000, x.from), func() { send1(x, f.Gateways[p]) })
+			world.At(max(4_000_000, x.from), func() { send1(x, fleet.Gateways[p]) })
 		}
 	}
 	if c.strike != nil {
-		world.At(14_000_000, func() { c.strike(f) })
+		world.At(14_000_000, func() { c.strike(fleet) })
 	}
 	world.Run(36_000_000)
 	if len(world.violations) > 0 {
--- a/sim/slot_writer.go
+++ b/sim/slot_writer.go
@@ -26,13 +26,13 @@
 )
 
 // NewSlotWriter adds a writer.
-func NewSlotWriter(c *Cluster) *SlotWriter {
+func NewSlotWriter(cluster *Cluster) *SlotWriter {
 	slots := quorum.DefaultConfig("", 0).Slots
-	s := &SlotWriter{cluster: c, acknowledgedAt: make([]int64, slots)}
+	s := &SlotWriter{cluster: cluster, acknowledgedAt: make([]int64, slots)}
 	for i := range slots {
-		s.histories = append(s.histories, NewHistory(c.world, keyOfSlot(i)))
+		s.histories = append(s.histories, NewHistory(cluster.world, keyOfSlot(i)))
 	}
-	s.Host = c.world.NewHost("slot-writer", "north", func() { s.Every(slotWriteEvery, s.act) })
+	s.Host = cluster.world.NewHost("slot-writer", "north", func() { s.Every(slotWriteEvery, s.act) })
 	return s
 }
 
@@ -58,20 +58,20 @@
 }
 
 // do runs an operation at a node and judges its answer.
-func (s *SlotWriter) operate(r *ControlNode, slot int, op quorum.Operation, done func(ok bool)) {
+func (s *SlotWriter) operate(node *ControlNode, slot int, op quorum.Operation, done func(ok bool)) {
 	world := s.cluster.world
 	from := world.now
-	Call(s.Host, r.Host, op, slotWriteLimit,
-		func(q quorum.Operation, reply func(quorum.Result)) {
-			r.proposeOnce(q, 0, r.Clock()+slotWriteLimit, reply)
+	Call(s.Host, node.Host, op, slotWriteLimit,
+		func(operation quorum.Operation, reply func(quorum.Result)) {
+			node.proposeOnce(operation, 0, node.Clock()+slotWriteLimit, reply)
 		},
-		func(a quorum.Result) {
-			if a.Status != quorum.StatusDone {
+		func(result quorum.Result) {
+			if result.Status != quorum.StatusDone {
 				done(false)
 				return
 			}
 			put := op.Type == quorum.OpPut
-			s.histories[slot].add(observedOperation{from, world.now, a.Revision, string(a.Value), put})
+			s.histories[slot].add(observedOperation{from, world.now, result.Revision, string(result.Value), put})
 			if put {
 				s.acknowledgedAt[slot] = world.now
 			}
@@ -85,16 +85,16 @@
 
 // pick is a node that is up; which ones are is no secret to callers for long.
 func (s *SlotWriter) liveNode() *ControlNode {
-	var up []*ControlNode
-	for _, r := range s.cluster.Nodes {
-		if r.up && r.node != nil {
-			up = append(up, r)
+	var live []*ControlNode
+	for _, node := range s.cluster.Nodes {
+		if node.up && node.node != nil {
+			live = append(live, node)
 		}
 	}
-	if len(up) == 0 {
-		up = s.cluster.Nodes
+	if len(live) == 0 {
+		live = s.cluster.Nodes
 	}
-	return up[s.cluster.world.Rng.Intn(len(up))]
+	return live[s.cluster.world.Rng.Intn(len(live))]
 }
 
 // AckedSince reports whether a change of every slot was acknowledged since a time.
@@ -109,8 +109,8 @@
 
 // Acks is how many changes were acknowledged.
 func (s *SlotWriter) Acknowledged() (n int) {
-	for _, h := range s.histories {
-		n += h.Acknowledged
+	for _, history := range s.histories {
+		n += history.Acknowledged
 	}
 	return n
 }
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -23,16 +23,16 @@
 // newSnapshotDay fills the slot of the plan with so many registers of 20 KB.
 func newSnapshotDay(t *testing.T, seed int64, registers int) *snapshotDay {
 	world := NewWorld(seed)
-	c := NewCluster(world, 4)
-	c.selfHealing = true
-	c.generationUS = 60_000_000
-	c.logConfig.SegmentBytes = 2 << 20
-	c.Start()
-	d := &snapshotDay{membershipDay: &membershipDay{Cluster: c, size: coreSizes[1], h: NewHistory(world, planKey)}, every: 10_000}
-	c.dropsMessage = func(m quorum.Message) bool {
+	cluster := NewCluster(world, 4)
+	cluster.selfHealing = true
+	cluster.generationUS = 60_000_000
+	cluster.logConfig.SegmentBytes = 2 << 20
+	cluster.Start()
+	d := &snapshotDay{membershipDay: &membershipDay{Cluster: cluster, size: coreSizes[1], h: NewHistory(world, planKey)}, every: 10_000}
+	cluster.dropsMessage = func(message quorum.Message) bool {
 		size := 0
-		for _, e := range m.Entries {
-			size += len(e.Key) + len(e.Value)
+		for _, entry := range message.Entries {
+			size += len(entry.Key) + len(entry.Value)
 		}
 		d.largest = max(d.largest, size)
 		return size > frameBound
@@ -50,17 +50,17 @@
 	client.Start()
 	var next func()
 	next = func() {
-		r := d.Nodes[world.Rng.Intn(len(d.Nodes))]
+		node := d.Nodes[world.Rng.Intn(len(d.Nodes))]
 		k := d.keys[world.Rng.Intn(len(d.keys))]
-		Call(client, r.Host, d.op(k), 900_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) }, func(a quorum.Result) {
-			if a.Status == quorum.StatusDone {
+		Call(client, node.Host, d.op(k), 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) }, func(result quorum.Result) {
+			if result.Status == quorum.StatusDone {
 				d.changes++
 			}
 		}, func() {})
 		client.After(d.every, next)
 	}
 	client.After(1, next)
-	NewRegisterClient(c, "operator", d.h, 60).Start()
+	NewRegisterClient(cluster, "operator", d.h, 60).Start()
 	return d
 }
 
@@ -71,10 +71,10 @@
 func (d *snapshotDay) put(t *testing.T, key string) {
 	t.Helper()
 	for try := 0; try < 50; try++ {
-		var a quorum.Result
-		d.Nodes[try%4].Forward(d.op(key), 0, func(x quorum.Result) { a = x })
-		d.until(1_000_000, func() bool { return a.Status != 0 })
-		if a.Status == quorum.StatusDone {
+		var result quorum.Result
+		d.Nodes[try%4].Forward(d.op(key), 0, func(x quorum.Result) { result = x })
+		d.until(1_000_000, func() bool { return result.Status != 0 })
+		if result.Status == quorum.StatusDone {
 			return
 		}
 	}
@@ -83,25 +83,25 @@
 
 // differs names a register of the filled slot that the owner has settled and r holds
 // otherwise, or "".
-func (d *snapshotDay) differs(r *ControlNode) string {
-	o := d.slotOwner()
-	if o == nil || o == r {
+func (d *snapshotDay) differs(node *ControlNode) string {
+	other := d.slotOwner()
+	if other == nil || other == node {
 		return ""
 	}
-	settled := o.node.Status(o.Clock())[quorum.SlotOf(planKey, 16)].Committed
-	mine, theirs := registers(r), registers(o)
+	settled := other.node.Status(other.Clock())[quorum.SlotOf(planKey, 16)].Committed
+	mine, theirs := registers(node), registers(other)
 	for _, k := range d.keys {
-		if e := theirs[k]; !settled.Before(e.Position) && mine[k].Position.Before(e.Position) {
-			return fmt.Sprintf("%s is of %v, not %v", k, mine[k].Position, e.Position)
+		if entry := theirs[k]; !settled.Before(entry.Position) && mine[k].Position.Before(entry.Position) {
+			return fmt.Sprintf("%s is of %v, not %v", k, mine[k].Position, entry.Position)
 		}
 	}
 	return ""
 }
 
 // registers are all that a machine holds.
-func registers(r *ControlNode) map[string]quorum.Entry {
+func registers(node *ControlNode) map[string]quorum.Entry {
 	all := map[string]quorum.Entry{}
-	for _, rec := range r.node.Checkpoint() {
+	for _, rec := range node.node.Checkpoint() {
 		if rec.Type == quorum.RecordEntry {
 			all[rec.Entry.Key] = rec.Entry
 		}
@@ -111,9 +111,9 @@
 
 // slotOwner is the machine that owns the slot, or nil.
 func (d *snapshotDay) slotOwner() *ControlNode {
-	for _, r := range d.alive() {
-		if owns(r) == 1 {
-			return r
+	for _, node := range d.alive() {
+		if owns(node) == 1 {
+			return node
 		}
 	}
 	return nil
@@ -130,41 +130,41 @@
 			largest := 0
 			for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 				d := newSnapshotDay(t, seed, 100)
-				r := d.alive()[0]
+				node := d.alive()[0]
 				if how == "behind" { // and a line behind, since it owned the slot
-					d.until(2_000_000, func() bool { r = d.slotOwner(); return r != nil })
+					d.until(2_000_000, func() bool { node = d.slotOwner(); return node != nil })
 				}
-				r.Kill()
+				node.Kill()
 				if how != "behind" {
-					r.loseDisk()
+					node.loseDisk()
 				}
 				d.world.Run(d.world.now + 6_000_000)
-				r.Start()
+				node.Start()
 				bound := d.size.sync
 				switch how {
 				case "ends midway":
-					d.until(1_000_000, func() bool { return r.node != nil })
+					d.until(1_000_000, func() bool { return node.node != nil })
 					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
-					d.world.Notef("%s ends midway", r.Name)
-					r.LosePower()
+					d.world.Notef("%s ends midway", node.Name)
+					node.LosePower()
 					d.world.Run(d.world.now + 200_000)
-					r.Start()
+					node.Start()
 				case "lossy":
 					d.world.LossPermille, d.world.DuplicatePermille = 20, 200
 				case "owner ends midway":
-					d.until(1_000_000, func() bool { return r.node != nil })
+					d.until(1_000_000, func() bool { return node.node != nil })
 					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
-					if o := d.slotOwner(); o != nil && o != r {
-						o.Kill()
-						d.world.At(d.world.now+300_000, o.Start)
+					if other := d.slotOwner(); other != nil && other != node {
+						other.Kill()
+						d.world.At(d.world.now+300_000, other.Start)
 					}
 				}
-				took, ok := d.until(bound, func() bool { return d.caughtUp(r) })
+				took, ok := d.until(bound, func() bool { return d.caughtUp(node) })
 				if len(d.world.violations) > 0 || !ok {
-					ro, _ := d.currentVoters()
-					t.Fatalf("seed %d: not caught up in %d us, votes %v, largest message %d bytes, %d changes: %v", seed, took, r.isMemberOf(ro), d.largest, d.changes, d.world.violations)
+					voterSet, _ := d.currentVoters()
+					t.Fatalf("seed %d: not caught up in %d us, votes %v, largest message %d bytes, %d changes: %v", seed, took, node.isMemberOf(voterSet), d.largest, d.changes, d.world.violations)
 				}
-				if was := d.differs(r); was != "" {
+				if was := d.differs(node); was != "" {
 					t.Fatalf("seed %d: it holds something else than the owner: %s", seed, was)
 				}
 				if d.largest > frameBound {
--- a/sim/soak_test.go
+++ b/sim/soak_test.go
@@ -21,26 +21,26 @@
 			var sum Tally
 			var back int64
 			for s := from + 1; s <= from+n; s++ {
-				r := RunFleet(s, d, soakLong(d), small)
-				if len(r.Violations) > 0 {
-					t.Errorf("seed %d: %v", s, r.Violations)
-					t.Log(strings.Join(r.Notes[max(0, len(r.Notes)-40):], "\n"))
+				result := RunFleet(s, d, soakLong(d), small)
+				if len(result.Violations) > 0 {
+					t.Errorf("seed %d: %v", s, result.Violations)
+					t.Log(strings.Join(result.Notes[max(0, len(result.Notes)-40):], "\n"))
 					return
 				}
-				sum.Sent, sum.Done, sum.Rejected = sum.Sent+r.Sent, sum.Done+r.Done, sum.Rejected+r.Rejected
-				sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS = max(sum.SlowestRevocationUS, r.SlowestRevocationUS), max(sum.SlowestDrainUS, r.SlowestDrainUS), max(sum.SlowestWeightUpdateUS, r.SlowestWeightUpdateUS)
-				back = max(back, r.RecoveryUS)
+				sum.Sent, sum.Done, sum.Rejected = sum.Sent+result.Sent, sum.Done+result.Done, sum.Rejected+result.Rejected
+				sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS = max(sum.SlowestRevocationUS, result.SlowestRevocationUS), max(sum.SlowestDrainUS, result.SlowestDrainUS), max(sum.SlowestWeightUpdateUS, result.SlowestWeightUpdateUS)
+				back = max(back, result.RecoveryUS)
 			}
 			t.Logf("%d seeds: sent %d done %d refused %d; slowest return %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Rejected, back, sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS)
 		})
 	}
-	for _, f := range ClusterFaults {
-		t.Run("core/"+string(f), func(t *testing.T) {
+	for _, fault := range ClusterFaults {
+		t.Run("core/"+string(fault), func(t *testing.T) {
 			t.Parallel()
 			var worst, slowest int64
 			acks, terms, steps, late, joined := 0, 0, 0, 0, 0
 			for s := from + 1; s <= from+n; s++ {
-				d := RunCluster(s, f, 10_000_000)
+				d := RunCluster(s, fault, 10_000_000)
 				if len(d.Violations) > 0 {
 					t.Errorf("seed %d: %v", s, d.Violations)
 					t.Log(strings.Join(d.Notes[max(0, len(d.Notes)-40):], "\n"))
@@ -55,8 +55,8 @@
 }
 
 // soakLong is how long a day is: the bound on weights is itself as long as most.
-func soakLong(d Day) int64 {
-	if d == DayWeights {
+func soakLong(day Day) int64 {
+	if day == DayWeights {
 		return 70_000_000
 	}
 	return 25_000_000
--- a/sim/waves_test.go
+++ b/sim/waves_test.go
@@ -14,30 +14,30 @@
 	n := seeds()
 	least, worst := 18, int64(0)
 	for seed := int64(1); seed <= max(n, 2); seed++ {
-		f := NewFleet(seed, FleetSize{Gateways: 9, Engines: 18})
-		s := NewFleetOperator(f)
-		world := f.World
-		world.At(1_300_000, func() { s.PutPlan(nil) })
-		world.At(2_500_000, func() { f.sendRequests(s, 30_000_000) })
-		world.At(6_000_000, s.NameWeights)
-		world.At(8_000_000, func() { f.IndexNodes[seed%4].Kill() })
+		fleet := NewFleet(seed, FleetSize{Gateways: 9, Engines: 18})
+		operator := NewFleetOperator(fleet)
+		world := fleet.World
+		world.At(1_300_000, func() { operator.PutPlan(nil) })
+		world.At(2_500_000, func() { fleet.sendRequests(operator, 30_000_000) })
+		world.At(6_000_000, operator.NameWeights)
+		world.At(8_000_000, func() { fleet.IndexNodes[seed%4].Kill() })
 		done, lost := int64(0), map[string]int{}
-		f.checker.onRequestEnded = func(x *callerRequest, o attempt.Outcome) {
-			if o != attempt.Done && x.reason != "duplicate" {
-				lost[x.reason]++
+		fleet.checker.onRequestEnded = func(request *callerRequest, outcome attempt.Outcome) {
+			if outcome != attempt.Done && request.reason != "duplicate" {
+				lost[request.reason]++
 			}
 		}
 		var look func()
 		look = func() {
 			serving, old := 0, 0
-			for _, e := range f.Engines {
-				if e.store {
+			for _, engine := range fleet.Engines {
+				if engine.store {
 					continue
 				}
-				if e.loading == "" {
+				if engine.loading == "" {
 					serving++
 				}
-				if e.weights != "w2" {
+				if engine.weights != "w2" {
 					old++
 				}
 			}
@@ -56,8 +56,8 @@
 			t.Errorf("seed %d: all engines had turned after %d us", seed, done)
 		}
 		// Callers turned away by engines that turn may use retries up.
-		if f.Tally.Rejected*100 > f.Tally.Sent || lost["engine-lost"] > 0 {
-			t.Errorf("seed %d: of %d tickets %v", seed, f.Tally.Sent, lost)
+		if fleet.Tally.Rejected*100 > fleet.Tally.Sent || lost["engine-lost"] > 0 {
+			t.Errorf("seed %d: of %d tickets %v", seed, fleet.Tally.Sent, lost)
 		}
 		worst = max(worst, done)
 	}
--- a/sim/weights_operator.go
+++ b/sim/weights_operator.go
@@ -49,9 +49,9 @@
 }
 
 // NewWeightsOperator adds an operator.
-func NewWeightsOperator(c *Cluster, name, site string, h *WeightsHistory) *WeightsOperator {
-	o := &WeightsOperator{cluster: c, history: h, Pause: 400_000}
-	o.Host = c.world.NewHost(name, site, func() { o.After(c.world.Rng.Int63n(o.Pause)+1, o.next) })
+func NewWeightsOperator(cluster *Cluster, name, site string, h *WeightsHistory) *WeightsOperator {
+	o := &WeightsOperator{cluster: cluster, history: h, Pause: 400_000}
+	o.Host = cluster.world.NewHost(name, site, func() { o.After(cluster.world.Rng.Int63n(o.Pause)+1, o.next) })
 	return o
 }
 
@@ -79,13 +79,13 @@
 	o.After(int64(min(o.sends, operatorPauses))*operatorPause, o.send)
 }
 
-func (o *WeightsOperator) answered(version uint64, r Reply, from int64) {
-	if r.Outcome != OutcomeAccepted {
+func (o *WeightsOperator) answered(version uint64, answer Reply, from int64) {
+	if answer.Outcome != OutcomeAccepted {
 		o.again()
 		return
 	}
-	if floor := o.history.namedAt(from); r.Version < floor {
-		o.cluster.world.Violation("older weights", "version %d was told at %d, %d was named before", r.Version, from, floor)
+	if floor := o.history.namedAt(from); answer.Version < floor {
+		o.cluster.world.Violation("older weights", "version %d was told at %d, %d was named before", answer.Version, from, floor)
 	}
 	o.history.acknowledged(version)
 	o.After(o.Pause/2+o.cluster.world.Rng.Int63n(o.Pause), o.next)
--- a/sim/world.go
+++ b/sim/world.go
@@ -109,9 +109,9 @@
 func (w *World) Violations() []string { return w.violations }
 
 // At runs fn at a true time.
-func (w *World) At(at int64, fn func()) {
+func (w *World) At(at int64, task func()) {
 	w.lastSequence++
-	heap.Push(&w.queue, event{max(at, w.now), w.lastSequence, fn})
+	heap.Push(&w.queue, event{max(at, w.now), w.lastSequence, task})
 }
 
 // Run advances until a true time, or until something went wrong.
@@ -145,9 +145,9 @@
 
 // NewHost adds a host; boot is run whenever it starts.
 func (w *World) NewHost(name, site string, boot func()) *Host {
-	h := &Host{world: w, Name: name, Zone: site, boot: boot}
-	w.hosts = append(w.hosts, h)
-	return h
+	host := &Host{world: w, Name: name, Zone: site, boot: boot}
+	w.hosts = append(w.hosts, host)
+	return host
 }
 
 // Clock is the host's time since boot: no two hosts agree on it.
@@ -206,26 +206,26 @@
 }
 
 // run runs fn on the host in its present life, after a freeze if need be.
-func (h *Host) runIn(life int, fn func()) {
+func (h *Host) runIn(process int, task func()) {
 	switch {
-	case !h.up || h.process != life:
+	case !h.up || h.process != process:
 	case h.frozen:
-		h.deferred = append(h.deferred, func() { h.runIn(life, fn) })
+		h.deferred = append(h.deferred, func() { h.runIn(process, task) })
 	default:
-		fn()
+		task()
 	}
 }
 
 // After runs fn on the host in d microseconds, unless it died meanwhile.
-func (h *Host) After(d int64, fn func()) {
+func (h *Host) After(d int64, task func()) {
 	l := h.process
-	h.world.At(h.world.now+d, func() { h.runIn(l, fn) })
+	h.world.At(h.world.now+d, func() { h.runIn(l, task) })
 }
 
 // Every runs fn now and then each period with a little jitter.
-func (h *Host) Every(period int64, fn func()) {
-	fn()
-	h.After(period+h.world.Rng.Int63n(period/8+1), func() { h.Every(period, fn) })
+func (h *Host) Every(period int64, task func()) {
+	task()
+	h.After(period+h.world.Rng.Int63n(period/8+1), func() { h.Every(period, task) })
 }
 
 // Cut cuts the way from a to b; Heal mends it.
@@ -241,18 +241,18 @@
 
 // Isolate cuts a host off from all others.
 func (w *World) Isolate(name string) {
-	for _, h := range w.hosts {
-		if h.Name != name {
-			w.CutBoth(h.Name, name)
+	for _, host := range w.hosts {
+		if host.Name != name {
+			w.CutBoth(host.Name, name)
 		}
 	}
 	w.Notef("%s isolated", name)
 }
 
 // cutOff reports whether any way to or from a host is cut.
-func (w *World) hasCutLink(h *Host) bool {
+func (w *World) hasCutLink(host *Host) bool {
 	for c := range w.cutLinks {
-		if c[0] == h.Name || c[1] == h.Name {
+		if c[0] == host.Name || c[1] == host.Name {
 			return true
 		}
 	}
@@ -260,10 +260,10 @@
 }
 
 // Send carries fn to another host: late, lost or repeated as the network will.
-func (h *Host) Send(to *Host, fn func()) {
+func (h *Host) Send(receiver *Host, task func()) {
 	world := h.world
-	if h == to {
-		h.After(1, fn)
+	if h == receiver {
+		h.After(1, task)
 		return
 	}
 	n := 1
@@ -271,47 +271,47 @@
 		n = 2
 	}
 	for i := 0; i < n; i++ {
-		if world.cutLinks[[2]string{h.Name, to.Name}] || world.LossPermille > 0 && world.Rng.Intn(1000) < world.LossPermille {
+		if world.cutLinks[[2]string{h.Name, receiver.Name}] || world.LossPermille > 0 && world.Rng.Intn(1000) < world.LossPermille {
 			continue
 		}
-		d := 150 + world.Rng.Int63n(900) + world.linkDelayUS[[2]string{h.Name, to.Name}]
+		d := 150 + world.Rng.Int63n(900) + world.linkDelayUS[[2]string{h.Name, receiver.Name}]
 		if world.Rng.Intn(200) == 0 {
 			d += world.Rng.Int63n(30_000)
 		}
-		l := to.process
-		world.At(world.now+d, func() { to.runIn(l, fn) })
+		l := receiver.process
+		world.At(world.now+d, func() { receiver.runIn(l, task) })
 	}
 }
 
 // Call asks another host; exactly one of answer and fail runs, unless the
 // asker dies. A call that is answered too late fails.
-func Call[Q, A any](h, to *Host, q Q, us int64, serve func(q Q, reply func(A)), answer func(A), fail func()) {
-	over, life := false, h.process
+func Call[Q, A any](host, receiver *Host, q Q, durationUS int64, serve func(q Q, reply func(A)), answer func(A), fail func()) {
+	over, process := false, host.process
 	giveUp := func() {
 		if !over {
 			over = true
 			fail()
 		}
 	}
-	h.world.observe("ask", h.Name, to.Name, q)
-	h.Send(to, func() {
+	host.world.observe("ask", host.Name, receiver.Name, q)
+	host.Send(receiver, func() {
 		serve(q, func(a A) {
-			h.world.observe("answer", to.Name, h.Name, a)
-			to.Send(h, func() {
-				if !over && h.process == life { // an answer to a former life reaches nobody
+			host.world.observe("answer", receiver.Name, host.Name, a)
+			receiver.Send(host, func() {
+				if !over && host.process == process { // an answer to a former life reaches nobody
 					over = true
 					answer(a)
 				}
 			})
-			if h.world.resetsConnections(h, to) {
-				h.After(resetDelay, giveUp)
+			if host.world.resetsConnections(host, receiver) {
+				host.After(resetDelay, giveUp)
 			}
 		})
 	})
-	if h.world.resetsConnections(h, to) {
-		h.After(resetDelay, giveUp)
+	if host.world.resetsConnections(host, receiver) {
+		host.After(resetDelay, giveUp)
 	}
-	h.After(us, giveUp)
+	host.After(durationUS, giveUp)
 }
 
 // resetAfter is how long a caller takes to learn that its connection was reset.
@@ -364,17 +364,17 @@
 }
 
 // ReadAt reads what was written, synced or not.
-func (f *diskFile) ReadAt(b []byte, o int64) (int, error) { return copy(b, f.cache[o:]), nil }
+func (f *diskFile) ReadAt(data []byte, o int64) (int, error) { return copy(data, f.cache[o:]), nil }
 
 // WriteAt writes; a loss of power may undo it until Sync.
-func (f *diskFile) WriteAt(b []byte, o int64) (int, error) {
+func (f *diskFile) WriteAt(data []byte, o int64) (int, error) {
 	if f.disk.FailAll {
 		return 0, errSimulatedDisk
 	}
-	f.disk.world.observe("write", f.name, "", diskWrite{o, b})
-	copy(f.cache[o:], b)
-	f.dirty = append(f.dirty, [2]int64{o, o + int64(len(b))})
-	return len(b), nil
+	f.disk.world.observe("write", f.name, "", diskWrite{o, data})
+	copy(f.cache[o:], data)
+	f.dirty = append(f.dirty, [2]int64{o, o + int64(len(data))})
+	return len(data), nil
 }
 
 // Sync makes all that was written last.
