--- /dev/null
+++ b/sim/checker_cache.go
@@ -0,0 +1,44 @@
+package sim
+
+// span is when something surely held: from the acknowledgement of the plan that
+// began it to the sending of the one that ended it.
+type span struct{ from, to int64 }
+
+const forever = 1 << 60
+
+// between reports whether a span lies between the making of a part and its use,
+// with the time that a plan has to come into force.
+func (c *checker) heldBetween(ss []span, origin blockOrigin) bool {
+	for _, interval := range ss {
+		if interval.from > 0 && origin.madeAt < interval.to && c.fleet.World.now > interval.from+planBoundUS {
+			return true
+		}
+	}
+	return false
+}
+
+// behind reports whether a group was surely walled off at a time.
+func (c *checker) wasIsolated(group string, at, since int64) bool {
+	for _, interval := range c.isolated[group] {
+		if interval.from > 0 && interval.from+since <= at && at < interval.to {
+			return true
+		}
+	}
+	return false
+}
+
+// reused judges a run that goes on from a kept part, by who made it and by what
+// has been walled off, removed or named since, in true time.
+func (c *checker) blockReused(origin blockOrigin, run *engineRun) {
+	world, group := c.fleet.World, run.request.group
+	switch {
+	case origin.weights != run.action.Weights:
+		world.Violation("older weights' cache", "%s/%s ran under %s on cache made under %s", group, run.request.id, run.action.Weights, origin.weights)
+	case len(c.namings) > 0 && c.weights == origin.weights && origin.madeAt < c.namings[len(c.namings)-1].sentAt && world.now > c.weightsNamedAt+planBoundUS:
+		world.Violation("older weights' cache", "%s/%s ran on cache of %d, %s was named again at %d", group, run.request.id, origin.madeAt, origin.weights, c.namings[len(c.namings)-1].sentAt)
+	case origin.group != group && (c.heldBetween(c.isolated[origin.group], origin) || c.heldBetween(c.isolated[group], origin)):
+		world.Violation("wall crossed", "%s/%s ran on cache that %s made at %d; walls since: %v %v", group, run.request.id, origin.group, origin.madeAt, c.isolated[origin.group], c.isolated[group])
+	case origin.group == group && c.heldBetween(c.removed[group], origin) && (c.wasIsolated(group, origin.madeAt, 0) || c.wasIsolated(group, world.now, planBoundUS)):
+		world.Violation("wall crossed", "%s/%s ran on cache that another group of that name made at %d", group, run.request.id, origin.madeAt)
+	}
+}
--- /dev/null
+++ b/sim/checker_weights.go
@@ -0,0 +1,50 @@
+package sim
+
+import (
+	"slices"
+)
+
+// naming is one naming of weights: when its plan was sent, and acknowledged.
+type naming struct {
+	name                   string
+	sentAt, acknowledgedAt int64
+}
+
+// unheeded finds the oldest naming that an engine running these weights has not
+// followed for so long: neither it nor any later one names them.
+func (c *checker) oldestUnfollowed(weights string, bound int64) (naming, bool) {
+	for i, n := range c.namings {
+		if c.fleet.World.now-n.acknowledgedAt <= bound {
+			break
+		}
+		if !slices.ContainsFunc(c.namings[i:], func(m naming) bool { return m.name == weights }) && c.weightsBeingSent != weights {
+			return n, true
+		}
+	}
+	return naming{}, false
+}
+
+// turned holds each engine to each naming by itself, from when the engine could
+// last be told: up, not frozen, listed and not leaving. One that refuses to turn is
+// out of our hands; that it serves nothing any more is judged at every run.
+func (c *checker) checkEngineWeights(engine *Engine) {
+	fleet := c.fleet
+	if engine.store {
+		return
+	}
+	if !engine.up || engine.frozen || engine.ignoresWeights || c.drainingSince[engine.Name] != 0 || fleet.World.hasCutLink(engine.Host) {
+		engine.unreachableUntil = fleet.World.now
+		return
+	}
+	for i, n := range c.namings {
+		if slices.ContainsFunc(c.namings[i:], func(m naming) bool { return m.name == engine.weights }) || c.weightsBeingSent == engine.weights {
+			continue
+		}
+		took := fleet.World.now - max(n.acknowledgedAt, engine.unreachableUntil)
+		fleet.Tally.SlowestWeightUpdateUS = max(fleet.Tally.SlowestWeightUpdateUS, took)
+		if took > weightUpdateBoundUS {
+			fleet.World.Violation("old weights", "%s runs %s %d us after %s was named", engine.Name, engine.weights, fleet.World.now-n.acknowledgedAt, n.name)
+		}
+		return
+	}
+}
--- /dev/null
+++ b/sim/claim_clients.go
@@ -0,0 +1,58 @@
+package sim
+
+import (
+	"fmt"
+
+	"violetthread/quorum"
+)
+
+// Claimers race for claims: of all that ask for one key, one at most is ever told
+// that it holds it.
+type ClaimClients struct {
+	cluster *Cluster
+	holder  map[string]string
+	Won     int
+	// Late counts claims of eras that were over when they were asked for.
+	Late int
+}
+
+// NewClaimers adds n clients that race for claims.
+func NewClaimClients(cluster *Cluster, n int) *ClaimClients {
+	x := &ClaimClients{cluster: cluster, holder: map[string]string{}}
+	for i := 0; i < n; i++ {
+		host := cluster.world.NewHost(fmt.Sprint("claimer", i), "east", nil)
+		k := 0
+		host.boot = func() {
+			host.Every(25_000, func() {
+				k++
+				era := max(1, cluster.newestGeneration())
+				x.claim(host, quorum.ClaimKey(era, fmt.Sprintf("g/%d", k/2)), fmt.Sprintf("%s-%d-%d", host.Name, host.process, k))
+				if k%8 == 0 {
+					// Much later somebody asks for what was long ago granted.
+					x.claim(host, quorum.ClaimKey(max(1, era-min(era, uint64(cluster.world.Rng.Intn(9)))), fmt.Sprintf("g/%d", cluster.world.Rng.Intn(k/2+1))), fmt.Sprintf("%s-%d-%d-late", host.Name, host.process, k))
+				}
+			})
+		}
+		host.Start()
+	}
+	return x
+}
+
+func (c *ClaimClients) claim(host *Host, key, nonce string) {
+	node := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
+	Call(host, node.Host, quorum.Operation{Type: quorum.OpClaim, Key: key, Value: []byte(nonce)}, 900_000,
+		func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		func(result quorum.Result) {
+			if result.Status == quorum.StatusGenerationClosed {
+				c.Late++
+			}
+			if result.Status != quorum.StatusDone {
+				return
+			}
+			if o := c.holder[key]; o != "" && o != nonce {
+				c.cluster.world.Violation("claimed twice", "%s by %s and %s", key, o, nonce)
+			}
+			c.holder[key] = nonce
+			c.Won++
+		}, func() {})
+}
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -109,19 +109,6 @@
 	cw.Serve.Watch(cw.World)
 }
 
-// Owner is the control node that vouches for a key just now, nil for none.
-func (c *Cluster) LeaderOf(key string) *ControlNode {
-	for _, node := range c.Nodes {
-		if !node.up || node.frozen || node.node == nil {
-			continue
-		}
-		if _, ok := node.node.ReadUnderLease(node.Clock(), key); ok {
-			return node
-		}
-	}
-	return nil
-}
-
 // Until runs on until a condition holds, looked at every 10 ms, and tells how long that
 // took. After the bound it goes on no further.
 func (cw *ConfigWorld) Until(bound int64, holds func() bool) (took int64, ok bool) {
--- /dev/null
+++ b/sim/control_node_disk.go
@@ -0,0 +1,118 @@
+package sim
+
+import (
+	"errors"
+
+	"violetthread/internal/codec"
+	"violetthread/quorum"
+	"violetthread/wal"
+)
+
+func (n *ControlNode) sync() {
+	if n.syncing {
+		return
+	}
+	n.syncing = true
+	n.After(400+n.cluster.world.Rng.Int63n(3000)+n.Disk.SyncDelayUS, func() {
+		n.syncing = false
+		issued := n.recordsIssued
+		if err := n.log.Sync(); err != nil {
+			n.fail(err)
+			return
+		}
+		if err := n.advanceCheckpoint(); err != nil {
+			n.fail(err)
+			return
+		}
+		if !n.up {
+			return
+		}
+		if n.cluster.beforeSynced != nil && n.cluster.beforeSynced(n) {
+			return
+		}
+		n.handle(n.node.RecordsSynced(n.Clock(), issued))
+		if n.Failure == nil && n.recordsIssued > issued {
+			n.sync()
+		}
+	})
+}
+
+// makeRoom restates the state before anything else is written, as the daemon does at its
+// start, if the process ended in the midst of a checkpoint.
+func (n *ControlNode) checkpointIfFull() error {
+	if n.log.UsedPermille() <= 350 {
+		return nil
+	}
+	var parts [][]byte
+	for _, record := range n.node.Checkpoint() {
+		parts = append(parts, codec.PackRecord(record))
+	}
+	return n.log.Checkpoint(parts)
+}
+
+// checkpoint writes a part of one with each sync, as the daemon does between
+// changes.
+func (n *ControlNode) advanceCheckpoint() error {
+	if n.node == nil {
+		return nil
+	}
+	if !n.checkpointing {
+		if n.log.UsedPermille() <= 350 {
+			return nil
+		}
+		n.checkpointing, n.checkpointRest = true, n.node.Checkpoint()
+		n.cluster.world.Notef("%s begins a checkpoint of %d", n.Name, len(n.checkpointRest))
+		n.Checkpoints++
+		n.checkpointSize = len(n.checkpointRest)
+		return n.log.BeginCheckpoint()
+	}
+	k := min(len(n.checkpointRest), 40)
+	if n.cluster.beforeCheckpointRecord != nil {
+		if n.cluster.beforeCheckpointRecord(n, n.checkpointSize-len(n.checkpointRest), n.checkpointSize) {
+			return nil
+		}
+		k = min(len(n.checkpointRest), 1)
+	}
+	var encoded [][]byte
+	for _, record := range n.checkpointRest[:k] {
+		encoded = append(encoded, codec.PackRecord(record))
+	}
+	n.checkpointRest = n.checkpointRest[k:]
+	if err := n.log.AppendCheckpoint(encoded); err != nil || len(n.checkpointRest) > 0 {
+		return err
+	}
+	n.checkpointing = false
+	return n.log.EndCheckpoint()
+}
+
+func (n *ControlNode) fail(err error) {
+	if errors.Is(err, wal.ErrFull) && n.node != nil {
+		// As the daemon's voter: it begins anew from its disk, with a checkpoint first.
+		n.cluster.world.Notef("%s begins anew: %v", n.Name, err)
+		n.node = nil
+		n.Kill()
+		n.Start()
+		return
+	}
+	n.Failure = err
+	n.cluster.world.Notef("%s ends: %v", n.Name, err)
+	if errors.Is(err, wal.ErrCorrupt) {
+		n.cluster.world.Violation("ring", "%s can't read its ring: %v", n.Name, err)
+	}
+	n.node = nil
+	n.Kill()
+}
+
+// PowerLoss cuts a node's power and loses what its disk had not synced.
+func (n *ControlNode) LosePower() {
+	n.Kill()
+	n.Disk.PowerLoss()
+	n.cluster.world.Notef("%s lost its power", n.Name)
+}
+
+// lose is a machine that comes back empty.
+func (n *ControlNode) loseDisk() {
+	n.Kill()
+	n.Disk.Wipe()
+	n.incarnation, n.voterSet = n.cluster.newIncarnation(), quorum.VoterSet{}
+}
--- /dev/null
+++ b/sim/host.go
@@ -0,0 +1,110 @@
+package sim
+
+// Host is a machine, or one process on it.
+type Host struct {
+	world       *World
+	Name        string
+	Zone        string
+	process     int
+	up          bool
+	frozen      bool
+	deferred    []func()
+	clockOffset int64
+	thawedAt    int64 // true time of the last thaw
+	boot        func()
+	onStop      func()
+}
+
+// NewHost adds a host; boot is run whenever it starts.
+func (w *World) NewHost(name, site string, boot func()) *Host {
+	host := &Host{world: w, Name: name, Zone: site, boot: boot}
+	w.hosts = append(w.hosts, host)
+	return host
+}
+
+func (w *World) hostNamed(name string) *Host {
+	for _, host := range w.hosts {
+		if host.Name == name {
+			return host
+		}
+	}
+	return nil
+}
+
+// Clock is the host's time since boot: no two hosts agree on it.
+func (h *Host) Clock() int64 { return h.world.now + h.clockOffset }
+
+// Up reports whether the host runs (it may be frozen).
+func (h *Host) Up() bool { return h.up }
+
+// Start boots the host.
+func (h *Host) Start() {
+	if h.up {
+		return
+	}
+	h.up, h.frozen, h.deferred = true, false, nil
+	h.process++
+	h.clockOffset = 1_000_000 + h.world.Rng.Int63n(1_000_000_000)
+	h.world.Notef("%s starts", h.Name)
+	h.boot()
+}
+
+// Kill ends the process at once.
+func (h *Host) Kill() {
+	if !h.up {
+		return
+	}
+	h.world.Notef("%s dies", h.Name)
+	h.up, h.deferred = false, nil
+	h.process++
+	if h.onStop != nil {
+		h.onStop()
+	}
+}
+
+// Freeze stops the host without it noticing; Thaw lets it go on, with all that
+// arrived meanwhile, in order.
+func (h *Host) Freeze() {
+	if h.up && !h.frozen {
+		h.world.Notef("%s freezes", h.Name)
+		h.frozen = true
+	}
+}
+
+// Thaw ends a freeze.
+func (h *Host) Thaw() {
+	if !h.frozen {
+		return
+	}
+	h.world.Notef("%s thaws", h.Name)
+	h.frozen, h.thawedAt = false, h.world.now
+	l := h.deferred
+	h.deferred = nil
+	h.world.Rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
+	for _, f := range l {
+		f()
+	}
+}
+
+// run runs fn on the host in its present life, after a freeze if need be.
+func (h *Host) runIn(process int, task func()) {
+	switch {
+	case !h.up || h.process != process:
+	case h.frozen:
+		h.deferred = append(h.deferred, func() { h.runIn(process, task) })
+	default:
+		task()
+	}
+}
+
+// After runs fn on the host in d microseconds, unless it died meanwhile.
+func (h *Host) After(d int64, task func()) {
+	l := h.process
+	h.world.At(h.world.now+d, func() { h.runIn(l, task) })
+}
+
+// Every runs fn now and then each period with a little jitter.
+func (h *Host) Every(period int64, task func()) {
+	task()
+	h.After(period+h.world.Rng.Int63n(period/8+1), func() { h.Every(period, task) })
+}
--- /dev/null
+++ b/sim/lease_clients.go
@@ -0,0 +1,87 @@
+package sim
+
+import (
+	"fmt"
+
+	"violetthread/quorum"
+)
+
+// Holders contend for a duty: at no instant do two believe that they hold it.
+type LeaseClients struct {
+	cluster   *Cluster
+	hosts     []*Host
+	leaseEnds map[*Host]int64 // by its own clock
+	Leases    int
+}
+
+const simLeaseUS = 900_000
+
+// NewHolders adds n clients that contend for one duty.
+func NewLeaseClients(cluster *Cluster, n int) *LeaseClients {
+	x := &LeaseClients{cluster: cluster, leaseEnds: map[*Host]int64{}}
+	for i := 0; i < n; i++ {
+		host := cluster.world.NewHost(fmt.Sprint("holder", i), "south", nil)
+		host.boot = func() {
+			epoch := uint64(0)
+			x.leaseEnds[host] = 0
+			host.Every(150_000, func() { x.acquire(host, &epoch) })
+		}
+		x.hosts = append(x.hosts, host)
+		host.Start()
+	}
+	cluster.world.invariants = append(cluster.world.invariants, x.checkOneHolder)
+	return x
+}
+
+func (c *LeaseClients) acquire(host *Host, epoch *uint64) {
+	node := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
+	at := host.Clock()
+	Call(host, node.Host, quorum.Operation{Type: quorum.OpAcquire, Key: "duty/one", ExpectedRevision: *epoch, Holder: fmt.Sprint(host.Name, "#", host.process), LeaseDuration: simLeaseUS}, 500_000,
+		func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		func(result quorum.Result) {
+			if result.Status != quorum.StatusDone {
+				return
+			}
+			if *epoch != result.Revision {
+				c.Leases++
+			}
+			*epoch = result.Revision
+			c.leaseEnds[host] = max(c.leaseEnds[host], at+simLeaseUS-50_000)
+		}, func() {})
+}
+
+// plague kills and freezes holders until a true time.
+func (c *LeaseClients) injectFaults(until int64) {
+	world := c.cluster.world
+	if world.now >= until {
+		for _, host := range c.hosts {
+			host.Thaw()
+			host.Start()
+		}
+		return
+	}
+	host := c.hosts[world.Rng.Intn(len(c.hosts))]
+	d := 50_000 + world.Rng.Int63n(2_500_000)
+	if world.Rng.Intn(2) == 0 {
+		host.Freeze()
+		world.At(world.now+d, host.Thaw)
+	} else {
+		host.Kill()
+		world.At(world.now+d, host.Start)
+	}
+	world.At(world.now+300_000+world.Rng.Int63n(2_000_000), func() { c.injectFaults(until) })
+}
+
+func (c *LeaseClients) checkOneHolder() {
+	n := ""
+	for _, host := range c.hosts {
+		endsAt := c.leaseEnds[host]
+		if !host.up || host.Clock() >= endsAt {
+			continue
+		}
+		if n != "" {
+			c.cluster.world.Violation("two holders", "%s and %s", n, host.Name)
+		}
+		n = host.Name
+	}
+}
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -90,16 +90,6 @@
 		func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
 }
 
-// named is the control node of a name, nil if there is none.
-func (c *Cluster) nodeNamed(name string) *ControlNode {
-	for _, node := range c.Nodes {
-		if node.Name == name {
-			return node
-		}
-	}
-	return nil
-}
-
 // decideFunc makes the next value of a register from its present one. Without a next
 // value the reply stands; with one it stands once that is in force.
 type decideFunc func(value []byte, revision uint64) (next []byte, reply Reply)
