--- a/quorum/admit_test.go
+++ b/quorum/admit_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func addressed(n int) VoterSet {
-	r := voters(n)
+func newAddressedSet(n int) VoterSet {
+	r := newVoterSet(n)
 	for i := range r.Voters {
 		r.Voters[i].Addr = "at-" + r.Voters[i].Name
 	}
@@ -57,7 +57,7 @@
 			}
 			silent[f[:1]] = ms * 1000
 		}
-		r := addressed(c.voters)
+		r := newAddressedSet(c.voters)
 		asked := int64(AddAfter)
 		if strings.HasPrefix(c.what, "just come") {
 			asked--
@@ -74,7 +74,7 @@
 		if got != c.want || ok && in != c.newcome {
 			t.Errorf("%s: got %q, newcomer in: %v", c.what, got, in)
 		}
-		if ok && (disjoint(r, n) || checkStep(r, n) != nil) {
+		if ok && (haveDisjointMajorities(r, n) || checkStep(r, n) != nil) {
 			t.Errorf("%s: two majorities without a common voter", c.what)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // TestSilence counts from what this node could hear, never from before.
 func TestSilence(t *testing.T) {
-	n := New(DefaultConfig("a", 1), addressed(3), 10_000_000, nil)
+	n := New(DefaultConfig("a", 1), newAddressedSet(3), 10_000_000, nil)
 	now := int64(10_000_000)
 	for ; now < 12_000_000; now += 25_000 {
 		n.Tick(now)
@@ -107,7 +107,7 @@
 
 // TestGrace: a disk that may have granted something waits a term after a start; one
 // that never did has nothing to wait for.
-func TestGrace(t *testing.T) {
+func TestNoVoteAfterRestart(t *testing.T) {
 	for _, c := range []struct {
 		recs []Record
 		want MessageType
@@ -116,7 +116,7 @@
 		{[]Record{{Type: RecordPromise, Slot: 3, Term: 0}}, MsgVoteGranted},
 		{[]Record{{Type: RecordPromise, Slot: 3, Term: 1 << 16}}, MsgVoteRejected},
 	} {
-		n := New(DefaultConfig("a", 1), addressed(3), 5_000_000, c.recs)
+		n := New(DefaultConfig("a", 1), newAddressedSet(3), 5_000_000, c.recs)
 		o := n.Receive(5_000_100, Message{Type: MsgVoteRequest, From: "b", Incarnation: 2, VoterSetRevision: n.VoterSet().Revision, Slot: 5, Term: 1<<16 | 2})
 		if len(o.Messages) == 0 {
 			o = n.RecordsSynced(5_000_200, uint64(len(o.Records)))
--- a/quorum/event.go
+++ b/quorum/event.go
@@ -9,23 +9,23 @@
 type EventType uint8
 
 const (
-	// EventLeaderElected: this node won Slot for Term and took Recovered entries over.
+	// EventLeaderElected means: this node won Slot for Term and took Recovered entries over.
 	EventLeaderElected EventType = iota + 1
-	// EventLeaderReady: a majority has the new log; this node serves Slot in Term.
+	// EventLeaderReady means: a majority has the new log; this node serves Slot in Term.
 	EventLeaderReady
-	// EventLeaseExpired: this node lost touch with a majority and gave Slot up.
+	// EventLeaseExpired means: this node lost touch with a majority and gave Slot up.
 	EventLeaseExpired
-	// EventVoterAdmitted: a step that lets Peer in is proposed.
+	// EventVoterAdmitted means: a step that lets Peer in is proposed.
 	EventVoterAdmitted
-	// EventSurplusRemoved: a step that removes a voter whose successor is in is proposed.
+	// EventSurplusRemoved means: a step that removes a voter whose successor is in is proposed.
 	EventSurplusRemoved
-	// EventVoterSetInstalled: a voter set is in force; Voting says whether this node is in it.
+	// EventVoterSetInstalled means: a voter set is in force; Voting says whether this node is in it.
 	EventVoterSetInstalled
-	// EventVoterSetRefused: a proposed voter set was refused for Err.
+	// EventVoterSetRefused means: a proposed voter set was refused for Err.
 	EventVoterSetRefused
-	// EventUnknownSender: a message of no voter of the set was ignored. Frequent.
+	// EventUnknownSender means: a message of no voter of the set was ignored. Frequent.
 	EventUnknownSender
-	// EventUnknownSlot: a message about a slot that does not exist was ignored. Frequent.
+	// EventUnknownSlot means: a message about a slot that does not exist was ignored. Frequent.
 	EventUnknownSlot
 )
 
--- a/quorum/explore_copy_test.go
+++ b/quorum/explore_copy_test.go
@@ -25,7 +25,7 @@
 }
 
 // open gives access to a field whatever its name.
-func open(v reflect.Value) reflect.Value {
+func fieldValue(v reflect.Value) reflect.Value {
 	return reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem()
 }
 
@@ -44,7 +44,7 @@
 	case reflect.Struct:
 		v = addressable(v)
 		for i := range v.NumField() {
-			b = encode(b, open(v.Field(i)))
+			b = encode(b, fieldValue(v.Field(i)))
 		}
 	case reflect.Pointer:
 		if v.IsNil() {
@@ -133,7 +133,7 @@
 	switch src.Kind() {
 	case reflect.Struct:
 		for i := range src.NumField() {
-			c.copy(open(dst.Field(i)), open(src.Field(i)))
+			c.copy(fieldValue(dst.Field(i)), fieldValue(src.Field(i)))
 		}
 	case reflect.Pointer:
 		c.pointer(dst, src)
--- a/quorum/explore_kept_test.go
+++ b/quorum/explore_kept_test.go
@@ -7,7 +7,7 @@
 func TestKeptTraces(t *testing.T) {
 	for _, c := range []struct {
 		safeguard string // as scripts/weaken names it
-		config    config
+		config    worldConfig
 		trace     string
 	}{
 		{"acknowledged before the sync", three,
@@ -36,12 +36,12 @@
 			"tick 5; roster c 3582; tick 2"},
 		{"claims are forgotten at takeover", three,
 			"tick 4; claim b 1; tick 1; leave b; tick 3; claim a 1"},
-		{"a floor is trusted before it is beyond doubt", withEras,
+		{"a floor is trusted before it is beyond doubt", withGenerations,
 			"tick 10; claim b 2; tick 4; power b 0; start b; tick 1"},
 	} {
 		t.Run(c.safeguard, func(t *testing.T) {
-			if w := play(c.config, readTrace(c.trace)); w.judge.wrong != "" {
-				t.Fatal(w.judge.wrong)
+			if w := play(c.config, readTrace(c.trace)); w.checker.violation != "" {
+				t.Fatal(w.checker.violation)
 			}
 		})
 	}
@@ -54,8 +54,8 @@
 		"tick 4; power a 2; put b 1; isolate c; start a; put b 0; duty b 0; put b 1; heal-all; tick 1; isolate b; tick 5",
 		"tick 3; power b 1; start b; tick 5; cut a c; put a 1; power b 1; put a 0; start b; put a 1; heal-all; tick 1",
 	} {
-		if w := play(inParts, readTrace(course)); w.judge.wrong != "" {
-			t.Errorf("%s: %s", course, w.judge.wrong)
+		if w := play(inChunks, readTrace(course)); w.checker.violation != "" {
+			t.Errorf("%s: %s", course, w.checker.violation)
 		}
 	}
 }
@@ -67,8 +67,8 @@
 		{"a fill", "tick 5; step 60; stall a; put b 1; step 60; cut b a; put b 0; step 60; heal b a; put b 0; step 2; hold b a; step 60; power a 0; start a; tick 1; step 60; heal b a; postpone; step 60"},
 		{"a vote", "tick 5; step 60; stall a; put b 1; step 60; tick 1; step 60; kill b; tick 3; step 5; late; step 60; power a 0; start a; tick 3; release 0; step 60; tick 14"},
 	} {
-		if w := play(three, readTrace(c.trace)); w.judge.wrong != "" {
-			t.Errorf("%s: %s", c.name, w.judge.wrong)
+		if w := play(three, readTrace(c.trace)); w.checker.violation != "" {
+			t.Errorf("%s: %s", c.name, w.checker.violation)
 		}
 	}
 }
--- a/quorum/explore_linearizable_test.go
+++ b/quorum/explore_linearizable_test.go
@@ -3,22 +3,22 @@
 import "violetthread/internal/lincheck"
 
 // operations are what clients saw of one register.
-func (j *judge) operations(key string) []lincheck.Operation {
+func (c *checker) operations(key string) []lincheck.Operation {
 	var ops []lincheck.Operation
-	add := func(p asking, o lincheck.Operation) {
-		o.Client, o.Write, o.Invoked = p.machine, p.op.Type == OpPut, p.at
+	add := func(p openOperation, o lincheck.Operation) {
+		o.Client, o.Write, o.Invoked = p.machine, p.operation.Type == OpPut, p.calledAt
 		if o.Write {
-			o.Value = string(p.op.Value)
+			o.Value = string(p.operation.Value)
 		}
 		ops = append(ops, o)
 	}
-	for _, o := range j.history {
-		if o.op.Key == key {
-			add(o.asking, lincheck.Operation{Confirmed: o.known, Returned: o.to, Revision: o.rev, Value: o.val})
+	for _, o := range c.history {
+		if o.operation.Key == key {
+			add(o.openOperation, lincheck.Operation{Confirmed: o.tookEffect, Returned: o.returnedAt, Revision: o.revision, Value: o.value})
 		}
 	}
-	for _, p := range j.pending {
-		if p.op.Key == key {
+	for _, p := range c.pending {
+		if p.operation.Key == key {
 			add(p, lincheck.Operation{})
 		}
 	}
@@ -26,9 +26,9 @@
 }
 
 // linearizable checks the histories of all registers.
-func (j *judge) linearizable() error {
-	for _, r := range j.registers {
-		if err := lincheck.Check(j.operations(r.key)); err != nil {
+func (c *checker) linearizable() error {
+	for _, r := range c.registers {
+		if err := lincheck.Check(c.operations(r.key)); err != nil {
 			return err
 		}
 	}
--- a/quorum/explore_steps_test.go
+++ b/quorum/explore_steps_test.go
@@ -8,7 +8,7 @@
 )
 
 // drawStep draws a step of a roster: somebody goes, somebody comes, or both.
-func drawStep(t *rapid.T, r VoterSet, inc uint64) (VoterSet, error) {
+func drawVoterSetStep(t *rapid.T, r VoterSet, inc uint64) (VoterSet, error) {
 	old := ""
 	if len(r.Voters) > 0 && rapid.Bool().Draw(t, "goes") {
 		old = rapid.SampledFrom(r.Voters).Draw(t, "old").Name
@@ -23,17 +23,17 @@
 // majority of the next, numbers rise by one, and no voter's number is given twice.
 func TestAnySteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := voters(rapid.IntRange(1, 7).Draw(t, "voters"))
+		r := newVoterSet(rapid.IntRange(1, 7).Draw(t, "voters"))
 		given := map[uint16]uint64{}
 		for _, v := range r.Voters {
 			given[v.Number] = v.Incarnation
 		}
 		for inc := uint64(100); inc < 130; inc++ {
-			next, err := drawStep(t, r, inc)
+			next, err := drawVoterSetStep(t, r, inc)
 			if err != nil || len(next.Voters) > MaxVoters {
 				continue
 			}
-			if next.Revision != r.Revision+1 || disjoint(r, next) {
+			if next.Revision != r.Revision+1 || haveDisjointMajorities(r, next) {
 				t.Fatalf("%v follows %v", next, r)
 			}
 			for _, v := range next.Voters {
@@ -52,7 +52,7 @@
 // a disk that is lost or a voter that is gone.
 func TestAdmitAnySilence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := addressed(rapid.IntRange(1, MaxVoters).Draw(t, "voters"))
+		r := newAddressedSet(rapid.IntRange(1, MaxVoters).Draw(t, "voters"))
 		silent, heard := map[string]int64{}, 0
 		for _, v := range r.Voters {
 			silent[v.Name] = rapid.SampledFrom([]int64{0, SuspectAfter - 1, SuspectAfter, FailedAfter - 1, FailedAfter, 9 * FailedAfter}).Draw(t, v.Name)
@@ -69,7 +69,7 @@
 		if !ok {
 			return
 		}
-		if heard < r.Majority() || checkStep(r, next) != nil || disjoint(r, next) || len(next.Voters) > MaxVoters {
+		if heard < r.Majority() || checkStep(r, next) != nil || haveDisjointMajorities(r, next) || len(next.Voters) > MaxVoters {
 			t.Fatalf("%v follows %v with %d heard", next, r, heard)
 		}
 		for _, v := range r.Voters {
--- a/quorum/explore_test.go
+++ b/quorum/explore_test.go
@@ -9,15 +9,15 @@
 
 // The worlds that are explored.
 var (
-	three       = config{voters: 3, machines: 3, slots: 1, chunk: 1 << 20}
-	twoSlots    = config{voters: 3, machines: 3, slots: 2, chunk: 1 << 20}
-	withEras    = config{voters: 3, machines: 3, slots: 2, chunk: 1 << 20, eraTerm: 3 * tickTime}
-	late        = config{voters: 3, machines: 3, slots: 1, chunk: 1 << 20, lateness: true}
-	inParts     = config{voters: 3, machines: 3, slots: 1, chunk: 300}
-	threeOfFive = config{voters: 3, machines: 5, slots: 2, chunk: 1 << 20}
-	seated      = config{voters: 3, machines: 5, slots: 2, chunk: 1 << 20, seats: 3}
-	fourOfFive  = config{voters: 4, machines: 5, slots: 1, chunk: 1 << 20}
-	five        = config{voters: 5, machines: 5, slots: 1, chunk: 1 << 20}
+	three            = worldConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 1 << 20}
+	twoSlots         = worldConfig{voters: 3, machines: 3, slots: 2, chunkBytes: 1 << 20}
+	withGenerations  = worldConfig{voters: 3, machines: 3, slots: 2, chunkBytes: 1 << 20, generationDuration: 3 * tickInterval}
+	withLateMessages = worldConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 1 << 20, lateMessages: true}
+	inChunks         = worldConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 300}
+	threeOfFive      = worldConfig{voters: 3, machines: 5, slots: 2, chunkBytes: 1 << 20}
+	withSeats        = worldConfig{voters: 3, machines: 5, slots: 2, chunkBytes: 1 << 20, seats: 3}
+	fourOfFive       = worldConfig{voters: 4, machines: 5, slots: 1, chunkBytes: 1 << 20}
+	five             = worldConfig{voters: 5, machines: 5, slots: 1, chunkBytes: 1 << 20}
 )
 
 // level says how far the explorer goes: VT_EXPLORE, or 1 as in CI.
@@ -31,10 +31,10 @@
 
 // report fails the test with the shortest trace that still breaks the rule, in the
 // form that TestKeptTraces takes.
-func report(t *testing.T, c config, tr trace, wrong string) {
+func report(t *testing.T, c worldConfig, tr trace, wrong string) {
 	t.Helper()
 	short := shorten(c, tr, kindOf(wrong))
-	t.Fatalf("%s\nthe shortest trace, in %+v:\n%q\n%s", wrong, c, short, play(c, short).judge.wrong)
+	t.Fatalf("%s\nthe shortest trace, in %+v:\n%q\n%s", wrong, c, short, play(c, short).checker.violation)
 }
 
 // TestWalks draws random courses of every world, the same ones every time; as many
@@ -42,16 +42,16 @@
 func TestWalks(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		config config
+		config worldConfig
 		walks  int
 	}{
 		{"three", three, 400},
 		{"two slots", twoSlots, 200},
-		{"eras", withEras, 250},
-		{"late messages", late, 150},
-		{"in parts", inParts, 250},
+		{"eras", withGenerations, 250},
+		{"late messages", withLateMessages, 150},
+		{"in parts", inChunks, 250},
 		{"roster", threeOfFive, 80},
-		{"seats", seated, 80},
+		{"seats", withSeats, 80},
 		{"four", fourOfFive, 70},
 		{"five", five, 50},
 	} {
@@ -59,22 +59,22 @@
 	}
 }
 
-func walks(t *testing.T, c config, count int) {
+func walks(t *testing.T, c worldConfig, count int) {
 	begin := time.Now()
 	inputs, changes, rosters := 0, 0, 0
 	for seed := int64(1); seed <= int64(count); seed++ {
 		tr, w := walk(c, seed, 80)
-		if w.judge.wrong != "" {
+		if w.checker.violation != "" {
 			t.Logf("seed %d", seed)
-			report(t, c, tr, w.judge.wrong)
+			report(t, c, tr, w.checker.violation)
 		}
-		if err := w.judge.linearizable(); err != nil {
+		if err := w.checker.linearizable(); err != nil {
 			t.Fatalf("seed %d: %v\n%q", seed, err, tr)
 		}
 		inputs += *w.inputs
-		rosters += len(w.judge.rosters) - 1
-		for _, o := range w.judge.history {
-			if o.known && o.op.Type == OpPut {
+		rosters += len(w.checker.voterSets) - 1
+		for _, o := range w.checker.history {
+			if o.tookEffect && o.operation.Type == OpPut {
 				changes++
 			}
 		}
@@ -87,10 +87,10 @@
 
 // Prefixes that searches start from.
 const (
-	calm    = "tick 5"
-	torn    = "tick 4; cut b a; cut b c; put b 0; step 1; kill b; heal-all"
-	behind  = "tick 5; put b 0; tick 1; isolate c; put b 0; tick 1; put b 1; tick 1; heal-all"
-	partial = "tick 5; put b 0; tick 1; isolate a; hold c b; put b 0; tick 1; heal-all"
+	calm       = "tick 5"
+	changeTorn = "tick 4; cut b a; cut b c; put b 0; step 1; kill b; heal-all"
+	oneBehind  = "tick 5; put b 0; tick 1; isolate c; put b 0; tick 1; put b 1; tick 1; heal-all"
+	oneAhead   = "tick 5; put b 0; tick 1; isolate a; hold c b; put b 0; tick 1; heal-all"
 )
 
 // TestSearch visits every course that strays from the ordinary one at most so many
@@ -98,15 +98,15 @@
 func TestSearch(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		config        config
+		config        worldConfig
 		prefix        string
 		ticks, strays int
 	}{
 		{"three", three, calm, 4, 1},
 		{"three, two strays", three, calm, 1, 2},
-		{"a change torn", three, torn, 4, 1},
-		{"one behind", three, behind, 3, 1},
-		{"one ahead", three, partial, 3, 1},
+		{"a change torn", three, changeTorn, 4, 1},
+		{"one behind", three, oneBehind, 3, 1},
+		{"one ahead", three, oneAhead, 3, 1},
 		{"two slots", twoSlots, calm, 3, 1},
 		{"four", fourOfFive, calm, 2, 1},
 		{"five", five, calm, 1, 1},
--- a/quorum/explore_trace_test.go
+++ b/quorum/explore_trace_test.go
@@ -23,7 +23,7 @@
 	doPut        verb = "put"        // a client changes register B at A
 	doGet        verb = "get"        // a client reads register B at A
 	doClaim      verb = "claim"      // a client claims for era B at A
-	doDuty       verb = "duty"       // client B asks A for the duty
+	doAcquire    verb = "duty"       // client B asks A for the duty
 	doKill       verb = "kill"       // A's process ends; its records reach the disk
 	doPower      verb = "power"      // A's machine loses its power, and the records not synced but B
 	doStart      verb = "start"      // A boots
@@ -44,15 +44,15 @@
 	doLate       verb = "late"       // the message due next is put aside
 	doRelease    verb = "release"    // the message put aside as number A comes now
 	doLeave      verb = "leave"      // A leaves politely
-	doRoster     verb = "roster"     // an operator asks A for step B of the roster
+	doVoterSet   verb = "roster"     // an operator asks A for step B of the roster
 )
 
 // oneMachine, twoMachines: what an action's numbers name, for reading and writing.
 var operands = map[verb]string{
-	doTick: "n", doStep: "n", doPut: "mn", doGet: "mn", doClaim: "mn", doDuty: "mn", doKill: "m", doPower: "mn",
+	doTick: "n", doStep: "n", doPut: "mn", doGet: "mn", doClaim: "mn", doAcquire: "mn", doKill: "m", doPower: "mn",
 	doStart: "m", doWipe: "m", doCheckpoint: "m", doFreeze: "m", doThaw: "m", doStall: "m", doFlow: "m",
 	doCut: "mm", doHold: "mm", doHeal: "mm", doIsolate: "m", doHealAll: "", doDrop: "", doRepeat: "",
-	doPostpone: "", doLate: "", doRelease: "n", doLeave: "m", doRoster: "mn",
+	doPostpone: "", doLate: "", doRelease: "n", doLeave: "m", doVoterSet: "mn",
 }
 
 func (x action) String() string {
@@ -116,7 +116,7 @@
 }
 
 // play runs a trace from the start of a world until something is wrong.
-func play(c config, t trace) *world {
+func play(c worldConfig, t trace) *world {
 	w := newWorld(c, nil)
 	w.play(t)
 	return w
@@ -124,51 +124,51 @@
 
 func (w *world) play(t trace) {
 	for _, x := range t {
-		w.act(x)
-		if w.judge.wrong != "" {
+		w.apply(x)
+		if w.checker.violation != "" {
 			return
 		}
 	}
 }
 
 // act does one action and judges every state on the way.
-func (w *world) act(x action) {
+func (w *world) apply(x action) {
 	switch x.verb {
 	case doTick:
 		for range x.a {
-			w.quiet()
+			w.runUntilIdle()
 			w.tick()
-			w.judge.look(w)
+			w.checker.check(w)
 		}
 	case doStep:
 		for range x.a {
-			if w.judge.wrong == "" && w.step() {
-				w.judge.look(w)
+			if w.checker.violation == "" && w.step() {
+				w.checker.check(w)
 			}
 		}
 	case doRelease:
-		if x.a < len(w.late) {
-			p := w.late[x.a]
-			w.late = slices.Delete(w.late, x.a, x.a+1)
-			w.hand(p)
+		if x.a < len(w.setAside) {
+			p := w.setAside[x.a]
+			w.setAside = slices.Delete(w.setAside, x.a, x.a+1)
+			w.receive(p)
 		}
 	default:
 		w.disturb(x)
 	}
-	w.judge.look(w)
+	w.checker.check(w)
 }
 
 func (w *world) disturb(x action) {
 	m := &w.machines[x.a]
 	switch x.verb {
 	case doPut:
-		w.do(x.a, Operation{Type: OpPut, Key: w.judge.registers[x.b].key, ExpectedRevision: AnyRevision})
+		w.propose(x.a, Operation{Type: OpPut, Key: w.checker.registers[x.b].key, ExpectedRevision: AnyRevision})
 	case doGet:
-		w.do(x.a, Operation{Type: OpGet, Key: w.judge.registers[x.b].key})
+		w.propose(x.a, Operation{Type: OpGet, Key: w.checker.registers[x.b].key})
 	case doClaim:
-		w.do(x.a, Operation{Type: OpClaim, Key: ClaimKey(uint64(x.b), "c")})
-	case doDuty:
-		w.do(x.a, Operation{Type: OpAcquire, Key: dutyKey, Holder: strconv.Itoa(x.b), LeaseDuration: dutyTerm})
+		w.propose(x.a, Operation{Type: OpClaim, Key: ClaimKey(uint64(x.b), "c")})
+	case doAcquire:
+		w.propose(x.a, Operation{Type: OpAcquire, Key: exploreRoleKey, Holder: strconv.Itoa(x.b), LeaseDuration: exploreRoleDuration})
 	case doKill:
 		w.kill(x.a, len(m.unsynced))
 	case doPower:
@@ -191,44 +191,44 @@
 		if w.running(x.a) {
 			w.input(x.a, input{kind: inLeave})
 		}
-	case doRoster:
-		w.roster(x.a, x.b)
+	case doVoterSet:
+		w.proposeVoterSet(x.a, x.b)
 	default:
-		w.disturbWires(x)
+		w.disturbNetwork(x)
 	}
 }
 
-func (w *world) disturbWires(x action) {
+func (w *world) disturbNetwork(x action) {
 	switch x.verb {
 	case doCut:
-		w.wires[x.a][x.b] = cut
+		w.links[x.a][x.b] = linkCut
 	case doHold:
-		w.wires[x.a][x.b] = held
+		w.links[x.a][x.b] = linkHeld
 	case doHeal:
-		w.wires[x.a][x.b] = whole
+		w.links[x.a][x.b] = linkUp
 	case doIsolate:
-		for i := range w.config.machines {
-			w.wires[x.a][i], w.wires[i][x.a] = cut, cut
+		for i := range w.worldConfig.machines {
+			w.links[x.a][i], w.links[i][x.a] = linkCut, linkCut
 		}
 	case doHealAll:
-		w.wires = [maxMachines][maxMachines]link{}
+		w.links = [maxMachines][maxMachines]link{}
 	case doDrop:
 		if k := w.next(); k >= 0 {
-			w.flight = append(w.flight[:k:k], w.flight[k+1:]...)
+			w.inFlight = append(w.inFlight[:k:k], w.inFlight[k+1:]...)
 		}
 	case doRepeat:
 		if k := w.next(); k >= 0 {
-			w.flight = append(w.flight, w.flight[k])
+			w.inFlight = append(w.inFlight, w.inFlight[k])
 		}
 	case doLate:
 		if k := w.next(); k >= 0 {
-			w.late = append(w.late, w.flight[k])
-			w.flight = slices.Delete(w.flight, k, k+1)
+			w.setAside = append(w.setAside, w.inFlight[k])
+			w.inFlight = slices.Delete(w.inFlight, k, k+1)
 		}
 	case doPostpone:
 		if k := w.next(); k >= 0 {
-			p := w.flight[k]
-			w.flight = append(append(w.flight[:k:k], w.flight[k+1:]...), p)
+			p := w.inFlight[k]
+			w.inFlight = append(append(w.inFlight[:k:k], w.inFlight[k+1:]...), p)
 		}
 	default:
 		panic(fmt.Sprintf("no such action: %+v", x))
@@ -237,7 +237,7 @@
 
 // roster has an operator ask for a change of the roster: the bits of which name the
 // voters that go, and then the machines that come. Most of them are no steps at all.
-func (w *world) roster(i, which int) {
+func (w *world) proposeVoterSet(i, which int) {
 	if !w.running(i) {
 		return
 	}
@@ -248,20 +248,20 @@
 			next.Voters = append(next.Voters, v)
 		}
 	}
-	for k := range w.config.machines {
+	for k := range w.worldConfig.machines {
 		m := &w.machines[k]
 		if _, in := r.Find(m.name); in || which>>(maxMachines+k)&1 == 0 {
 			continue
 		}
-		next.Voters = append(next.Voters, Voter{Name: m.name, Incarnation: m.inc, Number: uint16(16 + int(next.Step())*maxMachines + k)})
+		next.Voters = append(next.Voters, Voter{Name: m.name, Incarnation: m.incarnation, Number: uint16(16 + int(next.Step())*maxMachines + k)})
 	}
-	w.do(i, Operation{Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: AnyRevision})
+	w.propose(i, Operation{Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: AnyRevision})
 }
 
 // shorten looks for the shortest trace that still ends in a finding of that kind: parts
 // of it are left out, and counts are made smaller, as long as something can be.
-func shorten(c config, t trace, kind string) trace {
-	same := func(t trace) bool { return kindOf(play(c, t).judge.wrong) == kind }
+func shorten(c worldConfig, t trace, kind string) trace {
+	same := func(t trace) bool { return kindOf(play(c, t).checker.violation) == kind }
 	for changed := true; changed; {
 		changed = false
 		for size := max(1, len(t)/2); size >= 1; size /= 2 {
--- a/quorum/explore_walk_test.go
+++ b/quorum/explore_walk_test.go
@@ -4,32 +4,32 @@
 
 // walk draws one random course of a world: mostly what happens by itself, with now and
 // then a disturbance, and repairs so that there is something left to disturb.
-func walk(c config, seed int64, actions int) (trace, *world) {
+func walk(c worldConfig, seed int64, actions int) (trace, *world) {
 	g := &walker{Rand: rand.New(rand.NewSource(seed)), w: newWorld(c, nil)}
-	g.fine = g.Intn(2) == 0
+	g.betweenMessages = g.Intn(2) == 0
 	t := trace{{verb: doTick, a: 4}}
-	g.w.act(t[0])
-	for len(t) < actions && g.w.judge.wrong == "" {
+	g.w.apply(t[0])
+	for len(t) < actions && g.w.checker.violation == "" {
 		x := g.draw()
 		t = append(t, x)
-		g.w.act(x)
+		g.w.apply(x)
 	}
 	return t, g.w
 }
 
 type walker struct {
 	*rand.Rand
-	w    *world
-	fine bool // disturbs between messages as well, not only between ticks
+	w               *world
+	betweenMessages bool // disturbs between messages as well, not only between ticks
 }
 
-func (g *walker) machine() int { return g.Intn(g.w.config.machines) }
+func (g *walker) machine() int { return g.Intn(g.w.worldConfig.machines) }
 
 // owner is a machine that answers for a register, or any if none does.
-func (g *walker) owner(register int) int {
-	for i := range g.w.config.machines {
+func (g *walker) leader(register int) int {
+	for i := range g.w.worldConfig.machines {
 		if g.w.running(i) {
-			if _, ok := g.w.machines[i].node.ReadUnderLease(g.w.now, g.w.judge.registers[register].key); ok {
+			if _, ok := g.w.machines[i].node.ReadUnderLease(g.w.now, g.w.checker.registers[register].key); ok {
 				return i
 			}
 		}
@@ -41,26 +41,26 @@
 	switch p := g.Intn(100); {
 	case p < 45:
 		return action{verb: doTick, a: 1 + g.Intn(1+g.Intn(6))}
-	case p < 55 && g.fine:
+	case p < 55 && g.betweenMessages:
 		return action{verb: doStep, a: 1 + g.Intn(8)}
 	case p < 67:
 		return g.client()
 	case p < 82:
 		return g.repair()
 	case p < 92:
-		return g.strike()
+		return g.fault()
 	default:
-		return g.wire()
+		return g.networkFault()
 	}
 }
 
 func (g *walker) client() action {
-	register := g.Intn(len(g.w.judge.registers))
-	at := g.owner(register)
+	register := g.Intn(len(g.w.checker.registers))
+	at := g.leader(register)
 	if g.Intn(6) == 0 {
 		at = g.machine()
 	}
-	if g.w.config.machines > g.w.config.voters && g.Intn(5) == 0 {
+	if g.w.worldConfig.machines > g.w.worldConfig.voters && g.Intn(5) == 0 {
 		return g.operator()
 	}
 	switch p := g.Intn(20); {
@@ -69,7 +69,7 @@
 	case p < 15:
 		return action{doGet, at, register}
 	case p < 17:
-		return action{doDuty, at, g.Intn(3)}
+		return action{doAcquire, at, g.Intn(3)}
 	default:
 		return action{doClaim, at, 1 + g.Intn(2)}
 	}
@@ -77,15 +77,15 @@
 
 // operator asks for a change of the roster, now and then for one that is no step.
 func (g *walker) operator() action {
-	at := g.owner(0)
+	at := g.leader(0)
 	if g.Intn(4) == 0 {
-		return action{doRoster, at, g.Intn(1 << (2 * maxMachines))}
+		return action{doVoterSet, at, g.Intn(1 << (2 * maxMachines))}
 	}
 	come, gone := 1<<(maxMachines+g.machine()), 1<<g.machine()
-	return action{doRoster, at, []int{come, gone, come | gone}[g.Intn(3)]}
+	return action{doVoterSet, at, []int{come, gone, come | gone}[g.Intn(3)]}
 }
 
-func (g *walker) strike() action {
+func (g *walker) fault() action {
 	i := g.machine()
 	switch g.Intn(12) {
 	case 0, 1:
@@ -101,16 +101,16 @@
 	case 8:
 		return action{verb: doCheckpoint, a: i}
 	case 9:
-		if g.w.config.machines > g.w.config.voters {
+		if g.w.worldConfig.machines > g.w.worldConfig.voters {
 			return action{verb: doWipe, a: i}
 		}
 	}
-	return action{doPower, g.owner(g.Intn(len(g.w.judge.registers))), g.Intn(3)}
+	return action{doPower, g.leader(g.Intn(len(g.w.checker.registers))), g.Intn(3)}
 }
 
-func (g *walker) wire() action {
+func (g *walker) networkFault() action {
 	a, b := g.machine(), g.machine()
-	if g.w.lateness && g.Intn(2) == 0 {
+	if g.w.lateMessages && g.Intn(2) == 0 {
 		return action{verb: doLate}
 	}
 	switch g.Intn(8) {
@@ -130,10 +130,10 @@
 
 // repair mends one thing that is broken, if any is.
 func (g *walker) repair() action {
-	if n := len(g.w.late); n > 0 && g.Intn(3) == 0 {
+	if n := len(g.w.setAside); n > 0 && g.Intn(3) == 0 {
 		return action{verb: doRelease, a: g.Intn(n)}
 	}
-	for _, i := range g.Perm(g.w.config.machines) {
+	for _, i := range g.Perm(g.w.worldConfig.machines) {
 		switch m := &g.w.machines[i]; {
 		case !m.up:
 			return action{verb: doStart, a: i}
@@ -142,8 +142,8 @@
 		case m.stalled:
 			return action{verb: doFlow, a: i}
 		}
-		for j := range g.w.config.machines {
-			if g.w.wires[i][j] == whole {
+		for j := range g.w.worldConfig.machines {
+			if g.w.links[i][j] == linkUp {
 				continue
 			}
 			if g.Intn(3) == 0 {
--- a/quorum/operation.go
+++ b/quorum/operation.go
@@ -52,19 +52,19 @@
 type Status uint8
 
 const (
-	// StatusDone: the change is on a majority of disks, or the value was read.
+	// StatusDone means: the change is on a majority of disks, or the value was read.
 	StatusDone Status = iota + 1
-	// StatusConflict: nothing changed; the result holds the register as it is.
+	// StatusConflict means: nothing changed; the result holds the register as it is.
 	StatusConflict
-	// StatusNotLeader: nothing changed; ask Result.Leader.
+	// StatusNotLeader means: nothing changed; ask Result.Leader.
 	StatusNotLeader
-	// StatusUnknown: the change may still take effect, until the key is next changed.
+	// StatusUnknown means: the change may still take effect, until the key is next changed.
 	StatusUnknown
-	// StatusFull: nothing changed, for want of room.
+	// StatusFull means: nothing changed, for want of room.
 	StatusFull
-	// StatusGenerationClosed: the claim's generation is over; it is granted to nobody any more.
+	// StatusGenerationClosed means: the claim's generation is over; it is granted to nobody any more.
 	StatusGenerationClosed
-	// StatusGenerationNotOpen: the claim's generation is not open yet.
+	// StatusGenerationNotOpen means: the claim's generation is not open yet.
 	StatusGenerationNotOpen
 )
 
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func voters(n int) VoterSet {
+func newVoterSet(n int) VoterSet {
 	r := VoterSet{Revision: FirstRevision(9)}
 	for i := 0; i < n; i++ {
 		r.Voters = append(r.Voters, Voter{Name: string(rune('a' + i)), Incarnation: uint64(i + 1), Number: uint16(i + 1)})
@@ -18,13 +18,13 @@
 // are refused would have.
 func TestStepsShareAVoter(t *testing.T) {
 	for n := 1; n <= 7; n++ {
-		r := voters(n)
+		r := newVoterSet(n)
 		for _, c := range []struct {
 			old string
 			new *Voter
 		}{{"", &Voter{Name: "z", Incarnation: 99}}, {"a", nil}, {"a", &Voter{Name: "z", Incarnation: 99}}} {
 			next, err := r.Next(c.old, c.new)
-			apart := disjoint(r, next)
+			apart := haveDisjointMajorities(r, next)
 			if err == nil && apart {
 				t.Errorf("%d voters, %q goes, %v comes: two majorities without a common voter", n, c.old, c.new)
 			}
@@ -33,7 +33,7 @@
 			}
 		}
 	}
-	r := voters(4)
+	r := newVoterSet(4)
 	two := VoterSet{Revision: r.Revision + 1, Voters: append([]Voter{{Name: "y", Incarnation: 98, Number: 50}, {Name: "z", Incarnation: 99, Number: 51}}, r.Voters[2:]...)}
 	if checkStep(r, two) == nil {
 		t.Error("two voters may be replaced at once")
@@ -47,7 +47,7 @@
 }
 
 // disjoint finds a majority of each roster that share nobody.
-func disjoint(a, b VoterSet) bool {
+func haveDisjointMajorities(a, b VoterSet) bool {
 	for x := 0; x < 1<<len(a.Voters); x++ {
 		qa := map[Voter]bool{}
 		for i, v := range a.Voters {
@@ -72,11 +72,11 @@
 }
 
 // lone is a roster of one, which settles everything by itself once synced.
-func lone(t *testing.T, era int64) (n *Node, step func(int64) []Result, do func(int64, Operation) Result) {
+func newSingleNode(t *testing.T, era int64) (n *Node, step func(int64) []Result, do func(int64, Operation) Result) {
 	t.Helper()
 	p := DefaultConfig("a", 1)
 	p.GenerationDuration, p.OpenGenerations = era, 3
-	n = New(p, voters(1), 0, nil)
+	n = New(p, newVoterSet(1), 0, nil)
 	var recs uint64
 	var out []Result
 	take := func(now int64, o Ready) {
@@ -114,8 +114,8 @@
 
 // TestOneRosterOfANumber: a step that is settled comes into force before the next is
 // taken, or two rosters of one number would be about.
-func TestOneRosterOfANumber(t *testing.T) {
-	n, _, do := lone(t, 0)
+func TestOneVoterSetPerRevision(t *testing.T) {
+	n, _, do := newSingleNode(t, 0)
 	now := int64(3_000_000)
 	put := func(name string, inc, expect uint64) Result {
 		r, err := n.VoterSet().Next("", &Voter{Name: name, Incarnation: inc})
@@ -137,8 +137,8 @@
 
 // TestClaimsOfAnEra: a claim stands while its era is open; then it is granted to
 // nobody any more, however late it is asked for, and takes no room.
-func TestClaimsOfAnEra(t *testing.T) {
-	n, step, do := lone(t, 10_000_000)
+func TestClaimsOfAGeneration(t *testing.T) {
+	n, step, do := newSingleNode(t, 10_000_000)
 	now, id := int64(3_000_000), uint64(0)
 	op := func(k OperationType, era uint64, name, val string) Status {
 		id++
@@ -183,7 +183,7 @@
 
 // TestFullState: without room a change is refused and what stands is read as before.
 func TestFullState(t *testing.T) {
-	n, _, do := lone(t, 0)
+	n, _, do := newSingleNode(t, 0)
 	n.config.MaxStateBytes = n.StateBytes() + 600
 	now := int64(3_000_000)
 	if a := do(now, Operation{ID: 1, Type: OpPut, Key: "plan", Value: make([]byte, 100)}); a.Status != StatusDone {
@@ -200,7 +200,7 @@
 // TestClaimsLeaveRoom: claims that fill their part of the room leave plans and duties
 // theirs, and a duty that finds none is not held up afterwards.
 func TestClaimsLeaveRoom(t *testing.T) {
-	n, _, do := lone(t, 0)
+	n, _, do := newSingleNode(t, 0)
 	n.config.MaxStateBytes = n.StateBytes() + 6000
 	now, id := int64(3_000_000), uint64(0)
 	full := false
@@ -232,8 +232,8 @@
 }
 
 // TestDuties: one holder at a time, epochs rise, renewals need the right epoch.
-func TestDuties(t *testing.T) {
-	_, step, do := lone(t, 0)
+func TestRoleLeases(t *testing.T) {
+	_, step, do := newSingleNode(t, 0)
 	now, id := int64(3_000_000), uint64(0)
 	wait := func(us int64) {
 		for end := now + us; now < end; now += 25_000 {
--- a/quorum/shed_test.go
+++ b/quorum/shed_test.go
@@ -8,7 +8,7 @@
 
 // TestShed: the seat of a voter whose successor came first is dropped when that gives the
 // rest a smaller majority, and only when enough of the rest is heard.
-func TestShed(t *testing.T) {
+func TestRemoveSurplus(t *testing.T) {
 	for _, c := range []struct {
 		what   string
 		voters int
@@ -43,7 +43,7 @@
 			}
 			silent[name] = ms * 1000
 		}
-		r := addressed(c.voters)
+		r := newAddressedSet(c.voters)
 		r.Seats = c.seats
 		next, ok := r.RemoveSurplus(func(name string) bool { return leaving[name] }, func(name string) int64 { return silent[name] })
 		got := ""
@@ -56,7 +56,7 @@
 		if got != c.want {
 			t.Errorf("%s: got %q", c.what, got)
 		}
-		if ok && (disjoint(r, next) || next.Seats != c.seats || next.Majority() >= r.Majority()) {
+		if ok && (haveDisjointMajorities(r, next) || next.Seats != c.seats || next.Majority() >= r.Majority()) {
 			t.Errorf("%s: %d seats, majority %d after %d", c.what, next.Seats, next.Majority(), r.Majority())
 		}
 	}
@@ -66,7 +66,7 @@
 // and what an operator asks for is meant.
 func TestSeatsFollowTheFleet(t *testing.T) {
 	heard := func(string) int64 { return 0 }
-	r := addressed(3)
+	r := newAddressedSet(3)
 	r.Seats = 3
 	z := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
 	if next, ok := r.Admit(z, AddAfter, heard, MaxVoters); !ok || next.Seats != 3 {
