--- a/quorum/admit_test.go
+++ b/quorum/admission_test.go
@@ -6,14 +6,6 @@
 	"testing"
 )
 
-func newAddressedSet(n int) VoterSet {
-	r := newVoterSet(n)
-	for i := range r.Voters {
-		r.Voters[i].Addr = "at-" + r.Voters[i].Name
-	}
-	return r
-}
-
 func TestAdmit(t *testing.T) {
 	z := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
 	for _, c := range []struct {
@@ -80,49 +72,58 @@
 	}
 }
 
-// TestSilence counts from what this node could hear, never from before.
-func TestSilence(t *testing.T) {
-	n := New(DefaultConfig("a", 1), newAddressedSet(3), 10_000_000, nil)
-	now := int64(10_000_000)
-	for ; now < 12_000_000; now += 25_000 {
-		n.Tick(now)
-		if now < 11_000_000 {
-			n.Receive(now, Message{Type: MsgVoterSetRequest, From: "b", Incarnation: 2, VoterSetRevision: n.VoterSet().Revision})
-			n.Receive(now, Message{Type: MsgVoterSetRequest, From: "c", Incarnation: 77, VoterSetRevision: n.VoterSet().Revision})
-		}
-	}
-	now -= 25_000
-	if b, c, a := n.Silence(now, "b"), n.Silence(now, "c"), n.Silence(now, "a"); b != 1_000_000 || c != 1_975_000 || a != 0 {
-		t.Fatalf("b is silent for %d, c (another life speaks) for %d, the node itself for %d", b, c, a)
-	}
-	now += 5_000_000 // held up: before the first tick after, and from it on
-	if b := n.Silence(now, "b"); b != 0 {
-		t.Fatalf("after a pause b counts as silent for %d", b)
-	}
-	n.Tick(now)
-	if b := n.Silence(now+100_000, "b"); b != 100_000 {
-		t.Fatalf("after a pause b counts as silent for %d", b)
-	}
-}
-
-// TestGrace: a disk that may have granted something waits a term after a start; one
-// that never did has nothing to wait for.
-func TestNoVoteAfterRestart(t *testing.T) {
+// TestShed: the seat of a voter whose successor came first is dropped when that gives the
+// rest a smaller majority, and only when enough of the rest is heard.
+func TestRemoveSurplus(t *testing.T) {
 	for _, c := range []struct {
-		recs []Record
-		want MessageType
+		what   string
+		voters int
+		seats  uint16
+		gone   string // name=milliseconds of silence, name=leaving
+		want   string // names after the step, "" for none
 	}{
-		{nil, MsgVoteGranted},
-		{[]Record{{Type: RecordPromise, Slot: 3, Term: 0}}, MsgVoteGranted},
-		{[]Record{{Type: RecordPromise, Slot: 3, Term: 1 << 16}}, MsgVoteRejected},
+		{"one leaves, its successor is in", 6, 5, "b=leaving", "acdef"},
+		{"one is gone, its successor is in", 6, 5, "b=1500", "acdef"},
+		{"one leaves before one that is gone", 6, 5, "b=leaving e=9000", "acdef"},
+		{"the one gone longest", 6, 5, "b=1600 e=1700", "abcdf"},
+		{"silent for a moment", 6, 5, "b=1499", ""},
+		{"nobody goes", 6, 5, "", ""},
+		{"no successor is in", 6, 6, "b=leaving", ""},
+		{"a seat short", 4, 5, "b=leaving", ""},
+		{"an odd roster has the same majority with one fewer", 5, 4, "b=leaving", ""},
+		{"a roster that knows no count", 6, 0, "b=leaving", ""},
+		{"too few are heard", 6, 5, "b=leaving c=600 d=600 e=600", ""},
+		{"just enough are heard", 6, 5, "b=leaving c=600 d=600", "acdef"},
+		{"the smallest", 4, 3, "d=2000", "abc"},
 	} {
-		n := New(DefaultConfig("a", 1), newAddressedSet(3), 5_000_000, c.recs)
-		o := n.Receive(5_000_100, Message{Type: MsgVoteRequest, From: "b", Incarnation: 2, VoterSetRevision: n.VoterSet().Revision, Slot: 5, Term: 1<<16 | 2})
-		if len(o.Messages) == 0 {
-			o = n.RecordsSynced(5_000_200, uint64(len(o.Records)))
+		silent, leaving := map[string]int64{}, map[string]bool{}
+		for _, field := range strings.Fields(c.gone) {
+			name, how, _ := strings.Cut(field, "=")
+			if how == "leaving" {
+				leaving[name] = true
+				continue
+			}
+			var ms int64
+			if _, err := fmt.Sscan(how, &ms); err != nil {
+				t.Fatal(err)
+			}
+			silent[name] = ms * 1000
+		}
+		r := newAddressedSet(c.voters)
+		r.Seats = c.seats
+		next, ok := r.RemoveSurplus(func(name string) bool { return leaving[name] }, func(name string) int64 { return silent[name] })
+		got := ""
+		for _, v := range next.Voters {
+			got += v.Name
+		}
+		if !ok {
+			got = ""
+		}
+		if got != c.want {
+			t.Errorf("%s: got %q", c.what, got)
 		}
-		if len(o.Messages) != 1 || o.Messages[0].Message.Type != c.want {
-			t.Errorf("%+v: %+v", c.recs, o.Messages)
+		if ok && (haveDisjointMajorities(r, next) || next.Seats != c.seats || next.Majority() >= r.Majority()) {
+			t.Errorf("%s: %d seats, majority %d after %d", c.what, next.Seats, next.Majority(), r.Majority())
 		}
 	}
 }
