--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -15,32 +15,32 @@
 func TestClaimsWithoutEnd(t *testing.T) {
 	t.Parallel()
 	const perSecond, seconds, era = 200, 40, 1_000_000
-	w := NewWorld(5)
-	c := NewCore(w, 4)
-	c.era = era
-	c.rings = wal.Config{SegmentCount: 32, SegmentBytes: 64 << 10}
+	world := NewWorld(5)
+	c := NewCluster(world, 4)
+	c.generationUS = era
+	c.logConfig = wal.Config{SegmentCount: 32, SegmentBytes: 64 << 10}
 	c.Start()
-	h := w.NewHost("desk", "north", func() {})
+	h := world.NewHost("desk", "north", func() {})
 	h.Start()
 	got, most, n := map[quorum.Status]int{}, 0, 0
 	late := map[quorum.Status]int{}
 	eras := map[int]uint64{}
 	ask := func(i int, era uint64, nonce string, count map[quorum.Status]int) {
-		r := c.Nodes[w.Rng.Intn(4)]
+		r := c.Nodes[world.Rng.Intn(4)]
 		Call(h, r.Host, quorum.Operation{Type: quorum.OpClaim, Key: quorum.ClaimKey(era, fmt.Sprintf("dealing-desk/order-%08d", i)), Value: []byte(nonce)}, 2_000_000,
-			func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) }, func(a quorum.Result) { count[a.Status]++ }, func() { count[0]++ })
+			func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) }, func(a quorum.Result) { count[a.Status]++ }, func() { count[0]++ })
 	}
 	var next func()
 	next = func() {
-		if w.now > 4_000_000+seconds*1_000_000 {
+		if world.now > 4_000_000+seconds*1_000_000 {
 			return
 		}
 		n++
 		i := n
-		eras[i] = max(1, c.newest())
+		eras[i] = max(1, c.newestGeneration())
 		ask(i, eras[i], fmt.Sprintf("remisier4/k3f9a2b1c/%x", i), got)
 		if i > 50 {
-			j := 1 + w.Rng.Intn(i-50)
+			j := 1 + world.Rng.Intn(i-50)
 			ask(j, eras[j], fmt.Sprintf("remisier7/z81k2b1c/%x", i), late)
 		}
 		for _, r := range c.Nodes {
@@ -48,16 +48,16 @@
 				most = max(most, r.node.StateBytes())
 			}
 		}
-		w.At(w.now+1_000_000/perSecond, next)
+		world.At(world.now+1_000_000/perSecond, next)
 	}
-	w.At(4_000_000, next)
-	w.Run(50_000_000)
-	if len(w.wrong) > 0 {
-		t.Fatal(w.wrong)
+	world.At(4_000_000, next)
+	world.Run(50_000_000)
+	if len(world.violations) > 0 {
+		t.Fatal(world.violations)
 	}
-	room := int(int64(c.rings.SegmentCount)*c.rings.SegmentBytes) / 4 * 3 / 4
+	room := int(int64(c.logConfig.SegmentCount)*c.logConfig.SegmentBytes) / 4 * 3 / 4
 	t.Logf("%d claims: %v; asked for again: %v; %d eras; at most %d of %d bytes; a claim's record takes %d bytes",
-		n, got, late, c.newest(), most, room, len(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 9, Term: 1 << 18, Last: quorum.Position{Term: 1 << 18, Index: 1 << 20},
+		n, got, late, c.newestGeneration(), most, room, len(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 9, Term: 1 << 18, Last: quorum.Position{Term: 1 << 18, Index: 1 << 20},
 			Committed: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Entry: quorum.Entry{Key: "claim/12345/dealing-desk/order-00000001", Position: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Revision: 1, Value: []byte("remisier4/k3f9a2b1c/ffffff")}})))
 	if got[quorum.StatusDone] != n || late[quorum.StatusDone] > 0 {
 		t.Errorf("of %d claims %v; asked for again %v", n, got, late)
--- a/sim/config_followers.go
+++ b/sim/config_followers.go
@@ -10,11 +10,11 @@
 // real time; the rule is the same: an answer's age counts from before its question was
 // sent, and what is vouched for never goes back.
 const (
-	directoryRefresh = 150_000
-	proxyAsk         = 150_000
-	proxyPatience    = 700_000
-	proxyOldWord     = 1_000_000 // a directory whose word is older is not asked first
-	proxyShuns       = 1_500_000 // for so long
+	directoryRefreshInterval = 150_000
+	proxyPollInterval        = 150_000
+	proxyPollTimeout         = 700_000
+	maxDirectoryAge          = 1_000_000 // a directory whose word is older is not asked first
+	directoryPause           = 1_500_000 // for so long
 	// ServeAge is the age of the configuration up to which a proxy serves.
 	ServeAge = 1_600_000
 	// ApplyBound is when a change is in force everywhere, after its acknowledgement.
@@ -22,19 +22,19 @@
 )
 
 // word is what one hop vouches for: a version was in force at a time by its own clock.
-type word struct {
-	known    bool
-	revision uint64
-	version  uint64
-	at       int64
+type confirmedVersion struct {
+	known       bool
+	revision    uint64
+	version     uint64
+	confirmedAt int64
 }
 
 // take takes a newer word in.
-func (w *word) take(n word) {
+func (w *confirmedVersion) update(n confirmedVersion) {
 	switch {
 	case !n.known || w.known && n.revision < w.revision:
 	case w.known && n.revision == w.revision:
-		w.at = max(w.at, n.at)
+		w.confirmedAt = max(w.confirmedAt, n.confirmedAt)
 	default:
 		*w = n
 	}
@@ -42,9 +42,9 @@
 
 // Directory follows the registers beside a control node.
 type Directory struct {
-	node    *Registrar
-	config  word
-	weights word
+	node    *ControlNode
+	config  confirmedVersion
+	weights confirmedVersion
 }
 
 // refresh reads the registers anew.
@@ -55,18 +55,18 @@
 	})
 }
 
-func (d *Directory) ask(key string, into *word, version func([]byte) (uint64, bool)) {
+func (d *Directory) ask(key string, into *confirmedVersion, version func([]byte) (uint64, bool)) {
 	at := d.node.Clock()
-	d.node.once(quorum.Operation{Type: quorum.OpGet, Key: key}, 0, at+readPatience, func(a quorum.Result) {
+	d.node.proposeOnce(quorum.Operation{Type: quorum.OpGet, Key: key}, 0, at+readTimeoutUS, func(a quorum.Result) {
 		if a.Status != quorum.StatusDone {
 			return
 		}
 		if into.known && a.Revision == into.revision {
-			into.at = max(into.at, at)
+			into.confirmedAt = max(into.confirmedAt, at)
 			return
 		}
 		if v, ok := version(a.Value); ok {
-			into.take(word{true, a.Revision, v, at})
+			into.update(confirmedVersion{true, a.Revision, v, at})
 		}
 	})
 }
@@ -92,16 +92,16 @@
 
 // Directories are those of a core, by node; one begins anew with its node.
 type Directories struct {
-	of map[*Registrar]*Directory
+	byNode map[*ControlNode]*Directory
 }
 
 // NewDirectories puts a directory beside each control node.
-func NewDirectories(c *Core) *Directories {
-	ds := &Directories{of: map[*Registrar]*Directory{}}
-	c.onBoot = func(r *Registrar) {
+func NewDirectories(c *Cluster) *Directories {
+	ds := &Directories{byNode: map[*ControlNode]*Directory{}}
+	c.onBoot = func(r *ControlNode) {
 		d := &Directory{node: r}
-		ds.of[r] = d
-		r.Every(directoryRefresh, d.refresh)
+		ds.byNode[r] = d
+		r.Every(directoryRefreshInterval, d.refresh)
 	}
 	return ds
 }
@@ -109,120 +109,122 @@
 // ConfigProxy serves by the configuration that directories tell it.
 type ConfigProxy struct {
 	*Host
-	core    *Core
-	dirs    *Directories
-	config  word
-	weights word
-	shunned map[*Registrar]int64 // until when
-	asking  *Registrar
+	cluster     *Cluster
+	directories *Directories
+	config      confirmedVersion
+	weights     confirmedVersion
+	pausedUntil map[*ControlNode]int64 // until when
+	directory   *ControlNode
 }
 
 // NewConfigProxy adds a proxy.
-func NewConfigProxy(c *Core, name, site string, dirs *Directories) *ConfigProxy {
-	p := &ConfigProxy{core: c, dirs: dirs}
-	p.Host = c.w.NewHost(name, site, func() {
-		p.config, p.weights, p.asking = word{}, word{}, nil
-		p.shunned = map[*Registrar]int64{}
-		p.Every(proxyAsk, p.ask)
+func NewConfigProxy(c *Cluster, name, site string, dirs *Directories) *ConfigProxy {
+	p := &ConfigProxy{cluster: c, directories: dirs}
+	p.Host = c.world.NewHost(name, site, func() {
+		p.config, p.weights, p.directory = confirmedVersion{}, confirmedVersion{}, nil
+		p.pausedUntil = map[*ControlNode]int64{}
+		p.Every(proxyPollInterval, p.poll)
 	})
 	return p
 }
 
 // words is a directory's answer: ages, since no two hosts' clocks agree.
-type words struct {
-	config, weights       word
+type directoryAnswer struct {
+	config, weights       confirmedVersion
 	configAge, weightsAge int64
 }
 
 // ask asks one directory, and goes on to another when it fails or lags behind.
-func (p *ConfigProxy) ask() {
+func (p *ConfigProxy) poll() {
 	node := p.choose()
 	at := p.Clock()
-	Call(p.Host, node.Host, 0, proxyPatience,
-		func(_ int, reply func(words)) {
-			if d := p.dirs.of[node]; d != nil {
+	Call(p.Host, node.Host, 0, proxyPollTimeout,
+		func(_ int, reply func(directoryAnswer)) {
+			if d := p.directories.byNode[node]; d != nil {
 				now := node.Clock()
-				reply(words{d.config, d.weights, now - d.config.at, now - d.weights.at})
+				reply(directoryAnswer{d.config, d.weights, now - d.config.confirmedAt, now - d.weights.confirmedAt})
 			}
 		},
-		func(a words) { p.heard(node, at, a) },
-		func() { p.shun(node) })
+		func(a directoryAnswer) { p.answered(node, at, a) },
+		func() { p.pauseDirectory(node) })
 }
 
-func (p *ConfigProxy) heard(node *Registrar, at int64, a words) {
-	a.config.at = at - a.configAge
-	a.weights.at = at - a.weightsAge
-	p.config.take(a.config)
-	p.weights.take(a.weights)
-	if !a.config.known || a.configAge > proxyOldWord {
-		p.shun(node)
+func (p *ConfigProxy) answered(node *ControlNode, at int64, a directoryAnswer) {
+	a.config.confirmedAt = at - a.configAge
+	a.weights.confirmedAt = at - a.weightsAge
+	p.config.update(a.config)
+	p.weights.update(a.weights)
+	if !a.config.known || a.configAge > maxDirectoryAge {
+		p.pauseDirectory(node)
 	}
 }
 
 // choose keeps to one directory while it does.
-func (p *ConfigProxy) choose() *Registrar {
-	if p.asking != nil && p.shunned[p.asking] <= p.Clock() {
-		return p.asking
+func (p *ConfigProxy) choose() *ControlNode {
+	if p.directory != nil && p.pausedUntil[p.directory] <= p.Clock() {
+		return p.directory
 	}
-	nodes := p.core.Nodes
-	first := p.w.Rng.Intn(len(nodes))
-	p.asking = nodes[first]
+	nodes := p.cluster.Nodes
+	first := p.world.Rng.Intn(len(nodes))
+	p.directory = nodes[first]
 	for i := range nodes {
-		if r := nodes[(first+i)%len(nodes)]; !r.lost && p.shunned[r] <= p.Clock() {
-			p.asking = r
+		if r := nodes[(first+i)%len(nodes)]; !r.removed && p.pausedUntil[r] <= p.Clock() {
+			p.directory = r
 			break
 		}
 	}
-	return p.asking
+	return p.directory
 }
 
-func (p *ConfigProxy) shun(node *Registrar) { p.shunned[node] = p.Clock() + proxyShuns }
+func (p *ConfigProxy) pauseDirectory(node *ControlNode) {
+	p.pausedUntil[node] = p.Clock() + directoryPause
+}
 
 // Serves reports whether the configuration is young enough to serve by.
 func (p *ConfigProxy) Serves() bool {
-	return p.up && !p.frozen && p.config.known && p.Clock()-p.config.at <= ServeAge
+	return p.up && !p.frozen && p.config.known && p.Clock()-p.config.confirmedAt <= ServeAge
 }
 
 // watchEvery is how often what proxies serve by is judged.
-const watchEvery = 10_000
+const checkInterval = 10_000
 
 // ServeJudge judges what proxies serve by.
-type ServeJudge struct {
+type ServeChecker struct {
 	config  *ConfigHistory
 	weights *WeightsHistory
 	proxies []*ConfigProxy
 	// OldConfig is the longest after an acknowledgement that a proxy served by an older
 	// configuration.
-	OldConfig int64
+	OldestConfigUS int64
 }
 
 // Watch judges until the world ends.
-func (j *ServeJudge) Watch(w *World) {
-	for _, p := range j.proxies {
+func (c *ServeChecker) Watch(world *World) {
+	for _, p := range c.proxies {
 		if p.Serves() {
-			j.judge(w, p)
+			c.check(world, p)
 		}
 	}
-	w.At(w.now+watchEvery, func() { j.Watch(w) })
+	world.At(world.now+checkInterval, func() { c.Watch(world) })
 }
 
-func (j *ServeJudge) judge(w *World, p *ConfigProxy) {
-	vouched := w.now - (p.Clock() - p.config.at)
-	if floor := j.config.inForceAt(vouched); floor > p.config.version {
-		w.Wrong("vouched for an older configuration", "%s holds version %d as in force at %d, when %d was", p.Name, p.config.version, vouched, floor)
+func (c *ServeChecker) check(world *World, p *ConfigProxy) {
+	vouched := world.now - (p.Clock() - p.config.confirmedAt)
+	if floor := c.config.inForceAt(vouched); floor > p.config.version {
+		world.Violation("vouched for an older configuration", "%s holds version %d as in force at %d, when %d was", p.Name, p.config.version, vouched, floor)
 	}
-	if at := j.config.replacedAt(p.config.version); at > 0 {
-		old := w.now - at
-		j.OldConfig = max(j.OldConfig, old)
+	if at := c.config.replacedAt(p.config.version); at > 0 {
+		old := world.now - at
+		c.OldestConfigUS = max(c.OldestConfigUS, old)
 		if old > ApplyBound {
-			w.Wrong("old configuration in use", "%s serves by version %d, replaced %d us ago", p.Name, p.config.version, old)
+			world.Violation("old configuration in use", "%s serves by version %d, replaced %d us ago", p.Name, p.config.version, old)
 		}
 	}
 	if !p.weights.known {
 		return
 	}
-	vouched = w.now - (p.Clock() - p.weights.at)
-	if floor := j.weights.namedAt(vouched); floor > p.weights.version {
-		w.Wrong("vouched for older weights", "%s holds version %d as the newest at %d, when %d was", p.Name, p.weights.version, vouched, floor)
+	vouched = world.now - (p.Clock() - p.weights.confirmedAt)
+	if floor := c.weights.namedAt(vouched); floor > p.weights.version {
+		world.Violation("vouched for older weights", "%s holds version %d as the newest at %d, when %d was", p.Name, p.weights.version, vouched, floor)
 	}
 }
--- a/sim/config_history.go
+++ b/sim/config_history.go
@@ -11,13 +11,13 @@
 // Order is a change of the configuration that an operator sends until it has a clear
 // answer. It leads from version base to base+1, so that the versions in force form one
 // chain without gaps.
-type Order struct {
-	id       int
-	change   route.Change
-	version  uint64
-	sentAt   int64 // for the first time
-	ackedAt  int64 // for the first time, 0 for never
-	refusals []interval
+type ConfigOrder struct {
+	id             int
+	change         route.Change
+	version        uint64
+	sentAt         int64 // for the first time
+	acknowledgedAt int64 // for the first time, 0 for never
+	rejections     []interval
 }
 
 // interval is a span of true time: of a question and its answer.
@@ -32,21 +32,21 @@
 // ConfigHistory judges in true time what operators are told about the configuration.
 // It knows which order was sent when and what was answered, and nothing of the nodes.
 type ConfigHistory struct {
-	w      *World
-	texts  Texts
-	orders []*Order
-	taken  map[uint64]*Order      // version: the order known to lead to it
-	known  map[uint64]int64       // version: since when it was certainly in force once
-	docs   map[uint64]*orderedDoc // as the orders make them, from the first read on
-	reads  []configRead
-	newest uint64 // version that was acknowledged or read
-	Acks   int    // orders acknowledged
-	Again  int    // orders acknowledged after a resend
-	Stale  int    // refusals of orders
-	Reads  int
+	world                   *World
+	texts                   Texts
+	orders                  []*ConfigOrder
+	accepted                map[uint64]*ConfigOrder // version: the order known to lead to it
+	known                   map[uint64]int64        // version: since when it was certainly in force once
+	docs                    map[uint64]*orderedDoc  // as the orders make them, from the first read on
+	reads                   []configRead
+	newest                  uint64 // version that was acknowledged or read
+	Acknowledged            int    // orders acknowledged
+	AcknowledgedAfterResend int    // orders acknowledged after a resend
+	Rejected                int    // refusals of orders
+	Reads                   int
 	// Behind is the most changes that were in force after an order when it was
 	// acknowledged for the first time.
-	Behind uint64
+	MostBehind uint64
 }
 
 // orderedDoc is a configuration as its orders make it.
@@ -56,31 +56,31 @@
 }
 
 // NewConfigHistory starts the history of a world without a configuration.
-func NewConfigHistory(w *World, texts Texts) *ConfigHistory {
+func NewConfigHistory(world *World, texts Texts) *ConfigHistory {
 	return &ConfigHistory{
-		w: w, texts: texts,
-		taken: map[uint64]*Order{},
-		known: map[uint64]int64{},
-		docs:  map[uint64]*orderedDoc{0: {}},
+		world: world, texts: texts,
+		accepted: map[uint64]*ConfigOrder{},
+		known:    map[uint64]int64{},
+		docs:     map[uint64]*orderedDoc{0: {}},
 	}
 }
 
 // begin notes an order that is about to be sent.
-func (h *ConfigHistory) begin(o *Order) {
-	o.sentAt = h.w.now
+func (h *ConfigHistory) begin(o *ConfigOrder) {
+	o.sentAt = h.world.now
 	h.orders = append(h.orders, o)
 }
 
 // acked judges an acknowledgement.
-func (h *ConfigHistory) acked(o *Order, resent bool) {
-	if o.ackedAt == 0 {
-		o.ackedAt = h.w.now
-		h.Acks++
+func (h *ConfigHistory) acknowledged(o *ConfigOrder, resent bool) {
+	if o.acknowledgedAt == 0 {
+		o.acknowledgedAt = h.world.now
+		h.Acknowledged++
 		if resent {
-			h.Again++
+			h.AcknowledgedAfterResend++
 		}
 		if h.newest > o.version {
-			h.Behind = max(h.Behind, h.newest-o.version)
+			h.MostBehind = max(h.MostBehind, h.newest-o.version)
 		}
 	}
 	h.link(o)
@@ -88,40 +88,40 @@
 }
 
 // link holds that one order leads to a version.
-func (h *ConfigHistory) link(o *Order) {
-	if other := h.taken[o.version]; other != nil && other != o {
-		h.w.Wrong("two under one number", "orders %d and %d both are version %d", other.id, o.id, o.version)
+func (h *ConfigHistory) link(o *ConfigOrder) {
+	if other := h.accepted[o.version]; other != nil && other != o {
+		h.world.Violation("two under one number", "orders %d and %d both are version %d", other.id, o.id, o.version)
 		return
 	}
-	h.taken[o.version] = o
+	h.accepted[o.version] = o
 }
 
 // seen notes that a version is in force, or was.
 func (h *ConfigHistory) seen(version uint64) {
 	if _, ok := h.known[version]; !ok {
-		h.known[version] = h.w.now
+		h.known[version] = h.world.now
 	}
 	h.newest = max(h.newest, version)
 }
 
 // refused notes a refusal; whether it was right shows at the end.
-func (h *ConfigHistory) refused(o *Order, from int64) {
-	o.refusals = append(o.refusals, interval{from, h.w.now})
-	h.Stale++
+func (h *ConfigHistory) rejected(o *ConfigOrder, from int64) {
+	o.rejections = append(o.rejections, interval{from, h.world.now})
+	h.Rejected++
 }
 
 // read judges a reading that was asked for at a true time.
 func (h *ConfigHistory) read(from int64, value []byte) {
 	d, err := readConfig(value)
 	if err != nil {
-		h.w.Wrong("unreadable", "%v", err)
+		h.world.Violation("unreadable", "%v", err)
 		return
 	}
 	if floor := h.inForceAt(from); d.Version < floor {
-		h.w.Wrong("older configuration", "version %d was read at %d..%d, %d was in force before", d.Version, from, h.w.now, floor)
+		h.world.Violation("older configuration", "version %d was read at %d..%d, %d was in force before", d.Version, from, h.world.now, floor)
 	}
 	h.Reads++
-	h.reads = append(h.reads, configRead{interval{from, h.w.now}, d.Version})
+	h.reads = append(h.reads, configRead{interval{from, h.world.now}, d.Version})
 	h.seen(d.Version)
 	if o := h.orderOf(d); o != nil {
 		h.link(o)
@@ -130,7 +130,7 @@
 }
 
 // orderOf is the order that made a configuration: each brings a key of its own.
-func (h *ConfigHistory) orderOf(d *route.Document) *Order {
+func (h *ConfigHistory) orderOf(d *route.Document) *ConfigOrder {
 	_, rest, found := strings.Cut(string(d.Text), keyPrefix)
 	if !found {
 		return nil
@@ -138,7 +138,7 @@
 	number, _, _ := strings.Cut(rest, `"`)
 	id, err := strconv.Atoi(number)
 	if err != nil || id < 1 || id > len(h.orders) || h.orders[id-1].version != d.Version {
-		h.w.Wrong("an order that nobody sent", "version %d holds the key of %q", d.Version, number)
+		h.world.Violation("an order that nobody sent", "version %d holds the key of %q", d.Version, number)
 		return nil
 	}
 	return h.orders[id-1]
@@ -185,7 +185,7 @@
 		return
 	}
 	if !bytes.Equal(want.value, value) {
-		h.w.Wrong("read back as something else", "version %d is %d bytes, the orders make %d", d.Version, len(value), len(want.value))
+		h.world.Violation("read back as something else", "version %d is %d bytes, the orders make %d", d.Version, len(value), len(want.value))
 	}
 }
 
@@ -194,7 +194,7 @@
 	if d, ok := h.docs[version]; ok {
 		return d, true
 	}
-	o := h.taken[version]
+	o := h.accepted[version]
 	if o == nil {
 		return nil, false
 	}
@@ -204,7 +204,7 @@
 	}
 	next, out, _ := o.change.Apply(base.document, h.texts.Translate, h.texts.Words)
 	if out != route.Accepted {
-		h.w.Wrong("taken on another base", "order %d is %v on version %d", o.id, out, version-1)
+		h.world.Violation("taken on another base", "order %d is %v on version %d", o.id, out, version-1)
 		return nil, false
 	}
 	h.docs[version] = &orderedDoc{next, next.Encode()}
@@ -214,21 +214,21 @@
 // Close judges the refusals, once all is known that will be.
 func (h *ConfigHistory) Close() {
 	for _, o := range h.orders {
-		for _, r := range o.refusals {
-			h.judgeRefusal(o, r)
+		for _, r := range o.rejections {
+			h.checkRejection(o, r)
 		}
 	}
 }
 
-func (h *ConfigHistory) judgeRefusal(o *Order, r interval) {
-	if h.taken[o.version] == o {
-		h.w.Wrong("taken and refused", "order %d for version %d, sent at %d, acknowledged at %d, was refused at %d..%d", o.id, o.version, o.sentAt, o.ackedAt, r.from, r.to)
+func (h *ConfigHistory) checkRejection(o *ConfigOrder, r interval) {
+	if h.accepted[o.version] == o {
+		h.world.Violation("taken and refused", "order %d for version %d, sent at %d, acknowledged at %d, was refused at %d..%d", o.id, o.version, o.sentAt, o.acknowledgedAt, r.from, r.to)
 		return
 	}
 	since, ok := h.known[o.change.Base]
 	current := o.change.Base == 0 || ok && since < r.from
 	if current && h.earliestAfter(o.change.Base) > r.to {
-		h.w.Wrong("refused wrongly", "order %d on version %d was refused at %d..%d, and that was current", o.id, o.change.Base, r.from, r.to)
+		h.world.Violation("refused wrongly", "order %d on version %d was refused at %d..%d, and that was current", o.id, o.change.Base, r.from, r.to)
 	}
 }
 
@@ -237,7 +237,7 @@
 func (h *ConfigHistory) earliestAfter(version uint64) int64 {
 	at := int64(1) << 62
 	for _, o := range h.orders {
-		if o.change.Base == version && h.mayLead(o) {
+		if o.change.Base == version && h.mayHaveMade(o) {
 			at = min(at, o.sentAt)
 		}
 	}
@@ -251,7 +251,7 @@
 
 // mayLead tells whether an order may have led to its version. One that was refused did
 // not, or that is a fault of its own.
-func (h *ConfigHistory) mayLead(o *Order) bool {
-	t := h.taken[o.version]
-	return t == o || t == nil && len(o.refusals) == 0
+func (h *ConfigHistory) mayHaveMade(o *ConfigOrder) bool {
+	t := h.accepted[o.version]
+	return t == o || t == nil && len(o.rejections) == 0
 }
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -18,7 +18,7 @@
 // it has a clear answer, as the platform's operators do.
 type ConfigOperator struct {
 	*Host
-	core    *Core
+	cluster *Cluster
 	history *ConfigHistory
 	// Base is the version that it takes for current.
 	Base uint64
@@ -29,22 +29,22 @@
 	// LosesReplies makes it miss all answers.
 	LosesReplies bool
 	// OnTaken is called at each acknowledgement that it hears.
-	OnTaken func(o *Order)
+	OnAccepted func(o *ConfigOrder)
 	// OnClear is called at each acknowledgement or refusal that it hears.
-	OnClear func()
-	order   *Order
-	sends   int // of this order
-	count   int
-	last    *Registrar
-	silent  map[*Registrar]int64 // when last
+	OnFinished func()
+	order      *ConfigOrder
+	sends      int // of this order
+	count      int
+	last       *ControlNode
+	silent     map[*ControlNode]int64 // when last
 	// SlowestTaken is the longest from sending an order to hearing of its end.
 	SlowestTaken int64
 }
 
 // NewConfigOperator adds an operator.
-func NewConfigOperator(c *Core, name, site string, h *ConfigHistory) *ConfigOperator {
-	o := &ConfigOperator{core: c, history: h, Pause: 100_000, silent: map[*Registrar]int64{}}
-	o.Host = c.w.NewHost(name, site, func() { o.After(1+c.w.Rng.Int63n(o.Pause+1), o.next) })
+func NewConfigOperator(c *Cluster, name, site string, h *ConfigHistory) *ConfigOperator {
+	o := &ConfigOperator{cluster: c, history: h, Pause: 100_000, silent: map[*ControlNode]int64{}}
+	o.Host = c.world.NewHost(name, site, func() { o.After(1+c.world.Rng.Int63n(o.Pause+1), o.next) })
 	return o
 }
 
@@ -55,14 +55,14 @@
 	}
 	o.count++
 	o.sends = 0
-	o.order = &Order{id: len(o.history.orders) + 1, version: o.Base + 1}
+	o.order = &ConfigOrder{id: len(o.history.orders) + 1, version: o.Base + 1}
 	o.order.change = o.change(o.order)
 	o.history.begin(o.order)
 	o.send()
 }
 
 // change is a small merge, or a whole configuration of as many routes as asked for.
-func (o *ConfigOperator) change(order *Order) route.Change {
+func (o *ConfigOperator) change(order *ConfigOrder) route.Change {
 	routes := 0
 	if o.Routes != nil {
 		routes = o.Routes(o.count)
@@ -87,11 +87,11 @@
 // keyPrefix begins the key that an order brings.
 const keyPrefix = "key-of-order-"
 
-func tenantText(order *Order) string {
+func tenantText(order *ConfigOrder) string {
 	return fmt.Sprintf(`{"name":"desk","api-keys":["%s%d"]}`, keyPrefix, order.id)
 }
 
-func wholeText(order *Order, routes int) string {
+func wholeText(order *ConfigOrder, routes int) string {
 	var rs []string
 	for i := range routes {
 		rs = append(rs, routeText(fmt.Sprint("route", i), fmt.Sprintf("/order%d/%d/", order.id, i)))
@@ -100,7 +100,7 @@
 		order.version, strings.Join(rs, ","), tenantText(order))
 }
 
-func mergeText(order *Order) string {
+func mergeText(order *ConfigOrder) string {
 	name := fmt.Sprint("merged", order.id%mergedRoutes)
 	return fmt.Sprintf(`{"version":%d,"upsert":{"routes":[%s],"tenants":[%s]}}`,
 		order.version, routeText(name, fmt.Sprintf("/merged%d/", order.id)), tenantText(order))
@@ -109,44 +109,44 @@
 // send sends the order as it stands to a node.
 func (o *ConfigOperator) send() {
 	o.sends++
-	order, from := o.order, o.core.w.now
-	node := o.pick()
+	order, from := o.order, o.cluster.world.now
+	node := o.chooseNode()
 	o.last = node
 	Call(o.Host, node.Host, order, operatorSilence,
-		func(order *Order, answer func(Reply)) {
-			if o.core.lost(StepOrder) {
+		func(order *ConfigOrder, answer func(Reply)) {
+			if o.cluster.isStepLost(StepOrder) {
 				return
 			}
 			node.Edit(route.ConfigKey, changeConfiguration(order.change, o.history.texts), answer)
 		},
 		func(r Reply) {
-			if o.LosesReplies || o.core.lost(StepReply) {
-				o.After(max(1, from+operatorSilence-o.core.w.now), o.resend)
+			if o.LosesReplies || o.cluster.isStepLost(StepReply) {
+				o.After(max(1, from+operatorSilence-o.cluster.world.now), o.resend)
 				return
 			}
 			o.answered(order, r, from)
 		},
 		func() {
-			o.silent[node] = o.core.w.now
+			o.silent[node] = o.cluster.world.now
 			o.resend()
 		})
 }
 
 // pick is a node to send to, not the one that was just asked, nor one that was silent
 // lately.
-func (o *ConfigOperator) pick() *Registrar {
-	var rest []*Registrar
-	now := o.core.w.now
-	for _, r := range o.core.Nodes {
+func (o *ConfigOperator) chooseNode() *ControlNode {
+	var rest []*ControlNode
+	now := o.cluster.world.now
+	for _, r := range o.cluster.Nodes {
 		at, silent := o.silent[r]
-		if r != o.last && !r.lost && !(silent && now-at < operatorShuns) {
+		if r != o.last && !r.removed && !(silent && now-at < operatorShuns) {
 			rest = append(rest, r)
 		}
 	}
 	if len(rest) == 0 {
-		rest = o.core.Nodes
+		rest = o.cluster.Nodes
 	}
-	return rest[o.core.w.Rng.Intn(len(rest))]
+	return rest[o.cluster.world.Rng.Intn(len(rest))]
 }
 
 // resend sends the same order again after a pause that grows.
@@ -154,21 +154,21 @@
 	o.After(int64(min(o.sends, operatorPauses))*operatorPause, o.send)
 }
 
-func (o *ConfigOperator) answered(order *Order, r Reply, from int64) {
+func (o *ConfigOperator) answered(order *ConfigOrder, r Reply, from int64) {
 	switch r.Outcome {
-	case Taken:
-		o.history.acked(order, o.sends > 1)
+	case OutcomeAccepted:
+		o.history.acknowledged(order, o.sends > 1)
 		o.Base = order.version
 		o.finish()
-		if o.OnTaken != nil {
-			o.OnTaken(order)
+		if o.OnAccepted != nil {
+			o.OnAccepted(order)
 		}
-	case Refused:
-		o.history.refused(order, from)
+	case OutcomeStale:
+		o.history.rejected(order, from)
 		o.Base = r.Version
 		o.finish()
-	case Invalid:
-		o.core.w.Wrong("a good order was declined", "order %d on version %d", order.id, order.change.Base)
+	case OutcomeInvalid:
+		o.cluster.world.Violation("a good order was declined", "order %d on version %d", order.id, order.change.Base)
 	default:
 		o.resend()
 	}
@@ -176,36 +176,36 @@
 
 // finish ends an order and turns to the next.
 func (o *ConfigOperator) finish() {
-	o.SlowestTaken = max(o.SlowestTaken, o.core.w.now-o.order.sentAt)
+	o.SlowestTaken = max(o.SlowestTaken, o.cluster.world.now-o.order.sentAt)
 	o.order = nil
-	if o.OnClear != nil {
-		o.OnClear()
+	if o.OnFinished != nil {
+		o.OnFinished()
 	}
-	o.After(1+o.Pause/2+o.core.w.Rng.Int63n(o.Pause+1), o.next)
+	o.After(1+o.Pause/2+o.cluster.world.Rng.Int63n(o.Pause+1), o.next)
 }
 
 // ConfigReader reads the configuration back at any node, again and again.
 type ConfigReader struct {
 	*Host
-	core    *Core
+	cluster *Cluster
 	history *ConfigHistory
 	// Only are the nodes that it reads at, nil for any.
-	Only []*Registrar
+	Only []*ControlNode
 }
 
 // NewConfigReader adds a reader.
-func NewConfigReader(c *Core, name, site string, h *ConfigHistory, every int64) *ConfigReader {
-	r := &ConfigReader{core: c, history: h}
-	r.Host = c.w.NewHost(name, site, func() { r.Every(every, r.read) })
+func NewConfigReader(c *Cluster, name, site string, h *ConfigHistory, every int64) *ConfigReader {
+	r := &ConfigReader{cluster: c, history: h}
+	r.Host = c.world.NewHost(name, site, func() { r.Every(every, r.read) })
 	return r
 }
 
 func (r *ConfigReader) read() {
 	nodes := r.Only
 	if nodes == nil {
-		nodes = r.core.Nodes
+		nodes = r.cluster.Nodes
 	}
-	node := nodes[r.core.w.Rng.Intn(len(nodes))]
+	node := nodes[r.cluster.world.Rng.Intn(len(nodes))]
 	r.readAt(node, func(bool) {})
 }
 
@@ -216,8 +216,8 @@
 }
 
 // readAt reads at one node, and tells whether there was an answer.
-func (r *ConfigReader) readAt(node *Registrar, done func(ok bool)) {
-	from := r.core.w.now
+func (r *ConfigReader) readAt(node *ControlNode, done func(ok bool)) {
+	from := r.cluster.world.now
 	Call(r.Host, node.Host, 0, operatorSilence,
 		func(_ int, reply func(registerValue)) {
 			node.Read(route.ConfigKey, func(value []byte, _ uint64, ok bool) { reply(registerValue{value, ok}) })
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -11,14 +11,14 @@
 const (
 	// platformTerm is the lease of a slot's owner on the users' platform
 	// (platform.Control).
-	platformTerm = 600_000
+	platformLeaseUS = 600_000
 	// ackBound is within how long a proper change is acknowledged, where a majority
 	// can be reached.
-	ackBound = 4_000_000
+	acknowledgementBoundUS = 4_000_000
 )
 
 // configRing has room for configurations of some hundred routes.
-var configRing = wal.Config{SegmentCount: 10, SegmentBytes: 64 << 10}
+var configLog = wal.Config{SegmentCount: 10, SegmentBytes: 64 << 10}
 
 // tolerates is how many of n control nodes may be lost at once, as the platform's
 // deployments ask: one of four, two of five and of eight.
@@ -35,26 +35,26 @@
 // ConfigWorld is control nodes with operators that change the configuration and the
 // weights, readers, and proxies that serve by them; everything is judged.
 type ConfigWorld struct {
-	World     *World
-	Core      *Core
-	Config    *ConfigHistory
-	Weights   *WeightsHistory
-	Operators []*ConfigOperator
-	Namer     *WeightsOperator
-	Readers   []*ConfigReader
-	Proxies   []*ConfigProxy
-	Serve     *ServeJudge
-	dirs      *Directories
+	World       *World
+	Cluster     *Cluster
+	Config      *ConfigHistory
+	Weights     *WeightsHistory
+	Operators   []*ConfigOperator
+	Namer       *WeightsOperator
+	Readers     []*ConfigReader
+	Proxies     []*ConfigProxy
+	Serve       *ServeChecker
+	directories *Directories
 }
 
 // NewConfigWorld makes one of so many control nodes, with nobody around them yet.
 func NewConfigWorld(seed int64, nodes int, texts Texts) *ConfigWorld {
-	w := NewWorld(seed)
-	c := NewCore(w, nodes)
-	c.term, c.rings = platformTerm, configRing
-	cw := &ConfigWorld{World: w, Core: c, Config: NewConfigHistory(w, texts), Weights: NewWeightsHistory(w)}
-	cw.dirs = NewDirectories(c)
-	cw.Serve = &ServeJudge{config: cw.Config, weights: cw.Weights}
+	world := NewWorld(seed)
+	c := NewCluster(world, nodes)
+	c.leaseUS, c.logConfig = platformLeaseUS, configLog
+	cw := &ConfigWorld{World: world, Cluster: c, Config: NewConfigHistory(world, texts), Weights: NewWeightsHistory(world)}
+	cw.directories = NewDirectories(c)
+	cw.Serve = &ServeChecker{config: cw.Config, weights: cw.Weights}
 	return cw
 }
 
@@ -62,21 +62,21 @@
 func (cw *ConfigWorld) AddOperators(n int) {
 	for range n {
 		i := len(cw.Operators)
-		o := NewConfigOperator(cw.Core, fmt.Sprint("operator", i), sites[i%len(sites)], cw.Config)
+		o := NewConfigOperator(cw.Cluster, fmt.Sprint("operator", i), zones[i%len(zones)], cw.Config)
 		cw.Operators = append(cw.Operators, o)
 	}
 }
 
 // AddNamer adds an operator that names weights.
 func (cw *ConfigWorld) AddNamer() {
-	cw.Namer = NewWeightsOperator(cw.Core, "namer", sites[0], cw.Weights)
+	cw.Namer = NewWeightsOperator(cw.Cluster, "namer", zones[0], cw.Weights)
 }
 
 // AddReaders adds clients that read the configuration back.
 func (cw *ConfigWorld) AddReaders(n int, every int64) {
 	for range n {
 		i := len(cw.Readers)
-		cw.Readers = append(cw.Readers, NewConfigReader(cw.Core, fmt.Sprint("config-reader", i), sites[i%len(sites)], cw.Config, every))
+		cw.Readers = append(cw.Readers, NewConfigReader(cw.Cluster, fmt.Sprint("config-reader", i), zones[i%len(zones)], cw.Config, every))
 	}
 }
 
@@ -84,14 +84,14 @@
 func (cw *ConfigWorld) AddProxies(n int) {
 	for range n {
 		i := len(cw.Proxies)
-		cw.Proxies = append(cw.Proxies, NewConfigProxy(cw.Core, fmt.Sprint("config-proxy", i), sites[i%len(sites)], cw.dirs))
+		cw.Proxies = append(cw.Proxies, NewConfigProxy(cw.Cluster, fmt.Sprint("config-proxy", i), zones[i%len(zones)], cw.directories))
 	}
 	cw.Serve.proxies = cw.Proxies
 }
 
 // Start boots the control nodes and, once they had time to find each other, the rest.
 func (cw *ConfigWorld) Start() {
-	cw.Core.Start()
+	cw.Cluster.Start()
 	for _, p := range cw.Proxies {
 		p.Start()
 	}
@@ -110,7 +110,7 @@
 }
 
 // Owner is the control node that vouches for a key just now, nil for none.
-func (c *Core) Owner(key string) *Registrar {
+func (c *Cluster) LeaderOf(key string) *ControlNode {
 	for _, r := range c.Nodes {
 		if !r.up || r.frozen || r.node == nil {
 			continue
@@ -125,23 +125,23 @@
 // Until runs on until a condition holds, looked at every 10 ms, and tells how long that
 // took. After the bound it goes on no further.
 func (cw *ConfigWorld) Until(bound int64, holds func() bool) (took int64, ok bool) {
-	w := cw.World
-	from := w.now
+	world := cw.World
+	from := world.now
 	for !holds() {
-		if w.now-from >= bound || len(w.wrong) > 0 {
-			return w.now - from, false
+		if world.now-from >= bound || len(world.violations) > 0 {
+			return world.now - from, false
 		}
-		w.Run(w.now + watchEvery)
+		world.Run(world.now + checkInterval)
 	}
-	return w.now - from, true
+	return world.now - from, true
 }
 
 // ConfigOwned reports whether a node answers for the configuration.
-func (cw *ConfigWorld) ConfigOwned() bool { return cw.Core.Owner(route.ConfigKey) != nil }
+func (cw *ConfigWorld) HasConfigLeader() bool { return cw.Cluster.LeaderOf(route.ConfigKey) != nil }
 
 // allUp reports whether all control nodes take part.
 func (cw *ConfigWorld) allUp() bool {
-	for _, r := range cw.Core.Nodes {
+	for _, r := range cw.Cluster.Nodes {
 		if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
 			return false
 		}
@@ -151,9 +151,9 @@
 
 // AllFirm reports whether all nodes that are up are members and every slot is won and
 // finished under the present roster.
-func (cw *ConfigWorld) AllFirm() bool {
-	for _, r := range cw.Core.Nodes {
-		if r.lost {
+func (cw *ConfigWorld) AllRecovered() bool {
+	for _, r := range cw.Cluster.Nodes {
+		if r.removed {
 			continue
 		}
 		if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
--- a/sim/core_test.go
+++ b/sim/core_test.go
@@ -12,23 +12,23 @@
 // changes linearizable, slots and duties single-owned and claims single-held,
 // and come back within ten seconds.
 func TestCoreDays(t *testing.T) {
-	for _, f := range CoreFaults {
+	for _, f := range ClusterFaults {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
 			acks, won, terms, ckpts, joined := 0, 0, 0, 0, 0
 			for seed := int64(1); seed <= 3; seed++ {
-				d := RunCore(seed, f, 12_000_000)
-				if len(d.Wrong) > 0 {
+				d := RunCluster(seed, f, 12_000_000)
+				if len(d.Violations) > 0 {
 					k := max(0, len(d.Notes)-60)
-					t.Fatalf("seed %d: %v\n%s", seed, d.Wrong, strings.Join(d.Notes[k:], "\n"))
+					t.Fatalf("seed %d: %v\n%s", seed, d.Violations, strings.Join(d.Notes[k:], "\n"))
 				}
-				acks, won, terms, ckpts, joined = acks+d.Acks, won+d.Won, terms+d.Terms, ckpts+d.Ckpts, joined+d.Joined
+				acks, won, terms, ckpts, joined = acks+d.Acknowledged, won+d.ClaimsWon, terms+d.LeaseTerms, ckpts+d.Checkpoints, joined+d.Joins
 			}
 			t.Logf("%d checkpoints, %d joined", ckpts, joined)
-			if f == Healed && joined < 3 {
+			if f == FaultSelfHealing && joined < 3 {
 				t.Fatalf("%d machines were let in", joined)
 			}
-			if acks < 100 || won < 30 || terms < 4 || ckpts == 0 && f != Herd {
+			if acks < 100 || won < 30 || terms < 4 || ckpts == 0 && f != FaultKillAll {
 				t.Fatalf("%d changes acknowledged, %d claims won, %d terms: too little to prove anything", acks, won, terms)
 			}
 		})
@@ -41,24 +41,24 @@
 	s := newStage(t, 1, "plan")
 	s.put("plan", "v1")
 	lost := 0
-	s.c.drop = func(m quorum.Message) bool {
+	s.c.dropsMessage = func(m quorum.Message) bool {
 		if m.Type == quorum.MsgAppendAck {
 			lost++
 		}
 		return m.Type == quorum.MsgAppendAck
 	}
-	s.w.At(s.w.now+300_000, func() { s.c.drop = nil })
+	s.w.At(s.w.now+300_000, func() { s.c.dropsMessage = nil })
 	if a := s.put("plan", "v2"); a.Status != quorum.StatusDone || lost == 0 {
 		t.Fatalf("%d words lost: %+v", lost, a)
 	}
-	if len(s.w.wrong) > 0 {
-		t.Fatal(s.w.wrong)
+	if len(s.w.violations) > 0 {
+		t.Fatal(s.w.violations)
 	}
 }
 
 // TestSameSeedSameDay: a seed decides everything, or a failing one is worthless.
 func TestSameSeedSameDay(t *testing.T) {
-	a, b := RunCore(5, Everybody, 5_000_000), RunCore(5, Everybody, 5_000_000)
+	a, b := RunCluster(5, FaultAll, 5_000_000), RunCluster(5, FaultAll, 5_000_000)
 	if fmt.Sprint(a) != fmt.Sprint(b) {
 		t.Fatal("two runs of one seed differ")
 	}
@@ -75,7 +75,7 @@
 	if r == o {
 		r = s.c.Nodes[1]
 	}
-	at := func(r *Registrar) quorum.SlotStatus { return r.node.Status(r.Clock())[i] }
+	at := func(r *ControlNode) quorum.SlotStatus { return r.node.Status(r.Clock())[i] }
 	s.w.Cut(o.Name, r.Name)
 	s.w.Run(s.w.now + 4_000_000)
 	if at(r).Term <= at(o).Term {
@@ -86,7 +86,7 @@
 	if o = s.owner(); o == nil || at(r).Leader != o.Name || at(r).Term != at(o).Term || at(r).Last != at(o).Last {
 		t.Fatalf("it does not follow: %+v", at(r))
 	}
-	if len(s.w.wrong) > 0 {
-		t.Fatal(s.w.wrong)
+	if len(s.w.violations) > 0 {
+		t.Fatal(s.w.violations)
 	}
 }
--- a/sim/day.go
+++ b/sim/day.go
@@ -10,303 +10,303 @@
 
 // The days. Each causes its failures again and again and ends with a last one.
 const (
-	Calm       Day = "calm"
-	DProxies   Day = "proxies"    // remisiers and runners killed and frozen
-	DIndex     Day = "index"      // custodians killed, frozen, isolated
-	DControl   Day = "control"    // registrars killed singly and in herds
-	DEngines   Day = "engines"    // engines crash, vanish, are replaced, leave; the store is lost
-	DNetwork   Day = "network"    // cuts, isolated machines, lost and repeated messages
-	DOperators Day = "operators"  // keys taken, weights named, storms of plans
-	DWalls     Day = "walls"      // groups walled off, opened, removed and made again
-	DRoster    Day = "roster"     // core machines lost for good with both programs, others put in their place
-	DWeights   Day = "weights"    // named again and again, engines that refuse, are slow, die half turned
-	DNews      Day = "news"       // reports lost, hand-overs fail quietly
-	DAll       Day = "everything" // all of it at once
+	DayCalm        Day = "calm"
+	DayGateways    Day = "proxies"    // remisiers and runners killed and frozen
+	DayIndex       Day = "index"      // custodians killed, frozen, isolated
+	DayControl     Day = "control"    // registrars killed singly and in herds
+	DayEngines     Day = "engines"    // engines crash, vanish, are replaced, leave; the store is lost
+	DayNetwork     Day = "network"    // cuts, isolated machines, lost and repeated messages
+	DayOperators   Day = "operators"  // keys taken, weights named, storms of plans
+	DayIsolation   Day = "walls"      // groups walled off, opened, removed and made again
+	DayReplacement Day = "roster"     // core machines lost for good with both programs, others put in their place
+	DayWeights     Day = "weights"    // named again and again, engines that refuse, are slow, die half turned
+	DayReports     Day = "news"       // reports lost, hand-overs fail quietly
+	DayAll         Day = "everything" // all of it at once
 )
 
 // Days lists them all.
-var Days = []Day{Calm, DProxies, DIndex, DControl, DEngines, DNetwork, DOperators, DWalls, DRoster, DWeights, DNews, DAll}
+var Days = []Day{DayCalm, DayGateways, DayIndex, DayControl, DayEngines, DayNetwork, DayOperators, DayIsolation, DayReplacement, DayWeights, DayReports, DayAll}
 
 // Result is what a day came to.
-type Result struct {
+type FleetResult struct {
 	Tally
 	// Back is how long after the last fault was mended a ticket was done.
-	Back  int64
-	Wrong []string
-	Notes []string
+	RecoveryUS int64
+	Violations []string
+	Notes      []string
 }
 
 const (
-	quiet = 3_000_000 // a fleet starts up before anything is done to it
+	fleetStartUS = 3_000_000 // a fleet starts up before anything is done to it
 )
 
 // RunFleet runs one day of so many microseconds.
-func RunFleet(seed int64, day Day, us int64, z FleetSize) Result {
+func RunFleet(seed int64, day Day, us int64, z FleetSize) FleetResult {
 	f := NewFleet(seed, z)
-	w := f.W
-	s := NewScript(f)
-	w.At(1_300_000, func() { s.Put(nil) })
-	w.At(quiet-500_000, func() { f.call(s, us) })
-	w.At(quiet, func() { f.trouble(day, s, us) })
-	w.Run(us)
-	f.mend()
+	world := f.World
+	s := NewFleetOperator(f)
+	world.At(1_300_000, func() { s.PutPlan(nil) })
+	world.At(fleetStartUS-500_000, func() { f.sendRequests(s, us) })
+	world.At(fleetStartUS, func() { f.injectFaults(day, s, us) })
+	world.Run(us)
+	f.endFaults()
 	// Callers go on; service must come back.
-	f.judge.lastOK = 0
-	w.At(us, func() { f.call(s, us+10_000_000) })
-	for w.now < us+10_000_000 && f.judge.lastOK == 0 && len(w.wrong) == 0 {
-		w.Run(w.now + 20_000)
+	f.checker.lastCompletion = 0
+	world.At(us, func() { f.sendRequests(s, us+10_000_000) })
+	for world.now < us+10_000_000 && f.checker.lastCompletion == 0 && len(world.violations) == 0 {
+		world.Run(world.now + 20_000)
 	}
-	r := Result{Back: w.now - us}
-	if f.judge.lastOK == 0 && len(w.wrong) == 0 {
-		w.Wrong("not back", "no ticket was done within ten seconds after the last fault")
+	r := FleetResult{RecoveryUS: world.now - us}
+	if f.checker.lastCompletion == 0 && len(world.violations) == 0 {
+		world.Violation("not back", "no ticket was done within ten seconds after the last fault")
 	}
-	for _, p := range f.Proxies {
+	for _, p := range f.Gateways {
 		if p.up {
-			f.Seen.Arrived += p.d.Counters.Arrived
-			f.Seen.Retries += p.d.Counters.Retries
-			f.Seen.Attempts += p.d.Counters.Attempts
+			f.Tally.Arrived += p.dispatcher.Counters.Arrived
+			f.Tally.Retries += p.dispatcher.Counters.Retries
+			f.Tally.Attempts += p.dispatcher.Counters.Attempts
 		}
 	}
 	// A tenth of traffic, and what each proxy's budget may have saved up.
-	if t := f.Seen; t.Retries > t.Arrived/10+1 {
-		w.Wrong("retries", "%d retries for %d tickets", t.Retries, t.Arrived)
+	if t := f.Tally; t.Retries > t.Arrived/10+1 {
+		world.Violation("retries", "%d retries for %d tickets", t.Retries, t.Arrived)
 	}
-	r.Tally, r.Wrong, r.Notes = f.Seen, w.wrong, w.note
+	r.Tally, r.Violations, r.Notes = f.Tally, world.violations, world.notes
 	return r
 }
 
 // call sends tickets until a true time, some of them twice at two proxies.
-func (f *Fleet) call(s *Script, until int64) {
-	w := f.W
-	if w.now >= until {
+func (f *Fleet) sendRequests(s *FleetOperator, until int64) {
+	world := f.World
+	if world.now >= until {
 		return
 	}
-	w.At(w.now+5_000+w.Rng.Int63n(40_000), func() { f.call(s, until) })
-	f.sent++
-	g := simGroups[w.Rng.Intn(len(simGroups))]
-	kind := []string{"check", "confirmation", "tag"}[w.Rng.Intn(3)]
-	prompt := fmt.Sprintf("%d", f.sent)
+	world.At(world.now+5_000+world.Rng.Int63n(40_000), func() { f.sendRequests(s, until) })
+	f.requestsSent++
+	g := simGroups[world.Rng.Intn(len(simGroups))]
+	kind := []string{"check", "confirmation", "tag"}[world.Rng.Intn(3)]
+	prompt := fmt.Sprintf("%d", f.requestsSent)
 	if kind != "tag" {
 		doc := g
-		if f.Docs > 0 {
-			doc += fmt.Sprint(w.Rng.Intn(f.Docs))
+		if f.Documents > 0 {
+			doc += fmt.Sprint(world.Rng.Intn(f.Documents))
 		}
 		prompt = strings.Repeat(doc+" shares this much of every prompt. ", 220) + prompt
 	}
 	due := map[string]int64{"check": 8_000_000, "confirmation": 6_000_000, "tag": 5_000_000}[kind]
 	n := 1
-	if onceKinds[kind] && w.Rng.Intn(8) == 0 {
-		n = 2 + w.Rng.Intn(2)
+	if onceKinds[kind] && world.Rng.Intn(8) == 0 {
+		n = 2 + world.Rng.Intn(2)
 	}
-	key := s.keys[g]
-	if key > 0 && w.Rng.Intn(5) == 0 {
+	key := s.keyNumbers[g]
+	if key > 0 && world.Rng.Intn(5) == 0 {
 		key-- // a caller that still uses the key that was taken
 	}
-	era := max(1, f.callerEra)
+	era := max(1, f.callerGeneration)
 	pace := int64(0)
-	if w.Rng.Intn(12) == 0 {
-		pace = 200_000 + w.Rng.Int63n(1_300_000) // a long answer: much happens while it runs
+	if world.Rng.Intn(12) == 0 {
+		pace = 200_000 + world.Rng.Int63n(1_300_000) // a long answer: much happens while it runs
 	}
 	for i := 0; i < n; i++ {
-		p := f.Proxies[w.Rng.Intn(len(f.Proxies))]
-		x := &send{group: g, kind: kind, id: fmt.Sprint("t", f.sent), digest: simKey(g, key), proxy: p, era: era, pace: pace}
-		after := int64(i) * w.Rng.Int63n(3_000_000)
-		if i > 0 && w.Rng.Intn(4) == 0 {
-			after += w.Rng.Int63n(20_000_000) // a resend long after
+		p := f.Gateways[world.Rng.Intn(len(f.Gateways))]
+		x := &callerRequest{group: g, kind: kind, id: fmt.Sprint("t", f.requestsSent), keyDigest: simKey(g, key), gateway: p, generation: era, pieceDelayUS: pace}
+		after := int64(i) * world.Rng.Int63n(3_000_000)
+		if i > 0 && world.Rng.Intn(4) == 0 {
+			after += world.Rng.Int63n(20_000_000) // a resend long after
 		}
-		w.At(w.now+after, func() {
-			f.Seen.Sent++
-			x.due = w.now + due
+		world.At(world.now+after, func() {
+			f.Tally.Sent++
+			x.deadline = world.now + due
 			if !p.up {
-				f.Seen.Lost++
+				f.Tally.Lost++
 				return
 			}
-			l := p.life
-			w.At(w.now+300, func() { p.run(l, func() { p.arrive(x, prompt, due) }) })
+			l := p.process
+			world.At(world.now+300, func() { p.runIn(l, func() { p.admit(x, prompt, due) }) })
 		})
 	}
 }
 
-func (f *Fleet) trouble(day Day, s *Script, until int64) {
-	w := f.W
+func (f *Fleet) injectFaults(day Day, s *FleetOperator, until int64) {
+	world := f.World
 	switch day {
-	case Calm:
+	case DayCalm:
 		return
-	case DNews, DAll:
-		f.MuteNews, f.HandFail = 200, 300
+	case DayReports, DayAll:
+		f.EventLossPermille, f.TransferFailurePermille = 200, 300
 	}
-	if day == DNetwork || day == DAll {
-		w.Loss, w.Dup = 10, 10
+	if day == DayNetwork || day == DayAll {
+		world.LossPermille, world.DuplicatePermille = 10, 10
 	}
-	kinds := []Day{DProxies, DIndex, DControl, DEngines, DNetwork, DOperators, DWalls, DRoster, DWeights}
+	kinds := []Day{DayGateways, DayIndex, DayControl, DayEngines, DayNetwork, DayOperators, DayIsolation, DayReplacement, DayWeights}
 	var next func()
 	next = func() {
-		if w.now >= until {
+		if world.now >= until {
 			return
 		}
 		k := day
-		if day == DAll {
-			k = kinds[w.Rng.Intn(len(kinds))]
+		if day == DayAll {
+			k = kinds[world.Rng.Intn(len(kinds))]
 		}
-		f.strike(k, s)
-		w.At(w.now+300_000+w.Rng.Int63n(2_500_000), next)
+		f.injectFault(k, s)
+		world.At(world.now+300_000+world.Rng.Int63n(2_500_000), next)
 	}
 	next()
-	if day != DOperators {
+	if day != DayOperators {
 		var ops func()
 		ops = func() {
-			if w.now < until {
-				f.strike(DOperators, s)
-				w.At(w.now+4_000_000+w.Rng.Int63n(4_000_000), ops)
+			if world.now < until {
+				f.injectFault(DayOperators, s)
+				world.At(world.now+4_000_000+world.Rng.Int63n(4_000_000), ops)
 			}
 		}
-		w.At(w.now+1_000_000, ops)
+		world.At(world.now+1_000_000, ops)
 	}
 }
 
-func pickOne[T any](w *World, xs []T) T { return xs[w.Rng.Intn(len(xs))] }
+func pick[T any](world *World, xs []T) T { return xs[world.Rng.Intn(len(xs))] }
 
-func (f *Fleet) strike(k Day, s *Script) {
-	w := f.W
+func (f *Fleet) injectFault(k Day, s *FleetOperator) {
+	world := f.World
 	harm := func(h *Host, most int64) {
-		d := 50_000 + w.Rng.Int63n(most)
-		switch w.Rng.Intn(3) {
+		d := 50_000 + world.Rng.Int63n(most)
+		switch world.Rng.Intn(3) {
 		case 0:
 			h.Freeze()
-			w.At(w.now+d, h.Thaw)
+			world.At(world.now+d, h.Thaw)
 		default:
 			h.Kill()
-			w.At(w.now+d, h.Start)
+			world.At(world.now+d, h.Start)
 		}
 	}
 	switch k {
-	case DProxies:
-		if w.Rng.Intn(2) == 0 {
-			harm(pickOne(w, f.Proxies).Host, 3_000_000)
+	case DayGateways:
+		if world.Rng.Intn(2) == 0 {
+			harm(pick(world, f.Gateways).Host, 3_000_000)
 		} else {
-			harm(pickOne(w, f.Runners).Host, 6_000_000)
+			harm(pick(world, f.Agents).Host, 6_000_000)
 		}
-	case DIndex:
-		if w.Rng.Intn(6) == 0 {
-			for _, c := range f.Custodians {
+	case DayIndex:
+		if world.Rng.Intn(6) == 0 {
+			for _, c := range f.IndexNodes {
 				harm(c.Host, 1_500_000)
 			}
 			return
 		}
-		c := pickOne(w, f.Custodians)
-		if w.Rng.Intn(4) == 0 {
-			w.Isolate(c.Name)
-			w.At(w.now+w.Rng.Int63n(4_000_000), w.HealAll)
+		c := pick(world, f.IndexNodes)
+		if world.Rng.Intn(4) == 0 {
+			world.Isolate(c.Name)
+			world.At(world.now+world.Rng.Int63n(4_000_000), world.HealAll)
 			return
 		}
 		harm(c.Host, 5_000_000)
-	case DControl:
-		switch w.Rng.Intn(8) {
+	case DayControl:
+		switch world.Rng.Intn(8) {
 		case 0:
-			f.Core.strike(Herd)
+			f.Cluster.injectFault(FaultKillAll)
 		case 1:
-			f.Core.strike(Power)
+			f.Cluster.injectFault(FaultPowerLoss)
 		case 2:
-			f.Core.strike(Freezes)
+			f.Cluster.injectFault(FaultFreeze)
 		default:
-			f.Core.strike(Kills)
+			f.Cluster.injectFault(FaultKill)
 		}
-	case DEngines:
-		e := pickOne(w, f.Engines)
-		switch w.Rng.Intn(4) {
+	case DayEngines:
+		e := pick(world, f.Engines)
+		switch world.Rng.Intn(4) {
 		case 0:
 			if !e.store {
-				s.Leave(e.Name, 2_000_000+w.Rng.Int63n(8_000_000))
+				s.DrainEngine(e.Name, 2_000_000+world.Rng.Int63n(8_000_000))
 			}
 		case 1:
 			e.Freeze()
-			w.At(w.now+w.Rng.Int63n(2_000_000), e.Thaw)
+			world.At(world.now+world.Rng.Int63n(2_000_000), e.Thaw)
 		default:
 			e.Kill()
-			w.At(w.now+50_000+w.Rng.Int63n(4_000_000), e.Start)
+			world.At(world.now+50_000+world.Rng.Int63n(4_000_000), e.Start)
 		}
-	case DNetwork:
-		switch w.Rng.Intn(4) {
+	case DayNetwork:
+		switch world.Rng.Intn(4) {
 		case 0:
-			f.Core.strike(Cuts)
+			f.Cluster.injectFault(FaultPartition)
 		case 1:
-			f.Core.strike(OneWay)
+			f.Cluster.injectFault(FaultOneWay)
 		default:
-			w.Isolate(pickOne(w, w.hosts).Name)
+			world.Isolate(pick(world, world.hosts).Name)
 		}
-		w.At(w.now+200_000+w.Rng.Int63n(3_000_000), w.HealAll)
-	case DWeights:
-		e := pickOne(w, f.Engines)
-		switch w.Rng.Intn(7) {
+		world.At(world.now+200_000+world.Rng.Int63n(3_000_000), world.HealAll)
+	case DayWeights:
+		e := pick(world, f.Engines)
+		switch world.Rng.Intn(7) {
 		case 0, 1, 2:
-			s.Name()
+			s.NameWeights()
 		case 3:
-			e.stuck = true
-			w.At(w.now+2_000_000+w.Rng.Int63n(20_000_000), func() { e.stuck = false })
+			e.ignoresWeights = true
+			world.At(world.now+2_000_000+world.Rng.Int63n(20_000_000), func() { e.ignoresWeights = false })
 		case 4:
-			e.slow = w.Rng.Int63n(4_000_000)
+			e.loadDelayUS = world.Rng.Int63n(4_000_000)
 		case 5:
 			// It dies half turned, or at once, and comes back with what it had.
-			w.At(w.now+w.Rng.Int63n(1_500_000), e.Kill)
-			w.At(w.now+2_000_000+w.Rng.Int63n(2_000_000), e.Start)
+			world.At(world.now+world.Rng.Int63n(1_500_000), e.Kill)
+			world.At(world.now+2_000_000+world.Rng.Int63n(2_000_000), e.Start)
 		default:
-			c := pickOne(w, f.Custodians)
+			c := pick(world, f.IndexNodes)
 			c.Kill()
-			w.At(w.now+100_000+w.Rng.Int63n(3_000_000), c.Start)
+			world.At(world.now+100_000+world.Rng.Int63n(3_000_000), c.Start)
 		}
-	case DRoster:
-		n := len(f.Core.Nodes)
-		f.Core.replace()
-		if len(f.Core.Nodes) > n && w.Rng.Intn(2) == 0 {
+	case DayReplacement:
+		n := len(f.Cluster.Nodes)
+		f.Cluster.replaceVoter()
+		if len(f.Cluster.Nodes) > n && world.Rng.Intn(2) == 0 {
 			// The machine's other program goes with it, and starts on the new one.
-			c := pickOne(w, f.Custodians)
+			c := pick(world, f.IndexNodes)
 			c.Kill()
-			w.At(w.now+1_000_000+w.Rng.Int63n(3_000_000), c.Start)
-		} else if w.Rng.Intn(3) == 0 {
-			f.strike(DControl, s)
+			world.At(world.now+1_000_000+world.Rng.Int63n(3_000_000), c.Start)
+		} else if world.Rng.Intn(3) == 0 {
+			f.injectFault(DayControl, s)
 		}
-	case DWalls:
-		g := pickOne(w, simGroups)
-		switch w.Rng.Intn(6) {
+	case DayIsolation:
+		g := pick(world, simGroups)
+		switch world.Rng.Intn(6) {
 		case 0:
-			s.Name()
+			s.NameWeights()
 		case 1, 2:
-			s.Remove(g)
+			s.ToggleGroup(g)
 		default:
-			s.Wall(g)
+			s.ToggleIsolation(g)
 		}
-	case DOperators:
-		switch w.Rng.Intn(4) {
+	case DayOperators:
+		switch world.Rng.Intn(4) {
 		case 0:
-			s.Name()
+			s.NameWeights()
 		case 1:
 			for i := int64(0); i < 10; i++ {
-				w.At(w.now+i*30_000, func() { s.Put(nil) })
+				world.At(world.now+i*30_000, func() { s.PutPlan(nil) })
 			}
 		default:
-			s.TakeKey(pickOne(w, simGroups))
+			s.RevokeKey(pick(world, simGroups))
 		}
 	}
 }
 
 // mend ends all faults.
-func (f *Fleet) mend() {
-	w := f.W
-	w.Loss, w.Dup = 0, 0
-	f.MuteNews, f.HandFail = 0, 0
-	f.Core.armed = false
-	w.HealAll()
+func (f *Fleet) endFaults() {
+	world := f.World
+	world.LossPermille, world.DuplicatePermille = 0, 0
+	f.EventLossPermille, f.TransferFailurePermille = 0, 0
+	f.Cluster.powerLossArmed = false
+	world.HealAll()
 	lost := map[*Host]bool{}
-	for _, r := range f.Core.Nodes {
-		lost[r.Host] = r.lost
+	for _, r := range f.Cluster.Nodes {
+		lost[r.Host] = r.removed
 	}
-	for _, h := range w.hosts {
+	for _, h := range world.hosts {
 		h.Thaw()
 		if !lost[h] {
 			h.Start()
 		}
 	}
-	for _, r := range f.Core.Nodes {
-		r.Disk.Stall = 0
+	for _, r := range f.Cluster.Nodes {
+		r.Disk.SyncDelayUS = 0
 	}
 }
--- a/sim/day_catchup.go
+++ b/sim/day_catchup.go
@@ -35,7 +35,7 @@
 
 // catchupRing has room for a row of configurations beside a checkpoint that is written
 // record by record; a configuration remembers the changes that led to it.
-func catchupRing(changes int) wal.Config {
+func catchupLog(changes int) wal.Config {
 	return wal.Config{SegmentCount: 24, SegmentBytes: int64(20<<10 + changes*48)}
 }
 
@@ -43,13 +43,13 @@
 type CatchupResult struct {
 	Changes, Large, Setbacks, Checkpoints int
 	// Steps are the records of checkpoints at which a process ended.
-	Steps int
+	CutRecords int
 	// CaughtUp is the longest from a member's start until it holds all that is settled.
-	CaughtUp int64
+	SlowestCatchupUS int64
 	// Owners counts the changes of the configuration's owner.
-	Owners int
-	Wrong  []string
-	Notes  []string
+	Leaders    int
+	Violations []string
+	Notes      []string
 }
 
 // CatchupDay is a row of changes with setbacks of one kind.
@@ -57,19 +57,19 @@
 	*ConfigWorld
 	setback Setback
 	changes int
-	step    int                 // record at which the next checkpoint is cut short
-	rests   map[*Registrar]bool // its last checkpoint was cut short, the next one is not
+	step    int                   // record at which the next checkpoint is cut short
+	rests   map[*ControlNode]bool // its last checkpoint was cut short, the next one is not
 	busy    bool
-	owner   string
+	leader  string
 	version map[uint64]uint64 // by revision of the register
 	result  CatchupResult
 }
 
 // RunCatchup runs a day of so many changes.
 func RunCatchup(seed int64, nodes, changes int, setback Setback, texts Texts) CatchupResult {
-	d := &CatchupDay{ConfigWorld: NewConfigWorld(seed, nodes, texts), setback: setback, changes: changes, rests: map[*Registrar]bool{}, version: map[uint64]uint64{}}
-	d.Core.rings = catchupRing(changes)
-	d.Core.heals = true
+	d := &CatchupDay{ConfigWorld: NewConfigWorld(seed, nodes, texts), setback: setback, changes: changes, rests: map[*ControlNode]bool{}, version: map[uint64]uint64{}}
+	d.Cluster.logConfig = catchupLog(changes)
+	d.Cluster.selfHealing = true
 	d.AddOperators(2)
 	d.AddReaders(1, 400_000)
 	for _, o := range d.Operators {
@@ -77,26 +77,26 @@
 		o.Routes = d.routes
 	}
 	if setback == SetbackCheckpoint {
-		d.Core.checkpointing = d.cutsCheckpoint
+		d.Cluster.beforeCheckpointRecord = d.cutsCheckpoint
 	}
 	d.Start()
-	w := d.World
-	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acks > 2 }); !ok {
-		w.Wrong("not begun", "no configuration was acknowledged after %d us", w.now)
+	world := d.World
+	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acknowledged > 2 }); !ok {
+		world.Violation("not begun", "no configuration was acknowledged after %d us", world.now)
 	}
-	d.watchOwner()
+	d.watchLeader()
 	d.next()
 	most := int64(changes) * 400_000
 	if _, ok := d.Until(most, func() bool { return int(d.Config.newest) >= changes && !d.busy }); !ok {
-		w.Wrong("too slow", "%d of %d changes in %d us", d.Config.newest, changes, most)
+		world.Violation("too slow", "%d of %d changes in %d us", d.Config.newest, changes, most)
 	}
 	d.Config.Close()
 	r := &d.result
 	r.Changes = int(d.Config.newest)
-	for _, n := range d.Core.Nodes {
-		r.Checkpoints += n.Ckpts
+	for _, n := range d.Cluster.Nodes {
+		r.Checkpoints += n.Checkpoints
 	}
-	r.Wrong, r.Notes = w.wrong, w.note
+	r.Violations, r.Notes = world.violations, world.notes
 	return *r
 }
 
@@ -114,68 +114,68 @@
 
 // next brings the next setback about, once the last one is over, while changes go on.
 func (d *CatchupDay) next() {
-	w := d.World
+	world := d.World
 	if d.setback == SetbackCheckpoint || int(d.Config.newest) >= d.changes {
 		return // checkpoints come by themselves
 	}
-	w.At(w.now+100_000+w.Rng.Int63n(500_000), func() {
-		r := d.Core.Nodes[w.Rng.Intn(len(d.Core.Nodes))]
+	world.At(world.now+100_000+world.Rng.Int63n(500_000), func() {
+		r := d.Cluster.Nodes[world.Rng.Intn(len(d.Cluster.Nodes))]
 		d.busy = true
 		d.end(r, d.setback == SetbackWiped)
-		away := w.Rng.Int63n(downMost)
+		away := world.Rng.Int63n(downMost)
 		if d.setback == SetbackRestarts {
-			away = w.Rng.Int63n(restartMost)
+			away = world.Rng.Int63n(restartMost)
 		}
-		w.At(w.now+away, func() { d.begin(r) })
+		world.At(world.now+away, func() { d.begin(r) })
 	})
 }
 
 // end ends a member's process, by a kill or with the power, and its disk if asked for.
-func (d *CatchupDay) end(r *Registrar, wiped bool) {
+func (d *CatchupDay) end(r *ControlNode, wiped bool) {
 	d.result.Setbacks++
 	switch {
 	case wiped:
-		r.lose()
+		r.loseDisk()
 	case d.World.Rng.Intn(2) == 0:
-		r.PowerLoss()
+		r.LosePower()
 	default:
 		r.Kill()
 	}
 }
 
 // begin starts the member again and waits until it holds all that is settled.
-func (d *CatchupDay) begin(r *Registrar) {
-	w := d.World
-	at := w.now
-	bound := syncTime(len(d.Core.Nodes))
+func (d *CatchupDay) begin(r *ControlNode) {
+	world := d.World
+	at := world.now
+	bound := syncTime(len(d.Cluster.Nodes))
 	r.restart()
 	var look func()
 	look = func() {
-		took := w.now - at
+		took := world.now - at
 		if d.holdsAll(r) {
-			d.result.CaughtUp = max(d.result.CaughtUp, took)
+			d.result.SlowestCatchupUS = max(d.result.SlowestCatchupUS, took)
 			d.busy = false
 			d.next()
 			return
 		}
 		if took > bound {
-			w.Wrong("not caught up", "%s does not hold all that is settled %d us after its start", r.Name, took)
+			world.Violation("not caught up", "%s does not hold all that is settled %d us after its start", r.Name, took)
 			return
 		}
-		w.At(w.now+watchEvery, look)
+		world.At(world.now+checkInterval, look)
 	}
 	look()
 }
 
 // holdsAll reports whether a member votes and holds every slot up to what its owner
 // knows to be settled.
-func (d *CatchupDay) holdsAll(r *Registrar) bool {
+func (d *CatchupDay) holdsAll(r *ControlNode) bool {
 	if !r.up || r.node == nil || !r.node.AllSlotsRecovered() {
 		return false
 	}
 	held := r.node.Status(r.Clock())
 	owned := make([]bool, len(held))
-	for _, o := range d.Core.Nodes {
+	for _, o := range d.Cluster.Nodes {
 		if !o.up || o.node == nil {
 			continue
 		}
@@ -200,7 +200,7 @@
 // cutsCheckpoint ends a process at the next record of a checkpoint in turn, while all
 // members are up and hold everything. The member's next checkpoint is left whole: what
 // is cut short takes room, and a ring that never sees a whole one is full in the end.
-func (d *CatchupDay) cutsCheckpoint(r *Registrar, written, of int) bool {
+func (d *CatchupDay) cutsCheckpoint(r *ControlNode, written, of int) bool {
 	if d.rests[r] {
 		d.rests[r] = written < of-1
 		return false
@@ -212,7 +212,7 @@
 	if d.step >= of {
 		d.step = 0
 	}
-	d.result.Steps++
+	d.result.CutRecords++
 	d.rests[r], d.busy = true, true
 	d.end(r, false)
 	d.World.At(d.World.now+1+d.World.Rng.Int63n(restartMost), func() { d.begin(r) })
@@ -220,27 +220,27 @@
 }
 
 // watchOwner judges that whoever answers for the configuration has the newest one.
-func (d *CatchupDay) watchOwner() {
-	w := d.World
-	for _, r := range d.Core.Nodes {
+func (d *CatchupDay) watchLeader() {
+	world := d.World
+	for _, r := range d.Cluster.Nodes {
 		if r.up && !r.frozen && r.node != nil {
-			d.judgeOwner(r)
+			d.checkLeader(r)
 		}
 	}
-	w.At(w.now+watchEvery/2, d.watchOwner)
+	world.At(world.now+checkInterval/2, d.watchLeader)
 }
 
-func (d *CatchupDay) judgeOwner(r *Registrar) {
+func (d *CatchupDay) checkLeader(r *ControlNode) {
 	e, ok := r.node.ReadUnderLease(r.Clock(), route.ConfigKey)
 	if !ok {
 		return
 	}
-	if r.Name != d.owner {
-		d.owner = r.Name
-		d.result.Owners++
+	if r.Name != d.leader {
+		d.leader = r.Name
+		d.result.Leaders++
 	}
 	if floor := d.Config.inForceAt(d.World.now); d.versionOf(e) < floor {
-		d.World.Wrong("an owner with old state", "%s answers with version %d, %d was in force", r.Name, d.versionOf(e), floor)
+		d.World.Violation("an owner with old state", "%s answers with version %d, %d was in force", r.Name, d.versionOf(e), floor)
 	}
 }
 
@@ -251,7 +251,7 @@
 	}
 	v, ok := configVersion(e.Value)
 	if !ok {
-		d.World.Wrong("unreadable", "revision %d of the configuration", e.Revision)
+		d.World.Violation("unreadable", "revision %d of the configuration", e.Revision)
 	}
 	d.version[e.Revision] = v
 	return v
--- a/sim/day_catchup_test.go
+++ b/sim/day_catchup_test.go
@@ -20,12 +20,12 @@
 				var sum CatchupResult
 				for _, seed := range daySeeds(1) {
 					r := RunCatchup(seed, nodes, catchupChanges(), setback, platformTexts)
-					failDay(t, seed, r.Wrong, r.Notes)
+					failDay(t, seed, r.Violations, r.Notes)
 					sum.add(r)
 				}
 				t.Logf("%d changes, %d of 350 routes, %d setbacks, %d checkpoints, %d cut short, %d owners: caught up after %s of %s",
-					sum.Changes, sum.Large, sum.Setbacks, sum.Checkpoints, sum.Steps, sum.Owners, seconds(sum.CaughtUp), seconds(syncTime(nodes)))
-				if sum.Setbacks == 0 || sum.Large == 0 || sum.CaughtUp == 0 {
+					sum.Changes, sum.Large, sum.Setbacks, sum.Checkpoints, sum.CutRecords, sum.Leaders, seconds(sum.SlowestCatchupUS), seconds(syncTime(nodes)))
+				if sum.Setbacks == 0 || sum.Large == 0 || sum.SlowestCatchupUS == 0 {
 					t.Error("too little to prove anything")
 				}
 			})
@@ -46,7 +46,7 @@
 	r.Large += o.Large
 	r.Setbacks += o.Setbacks
 	r.Checkpoints += o.Checkpoints
-	r.Steps += o.Steps
-	r.Owners += o.Owners
-	r.CaughtUp = max(r.CaughtUp, o.CaughtUp)
+	r.CutRecords += o.CutRecords
+	r.Leaders += o.Leaders
+	r.SlowestCatchupUS = max(r.SlowestCatchupUS, o.SlowestCatchupUS)
 }
--- a/sim/day_cutoff.go
+++ b/sim/day_cutoff.go
@@ -31,19 +31,19 @@
 
 // CutoffResult is what such a day came to.
 type CutoffResult struct {
-	Acks, Stale, Reads, Named, Cuts int
+	Acknowledged, Rejected, Reads, Named, Cuts int
 	// OldConfig is the longest that a proxy served by a configuration after a newer one
 	// was acknowledged.
-	OldConfig int64
+	OldestConfigUS int64
 	// Gap is the longest without an acknowledgement while a majority was in touch.
-	Gap int64
+	LongestGapUS int64
 	// Ownerless is the longest that no node answered for the configuration.
-	Ownerless int64
+	LongestWithoutLeaderUS int64
 	// Back is the longest from the end of a cut until all proxies serve, every control
 	// node answers and all operators had a clear answer.
-	Back  int64
-	Wrong []string
-	Notes []string
+	SlowestRecoveryUS int64
+	Violations        []string
+	Notes             []string
 }
 
 // RunCutoff runs a day with one cut of each given kind.
@@ -51,19 +51,19 @@
 	d := newCutoffDay(seed, nodes, texts)
 	d.Start()
 	var r CutoffResult
-	w := d.World
-	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acks > 3 && d.Weights.Acks > 0 }); !ok {
-		w.Wrong("not begun", "no configuration was acknowledged after %d us", w.now)
+	world := d.World
+	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acknowledged > 3 && d.Weights.Acknowledged > 0 }); !ok {
+		world.Violation("not begun", "no configuration was acknowledged after %d us", world.now)
 	}
 	for _, p := range cuts {
-		if len(w.wrong) > 0 {
+		if len(world.violations) > 0 {
 			break
 		}
 		d.cut(p, &r)
 	}
 	d.Config.Close()
-	r.Acks, r.Stale, r.Reads, r.Named = d.Config.Acks, d.Config.Stale, d.Config.Reads, d.Weights.Acks
-	r.OldConfig, r.Wrong, r.Notes = d.Serve.OldConfig, w.wrong, w.note
+	r.Acknowledged, r.Rejected, r.Reads, r.Named = d.Config.Acknowledged, d.Config.Rejected, d.Config.Reads, d.Weights.Acknowledged
+	r.OldestConfigUS, r.Violations, r.Notes = d.Serve.OldestConfigUS, world.violations, world.notes
 	return r
 }
 
@@ -86,7 +86,7 @@
 // cut cuts as many machines off as may be lost, or one, for 20 s, and waits until all
 // is back.
 func (d *CutoffDay) cut(p Partition, r *CutoffResult) {
-	w := d.World
+	world := d.World
 	machines := d.choose(r.Cuts%2 == 0)
 	inside := []*Host{d.inside.Host, d.reader.Host}
 	for _, proxy := range d.onSide {
@@ -95,47 +95,47 @@
 	for _, m := range machines {
 		inside = append(inside, m.Host)
 	}
-	w.CutOff(p, inside)
+	world.CutOff(p, inside)
 	if p == PartitionForgot {
 		d.restartOutside(machines)
 	}
 	d.reader.Only = machines
-	d.watchGap(w.now+cutLasts, r)
-	w.Rejoin(inside)
+	d.watchGap(world.now+cutLasts, r)
+	world.Rejoin(inside)
 	d.reader.Only = nil
-	w.Note("healed")
+	world.Notef("healed")
 	r.Cuts++
 	missing := d.back(machines)
 	took, ok := d.Until(backBound, func() bool { return missing() == "" })
-	r.Back = max(r.Back, took)
+	r.SlowestRecoveryUS = max(r.SlowestRecoveryUS, took)
 	if !ok {
-		w.Wrong("not back", "%s was not in service %d us after a cut of kind %s", missing(), backBound, p)
+		world.Violation("not back", "%s was not in service %d us after a cut of kind %s", missing(), backBound, p)
 	}
-	w.Run(w.now + calmBetween)
+	world.Run(world.now + calmBetween)
 }
 
 // restartOutside ends the control nodes on the other side, which come back at once and
 // know of no lease that they granted.
-func (d *CutoffDay) restartOutside(machines []*Registrar) {
-	w := d.World
-	for _, r := range d.Core.Nodes {
+func (d *CutoffDay) restartOutside(machines []*ControlNode) {
+	world := d.World
+	for _, r := range d.Cluster.Nodes {
 		if !slices.Contains(machines, r) {
 			r.Kill()
-			w.At(w.now+1_000+w.Rng.Int63n(30_000), r.restart)
+			world.At(world.now+1_000+world.Rng.Int63n(30_000), r.restart)
 		}
 	}
 }
 
 // choose picks the machines to cut off, among them the configuration's owner if asked for.
-func (d *CutoffDay) choose(owner bool) []*Registrar {
-	w := d.World
-	n := 1 + w.Rng.Intn(tolerates(len(d.Core.Nodes)))
-	nodes := d.Core.Nodes
-	first := w.Rng.Intn(len(nodes))
-	if o := d.Core.Owner(route.ConfigKey); o != nil && owner {
+func (d *CutoffDay) choose(owner bool) []*ControlNode {
+	world := d.World
+	n := 1 + world.Rng.Intn(tolerates(len(d.Cluster.Nodes)))
+	nodes := d.Cluster.Nodes
+	first := world.Rng.Intn(len(nodes))
+	if o := d.Cluster.LeaderOf(route.ConfigKey); o != nil && owner {
 		first = slices.Index(nodes, o)
 	}
-	var out []*Registrar
+	var out []*ControlNode
 	for i := range n {
 		out = append(out, nodes[(first+i)%len(nodes)])
 	}
@@ -145,23 +145,23 @@
 // watchGap runs until a time and judges that changes go on being acknowledged on the
 // side of the majority.
 func (d *CutoffDay) watchGap(until int64, r *CutoffResult) {
-	w := d.World
-	acks, at, owned := d.Config.Acks, w.now, w.now
-	for w.now < until && len(w.wrong) == 0 {
-		w.Run(w.now + watchEvery)
-		if d.Config.Acks > acks {
-			acks, at = d.Config.Acks, w.now
+	world := d.World
+	acks, at, owned := d.Config.Acknowledged, world.now, world.now
+	for world.now < until && len(world.violations) == 0 {
+		world.Run(world.now + checkInterval)
+		if d.Config.Acknowledged > acks {
+			acks, at = d.Config.Acknowledged, world.now
 		}
-		if d.ConfigOwned() {
-			owned = w.now
+		if d.HasConfigLeader() {
+			owned = world.now
 		}
-		r.Ownerless = max(r.Ownerless, w.now-owned)
-		if w.now-owned > ownerBound {
-			w.Wrong("no owner", "of the configuration for %d us, with a majority in touch", w.now-owned)
+		r.LongestWithoutLeaderUS = max(r.LongestWithoutLeaderUS, world.now-owned)
+		if world.now-owned > ownerBound {
+			world.Violation("no owner", "of the configuration for %d us, with a majority in touch", world.now-owned)
 		}
-		r.Gap = max(r.Gap, w.now-at)
-		if w.now-at > ackBound {
-			w.Wrong("no change acknowledged", "for %d us, with a majority in touch", w.now-at)
+		r.LongestGapUS = max(r.LongestGapUS, world.now-at)
+		if world.now-at > acknowledgementBoundUS {
+			world.Violation("no change acknowledged", "for %d us, with a majority in touch", world.now-at)
 		}
 	}
 }
@@ -169,14 +169,14 @@
 // back names what is not yet in service after a cut: a proxy that does not serve, a
 // machine that was cut off and does not answer for the configuration, an operator that
 // had no clear answer yet. It is empty once all is back.
-func (d *CutoffDay) back(machines []*Registrar) func() string {
-	answered := map[*Registrar]bool{}
+func (d *CutoffDay) back(machines []*ControlNode) func() string {
+	answered := map[*ControlNode]bool{}
 	for _, m := range machines {
 		d.probe(m, answered)
 	}
 	told := map[*ConfigOperator]bool{}
 	for _, o := range d.Operators {
-		o.OnClear = func() { told[o] = true }
+		o.OnFinished = func() { told[o] = true }
 	}
 	return func() string {
 		for _, p := range d.Proxies {
@@ -199,7 +199,7 @@
 }
 
 // probe reads the configuration at a node until that answers.
-func (d *CutoffDay) probe(m *Registrar, answered map[*Registrar]bool) {
+func (d *CutoffDay) probe(m *ControlNode, answered map[*ControlNode]bool) {
 	r := d.Readers[0]
 	r.readAt(m, func(ok bool) {
 		if ok {
--- a/sim/day_cutoff_test.go
+++ b/sim/day_cutoff_test.go
@@ -56,12 +56,12 @@
 			var sum CutoffResult
 			for _, seed := range daySeeds(1) {
 				r := RunCutoff(seed, nodes, cutsOf(seed+int64(i)), platformTexts)
-				failDay(t, seed, r.Wrong, r.Notes)
+				failDay(t, seed, r.Violations, r.Notes)
 				sum.add(r)
 			}
 			t.Logf("%d cuts: %d acknowledged, %d refused, %d read back, %d weights named; old configuration in use for %s of %s, no owner for %s of %s, no acknowledgement for %s of %s, back after %s of %s",
-				sum.Cuts, sum.Acks, sum.Stale, sum.Reads, sum.Named, seconds(sum.OldConfig), seconds(ApplyBound), seconds(sum.Ownerless), seconds(ownerBound), seconds(sum.Gap), seconds(ackBound), seconds(sum.Back), seconds(backBound))
-			if sum.Acks < 20*sum.Cuts || sum.Reads < 50*sum.Cuts || sum.Stale == 0 || sum.Named < 10*sum.Cuts {
+				sum.Cuts, sum.Acknowledged, sum.Rejected, sum.Reads, sum.Named, seconds(sum.OldestConfigUS), seconds(ApplyBound), seconds(sum.LongestWithoutLeaderUS), seconds(ownerBound), seconds(sum.LongestGapUS), seconds(acknowledgementBoundUS), seconds(sum.SlowestRecoveryUS), seconds(backBound))
+			if sum.Acknowledged < 20*sum.Cuts || sum.Reads < 50*sum.Cuts || sum.Rejected == 0 || sum.Named < 10*sum.Cuts {
 				t.Error("too little to prove anything")
 			}
 		})
@@ -80,14 +80,14 @@
 
 func (r *CutoffResult) add(o CutoffResult) {
 	r.Cuts += o.Cuts
-	r.Acks += o.Acks
-	r.Stale += o.Stale
+	r.Acknowledged += o.Acknowledged
+	r.Rejected += o.Rejected
 	r.Reads += o.Reads
 	r.Named += o.Named
-	r.OldConfig = max(r.OldConfig, o.OldConfig)
-	r.Gap = max(r.Gap, o.Gap)
-	r.Ownerless = max(r.Ownerless, o.Ownerless)
-	r.Back = max(r.Back, o.Back)
+	r.OldestConfigUS = max(r.OldestConfigUS, o.OldestConfigUS)
+	r.LongestGapUS = max(r.LongestGapUS, o.LongestGapUS)
+	r.LongestWithoutLeaderUS = max(r.LongestWithoutLeaderUS, o.LongestWithoutLeaderUS)
+	r.SlowestRecoveryUS = max(r.SlowestRecoveryUS, o.SlowestRecoveryUS)
 }
 
 // shuffled is a list in an order of the seed's.
--- a/sim/day_messages.go
+++ b/sim/day_messages.go
@@ -20,104 +20,104 @@
 
 // MessagesResult is what a day of repeated and reordered messages came to.
 type MessagesResult struct {
-	Acks, Claims, Terms, Echoes, Restarts int
+	Acknowledged, Claims, Leases, Repeated, Restarts int
 	// Stranger counts messages that reached another life of their receiver.
-	Stranger int
-	Back     int64
-	Wrong    []string
-	Notes    []string
+	ToNextProcess int
+	RecoveryUS    int64
+	Violations    []string
+	Notes         []string
 }
 
 // MessagesDay is a day on which the voters' messages come late, out of order and again,
 // also to the next life of a process of the same name.
 type MessagesDay struct {
 	world  *World
-	core   *Core
+	core   *Cluster
 	until  int64
 	result MessagesResult
 }
 
 // RunMessages runs one day, with trouble for a time.
 func RunMessages(seed int64, nodes int, lasts int64) MessagesResult {
-	w := NewWorld(seed)
-	d := &MessagesDay{world: w, core: NewCore(w, nodes)}
-	d.core.term = platformTerm
-	writer, claimers, holders := NewSlotWriter(d.core), NewClaimers(d.core, 2), NewHolders(d.core, 2)
+	world := NewWorld(seed)
+	d := &MessagesDay{world: world, core: NewCluster(world, nodes)}
+	d.core.leaseUS = platformLeaseUS
+	writer, claimers, holders := NewSlotWriter(d.core), NewClaimClients(d.core, 2), NewLeaseClients(d.core, 2)
 	d.core.Start()
 	writer.Start()
-	w.Run(1_500_000)
-	d.until = w.now + lasts
-	d.core.echo = d.echo
+	world.Run(1_500_000)
+	d.until = world.now + lasts
+	d.core.onMessage = d.echo
 	d.jitter()
 	d.restarts()
-	w.Run(d.until)
+	world.Run(d.until)
 	d.mend()
 	d.waitBack(writer)
 	r := &d.result
-	r.Acks, r.Claims, r.Terms = writer.Acks(), claimers.Won, holders.Terms
-	r.Wrong, r.Notes = w.wrong, w.note
+	r.Acknowledged, r.Claims, r.Leases = writer.Acknowledged(), claimers.Won, holders.Leases
+	r.Violations, r.Notes = world.violations, world.notes
 	return *r
 }
 
 // echo repeats a message, soon or late, whatever became of its receiver's process.
-func (d *MessagesDay) echo(to *Registrar, m quorum.Message) {
-	w := d.world
-	draw := w.Rng.Intn(100)
+func (d *MessagesDay) echo(to *ControlNode, m quorum.Message) {
+	world := d.world
+	draw := world.Rng.Intn(100)
 	switch {
 	case draw < echoSoonPercent:
-		d.repeat(to, m, w.Rng.Int63n(echoSoon))
+		d.repeat(to, m, world.Rng.Int63n(echoSoon))
 	case draw < echoSoonPercent+echoLatePercent:
-		d.repeat(to, m, w.Rng.Int63n(echoLate))
+		d.repeat(to, m, world.Rng.Int63n(echoLate))
 	}
 }
 
-func (d *MessagesDay) repeat(to *Registrar, m quorum.Message, after int64) {
-	w, life := d.world, to.life
-	w.At(w.now+after, func() {
+func (d *MessagesDay) repeat(to *ControlNode, m quorum.Message, after int64) {
+	world, life := d.world, to.process
+	world.At(world.now+after, func() {
 		if !to.up || to.frozen {
 			return
 		}
-		d.result.Echoes++
-		if to.life != life {
-			d.result.Stranger++
+		d.result.Repeated++
+		if to.process != life {
+			d.result.ToNextProcess++
 		}
-		to.recv(m)
+		to.receive(m)
 	})
 }
 
 // jitter makes ways differ, so that messages overtake each other.
 func (d *MessagesDay) jitter() {
-	w := d.world
-	if w.now >= d.until {
+	world := d.world
+	if world.now >= d.until {
 		return
 	}
 	for _, a := range d.core.Nodes {
 		for _, b := range d.core.Nodes {
-			w.slow[[2]string{a.Name, b.Name}] = w.Rng.Int63n(messageJitter)
+			world.linkDelayUS[[2]string{a.Name, b.Name}] = world.Rng.Int63n(messageJitter)
 		}
 	}
-	w.At(w.now+jitterEvery, d.jitter)
+	world.At(world.now+jitterEvery, d.jitter)
 }
 
 // restarts ends one process after the other, and starts it again under its name.
 func (d *MessagesDay) restarts() {
-	w := d.world
-	if w.now >= d.until {
+	world := d.world
+	if world.now >= d.until {
 		return
 	}
-	r := d.core.Nodes[w.Rng.Intn(len(d.core.Nodes))]
+	r := d.core.Nodes[world.Rng.Intn(len(d.core.Nodes))]
 	d.result.Restarts++
-	if w.Rng.Intn(2) == 0 {
-		r.PowerLoss()
+	if world.Rng.Intn(2) == 0 {
+		r.LosePower()
 	} else {
 		r.Kill()
 	}
-	w.At(w.now+1+w.Rng.Int63n(500_000), r.restart)
-	w.At(w.now+500_000+w.Rng.Int63n(1_500_000), d.restarts)
+	world.At(world.now+1+world.Rng.Int63n(500_000), r.restart)
+	world.At(world.now+500_000+world.Rng.Int63n(1_500_000), d.restarts)
 }
 
 func (d *MessagesDay) mend() {
-	d.core.echo = nil
+	d.core.onMessage = nil
 	d.world.HealAll()
 	for _, r := range d.core.Nodes {
 		r.restart()
@@ -126,13 +126,13 @@
 
 // waitBack waits until every slot takes changes, while what was repeated late still comes.
 func (d *MessagesDay) waitBack(writer *SlotWriter) {
-	w := d.world
-	from := w.now
-	for !writer.AckedSince(from) && w.now < from+messagesBack && len(w.wrong) == 0 {
-		w.Run(w.now + watchEvery)
+	world := d.world
+	from := world.now
+	for !writer.AcknowledgedSince(from) && world.now < from+messagesBack && len(world.violations) == 0 {
+		world.Run(world.now + checkInterval)
 	}
-	d.result.Back = w.now - from
-	if !writer.AckedSince(from) {
-		w.Wrong("not back", "not every slot took a change within %d us after the trouble", messagesBack)
+	d.result.RecoveryUS = world.now - from
+	if !writer.AcknowledgedSince(from) {
+		world.Violation("not back", "not every slot took a change within %d us after the trouble", messagesBack)
 	}
 }
--- a/sim/day_messages_test.go
+++ b/sim/day_messages_test.go
@@ -18,12 +18,12 @@
 			var sum MessagesResult
 			for _, seed := range daySeeds(1) {
 				r := RunMessages(seed, nodes, messagesLast())
-				failDay(t, seed, r.Wrong, r.Notes)
+				failDay(t, seed, r.Violations, r.Notes)
 				sum.add(r)
 			}
 			t.Logf("%d messages repeated, %d of them to another life, %d restarts: %d acknowledged, %d claims, %d terms; back after %s of %s",
-				sum.Echoes, sum.Stranger, sum.Restarts, sum.Acks, sum.Claims, sum.Terms, seconds(sum.Back), seconds(messagesBack))
-			if sum.Stranger < 50 || sum.Restarts < 2 || sum.Acks < 50 || sum.Claims == 0 || sum.Terms == 0 {
+				sum.Repeated, sum.ToNextProcess, sum.Restarts, sum.Acknowledged, sum.Claims, sum.Leases, seconds(sum.RecoveryUS), seconds(messagesBack))
+			if sum.ToNextProcess < 50 || sum.Restarts < 2 || sum.Acknowledged < 50 || sum.Claims == 0 || sum.Leases == 0 {
 				t.Error("too little to prove anything")
 			}
 		})
@@ -39,11 +39,11 @@
 }
 
 func (r *MessagesResult) add(o MessagesResult) {
-	r.Acks += o.Acks
+	r.Acknowledged += o.Acknowledged
 	r.Claims += o.Claims
-	r.Terms += o.Terms
-	r.Echoes += o.Echoes
-	r.Stranger += o.Stranger
+	r.Leases += o.Leases
+	r.Repeated += o.Repeated
+	r.ToNextProcess += o.ToNextProcess
 	r.Restarts += o.Restarts
-	r.Back = max(r.Back, o.Back)
+	r.RecoveryUS = max(r.RecoveryUS, o.RecoveryUS)
 }
--- a/sim/day_races.go
+++ b/sim/day_races.go
@@ -46,17 +46,17 @@
 
 // RaceResult is what such a day came to.
 type RaceResult struct {
-	Orders, Acks, Again, Stale, Reads int
-	Lost, Kills                       int // messages, processes
+	Orders, Acknowledged, AcknowledgedAfterResend, Rejected, Reads int
+	Lost, Kills                                                    int // messages, processes
 	// Behind is the most changes that were in force after an order when it was
 	// acknowledged for the first time.
-	Behind uint64
+	MostBehind uint64
 	// Slowest is the longest that an operator went without a clear answer.
-	Slowest int64
+	SlowestOrderUS int64
 	// Ended is how long after the trouble all was clear.
-	Ended int64
-	Wrong []string
-	Notes []string
+	SettledUS  int64
+	Violations []string
+	Notes      []string
 }
 
 // RunRaces runs a day of so many operators, with trouble for a time.
@@ -66,15 +66,15 @@
 	d.AddReaders(2, 150_000)
 	for _, o := range d.Operators {
 		o.Pause = 60_000
-		o.OnTaken = d.onTaken
+		o.OnAccepted = d.onTaken
 	}
 	d.Start()
-	w := d.World
-	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acks > 2 }); !ok {
-		w.Wrong("not begun", "no configuration was acknowledged after %d us", w.now)
+	world := d.World
+	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acknowledged > 2 }); !ok {
+		world.Violation("not begun", "no configuration was acknowledged after %d us", world.now)
 	}
 	d.begin()
-	w.Run(d.until)
+	world.Run(d.until)
 	d.finish()
 	d.Config.Close()
 	d.collect()
@@ -83,50 +83,50 @@
 
 // begin brings the trouble about until its time is over.
 func (d *RaceDay) begin() {
-	c := d.Core
+	c := d.Cluster
 	d.until = d.World.now + d.lasts
 	switch d.trouble {
 	case KillSynced:
-		c.synced = d.killsSynced
+		c.beforeSynced = d.killsSynced
 	case KillAnswering:
-		c.answering = d.killsAnswering
+		c.beforeResult = d.killsAnswering
 	case PowerAnswered:
 		// By onTaken, at the very acknowledgement.
 	case RaceTrouble(StepWrite), RaceTrouble(StepWriteOK):
-		c.drop = d.dropsMessage
+		c.dropsMessage = d.dropsMessage
 	default:
-		c.loses = d.losesStep
+		c.losesStep = d.losesStep
 	}
 }
 
 // finish ends the trouble and waits until every operator had a clear answer and the
 // newest configuration was read back.
 func (d *RaceDay) finish() {
-	c, w := d.Core, d.World
-	c.synced, c.answering, c.drop, c.loses = nil, nil, nil, nil
+	c, world := d.Cluster, d.World
+	c.beforeSynced, c.beforeResult, c.dropsMessage, c.losesStep = nil, nil, nil, nil
 	told := map[*ConfigOperator]bool{}
 	for _, o := range d.Operators {
-		o.OnClear = func() { told[o] = true }
+		o.OnFinished = func() { told[o] = true }
 	}
 	took, ok := d.Until(raceEnds, func() bool { return len(told) == len(d.Operators) })
-	d.result.Ended = took
+	d.result.SettledUS = took
 	if !ok {
-		w.Wrong("not back", "%d of %d operators had a clear answer %d us after the trouble", len(told), len(d.Operators), took)
+		world.Violation("not back", "%d of %d operators had a clear answer %d us after the trouble", len(told), len(d.Operators), took)
 	}
 	reads := d.Config.Reads
 	if _, ok := d.Until(raceEnds, func() bool { return d.Config.Reads > reads+4 }); !ok {
-		w.Wrong("not back", "nothing was read back %d us after the trouble", raceEnds)
+		world.Violation("not back", "nothing was read back %d us after the trouble", raceEnds)
 	}
 }
 
 func (d *RaceDay) collect() {
 	r, h := &d.result, d.Config
-	r.Orders, r.Acks, r.Again, r.Stale, r.Reads = len(h.orders), h.Acks, h.Again, h.Stale, h.Reads
-	r.Behind = h.Behind
+	r.Orders, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(h.orders), h.Acknowledged, h.AcknowledgedAfterResend, h.Rejected, h.Reads
+	r.MostBehind = h.MostBehind
 	for _, o := range d.Operators {
-		r.Slowest = max(r.Slowest, o.SlowestTaken)
+		r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestTaken)
 	}
-	r.Wrong, r.Notes = d.World.wrong, d.World.note
+	r.Violations, r.Notes = d.World.violations, d.World.notes
 }
 
 // losesStep loses some messages of one step.
@@ -157,8 +157,8 @@
 
 // killsSynced kills the configuration's owner when its records are on disk and its voter
 // does not know yet.
-func (d *RaceDay) killsSynced(r *Registrar) bool {
-	if d.Core.Owner(route.ConfigKey) != r {
+func (d *RaceDay) killsSynced(r *ControlNode) bool {
+	if d.Cluster.LeaderOf(route.ConfigKey) != r {
 		return false
 	}
 	return d.kills(r)
@@ -166,38 +166,38 @@
 
 // killsAnswering kills the owner when a change is on a majority's disks and nobody was
 // told.
-func (d *RaceDay) killsAnswering(r *Registrar, a quorum.Result) bool {
-	if a.Status != quorum.StatusDone || d.Core.Owner(route.ConfigKey) != r {
+func (d *RaceDay) killsAnswering(r *ControlNode, a quorum.Result) bool {
+	if a.Status != quorum.StatusDone || d.Cluster.LeaderOf(route.ConfigKey) != r {
 		return false
 	}
 	return d.kills(r)
 }
 
 // kills ends a process now and then, while all others are up, and starts it again.
-func (d *RaceDay) kills(r *Registrar) bool {
-	w := d.World
-	if !d.allUp() || w.Rng.Intn(100) >= killPercent {
+func (d *RaceDay) kills(r *ControlNode) bool {
+	world := d.World
+	if !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return false
 	}
 	d.result.Kills++
-	if w.Rng.Intn(2) == 0 {
-		r.PowerLoss()
+	if world.Rng.Intn(2) == 0 {
+		r.LosePower()
 	} else {
 		r.Kill()
 	}
-	w.At(w.now+100_000+w.Rng.Int63n(2_000_000), r.restart)
+	world.At(world.now+100_000+world.Rng.Int63n(2_000_000), r.restart)
 	return true
 }
 
 // onTaken cuts the power of all control nodes at some acknowledgements.
-func (d *RaceDay) onTaken(*Order) {
-	w := d.World
-	if d.trouble != PowerAnswered || w.now >= d.until || !d.allUp() || w.Rng.Intn(100) >= killPercent {
+func (d *RaceDay) onTaken(*ConfigOrder) {
+	world := d.World
+	if d.trouble != PowerAnswered || world.now >= d.until || !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return
 	}
 	d.result.Kills++
-	for _, r := range d.Core.Nodes {
-		r.PowerLoss()
-		w.At(w.now+50_000+w.Rng.Int63n(500_000), r.restart)
+	for _, r := range d.Cluster.Nodes {
+		r.LosePower()
+		world.At(world.now+50_000+world.Rng.Int63n(500_000), r.restart)
 	}
 }
--- a/sim/day_races_test.go
+++ b/sim/day_races_test.go
@@ -21,13 +21,13 @@
 					}
 					operators := []int{2, 8}[(int(seed)+i+j)%2]
 					r := RunRaces(seed, nodes, operators, trouble, raceLasts(), platformTexts)
-					failDay(t, seed, r.Wrong, append(r.Notes, fmt.Sprintf("%d nodes, %d operators", nodes, operators)))
+					failDay(t, seed, r.Violations, append(r.Notes, fmt.Sprintf("%d nodes, %d operators", nodes, operators)))
 					sum.add(r)
 				}
 			}
 			t.Logf("%d orders: %d taken, %d after a resend, %d refused, %d read back; %d messages lost, %d kills; %d changes behind at most, a clear answer after %s, all clear after %s of %s",
-				sum.Orders, sum.Acks, sum.Again, sum.Stale, sum.Reads, sum.Lost, sum.Kills, sum.Behind, seconds(sum.Slowest), seconds(sum.Ended), seconds(raceEnds))
-			if sum.Acks < 20 || sum.Stale == 0 || sum.Lost+sum.Kills < 3 || sum.Reads < 40 {
+				sum.Orders, sum.Acknowledged, sum.AcknowledgedAfterResend, sum.Rejected, sum.Reads, sum.Lost, sum.Kills, sum.MostBehind, seconds(sum.SlowestOrderUS), seconds(sum.SettledUS), seconds(raceEnds))
+			if sum.Acknowledged < 20 || sum.Rejected == 0 || sum.Lost+sum.Kills < 3 || sum.Reads < 40 {
 				t.Error("too little to prove anything")
 			}
 		})
@@ -44,13 +44,13 @@
 
 func (r *RaceResult) add(o RaceResult) {
 	r.Orders += o.Orders
-	r.Acks += o.Acks
-	r.Again += o.Again
-	r.Stale += o.Stale
+	r.Acknowledged += o.Acknowledged
+	r.AcknowledgedAfterResend += o.AcknowledgedAfterResend
+	r.Rejected += o.Rejected
 	r.Reads += o.Reads
 	r.Lost += o.Lost
 	r.Kills += o.Kills
-	r.Behind = max(r.Behind, o.Behind)
-	r.Slowest = max(r.Slowest, o.Slowest)
-	r.Ended = max(r.Ended, o.Ended)
+	r.MostBehind = max(r.MostBehind, o.MostBehind)
+	r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestOrderUS)
+	r.SettledUS = max(r.SettledUS, o.SettledUS)
 }
--- a/sim/day_resend_test.go
+++ b/sim/day_resend_test.go
@@ -18,8 +18,8 @@
 		late := cw.Operators[0]
 		late.Pause, late.LosesReplies = 20_000, true
 		cw.Start()
-		w := cw.World
-		w.Run(1_500_000) // its first order is taken, and it does not hear of that
+		world := cw.World
+		world.Run(1_500_000) // its first order is taken, and it does not hear of that
 		cw.AddOperators(7)
 		for _, o := range cw.Operators[1:] {
 			o.Pause = 20_000
@@ -27,19 +27,19 @@
 		}
 		took, ok := cw.Until(60_000_000, func() bool { return cw.Config.newest > changesBehind })
 		if !ok {
-			t.Fatalf("seed %d: %d changes after %s: %v", seed, cw.Config.newest, seconds(took), w.wrong)
+			t.Fatalf("seed %d: %d changes after %s: %v", seed, cw.Config.newest, seconds(took), world.violations)
 		}
 		late.LosesReplies = false
 		acks := 0
-		late.OnTaken = func(*Order) { acks++ }
-		back, ok := cw.Until(ackBound, func() bool { return acks > 0 })
+		late.OnAccepted = func(*ConfigOrder) { acks++ }
+		back, ok := cw.Until(acknowledgementBoundUS, func() bool { return acks > 0 })
 		cw.Config.Close()
-		if !ok || len(w.wrong) > 0 {
-			t.Fatalf("seed %d: %v, or the order is not acknowledged", seed, w.wrong)
+		if !ok || len(world.violations) > 0 {
+			t.Fatalf("seed %d: %v, or the order is not acknowledged", seed, world.violations)
 		}
-		t.Logf("seed %d: %d changes in %s, %d behind the one that was sent again, acknowledged after %s", seed, cw.Config.newest, seconds(took), cw.Config.Behind, seconds(back))
-		if cw.Config.Behind < changesBehind/2 {
-			t.Errorf("only %d changes were made meanwhile: too little to prove anything", cw.Config.Behind)
+		t.Logf("seed %d: %d changes in %s, %d behind the one that was sent again, acknowledged after %s", seed, cw.Config.newest, seconds(took), cw.Config.MostBehind, seconds(back))
+		if cw.Config.MostBehind < changesBehind/2 {
+			t.Errorf("only %d changes were made meanwhile: too little to prove anything", cw.Config.MostBehind)
 		}
 	}
 }
--- a/sim/day_secondloss.go
+++ b/sim/day_secondloss.go
@@ -57,13 +57,13 @@
 
 // SecondLossResult is what such a run came to.
 type SecondLossResult struct {
-	Acks, Gone int
+	Acknowledged, Lost int
 	// Served is how long after the second loss a change of every slot was acknowledged.
-	Served int64
+	RecoveryUS int64
 	// Firm is how long after the machines were back all slots were firm with them.
-	Firm  int64
-	Wrong []string
-	Notes []string
+	RejoinUS   int64
+	Violations []string
+	Notes      []string
 }
 
 // secondLossRun is a run under way.
@@ -75,84 +75,84 @@
 	counts int64
 	// from is since when the second loss is borne.
 	from   int64
-	gone   []*Registrar
+	gone   []*ControlNode
 	result SecondLossResult
 }
 
 // RunSecondLoss runs one.
 func RunSecondLoss(seed int64, l SecondLoss) SecondLossResult {
 	cw := NewConfigWorld(seed, l.Nodes, Texts{})
-	cw.Core.rings = smallRing
-	cw.Core.heals = true
-	cw.Core.keepSeats()
-	s := &secondLossRun{SecondLoss: l, cw: cw, writer: NewSlotWriter(cw.Core)}
-	cw.Core.Start()
-	w := cw.World
-	w.At(500_000, s.writer.Start)
-	if _, ok := cw.Until(4_000_000, func() bool { return cw.AllFirm() && s.writer.AckedSince(0) }); !ok {
-		w.Wrong("not begun", "not every slot took a change within %d us", w.now)
+	cw.Cluster.logConfig = smallLog
+	cw.Cluster.selfHealing = true
+	cw.Cluster.keepSeats()
+	s := &secondLossRun{SecondLoss: l, cw: cw, writer: NewSlotWriter(cw.Cluster)}
+	cw.Cluster.Start()
+	world := cw.World
+	world.At(500_000, s.writer.Start)
+	if _, ok := cw.Until(4_000_000, func() bool { return cw.AllRecovered() && s.writer.AcknowledgedSince(0) }); !ok {
+		world.Violation("not begun", "not every slot took a change within %d us", world.now)
 	}
 	s.prelude()
-	w.Run(max(w.now, s.from) + l.Instant)
+	world.Run(max(world.now, s.from) + l.Instant)
 	s.strike()
 	s.settle()
-	s.result.Acks, s.result.Wrong, s.result.Notes = s.writer.Acks(), w.wrong, w.note
+	s.result.Acknowledged, s.result.Violations, s.result.Notes = s.writer.Acknowledged(), world.violations, world.notes
 	return s.result
 }
 
 // prelude brings the first loss or the planned work about, and tells from when on a
 // second loss is borne.
-func (s *secondLossRun) prelude() {
-	w, nodes := s.cw.World, s.cw.Core.Nodes
-	first := nodes[w.Rng.Intn(len(nodes))]
-	back := w.now + leaveMost + leaveLeast + w.Rng.Int63n(2_500_000)
-	sync := syncTime(s.Nodes)
-	s.counts = back + sync
-	switch s.Prelude {
+func (r *secondLossRun) prelude() {
+	world, nodes := r.cw.World, r.cw.Cluster.Nodes
+	first := nodes[world.Rng.Intn(len(nodes))]
+	back := world.now + leaveMost + leaveLeast + world.Rng.Int63n(2_500_000)
+	sync := syncTime(r.Nodes)
+	r.counts = back + sync
+	switch r.Prelude {
 	case RepairedDisk:
-		w.Note("%s loses its disk", first.Name)
-		first.lose()
-		w.At(back, first.restart)
+		world.Notef("%s loses its disk", first.Name)
+		first.loseDisk()
+		world.At(back, first.restart)
 	case RepairedPower:
-		first.PowerLoss()
-		w.At(back, first.restart)
+		first.LosePower()
+		world.At(back, first.restart)
 	case Leave:
-		s.leave(first)
-		w.At(back, first.restart)
+		r.leave(first)
+		world.At(back, first.restart)
 	case Replacement:
-		successor := s.cw.Core.newNode()
+		successor := r.cw.Cluster.newNode()
 		successor.Start()
-		s.counts = w.now + sync
-		w.At(back, func() {
-			s.leave(first)
-			first.lost = true
+		r.counts = world.now + sync
+		world.At(back, func() {
+			r.leave(first)
+			first.removed = true
 		})
-		w.Run(back)
+		world.Run(back)
 	}
-	s.from = w.now
-	if tolerates(s.Nodes) == 1 {
-		s.from = max(s.from, s.counts)
+	r.from = world.now
+	if tolerates(r.Nodes) == 1 {
+		r.from = max(r.from, r.counts)
 	}
 }
 
 // leave stops a machine politely, as control.Node does: it ends once its seat was dropped,
 // if its successor was let in before.
-func (s *secondLossRun) leave(r *Registrar) {
-	s.cw.World.Note("%s leaves politely", r.Name)
-	if !r.up || r.node == nil {
+func (r *secondLossRun) leave(node *ControlNode) {
+	r.cw.World.Notef("%s leaves politely", node.Name)
+	if !node.up || node.node == nil {
 		return
 	}
-	r.out(r.node.Leave(r.Clock()))
-	end := r.Clock() + leaveMost
+	node.handle(node.node.Leave(node.Clock()))
+	end := node.Clock() + leaveMost
 	var wait func()
 	wait = func() {
-		if r.node != nil && r.node.RemovalPending() && r.Clock() < end {
-			r.After(leaveLeast, wait)
+		if node.node != nil && node.node.RemovalPending() && node.Clock() < end {
+			node.After(leaveLeast, wait)
 			return
 		}
-		r.Kill()
+		node.Kill()
 	}
-	r.After(leaveLeast, wait)
+	node.After(leaveLeast, wait)
 }
 
 // How long a polite stop takes (internal/app/control).
@@ -162,45 +162,45 @@
 )
 
 // keepSeats has the roster count the seats that the fleet keeps, as at a founding.
-func (c *Core) keepSeats() {
-	c.ro.Seats = uint16(len(c.ro.Voters))
+func (c *Cluster) keepSeats() {
+	c.voterSet.Seats = uint16(len(c.voterSet.Voters))
 	for _, r := range c.Nodes {
-		r.ro = c.ro
+		r.voterSet = c.voterSet
 	}
 }
 
 // strike waits for an acknowledgement and loses as many machines as may still be lost,
 // those first that hold the newest changes of its slot.
-func (s *secondLossRun) strike() {
-	w := s.cw.World
+func (r *secondLossRun) strike() {
+	world := r.cw.World
 	struck := false
-	s.writer.OnAck = func(slot int) {
+	r.writer.OnAcknowledged = func(slot int) {
 		if !struck {
 			struck = true
-			s.lose(s.holders(slot))
+			r.lose(r.holders(slot))
 		}
 	}
-	if _, ok := s.cw.Until(lossServed, func() bool { return struck }); !ok {
-		w.Wrong("not served", "no change was acknowledged for %d us after one loss: %v", lossServed, s.SecondLoss)
+	if _, ok := r.cw.Until(lossServed, func() bool { return struck }); !ok {
+		world.Violation("not served", "no change was acknowledged for %d us after one loss: %v", lossServed, r.SecondLoss)
 	}
-	s.writer.OnAck = nil
+	r.writer.OnAcknowledged = nil
 }
 
 // holders are the machines that go: they hold the most of a slot.
-func (s *secondLossRun) holders(slot int) []*Registrar {
-	spare := tolerates(s.Nodes)
-	if s.cw.World.now < s.counts {
+func (r *secondLossRun) holders(slot int) []*ControlNode {
+	spare := tolerates(r.Nodes)
+	if r.cw.World.now < r.counts {
 		spare--
 	}
-	var up []*Registrar
-	for _, r := range s.cw.Core.Nodes {
-		if r.up && r.node != nil && !r.lost {
-			up = append(up, r)
+	var up []*ControlNode
+	for _, node := range r.cw.Cluster.Nodes {
+		if node.up && node.node != nil && !node.removed {
+			up = append(up, node)
 		}
 	}
-	w := s.cw.World
-	w.Rng.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
-	slices.SortStableFunc(up, func(a, b *Registrar) int {
+	world := r.cw.World
+	world.Rng.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
+	slices.SortStableFunc(up, func(a, b *ControlNode) int {
 		x, y := a.node.Status(a.Clock())[slot], b.node.Status(b.Clock())[slot]
 		switch {
 		case y.Last.Before(x.Last) || x.IsLeader && !y.IsLeader:
@@ -214,46 +214,46 @@
 }
 
 // lose loses machines at once.
-func (s *secondLossRun) lose(rs []*Registrar) {
-	w := s.cw.World
-	s.gone, s.result.Gone = rs, len(rs)
-	for _, r := range s.cw.Core.Nodes {
+func (r *secondLossRun) lose(nodes []*ControlNode) {
+	world := r.cw.World
+	r.gone, r.result.Lost = nodes, len(nodes)
+	for _, node := range r.cw.Cluster.Nodes {
 		switch {
-		case slices.Contains(rs, r):
-			w.Note("%s is lost: %s", r.Name, s.Loss)
-			s.loseOne(r)
-		case s.Loss == LossAmidst && r.up:
-			r.PowerLoss()
-			w.At(w.now+50_000+w.Rng.Int63n(300_000), r.restart)
+		case slices.Contains(nodes, node):
+			world.Notef("%s is lost: %s", node.Name, r.Loss)
+			r.loseOne(node)
+		case r.Loss == LossAmidst && node.up:
+			node.LosePower()
+			world.At(world.now+50_000+world.Rng.Int63n(300_000), node.restart)
 		}
 	}
 }
 
-func (s *secondLossRun) loseOne(r *Registrar) {
-	if s.Loss == LossOfPower {
-		r.PowerLoss()
+func (r *secondLossRun) loseOne(node *ControlNode) {
+	if r.Loss == LossOfPower {
+		node.LosePower()
 	} else {
-		r.lose()
+		node.loseDisk()
 	}
-	s.cw.World.At(s.cw.World.now+lossBackAfter, r.restart)
+	r.cw.World.At(r.cw.World.now+lossBackAfter, node.restart)
 }
 
 // settle waits until every slot takes changes again, and until all machines are firm
 // members, each within its bound, and reads everything back.
-func (s *secondLossRun) settle() {
-	w := s.cw.World
-	at := w.now
-	took, ok := s.cw.Until(lossServed, func() bool { return s.writer.AckedSince(at) })
-	s.result.Served = took
+func (r *secondLossRun) settle() {
+	world := r.cw.World
+	at := world.now
+	took, ok := r.cw.Until(lossServed, func() bool { return r.writer.AcknowledgedSince(at) })
+	r.result.RecoveryUS = took
 	if !ok {
-		w.Wrong("not served", "not every slot took a change within %d us after the second loss: %v", lossServed, s.SecondLoss)
+		world.Violation("not served", "not every slot took a change within %d us after the second loss: %v", lossServed, r.SecondLoss)
 	}
-	w.Run(max(w.now, at+lossBackAfter))
-	back := w.now
-	if _, ok := s.cw.Until(syncTime(s.Nodes), s.cw.AllFirm); !ok {
-		w.Wrong("not firm", "not every machine was a firm member %d us after it was back: %v", syncTime(s.Nodes), s.SecondLoss)
+	world.Run(max(world.now, at+lossBackAfter))
+	back := world.now
+	if _, ok := r.cw.Until(syncTime(r.Nodes), r.cw.AllRecovered); !ok {
+		world.Violation("not firm", "not every machine was a firm member %d us after it was back: %v", syncTime(r.Nodes), r.SecondLoss)
 	}
-	s.result.Firm = w.now - back
-	reads := w.now
-	w.Run(reads + 1_000_000)
+	r.result.RejoinUS = world.now - back
+	reads := world.now
+	world.Run(reads + 1_000_000)
 }
--- a/sim/day_secondloss_test.go
+++ b/sim/day_secondloss_test.go
@@ -22,9 +22,9 @@
 				for _, seed := range daySeeds(1) {
 					for i, l := range secondLosses(seed, nodes, prelude) {
 						r := RunSecondLoss(seed*1000+int64(i), l)
-						failDay(t, seed*1000+int64(i), r.Wrong, append(r.Notes, l.String()))
-						served, firm = max(served, r.Served), max(firm, r.Firm)
-						runs, acks, gone = runs+1, acks+r.Acks, gone+r.Gone
+						failDay(t, seed*1000+int64(i), r.Violations, append(r.Notes, l.String()))
+						served, firm = max(served, r.RecoveryUS), max(firm, r.RejoinUS)
+						runs, acks, gone = runs+1, acks+r.Acknowledged, gone+r.Lost
 					}
 				}
 				t.Logf("%d second losses of %d machines, %d acknowledged: all slots served after %s of %s, firm after %s of %s",
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var small = FleetSize{Proxies: 4, Engines: 6}
+var small = FleetSize{Gateways: 4, Engines: 6}
 
 // TestFleetDays: none of what must never happen does, on any kind of day, and
 // service is back within ten seconds of the last fault.
@@ -16,11 +16,11 @@
 			done := 0
 			for seed := int64(1); seed <= 2; seed++ {
 				r := RunFleet(seed, d, 20_000_000, small)
-				if len(r.Wrong) > 0 {
-					t.Fatalf("seed %d: %v\n%s", seed, r.Wrong, strings.Join(r.Notes[max(0, len(r.Notes)-60):], "\n"))
+				if len(r.Violations) > 0 {
+					t.Fatalf("seed %d: %v\n%s", seed, r.Violations, strings.Join(r.Notes[max(0, len(r.Notes)-60):], "\n"))
 				}
 				done += r.Done
-				t.Logf("%+v back %d", r.Tally, r.Back)
+				t.Logf("%+v back %d", r.Tally, r.RecoveryUS)
 			}
 			if done < 200 {
 				t.Fatalf("only %d tickets were done; the days prove nothing", done)
@@ -31,7 +31,7 @@
 
 func TestSameSeedSameFleetDay(t *testing.T) {
 	t.Parallel()
-	a, b := RunFleet(3, DAll, 8_000_000, small), RunFleet(3, DAll, 8_000_000, small)
+	a, b := RunFleet(3, DayAll, 8_000_000, small), RunFleet(3, DayAll, 8_000_000, small)
 	if a.Tally != b.Tally || strings.Join(a.Notes, "\n") != strings.Join(b.Notes, "\n") {
 		t.Fatalf("two runs of one seed differ:\n%+v\n%+v", a.Tally, b.Tally)
 	}
@@ -42,27 +42,27 @@
 func TestStuckEngine(t *testing.T) {
 	t.Parallel()
 	f := NewFleet(4, small)
-	f.engine("e02").stuck = true
-	s := NewScript(f)
-	w := f.W
-	w.At(1_300_000, func() { s.Put(nil) })
-	w.At(2_500_000, func() { f.call(s, 40_000_000) })
-	w.At(5_000_000, s.Name)
-	w.Run(40_000_000)
-	if len(w.wrong) > 0 {
-		t.Fatal(w.wrong)
+	f.engineNamed("e02").ignoresWeights = true
+	s := NewFleetOperator(f)
+	world := f.World
+	world.At(1_300_000, func() { s.PutPlan(nil) })
+	world.At(2_500_000, func() { f.sendRequests(s, 40_000_000) })
+	world.At(5_000_000, s.NameWeights)
+	world.Run(40_000_000)
+	if len(world.violations) > 0 {
+		t.Fatal(world.violations)
 	}
-	if f.Seen.Turned != 1 || f.Seen.Done < 500 {
-		t.Fatalf("%+v", f.Seen)
+	if f.Tally.WeightsNamed != 1 || f.Tally.Done < 500 {
+		t.Fatalf("%+v", f.Tally)
 	}
 	late := 0
-	for _, r := range f.engine("e02").seen {
-		if r > 5_000_000+boundTurn {
+	for _, r := range f.engineNamed("e02").startTimes {
+		if r > 5_000_000+weightUpdateBoundUS {
 			late++
 		}
 	}
-	if late > 0 || len(f.engine("e02").seen) == 0 {
-		t.Fatalf("the stuck engine ran %d tickets, %d after the bound", len(f.engine("e02").seen), late)
+	if late > 0 || len(f.engineNamed("e02").startTimes) == 0 {
+		t.Fatalf("the stuck engine ran %d tickets, %d after the bound", len(f.engineNamed("e02").startTimes), late)
 	}
 }
 
@@ -71,27 +71,27 @@
 func TestHandOversAreLearnt(t *testing.T) {
 	t.Parallel()
 	run := func(unlearnt bool) Tally {
-		f := NewFleet(6, FleetSize{Proxies: 4, Engines: 8})
-		f.Unlearnt = unlearnt
-		f.SlowFrom = map[string]bool{"e00": true, "e02": true, "e04": true, "e06": true}
-		f.Docs = 8
+		f := NewFleet(6, FleetSize{Gateways: 4, Engines: 8})
+		f.HideTransferScores = unlearnt
+		f.SlowTransfersFrom = map[string]bool{"e00": true, "e02": true, "e04": true, "e06": true}
+		f.Documents = 8
 		for _, e := range f.Engines {
-			e.room, e.most = 4, 60 // parts come and go, so that there is something to hand over
+			e.capacity, e.maxBlocks = 4, 60 // parts come and go, so that there is something to hand over
 		}
-		s := NewScript(f)
-		f.W.At(1_300_000, func() { s.Put(nil) })
-		f.W.At(2_500_000, func() { f.call(s, 60_000_000) })
-		f.W.Run(65_000_000)
-		if len(f.W.wrong) > 0 {
-			t.Fatal(f.W.wrong)
+		s := NewFleetOperator(f)
+		f.World.At(1_300_000, func() { s.PutPlan(nil) })
+		f.World.At(2_500_000, func() { f.sendRequests(s, 60_000_000) })
+		f.World.Run(65_000_000)
+		if len(f.World.violations) > 0 {
+			t.Fatal(f.World.violations)
 		}
-		return f.Seen
+		return f.Tally
 	}
 	with, without := run(false), run(true)
 	mean := func(x Tally) int64 { return x.FirstUS / int64(x.Runs) }
 	t.Logf("waited in vain %d and %d times in %d and %d runs; time to the first piece %d and %d us; taken %d and %d parts",
-		with.InVain, without.InVain, with.Runs, without.Runs, mean(with), mean(without), with.Taken, without.Taken)
-	if without.InVain < 20 || with.InVain*3 > without.InVain*2 || mean(with) > mean(without) {
+		with.TransfersInVain, without.TransfersInVain, with.Runs, without.Runs, mean(with), mean(without), with.Transferred, without.Transferred)
+	if without.TransfersInVain < 20 || with.TransfersInVain*3 > without.TransfersInVain*2 || mean(with) > mean(without) {
 		t.Fatal("what was learnt made no difference")
 	}
 }
@@ -101,28 +101,28 @@
 func TestCutOffProxyEndsStreams(t *testing.T) {
 	t.Parallel()
 	f := NewFleet(8, small)
-	s := NewScript(f)
-	w := f.W
-	w.At(1_300_000, func() { s.Put(nil) })
+	s := NewFleetOperator(f)
+	world := f.World
+	world.At(1_300_000, func() { s.PutPlan(nil) })
 	began := 0
-	w.At(5_000_000, func() {
-		p := f.Proxies[0]
+	world.At(5_000_000, func() {
+		p := f.Gateways[0]
 		for i := 0; i < 6; i++ {
-			x := &send{group: "desk", kind: "check", id: string(rune('a' + i)), digest: simKey("desk", 0), proxy: p, pace: 1_500_000}
-			p.After(int64(300+i*100), func() { p.arrive(x, "long", 8_000_000) })
+			x := &callerRequest{group: "desk", kind: "check", id: string(rune('a' + i)), keyDigest: simKey("desk", 0), gateway: p, pieceDelayUS: 1_500_000}
+			p.After(int64(300+i*100), func() { p.admit(x, "long", 8_000_000) })
 		}
 	})
-	w.At(5_400_000, func() {
-		began = f.Seen.Runs
-		w.Isolate(f.Runners[0].Name) // the agent is cut off; caller, proxy and engines are not
-		s.TakeKey("desk")
+	world.At(5_400_000, func() {
+		began = f.Tally.Runs
+		world.Isolate(f.Agents[0].Name) // the agent is cut off; caller, proxy and engines are not
+		s.RevokeKey("desk")
 	})
-	w.Run(16_000_000)
-	if len(w.wrong) > 0 {
-		t.Fatal(w.wrong)
+	world.Run(16_000_000)
+	if len(world.violations) > 0 {
+		t.Fatal(world.violations)
 	}
-	if began < 6 || f.Seen.Revoked != 1 || f.Seen.Unknown < 6 {
-		t.Fatalf("%d ran; %+v", began, f.Seen)
+	if began < 6 || f.Tally.KeysRevoked != 1 || f.Tally.Unknown < 6 {
+		t.Fatalf("%d ran; %+v", began, f.Tally)
 	}
 }
 
@@ -131,25 +131,25 @@
 func TestPlatformOutOfReach(t *testing.T) {
 	t.Parallel()
 	f := NewFleet(12, small)
-	s := NewScript(f)
-	w := f.W
-	w.At(1_300_000, func() { s.Put(nil) })
-	w.At(2_500_000, func() { f.call(s, 20_000_000) })
-	w.At(5_000_000, func() {
-		w.Isolate("platform")
+	s := NewFleetOperator(f)
+	world := f.World
+	world.At(1_300_000, func() { s.PutPlan(nil) })
+	world.At(2_500_000, func() { f.sendRequests(s, 20_000_000) })
+	world.At(5_000_000, func() {
+		world.Isolate("platform")
 		for _, e := range []string{"e00", "e01", "e02"} {
-			s.Leave(e, 8_000_000)
+			s.DrainEngine(e, 8_000_000)
 		}
 	})
-	w.At(12_000_000, w.HealAll)
-	w.Run(12_500_000)
-	was := f.Seen.Done
-	w.Run(20_000_000)
-	if len(w.wrong) > 0 {
-		t.Fatal(w.wrong)
+	world.At(12_000_000, world.HealAll)
+	world.Run(12_500_000)
+	was := f.Tally.Done
+	world.Run(20_000_000)
+	if len(world.violations) > 0 {
+		t.Fatal(world.violations)
 	}
-	if f.Seen.Left != 3 || f.Seen.Done-was < 100 {
-		t.Fatalf("%d done after it was back; %+v", f.Seen.Done-was, f.Seen)
+	if f.Tally.EnginesDrained != 3 || f.Tally.Done-was < 100 {
+		t.Fatalf("%d done after it was back; %+v", f.Tally.Done-was, f.Tally)
 	}
 }
 
@@ -158,32 +158,32 @@
 // them on those parts.
 func TestFrozenEngineAndAWall(t *testing.T) {
 	t.Parallel()
-	f := NewFleet(3, FleetSize{Proxies: 2, Engines: 1})
-	s := NewScript(f)
-	w := f.W
-	e := f.engine("e00")
+	f := NewFleet(3, FleetSize{Gateways: 2, Engines: 1})
+	s := NewFleetOperator(f)
+	world := f.World
+	e := f.engineNamed("e00")
 	send1 := func(g, id string) {
-		p := f.Proxies[0]
-		x := &send{group: g, kind: "check", id: id, digest: simKey(g, 0), proxy: p}
-		p.arrive(x, strings.Repeat("words that both groups send. ", 300), 8_000_000)
+		p := f.Gateways[0]
+		x := &callerRequest{group: g, kind: "check", id: id, keyDigest: simKey(g, 0), gateway: p}
+		p.admit(x, strings.Repeat("words that both groups send. ", 300), 8_000_000)
 	}
-	w.At(1_300_000, func() { s.Put(nil) })
-	w.At(5_000_000, func() { send1("desk", "made") })
+	world.At(1_300_000, func() { s.PutPlan(nil) })
+	world.At(5_000_000, func() { send1("desk", "made") })
 	reused, sent := 0, 0
-	w.At(7_000_000, func() { send1("east", "goes-on"); reused = f.Seen.Reused })
-	w.At(8_000_000, func() {
-		reused = f.Seen.Reused - reused
+	world.At(7_000_000, func() { send1("east", "goes-on"); reused = f.Tally.Reused })
+	world.At(8_000_000, func() {
+		reused = f.Tally.Reused - reused
 		send1("east", "on-its-way")
-		sent = f.Seen.Runs
-		w.At(w.now+100, e.Freeze)
-		s.Wall("desk")
+		sent = f.Tally.Runs
+		world.At(world.now+100, e.Freeze)
+		s.ToggleIsolation("desk")
 	})
-	w.At(11_500_000, e.Thaw)
-	w.Run(18_000_000)
-	if len(w.wrong) > 0 {
-		t.Fatal(w.wrong)
+	world.At(11_500_000, e.Thaw)
+	world.Run(18_000_000)
+	if len(world.violations) > 0 {
+		t.Fatal(world.violations)
 	}
-	if reused == 0 || sent != 2 || f.Seen.Walls != 1 || f.Seen.Done < 2 {
-		t.Fatalf("%d reused, %d sent: %+v", reused, sent, f.Seen)
+	if reused == 0 || sent != 2 || f.Tally.IsolationChanges != 1 || f.Tally.Done < 2 {
+		t.Fatalf("%d reused, %d sent: %+v", reused, sent, f.Tally)
 	}
 }
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -58,63 +58,63 @@
 	add := func(name string, run func(t *testing.T, seed int64) []string) {
 		days = append(days, goldenDay{name, run})
 	}
-	for _, fault := range CoreFaults {
+	for _, fault := range ClusterFaults {
 		add("core/"+string(fault), func(_ *testing.T, seed int64) []string {
-			return RunCore(seed, fault, 5_000_000).Wrong
+			return RunCluster(seed, fault, 5_000_000).Violations
 		})
 	}
 	for _, day := range Days {
 		add("fleet/"+string(day), func(_ *testing.T, seed int64) []string {
-			return RunFleet(seed, day, 8_000_000, small).Wrong
+			return RunFleet(seed, day, 8_000_000, small).Violations
 		})
 	}
 	for _, setback := range Setbacks {
 		add("catch-up/"+string(setback), func(_ *testing.T, seed int64) []string {
-			return RunCatchup(seed, 4, 60, setback, platformTexts).Wrong
+			return RunCatchup(seed, 4, 60, setback, platformTexts).Violations
 		})
 	}
 	for _, partition := range []Partition{PartitionSilent, PartitionReset, PartitionFrozen, PartitionForgot} {
 		add("cut-off/"+string(partition), func(_ *testing.T, seed int64) []string {
-			return RunCutoff(seed, 4, []Partition{partition}, platformTexts).Wrong
+			return RunCutoff(seed, 4, []Partition{partition}, platformTexts).Violations
 		})
 	}
 	add("messages", func(_ *testing.T, seed int64) []string {
-		return RunMessages(seed, 5, 4_000_000).Wrong
+		return RunMessages(seed, 5, 4_000_000).Violations
 	})
 	for i, trouble := range RaceTroubles() {
 		if i%2 == 1 {
 			continue // they differ only in which message is lost
 		}
 		add("races/"+string(trouble), func(_ *testing.T, seed int64) []string {
-			return RunRaces(seed, controlSizes[i/2%2], 2, trouble, 4_000_000, platformTexts).Wrong
+			return RunRaces(seed, controlSizes[i/2%2], 2, trouble, 4_000_000, platformTexts).Violations
 		})
 	}
 	for i, prelude := range Preludes {
 		add("second-loss/"+string(prelude), func(_ *testing.T, seed int64) []string {
-			return RunSecondLoss(seed, SecondLoss{controlSizes[i%2], prelude, Losses[i%len(Losses)], 500_000}).Wrong
+			return RunSecondLoss(seed, SecondLoss{controlSizes[i%2], prelude, Losses[i%len(Losses)], 500_000}).Violations
 		})
 	}
 	for i, change := range changes {
 		add("membership/"+string(change), func(_ *testing.T, seed int64) []string {
 			d := newMembershipDay(seed, coreSizes[i%3])
-			d.w.Run(d.bring(changes[i%(len(changes)-1)]))
+			d.world.Run(d.bring(changes[i%(len(changes)-1)]))
 			d.strike(losses[i%len(losses)])
-			return d.w.wrong
+			return d.world.violations
 		})
 	}
 	add("snapshot", func(t *testing.T, seed int64) []string {
 		d := newSnapshotDay(t, seed, 60)
 		r := d.alive()[0]
 		r.Kill()
-		r.lose()
-		d.w.Run(d.w.now + 1_000_000)
+		r.loseDisk()
+		d.world.Run(d.world.now + 1_000_000)
 		r.Start()
 		d.until(d.size.sync, func() bool { return d.caughtUp(r) })
-		return d.w.wrong
+		return d.world.violations
 	})
 	for _, fault := range []string{"the owner of most engines dies in a roll-out", "a site is lost"} {
 		add("last-fault/"+fault, func(_ *testing.T, seed int64) []string {
-			_, wrong := RunLast(seed, fault, small)
+			_, wrong := RunFinalFault(seed, fault, small)
 			return wrong
 		})
 	}
@@ -129,9 +129,9 @@
 	for i, day := range days {
 		observers[goldenSeed+int64(i)] = newGoldenObserver(t, day.name)
 	}
-	observeWorld = func(w *World) observer {
-		if o := observers[w.Seed]; o != nil {
-			o.world = w
+	observeWorld = func(world *World) observer {
+		if o := observers[world.Seed]; o != nil {
+			o.world = world
 			return o.observe
 		}
 		return nil
@@ -314,14 +314,14 @@
 	case Reply:
 		e.unsigned(uint64(v.Outcome))
 		e.unsigned(v.Version)
-	case *Order:
+	case *ConfigOrder:
 		e.number(int64(v.id))
 		e.flag(v.change.Replace)
 		e.unsigned(v.change.Base)
 		e.flag(v.change.HasBase)
 		e.bytes(v.change.Body)
 		e.unsigned(v.version)
-	case words:
+	case directoryAnswer:
 		e.word(v.config)
 		e.word(v.weights)
 		e.number(v.configAge)
@@ -342,11 +342,11 @@
 	e.number(o.LeaseDuration)
 }
 
-func (e *goldenEncoder) word(w word) {
-	e.flag(w.known)
-	e.unsigned(w.revision)
-	e.unsigned(w.version)
-	e.number(w.at)
+func (e *goldenEncoder) word(world confirmedVersion) {
+	e.flag(world.known)
+	e.unsigned(world.revision)
+	e.unsigned(world.version)
+	e.number(world.confirmedAt)
 }
 
 // frameValue lays out what the daemons send as a frame.
--- a/sim/last.go
+++ b/sim/last.go
@@ -11,109 +11,109 @@
 
 // LastFaults are single faults after which nothing is mended: service must come
 // back by itself, with a majority left.
-var LastFaults = map[string]func(f *Fleet){
-	"a registrar dies": func(f *Fleet) { f.planOwner().Kill() },
+var FinalFaults = map[string]func(f *Fleet){
+	"a registrar dies": func(f *Fleet) { f.planLeader().Kill() },
 	"a registrar freezes for good": func(f *Fleet) {
-		f.planOwner().Freeze()
+		f.planLeader().Freeze()
 	},
 	"a registrar's disk stalls for good": func(f *Fleet) {
-		f.planOwner().Disk.Stall = 1 << 40
+		f.planLeader().Disk.SyncDelayUS = 1 << 40
 	},
-	"a registrar's disk fails": func(f *Fleet) { f.planOwner().Disk.Fail = true },
+	"a registrar's disk fails": func(f *Fleet) { f.planLeader().Disk.FailAll = true },
 	"a registrar hears and is not heard": func(f *Fleet) {
-		r := f.planOwner()
-		for _, h := range f.W.hosts {
-			f.W.Cut(r.Name, h.Name)
+		r := f.planLeader()
+		for _, h := range f.World.hosts {
+			f.World.Cut(r.Name, h.Name)
 		}
 	},
 	"the platform is gone": func(f *Fleet) { f.Platform.Kill() },
 	"the link between two sites is cut": func(f *Fleet) {
-		one := f.planOwner().Site
-		other := sites[(slices.Index(sites, one)+1)%len(sites)]
-		for _, a := range f.W.hosts {
-			for _, b := range f.W.hosts {
-				if a.Site == one && b.Site == other {
-					f.W.CutBoth(a.Name, b.Name)
+		one := f.planLeader().Zone
+		other := zones[(slices.Index(zones, one)+1)%len(zones)]
+		for _, a := range f.World.hosts {
+			for _, b := range f.World.hosts {
+				if a.Zone == one && b.Zone == other {
+					f.World.CutBoth(a.Name, b.Name)
 				}
 			}
 		}
 	},
-	"the owner of most shards dies": func(f *Fleet) { f.busiest("duty/shard/").Kill() },
+	"the owner of most shards dies": func(f *Fleet) { f.busiestIndexNode("duty/shard/").Kill() },
 	"the owner of most engines dies in a roll-out": func(f *Fleet) {
-		f.named()
-		c := f.busiest("duty/engine/")
-		f.W.At(f.W.now+1_000_000, c.Kill)
+		f.nameWeights()
+		c := f.busiestIndexNode("duty/engine/")
+		f.World.At(f.World.now+1_000_000, c.Kill)
 	},
-	"a custodian dies": func(f *Fleet) { f.Custodians[1].Kill() },
+	"a custodian dies": func(f *Fleet) { f.IndexNodes[1].Kill() },
 	"a core machine dies": func(f *Fleet) {
-		r := f.planOwner()
+		r := f.planLeader()
 		r.Kill()
-		f.sameSite(r.Site).Kill()
+		f.indexNodeIn(r.Zone).Kill()
 	},
 	"a core machine is cut off": func(f *Fleet) {
-		r := f.planOwner()
-		f.W.Isolate(r.Name)
-		f.W.Isolate(f.sameSite(r.Site).Name)
+		r := f.planLeader()
+		f.World.Isolate(r.Name)
+		f.World.Isolate(f.indexNodeIn(r.Zone).Name)
 	},
 	"all registrars are killed and start anew": func(f *Fleet) {
-		for _, r := range f.Core.Nodes {
-			f.bounce(r.Host)
+		for _, r := range f.Cluster.Nodes {
+			f.restartHost(r.Host)
 		}
 	},
 	"all lose power and start anew": func(f *Fleet) {
-		for _, r := range f.Core.Nodes {
-			r.PowerLoss()
+		for _, r := range f.Cluster.Nodes {
+			r.LosePower()
 		}
-		for _, h := range f.W.hosts {
+		for _, h := range f.World.hosts {
 			if h.boot != nil && h.Name != "platform" && h.Name != "operator" && h.Name != "prober" {
-				f.bounce(h)
+				f.restartHost(h)
 			}
 		}
 	},
 	"all custodians are killed and start anew": func(f *Fleet) {
-		for _, c := range f.Custodians {
-			f.bounce(c.Host)
+		for _, c := range f.IndexNodes {
+			f.restartHost(c.Host)
 		}
 	},
-	"a runner is killed and starts anew":   func(f *Fleet) { f.bounce(f.Runners[0].Host) },
-	"a remisier is killed and starts anew": func(f *Fleet) { f.bounce(f.Proxies[0].Host) },
+	"a runner is killed and starts anew":   func(f *Fleet) { f.restartHost(f.Agents[0].Host) },
+	"a remisier is killed and starts anew": func(f *Fleet) { f.restartHost(f.Gateways[0].Host) },
 	"two engines vanish": func(f *Fleet) {
 		f.Engines[0].Kill()
 		f.Engines[1].Kill()
 	},
-	"the store comes back empty": func(f *Fleet) { f.bounce(f.engine("store").Host) },
+	"the store comes back empty": func(f *Fleet) { f.restartHost(f.engineNamed("store").Host) },
 	"a site is lost": func(f *Fleet) {
-		for _, h := range f.W.hosts {
-			if h.Site == "west" && h.Name != "operator" {
+		for _, h := range f.World.hosts {
+			if h.Zone == "west" && h.Name != "operator" {
 				h.Kill()
 			}
 		}
 	},
 }
 
-func (f *Fleet) bounce(h *Host) {
+func (f *Fleet) restartHost(h *Host) {
 	h.Kill()
-	f.W.At(f.W.now+100_000, h.Start)
+	f.World.At(f.World.now+100_000, h.Start)
 }
 
 // planOwner is the control node that owns the plan's slot.
-func (f *Fleet) planOwner() *Registrar {
-	for _, r := range f.Core.Nodes {
+func (f *Fleet) planLeader() *ControlNode {
+	for _, r := range f.Cluster.Nodes {
 		if r.node != nil {
 			if _, ok := r.node.ReadUnderLease(r.Clock(), planKey); ok {
 				return r
 			}
 		}
 	}
-	return f.Core.Nodes[0]
+	return f.Cluster.Nodes[0]
 }
 
 // busiest is the index node that holds most duties of a kind.
-func (f *Fleet) busiest(kind string) *Custodian {
-	best, most := f.Custodians[0], -1
-	for _, c := range f.Custodians {
+func (f *Fleet) busiestIndexNode(kind string) *IndexNode {
+	best, most := f.IndexNodes[0], -1
+	for _, c := range f.IndexNodes {
 		n := 0
-		for _, d := range c.k.HeldRoles(c.Clock()) {
+		for _, d := range c.node.HeldRoles(c.Clock()) {
 			if strings.HasPrefix(d, kind) {
 				n++
 			}
@@ -125,68 +125,68 @@
 	return best
 }
 
-func (f *Fleet) sameSite(s string) *Custodian {
-	for _, c := range f.Custodians {
-		if c.Site == s {
+func (f *Fleet) indexNodeIn(s string) *IndexNode {
+	for _, c := range f.IndexNodes {
+		if c.Zone == s {
 			return c
 		}
 	}
-	return f.Custodians[0]
+	return f.IndexNodes[0]
 }
 
 // RunLast brings one last fault about and asks for service for ten seconds after it:
 // a once-only ticket at every proxy every 150 ms, and a plan every 400 ms. It returns
 // when the last of them that failed was followed by one that did not, over all proxies
 // that live; 0 means that they failed to the end.
-func RunLast(seed int64, fault string, z FleetSize) (back int64, wrong []string) {
+func RunFinalFault(seed int64, fault string, z FleetSize) (back int64, wrong []string) {
 	f := NewFleet(seed, z)
-	w := f.W
-	s := NewScript(f)
-	w.At(1_300_000, func() { s.Put(nil) })
-	at := 6_000_000 + w.Rng.Int63n(1_000_000)
-	w.At(3_000_000, func() { f.call(s, at+10_000_000) })
-	w.Run(at)
-	if len(w.wrong) > 0 {
-		return 0, w.wrong
+	world := f.World
+	s := NewFleetOperator(f)
+	world.At(1_300_000, func() { s.PutPlan(nil) })
+	at := 6_000_000 + world.Rng.Int63n(1_000_000)
+	world.At(3_000_000, func() { f.sendRequests(s, at+10_000_000) })
+	world.Run(at)
+	if len(world.violations) > 0 {
+		return 0, world.violations
 	}
-	f.named = s.Name
-	LastFaults[fault](f)
-	f.judge.lastOK = 0
+	f.nameWeights = s.NameWeights
+	FinalFaults[fault](f)
+	f.checker.lastCompletion = 0
 	type word struct{ sent, done int64 } // done 0: it failed
 	told := map[string][]*word{}
 	byID := map[string]*word{}
 	n := 0
-	prober := w.NewHost("prober", "north", func() {})
+	prober := world.NewHost("prober", "north", func() {})
 	prober.Start()
 	prober.Every(150_000, func() {
-		for _, p := range f.Proxies {
-			if !p.up || p.frozen || w.now > at+10_000_000 {
+		for _, p := range f.Gateways {
+			if !p.up || p.frozen || world.now > at+10_000_000 {
 				continue
 			}
 			n++
-			x := &send{group: "desk", kind: "tag", id: fmt.Sprint("probe", n), digest: simKey("desk", 0), proxy: p, era: max(1, f.callerEra), probe: true}
-			o := &word{sent: w.now - at}
+			x := &callerRequest{group: "desk", kind: "tag", id: fmt.Sprint("probe", n), keyDigest: simKey("desk", 0), gateway: p, generation: max(1, f.callerGeneration), probe: true}
+			o := &word{sent: world.now - at}
 			byID[x.id] = o
 			told[p.Name] = append(told[p.Name], o)
-			p.After(300, func() { p.arrive(x, "probe", 5_000_000) })
+			p.After(300, func() { p.admit(x, "probe", 5_000_000) })
 		}
 	})
 	prober.Every(400_000, func() {
-		if w.now > at+10_000_000 || s.busy {
+		if world.now > at+10_000_000 || s.busy {
 			return
 		}
-		o := &word{sent: w.now - at}
+		o := &word{sent: world.now - at}
 		told["plan"] = append(told["plan"], o)
-		s.Put(func() { o.done = w.now - at })
+		s.PutPlan(func() { o.done = world.now - at })
 	})
-	f.judge.onTold = func(x *send, o attempt.Outcome) {
+	f.checker.onRequestEnded = func(x *callerRequest, o attempt.Outcome) {
 		if x.probe && o == attempt.Done {
-			byID[x.id].done = w.now - at
+			byID[x.id].done = world.now - at
 		}
 	}
-	w.Run(at + 16_000_000)
+	world.Run(at + 16_000_000)
 	for _, name := range sortedNames(told) {
-		if h := w.host(name); h != nil && !h.up {
+		if h := world.hostNamed(name); h != nil && !h.up {
 			continue
 		}
 		var mine int64
@@ -199,11 +199,11 @@
 			}
 		}
 		if mine == 0 {
-			return 0, w.wrong
+			return 0, world.violations
 		}
 		back = max(back, mine)
 	}
-	return back, w.wrong
+	return back, world.violations
 }
 
 func sortedNames[V any](m map[string]V) []string {
@@ -215,7 +215,7 @@
 	return ns
 }
 
-func (w *World) host(name string) *Host {
+func (w *World) hostNamed(name string) *Host {
 	for _, h := range w.hosts {
 		if h.Name == name {
 			return h
@@ -225,4 +225,4 @@
 }
 
 // LastFaultNames lists the faults in order.
-func LastFaultNames() []string { return sortedNames(LastFaults) }
+func FinalFaultNames() []string { return sortedNames(FinalFaults) }
--- a/sim/last_test.go
+++ b/sim/last_test.go
@@ -11,12 +11,12 @@
 func TestLastFault(t *testing.T) {
 	n := seeds()
 	n = max(n, 2)
-	for _, name := range LastFaultNames() {
+	for _, name := range FinalFaultNames() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var all []int64
 			for s := int64(1); s <= n; s++ {
-				back, wrong := RunLast(s, name, small)
+				back, wrong := RunFinalFault(s, name, small)
 				if len(wrong) > 0 {
 					t.Fatalf("seed %d: %v", s, wrong)
 				}
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -11,7 +11,7 @@
 // recorder is a client of one key that keeps all it asked and was told.
 type recorder struct {
 	*Host
-	core    *Core
+	core    *Cluster
 	key     string
 	client  int
 	changes int // of a hundred operations
@@ -20,24 +20,24 @@
 	ops     *[]lincheck.Operation
 }
 
-func newRecorder(c *Core, client int, key string, changes int, ops *[]lincheck.Operation) *recorder {
+func newRecorder(c *Cluster, client int, key string, changes int, ops *[]lincheck.Operation) *recorder {
 	r := &recorder{core: c, key: key, client: client, changes: changes, ops: ops}
-	r.Host = c.w.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.act) })
+	r.Host = c.world.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.act) })
 	return r
 }
 
 func (r *recorder) act() {
-	w := r.core.w
-	node := r.core.Nodes[w.Rng.Intn(len(r.core.Nodes))]
+	world := r.core.world
+	node := r.core.Nodes[world.Rng.Intn(len(r.core.Nodes))]
 	r.count++
-	seen := lincheck.Operation{Client: r.client, Invoked: w.now}
+	seen := lincheck.Operation{Client: r.client, Invoked: world.now}
 	op := quorum.Operation{Type: quorum.OpGet, Key: r.key}
-	if w.Rng.Intn(100) < r.changes {
+	if world.Rng.Intn(100) < r.changes {
 		seen.Write, seen.Value = true, fmt.Sprintf("%d-%d", r.client, r.count)
 		// A request that the network repeats must not change the key twice.
 		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.seen, []byte(seen.Value)
 	}
-	Call(r.Host, node.Host, op, 900_000, func(q quorum.Operation, reply func(quorum.Result)) { node.Op(q, 0, reply) },
+	Call(r.Host, node.Host, op, 900_000, func(q quorum.Operation, reply func(quorum.Result)) { node.Forward(q, 0, reply) },
 		func(a quorum.Result) { r.answered(seen, a) },
 		func() { r.keep(seen) })
 }
@@ -49,7 +49,7 @@
 		r.seen = max(r.seen, a.Revision)
 	}
 	if a.Status == quorum.StatusDone {
-		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.w.now, a.Revision, string(a.Value)
+		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.world.now, a.Revision, string(a.Value)
 	}
 	r.keep(seen)
 }
@@ -59,7 +59,7 @@
 // TestLinearizable: what operators see of a key on core days, answers lost and unknown
 // ones included, is explained by one order of their operations.
 func TestLinearizable(t *testing.T) {
-	for _, f := range CoreFaults {
+	for _, f := range ClusterFaults {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
 			confirmed, unknown := 0, 0
@@ -88,8 +88,8 @@
 // recordedDay is a core day with operators at a busy key and at one seldom changed.
 func recordedDay(seed int64, f Fault) map[string][]lincheck.Operation {
 	const length = 8_000_000
-	w := NewWorld(seed)
-	c := NewCore(w, 4)
+	world := NewWorld(seed)
+	c := NewCluster(world, 4)
 	c.Start()
 	plan, rare := &[]lincheck.Operation{}, &[]lincheck.Operation{}
 	for i := range 3 {
@@ -98,7 +98,7 @@
 	for i := range 2 {
 		newRecorder(c, 3+i, "rare", 8, rare).Start()
 	}
-	c.Plague(f, length)
-	w.Run(length + 3_000_000)
+	c.InjectFaults(f, length)
+	world.Run(length + 3_000_000)
 	return map[string][]lincheck.Operation{"plan": *plan, "rare": *rare}
 }
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -42,47 +42,47 @@
 
 // membershipDay is a core on which changes and losses are brought about.
 type membershipDay struct {
-	*Core
+	*Cluster
 	size coreSize
 	h    *History
 }
 
 func newMembershipDay(seed int64, size coreSize) *membershipDay {
-	w := NewWorld(seed)
-	c := NewCore(w, size.machines)
-	c.heals = true
-	c.ro.Seats = uint16(size.machines)
+	world := NewWorld(seed)
+	c := NewCluster(world, size.machines)
+	c.selfHealing = true
+	c.voterSet.Seats = uint16(size.machines)
 	for _, r := range c.Nodes {
-		r.ro = c.ro
+		r.voterSet = c.voterSet
 	}
-	d := &membershipDay{Core: c, size: size, h: NewHistory(w, "plan")}
+	d := &membershipDay{Cluster: c, size: size, h: NewHistory(world, "plan")}
 	c.Start()
 	for i := 0; i < 3; i++ {
-		NewOperator(c, fmt.Sprint("operator", i), d.h, 60).Start()
+		NewRegisterClient(c, fmt.Sprint("operator", i), d.h, 60).Start()
 	}
 	for i := 0; i < 4; i++ {
-		NewOperator(c, fmt.Sprint("reader", i), NewHistory(w, fmt.Sprint("rare", i)), 8).Start()
+		NewRegisterClient(c, fmt.Sprint("reader", i), NewHistory(world, fmt.Sprint("rare", i)), 8).Start()
 	}
-	w.Run(4_000_000)
+	world.Run(4_000_000)
 	return d
 }
 
 // alive lists the machines that are up and vote, drawn in any order.
-func (d *membershipDay) alive() []*Registrar {
-	_, in := d.voters()
-	in = slices.DeleteFunc(in, func(r *Registrar) bool { return !r.up || r.lost })
-	d.w.Rng.Shuffle(len(in), func(i, j int) { in[i], in[j] = in[j], in[i] })
+func (d *membershipDay) alive() []*ControlNode {
+	_, in := d.currentVoters()
+	in = slices.DeleteFunc(in, func(r *ControlNode) bool { return !r.up || r.removed })
+	d.world.Rng.Shuffle(len(in), func(i, j int) { in[i], in[j] = in[j], in[i] })
 	return in
 }
 
 // stop tells a machine to stop and ends its process once it may go, as the daemon does.
-func (d *membershipDay) stop(r *Registrar, then func()) {
-	d.w.Note("%s is told to stop", r.Name)
-	r.out(r.node.Leave(r.Clock()))
-	last := d.w.now + 900_000
+func (d *membershipDay) stop(r *ControlNode, then func()) {
+	d.world.Notef("%s is told to stop", r.Name)
+	r.handle(r.node.Leave(r.Clock()))
+	last := d.world.now + 900_000
 	var wait func()
 	wait = func() {
-		if r.node.RemovalPending() && d.w.now < last {
+		if r.node.RemovalPending() && d.world.now < last {
 			r.After(100_000, wait)
 			return
 		}
@@ -94,48 +94,48 @@
 
 // bring does a change and returns when it counts as over, and the machines come or gone.
 func (d *membershipDay) bring(c coreChange) int64 {
-	w := d.w
+	world := d.world
 	in := d.alive()
 	switch c {
 	case repaired, replaced:
-		over := w.now
-		for _, r := range in[:1+w.Rng.Intn(d.size.tolerated)] {
-			back := w.now + 1_000_000
+		over := world.now
+		for _, r := range in[:1+world.Rng.Intn(d.size.tolerated)] {
+			back := world.now + 1_000_000
 			over = max(over, back+d.size.sync)
 			if c == repaired {
-				d.w.Note("%s loses its disk", r.Name)
-				r.lose()
-				w.At(back, r.restart)
+				d.world.Notef("%s loses its disk", r.Name)
+				r.loseDisk()
+				world.At(back, r.restart)
 				continue
 			}
-			d.w.Note("%s is gone", r.Name)
-			r.PowerLoss()
-			r.lost = true
-			w.At(back, d.newNode().Start)
+			d.world.Notef("%s is gone", r.Name)
+			r.LosePower()
+			r.removed = true
+			world.At(back, d.newNode().Start)
 		}
 		return over
 	case planned, hurried:
 		n := d.newNode()
 		n.Start()
-		at := w.now + d.size.sync
+		at := world.now + d.size.sync
 		if c == hurried {
-			at = w.now + 1_000_000
+			at = world.now + 1_000_000
 		}
-		w.At(at, func() { d.stop(in[0], func() { in[0].lost = true }) })
-		return w.now + d.size.sync + 1
+		world.At(at, func() { d.stop(in[0], func() { in[0].removed = true }) })
+		return world.now + d.size.sync + 1
 	default:
 		r := in[0]
 		d.stop(r, func() {
-			w.At(w.now+500_000, func() { d.restart(r) })
+			world.At(world.now+500_000, func() { d.restart(r) })
 		})
-		return w.now + 600_000 + d.size.sync
+		return world.now + 600_000 + d.size.sync
 	}
 }
 
 // restart boots a machine with its disk; one that no roster holds begins anew.
-func (d *membershipDay) restart(r *Registrar) {
-	if ro, _ := d.voters(); !r.holds(ro) {
-		r.lose()
+func (d *membershipDay) restart(r *ControlNode) {
+	if ro, _ := d.currentVoters(); !r.isMemberOf(ro) {
+		r.loseDisk()
 	}
 	r.restart()
 }
@@ -143,41 +143,41 @@
 // strike loses as many machines as are tolerated, the plan's owner among them every
 // other time, and returns how long after it a change was acknowledged; 0 is never.
 func (d *membershipDay) strike(l coreLoss) int64 {
-	w := d.w
+	world := d.world
 	in := d.alive()
-	if w.Rng.Intn(2) == 0 {
-		slices.SortStableFunc(in, func(a, b *Registrar) int {
+	if world.Rng.Intn(2) == 0 {
+		slices.SortStableFunc(in, func(a, b *ControlNode) int {
 			return owns(b) - owns(a)
 		})
 	}
 	for i, r := range in {
 		switch {
 		case l == gone && i < d.size.tolerated:
-			r.PowerLoss()
-			r.lost = true
+			r.LosePower()
+			r.removed = true
 		case l == wiped && i < d.size.tolerated:
-			d.w.Note("%s loses its disk", r.Name)
-			r.lose()
-			w.At(w.now+1_000_000, r.restart)
+			d.world.Notef("%s loses its disk", r.Name)
+			r.loseDisk()
+			world.At(world.now+1_000_000, r.restart)
 		case l == wiped:
-			r.PowerLoss()
-			w.At(w.now+50_000+w.Rng.Int63n(300_000), r.restart)
+			r.LosePower()
+			world.At(world.now+50_000+world.Rng.Int63n(300_000), r.restart)
 		}
 	}
-	from, n := w.now, d.h.Acks
-	for w.now < from+10_000_000 && len(w.wrong) == 0 {
-		w.Run(w.now + 10_000)
-		if d.h.Acks > n {
+	from, n := world.now, d.h.Acknowledged
+	for world.now < from+10_000_000 && len(world.violations) == 0 {
+		world.Run(world.now + 10_000)
+		if d.h.Acknowledged > n {
 			// The readers go on, and tell what is lost.
-			back := w.now - from
-			w.Run(w.now + 2_000_000)
+			back := world.now - from
+			world.Run(world.now + 2_000_000)
 			return back
 		}
 	}
 	return 0
 }
 
-func owns(r *Registrar) int {
+func owns(r *ControlNode) int {
 	if _, ok := r.node.ReadUnderLease(r.Clock(), planKey); ok {
 		return 1
 	}
@@ -197,34 +197,34 @@
 					stuck := 0
 					for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 						d := newMembershipDay(seed, size)
-						over := d.w.now
+						over := d.world.now
 						most := 2
 						if c == mixed {
 							most = 4
 						}
-						for range 1 + d.w.Rng.Intn(most) {
+						for range 1 + d.world.Rng.Intn(most) {
 							next := c
 							if c == mixed {
-								next = changes[d.w.Rng.Intn(len(changes)-1)]
+								next = changes[d.world.Rng.Intn(len(changes)-1)]
 							}
 							over = d.bring(next)
-							d.w.Run(over)
+							d.world.Run(over)
 						}
-						d.w.Run(over + d.w.Rng.Int63n(600_000))
-						if d.w.Rng.Intn(2) == 0 {
-							for n := d.h.Acks; d.h.Acks == n && len(d.w.wrong) == 0 && d.w.now < over+3_000_000; {
-								d.w.Run(d.w.now + 500)
+						d.world.Run(over + d.world.Rng.Int63n(600_000))
+						if d.world.Rng.Intn(2) == 0 {
+							for n := d.h.Acknowledged; d.h.Acknowledged == n && len(d.world.violations) == 0 && d.world.now < over+3_000_000; {
+								d.world.Run(d.world.now + 500)
 							}
 						}
 						back := d.strike(l)
-						if len(d.w.wrong) > 0 {
-							t.Fatalf("seed %d: %v\n%s", seed, d.w.wrong, strings.Join(d.w.note[max(0, len(d.w.note)-60):], "\n"))
+						if len(d.world.violations) > 0 {
+							t.Fatalf("seed %d: %v\n%s", seed, d.world.violations, strings.Join(d.world.notes[max(0, len(d.world.notes)-60):], "\n"))
 						}
 						if back == 0 {
 							stuck++
 							if stuck == 1 {
-								ro, in := d.voters()
-								t.Errorf("seed %d: no majority is left: %d voters, %d of them alive\n%s", seed, len(ro.Voters), len(in), strings.Join(d.w.note[max(0, len(d.w.note)-30):], "\n"))
+								ro, in := d.currentVoters()
+								t.Errorf("seed %d: no majority is left: %d voters, %d of them alive\n%s", seed, len(ro.Voters), len(in), strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
 							}
 						}
 						worst = max(worst, back)
@@ -238,9 +238,9 @@
 
 // caughtUp reports whether a machine votes in the newest roster and holds every slot's
 // line up to its owner's last change.
-func (d *membershipDay) caughtUp(r *Registrar) bool {
-	ro, _ := d.voters()
-	if r.node == nil || !r.up || !r.holds(ro) || r.node.VoterSet().Revision != ro.Revision || !r.node.AllSlotsRecovered() {
+func (d *membershipDay) caughtUp(r *ControlNode) bool {
+	ro, _ := d.currentVoters()
+	if r.node == nil || !r.up || !r.isMemberOf(ro) || r.node.VoterSet().Revision != ro.Revision || !r.node.AllSlotsRecovered() {
 		return false
 	}
 	at := r.node.Status(r.Clock())
@@ -259,14 +259,14 @@
 
 // until runs the world until ok holds, and returns how long that took.
 func (d *membershipDay) until(most int64, ok func() bool) (int64, bool) {
-	from := d.w.now
-	for d.w.now < from+most && len(d.w.wrong) == 0 {
+	from := d.world.now
+	for d.world.now < from+most && len(d.world.violations) == 0 {
 		if ok() {
-			return d.w.now - from, true
+			return d.world.now - from, true
 		}
-		d.w.Run(d.w.now + 1_000)
+		d.world.Run(d.world.now + 1_000)
 	}
-	return d.w.now - from, false
+	return d.world.now - from, false
 }
 
 // TestCaughtUpInTime: a machine that comes back or comes new votes and holds everything
@@ -282,13 +282,13 @@
 					r := d.alive()[0]
 					switch change {
 					case repaired:
-						r.lose()
-						d.w.Run(d.w.now + 1_000_000)
+						r.loseDisk()
+						d.world.Run(d.world.now + 1_000_000)
 						r.restart()
 					case replaced:
-						r.PowerLoss()
-						r.lost = true
-						d.w.Run(d.w.now + 1_000_000)
+						r.LosePower()
+						r.removed = true
+						d.world.Run(d.world.now + 1_000_000)
 						r = d.newNode()
 						r.Start()
 					case planned:
@@ -296,15 +296,15 @@
 						r.Start()
 					case restarted:
 						d.stop(r, func() {})
-						d.w.Run(d.w.now + 1_000_000)
+						d.world.Run(d.world.now + 1_000_000)
 						d.restart(r)
 					}
 					took, ok := d.until(size.sync, func() bool { return d.caughtUp(r) })
-					if len(d.w.wrong) > 0 {
-						t.Fatalf("seed %d, %s: %v", seed, change, d.w.wrong)
+					if len(d.world.violations) > 0 {
+						t.Fatalf("seed %d, %s: %v", seed, change, d.world.violations)
 					}
 					if !ok {
-						t.Fatalf("seed %d, %s: not caught up in %d us\n%s", seed, change, took, strings.Join(d.w.note[max(0, len(d.w.note)-30):], "\n"))
+						t.Fatalf("seed %d, %s: not caught up in %d us\n%s", seed, change, took, strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
 					}
 					worst[kind] = max(worst[kind], took)
 				}
@@ -329,24 +329,24 @@
 					r := d.alive()[0]
 					n := d.newNode()
 					n.Start()
-					d.w.Run(d.w.now + size.sync)
+					d.world.Run(d.world.now + size.sync)
 					bound, dropped := int64(2_000_000), true
 					if polite {
 						bound = 500_000
 					}
 					end := func() {
-						ro, _ := d.voters()
-						r.lost, dropped = true, !polite || !r.holds(ro) || len(ro.Voters)%2 == 1
+						ro, _ := d.currentVoters()
+						r.removed, dropped = true, !polite || !r.isMemberOf(ro) || len(ro.Voters)%2 == 1
 					}
 					if polite {
 						d.stop(r, end)
 					} else {
-						r.PowerLoss()
+						r.LosePower()
 						end()
 					}
 					// The rest, without the machine that goes, bears the losses tolerated.
 					took, ok := d.until(bound, func() bool {
-						ro, in := d.voters()
+						ro, in := d.currentVoters()
 						live := 0
 						for _, v := range in {
 							if v != r && d.caughtUp(v) {
@@ -355,11 +355,11 @@
 						}
 						return live-size.tolerated >= ro.Majority()
 					})
-					if len(d.w.wrong) > 0 || !ok {
-						t.Fatalf("seed %d: in %d us the rest does not bear %d losses: %v\n%s", seed, took, size.tolerated, d.w.wrong, strings.Join(d.w.note[max(0, len(d.w.note)-30):], "\n"))
+					if len(d.world.violations) > 0 || !ok {
+						t.Fatalf("seed %d: in %d us the rest does not bear %d losses: %v\n%s", seed, took, size.tolerated, d.world.violations, strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
 					}
-					d.w.Run(d.w.now + 1_000_000)
-					if !dropped || !r.lost {
+					d.world.Run(d.world.now + 1_000_000)
+					if !dropped || !r.removed {
 						t.Errorf("seed %d: it ended while the others kept its seat, or did not end", seed)
 					}
 					worst = max(worst, took)
--- a/sim/move_test.go
+++ b/sim/move_test.go
@@ -18,17 +18,17 @@
 		var orphan, out, settled []int64
 		moved, resyncs, failed, sent := 0, uint64(0), 0, 0
 		for seed := int64(1); seed <= max(n, 2); seed++ {
-			f := NewFleet(seed, FleetSize{Proxies: 9, Engines: 18})
-			s := NewScript(f)
-			w := f.W
-			w.At(1_300_000, func() { s.Put(nil) })
-			w.At(2_500_000, func() { f.call(s, 16_000_000) })
-			w.Run(8_000_000)
-			c := f.busiest("duty/engine/")
-			moved += len(c.k.HeldRoles(c.Clock()))
+			f := NewFleet(seed, FleetSize{Gateways: 9, Engines: 18})
+			s := NewFleetOperator(f)
+			world := f.World
+			world.At(1_300_000, func() { s.PutPlan(nil) })
+			world.At(2_500_000, func() { f.sendRequests(s, 16_000_000) })
+			world.Run(8_000_000)
+			c := f.busiestIndexNode("duty/engine/")
+			moved += len(c.node.HeldRoles(c.Clock()))
 			was := uint64(0)
-			for _, x := range f.Custodians {
-				was += x.k.Counters.Resyncs
+			for _, x := range f.IndexNodes {
+				was += x.node.Counters.Resyncs
 			}
 			lone, last := map[string]int64{}, int64(0) // duty -> how long nobody held it
 			idle := int64(0)                           // engine-microseconds out of use, over proxies
@@ -38,13 +38,13 @@
 			} else {
 				c.Kill()
 			}
-			from := f.Seen
-			for w.now < 16_000_000 && len(w.wrong) == 0 {
-				w.Run(w.now + step)
+			from := f.Tally
+			for world.now < 16_000_000 && len(world.violations) == 0 {
+				world.Run(world.now + step)
 				held := map[string]bool{}
-				for _, x := range f.Custodians {
+				for _, x := range f.IndexNodes {
 					if x.up {
-						for _, d := range x.k.HeldRoles(x.Clock()) {
+						for _, d := range x.node.HeldRoles(x.Clock()) {
 							held[d] = true
 						}
 					}
@@ -63,18 +63,18 @@
 					}
 				}
 				if !all {
-					last = w.now - 8_000_000
+					last = world.now - 8_000_000
 				}
-				for _, p := range f.Proxies {
+				for _, p := range f.Gateways {
 					for _, e := range f.Engines {
-						if !e.store && p.d.GrantAge(p.Clock(), e.Name) > dispatch.MaxGrantAge {
+						if !e.store && p.dispatcher.GrantAge(p.Clock(), e.Name) > dispatch.MaxGrantAge {
 							idle += step
 						}
 					}
 				}
 			}
-			if len(w.wrong) > 0 {
-				t.Fatalf("seed %d: %v", seed, w.wrong)
+			if len(world.violations) > 0 {
+				t.Fatalf("seed %d: %v", seed, world.violations)
 			}
 			for _, us := range lone {
 				orphan = append(orphan, us)
@@ -84,14 +84,14 @@
 			}
 			settled = append(settled, last)
 			out = append(out, idle/9)
-			for _, x := range f.Custodians {
+			for _, x := range f.IndexNodes {
 				if x != c {
-					resyncs += x.k.Counters.Resyncs
+					resyncs += x.node.Counters.Resyncs
 				}
 			}
-			resyncs -= min(resyncs, was-c.k.Counters.Resyncs)
-			failed += f.Seen.Refused - from.Refused
-			sent += f.Seen.Sent - from.Sent
+			resyncs -= min(resyncs, was-c.node.Counters.Resyncs)
+			failed += f.Tally.Rejected - from.Rejected
+			sent += f.Tally.Sent - from.Sent
 			if last > 5_000_000 {
 				t.Errorf("seed %d: a duty had no owner after %d us", seed, last)
 			}
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -15,7 +15,7 @@
 // precondition, many entries in one change, answers lost, while the control nodes
 // fail. What every registrar reads back is judged to the byte.
 type race struct {
-	c     *Core
+	c     *Cluster
 	h     *History
 	texts map[uint64][]byte // revision -> what its operator was told is in force
 	base  map[uint64][]byte // revision -> the text its change was applied to
@@ -25,11 +25,11 @@
 }
 
 func (r *race) act(h *Host, who int) {
-	w := r.c.w
+	world := r.c.world
 	r.n++
 	body := fmt.Sprintf(`{"notes":{"op%d":%d,"big":12345678901234567890%d}}`, who, r.n, r.n%10)
 	c := plan.Change{Patch: true}
-	switch w.Rng.Intn(6) {
+	switch world.Rng.Intn(6) {
 	case 0:
 		c.Patch = false
 		body = fmt.Sprintf(`{"weights":"w%d", "kinds":{"k":{"due_us":1000000}},"groups":{"g%d":{"share":1.50,"keys":[]}},"notes":{"é":"ü😀 %d"}}`, r.n%3+1, who, r.n)
@@ -44,13 +44,13 @@
 		body = fmt.Sprintf(`{"groups":{"g%d":{"share":2,"wall":%v,"keys":[]}}}`, who, r.n%2 == 0)
 	}
 	c.Body = []byte(body)
-	if w.Rng.Intn(3) == 0 {
+	if world.Rng.Intn(3) == 0 {
 		c.Conditional, c.ExpectedRevision = true, uint64(len(r.texts)) // what it last heard of, perhaps
 	}
-	reg := func() *Registrar { return r.c.Nodes[w.Rng.Intn(len(r.c.Nodes))] }
+	reg := func() *ControlNode { return r.c.Nodes[world.Rng.Intn(len(r.c.Nodes))] }
 	at := reg()
-	from := w.now
-	Call(h, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, func(q quorum.Operation, rep func(quorum.Result)) { at.Op(q, 0, rep) },
+	from := world.now
+	Call(h, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, func(q quorum.Operation, rep func(quorum.Result)) { at.Forward(q, 0, rep) },
 		func(a quorum.Result) {
 			if a.Status != quorum.StatusDone {
 				return
@@ -60,25 +60,25 @@
 			if err != nil {
 				var other plan.RevisionConflictError
 				if a.Revision > 0 && (c.Conditional && c.ExpectedRevision == a.Revision || !c.Conditional && !errors.As(err, &other)) {
-					w.Wrong("a good change was declined", "%v", err)
+					world.Violation("a good change was declined", "%v", err)
 				}
 				r.done["declined"]++
 				return
 			}
 			_, was, _ := plan.Decode(a.Value)
-			to, sent := reg(), w.now
+			to, sent := reg(), world.now
 			Call(h, to.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: a.Revision}, 900_000,
-				func(q quorum.Operation, rep func(quorum.Result)) { to.Op(q, 0, rep) },
+				func(q quorum.Operation, rep func(quorum.Result)) { to.Forward(q, 0, rep) },
 				func(b quorum.Result) {
 					switch b.Status {
 					case quorum.StatusDone:
 						if c.Conditional && b.Revision != c.ExpectedRevision+1 {
-							w.Wrong("precondition", "revision %d was given on condition of %d", b.Revision, c.ExpectedRevision)
+							world.Violation("precondition", "revision %d was given on condition of %d", b.Revision, c.ExpectedRevision)
 						}
-						r.h.add(seenOp{sent, w.now, b.Revision, string(sealed), true})
+						r.h.add(observedOperation{sent, world.now, b.Revision, string(sealed), true})
 						r.texts[b.Revision], r.base[b.Revision], r.how[b.Revision] = raw, was, c
 						r.done["in force"]++
-						r.c.acked()
+						r.c.changeAcknowledged()
 					case quorum.StatusConflict:
 						r.done["conflict"]++
 					default:
@@ -90,18 +90,18 @@
 
 // read judges what a registrar gives back.
 func (r *race) read(from int64, a quorum.Result) {
-	w := r.c.w
-	r.h.add(seenOp{from, w.now, a.Revision, string(a.Value), false})
+	world := r.c.world
+	r.h.add(observedOperation{from, world.now, a.Revision, string(a.Value), false})
 	_, raw, err := plan.Decode(a.Value)
 	if err != nil {
-		w.Wrong("unreadable", "revision %d: %v", a.Revision, err)
+		world.Violation("unreadable", "revision %d: %v", a.Revision, err)
 		return
 	}
 	if want, ok := r.texts[a.Revision]; ok && !bytes.Equal(want, raw) {
-		w.Wrong("read back as something else", "revision %d: %q, acknowledged was %q", a.Revision, raw, want)
+		world.Violation("read back as something else", "revision %d: %q, acknowledged was %q", a.Revision, raw, want)
 	}
 	if c, ok := r.how[a.Revision]; ok && !c.Patch && !bytes.Equal(c.Body, raw) {
-		w.Wrong("not to the byte", "revision %d: %q, sent was %q", a.Revision, raw, c.Body)
+		world.Violation("not to the byte", "revision %d: %q, sent was %q", a.Revision, raw, c.Body)
 	}
 }
 
@@ -110,7 +110,7 @@
 // more seeds.
 func TestOperatorsRace(t *testing.T) {
 	n := seeds()
-	for _, fault := range []Fault{Kills, Power, Cuts, Lossy, Torn, Replaced, Everybody} {
+	for _, fault := range []Fault{FaultKill, FaultPowerLoss, FaultPartition, FaultLossyLinks, FaultPartialAppend, FaultReplacement, FaultAll} {
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			sum := map[string]int{}
@@ -125,22 +125,22 @@
 
 func operatorsRace(t *testing.T, fault Fault, seeds int64, sum map[string]int) {
 	for seed := int64(1); seed <= seeds; seed++ {
-		w := NewWorld(seed)
-		c := NewCore(w, 4)
-		c.rings.SegmentBytes = 64 << 10 // plans are larger than claims
+		world := NewWorld(seed)
+		c := NewCluster(world, 4)
+		c.logConfig.SegmentBytes = 64 << 10 // plans are larger than claims
 		c.Start()
-		r := &race{c: c, h: NewHistory(w, planKey), texts: map[uint64][]byte{}, base: map[uint64][]byte{}, how: map[uint64]plan.Change{}, done: map[string]int{}}
+		r := &race{c: c, h: NewHistory(world, planKey), texts: map[uint64][]byte{}, base: map[uint64][]byte{}, how: map[uint64]plan.Change{}, done: map[string]int{}}
 		for i := 0; i < 4; i++ {
 			var h *Host
-			h = w.NewHost(fmt.Sprint("operator", i), sites[i], func() {
+			h = world.NewHost(fmt.Sprint("operator", i), zones[i], func() {
 				h.Every(60_000, func() { r.act(h, i) })
 			})
 			h.Start()
 		}
-		c.Plague(fault, 12_000_000)
-		w.Run(16_000_000)
-		if len(w.wrong) > 0 {
-			t.Fatalf("%s, seed %d: %v", fault, seed, w.wrong)
+		c.InjectFaults(fault, 12_000_000)
+		world.Run(16_000_000)
+		if len(world.violations) > 0 {
+			t.Fatalf("%s, seed %d: %v", fault, seed, world.violations)
 		}
 		// Every change between two acknowledged neighbours is the patch it was sent as.
 		for rev := range r.how {
--- a/sim/partition.go
+++ b/sim/partition.go
@@ -21,7 +21,7 @@
 	within := map[*Host]bool{}
 	for _, h := range inside {
 		within[h] = true
-		w.Note("%s is cut off: %s", h.Name, p)
+		w.Notef("%s is cut off: %s", h.Name, p)
 		if p == PartitionFrozen {
 			h.Freeze()
 		}
@@ -32,7 +32,7 @@
 	for _, in := range inside {
 		for _, out := range w.hosts {
 			if !within[out] {
-				w.part(p, in.Name, out.Name)
+				w.cutOneOff(p, in.Name, out.Name)
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 // part cuts one host inside off from one outside.
-func (w *World) part(p Partition, in, out string) {
+func (w *World) cutOneOff(p Partition, in, out string) {
 	if p != PartitionHears {
 		w.Cut(out, in)
 	}
@@ -55,6 +55,6 @@
 		w.Cut(in, out)
 	}
 	if p == PartitionReset {
-		w.reset[[2]string{in, out}] = true
+		w.resetLinks[[2]string{in, out}] = true
 	}
 }
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -11,21 +11,21 @@
 type stage struct {
 	t *testing.T
 	w *World
-	c *Core
+	c *Cluster
 	h *History
 	n *Host
 }
 
 func newStage(t *testing.T, seed int64, key string) *stage {
-	w := NewWorld(seed)
-	s := &stage{t: t, w: w, c: NewCore(w, 4), h: NewHistory(w, key)}
-	s.n = w.NewHost("client", "north", func() {})
+	world := NewWorld(seed)
+	s := &stage{t: t, w: world, c: NewCluster(world, 4), h: NewHistory(world, key)}
+	s.n = world.NewHost("client", "north", func() {})
 	s.n.Start()
 	s.c.Start()
 	return s
 }
 
-func (s *stage) owner() *Registrar {
+func (s *stage) owner() *ControlNode {
 	for _, r := range s.c.Nodes {
 		if r.up && r.node != nil {
 			if _, ok := r.node.ReadUnderLease(r.Clock(), s.h.key); ok {
@@ -37,11 +37,11 @@
 }
 
 // settle waits until the key has an owner.
-func (s *stage) settle() *Registrar {
+func (s *stage) settle() *ControlNode {
 	s.t.Helper()
 	for end := s.w.now + 15_000_000; s.w.now < end; s.w.Run(s.w.now + 10_000) {
-		if len(s.w.wrong) > 0 {
-			s.t.Fatal(s.w.wrong)
+		if len(s.w.violations) > 0 {
+			s.t.Fatal(s.w.violations)
 		}
 		if o := s.owner(); o != nil {
 			return o
@@ -52,12 +52,12 @@
 }
 
 // do runs an operation on a node and tells the history when it is answered.
-func (s *stage) do(r *Registrar, op quorum.Operation) (a quorum.Result) {
+func (s *stage) do(r *ControlNode, op quorum.Operation) (a quorum.Result) {
 	from := s.w.now
-	Call(s.n, r.Host, op, 2_000_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) }, func(x quorum.Result) {
+	Call(s.n, r.Host, op, 2_000_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) }, func(x quorum.Result) {
 		a = x
 		if x.Status == quorum.StatusDone && op.Key == s.h.key {
-			s.h.add(seenOp{from, s.w.now, x.Revision, string(x.Value), op.Type == quorum.OpPut})
+			s.h.add(observedOperation{from, s.w.now, x.Revision, string(x.Value), op.Type == quorum.OpPut})
 		}
 	}, func() {})
 	for end := s.w.now + 2_100_000; s.w.now < end && a.Status == 0; {
@@ -75,12 +75,12 @@
 }
 
 // torn makes the owner take a change that reaches nobody, and die of it.
-func (s *stage) torn() *Registrar {
+func (s *stage) torn() *ControlNode {
 	o := s.settle()
 	for _, r := range s.c.Nodes {
 		s.w.Cut(o.Name, r.Name)
 	}
-	o.Do(quorum.Operation{Type: quorum.OpPut, Key: s.h.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
+	o.Propose(quorum.Operation{Type: quorum.OpPut, Key: s.h.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
 	s.w.Run(s.w.now + 60_000)
 	o.Kill()
 	s.w.HealAll()
@@ -89,7 +89,7 @@
 
 // turnUntil kills the owner again and again, restarting it, until it is want, or
 // until it is no more when want is nil.
-func (s *stage) turnUntil(want *Registrar) {
+func (s *stage) turnUntil(want *ControlNode) {
 	for i := 0; i < 30; i++ {
 		o := s.settle()
 		s.get()
@@ -119,7 +119,7 @@
 
 // lostChange leaves a change of the key on its dead owner's disk alone, while the
 // next line gets ahead of what that owner knows.
-func (s *stage) lostChange() *Registrar {
+func (s *stage) lostChange() *ControlNode {
 	s.put(s.h.key, "v1")
 	s.moveOn()
 	a := s.torn()
@@ -149,8 +149,8 @@
 		s.get()
 		a.Start()
 		s.turnUntil(nil)
-		if len(s.w.wrong) > 0 {
-			t.Fatalf("seed %d: %v", seed, s.w.wrong)
+		if len(s.w.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, s.w.violations)
 		}
 	}
 }
@@ -170,8 +170,8 @@
 		s.w.HealAll()
 		b.Start()
 		s.turnUntil(nil)
-		if len(s.w.wrong) > 0 {
-			t.Fatalf("seed %d: %v", seed, s.w.wrong)
+		if len(s.w.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, s.w.violations)
 		}
 	}
 }
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -10,16 +10,16 @@
 // can't run them; what they decide by (quorum, route.Change, route.WeightsDoc) is
 // the very code. TestEditIsThePlatforms holds the constants to theirs.
 const (
-	orderPatience   = 900_000 // in which a node answers an operator
-	readPatience    = 700_000 // in which a directory reads a register
-	evidenceAge     = 500_000 // how old the read may be that an answer rests on
-	contactEvery    = 50_000  // between looks at the contact with a majority
-	lookAgain       = 25_000  // between looks at a register without an owner
-	lookAfterRace   = 1_000   // after another's change came first
-	passReadLimit   = 500_000 // for a read that is passed to the owner
-	passChangeLimit = 2_000_000
-	passHops        = 2
-	passMuteAfter   = 400_000 // nothing is passed to an owner silent for so long
+	orderTimeoutUS       = 900_000 // in which a node answers an operator
+	readTimeoutUS        = 700_000 // in which a directory reads a register
+	maxReadAgeUS         = 500_000 // how old the read may be that an answer rests on
+	contactCheckInterval = 50_000  // between looks at the contact with a majority
+	retryWithoutLeader   = 25_000  // between looks at a register without an owner
+	retryAfterConflict   = 1_000   // after another's change came first
+	passReadTimeoutUS    = 500_000 // for a read that is passed to the owner
+	passChangeTimeoutUS  = 2_000_000
+	maxHops              = 2
+	passSilenceLimit     = 400_000 // nothing is passed to an owner silent for so long
 )
 
 // Outcome is what an operator is told of an order.
@@ -28,10 +28,10 @@
 // An order that was Taken is acknowledged. A Refused one builds on a version that is
 // not current, an Invalid one never will do, and nobody can tell of an Unclear one.
 const (
-	Unclear Outcome = iota
-	Taken
-	Refused
-	Invalid
+	OutcomeUnknown Outcome = iota
+	OutcomeAccepted
+	OutcomeStale
+	OutcomeInvalid
 )
 
 func (o Outcome) String() string {
@@ -46,7 +46,7 @@
 
 // once carries an operation to the owner of its key with one try, which ends at a
 // time by this node's clock.
-func (r *Registrar) once(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
+func (n *ControlNode) proposeOnce(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
 	over := false
 	end := func(a quorum.Result) {
 		if !over {
@@ -54,36 +54,36 @@
 			reply(a)
 		}
 	}
-	r.After(max(1, until-r.Clock()), func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
-	r.Do(op, func(a quorum.Result) {
-		if a.Status != quorum.StatusNotLeader || a.Leader == "" || a.Leader == r.Name || hops >= passHops {
+	n.After(max(1, until-n.Clock()), func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
+	n.Propose(op, func(a quorum.Result) {
+		if a.Status != quorum.StatusNotLeader || a.Leader == "" || a.Leader == n.Name || hops >= maxHops {
 			end(a)
 			return
 		}
-		r.pass(op, hops, a.Leader, end)
+		n.passToLeader(op, hops, a.Leader, end)
 	})
 }
 
 // pass hands an operation on to the owner of its key.
-func (r *Registrar) pass(op quorum.Operation, hops int, owner string, end func(quorum.Result)) {
-	to := r.core.named(owner)
-	if to == nil || r.node == nil || r.node.Silence(r.Clock(), owner) > passMuteAfter {
+func (n *ControlNode) passToLeader(op quorum.Operation, hops int, owner string, end func(quorum.Result)) {
+	to := n.cluster.nodeNamed(owner)
+	if to == nil || n.node == nil || n.node.Silence(n.Clock(), owner) > passSilenceLimit {
 		end(quorum.Result{Status: quorum.StatusNotLeader})
 		return
 	}
-	limit := int64(passChangeLimit)
+	limit := int64(passChangeTimeoutUS)
 	if op.Type == quorum.OpGet {
-		limit = passReadLimit
+		limit = passReadTimeoutUS
 	}
 	ask, tell := stepsOf(op.Type)
-	Call(r.Host, to.Host, op, limit,
+	Call(n.Host, to.Host, op, limit,
 		func(q quorum.Operation, answer func(quorum.Result)) {
-			if !r.core.lost(ask) {
-				to.once(q, hops+1, to.Clock()+limit, answer)
+			if !n.cluster.isStepLost(ask) {
+				to.proposeOnce(q, hops+1, to.Clock()+limit, answer)
 			}
 		},
 		func(a quorum.Result) {
-			if !r.core.lost(tell) {
+			if !n.cluster.isStepLost(tell) {
 				end(a)
 			}
 		},
@@ -91,7 +91,7 @@
 }
 
 // named is the control node of a name, nil if there is none.
-func (c *Core) named(name string) *Registrar {
+func (c *Cluster) nodeNamed(name string) *ControlNode {
 	for _, r := range c.Nodes {
 		if r.Name == name {
 			return r
@@ -106,120 +106,120 @@
 
 // edit puts what decide makes of a register, deciding anew as long as provably
 // nothing was changed and the node hears a majority.
-type edit struct {
-	node   *Registrar
-	key    string
-	until  int64
-	readAt int64 // when the read was asked for that the decision rests on
-	decide decideFunc
-	reply  func(Reply)
-	over   bool
+type registerEdit struct {
+	node     *ControlNode
+	key      string
+	until    int64
+	readAt   int64 // when the read was asked for that the decision rests on
+	decide   decideFunc
+	reply    func(Reply)
+	finished bool
 }
 
 // Edit changes a register on behalf of an operator.
-func (r *Registrar) Edit(key string, decide decideFunc, reply func(Reply)) {
-	e := &edit{node: r, key: key, until: r.Clock() + orderPatience, decide: decide, reply: reply}
-	e.watch()
+func (n *ControlNode) Edit(key string, decide decideFunc, reply func(Reply)) {
+	e := &registerEdit{node: n, key: key, until: n.Clock() + orderTimeoutUS, decide: decide, reply: reply}
+	e.checkContact()
 	e.read()
 }
 
 // watch ends the work once no majority is heard: nothing can be read or changed then.
-func (e *edit) watch() {
-	if e.over {
+func (e *registerEdit) checkContact() {
+	if e.finished {
 		return
 	}
 	if !e.node.hearsMajority() {
-		e.end(Reply{Outcome: Unclear})
+		e.end(Reply{Outcome: OutcomeUnknown})
 		return
 	}
-	e.node.After(contactEvery, e.watch)
+	e.node.After(contactCheckInterval, e.checkContact)
 }
 
 // hearsMajority reports whether a node heard a majority of the voters lately. One that
 // does not vote can't tell, and says yes.
-func (r *Registrar) hearsMajority() bool {
-	if r.node == nil {
+func (n *ControlNode) hearsMajority() bool {
+	if n.node == nil {
 		return true
 	}
-	voters := r.node.VoterSet().Voters
+	voters := n.node.VoterSet().Voters
 	heard := 0
 	for _, v := range voters {
-		if r.node.Silence(r.Clock(), v.Name) <= passMuteAfter {
+		if n.node.Silence(n.Clock(), v.Name) <= passSilenceLimit {
 			heard++
 		}
 	}
 	return heard > len(voters)/2
 }
 
-func (e *edit) end(reply Reply) {
-	if !e.over {
-		e.over = true
+func (e *registerEdit) end(reply Reply) {
+	if !e.finished {
+		e.finished = true
 		e.reply(reply)
 	}
 }
 
 // Read reads a register on behalf of an operator.
-func (r *Registrar) Read(key string, reply func(value []byte, revision uint64, ok bool)) {
+func (n *ControlNode) Read(key string, reply func(value []byte, revision uint64, ok bool)) {
 	var value []byte
 	var revision uint64
 	decide := func(v []byte, rev uint64) ([]byte, Reply) {
 		value, revision = v, rev
-		return nil, Reply{Outcome: Refused} // rests on what was read
+		return nil, Reply{Outcome: OutcomeStale} // rests on what was read
 	}
-	r.Edit(key, decide, func(a Reply) { reply(value, revision, a.Outcome == Refused) })
+	n.Edit(key, decide, func(a Reply) { reply(value, revision, a.Outcome == OutcomeStale) })
 }
 
-func (e *edit) read() {
-	if e.over {
+func (e *registerEdit) read() {
+	if e.finished {
 		return
 	}
 	e.readAt = e.node.Clock()
-	e.node.once(quorum.Operation{Type: quorum.OpGet, Key: e.key}, 0, e.until, e.readDone)
+	e.node.proposeOnce(quorum.Operation{Type: quorum.OpGet, Key: e.key}, 0, e.until, e.readDone)
 }
 
-func (e *edit) readDone(a quorum.Result) {
-	if e.over {
+func (e *registerEdit) readDone(a quorum.Result) {
+	if e.finished {
 		return
 	}
 	if a.Status != quorum.StatusDone {
-		e.again(lookAgain)
+		e.retryAfter(retryWithoutLeader)
 		return
 	}
 	next, reply := e.decide(a.Value, a.Revision)
 	if next == nil {
-		e.decided(reply)
+		e.finishUnchanged(reply)
 		return
 	}
 	put := quorum.Operation{Type: quorum.OpPut, Key: e.key, Value: next, ExpectedRevision: a.Revision}
-	e.node.once(put, 0, e.until, func(a quorum.Result) { e.putDone(a, reply) })
+	e.node.proposeOnce(put, 0, e.until, func(a quorum.Result) { e.putDone(a, reply) })
 }
 
 // decided answers without a change, unless the read has grown old: this process may
 // have been paused, and another owner have taken changes. What was taken stays taken.
-func (e *edit) decided(reply Reply) {
-	if reply.Outcome != Taken && e.node.Clock()-e.readAt > evidenceAge {
-		reply = Reply{Outcome: Unclear}
+func (e *registerEdit) finishUnchanged(reply Reply) {
+	if reply.Outcome != OutcomeAccepted && e.node.Clock()-e.readAt > maxReadAgeUS {
+		reply = Reply{Outcome: OutcomeUnknown}
 	}
 	e.end(reply)
 }
 
-func (e *edit) putDone(a quorum.Result, reply Reply) {
+func (e *registerEdit) putDone(a quorum.Result, reply Reply) {
 	switch a.Status {
 	case quorum.StatusDone:
 		e.end(reply)
 	case quorum.StatusConflict:
-		e.again(lookAfterRace)
+		e.retryAfter(retryAfterConflict)
 	case quorum.StatusNotLeader, quorum.StatusFull:
-		e.again(lookAgain)
+		e.retryAfter(retryWithoutLeader)
 	default:
-		e.end(Reply{Outcome: Unclear})
+		e.end(Reply{Outcome: OutcomeUnknown})
 	}
 }
 
 // again reads anew after a pause, while there is time.
-func (e *edit) again(pause int64) {
+func (e *registerEdit) retryAfter(pause int64) {
 	if e.node.Clock()+pause >= e.until {
-		e.end(Reply{Outcome: Unclear})
+		e.end(Reply{Outcome: OutcomeUnknown})
 		return
 	}
 	e.node.After(pause, e.read)
@@ -233,22 +233,22 @@
 		if revision != 0 {
 			d, err := route.DecodeDocument(value)
 			if err != nil {
-				return nil, Reply{Outcome: Unclear}
+				return nil, Reply{Outcome: OutcomeUnknown}
 			}
 			current, version = d, d.Version
 		}
 		next, out, _ := c.Apply(current, texts.Translate, texts.Words)
 		switch out {
 		case route.Accepted:
-			return next.Encode(), Reply{Taken, next.Version}
+			return next.Encode(), Reply{OutcomeAccepted, next.Version}
 		case route.Duplicate:
-			return nil, Reply{Taken, version}
+			return nil, Reply{OutcomeAccepted, version}
 		case route.Stale:
-			return nil, Reply{Refused, version}
+			return nil, Reply{OutcomeStale, version}
 		case route.Undecidable:
-			return nil, Reply{Outcome: Unclear}
+			return nil, Reply{Outcome: OutcomeUnknown}
 		default:
-			return nil, Reply{Invalid, version}
+			return nil, Reply{OutcomeInvalid, version}
 		}
 	}
 }
@@ -260,18 +260,18 @@
 		if revision != 0 {
 			d, err := route.DecodeWeights(value)
 			if err != nil {
-				return nil, Reply{Outcome: Unclear}
+				return nil, Reply{Outcome: OutcomeUnknown}
 			}
 			current = d
 		}
 		next, finding := current.Add(model, version)
 		switch {
 		case finding != nil:
-			return nil, Reply{Outcome: Invalid}
+			return nil, Reply{Outcome: OutcomeInvalid}
 		case next == nil:
-			return nil, Reply{Taken, current.Latest(model)}
+			return nil, Reply{OutcomeAccepted, current.Latest(model)}
 		default:
-			return next.Encode(), Reply{Taken, version}
+			return next.Encode(), Reply{OutcomeAccepted, version}
 		}
 	}
 }
@@ -310,4 +310,4 @@
 }
 
 // lost tells whether a step gets lost.
-func (c *Core) lost(s OrderStep) bool { return c.loses != nil && c.loses(s) }
+func (c *Cluster) isStepLost(s OrderStep) bool { return c.losesStep != nil && c.losesStep(s) }
--- a/sim/register_edit_test.go
+++ b/sim/register_edit_test.go
@@ -22,19 +22,19 @@
 		have int64
 		from map[string]int64
 	}{
-		{"patienceUS", orderPatience, operator},
-		{"evidenceUS", evidenceAge, operator},
-		{"againUS", lookAgain, operator},
-		{"racedUS", lookAfterRace, operator},
-		{"contactLook", contactEvery, node},
-		{"maxHops", passHops, node},
-		{"muteAfter", passMuteAfter, node},
-		{"refreshEvery", directoryRefresh, directory},
-		{"staleRegister", proxyOldWord, follower},
-		{"unusedFor", proxyShuns, follower},
+		{"patienceUS", orderTimeoutUS, operator},
+		{"evidenceUS", maxReadAgeUS, operator},
+		{"againUS", retryWithoutLeader, operator},
+		{"racedUS", retryAfterConflict, operator},
+		{"contactLook", contactCheckInterval, node},
+		{"maxHops", maxHops, node},
+		{"muteAfter", passSilenceLimit, node},
+		{"refreshEvery", directoryRefreshInterval, directory},
+		{"staleRegister", maxDirectoryAge, follower},
+		{"unusedFor", directoryPause, follower},
 		{"leaveLeast", leaveLeast, node},
 		{"leaveMost", leaveMost, node},
-		{"slotTerm", platformTerm, operator},
+		{"slotTerm", platformLeaseUS, operator},
 	} {
 		if want, ok := c.from[c.name]; !ok || want != c.have {
 			t.Errorf("%s is %d there (known: %v), %d here", c.name, want, ok, c.have)
--- a/sim/retries_test.go
+++ b/sim/retries_test.go
@@ -14,30 +14,30 @@
 	for _, bad := range []string{"breaks off", "refuses", "crashes"} {
 		t.Run(bad, func(t *testing.T) {
 			t.Parallel()
-			f := NewFleet(21, FleetSize{Proxies: 9, Engines: 6})
-			s := NewScript(f)
-			w := f.W
-			e := f.engine("e03")
+			f := NewFleet(21, FleetSize{Gateways: 9, Engines: 6})
+			s := NewFleetOperator(f)
+			world := f.World
+			e := f.engineNamed("e03")
 			resent := 0
-			f.judge.onTold = func(x *send, o attempt.Outcome) {
-				if o != attempt.Done && !x.probe && x.why != "duplicate" && w.now < 24_000_000 {
+			f.checker.onRequestEnded = func(x *callerRequest, o attempt.Outcome) {
+				if o != attempt.Done && !x.probe && x.reason != "duplicate" && world.now < 24_000_000 {
 					// A caller that sends again at once, elsewhere, under the same name.
 					resent++
-					y := &send{group: x.group, kind: x.kind, id: x.id, digest: x.digest, era: x.era, probe: true}
-					y.proxy = f.Proxies[w.Rng.Intn(len(f.Proxies))]
-					f.Seen.Sent++
-					y.proxy.After(1_000, func() { y.proxy.arrive(y, "again", 5_000_000) })
+					y := &callerRequest{group: x.group, kind: x.kind, id: x.id, keyDigest: x.keyDigest, generation: x.generation, probe: true}
+					y.gateway = f.Gateways[world.Rng.Intn(len(f.Gateways))]
+					f.Tally.Sent++
+					y.gateway.After(1_000, func() { y.gateway.admit(y, "again", 5_000_000) })
 				}
 			}
-			w.At(1_300_000, func() { s.Put(nil) })
-			w.At(2_500_000, func() {
+			world.At(1_300_000, func() { s.PutPlan(nil) })
+			world.At(2_500_000, func() {
 				for i := 0; i < 8; i++ { // some 300 tickets a second
-					f.call(s, 30_000_000)
+					f.sendRequests(s, 30_000_000)
 				}
 			})
 			count := func(from, to int64) (mine, all int) {
 				for _, x := range f.Engines {
-					for _, at := range x.knocks {
+					for _, at := range x.arrivalTimes {
 						if at >= from && at < to {
 							all++
 							if x == e {
@@ -48,27 +48,27 @@
 				}
 				return mine, all
 			}
-			w.At(8_000_000, func() {
+			world.At(8_000_000, func() {
 				switch bad {
 				case "breaks off":
-					e.breaks = true
+					e.interruptsRuns = true
 				case "refuses":
-					e.room = 0
+					e.capacity = 0
 				default:
 					e.Kill()
 				}
 			})
-			w.At(16_000_000, func() {
-				e.breaks, e.room = false, 12
+			world.At(16_000_000, func() {
+				e.interruptsRuns, e.capacity = false, 12
 				e.Start()
 			})
-			w.Run(34_000_000)
-			if len(w.wrong) > 0 {
-				t.Fatal(w.wrong)
+			world.Run(34_000_000)
+			if len(world.violations) > 0 {
+				t.Fatal(world.violations)
 			}
 			var arrived, retries, attempts uint64
-			for _, p := range f.Proxies {
-				c := p.d.Counters
+			for _, p := range f.Gateways {
+				c := p.dispatcher.Counters
 				arrived, retries, attempts = arrived+c.Arrived, retries+c.Retries, attempts+c.Attempts
 			}
 			while, all := count(9_000_000, 16_000_000)
--- a/sim/shares_test.go
+++ b/sim/shares_test.go
@@ -36,7 +36,7 @@
 	"an engine is lost in a flood": {who: []crowd{{"walled", []int{0}, 4_000, 0, crowdTo},
 		{"desk", []int{0, 1, 2}, 200_000, 0, crowdTo}}, strike: func(f *Fleet) { f.Engines[0].Kill() }},
 	"a proxy is lost in a flood": {who: []crowd{{"walled", []int{0, 1}, 8_000, 0, crowdTo},
-		{"desk", []int{0, 2}, 150_000, 0, crowdTo}}, strike: func(f *Fleet) { f.Proxies[1].Kill() }},
+		{"desk", []int{0, 2}, 150_000, 0, crowdTo}}, strike: func(f *Fleet) { f.Gateways[1].Kill() }},
 }
 
 type portion struct{ sent, done, refused, late, unknown int }
@@ -121,15 +121,15 @@
 
 func share(t *testing.T, seed int64, name string) map[string]portion {
 	c := crowds[name]
-	f := NewFleet(seed, FleetSize{Proxies: 3, Engines: 3})
+	f := NewFleet(seed, FleetSize{Gateways: 3, Engines: 3})
 	for _, e := range f.Engines {
-		e.room = 8
+		e.capacity = 8
 	}
-	s := NewScript(f)
-	w := f.W
+	s := NewFleetOperator(f)
+	world := f.World
 	got := map[string]portion{}
-	f.judge.onTold = func(x *send, o attempt.Outcome) {
-		if x.born < crowdFrom {
+	f.checker.onRequestEnded = func(x *callerRequest, o attempt.Outcome) {
+		if x.sentAt < crowdFrom {
 			return
 		}
 		g := got[x.group]
@@ -138,7 +138,7 @@
 			g.done++
 		case attempt.Rejected:
 			g.refused++
-			if w.now-x.born > (x.due-x.born)/2 {
+			if world.now-x.sentAt > (x.deadline-x.sentAt)/2 {
 				g.late++
 			}
 		default:
@@ -147,35 +147,35 @@
 		got[x.group] = g
 	}
 	n := 0
-	var send1 func(c crowd, p *Proxy)
-	send1 = func(c crowd, p *Proxy) {
-		if w.now > c.to {
+	var send1 func(c crowd, p *Gateway)
+	send1 = func(c crowd, p *Gateway) {
+		if world.now > c.to {
 			return
 		}
 		n++
-		x := &send{group: c.group, kind: "check", id: fmt.Sprint("f", n), digest: simKey(c.group, 0), proxy: p, born: w.now, due: w.now + 8_000_000}
+		x := &callerRequest{group: c.group, kind: "check", id: fmt.Sprint("f", n), keyDigest: simKey(c.group, 0), gateway: p, sentAt: world.now, deadline: world.now + 8_000_000}
 		if p.up {
-			if w.now >= crowdFrom {
+			if world.now >= crowdFrom {
 				g := got[c.group]
 				g.sent++
 				got[c.group] = g
 			}
-			p.After(300, func() { p.arrive(x, "flood", 8_000_000) })
+			p.After(300, func() { p.admit(x, "flood", 8_000_000) })
 		}
-		w.At(w.now+c.gap, func() { send1(c, p) })
+		world.At(world.now+c.gap, func() { send1(c, p) })
 	}
-	w.At(1_300_000, func() { s.Put(nil) })
+	world.At(1_300_000, func() { s.PutPlan(nil) })
 	for _, x := range c.who {
 		for _, p := range x.at {
-			w.At(max(4_000_000, x.from), func() { send1(x, f.Proxies[p]) })
+			world.At(max(4_000_000, x.from), func() { send1(x, f.Gateways[p]) })
 		}
 	}
 	if c.strike != nil {
-		w.At(14_000_000, func() { c.strike(f) })
+		world.At(14_000_000, func() { c.strike(f) })
 	}
-	w.Run(36_000_000)
-	if len(w.wrong) > 0 {
-		t.Fatalf("seed %d: %v", seed, w.wrong)
+	world.Run(36_000_000)
+	if len(world.violations) > 0 {
+		t.Fatalf("seed %d: %v", seed, world.violations)
 	}
 	return got
 }
--- a/sim/slot_writer.go
+++ b/sim/slot_writer.go
@@ -10,12 +10,12 @@
 // whatever is lost or stands still shows.
 type SlotWriter struct {
 	*Host
-	core      *Core
-	histories []*History // by slot
-	ackedAt   []int64    // by slot, when a change was last acknowledged
-	next      int
+	cluster        *Cluster
+	histories      []*History // by slot
+	acknowledgedAt []int64    // by slot, when a change was last acknowledged
+	next           int
 	// OnAck is called at each acknowledgement of a change.
-	OnAck func(slot int)
+	OnAcknowledged func(slot int)
 }
 
 const (
@@ -26,13 +26,13 @@
 )
 
 // NewSlotWriter adds a writer.
-func NewSlotWriter(c *Core) *SlotWriter {
+func NewSlotWriter(c *Cluster) *SlotWriter {
 	slots := quorum.DefaultConfig("", 0).Slots
-	s := &SlotWriter{core: c, ackedAt: make([]int64, slots)}
+	s := &SlotWriter{cluster: c, acknowledgedAt: make([]int64, slots)}
 	for i := range slots {
-		s.histories = append(s.histories, NewHistory(c.w, keyOfSlot(i)))
+		s.histories = append(s.histories, NewHistory(c.world, keyOfSlot(i)))
 	}
-	s.Host = c.w.NewHost("slot-writer", "north", func() { s.Every(slotWriteEvery, s.act) })
+	s.Host = c.world.NewHost("slot-writer", "north", func() { s.Every(slotWriteEvery, s.act) })
 	return s
 }
 
@@ -54,50 +54,52 @@
 		op = quorum.Operation{Type: quorum.OpGet}
 	}
 	op.Key = s.histories[slot].key
-	s.do(s.pick(), slot, op, func(bool) {})
+	s.operate(s.liveNode(), slot, op, func(bool) {})
 }
 
 // do runs an operation at a node and judges its answer.
-func (s *SlotWriter) do(r *Registrar, slot int, op quorum.Operation, done func(ok bool)) {
-	w := s.core.w
-	from := w.now
+func (s *SlotWriter) operate(r *ControlNode, slot int, op quorum.Operation, done func(ok bool)) {
+	world := s.cluster.world
+	from := world.now
 	Call(s.Host, r.Host, op, slotWriteLimit,
-		func(q quorum.Operation, reply func(quorum.Result)) { r.once(q, 0, r.Clock()+slotWriteLimit, reply) },
+		func(q quorum.Operation, reply func(quorum.Result)) {
+			r.proposeOnce(q, 0, r.Clock()+slotWriteLimit, reply)
+		},
 		func(a quorum.Result) {
 			if a.Status != quorum.StatusDone {
 				done(false)
 				return
 			}
 			put := op.Type == quorum.OpPut
-			s.histories[slot].add(seenOp{from, w.now, a.Revision, string(a.Value), put})
+			s.histories[slot].add(observedOperation{from, world.now, a.Revision, string(a.Value), put})
 			if put {
-				s.ackedAt[slot] = w.now
+				s.acknowledgedAt[slot] = world.now
 			}
 			done(true)
-			if put && s.OnAck != nil {
-				s.OnAck(slot)
+			if put && s.OnAcknowledged != nil {
+				s.OnAcknowledged(slot)
 			}
 		},
 		func() { done(false) })
 }
 
 // pick is a node that is up; which ones are is no secret to callers for long.
-func (s *SlotWriter) pick() *Registrar {
-	var up []*Registrar
-	for _, r := range s.core.Nodes {
+func (s *SlotWriter) liveNode() *ControlNode {
+	var up []*ControlNode
+	for _, r := range s.cluster.Nodes {
 		if r.up && r.node != nil {
 			up = append(up, r)
 		}
 	}
 	if len(up) == 0 {
-		up = s.core.Nodes
+		up = s.cluster.Nodes
 	}
-	return up[s.core.w.Rng.Intn(len(up))]
+	return up[s.cluster.world.Rng.Intn(len(up))]
 }
 
 // AckedSince reports whether a change of every slot was acknowledged since a time.
-func (s *SlotWriter) AckedSince(at int64) bool {
-	for _, a := range s.ackedAt {
+func (s *SlotWriter) AcknowledgedSince(at int64) bool {
+	for _, a := range s.acknowledgedAt {
 		if a <= at {
 			return false
 		}
@@ -106,9 +108,9 @@
 }
 
 // Acks is how many changes were acknowledged.
-func (s *SlotWriter) Acks() (n int) {
+func (s *SlotWriter) Acknowledged() (n int) {
 	for _, h := range s.histories {
-		n += h.Acks
+		n += h.Acknowledged
 	}
 	return n
 }
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -22,14 +22,14 @@
 
 // newSnapshotDay fills the slot of the plan with so many registers of 20 KB.
 func newSnapshotDay(t *testing.T, seed int64, registers int) *snapshotDay {
-	w := NewWorld(seed)
-	c := NewCore(w, 4)
-	c.heals = true
-	c.era = 60_000_000
-	c.rings.SegmentBytes = 2 << 20
+	world := NewWorld(seed)
+	c := NewCluster(world, 4)
+	c.selfHealing = true
+	c.generationUS = 60_000_000
+	c.logConfig.SegmentBytes = 2 << 20
 	c.Start()
-	d := &snapshotDay{membershipDay: &membershipDay{Core: c, size: coreSizes[1], h: NewHistory(w, planKey)}, every: 10_000}
-	c.drop = func(m quorum.Message) bool {
+	d := &snapshotDay{membershipDay: &membershipDay{Cluster: c, size: coreSizes[1], h: NewHistory(world, planKey)}, every: 10_000}
+	c.dropsMessage = func(m quorum.Message) bool {
 		size := 0
 		for _, e := range m.Entries {
 			size += len(e.Key) + len(e.Value)
@@ -42,17 +42,17 @@
 			d.keys = append(d.keys, k)
 		}
 	}
-	w.Run(2_500_000)
+	world.Run(2_500_000)
 	for _, k := range d.keys {
 		d.put(t, k)
 	}
-	client := w.NewHost("client", "north", func() {})
+	client := world.NewHost("client", "north", func() {})
 	client.Start()
 	var next func()
 	next = func() {
-		r := d.Nodes[w.Rng.Intn(len(d.Nodes))]
-		k := d.keys[w.Rng.Intn(len(d.keys))]
-		Call(client, r.Host, d.op(k), 900_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Op(q, 0, rep) }, func(a quorum.Result) {
+		r := d.Nodes[world.Rng.Intn(len(d.Nodes))]
+		k := d.keys[world.Rng.Intn(len(d.keys))]
+		Call(client, r.Host, d.op(k), 900_000, func(q quorum.Operation, rep func(quorum.Result)) { r.Forward(q, 0, rep) }, func(a quorum.Result) {
 			if a.Status == quorum.StatusDone {
 				d.changes++
 			}
@@ -60,7 +60,7 @@
 		client.After(d.every, next)
 	}
 	client.After(1, next)
-	NewOperator(c, "operator", d.h, 60).Start()
+	NewRegisterClient(c, "operator", d.h, 60).Start()
 	return d
 }
 
@@ -72,18 +72,18 @@
 	t.Helper()
 	for try := 0; try < 50; try++ {
 		var a quorum.Result
-		d.Nodes[try%4].Op(d.op(key), 0, func(x quorum.Result) { a = x })
+		d.Nodes[try%4].Forward(d.op(key), 0, func(x quorum.Result) { a = x })
 		d.until(1_000_000, func() bool { return a.Status != 0 })
 		if a.Status == quorum.StatusDone {
 			return
 		}
 	}
-	t.Fatalf("%s is not settled: %v", key, d.w.wrong)
+	t.Fatalf("%s is not settled: %v", key, d.world.violations)
 }
 
 // differs names a register of the filled slot that the owner has settled and r holds
 // otherwise, or "".
-func (d *snapshotDay) differs(r *Registrar) string {
+func (d *snapshotDay) differs(r *ControlNode) string {
 	o := d.slotOwner()
 	if o == nil || o == r {
 		return ""
@@ -99,7 +99,7 @@
 }
 
 // registers are all that a machine holds.
-func registers(r *Registrar) map[string]quorum.Entry {
+func registers(r *ControlNode) map[string]quorum.Entry {
 	all := map[string]quorum.Entry{}
 	for _, rec := range r.node.Checkpoint() {
 		if rec.Type == quorum.RecordEntry {
@@ -110,7 +110,7 @@
 }
 
 // slotOwner is the machine that owns the slot, or nil.
-func (d *snapshotDay) slotOwner() *Registrar {
+func (d *snapshotDay) slotOwner() *ControlNode {
 	for _, r := range d.alive() {
 		if owns(r) == 1 {
 			return r
@@ -136,33 +136,33 @@
 				}
 				r.Kill()
 				if how != "behind" {
-					r.lose()
+					r.loseDisk()
 				}
-				d.w.Run(d.w.now + 6_000_000)
+				d.world.Run(d.world.now + 6_000_000)
 				r.Start()
 				bound := d.size.sync
 				switch how {
 				case "ends midway":
 					d.until(1_000_000, func() bool { return r.node != nil })
-					d.w.Run(d.w.now + d.w.Rng.Int63n(60_000))
-					d.w.Note("%s ends midway", r.Name)
-					r.PowerLoss()
-					d.w.Run(d.w.now + 200_000)
+					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
+					d.world.Notef("%s ends midway", r.Name)
+					r.LosePower()
+					d.world.Run(d.world.now + 200_000)
 					r.Start()
 				case "lossy":
-					d.w.Loss, d.w.Dup = 20, 200
+					d.world.LossPermille, d.world.DuplicatePermille = 20, 200
 				case "owner ends midway":
 					d.until(1_000_000, func() bool { return r.node != nil })
-					d.w.Run(d.w.now + d.w.Rng.Int63n(60_000))
+					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
 					if o := d.slotOwner(); o != nil && o != r {
 						o.Kill()
-						d.w.At(d.w.now+300_000, o.Start)
+						d.world.At(d.world.now+300_000, o.Start)
 					}
 				}
 				took, ok := d.until(bound, func() bool { return d.caughtUp(r) })
-				if len(d.w.wrong) > 0 || !ok {
-					ro, _ := d.voters()
-					t.Fatalf("seed %d: not caught up in %d us, votes %v, largest message %d bytes, %d changes: %v", seed, took, r.holds(ro), d.largest, d.changes, d.w.wrong)
+				if len(d.world.violations) > 0 || !ok {
+					ro, _ := d.currentVoters()
+					t.Fatalf("seed %d: not caught up in %d us, votes %v, largest message %d bytes, %d changes: %v", seed, took, r.isMemberOf(ro), d.largest, d.changes, d.world.violations)
 				}
 				if was := d.differs(r); was != "" {
 					t.Fatalf("seed %d: it holds something else than the owner: %s", seed, was)
--- a/sim/soak_test.go
+++ b/sim/soak_test.go
@@ -22,32 +22,32 @@
 			var back int64
 			for s := from + 1; s <= from+n; s++ {
 				r := RunFleet(s, d, soakLong(d), small)
-				if len(r.Wrong) > 0 {
-					t.Errorf("seed %d: %v", s, r.Wrong)
+				if len(r.Violations) > 0 {
+					t.Errorf("seed %d: %v", s, r.Violations)
 					t.Log(strings.Join(r.Notes[max(0, len(r.Notes)-40):], "\n"))
 					return
 				}
-				sum.Sent, sum.Done, sum.Refused = sum.Sent+r.Sent, sum.Done+r.Done, sum.Refused+r.Refused
-				sum.WorstKey, sum.WorstLeave, sum.WorstTurn = max(sum.WorstKey, r.WorstKey), max(sum.WorstLeave, r.WorstLeave), max(sum.WorstTurn, r.WorstTurn)
-				back = max(back, r.Back)
+				sum.Sent, sum.Done, sum.Rejected = sum.Sent+r.Sent, sum.Done+r.Done, sum.Rejected+r.Rejected
+				sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS = max(sum.SlowestRevocationUS, r.SlowestRevocationUS), max(sum.SlowestDrainUS, r.SlowestDrainUS), max(sum.SlowestWeightUpdateUS, r.SlowestWeightUpdateUS)
+				back = max(back, r.RecoveryUS)
 			}
-			t.Logf("%d seeds: sent %d done %d refused %d; slowest return %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Refused, back, sum.WorstKey, sum.WorstLeave, sum.WorstTurn)
+			t.Logf("%d seeds: sent %d done %d refused %d; slowest return %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Rejected, back, sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS)
 		})
 	}
-	for _, f := range CoreFaults {
+	for _, f := range ClusterFaults {
 		t.Run("core/"+string(f), func(t *testing.T) {
 			t.Parallel()
 			var worst, slowest int64
 			acks, terms, steps, late, joined := 0, 0, 0, 0, 0
 			for s := from + 1; s <= from+n; s++ {
-				d := RunCore(s, f, 10_000_000)
-				if len(d.Wrong) > 0 {
-					t.Errorf("seed %d: %v", s, d.Wrong)
+				d := RunCluster(s, f, 10_000_000)
+				if len(d.Violations) > 0 {
+					t.Errorf("seed %d: %v", s, d.Violations)
 					t.Log(strings.Join(d.Notes[max(0, len(d.Notes)-40):], "\n"))
 					return
 				}
-				joined, slowest = joined+d.Joined, max(slowest, d.Slowest)
-				worst, acks, terms, steps, late = max(worst, d.Back), acks+d.Acks, terms+d.Terms, steps+d.Steps, late+d.Late
+				joined, slowest = joined+d.Joins, max(slowest, d.SlowestJoinUS)
+				worst, acks, terms, steps, late = max(worst, d.RecoveryUS), acks+d.Acknowledged, terms+d.LeaseTerms, steps+d.Replacements, late+d.LateClaims
 			}
 			t.Logf("%d seeds: %d acknowledged, %d duty terms, %d roster steps, %d claims of closed eras, %d joined, slowest after %d us, slowest return %d us", n, acks, terms, steps, late, joined, slowest, worst)
 		})
@@ -56,7 +56,7 @@
 
 // soakLong is how long a day is: the bound on weights is itself as long as most.
 func soakLong(d Day) int64 {
-	if d == DWeights {
+	if d == DayWeights {
 		return 70_000_000
 	}
 	return 25_000_000
--- a/sim/waves_test.go
+++ b/sim/waves_test.go
@@ -14,17 +14,17 @@
 	n := seeds()
 	least, worst := 18, int64(0)
 	for seed := int64(1); seed <= max(n, 2); seed++ {
-		f := NewFleet(seed, FleetSize{Proxies: 9, Engines: 18})
-		s := NewScript(f)
-		w := f.W
-		w.At(1_300_000, func() { s.Put(nil) })
-		w.At(2_500_000, func() { f.call(s, 30_000_000) })
-		w.At(6_000_000, s.Name)
-		w.At(8_000_000, func() { f.Custodians[seed%4].Kill() })
+		f := NewFleet(seed, FleetSize{Gateways: 9, Engines: 18})
+		s := NewFleetOperator(f)
+		world := f.World
+		world.At(1_300_000, func() { s.PutPlan(nil) })
+		world.At(2_500_000, func() { f.sendRequests(s, 30_000_000) })
+		world.At(6_000_000, s.NameWeights)
+		world.At(8_000_000, func() { f.IndexNodes[seed%4].Kill() })
 		done, lost := int64(0), map[string]int{}
-		f.judge.onTold = func(x *send, o attempt.Outcome) {
-			if o != attempt.Done && x.why != "duplicate" {
-				lost[x.why]++
+		f.checker.onRequestEnded = func(x *callerRequest, o attempt.Outcome) {
+			if o != attempt.Done && x.reason != "duplicate" {
+				lost[x.reason]++
 			}
 		}
 		var look func()
@@ -34,7 +34,7 @@
 				if e.store {
 					continue
 				}
-				if e.turning == "" {
+				if e.loading == "" {
 					serving++
 				}
 				if e.weights != "w2" {
@@ -43,21 +43,21 @@
 			}
 			least = min(least, serving)
 			if old == 0 && done == 0 {
-				done = w.now - 6_000_000
+				done = world.now - 6_000_000
 			}
-			w.At(w.now+20_000, look)
+			world.At(world.now+20_000, look)
 		}
-		w.At(6_000_000, look)
-		w.Run(32_000_000)
-		if len(w.wrong) > 0 {
-			t.Fatalf("seed %d: %v", seed, w.wrong)
+		world.At(6_000_000, look)
+		world.Run(32_000_000)
+		if len(world.violations) > 0 {
+			t.Fatalf("seed %d: %v", seed, world.violations)
 		}
 		if done == 0 || done > 20_000_000 {
 			t.Errorf("seed %d: all engines had turned after %d us", seed, done)
 		}
 		// Callers turned away by engines that turn may use retries up.
-		if f.Seen.Refused*100 > f.Seen.Sent || lost["engine-lost"] > 0 {
-			t.Errorf("seed %d: of %d tickets %v", seed, f.Seen.Sent, lost)
+		if f.Tally.Rejected*100 > f.Tally.Sent || lost["engine-lost"] > 0 {
+			t.Errorf("seed %d: of %d tickets %v", seed, f.Tally.Sent, lost)
 		}
 		worst = max(worst, done)
 	}
--- a/sim/weights_operator.go
+++ b/sim/weights_operator.go
@@ -9,21 +9,21 @@
 
 // WeightsHistory judges in true time what operators are told about named weights.
 type WeightsHistory struct {
-	w      *World
-	newest uint64
-	since  map[uint64]int64 // version: since when a version as new was certainly named
-	Acks   int
+	world        *World
+	newest       uint64
+	since        map[uint64]int64 // version: since when a version as new was certainly named
+	Acknowledged int
 }
 
 // NewWeightsHistory starts the history of a world without weights.
-func NewWeightsHistory(w *World) *WeightsHistory {
-	return &WeightsHistory{w: w, since: map[uint64]int64{}}
+func NewWeightsHistory(world *World) *WeightsHistory {
+	return &WeightsHistory{world: world, since: map[uint64]int64{}}
 }
 
-func (h *WeightsHistory) acked(version uint64) {
-	h.Acks++
+func (h *WeightsHistory) acknowledged(version uint64) {
+	h.Acknowledged++
 	if _, ok := h.since[version]; !ok {
-		h.since[version] = h.w.now
+		h.since[version] = h.world.now
 	}
 	h.newest = max(h.newest, version)
 }
@@ -41,7 +41,7 @@
 // WeightsOperator names one version after the other, each until it is acknowledged.
 type WeightsOperator struct {
 	*Host
-	core    *Core
+	cluster *Cluster
 	history *WeightsHistory
 	Pause   int64
 	version uint64
@@ -49,9 +49,9 @@
 }
 
 // NewWeightsOperator adds an operator.
-func NewWeightsOperator(c *Core, name, site string, h *WeightsHistory) *WeightsOperator {
-	o := &WeightsOperator{core: c, history: h, Pause: 400_000}
-	o.Host = c.w.NewHost(name, site, func() { o.After(c.w.Rng.Int63n(o.Pause)+1, o.next) })
+func NewWeightsOperator(c *Cluster, name, site string, h *WeightsHistory) *WeightsOperator {
+	o := &WeightsOperator{cluster: c, history: h, Pause: 400_000}
+	o.Host = c.world.NewHost(name, site, func() { o.After(c.world.Rng.Int63n(o.Pause)+1, o.next) })
 	return o
 }
 
@@ -64,9 +64,9 @@
 
 func (o *WeightsOperator) send() {
 	o.sends++
-	nodes := o.core.Nodes
-	node := nodes[o.core.w.Rng.Intn(len(nodes))]
-	version, from := o.version, o.core.w.now
+	nodes := o.cluster.Nodes
+	node := nodes[o.cluster.world.Rng.Intn(len(nodes))]
+	version, from := o.version, o.cluster.world.now
 	Call(o.Host, node.Host, version, operatorSilence,
 		func(version uint64, answer func(Reply)) {
 			node.Edit(route.WeightsKey, nameWeights(simModel, version), answer)
@@ -80,13 +80,13 @@
 }
 
 func (o *WeightsOperator) answered(version uint64, r Reply, from int64) {
-	if r.Outcome != Taken {
+	if r.Outcome != OutcomeAccepted {
 		o.again()
 		return
 	}
 	if floor := o.history.namedAt(from); r.Version < floor {
-		o.core.w.Wrong("older weights", "version %d was told at %d, %d was named before", r.Version, from, floor)
+		o.cluster.world.Violation("older weights", "version %d was told at %d, %d was named before", r.Version, from, floor)
 	}
-	o.history.acked(version)
-	o.After(o.Pause/2+o.core.w.Rng.Int63n(o.Pause), o.next)
+	o.history.acknowledged(version)
+	o.After(o.Pause/2+o.cluster.world.Rng.Int63n(o.Pause), o.next)
 }
