--- a/sim/world.go
+++ b/sim/world.go
@@ -14,49 +14,49 @@
 )
 
 type event struct {
-	at  int64
-	seq uint64
-	fn  func()
+	time     int64
+	sequence uint64
+	run      func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].time < q[j].time || q[i].time == q[j].time && q[i].sequence < q[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push adds an event, for the heap.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
 // Pop takes the last event off, for the heap.
-func (e *events) Pop() any {
-	o := *e
+func (q *eventQueue) Pop() any {
+	o := *q
 	x := o[len(o)-1]
-	*e = o[:len(o)-1]
+	*q = o[:len(o)-1]
 	return x
 }
 
 // World is one simulated run. All of it happens on the calling goroutine.
 type World struct {
-	Seed  int64
-	now   int64
-	seq   uint64
-	q     events
-	Rng   *rand.Rand
-	hosts []*Host
-	cut   map[[2]string]bool
-	reset map[[2]string]bool // of the ways that are cut: calls fail at once
-	slow  map[[2]string]int64
+	Seed         int64
+	now          int64
+	lastSequence uint64
+	queue        eventQueue
+	Rng          *rand.Rand
+	hosts        []*Host
+	cutLinks     map[[2]string]bool
+	resetLinks   map[[2]string]bool // of the ways that are cut: calls fail at once
+	linkDelayUS  map[[2]string]int64
 	// Loss and Dup are in thousandths of messages.
-	Loss, Dup int
-	wrong     []string
-	seen      map[string]bool
-	note      []string
-	Steps     uint64
-	after     []func() // checked after every event
-	observer  observer // nil if nobody looks on
+	LossPermille, DuplicatePermille int
+	violations                      []string
+	violatedKinds                   map[string]bool
+	notes                           []string
+	Events                          uint64
+	invariants                      []func() // checked after every event
+	observer                        observer // nil if nobody looks on
 }
 
 // observer is told of each message, disk write and decision of a world, in order. It
@@ -68,11 +68,11 @@
 
 // NewWorld makes an empty world.
 func NewWorld(seed int64) *World {
-	w := &World{Seed: seed, Rng: rand.New(rand.NewSource(seed)), cut: map[[2]string]bool{}, reset: map[[2]string]bool{}, slow: map[[2]string]int64{}, seen: map[string]bool{}}
+	world := &World{Seed: seed, Rng: rand.New(rand.NewSource(seed)), cutLinks: map[[2]string]bool{}, resetLinks: map[[2]string]bool{}, linkDelayUS: map[[2]string]int64{}, violatedKinds: map[string]bool{}}
 	if observeWorld != nil {
-		w.observer = observeWorld(w)
+		world.observer = observeWorld(world)
 	}
-	return w
+	return world
 }
 
 // observe tells the observer, if there is one.
@@ -86,42 +86,42 @@
 func (w *World) Now() int64 { return w.now }
 
 // Wrong records a broken promise, once for each text's kind.
-func (w *World) Wrong(kind, f string, a ...any) {
-	if w.seen[kind] {
+func (w *World) Violation(kind, f string, a ...any) {
+	if w.violatedKinds[kind] {
 		return
 	}
-	w.seen[kind] = true
-	w.wrong = append(w.wrong, fmt.Sprintf("t=%d %s: %s", w.now, kind, fmt.Sprintf(f, a...)))
+	w.violatedKinds[kind] = true
+	w.violations = append(w.violations, fmt.Sprintf("t=%d %s: %s", w.now, kind, fmt.Sprintf(f, a...)))
 }
 
 // Note records what happened, for the report of a failing seed.
-func (w *World) Note(f string, a ...any) {
-	w.note = append(w.note, fmt.Sprintf("t=%d ", w.now)+fmt.Sprintf(f, a...))
-	if len(w.note) > 400 {
-		w.note = w.note[200:]
+func (w *World) Notef(f string, a ...any) {
+	w.notes = append(w.notes, fmt.Sprintf("t=%d ", w.now)+fmt.Sprintf(f, a...))
+	if len(w.notes) > 400 {
+		w.notes = w.notes[200:]
 	}
 }
 
 // Notes and Problems are what Note and Wrong gathered.
-func (w *World) Notes() []string { return w.note }
+func (w *World) Notes() []string { return w.notes }
 
 // Problems lists broken promises.
-func (w *World) Problems() []string { return w.wrong }
+func (w *World) Violations() []string { return w.violations }
 
 // At runs fn at a true time.
 func (w *World) At(at int64, fn func()) {
-	w.seq++
-	heap.Push(&w.q, event{max(at, w.now), w.seq, fn})
+	w.lastSequence++
+	heap.Push(&w.queue, event{max(at, w.now), w.lastSequence, fn})
 }
 
 // Run advances until a true time, or until something went wrong.
 func (w *World) Run(until int64) {
-	for len(w.q) > 0 && w.q[0].at <= until && len(w.wrong) == 0 {
-		e := heap.Pop(&w.q).(event)
-		w.now = e.at
-		w.Steps++
-		e.fn()
-		for _, f := range w.after {
+	for len(w.queue) > 0 && w.queue[0].time <= until && len(w.violations) == 0 {
+		e := heap.Pop(&w.queue).(event)
+		w.now = e.time
+		w.Events++
+		e.run()
+		for _, f := range w.invariants {
 			f()
 		}
 	}
@@ -130,28 +130,28 @@
 
 // Host is a machine, or one process on it.
 type Host struct {
-	w      *World
-	Name   string
-	Site   string
-	life   int
-	up     bool
-	frozen bool
-	later  []func()
-	skew   int64
-	woke   int64 // true time of the last thaw
-	boot   func()
-	onDown func()
+	world       *World
+	Name        string
+	Zone        string
+	process     int
+	up          bool
+	frozen      bool
+	deferred    []func()
+	clockOffset int64
+	thawedAt    int64 // true time of the last thaw
+	boot        func()
+	onStop      func()
 }
 
 // NewHost adds a host; boot is run whenever it starts.
 func (w *World) NewHost(name, site string, boot func()) *Host {
-	h := &Host{w: w, Name: name, Site: site, boot: boot}
+	h := &Host{world: w, Name: name, Zone: site, boot: boot}
 	w.hosts = append(w.hosts, h)
 	return h
 }
 
 // Clock is the host's time since boot: no two hosts agree on it.
-func (h *Host) Clock() int64 { return h.w.now + h.skew }
+func (h *Host) Clock() int64 { return h.world.now + h.clockOffset }
 
 // Up reports whether the host runs (it may be frozen).
 func (h *Host) Up() bool { return h.up }
@@ -161,10 +161,10 @@
 	if h.up {
 		return
 	}
-	h.up, h.frozen, h.later = true, false, nil
-	h.life++
-	h.skew = 1_000_000 + h.w.Rng.Int63n(1_000_000_000)
-	h.w.Note("%s starts", h.Name)
+	h.up, h.frozen, h.deferred = true, false, nil
+	h.process++
+	h.clockOffset = 1_000_000 + h.world.Rng.Int63n(1_000_000_000)
+	h.world.Notef("%s starts", h.Name)
 	h.boot()
 }
 
@@ -173,11 +173,11 @@
 	if !h.up {
 		return
 	}
-	h.w.Note("%s dies", h.Name)
-	h.up, h.later = false, nil
-	h.life++
-	if h.onDown != nil {
-		h.onDown()
+	h.world.Notef("%s dies", h.Name)
+	h.up, h.deferred = false, nil
+	h.process++
+	if h.onStop != nil {
+		h.onStop()
 	}
 }
 
@@ -185,7 +185,7 @@
 // arrived meanwhile, in order.
 func (h *Host) Freeze() {
 	if h.up && !h.frozen {
-		h.w.Note("%s freezes", h.Name)
+		h.world.Notef("%s freezes", h.Name)
 		h.frozen = true
 	}
 }
@@ -195,22 +195,22 @@
 	if !h.frozen {
 		return
 	}
-	h.w.Note("%s thaws", h.Name)
-	h.frozen, h.woke = false, h.w.now
-	l := h.later
-	h.later = nil
-	h.w.Rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
+	h.world.Notef("%s thaws", h.Name)
+	h.frozen, h.thawedAt = false, h.world.now
+	l := h.deferred
+	h.deferred = nil
+	h.world.Rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
 	for _, f := range l {
 		f()
 	}
 }
 
 // run runs fn on the host in its present life, after a freeze if need be.
-func (h *Host) run(life int, fn func()) {
+func (h *Host) runIn(life int, fn func()) {
 	switch {
-	case !h.up || h.life != life:
+	case !h.up || h.process != life:
 	case h.frozen:
-		h.later = append(h.later, func() { h.run(life, fn) })
+		h.deferred = append(h.deferred, func() { h.runIn(life, fn) })
 	default:
 		fn()
 	}
@@ -218,25 +218,25 @@
 
 // After runs fn on the host in d microseconds, unless it died meanwhile.
 func (h *Host) After(d int64, fn func()) {
-	l := h.life
-	h.w.At(h.w.now+d, func() { h.run(l, fn) })
+	l := h.process
+	h.world.At(h.world.now+d, func() { h.runIn(l, fn) })
 }
 
 // Every runs fn now and then each period with a little jitter.
 func (h *Host) Every(period int64, fn func()) {
 	fn()
-	h.After(period+h.w.Rng.Int63n(period/8+1), func() { h.Every(period, fn) })
+	h.After(period+h.world.Rng.Int63n(period/8+1), func() { h.Every(period, fn) })
 }
 
 // Cut cuts the way from a to b; Heal mends it.
-func (w *World) Cut(a, b string) { w.cut[[2]string{a, b}] = true }
+func (w *World) Cut(a, b string) { w.cutLinks[[2]string{a, b}] = true }
 
 // CutBoth cuts both ways.
 func (w *World) CutBoth(a, b string) { w.Cut(a, b); w.Cut(b, a) }
 
 // HealAll mends all cuts and slow ways.
 func (w *World) HealAll() {
-	w.cut, w.reset, w.slow = map[[2]string]bool{}, map[[2]string]bool{}, map[[2]string]int64{}
+	w.cutLinks, w.resetLinks, w.linkDelayUS = map[[2]string]bool{}, map[[2]string]bool{}, map[[2]string]int64{}
 }
 
 // Isolate cuts a host off from all others.
@@ -246,12 +246,12 @@
 			w.CutBoth(h.Name, name)
 		}
 	}
-	w.Note("%s isolated", name)
+	w.Notef("%s isolated", name)
 }
 
 // cutOff reports whether any way to or from a host is cut.
-func (w *World) cutOff(h *Host) bool {
-	for c := range w.cut {
+func (w *World) hasCutLink(h *Host) bool {
+	for c := range w.cutLinks {
 		if c[0] == h.Name || c[1] == h.Name {
 			return true
 		}
@@ -261,79 +261,79 @@
 
 // Send carries fn to another host: late, lost or repeated as the network will.
 func (h *Host) Send(to *Host, fn func()) {
-	w := h.w
+	world := h.world
 	if h == to {
 		h.After(1, fn)
 		return
 	}
 	n := 1
-	if w.Dup > 0 && w.Rng.Intn(1000) < w.Dup {
+	if world.DuplicatePermille > 0 && world.Rng.Intn(1000) < world.DuplicatePermille {
 		n = 2
 	}
 	for i := 0; i < n; i++ {
-		if w.cut[[2]string{h.Name, to.Name}] || w.Loss > 0 && w.Rng.Intn(1000) < w.Loss {
+		if world.cutLinks[[2]string{h.Name, to.Name}] || world.LossPermille > 0 && world.Rng.Intn(1000) < world.LossPermille {
 			continue
 		}
-		d := 150 + w.Rng.Int63n(900) + w.slow[[2]string{h.Name, to.Name}]
-		if w.Rng.Intn(200) == 0 {
-			d += w.Rng.Int63n(30_000)
+		d := 150 + world.Rng.Int63n(900) + world.linkDelayUS[[2]string{h.Name, to.Name}]
+		if world.Rng.Intn(200) == 0 {
+			d += world.Rng.Int63n(30_000)
 		}
-		l := to.life
-		w.At(w.now+d, func() { to.run(l, fn) })
+		l := to.process
+		world.At(world.now+d, func() { to.runIn(l, fn) })
 	}
 }
 
 // Call asks another host; exactly one of answer and fail runs, unless the
 // asker dies. A call that is answered too late fails.
 func Call[Q, A any](h, to *Host, q Q, us int64, serve func(q Q, reply func(A)), answer func(A), fail func()) {
-	over, life := false, h.life
+	over, life := false, h.process
 	giveUp := func() {
 		if !over {
 			over = true
 			fail()
 		}
 	}
-	h.w.observe("ask", h.Name, to.Name, q)
+	h.world.observe("ask", h.Name, to.Name, q)
 	h.Send(to, func() {
 		serve(q, func(a A) {
-			h.w.observe("answer", to.Name, h.Name, a)
+			h.world.observe("answer", to.Name, h.Name, a)
 			to.Send(h, func() {
-				if !over && h.life == life { // an answer to a former life reaches nobody
+				if !over && h.process == life { // an answer to a former life reaches nobody
 					over = true
 					answer(a)
 				}
 			})
-			if h.w.resets(h, to) {
-				h.After(resetAfter, giveUp)
+			if h.world.resetsConnections(h, to) {
+				h.After(resetDelay, giveUp)
 			}
 		})
 	})
-	if h.w.resets(h, to) {
-		h.After(resetAfter, giveUp)
+	if h.world.resetsConnections(h, to) {
+		h.After(resetDelay, giveUp)
 	}
 	h.After(us, giveUp)
 }
 
 // resetAfter is how long a caller takes to learn that its connection was reset.
-const resetAfter = 1_000
+const resetDelay = 1_000
 
 // resets tells whether connections between two hosts are reset.
-func (w *World) resets(a, b *Host) bool {
-	return w.reset[[2]string{a.Name, b.Name}] || w.reset[[2]string{b.Name, a.Name}]
+func (w *World) resetsConnections(a, b *Host) bool {
+	return w.resetLinks[[2]string{a.Name, b.Name}] || w.resetLinks[[2]string{b.Name, a.Name}]
 }
 
 // Disk is a simulated folder. What no sync covered may be lost with the power,
 // whole or in part.
 type Disk struct {
-	w     *World
+	world *World
 	files map[string]*diskFile
 	// Fail makes writes and syncs fail, Stall makes syncs take long.
-	Fail, Full bool
-	Stall      int64
+	FailAll, Full bool
+	SyncDelayUS   int64
 }
 
 type diskFile struct {
-	d       *Disk
+	disk    *Disk
 	name    string
 	durable []byte
 	cache   []byte
@@ -341,9 +341,9 @@
 }
 
 // NewDisk makes an empty disk.
-func NewDisk(w *World) *Disk { return &Disk{w: w, files: map[string]*diskFile{}} }
+func NewDisk(world *World) *Disk { return &Disk{world: world, files: map[string]*diskFile{}} }
 
-var errDisk = errors.New("simulated disk problem")
+var errSimulatedDisk = errors.New("simulated disk problem")
 
 // Size implements wal.FS.
 func (d *Disk) Size(name string) (int64, error) {
@@ -357,7 +357,7 @@
 func (d *Disk) Open(name string, size int64) (wal.File, error) {
 	f := d.files[name]
 	if f == nil {
-		f = &diskFile{d: d, name: name, durable: make([]byte, size), cache: make([]byte, size)}
+		f = &diskFile{disk: d, name: name, durable: make([]byte, size), cache: make([]byte, size)}
 		d.files[name] = f
 	}
 	return f, nil
@@ -368,10 +368,10 @@
 
 // WriteAt writes; a loss of power may undo it until Sync.
 func (f *diskFile) WriteAt(b []byte, o int64) (int, error) {
-	if f.d.Fail {
-		return 0, errDisk
+	if f.disk.FailAll {
+		return 0, errSimulatedDisk
 	}
-	f.d.w.observe("write", f.name, "", diskWrite{o, b})
+	f.disk.world.observe("write", f.name, "", diskWrite{o, b})
 	copy(f.cache[o:], b)
 	f.dirty = append(f.dirty, [2]int64{o, o + int64(len(b))})
 	return len(b), nil
@@ -379,10 +379,10 @@
 
 // Sync makes all that was written last.
 func (f *diskFile) Sync() error {
-	if f.d.Fail {
-		return errDisk
+	if f.disk.FailAll {
+		return errSimulatedDisk
 	}
-	f.d.w.observe("sync", f.name, "", len(f.dirty))
+	f.disk.world.observe("sync", f.name, "", len(f.dirty))
 	for _, r := range f.dirty {
 		copy(f.durable[r[0]:r[1]], f.cache[r[0]:r[1]])
 	}
@@ -399,15 +399,15 @@
 	data   []byte
 }
 
-const sector = 512
+const sectorBytes = 512
 
 // PowerLoss keeps what was synced, and of the rest each sector by chance.
 func (d *Disk) PowerLoss() {
 	for _, f := range d.sorted() {
 		for _, r := range f.dirty {
 			for o := r[0]; o < r[1]; {
-				e := min(r[1], (o/sector+1)*sector)
-				if d.w.Rng.Intn(2) == 0 {
+				e := min(r[1], (o/sectorBytes+1)*sectorBytes)
+				if d.world.Rng.Intn(2) == 0 {
 					copy(f.durable[o:e], f.cache[o:e])
 				}
 				o = e
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -176,11 +176,11 @@
 	disk := sim.NewDisk(sim.NewWorld(1))
 	log, _ := open(t, disk, testConfig)
 	_ = log.Append([]byte("a"))
-	disk.Fail = true
+	disk.FailAll = true
 	if err := log.Sync(); !errors.Is(err, wal.ErrDisk) {
 		t.Fatalf("failed sync: %v", err)
 	}
-	disk.Fail = false
+	disk.FailAll = false
 	if err := log.Append([]byte("b")); !errors.Is(err, wal.ErrDisk) {
 		t.Fatalf("append after a failed sync: %v", err)
 	}
