--- a/agent/agent.go
+++ b/agent/agent.go
@@ -54,11 +54,11 @@
 
 // Poll answers the proxy with plan, grants and cache updates, and takes in its demand and
 // its reports.
-func (a *Agent) Poll(now int64, held *plan.Cached, generation uint64, poll *fb.FeedRequestT) *fb.FeedResponseT {
+func (a *Agent) Poll(now int64, cached *plan.Cached, generation uint64, poll *fb.FeedRequestT) *fb.FeedResponseT {
 	a.lastPoll, a.polledAt, a.polled = *poll, now, true
-	reply := &fb.FeedResponseT{Revision: held.Revision, Age: held.Age(now), Confirmed: held.Known, Generation: generation}
-	if held.Revision != poll.HaveRevision {
-		reply.Plan = held.Raw
+	reply := &fb.FeedResponseT{Revision: cached.Revision, Age: cached.Age(now), Confirmed: cached.Known, Generation: generation}
+	if cached.Revision != poll.HaveRevision {
+		reply.Plan = cached.Raw
 	}
 	for _, name := range a.sourceNames() {
 		source := a.sources[name]
