--- a/sim/agent.go
+++ b/sim/agent.go
@@ -29,8 +29,8 @@
 						o.TransferScores = nil
 					}
 				}
-				agent.HandleReply(query, at, response)
-			}, func() { agent.HandleReply(query, at, nil) })
+				agent.HandleResponse(query, at, response)
+			}, func() { agent.HandleResponse(query, at, nil) })
 		}
 	})
 }
