--- a/internal/app/control/ready.go
+++ b/internal/app/control/ready.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"strings"
 
 	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
@@ -13,11 +12,7 @@
 // processReady carries out the effects of one step of the voter: records to the disk,
 // then the voter set, messages and results. Called from the voter's loop alone.
 func (n *Node) processReady(ready quorum.Ready) {
-	for _, e := range ready.Events {
-		if !strings.HasPrefix(e, "unheard") {
-			n.daemon.Log.Info("settle", "what", e)
-		}
-	}
+	n.logVoterEvents(ready.Events)
 	n.queueRecords(ready.Records)
 	if ready.VoterSet != nil {
 		n.adoptVoterSet(*ready.VoterSet)
--- a/internal/app/directory/cache_events.go
+++ b/internal/app/directory/cache_events.go
@@ -10,14 +10,14 @@
 	"violetthread/schema/fb"
 )
 
-// maxEventsPerReply bounds the cache events in one reply: proxies' links are narrow, and a
-// reply that takes too long is given up and asked of another node, who would begin anew.
-const maxEventsPerReply = 1500
+// maxEventsPerResponse bounds the cache events in one response: proxies' links are narrow,
+// and a response that takes too long is given up and asked of another node, who would begin anew.
+const maxEventsPerResponse = 1500
 
 // Microseconds.
 const (
 	eventPollPause   = 150_000 // between questions to one engine, so that events come in lots
-	eventPollTimeout = 900_000 // that an engine may hold a question for
+	eventPollTimeout = 900_000 // for which an engine may delay an answer
 	eventPollMargin  = 400_000 // beyond that, for the answer to come
 )
 
@@ -66,7 +66,7 @@
 			ctx, cancel := context.WithCancel(d.group.Context())
 			reader := &eventReader{directory: d, eventSource: source, stop: cancel}
 			d.readers[id] = reader
-			d.group.Go("directory.news", func(context.Context) { reader.run(ctx) })
+			d.group.Go("directory.cache_events", func(context.Context) { reader.run(ctx) })
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	eventSource
 	directory *Directory
 	stop      context.CancelFunc
-	epoch     string // of the source, as last told
+	epoch     string // of the source, as it last answered
 	cursor    string // of the next question; of run alone, as epoch
 	failures  int    // questions in a row that failed
 	answered  bool   // or failed, once
@@ -176,29 +176,29 @@
 }
 
 // unsentEvents is the rest of a snapshot that a proxy gets in pages. Called under the lock.
-func (d *Directory) unsentEvents(ask *fb.MapRequestT) []cacheindex.Update {
-	if ask.Node == nil || d.proxies[ask.Node.Name] == nil {
+func (d *Directory) unsentEvents(request *fb.MapRequestT) []cacheindex.Update {
+	if request.Node == nil || d.proxies[request.Node.Name] == nil {
 		return nil
 	}
-	return d.proxies[ask.Node.Name].unsent
+	return d.proxies[request.Node.Name].unsent
 }
 
 // nextEvents is the next page of cache events for a proxy. Called under the lock.
-func (d *Directory) nextEvents(ask *fb.MapRequestT) cacheindex.UpdateBatch {
+func (d *Directory) nextEvents(request *fb.MapRequestT) cacheindex.UpdateBatch {
 	var proxy *proxyState
-	if ask.Node != nil {
-		proxy = d.proxies[ask.Node.Name]
+	if request.Node != nil {
+		proxy = d.proxies[request.Node.Name]
 	}
-	if proxy != nil && len(proxy.unsent) > 0 && ask.UpdatesIncarnation == d.incarnation {
-		page := proxy.unsent[:min(maxEventsPerReply, len(proxy.unsent))]
+	if proxy != nil && len(proxy.unsent) > 0 && request.UpdatesIncarnation == d.incarnation {
+		page := proxy.unsent[:min(maxEventsPerResponse, len(proxy.unsent))]
 		proxy.unsent = proxy.unsent[len(page):]
-		return cacheindex.UpdateBatch{Incarnation: ask.UpdatesIncarnation, Next: ask.UpdatesSince, Updates: page}
+		return cacheindex.UpdateBatch{Incarnation: request.UpdatesIncarnation, Next: request.UpdatesSince, Updates: page}
 	}
-	batch := d.events.Since(ask.UpdatesIncarnation, ask.UpdatesSince, maxEventsPerReply)
+	batch := d.events.Since(request.UpdatesIncarnation, request.UpdatesSince, maxEventsPerResponse)
 	if proxy != nil {
 		proxy.unsent = nil
-		if batch.Reset && len(batch.Updates) > maxEventsPerReply {
-			batch.Updates, proxy.unsent = batch.Updates[:maxEventsPerReply], batch.Updates[maxEventsPerReply:]
+		if batch.Reset && len(batch.Updates) > maxEventsPerResponse {
+			batch.Updates, proxy.unsent = batch.Updates[:maxEventsPerResponse], batch.Updates[maxEventsPerResponse:]
 		}
 	}
 	return batch
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -10,9 +10,9 @@
 	"violetthread/schema/fb"
 )
 
-// namedVersionsKept is how many versions of a model proxies are told of: who lags behind an
+// namedVersionsKept is how many versions of a model proxies learn of: who lags behind an
 // older announcement is late by that, whatever was announced since.
-const namedVersionsKept = 8
+const announcedVersionsKept = 8
 
 // readTimeout is how long the read of one register may take, in microseconds.
 const readTimeout = 700_000
@@ -63,9 +63,9 @@
 	}
 	d.newestVersions = newestOf(doc)
 	for _, model := range doc.Models {
-		for _, version := range model.Versions[max(0, len(model.Versions)-namedVersionsKept):] {
-			if _, known := d.namings.AnnouncedAt(model.Model, version); !known {
-				d.namings.Observe(model.Model, version, since)
+		for _, version := range model.Versions[max(0, len(model.Versions)-announcedVersionsKept):] {
+			if _, known := d.announcements.AnnouncedAt(model.Model, version); !known {
+				d.announcements.Observe(model.Model, version, since)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 // applyRoleChange takes in that another directory leads the rollout. Called under the lock.
 func (d *Directory) applyRoleChange(_ []byte, revision uint64, since int64) {
 	if revision > 1 { // the first leader followed nobody
-		d.namings.StartTerm(revision, since-takeoverWindow)
+		d.announcements.StartTerm(revision, since-takeoverWindow)
 	}
 }
 
@@ -95,27 +95,27 @@
 	have := r.revision
 	d.mu.Unlock()
 	askedAt := clock.Now()
-	answer := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key, HaveRevision: have})
-	if quorum.Status(answer.Status) != quorum.StatusDone {
+	response := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key, HaveRevision: have})
+	if quorum.Status(response.Status) != quorum.StatusDone {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if r.known && answer.Revision < r.revision {
+	if r.known && response.Revision < r.revision {
 		return
 	}
-	changed := answer.Revision != r.revision
-	if changed && len(answer.Value) == 0 {
+	changed := response.Revision != r.revision
+	if changed && len(response.Value) == 0 {
 		return // its value did not come along
 	}
 	lastRead := r.readAt
 	if !r.known {
 		lastRead = d.startedAt
 	}
-	r.known, r.revision, r.readAt = true, answer.Revision, max(r.readAt, askedAt)
+	r.known, r.revision, r.readAt = true, response.Revision, max(r.readAt, askedAt)
 	if changed {
-		r.value = answer.Value
-		apply(answer.Value, answer.Revision, changedSince(lastRead, clock.Now()))
+		r.value = response.Value
+		apply(response.Value, response.Revision, changedSince(lastRead, clock.Now()))
 		d.mapRevision++
 		d.notify()
 	}
--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -71,17 +71,17 @@
 
 // newScheduler makes a scheduler that goes on where the last leader left off.
 func (d *Directory) newScheduler(ctx context.Context, now int64) bool {
-	answer := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: RolloutKey})
-	if quorum.Status(answer.Status) != quorum.StatusDone {
+	response := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: RolloutKey})
+	if quorum.Status(response.Status) != quorum.StatusDone {
 		return false
 	}
-	state, err := rollout.UnmarshalState(answer.Value)
+	state, err := rollout.UnmarshalState(response.Value)
 	if err != nil {
 		d.logStateUnreadable(err)
 	}
 	config := rollout.DefaultConfig(d.settings.Bounds.VersionApplyUS, d.settings.Bounds.LeaseUS)
 	role := d.role
-	role.scheduler, role.stateRevision = rollout.New(config, now, role.heldSince, state), answer.Revision
+	role.scheduler, role.stateRevision = rollout.New(config, now, role.heldSince, state), response.Revision
 	if role.startedAt == 0 {
 		role.startedAt = now
 	} else {
@@ -96,7 +96,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for model, version := range d.newestVersions {
-		at, _ := d.namings.AnnouncedAt(model, version)
+		at, _ := d.announcements.AnnouncedAt(model, version)
 		d.role.scheduler.Announce(model, version, at)
 	}
 	engines := map[string]rollout.Engine{}
@@ -123,13 +123,13 @@
 // saveState writes the rollout's state before anybody acts on it.
 func (d *Directory) saveState(ctx context.Context, role *weightsRole) bool {
 	value := role.scheduler.State.Marshal()
-	answer := d.control.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: RolloutKey, Value: value, ExpectedRevision: role.stateRevision})
-	if quorum.Status(answer.Status) != quorum.StatusDone {
+	response := d.control.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: RolloutKey, Value: value, ExpectedRevision: role.stateRevision})
+	if quorum.Status(response.Status) != quorum.StatusDone {
 		role.scheduler = nil // the next one reads what is in the register
 		return false
 	}
-	role.stateRevision = answer.Revision
-	d.publishState(value, answer.Revision)
+	role.stateRevision = response.Revision
+	d.publishState(value, response.Revision)
 	return true
 }
 
@@ -151,7 +151,7 @@
 func (d *Directory) sendUpdates(requests []rollout.UpdateRequest, fencingToken uint64) {
 	for _, request := range requests {
 		d.role.inFlight.Add(1)
-		d.group.Go("directory.order", func(ctx context.Context) {
+		d.group.Go("directory.weight_update", func(ctx context.Context) {
 			defer d.role.inFlight.Done()
 			d.sendUpdate(ctx, request, fencingToken)
 		})
