--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -59,8 +59,8 @@
 		t.Fatal("i3 was queried twice at a time")
 	}
 	a.HandleResponse(queries["i1"], now, &fb.CapacityResponseT{Grants: []*fb.GrantT{{Engine: "e", Age: 7}}})
-	if reply := a.Poll(now+50, &plan.Cached{}, 0, &fb.FeedRequestT{}); len(reply.Grants) != 1 || reply.Grants[0].Age != 57 {
-		t.Fatalf("%+v", reply.Grants)
+	if response := a.Poll(now+50, &plan.Cached{}, 0, &fb.FeedRequestT{}); len(response.Grants) != 1 || response.Grants[0].Age != 57 {
+		t.Fatalf("%+v", response.Grants)
 	}
 	if query := queriesByNode(t, a, askedAt+relayDuration, nodes)["i1"]; query.Via != "i1" || query.Request.To != "" {
 		t.Fatalf("%+v", query)
