--- a/quorum/admission_test.go
+++ b/quorum/admission_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestAdmit(t *testing.T) {
-	z := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
-	for _, c := range []struct {
+	newcomer := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
+	for _, test := range []struct {
 		what    string
 		voters  int
-		v       Voter
+		voter   Voter
 		silent  string // name=milliseconds
 		want    string // names after the step, "" for none
 		newcome bool
 	}{
-		{"a fourth is added to three", 3, z, "", "abcz", true},
-		{"a fifth is added to four", 4, z, "", "abcdz", true},
-		{"nine are enough", 9, z, "", "", false},
+		{"a fourth is added to three", 3, newcomer, "", "abcz", true},
+		{"a fifth is added to four", 4, newcomer, "", "abcdz", true},
+		{"nine are enough", 9, newcomer, "", "", false},
 		{"a disk lost, even", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
 		{"a disk lost, odd: it goes first", 3, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "ac", false},
 		{"then it comes", 2, Voter{Name: "c", Addr: "at-c", Incarnation: 99}, "", "abc", true},
@@ -28,46 +28,46 @@
 		{"a lost disk among nine", 9, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdefghi", false},
 		{"in already", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 2}, "", "", false},
 		{"another's number", 4, Voter{Name: "z", Addr: "at-z", Incarnation: 2}, "d=9000", "", false},
-		{"a voter gone, even", 4, z, "c=1500", "abdz", true},
-		{"a voter gone, odd", 3, z, "c=1600", "ab", false},
-		{"the one longest gone", 6, z, "c=1600 e=1700", "abcdfz", true},
-		{"a gone one among nine", 9, z, "c=1600", "abdefghi", false},
-		{"none is added beside one in doubt", 4, z, "c=900", "", false},
-		{"a beat late is no doubt", 4, z, "c=400", "abcdz", true},
-		{"just come, it may be in the place of one not yet missed", 4, z, "", "", false},
-		{"just come, a voter gone", 4, z, "c=1500", "abdz", true},
+		{"a voter gone, even", 4, newcomer, "c=1500", "abdz", true},
+		{"a voter gone, odd", 3, newcomer, "c=1600", "ab", false},
+		{"the one longest gone", 6, newcomer, "c=1600 e=1700", "abcdfz", true},
+		{"a gone one among nine", 9, newcomer, "c=1600", "abdefghi", false},
+		{"none is added beside one in doubt", 4, newcomer, "c=900", "", false},
+		{"a beat late is no doubt", 4, newcomer, "c=400", "abcdz", true},
+		{"just come, it may be in the place of one not yet missed", 4, newcomer, "", "", false},
+		{"just come, a voter gone", 4, newcomer, "c=1500", "abdz", true},
 		{"just come, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
-		{"no majority heard", 4, z, "b=9000 c=9000", "", false},
+		{"no majority heard", 4, newcomer, "b=9000 c=9000", "", false},
 		{"no majority heard, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "b=9000 c=9000", "", false},
-		{"one of two gone: no majority is left", 2, z, "b=9000", "", false},
+		{"one of two gone: no majority is left", 2, newcomer, "b=9000", "", false},
 	} {
 		silent := map[string]int64{}
-		for _, f := range strings.Fields(c.silent) {
+		for _, field := range strings.Fields(test.silent) {
 			var ms int64
-			if _, err := fmt.Sscanf(f[2:], "%d", &ms); err != nil {
+			if _, err := fmt.Sscanf(field[2:], "%d", &ms); err != nil {
 				t.Fatal(err)
 			}
-			silent[f[:1]] = ms * 1000
+			silent[field[:1]] = ms * 1000
 		}
-		r := newAddressedSet(c.voters)
+		set := newAddressedSet(test.voters)
 		asked := int64(AddAfter)
-		if strings.HasPrefix(c.what, "just come") {
+		if strings.HasPrefix(test.what, "just come") {
 			asked--
 		}
-		n, ok := r.Admit(c.v, asked, func(name string) int64 { return silent[name] }, MaxVoters)
-		got, in := "", false
-		for _, v := range n.Voters {
-			got += v.Name
-			in = in || v.Incarnation == c.v.Incarnation
+		next, ok := set.Admit(test.voter, asked, func(name string) int64 { return silent[name] }, MaxVoters)
+		got, joined := "", false
+		for _, voter := range next.Voters {
+			got += voter.Name
+			joined = joined || voter.Incarnation == test.voter.Incarnation
 		}
 		if !ok {
 			got = ""
 		}
-		if got != c.want || ok && in != c.newcome {
-			t.Errorf("%s: got %q, newcomer in: %v", c.what, got, in)
+		if got != test.want || ok && joined != test.newcome {
+			t.Errorf("%s: got %q, newcomer in: %v", test.what, got, joined)
 		}
-		if ok && (haveDisjointMajorities(r, n) || checkStep(r, n) != nil) {
-			t.Errorf("%s: two majorities without a common voter", c.what)
+		if ok && (haveDisjointMajorities(set, next) || checkStep(set, next) != nil) {
+			t.Errorf("%s: two majorities without a common voter", test.what)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // TestShed: the seat of a voter whose successor came first is dropped when that gives the
 // rest a smaller majority, and only when enough of the rest is heard.
 func TestRemoveSurplus(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		what   string
 		voters int
 		seats  uint16
@@ -97,7 +97,7 @@
 		{"the smallest", 4, 3, "d=2000", "abc"},
 	} {
 		silent, leaving := map[string]int64{}, map[string]bool{}
-		for _, field := range strings.Fields(c.gone) {
+		for _, field := range strings.Fields(test.gone) {
 			name, how, _ := strings.Cut(field, "=")
 			if how == "leaving" {
 				leaving[name] = true
@@ -109,21 +109,21 @@
 			}
 			silent[name] = ms * 1000
 		}
-		r := newAddressedSet(c.voters)
-		r.Seats = c.seats
-		next, ok := r.RemoveSurplus(func(name string) bool { return leaving[name] }, func(name string) int64 { return silent[name] })
+		set := newAddressedSet(test.voters)
+		set.Seats = test.seats
+		next, ok := set.RemoveSurplus(func(name string) bool { return leaving[name] }, func(name string) int64 { return silent[name] })
 		got := ""
-		for _, v := range next.Voters {
-			got += v.Name
+		for _, voter := range next.Voters {
+			got += voter.Name
 		}
 		if !ok {
 			got = ""
 		}
-		if got != c.want {
-			t.Errorf("%s: got %q", c.what, got)
+		if got != test.want {
+			t.Errorf("%s: got %q", test.what, got)
 		}
-		if ok && (haveDisjointMajorities(r, next) || next.Seats != c.seats || next.Majority() >= r.Majority()) {
-			t.Errorf("%s: %d seats, majority %d after %d", c.what, next.Seats, next.Majority(), r.Majority())
+		if ok && (haveDisjointMajorities(set, next) || next.Seats != test.seats || next.Majority() >= set.Majority()) {
+			t.Errorf("%s: %d seats, majority %d after %d", test.what, next.Seats, next.Majority(), set.Majority())
 		}
 	}
 }
--- a/quorum/claims_test.go
+++ b/quorum/claims_test.go
@@ -8,54 +8,54 @@
 // TestClaimsOfAnEra: a claim stands while its era is open; then it is granted to
 // nobody any more, however late it is asked for, and takes no room.
 func TestClaimsOfAGeneration(t *testing.T) {
-	n, step, do := newSingleNode(t, 10_000_000)
+	node, step, do := newSingleNode(t, 10_000_000)
 	now, id := int64(3_000_000), uint64(0)
-	op := func(k OperationType, era uint64, name, val string) Status {
+	propose := func(kind OperationType, era uint64, name, val string) Status {
 		id++
-		return do(now, Operation{ID: id, Type: k, Key: ClaimKey(era, name), Value: []byte(val)}).Status
+		return do(now, Operation{ID: id, Type: kind, Key: ClaimKey(era, name), Value: []byte(val)}).Status
 	}
-	empty := n.StateBytes()
-	for i, c := range []struct {
+	empty := node.StateBytes()
+	for i, test := range []struct {
 		kind OperationType
 		era  uint64
 		val  string
 		want Status
 	}{{OpClaim, 1, "x", StatusDone}, {OpClaim, 1, "x", StatusDone}, {OpClaim, 1, "y", StatusConflict}, {OpUnclaim, 1, "y", StatusConflict},
 		{OpUnclaim, 1, "x", StatusDone}, {OpClaim, 1, "y", StatusDone}, {OpClaim, 0, "y", StatusConflict}, {OpClaim, 9, "y", StatusGenerationNotOpen}} {
-		if s := op(c.kind, c.era, "g/1", c.val); s != c.want {
-			t.Fatalf("%d: %+v ended in %d", i, c, s)
+		if status := propose(test.kind, test.era, "g/1", test.val); status != test.want {
+			t.Fatalf("%d: %+v ended in %d", i, test, status)
 		}
 	}
 	for ; now < 25_000_000; now += 25_000 {
 		step(now)
 	}
-	if s := op(OpClaim, 1, "g/1", "z"); s != StatusConflict {
-		t.Fatalf("forgotten while its era was open: %d", s)
+	if status := propose(OpClaim, 1, "g/1", "z"); status != StatusConflict {
+		t.Fatalf("forgotten while its era was open: %d", status)
 	}
 	for ; now < 40_000_000; now += 25_000 {
 		step(now)
 	}
-	if s := op(OpClaim, 1, "g/1", "z"); s != StatusGenerationClosed {
-		t.Fatalf("claimed in a closed era: %d", s)
+	if status := propose(OpClaim, 1, "g/1", "z"); status != StatusGenerationClosed {
+		t.Fatalf("claimed in a closed era: %d", status)
 	}
-	if s := op(OpUnclaim, 1, "g/1", "y"); s == StatusDone {
+	if status := propose(OpUnclaim, 1, "g/1", "y"); status == StatusDone {
 		t.Fatal("given back in a closed era")
 	}
 	// What is left are the floors of the slots.
-	if left := n.StateBytes() - empty; left > 16*300 {
+	if left := node.StateBytes() - empty; left > 16*300 {
 		t.Fatalf("%d bytes are left", left)
 	}
 	id++
-	if a := do(now, Operation{ID: id, Type: OpPut, Key: GenerationKey, Value: []byte("x"), ExpectedRevision: AnyRevision}); a.Status != StatusConflict {
-		t.Fatalf("anybody opens eras: %+v", a)
+	if result := do(now, Operation{ID: id, Type: OpPut, Key: GenerationKey, Value: []byte("x"), ExpectedRevision: AnyRevision}); result.Status != StatusConflict {
+		t.Fatalf("anybody opens eras: %+v", result)
 	}
 }
 
 // TestClaimsLeaveRoom: claims that fill their part of the room leave plans and duties
 // theirs, and a duty that finds none is not held up afterwards.
 func TestClaimsLeaveRoom(t *testing.T) {
-	n, _, do := newSingleNode(t, 0)
-	n.config.MaxStateBytes = n.StateBytes() + 6000
+	node, _, do := newSingleNode(t, 0)
+	node.config.MaxStateBytes = node.StateBytes() + 6000
 	now, id := int64(3_000_000), uint64(0)
 	full := false
 	for i := 0; i < 40 && !full; i++ {
@@ -69,18 +69,18 @@
 		id++
 		return do(now, Operation{ID: id, Type: OpAcquire, Key: "duty/x", Holder: who, LeaseDuration: 1_000_000})
 	}
-	if a := hold("p"); a.Status != StatusDone {
-		t.Fatalf("no room for a duty: %+v", a)
+	if result := hold("p"); result.Status != StatusDone {
+		t.Fatalf("no room for a duty: %+v", result)
 	}
-	n.config.MaxStateBytes = n.StateBytes()
+	node.config.MaxStateBytes = node.StateBytes()
 	now += 2_000_000
 	// The lone voter's lease would have run out by now if nobody ticked it.
-	n.slots[SlotOf("duty/x", n.config.Slots)].leaseUntil = now + 500_000
-	if a := hold("q"); a.Status != StatusFull {
-		t.Fatalf("%+v", a)
+	node.slots[SlotOf("duty/x", node.config.Slots)].leaseUntil = now + 500_000
+	if result := hold("q"); result.Status != StatusFull {
+		t.Fatalf("%+v", result)
 	}
-	n.config.MaxStateBytes += 1000
-	if a := hold("r"); a.Status != StatusDone {
-		t.Fatalf("held up by one that found no room: %+v", a)
+	node.config.MaxStateBytes += 1000
+	if result := hold("r"); result.Status != StatusDone {
+		t.Fatalf("held up by one that found no room: %+v", result)
 	}
 }
--- a/quorum/explore_actions_test.go
+++ b/quorum/explore_actions_test.go
@@ -55,20 +55,20 @@
 	doPostpone: "", doLate: "", doRelease: "n", doLeave: "m", doVoterSet: "mn",
 }
 
-func (x action) String() string {
-	s := string(x.verb)
-	for i, kind := range operands[x.verb] {
-		v := x.a
+func (a action) String() string {
+	text := string(a.verb)
+	for i, kind := range operands[a.verb] {
+		operand := a.a
 		if i == 1 {
-			v = x.b
+			operand = a.b
 		}
 		if kind == 'm' {
-			s += " " + string(rune('a'+v))
+			text += " " + string(rune('a'+operand))
 		} else {
-			s += " " + strconv.Itoa(v)
+			text += " " + strconv.Itoa(operand)
 		}
 	}
-	return s
+	return text
 }
 
 // trace is a course of the world from its start.
@@ -83,48 +83,48 @@
 }
 
 // readTrace reads a kept trace.
-func readTrace(s string) trace {
-	var t trace
-	for _, part := range strings.Split(s, ";") {
-		f := strings.Fields(part)
-		if len(f) == 0 {
+func readTrace(text string) trace {
+	var parsed trace
+	for _, part := range strings.Split(text, ";") {
+		fields := strings.Fields(part)
+		if len(fields) == 0 {
 			continue
 		}
-		kinds, ok := operands[verb(f[0])]
-		if !ok || len(kinds) != len(f)-1 {
+		kinds, ok := operands[verb(fields[0])]
+		if !ok || len(kinds) != len(fields)-1 {
 			panic("no such action: " + part)
 		}
-		x := action{verb: verb(f[0])}
+		parsedAction := action{verb: verb(fields[0])}
 		for i, kind := range kinds {
-			v := int(f[i+1][0] - 'a')
+			operand := int(fields[i+1][0] - 'a')
 			if kind == 'n' {
-				n, err := strconv.Atoi(f[i+1])
+				number, err := strconv.Atoi(fields[i+1])
 				if err != nil {
 					panic(err)
 				}
-				v = n
+				operand = number
 			}
 			if i == 0 {
-				x.a = v
+				parsedAction.a = operand
 			} else {
-				x.b = v
+				parsedAction.b = operand
 			}
 		}
-		t = append(t, x)
+		parsed = append(parsed, parsedAction)
 	}
-	return t
+	return parsed
 }
 
 // play runs a trace from the start of a world until something is wrong.
-func play(c worldConfig, t trace) *world {
-	w := newWorld(c, nil)
-	w.play(t)
+func play(size worldConfig, actions trace) *world {
+	w := newWorld(size, nil)
+	w.play(actions)
 	return w
 }
 
-func (w *world) play(t trace) {
-	for _, x := range t {
-		w.apply(x)
+func (w *world) play(actions trace) {
+	for _, next := range actions {
+		w.apply(next)
 		if w.checker.violation != "" {
 			return
 		}
@@ -132,106 +132,106 @@
 }
 
 // act does one action and judges every state on the way.
-func (w *world) apply(x action) {
-	switch x.verb {
+func (w *world) apply(action action) {
+	switch action.verb {
 	case doTick:
-		for range x.a {
+		for range action.a {
 			w.runUntilIdle()
 			w.tick()
 			w.checker.check(w)
 		}
 	case doStep:
-		for range x.a {
+		for range action.a {
 			if w.checker.violation == "" && w.step() {
 				w.checker.check(w)
 			}
 		}
 	case doRelease:
-		if x.a < len(w.setAside) {
-			p := w.setAside[x.a]
-			w.setAside = slices.Delete(w.setAside, x.a, x.a+1)
-			w.receive(p)
+		if action.a < len(w.setAside) {
+			late := w.setAside[action.a]
+			w.setAside = slices.Delete(w.setAside, action.a, action.a+1)
+			w.receive(late)
 		}
 	default:
-		w.disturb(x)
+		w.disturb(action)
 	}
 	w.checker.check(w)
 }
 
-func (w *world) disturb(x action) {
-	m := &w.machines[x.a]
-	switch x.verb {
+func (w *world) disturb(action action) {
+	host := &w.machines[action.a]
+	switch action.verb {
 	case doPut:
-		w.propose(x.a, Operation{Type: OpPut, Key: w.checker.registers[x.b].key, ExpectedRevision: AnyRevision})
+		w.propose(action.a, Operation{Type: OpPut, Key: w.checker.registers[action.b].key, ExpectedRevision: AnyRevision})
 	case doGet:
-		w.propose(x.a, Operation{Type: OpGet, Key: w.checker.registers[x.b].key})
+		w.propose(action.a, Operation{Type: OpGet, Key: w.checker.registers[action.b].key})
 	case doClaim:
-		w.propose(x.a, Operation{Type: OpClaim, Key: ClaimKey(uint64(x.b), "c")})
+		w.propose(action.a, Operation{Type: OpClaim, Key: ClaimKey(uint64(action.b), "c")})
 	case doAcquire:
-		w.propose(x.a, Operation{Type: OpAcquire, Key: exploreRoleKey, Holder: strconv.Itoa(x.b), LeaseDuration: exploreRoleDuration})
+		w.propose(action.a, Operation{Type: OpAcquire, Key: exploreRoleKey, Holder: strconv.Itoa(action.b), LeaseDuration: exploreRoleDuration})
 	case doKill:
-		w.kill(x.a, len(m.unsynced))
+		w.kill(action.a, len(host.unsynced))
 	case doPower:
-		w.kill(x.a, x.b)
+		w.kill(action.a, action.b)
 	case doStart:
-		w.start(x.a)
+		w.start(action.a)
 	case doWipe:
-		w.wipe(x.a)
+		w.wipe(action.a)
 	case doCheckpoint:
-		w.checkpoint(x.a)
+		w.checkpoint(action.a)
 	case doFreeze:
-		m.frozen = m.up
+		host.frozen = host.up
 	case doThaw:
-		m.frozen = false
+		host.frozen = false
 	case doStall:
-		m.stalled = m.up
+		host.stalled = host.up
 	case doFlow:
-		m.stalled = false
+		host.stalled = false
 	case doLeave:
-		if w.running(x.a) {
-			w.input(x.a, input{kind: inLeave})
+		if w.running(action.a) {
+			w.input(action.a, input{kind: inLeave})
 		}
 	case doVoterSet:
-		w.proposeVoterSet(x.a, x.b)
+		w.proposeVoterSet(action.a, action.b)
 	default:
-		w.disturbNetwork(x)
+		w.disturbNetwork(action)
 	}
 }
 
-func (w *world) disturbNetwork(x action) {
-	switch x.verb {
+func (w *world) disturbNetwork(action action) {
+	switch action.verb {
 	case doCut:
-		w.links[x.a][x.b] = linkCut
+		w.links[action.a][action.b] = linkCut
 	case doHold:
-		w.links[x.a][x.b] = linkHeld
+		w.links[action.a][action.b] = linkHeld
 	case doHeal:
-		w.links[x.a][x.b] = linkUp
+		w.links[action.a][action.b] = linkUp
 	case doIsolate:
 		for i := range w.worldConfig.machines {
-			w.links[x.a][i], w.links[i][x.a] = linkCut, linkCut
+			w.links[action.a][i], w.links[i][action.a] = linkCut, linkCut
 		}
 	case doHealAll:
 		w.links = [maxMachines][maxMachines]link{}
 	case doDrop:
-		if k := w.next(); k >= 0 {
-			w.inFlight = append(w.inFlight[:k:k], w.inFlight[k+1:]...)
+		if due := w.next(); due >= 0 {
+			w.inFlight = append(w.inFlight[:due:due], w.inFlight[due+1:]...)
 		}
 	case doRepeat:
-		if k := w.next(); k >= 0 {
-			w.inFlight = append(w.inFlight, w.inFlight[k])
+		if due := w.next(); due >= 0 {
+			w.inFlight = append(w.inFlight, w.inFlight[due])
 		}
 	case doLate:
-		if k := w.next(); k >= 0 {
-			w.setAside = append(w.setAside, w.inFlight[k])
-			w.inFlight = slices.Delete(w.inFlight, k, k+1)
+		if due := w.next(); due >= 0 {
+			w.setAside = append(w.setAside, w.inFlight[due])
+			w.inFlight = slices.Delete(w.inFlight, due, due+1)
 		}
 	case doPostpone:
-		if k := w.next(); k >= 0 {
-			p := w.inFlight[k]
-			w.inFlight = append(append(w.inFlight[:k:k], w.inFlight[k+1:]...), p)
+		if due := w.next(); due >= 0 {
+			late := w.inFlight[due]
+			w.inFlight = append(append(w.inFlight[:due:due], w.inFlight[due+1:]...), late)
 		}
 	default:
-		panic(fmt.Sprintf("no such action: %+v", x))
+		panic(fmt.Sprintf("no such action: %+v", action))
 	}
 }
 
@@ -241,50 +241,50 @@
 	if !w.running(i) {
 		return
 	}
-	r := w.machines[i].node.VoterSet()
-	next := VoterSet{Revision: r.Revision + 1, Seats: r.Seats}
-	for _, v := range r.Voters {
-		if which>>w.index(v.Name)&1 == 0 {
-			next.Voters = append(next.Voters, v)
+	set := w.machines[i].node.VoterSet()
+	next := VoterSet{Revision: set.Revision + 1, Seats: set.Seats}
+	for _, voter := range set.Voters {
+		if which>>w.index(voter.Name)&1 == 0 {
+			next.Voters = append(next.Voters, voter)
 		}
 	}
 	for k := range w.worldConfig.machines {
-		m := &w.machines[k]
-		if _, in := r.Find(m.name); in || which>>(maxMachines+k)&1 == 0 {
+		host := &w.machines[k]
+		if _, known := set.Find(host.name); known || which>>(maxMachines+k)&1 == 0 {
 			continue
 		}
-		next.Voters = append(next.Voters, Voter{Name: m.name, Incarnation: m.incarnation, Number: uint16(16 + int(next.Step())*maxMachines + k)})
+		next.Voters = append(next.Voters, Voter{Name: host.name, Incarnation: host.incarnation, Number: uint16(16 + int(next.Step())*maxMachines + k)})
 	}
 	w.propose(i, Operation{Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: AnyRevision})
 }
 
 // shorten looks for the shortest trace that still ends in a finding of that kind: parts
 // of it are left out, and counts are made smaller, as long as something can be.
-func shorten(c worldConfig, t trace, kind string) trace {
-	same := func(t trace) bool { return kindOf(play(c, t).checker.violation) == kind }
+func shorten(size worldConfig, actions trace, kind string) trace {
+	same := func(actions trace) bool { return kindOf(play(size, actions).checker.violation) == kind }
 	for changed := true; changed; {
 		changed = false
-		for size := max(1, len(t)/2); size >= 1; size /= 2 {
-			for at := 0; at+size <= len(t); {
-				less := append(append(trace{}, t[:at]...), t[at+size:]...)
+		for size := max(1, len(actions)/2); size >= 1; size /= 2 {
+			for at := 0; at+size <= len(actions); {
+				less := append(append(trace{}, actions[:at]...), actions[at+size:]...)
 				if same(less) {
-					t, changed = less, true
+					actions, changed = less, true
 				} else {
 					at++
 				}
 			}
 		}
-		for i := range t {
-			for t[i].verb == doTick || t[i].verb == doStep {
-				less := append(trace{}, t...)
+		for i := range actions {
+			for actions[i].verb == doTick || actions[i].verb == doStep {
+				less := append(trace{}, actions...)
 				if less[i].a--; less[i].a < 1 || !same(less) {
 					break
 				}
-				t, changed = less, true
+				actions, changed = less, true
 			}
 		}
 	}
-	return t
+	return actions
 }
 
 func kindOf(wrong string) string {
--- a/quorum/explore_cache_test.go
+++ b/quorum/explore_cache_test.go
@@ -27,41 +27,41 @@
 	voterSet   *VoterSet
 }
 
-func (in input) run(n *Node) Ready {
+func (in input) run(node *Node) Ready {
 	switch in.kind {
 	case inTick:
-		return n.Tick(in.now)
+		return node.Tick(in.now)
 	case inReceive:
-		return n.Receive(in.now, *in.message)
+		return node.Receive(in.now, *in.message)
 	case inSynced:
-		return n.RecordsSynced(in.now, in.count)
+		return node.RecordsSynced(in.now, in.count)
 	case inPropose:
-		return n.Propose(in.now, in.operation)
+		return node.Propose(in.now, in.operation)
 	case inLeave:
-		return n.Leave(in.now)
+		return node.Leave(in.now)
 	case inAdmit:
-		return n.AdmitVoter(in.now, in.voter)
+		return node.AdmitVoter(in.now, in.voter)
 	case inObserve:
-		return n.ObserveVoterSet(in.now, *in.voterSet)
+		return node.ObserveVoterSet(in.now, *in.voterSet)
 	}
 	panic("no such input")
 }
 
 func (in input) digest() digest {
-	b := fmt.Append(nil, in.kind, " ", in.now, " ", in.count, " ")
-	b = append(b, in.messageSum[:]...)
+	encoded := fmt.Append(nil, in.kind, " ", in.now, " ", in.count, " ")
+	encoded = append(encoded, in.messageSum[:]...)
 	switch in.kind {
 	case inPropose:
-		d := digestOf(&in.operation)
-		b = append(b, d[:]...)
+		part := digestOf(&in.operation)
+		encoded = append(encoded, part[:]...)
 	case inAdmit:
-		d := digestOf(&in.voter)
-		b = append(b, d[:]...)
+		part := digestOf(&in.voter)
+		encoded = append(encoded, part[:]...)
 	case inObserve:
-		d := digestOf(in.voterSet)
-		b = append(b, d[:]...)
+		part := digestOf(in.voterSet)
+		encoded = append(encoded, part[:]...)
 	}
-	return sum(b)
+	return sum(encoded)
 }
 
 // life is one state of a running node. It never changes. A state that waits for a sync
@@ -75,11 +75,11 @@
 	next   map[digest]*transition
 }
 
-func (l *nodeState) digest() []byte {
-	if l == nil {
+func (s *nodeState) digest() []byte {
+	if s == nil {
 		return nil
 	}
-	return l.sum[:]
+	return s.sum[:]
 }
 
 // transition is what one input does to one state.
@@ -99,61 +99,61 @@
 
 func newCache() *cache { return &cache{states: map[digest]*nodeState{}} }
 
-func (c *cache) intern(n *Node) *nodeState {
-	d := digestOf(n)
-	if l, ok := c.states[d]; ok {
-		return l
+func (c *cache) intern(node *Node) *nodeState {
+	key := digestOf(node)
+	if state, ok := c.states[key]; ok {
+		return state
 	}
-	l := &nodeState{sum: d, node: n, next: map[digest]*transition{}}
-	c.states[d] = l
-	return l
+	state := &nodeState{sum: key, node: node, next: map[digest]*transition{}}
+	c.states[key] = state
+	return state
 }
 
 // again makes a node in the state l that may be changed.
-func (l *nodeState) rebuild() *Node {
-	if l.from == nil {
-		return copyNode(l.node)
+func (s *nodeState) rebuild() *Node {
+	if s.from == nil {
+		return copyNode(s.node)
 	}
-	n := copyNode(l.from.node)
-	for _, in := range l.inputs {
-		in.run(n)
+	node := copyNode(s.from.node)
+	for _, in := range s.inputs {
+		in.run(node)
 	}
-	return n
+	return node
 }
 
-func (c *cache) apply(l *nodeState, in input) *transition {
-	d := in.digest()
-	if t, ok := l.next[d]; ok {
-		return t
+func (c *cache) apply(state *nodeState, in input) *transition {
+	key := in.digest()
+	if result, ok := state.next[key]; ok {
+		return result
 	}
 	c.inputsRun++
-	n := l.rebuild()
-	t := &transition{ready: in.run(n)}
-	for i := range t.ready.Records {
-		t.recordSums = append(t.recordSums, digestOf(&t.ready.Records[i]))
+	node := state.rebuild()
+	result := &transition{ready: in.run(node)}
+	for i := range result.ready.Records {
+		result.recordSums = append(result.recordSums, digestOf(&result.ready.Records[i]))
 	}
-	for i := range t.ready.Messages {
-		t.messageSums = append(t.messageSums, digestOf(&t.ready.Messages[i].Message))
+	for i := range result.ready.Messages {
+		result.messageSums = append(result.messageSums, digestOf(&result.ready.Messages[i].Message))
 	}
-	if len(n.syncCallbacks) == 0 {
-		t.to = c.intern(n)
+	if len(node.syncCallbacks) == 0 {
+		result.to = c.intern(node)
 	} else {
-		t.to = c.waiting(l, in, d, n)
+		result.to = c.waiting(state, in, key, node)
 	}
-	l.next[d] = t
-	return t
+	state.next[key] = result
+	return result
 }
 
 // waiting is the state n, which l became by an input and which waits for a sync.
-func (c *cache) waiting(l *nodeState, in input, d digest, n *Node) *nodeState {
-	s := sum(append(append([]byte("waits"), l.sum[:]...), d[:]...))
-	if w, ok := c.states[s]; ok {
-		return w
+func (c *cache) waiting(state *nodeState, in input, inputKey digest, node *Node) *nodeState {
+	key := sum(append(append([]byte("waits"), state.sum[:]...), inputKey[:]...))
+	if waiting, ok := c.states[key]; ok {
+		return waiting
 	}
-	w := &nodeState{sum: s, node: n, from: l, inputs: []input{in}, next: map[digest]*transition{}}
-	if l.from != nil {
-		w.from, w.inputs = l.from, append(append([]input{}, l.inputs...), in)
+	waiting := &nodeState{sum: key, node: node, from: state, inputs: []input{in}, next: map[digest]*transition{}}
+	if state.from != nil {
+		waiting.from, waiting.inputs = state.from, append(append([]input{}, state.inputs...), in)
 	}
-	c.states[s] = w
-	return w
+	c.states[key] = waiting
+	return waiting
 }
--- a/quorum/explore_checker_test.go
+++ b/quorum/explore_checker_test.go
@@ -64,12 +64,12 @@
 // keyOf is the nth plain key of a slot.
 func keyInSlot(slot, slots, nth int) string {
 	for i := 0; ; i++ {
-		k := fmt.Sprint("k", i)
-		if int(SlotOf(k, slots)) != slot {
+		key := fmt.Sprint("k", i)
+		if int(SlotOf(key, slots)) != slot {
 			continue
 		}
 		if nth == 0 {
-			return k
+			return key
 		}
 		nth--
 	}
@@ -90,25 +90,25 @@
 	return duplicate
 }
 
-func (c *checker) encode(b []byte) []byte {
-	for _, r := range c.registers {
-		b = binary.AppendUvarint(b, r.newest)
-		for _, v := range r.values {
-			b = append(append(b, v...), 0)
+func (c *checker) encode(encoded []byte) []byte {
+	for _, register := range c.registers {
+		encoded = binary.AppendUvarint(encoded, register.newest)
+		for _, value := range register.values {
+			encoded = append(append(encoded, value...), 0)
 		}
 	}
-	for _, f := range c.floors {
-		b = binary.AppendUvarint(b, f)
+	for _, floor := range c.floors {
+		encoded = binary.AppendUvarint(encoded, floor)
 	}
-	for _, p := range c.pending {
-		b = append(b, byte(p.machine))
-		b = binary.AppendUvarint(b, p.operation.ID)
-		b = binary.AppendUvarint(b, p.seenBefore)
+	for _, open := range c.pending {
+		encoded = append(encoded, byte(open.machine))
+		encoded = binary.AppendUvarint(encoded, open.operation.ID)
+		encoded = binary.AppendUvarint(encoded, open.seenBefore)
 	}
 	if len(c.claims)+len(c.roleUntil) > 0 {
-		b = fmt.Append(b, c.claims, c.roleUntil)
+		encoded = fmt.Append(encoded, c.claims, c.roleUntil)
 	}
-	return append(b, byte(len(c.voterSets)))
+	return append(encoded, byte(len(c.voterSets)))
 }
 
 // find records the first thing that is wrong; kind names it.
@@ -127,13 +127,13 @@
 	return nil
 }
 
-func (c *checker) operationCalled(machine int, now int64, op Operation) {
+func (c *checker) operationCalled(machine int, now int64, operation Operation) {
 	c.clock++
-	p := openOperation{machine: machine, operation: op, calledAt: c.clock, trueTime: now}
-	if r := c.register(op.Key); r != nil {
-		p.seenBefore = r.newest
+	call := openOperation{machine: machine, operation: operation, calledAt: c.clock, trueTime: now}
+	if register := c.register(operation.Key); register != nil {
+		call.seenBefore = register.newest
 	}
-	c.pending = append(c.pending, p)
+	c.pending = append(c.pending, call)
 }
 
 // gone forgets what a dead process was asked: nobody will answer it.
@@ -147,71 +147,71 @@
 }
 
 // note keeps an operation for the checker of histories.
-func (c *checker) addToHistory(p openOperation, a Result) {
+func (c *checker) addToHistory(call openOperation, result Result) {
 	c.clock++
-	if a.Status != StatusDone && (a.Status != StatusUnknown || p.operation.Type != OpPut) {
+	if result.Status != StatusDone && (result.Status != StatusUnknown || call.operation.Type != OpPut) {
 		return // nothing changed and nothing was learnt
 	}
-	c.history = append(c.history, completedOperation{openOperation: p, returnedAt: c.clock, tookEffect: a.Status == StatusDone, revision: a.Revision, value: string(a.Value)})
+	c.history = append(c.history, completedOperation{openOperation: call, returnedAt: c.clock, tookEffect: result.Status == StatusDone, revision: result.Revision, value: string(result.Value)})
 }
 
-func (c *checker) operationReturned(a Result) {
-	k := slices.IndexFunc(c.pending, func(p openOperation) bool { return p.operation.ID == a.ID })
-	if k < 0 {
+func (c *checker) operationReturned(result Result) {
+	at := slices.IndexFunc(c.pending, func(call openOperation) bool { return call.operation.ID == result.ID })
+	if at < 0 {
 		return
 	}
-	p := c.pending[k]
-	c.pending = slices.Delete(c.pending, k, k+1)
-	c.addToHistory(p, a)
-	if a.Status != StatusDone {
+	call := c.pending[at]
+	c.pending = slices.Delete(c.pending, at, at+1)
+	c.addToHistory(call, result)
+	if result.Status != StatusDone {
 		return
 	}
-	switch r := c.register(p.operation.Key); {
-	case p.operation.Type == OpClaim:
-		if h := c.claims[p.operation.Key]; h != "" && h != string(p.operation.Value) {
-			c.violated("claimed twice", "%s by %s and %s", p.operation.Key, h, p.operation.Value)
+	switch register := c.register(call.operation.Key); {
+	case call.operation.Type == OpClaim:
+		if holder := c.claims[call.operation.Key]; holder != "" && holder != string(call.operation.Value) {
+			c.violated("claimed twice", "%s by %s and %s", call.operation.Key, holder, call.operation.Value)
 		}
-		c.claims[p.operation.Key] = string(p.operation.Value)
-	case p.operation.Type == OpAcquire:
-		c.roleUntil[p.operation.Holder] = max(c.roleUntil[p.operation.Holder], p.trueTime+exploreRoleDuration)
-	case r == nil:
-	case p.operation.Type == OpPut && a.Revision <= p.seenBefore:
-		c.violated("went back", "a change of %s was confirmed as revision %d after %d was seen", r.key, a.Revision, p.seenBefore)
-	case a.Revision < p.seenBefore:
-		c.violated("went back", "%s was read at revision %d after %d", r.key, a.Revision, p.seenBefore)
+		c.claims[call.operation.Key] = string(call.operation.Value)
+	case call.operation.Type == OpAcquire:
+		c.roleUntil[call.operation.Holder] = max(c.roleUntil[call.operation.Holder], call.trueTime+exploreRoleDuration)
+	case register == nil:
+	case call.operation.Type == OpPut && result.Revision <= call.seenBefore:
+		c.violated("went back", "a change of %s was confirmed as revision %d after %d was seen", register.key, result.Revision, call.seenBefore)
+	case result.Revision < call.seenBefore:
+		c.violated("went back", "%s was read at revision %d after %d", register.key, result.Revision, call.seenBefore)
 	default:
-		c.revisionSeen(r, a.Revision, string(a.Value))
+		c.revisionSeen(register, result.Revision, string(result.Value))
 	}
 }
 
 // saw takes note of a revision that somebody was told.
-func (c *checker) revisionSeen(r *register, rev uint64, val string) {
-	for uint64(len(r.values)) <= rev {
-		r.values = append(r.values, "")
+func (c *checker) revisionSeen(register *register, rev uint64, val string) {
+	for uint64(len(register.values)) <= rev {
+		register.values = append(register.values, "")
 	}
-	if was := r.values[rev]; was != "" && was != val {
-		c.violated("two values", "revision %d of %s was %s and %s", rev, r.key, was, val)
+	if was := register.values[rev]; was != "" && was != val {
+		c.violated("two values", "revision %d of %s was %s and %s", rev, register.key, was, val)
 	}
-	if r.values[rev] == "" && val != "" {
-		r.values = slices.Clone(r.values)
-		r.values[rev] = val
+	if register.values[rev] == "" && val != "" {
+		register.values = slices.Clone(register.values)
+		register.values[rev] = val
 	}
-	r.newest = max(r.newest, rev)
+	register.newest = max(register.newest, rev)
 }
 
 // inForce takes note of a roster that some machine goes by.
-func (c *checker) voterSetInForce(r VoterSet) {
-	for _, o := range c.voterSets {
+func (c *checker) voterSetInForce(set VoterSet) {
+	for _, known := range c.voterSets {
 		switch {
-		case o.Revision == r.Revision && !slices.Equal(o.Voters, r.Voters):
-			c.violated("two rosters", "of number %d: %v and %v", r.Step(), o.Voters, r.Voters)
-		case o.Revision == r.Revision:
+		case known.Revision == set.Revision && !slices.Equal(known.Voters, set.Voters):
+			c.violated("two rosters", "of number %d: %v and %v", set.Step(), known.Voters, set.Voters)
+		case known.Revision == set.Revision:
 			return
-		case o.Revision+1 == r.Revision && haveDisjointMajorities(o, r), r.Revision+1 == o.Revision && haveDisjointMajorities(r, o):
-			c.violated("apart", "majorities of %v and of %v need not share a voter", o.Voters, r.Voters)
+		case known.Revision+1 == set.Revision && haveDisjointMajorities(known, set), set.Revision+1 == known.Revision && haveDisjointMajorities(set, known):
+			c.violated("apart", "majorities of %v and of %v need not share a voter", known.Voters, set.Voters)
 		}
 	}
-	c.voterSets = append(c.voterSets, r)
+	c.voterSets = append(c.voterSets, set)
 }
 
 // look checks the present state.
@@ -232,25 +232,25 @@
 
 // oneLease holds that one node at most can answer for a key, and that it knows of all
 // that anybody was ever told of it.
-func (c *checker) checkOneLease(w *world, r *register) {
+func (c *checker) checkOneLease(w *world, register *register) {
 	owner := ""
 	for i := range w.worldConfig.machines {
 		if !w.running(i) {
 			continue
 		}
-		e, ok := w.machines[i].node.ReadUnderLease(w.now, r.key)
+		entry, ok := w.machines[i].node.ReadUnderLease(w.now, register.key)
 		if !ok {
 			continue
 		}
 		if owner != "" {
-			c.violated("two live leases", "of the slot of %s: %s and %s", r.key, owner, w.machines[i].name)
+			c.violated("two live leases", "of the slot of %s: %s and %s", register.key, owner, w.machines[i].name)
 		}
 		owner = w.machines[i].name
-		if e.Revision < r.newest {
-			c.violated("went back", "%s answers %s at revision %d, and %d was seen", owner, r.key, e.Revision, r.newest)
+		if entry.Revision < register.newest {
+			c.violated("went back", "%s answers %s at revision %d, and %d was seen", owner, register.key, entry.Revision, register.newest)
 			continue
 		}
-		c.revisionSeen(r, e.Revision, string(e.Value))
+		c.revisionSeen(register, entry.Revision, string(entry.Value))
 	}
 }
 
@@ -270,13 +270,13 @@
 // settledFloor learns below which era a slot's claims may have been forgotten.
 func (c *checker) learnFloor(w *world, slot int) {
 	for i := range w.worldConfig.machines {
-		n := w.machines[i].node
-		if n == nil {
+		node := w.machines[i].node
+		if node == nil {
 			continue
 		}
-		s := n.slots[slot]
-		if e, ok := s.entries[floorKey(uint16(slot))]; ok && !s.certain().Before(e.Position) {
-			c.floors[slot] = max(c.floors[slot], floorValue(e))
+		replica := node.slots[slot]
+		if entry, ok := replica.entries[floorKey(uint16(slot))]; ok && !replica.certain().Before(entry.Position) {
+			c.floors[slot] = max(c.floors[slot], floorValue(entry))
 		}
 	}
 }
@@ -284,15 +284,15 @@
 // together holds of two machines that no epoch has two owners, and that what both hold
 // of one line is the same up to where both have it whole.
 func (c *checker) checkPair(w *world, slot, a, b int) {
-	x, y := w.machines[a].node, w.machines[b].node
-	if x == nil || y == nil {
+	nodeA, nodeB := w.machines[a].node, w.machines[b].node
+	if nodeA == nil || nodeB == nil {
 		return
 	}
-	s, t := x.slots[slot], y.slots[slot]
-	if s.state >= stateRecovering && t.state >= stateRecovering && s.term == t.term {
-		c.violated("two owners of an epoch", "%d: %s and %s", s.term, w.machines[a].name, w.machines[b].name)
+	replicaA, replicaB := nodeA.slots[slot], nodeB.slots[slot]
+	if replicaA.state >= stateRecovering && replicaB.state >= stateRecovering && replicaA.term == replicaB.term {
+		c.violated("two owners of an epoch", "%d: %s and %s", replicaA.term, w.machines[a].name, w.machines[b].name)
 	}
-	if s.logTerm == 0 || s.logTerm != t.logTerm {
+	if replicaA.logTerm == 0 || replicaA.logTerm != replicaB.logTerm {
 		return
 	}
 	c.checkContains(w, slot, a, b)
@@ -300,16 +300,16 @@
 }
 
 // contains holds that y has what x has, up to y's mark.
-func (c *checker) checkContains(w *world, slot, x, y int) {
-	s, t := w.machines[x].node.slots[slot], w.machines[y].node.slots[slot]
-	for k, e := range s.entries {
-		if t.last.Before(e.Position) || isClaim(k) && claimGeneration(k) < c.floors[slot] {
+func (c *checker) checkContains(w *world, slot, a, b int) {
+	replicaA, replicaB := w.machines[a].node.slots[slot], w.machines[b].node.slots[slot]
+	for key, entry := range replicaA.entries {
+		if replicaB.last.Before(entry.Position) || isClaim(key) && claimGeneration(key) < c.floors[slot] {
 			continue
 		}
-		f, ok := t.entries[k]
-		if !ok || f.Position != e.Position && !s.last.Before(f.Position) {
+		other, ok := replicaB.entries[key]
+		if !ok || other.Position != entry.Position && !replicaA.last.Before(other.Position) {
 			c.violated("lines differ", "of epoch %d: %s has %s of %v, %s has it of %v (%v) and is whole up to %v",
-				s.logTerm, w.machines[x].name, k, e.Position, w.machines[y].name, f.Position, ok, t.last)
+				replicaA.logTerm, w.machines[a].name, key, entry.Position, w.machines[b].name, other.Position, ok, replicaB.last)
 		}
 	}
 }
--- a/quorum/explore_linearizable_test.go
+++ b/quorum/explore_linearizable_test.go
@@ -5,21 +5,21 @@
 // operations are what clients saw of one register.
 func (c *checker) operations(key string) []lincheck.Operation {
 	var ops []lincheck.Operation
-	add := func(p openOperation, o lincheck.Operation) {
-		o.Client, o.Write, o.Invoked = p.machine, p.operation.Type == OpPut, p.calledAt
-		if o.Write {
-			o.Value = string(p.operation.Value)
+	add := func(call openOperation, operation lincheck.Operation) {
+		operation.Client, operation.Write, operation.Invoked = call.machine, call.operation.Type == OpPut, call.calledAt
+		if operation.Write {
+			operation.Value = string(call.operation.Value)
 		}
-		ops = append(ops, o)
+		ops = append(ops, operation)
 	}
-	for _, o := range c.history {
-		if o.operation.Key == key {
-			add(o.openOperation, lincheck.Operation{Confirmed: o.tookEffect, Returned: o.returnedAt, Revision: o.revision, Value: o.value})
+	for _, operation := range c.history {
+		if operation.operation.Key == key {
+			add(operation.openOperation, lincheck.Operation{Confirmed: operation.tookEffect, Returned: operation.returnedAt, Revision: operation.revision, Value: operation.value})
 		}
 	}
-	for _, p := range c.pending {
-		if p.operation.Key == key {
-			add(p, lincheck.Operation{})
+	for _, call := range c.pending {
+		if call.operation.Key == key {
+			add(call, lincheck.Operation{})
 		}
 	}
 	return ops
@@ -27,8 +27,8 @@
 
 // linearizable checks the histories of all registers.
 func (c *checker) linearizable() error {
-	for _, r := range c.registers {
-		if err := lincheck.Check(c.operations(r.key)); err != nil {
+	for _, register := range c.registers {
+		if err := lincheck.Check(c.operations(register.key)); err != nil {
 			return err
 		}
 	}
--- a/quorum/explore_search_test.go
+++ b/quorum/explore_search_test.go
@@ -17,8 +17,8 @@
 	deepest int // most events on one course
 }
 
-func newSearch(c worldConfig) *search {
-	return &search{worldConfig: c, cache: newCache(), seen: map[digest]int8{}}
+func newSearch(size worldConfig) *search {
+	return &search{worldConfig: size, cache: newCache(), seen: map[digest]int8{}}
 }
 
 // run explores from the end of a prefix, for so many ticks.
@@ -31,12 +31,12 @@
 
 // met reports whether the world was met with as many strays left, and notes it.
 func (s *search) visited(w *world, ticks, strays int) bool {
-	k := w.key()
-	k[0] ^= byte(ticks)
-	if was, ok := s.seen[k]; ok && int(was) >= strays {
+	key := w.key()
+	key[0] ^= byte(ticks)
+	if was, ok := s.seen[key]; ok && int(was) >= strays {
 		return true
 	}
-	s.seen[k] = int8(strays)
+	s.seen[key] = int8(strays)
 	return false
 }
 
@@ -51,8 +51,8 @@
 		s.deepest = max(s.deepest, depth)
 		quiet := w.idle()
 		if strays > 0 {
-			for _, x := range deviations(w, quiet) {
-				s.deviate(w, x, ticks, strays-1, depth)
+			for _, action := range deviations(w, quiet) {
+				s.deviate(w, action, ticks, strays-1, depth)
 			}
 		}
 		if !quiet {
@@ -73,38 +73,38 @@
 
 // between is what happens in every course between two ticks.
 func (s *search) nextTick(w *world) {
-	if x, ok := clientTurn(w); ok {
-		w.disturb(x)
-		s.record(x)
+	if action, ok := clientTurn(w); ok {
+		w.disturb(action)
+		s.record(action)
 	}
 	w.tick()
 	s.record(action{verb: doTick, a: 1})
 }
 
-func (s *search) deviate(w *world, x action, ticks, strays, depth int) {
-	c := w.copied()
-	c.disturb(x)
-	s.record(x)
-	s.visit(c, ticks, strays, depth+1)
+func (s *search) deviate(w *world, action action, ticks, strays, depth int) {
+	copied := w.copied()
+	copied.disturb(action)
+	s.record(action)
+	s.visit(copied, ticks, strays, depth+1)
 	s.path = s.path[:len(s.path)-1]
 }
 
 // mended goes on with everything repaired before the next tick.
 func (s *search) visitRepaired(w *world, ticks, strays, depth int) {
 	mark := len(s.path)
-	c := w.copied()
-	for _, x := range repairs(c) {
-		c.disturb(x)
-		s.record(x)
+	copied := w.copied()
+	for _, action := range repairs(copied) {
+		copied.disturb(action)
+		s.record(action)
 	}
-	s.nextTick(c)
-	s.visit(c, ticks, strays, depth+1)
+	s.nextTick(copied)
+	s.visit(copied, ticks, strays, depth+1)
 	s.path = s.path[:mark]
 }
 
-func (s *search) record(x action) {
+func (s *search) record(action action) {
 	s.steps++
-	s.path = append(s.path, x)
+	s.path = append(s.path, action)
 }
 
 func (s *search) violates(w *world) bool {
@@ -120,7 +120,7 @@
 // settled reports whether nothing is left to do before the next tick.
 func (w *world) idle() bool {
 	for i := range w.worldConfig.machines {
-		if m := &w.machines[i]; w.running(i) && !m.stalled && len(m.unsynced) > 0 {
+		if host := &w.machines[i]; w.running(i) && !host.stalled && len(host.unsynced) > 0 {
 			return false
 		}
 	}
@@ -131,55 +131,55 @@
 
 // repairs are the actions that mend all that is broken.
 func repairs(w *world) trace {
-	var t trace
+	var actions trace
 	for i := range w.worldConfig.voters {
-		switch m := &w.machines[i]; {
-		case !m.up:
-			t = append(t, action{verb: doStart, a: i})
-		case m.frozen:
-			t = append(t, action{verb: doThaw, a: i})
-		case m.stalled:
-			t = append(t, action{verb: doFlow, a: i})
+		switch host := &w.machines[i]; {
+		case !host.up:
+			actions = append(actions, action{verb: doStart, a: i})
+		case host.frozen:
+			actions = append(actions, action{verb: doThaw, a: i})
+		case host.stalled:
+			actions = append(actions, action{verb: doFlow, a: i})
 		}
 	}
 	if w.links != [maxMachines][maxMachines]link{} {
-		t = append(t, action{verb: doHealAll})
+		actions = append(actions, action{verb: doHealAll})
 	}
-	return t
+	return actions
 }
 
 // strayings are all that may go wrong now: something with the message due next, a loss
 // of power before a sync, and between ticks whatever befalls a machine or a wire.
 func deviations(w *world, quiet bool) trace {
-	var t trace
+	var actions trace
 	if w.next() >= 0 {
-		t = append(t, action{verb: doDrop}, action{verb: doRepeat}, action{verb: doPostpone})
+		actions = append(actions, action{verb: doDrop}, action{verb: doRepeat}, action{verb: doPostpone})
 	}
 	for i := range w.worldConfig.machines {
-		if n := len(w.machines[i].unsynced); n > 0 {
-			t = append(t, action{doPower, i, 0})
-			if n > 1 {
-				t = append(t, action{doPower, i, n - 1})
+		if unsynced := len(w.machines[i].unsynced); unsynced > 0 {
+			actions = append(actions, action{doPower, i, 0})
+			if unsynced > 1 {
+				actions = append(actions, action{doPower, i, unsynced - 1})
 			}
 		}
 	}
 	if !quiet {
-		return t
+		return actions
 	}
 	for i := range w.worldConfig.machines {
 		if !w.running(i) {
 			continue
 		}
-		for _, v := range []verb{doKill, doFreeze, doStall, doLeave, doIsolate} {
-			t = append(t, action{verb: v, a: i})
+		for _, verb := range []verb{doKill, doFreeze, doStall, doLeave, doIsolate} {
+			actions = append(actions, action{verb: verb, a: i})
 		}
 		for j := range w.worldConfig.machines {
 			if i != j && w.links[i][j] == linkUp && w.machines[j].up {
-				t = append(t, action{doCut, i, j}, action{doHold, i, j})
+				actions = append(actions, action{doCut, i, j}, action{doHold, i, j})
 			}
 		}
 	}
-	return t
+	return actions
 }
 
 // clientTurn is a change of a register at the node that answers for it, each in turn.
--- a/quorum/explore_test.go
+++ b/quorum/explore_test.go
@@ -31,16 +31,16 @@
 
 // report fails the test with the shortest trace that still breaks the rule, in the
 // form that TestKeptTraces takes.
-func report(t *testing.T, c worldConfig, tr trace, wrong string) {
+func report(t *testing.T, size worldConfig, actions trace, wrong string) {
 	t.Helper()
-	short := shorten(c, tr, kindOf(wrong))
-	t.Fatalf("%s\nthe shortest trace, in %+v:\n%q\n%s", wrong, c, short, play(c, short).checker.violation)
+	short := shorten(size, actions, kindOf(wrong))
+	t.Fatalf("%s\nthe shortest trace, in %+v:\n%q\n%s", wrong, size, short, play(size, short).checker.violation)
 }
 
 // TestWalks draws random courses of every world, the same ones every time; as many
 // times more as VT_EXPLORE says.
 func TestWalks(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		config worldConfig
 		walks  int
@@ -55,26 +55,26 @@
 		{"four", fourOfFive, 70},
 		{"five", five, 50},
 	} {
-		t.Run(c.name, func(t *testing.T) { walks(t, c.config, c.walks*level()) })
+		t.Run(test.name, func(t *testing.T) { walks(t, test.config, test.walks*level()) })
 	}
 }
 
-func walks(t *testing.T, c worldConfig, count int) {
+func walks(t *testing.T, size worldConfig, count int) {
 	begin := time.Now()
 	inputs, changes, rosters := 0, 0, 0
 	for seed := int64(1); seed <= int64(count); seed++ {
-		tr, w := walk(c, seed, 80)
+		actions, w := walk(size, seed, 80)
 		if w.checker.violation != "" {
 			t.Logf("seed %d", seed)
-			report(t, c, tr, w.checker.violation)
+			report(t, size, actions, w.checker.violation)
 		}
 		if err := w.checker.linearizable(); err != nil {
-			t.Fatalf("seed %d: %v\n%q", seed, err, tr)
+			t.Fatalf("seed %d: %v\n%q", seed, err, actions)
 		}
 		inputs += *w.inputs
 		rosters += len(w.checker.voterSets) - 1
-		for _, o := range w.checker.history {
-			if o.tookEffect && o.operation.Type == OpPut {
+		for _, operation := range w.checker.history {
+			if operation.tookEffect && operation.operation.Type == OpPut {
 				changes++
 			}
 		}
@@ -96,7 +96,7 @@
 // TestSearch visits every course that strays from the ordinary one at most so many
 // times; VT_EXPLORE adds ticks.
 func TestSearch(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
 		config        worldConfig
 		prefix        string
@@ -111,15 +111,15 @@
 		{"four", fourOfFive, calm, 2, 1},
 		{"five", five, calm, 1, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			begin := time.Now()
-			s := newSearch(c.config)
-			s.run(readTrace(c.prefix), c.ticks+level()-1, c.strays)
+			s := newSearch(test.config)
+			s.run(readTrace(test.prefix), test.ticks+level()-1, test.strays)
 			if s.found != "" {
-				report(t, c.config, s.trace, s.found)
+				report(t, test.config, s.trace, s.found)
 			}
 			took := time.Since(begin).Seconds()
-			t.Logf("%d ticks, %d strays: %v, %.1f s, %.0f states/s", c.ticks+level()-1, c.strays, s, took, float64(len(s.seen))/took)
+			t.Logf("%d ticks, %d strays: %v, %.1f s, %.0f states/s", test.ticks+level()-1, test.strays, s, took, float64(len(s.seen))/took)
 		})
 	}
 }
--- a/quorum/explore_traces_test.go
+++ b/quorum/explore_traces_test.go
@@ -5,7 +5,7 @@
 // TestKeptTraces plays the shortest courses that break a rule once a safeguard is taken
 // out. All were found by the explorer, or written down for what it rarely draws.
 func TestKeptTraces(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		safeguard string // as scripts/weaken names it
 		config    worldConfig
 		trace     string
@@ -39,8 +39,8 @@
 		{"a floor is trusted before it is beyond doubt", withGenerations,
 			"tick 10; claim b 2; tick 4; power b 0; start b; tick 1"},
 	} {
-		t.Run(c.safeguard, func(t *testing.T) {
-			if w := play(c.config, readTrace(c.trace)); w.checker.violation != "" {
+		t.Run(test.safeguard, func(t *testing.T) {
+			if w := play(test.config, readTrace(test.trace)); w.checker.violation != "" {
 				t.Fatal(w.checker.violation)
 			}
 		})
@@ -63,12 +63,12 @@
 // TestLateMessages: an answer to a voter's former life, which comes when its next one has
 // lost what was not synced, is not taken for one to it.
 func TestLateMessages(t *testing.T) {
-	for _, c := range []struct{ name, trace string }{
+	for _, test := range []struct{ name, trace string }{
 		{"a fill", "tick 5; step 60; stall a; put b 1; step 60; cut b a; put b 0; step 60; heal b a; put b 0; step 2; hold b a; step 60; power a 0; start a; tick 1; step 60; heal b a; postpone; step 60"},
 		{"a vote", "tick 5; step 60; stall a; put b 1; step 60; tick 1; step 60; kill b; tick 3; step 5; late; step 60; power a 0; start a; tick 3; release 0; step 60; tick 14"},
 	} {
-		if w := play(three, readTrace(c.trace)); w.checker.violation != "" {
-			t.Errorf("%s: %s", c.name, w.checker.violation)
+		if w := play(three, readTrace(test.trace)); w.checker.violation != "" {
+			t.Errorf("%s: %s", test.name, w.checker.violation)
 		}
 	}
 }
--- a/quorum/explore_walk_test.go
+++ b/quorum/explore_walk_test.go
@@ -4,17 +4,17 @@
 
 // walk draws one random course of a world: mostly what happens by itself, with now and
 // then a disturbance, and repairs so that there is something left to disturb.
-func walk(c worldConfig, seed int64, actions int) (trace, *world) {
-	g := &walker{Rand: rand.New(rand.NewSource(seed)), w: newWorld(c, nil)}
-	g.betweenMessages = g.Intn(2) == 0
-	t := trace{{verb: doTick, a: 4}}
-	g.w.apply(t[0])
-	for len(t) < actions && g.w.checker.violation == "" {
-		x := g.draw()
-		t = append(t, x)
-		g.w.apply(x)
+func walk(size worldConfig, seed int64, actions int) (trace, *world) {
+	walker := &walker{Rand: rand.New(rand.NewSource(seed)), w: newWorld(size, nil)}
+	walker.betweenMessages = walker.Intn(2) == 0
+	course := trace{{verb: doTick, a: 4}}
+	walker.w.apply(course[0])
+	for len(course) < actions && walker.w.checker.violation == "" {
+		action := walker.draw()
+		course = append(course, action)
+		walker.w.apply(action)
 	}
-	return t, g.w
+	return course, walker.w
 }
 
 type walker struct {
@@ -130,16 +130,16 @@
 
 // repair mends one thing that is broken, if any is.
 func (g *walker) repair() action {
-	if n := len(g.w.setAside); n > 0 && g.Intn(3) == 0 {
-		return action{verb: doRelease, a: g.Intn(n)}
+	if late := len(g.w.setAside); late > 0 && g.Intn(3) == 0 {
+		return action{verb: doRelease, a: g.Intn(late)}
 	}
 	for _, i := range g.Perm(g.w.worldConfig.machines) {
-		switch m := &g.w.machines[i]; {
-		case !m.up:
+		switch host := &g.w.machines[i]; {
+		case !host.up:
 			return action{verb: doStart, a: i}
-		case m.frozen:
+		case host.frozen:
 			return action{verb: doThaw, a: i}
-		case m.stalled:
+		case host.stalled:
 			return action{verb: doFlow, a: i}
 		}
 		for j := range g.w.worldConfig.machines {
--- a/quorum/explore_world_test.go
+++ b/quorum/explore_world_test.go
@@ -17,9 +17,9 @@
 )
 
 // explorePlan is the plan of every explored node.
-func exploreConfig(name string, inc uint64, c worldConfig) Config {
-	return Config{Name: name, Incarnation: inc, Slots: c.slots, HeartbeatInterval: tickInterval, LeaseDuration: 3 * tickInterval, LeaseMargin: tickInterval / 2,
-		ChunkBytes: c.chunkBytes, MaxStateBytes: 1 << 20, GenerationDuration: c.generationDuration, OpenGenerations: 1}
+func exploreConfig(name string, inc uint64, size worldConfig) Config {
+	return Config{Name: name, Incarnation: inc, Slots: size.slots, HeartbeatInterval: tickInterval, LeaseDuration: 3 * tickInterval, LeaseMargin: tickInterval / 2,
+		ChunkBytes: size.chunkBytes, MaxStateBytes: 1 << 20, GenerationDuration: size.generationDuration, OpenGenerations: 1}
 }
 
 // config sizes a world.
@@ -41,13 +41,13 @@
 	sum      digest
 }
 
-func (d *diskLog) add(r Record, s digest) *diskLog {
-	n := &diskLog{previous: d, record: r, length: 1, sum: s}
+func (d *diskLog) add(record Record, recordSum digest) *diskLog {
+	extended := &diskLog{previous: d, record: record, length: 1, sum: recordSum}
 	if d != nil {
-		n.length = d.length + 1
-		n.sum = sum(append(d.sum[:], s[:]...))
+		extended.length = d.length + 1
+		extended.sum = sum(append(d.sum[:], recordSum[:]...))
 	}
-	return n
+	return extended
 }
 
 func (d *diskLog) records() []Record {
@@ -116,34 +116,34 @@
 }
 
 // newWorld starts all voters of a first roster.
-func newWorld(c worldConfig, k *cache) *world {
-	w := &world{worldConfig: c, cache: k, now: tickInterval, inputs: new(int)}
-	w.checker.init(c)
-	r := VoterSet{Revision: FirstRevision(9), Seats: c.seats}
-	for i := range c.machines {
+func newWorld(size worldConfig, states *cache) *world {
+	w := &world{worldConfig: size, cache: states, now: tickInterval, inputs: new(int)}
+	w.checker.init(size)
+	set := VoterSet{Revision: FirstRevision(9), Seats: size.seats}
+	for i := range size.machines {
 		w.machines[i] = machine{name: string(rune('a' + i)), incarnation: uint64(firstIncarnation + i)}
-		if i < c.voters {
-			r.Voters = append(r.Voters, Voter{Name: w.machines[i].name, Incarnation: w.machines[i].incarnation, Number: uint16(i + 1)})
+		if i < size.voters {
+			set.Voters = append(set.Voters, Voter{Name: w.machines[i].name, Incarnation: w.machines[i].incarnation, Number: uint16(i + 1)})
 		}
 	}
-	w.checker.voterSetInForce(r)
-	for i := range c.voters {
-		w.machines[i].voterSet = r
+	w.checker.voterSetInForce(set)
+	for i := range size.voters {
+		w.machines[i].voterSet = set
 		w.start(i)
 	}
 	return w
 }
 
 func (w *world) copied() *world {
-	c := *w
-	c.inFlight = slices.Clone(w.inFlight)
-	c.setAside = slices.Clone(w.setAside)
-	for i := range c.machines {
-		c.machines[i].unsynced = slices.Clip(c.machines[i].unsynced)
-		c.machines[i].sums = slices.Clip(c.machines[i].sums)
+	duplicate := *w
+	duplicate.inFlight = slices.Clone(w.inFlight)
+	duplicate.setAside = slices.Clone(w.setAside)
+	for i := range duplicate.machines {
+		duplicate.machines[i].unsynced = slices.Clip(duplicate.machines[i].unsynced)
+		duplicate.machines[i].sums = slices.Clip(duplicate.machines[i].sums)
 	}
-	c.checker = w.checker.copied()
-	return &c
+	duplicate.checker = w.checker.copied()
+	return &duplicate
 }
 
 func (w *world) index(name string) int {
@@ -156,130 +156,130 @@
 }
 
 func (w *world) running(i int) bool {
-	m := &w.machines[i]
-	return m.up && m.node != nil && !m.frozen
+	host := &w.machines[i]
+	return host.up && host.node != nil && !host.frozen
 }
 
 // start boots a machine's process from what its disk holds.
 func (w *world) start(i int) {
-	m := &w.machines[i]
-	if m.up {
+	host := &w.machines[i]
+	if host.up {
 		return
 	}
-	m.up, m.frozen, m.stalled, m.issued = true, false, false, 0
-	if len(m.voterSet.Voters) > 0 {
+	host.up, host.frozen, host.stalled, host.issued = true, false, false, 0
+	if len(host.voterSet.Voters) > 0 {
 		w.boot(i)
 	}
 }
 
 func (w *world) boot(i int) {
-	m := &w.machines[i]
-	m.issued, m.unsynced, m.sums = 0, nil, nil
-	m.node = New(exploreConfig(m.name, m.incarnation, w.worldConfig), m.voterSet, w.now, m.synced.records())
+	host := &w.machines[i]
+	host.issued, host.unsynced, host.sums = 0, nil, nil
+	host.node = New(exploreConfig(host.name, host.incarnation, w.worldConfig), host.voterSet, w.now, host.synced.records())
 	if w.cache != nil {
-		m.state = w.cache.intern(m.node)
-		m.node = m.state.node
+		host.state = w.cache.intern(host.node)
+		host.node = host.state.node
 	}
 }
 
 // kill ends a machine's process; kept of the records not synced yet are on its disk
 // all the same. What is on its way to it may still arrive, in its next life.
 func (w *world) kill(i, kept int) {
-	m := &w.machines[i]
-	if !m.up {
+	host := &w.machines[i]
+	if !host.up {
 		return
 	}
-	w.flush(m, min(kept, len(m.unsynced)))
-	m.up, m.node, m.state, m.unsynced, m.sums = false, nil, nil, nil, nil
-	m.frozen, m.stalled = false, false
+	w.flush(host, min(kept, len(host.unsynced)))
+	host.up, host.node, host.state, host.unsynced, host.sums = false, nil, nil, nil, nil
+	host.frozen, host.stalled = false, false
 	w.checker.processDied(i)
 }
 
 // sink puts the first n records not synced yet on the disk.
-func (w *world) flush(m *machine, n int) {
-	for j, r := range m.unsynced[:n] {
-		var s digest
+func (w *world) flush(host *machine, count int) {
+	for j, record := range host.unsynced[:count] {
+		var recordSum digest
 		if w.cache != nil {
-			s = m.sums[j]
+			recordSum = host.sums[j]
 		}
-		m.synced = m.synced.add(r, s)
-		if r.Type == RecordVoterSet && r.VoterSet.Revision > m.voterSet.Revision {
-			m.voterSet = *r.VoterSet
+		host.synced = host.synced.add(record, recordSum)
+		if record.Type == RecordVoterSet && record.VoterSet.Revision > host.voterSet.Revision {
+			host.voterSet = *record.VoterSet
 		}
 	}
-	m.unsynced = m.unsynced[n:]
+	host.unsynced = host.unsynced[count:]
 	if w.cache != nil {
-		m.sums = m.sums[n:]
+		host.sums = host.sums[count:]
 	}
 }
 
 // wipe takes a machine's disk away; it asks to be let in under a new incarnation.
 func (w *world) wipe(i int) {
 	w.kill(i, 0)
-	m := &w.machines[i]
+	host := &w.machines[i]
 	w.wipes++
-	m.synced, m.voterSet, m.incarnation = nil, VoterSet{}, firstWipedIncarnation+w.wipes
+	host.synced, host.voterSet, host.incarnation = nil, VoterSet{}, firstWipedIncarnation+w.wipes
 }
 
 // checkpoint restates a disk by its node's checkpoint.
 func (w *world) checkpoint(i int) {
-	m := &w.machines[i]
-	if !w.running(i) || len(m.unsynced) > 0 {
+	host := &w.machines[i]
+	if !w.running(i) || len(host.unsynced) > 0 {
 		return
 	}
-	m.synced = nil
-	for _, r := range m.node.Checkpoint() {
-		m.synced = m.synced.add(r, digestOf(&r))
+	host.synced = nil
+	for _, record := range host.node.Checkpoint() {
+		host.synced = host.synced.add(record, digestOf(&record))
 	}
 }
 
 // sync puts everything issued on the disk and tells the node.
 func (w *world) sync(i int) {
-	m := &w.machines[i]
-	w.flush(m, len(m.unsynced))
-	w.input(i, input{kind: inSynced, count: m.issued})
+	host := &w.machines[i]
+	w.flush(host, len(host.unsynced))
+	w.input(i, input{kind: inSynced, count: host.issued})
 }
 
 // input gives a running node one event and takes its effects.
 func (w *world) input(i int, in input) {
 	in.now = w.now
 	*w.inputs++
-	m := &w.machines[i]
+	host := &w.machines[i]
 	if w.cache == nil {
-		w.effects(i, in.run(m.node), nil)
+		w.effects(i, in.run(host.node), nil)
 		return
 	}
-	t := w.cache.apply(m.state, in)
-	m.state, m.node = t.to, t.to.node
-	w.effects(i, t.ready, t)
+	result := w.cache.apply(host.state, in)
+	host.state, host.node = result.to, result.to.node
+	w.effects(i, result.ready, result)
 }
 
-func (w *world) effects(i int, o Ready, t *transition) {
-	m := &w.machines[i]
-	for j, r := range o.Records {
-		m.unsynced = append(m.unsynced, r)
-		if t != nil {
-			m.sums = append(m.sums, t.recordSums[j])
+func (w *world) effects(i int, ready Ready, cached *transition) {
+	host := &w.machines[i]
+	for j, record := range ready.Records {
+		host.unsynced = append(host.unsynced, record)
+		if cached != nil {
+			host.sums = append(host.sums, cached.recordSums[j])
 		}
-		m.issued++
+		host.issued++
 	}
-	for j := range o.Messages {
-		to := w.index(o.Messages[j].To)
+	for j := range ready.Messages {
+		to := w.index(ready.Messages[j].To)
 		if to < 0 || w.links[i][to] == linkCut || !w.machines[to].up {
 			continue
 		}
-		p := packet{to: to, message: &o.Messages[j].Message}
-		if t != nil {
-			p.sum = t.messageSums[j]
+		sent := packet{to: to, message: &ready.Messages[j].Message}
+		if cached != nil {
+			sent.sum = cached.messageSums[j]
 		}
-		w.inFlight = append(w.inFlight, p)
+		w.inFlight = append(w.inFlight, sent)
 	}
-	for _, a := range o.Results {
-		w.checker.operationReturned(a)
+	for _, result := range ready.Results {
+		w.checker.operationReturned(result)
 	}
-	if o.VoterSet != nil {
-		w.checker.voterSetInForce(*o.VoterSet)
-		if v, ok := o.VoterSet.Find(m.name); !ok || v.Incarnation != m.incarnation {
+	if ready.VoterSet != nil {
+		w.checker.voterSetInForce(*ready.VoterSet)
+		if voter, ok := ready.VoterSet.Find(host.name); !ok || voter.Incarnation != host.incarnation {
 			w.wipe(i) // a disk that was replaced is retired
 			w.start(i)
 		}
@@ -288,8 +288,8 @@
 
 // next is the place of the oldest message that can be delivered, or -1.
 func (w *world) next() int {
-	for k, p := range w.inFlight {
-		if w.machines[p.to].frozen || w.links[w.index(p.message.From)][p.to] == linkHeld {
+	for k, sent := range w.inFlight {
+		if w.machines[sent.to].frozen || w.links[w.index(sent.message.From)][sent.to] == linkHeld {
 			continue
 		}
 		return k
@@ -301,28 +301,28 @@
 // It reports false when the world is quiet until the next tick.
 func (w *world) step() bool {
 	for i := range w.worldConfig.machines {
-		if m := &w.machines[i]; w.running(i) && !m.stalled && len(m.unsynced) > 0 {
+		if host := &w.machines[i]; w.running(i) && !host.stalled && len(host.unsynced) > 0 {
 			w.sync(i)
 			return true
 		}
 	}
-	k := w.next()
-	if k < 0 {
+	due := w.next()
+	if due < 0 {
 		return false
 	}
-	w.deliver(k)
+	w.deliver(due)
 	return true
 }
 
-func (w *world) deliver(k int) {
-	p := w.inFlight[k]
-	w.inFlight = slices.Delete(w.inFlight, k, k+1)
-	w.receive(p)
+func (w *world) deliver(due int) {
+	sent := w.inFlight[due]
+	w.inFlight = slices.Delete(w.inFlight, due, due+1)
+	w.receive(sent)
 }
 
-func (w *world) receive(p packet) {
-	if w.running(p.to) {
-		w.input(p.to, input{kind: inReceive, message: p.message, messageSum: p.sum})
+func (w *world) receive(sent packet) {
+	if w.running(sent.to) {
+		w.input(sent.to, input{kind: inReceive, message: sent.message, messageSum: sent.sum})
 	}
 }
 
@@ -347,39 +347,39 @@
 
 // probe asks for newer rosters while a voter is silent, as the daemon does.
 func (w *world) pullVoterSets(i int) {
-	n := w.machines[i].node
-	if n == nil {
+	node := w.machines[i].node
+	if node == nil {
 		return
 	}
 	silent := false
-	for _, v := range n.VoterSet().Voters {
-		silent = silent || n.Silence(w.now, v.Name) > 2*tickInterval
+	for _, voter := range node.VoterSet().Voters {
+		silent = silent || node.Silence(w.now, voter.Name) > 2*tickInterval
 	}
 	if !silent {
 		return
 	}
 	for j := range w.worldConfig.machines {
 		if w.reachable(i, j) && w.running(i) && w.machines[j].node.VoterSet().Revision > w.machines[i].node.VoterSet().Revision {
-			r := w.machines[j].node.VoterSet()
-			w.input(i, input{kind: inObserve, voterSet: &r})
+			set := w.machines[j].node.VoterSet()
+			w.input(i, input{kind: inObserve, voterSet: &set})
 		}
 	}
 }
 
 // ask has a machine in no roster ask all it reaches to be let in.
 func (w *world) requestAdmission(i int) {
-	m := &w.machines[i]
+	host := &w.machines[i]
 	for j := range w.worldConfig.machines {
 		if !w.reachable(i, j) {
 			continue
 		}
-		w.input(j, input{kind: inAdmit, voter: Voter{Name: m.name, Incarnation: m.incarnation}})
+		w.input(j, input{kind: inAdmit, voter: Voter{Name: host.name, Incarnation: host.incarnation}})
 		if !w.running(j) {
 			continue
 		}
-		r := w.machines[j].node.VoterSet()
-		if v, ok := r.Find(m.name); ok && v.Incarnation == m.incarnation {
-			m.voterSet = r
+		set := w.machines[j].node.VoterSet()
+		if voter, ok := set.Find(host.name); ok && voter.Incarnation == host.incarnation {
+			host.voterSet = set
 			w.boot(i)
 			return
 		}
@@ -387,17 +387,17 @@
 }
 
 // do starts a client's operation on a machine.
-func (w *world) propose(i int, op Operation) {
+func (w *world) propose(i int, operation Operation) {
 	if !w.running(i) {
 		return
 	}
 	w.operations++
-	op.ID = w.operations
-	if op.Type == OpPut && op.Value == nil || op.Type == OpClaim {
-		op.Value = []byte("v" + strconv.FormatUint(op.ID, 10))
+	operation.ID = w.operations
+	if operation.Type == OpPut && operation.Value == nil || operation.Type == OpClaim {
+		operation.Value = []byte("v" + strconv.FormatUint(operation.ID, 10))
 	}
-	w.checker.operationCalled(i, w.now, op)
-	w.input(i, input{kind: inPropose, operation: op})
+	w.checker.operationCalled(i, w.now, operation)
+	w.input(i, input{kind: inPropose, operation: operation})
 }
 
 // quiet runs until nothing is left to do before the next tick.
@@ -419,29 +419,29 @@
 
 // key tells worlds apart that may go on differently, or be judged differently.
 func (w *world) key() digest {
-	b := make([]byte, 0, 1024)
-	b = binary.AppendVarint(b, w.now)
-	b = binary.AppendUvarint(b, w.wipes)
-	b = binary.AppendUvarint(b, w.operations)
+	encoded := make([]byte, 0, 1024)
+	encoded = binary.AppendVarint(encoded, w.now)
+	encoded = binary.AppendUvarint(encoded, w.wipes)
+	encoded = binary.AppendUvarint(encoded, w.operations)
 	for i := range w.worldConfig.machines {
-		m := &w.machines[i]
+		host := &w.machines[i]
 		for j := range w.worldConfig.machines {
-			b = append(b, byte(w.links[i][j]))
+			encoded = append(encoded, byte(w.links[i][j]))
 		}
-		b = binary.AppendUvarint(b, m.incarnation)
-		b = binary.AppendUvarint(b, m.issued)
-		b = binary.AppendUvarint(b, m.voterSet.Revision)
-		b = append(b, bit(m.up), bit(m.frozen), bit(m.stalled))
-		b = append(b, m.state.digest()...)
-		d := m.synced.digest()
-		b = append(b, d[:]...)
-		for _, s := range m.sums {
-			b = append(b, s[:]...)
+		encoded = binary.AppendUvarint(encoded, host.incarnation)
+		encoded = binary.AppendUvarint(encoded, host.issued)
+		encoded = binary.AppendUvarint(encoded, host.voterSet.Revision)
+		encoded = append(encoded, bit(host.up), bit(host.frozen), bit(host.stalled))
+		encoded = append(encoded, host.state.digest()...)
+		d := host.synced.digest()
+		encoded = append(encoded, d[:]...)
+		for _, s := range host.sums {
+			encoded = append(encoded, s[:]...)
 		}
 	}
-	for _, p := range slices.Concat(w.inFlight, []packet{{}}, w.setAside) {
-		b = append(b, byte(p.to))
-		b = append(b, p.sum[:]...)
+	for _, sent := range slices.Concat(w.inFlight, []packet{{}}, w.setAside) {
+		encoded = append(encoded, byte(sent.to))
+		encoded = append(encoded, sent.sum[:]...)
 	}
-	return sum(w.checker.encode(b))
+	return sum(w.checker.encode(encoded))
 }
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -3,67 +3,67 @@
 import "testing"
 
 // lone is a roster of one, which settles everything by itself once synced.
-func newSingleNode(t *testing.T, era int64) (n *Node, step func(int64) []Result, do func(int64, Operation) Result) {
+func newSingleNode(t *testing.T, era int64) (node *Node, step func(int64) []Result, do func(int64, Operation) Result) {
 	t.Helper()
-	p := DefaultConfig("a", 1)
-	p.GenerationDuration, p.OpenGenerations = era, 3
-	n = New(p, newVoterSet(1), 0, nil)
+	config := DefaultConfig("a", 1)
+	config.GenerationDuration, config.OpenGenerations = era, 3
+	node = New(config, newVoterSet(1), 0, nil)
 	var recs uint64
 	var out []Result
-	take := func(now int64, o Ready) {
-		for len(o.Records) > 0 || len(o.Results) > 0 {
-			recs += uint64(len(o.Records))
-			out = append(out, o.Results...)
-			if len(o.Records) == 0 {
+	take := func(now int64, ready Ready) {
+		for len(ready.Records) > 0 || len(ready.Results) > 0 {
+			recs += uint64(len(ready.Records))
+			out = append(out, ready.Results...)
+			if len(ready.Records) == 0 {
 				break
 			}
-			o = n.RecordsSynced(now, recs)
+			ready = node.RecordsSynced(now, recs)
 		}
 	}
 	step = func(now int64) []Result {
-		take(now, n.Tick(now))
-		a := out
+		take(now, node.Tick(now))
+		result := out
 		out = nil
-		return a
+		return result
 	}
-	do = func(now int64, op Operation) Result {
+	do = func(now int64, operation Operation) Result {
 		out = nil
-		take(now, n.Propose(now, op))
-		for _, a := range out {
-			if a.ID == op.ID {
-				return a
+		take(now, node.Propose(now, operation))
+		for _, result := range out {
+			if result.ID == operation.ID {
+				return result
 			}
 		}
-		t.Fatalf("no answer to %+v", op)
+		t.Fatalf("no answer to %+v", operation)
 		return Result{}
 	}
 	for now := int64(0); now <= 3_000_000; now += 25_000 {
 		step(now)
 	}
-	return n, step, do
+	return node, step, do
 }
 
 // TestSilence counts from what this node could hear, never from before.
 func TestSilence(t *testing.T) {
-	n := New(DefaultConfig("a", 1), newAddressedSet(3), 10_000_000, nil)
+	node := New(DefaultConfig("a", 1), newAddressedSet(3), 10_000_000, nil)
 	now := int64(10_000_000)
 	for ; now < 12_000_000; now += 25_000 {
-		n.Tick(now)
+		node.Tick(now)
 		if now < 11_000_000 {
-			n.Receive(now, Message{Type: MsgVoterSetRequest, From: "b", Incarnation: 2, VoterSetRevision: n.VoterSet().Revision})
-			n.Receive(now, Message{Type: MsgVoterSetRequest, From: "c", Incarnation: 77, VoterSetRevision: n.VoterSet().Revision})
+			node.Receive(now, Message{Type: MsgVoterSetRequest, From: "b", Incarnation: 2, VoterSetRevision: node.VoterSet().Revision})
+			node.Receive(now, Message{Type: MsgVoterSetRequest, From: "c", Incarnation: 77, VoterSetRevision: node.VoterSet().Revision})
 		}
 	}
 	now -= 25_000
-	if b, c, a := n.Silence(now, "b"), n.Silence(now, "c"), n.Silence(now, "a"); b != 1_000_000 || c != 1_975_000 || a != 0 {
+	if b, c, a := node.Silence(now, "b"), node.Silence(now, "c"), node.Silence(now, "a"); b != 1_000_000 || c != 1_975_000 || a != 0 {
 		t.Fatalf("b is silent for %d, c (another life speaks) for %d, the node itself for %d", b, c, a)
 	}
 	now += 5_000_000 // held up: before the first tick after, and from it on
-	if b := n.Silence(now, "b"); b != 0 {
+	if b := node.Silence(now, "b"); b != 0 {
 		t.Fatalf("after a pause b counts as silent for %d", b)
 	}
-	n.Tick(now)
-	if b := n.Silence(now+100_000, "b"); b != 100_000 {
+	node.Tick(now)
+	if b := node.Silence(now+100_000, "b"); b != 100_000 {
 		t.Fatalf("after a pause b counts as silent for %d", b)
 	}
 }
@@ -71,7 +71,7 @@
 // TestGrace: a disk that may have granted something waits a term after a start; one
 // that never did has nothing to wait for.
 func TestNoVoteAfterRestart(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		recs []Record
 		want MessageType
 	}{
@@ -79,13 +79,13 @@
 		{[]Record{{Type: RecordPromise, Slot: 3, Term: 0}}, MsgVoteGranted},
 		{[]Record{{Type: RecordPromise, Slot: 3, Term: 1 << 16}}, MsgVoteRejected},
 	} {
-		n := New(DefaultConfig("a", 1), newAddressedSet(3), 5_000_000, c.recs)
-		o := n.Receive(5_000_100, Message{Type: MsgVoteRequest, From: "b", Incarnation: 2, VoterSetRevision: n.VoterSet().Revision, Slot: 5, Term: 1<<16 | 2})
-		if len(o.Messages) == 0 {
-			o = n.RecordsSynced(5_000_200, uint64(len(o.Records)))
+		node := New(DefaultConfig("a", 1), newAddressedSet(3), 5_000_000, test.recs)
+		ready := node.Receive(5_000_100, Message{Type: MsgVoteRequest, From: "b", Incarnation: 2, VoterSetRevision: node.VoterSet().Revision, Slot: 5, Term: 1<<16 | 2})
+		if len(ready.Messages) == 0 {
+			ready = node.RecordsSynced(5_000_200, uint64(len(ready.Records)))
 		}
-		if len(o.Messages) != 1 || o.Messages[0].Message.Type != c.want {
-			t.Errorf("%+v: %+v", c.recs, o.Messages)
+		if len(ready.Messages) != 1 || ready.Messages[0].Message.Type != test.want {
+			t.Errorf("%+v: %+v", test.recs, ready.Messages)
 		}
 	}
 }
--- a/quorum/role_test.go
+++ b/quorum/role_test.go
@@ -15,36 +15,36 @@
 		id++
 		return do(now, Operation{ID: id, Type: kind, Key: "duty/x", Holder: who, LeaseDuration: 1_000_000, ExpectedRevision: epoch})
 	}
-	a := hold("p", 0, OpAcquire)
-	if a.Status != StatusDone {
-		t.Fatalf("%+v", a)
+	first := hold("p", 0, OpAcquire)
+	if first.Status != StatusDone {
+		t.Fatalf("%+v", first)
 	}
-	if b := hold("q", 0, OpAcquire); b.Status != StatusConflict {
-		t.Fatalf("two holders: %+v", b)
+	if again := hold("q", 0, OpAcquire); again.Status != StatusConflict {
+		t.Fatalf("two holders: %+v", again)
 	}
 	wait(900_000)
-	if b := hold("p", a.Revision, OpAcquire); b.Status != StatusDone || b.Revision != a.Revision {
-		t.Fatalf("a renewal: %+v", b)
+	if again := hold("p", first.Revision, OpAcquire); again.Status != StatusDone || again.Revision != first.Revision {
+		t.Fatalf("a renewal: %+v", again)
 	}
-	if b := hold("p", 0, OpAcquire); b.Status != StatusDone || b.Revision != a.Revision {
-		t.Fatalf("asked again by its own holder, who did not hear of the grant: %+v after %+v", b, a)
+	if again := hold("p", 0, OpAcquire); again.Status != StatusDone || again.Revision != first.Revision {
+		t.Fatalf("asked again by its own holder, who did not hear of the grant: %+v after %+v", again, first)
 	}
 	wait(900_000)
-	if b := hold("q", 0, OpAcquire); b.Status != StatusConflict {
-		t.Fatalf("a renewed duty was given away: %+v", b)
+	if again := hold("q", 0, OpAcquire); again.Status != StatusConflict {
+		t.Fatalf("a renewed duty was given away: %+v", again)
 	}
-	if b := hold("q", a.Revision, OpRelease); b.Status != StatusConflict {
-		t.Fatalf("freed by another: %+v", b)
+	if again := hold("q", first.Revision, OpRelease); again.Status != StatusConflict {
+		t.Fatalf("freed by another: %+v", again)
 	}
 	wait(200_000)
-	b := hold("q", 0, OpAcquire)
-	if b.Status != StatusDone || b.Revision <= a.Revision {
-		t.Fatalf("a duty that ran out: %+v after %+v", b, a)
+	again := hold("q", 0, OpAcquire)
+	if again.Status != StatusDone || again.Revision <= first.Revision {
+		t.Fatalf("a duty that ran out: %+v after %+v", again, first)
 	}
-	if c := hold("p", a.Revision, OpAcquire); c.Status != StatusConflict {
-		t.Fatalf("a renewal under an old epoch: %+v", c)
+	if late := hold("p", first.Revision, OpAcquire); late.Status != StatusConflict {
+		t.Fatalf("a renewal under an old epoch: %+v", late)
 	}
-	if c := do(now, Operation{ID: 99, Type: OpPut, Key: "duty/x", Value: []byte("x"), ExpectedRevision: AnyRevision}); c.Status != StatusConflict {
-		t.Fatalf("a duty was overwritten: %+v", c)
+	if late := do(now, Operation{ID: 99, Type: OpPut, Key: "duty/x", Value: []byte("x"), ExpectedRevision: AnyRevision}); late.Status != StatusConflict {
+		t.Fatalf("a duty was overwritten: %+v", late)
 	}
 }
--- a/quorum/snapshot_test.go
+++ b/quorum/snapshot_test.go
@@ -18,13 +18,13 @@
 }
 
 // hears takes a message of voter b and returns what is sent then, all records synced.
-func (f *followerHarness) receive(m Message) (sent []Message) {
+func (f *followerHarness) receive(message Message) (sent []Message) {
 	f.now += 50_000
-	m.From, m.Incarnation, m.VoterSetRevision = "b", 2, f.node.voterSet.Revision
-	out := f.node.Receive(f.now, m)
+	message.From, message.Incarnation, message.VoterSetRevision = "b", 2, f.node.voterSet.Revision
+	out := f.node.Receive(f.now, message)
 	for {
-		for _, s := range out.Messages {
-			sent = append(sent, s.Message)
+		for _, envelope := range out.Messages {
+			sent = append(sent, envelope.Message)
 		}
 		if len(out.Records) == 0 {
 			return sent
@@ -35,17 +35,17 @@
 }
 
 // asks hears a message and expects that a part is asked for then.
-func (f *followerHarness) expectRequest(m Message, after Position) {
+func (f *followerHarness) expectRequest(message Message, after Position) {
 	f.t.Helper()
-	for _, s := range f.receive(m) {
-		if s.Type == MsgSnapshotRequest {
-			if !s.Joining || s.Previous != after || !s.More {
-				f.t.Fatalf("asked for %+v, not for what is after %v", s, after)
+	for _, sent := range f.receive(message) {
+		if sent.Type == MsgSnapshotRequest {
+			if !sent.Joining || sent.Previous != after || !sent.More {
+				f.t.Fatalf("asked for %+v, not for what is after %v", sent, after)
 			}
 			return
 		}
 	}
-	f.t.Fatalf("nothing was asked for after %+v", m)
+	f.t.Fatalf("nothing was asked for after %+v", message)
 }
 
 func (f *followerHarness) heartbeat(epoch uint64) Message {
@@ -54,12 +54,12 @@
 
 // part is a Fill with changes of the epoch, each of key k<number>.
 func newChunk(epoch uint64, after Position, more bool, val string, seqs ...uint64) Message {
-	m := Message{Type: MsgSnapshotChunk, Slot: 3, Term: epoch, Joining: true, Previous: after, More: more}
+	message := Message{Type: MsgSnapshotChunk, Slot: 3, Term: epoch, Joining: true, Previous: after, More: more}
 	for _, seq := range seqs {
-		m.Last = Position{epoch, seq}
-		m.Entries = append(m.Entries, Entry{Key: fmt.Sprint("k", seq%4), Position: m.Last, Revision: seq, Value: []byte(val)})
+		message.Last = Position{epoch, seq}
+		message.Entries = append(message.Entries, Entry{Key: fmt.Sprint("k", seq%4), Position: message.Last, Revision: seq, Value: []byte(val)})
 	}
-	return m
+	return message
 }
 
 const leaderTerm = 1<<16 | 2
@@ -68,7 +68,7 @@
 // counts before all of it has come, and an older part never replaces a newer one.
 func TestSnapshotPartsInOrder(t *testing.T) {
 	f := newFollowerHarness(t, nil)
-	s := f.node.slots[3]
+	replica := f.node.slots[3]
 	f.expectRequest(f.heartbeat(leaderTerm), Position{})
 	first := newChunk(leaderTerm, Position{}, true, "old", 1, 2, 3)
 	f.expectRequest(first, Position{leaderTerm, 3})
@@ -76,15 +76,15 @@
 	if sent := f.receive(first); len(sent) != 0 {
 		t.Fatalf("a repeated part is taken: %+v", sent)
 	}
-	if len(s.entries) != 0 || s.logTerm != 0 || s.last != (Position{}) {
-		t.Fatalf("parts count before all have come: %d registers, line %d", len(s.entries), s.logTerm)
+	if len(replica.entries) != 0 || replica.logTerm != 0 || replica.last != (Position{}) {
+		t.Fatalf("parts count before all have come: %d registers, line %d", len(replica.entries), replica.logTerm)
 	}
 	sent := f.receive(newChunk(leaderTerm, Position{leaderTerm, 6}, false, "new", 9))
 	if len(sent) != 1 || sent[0].Type != MsgAppendAck || sent[0].Last != (Position{leaderTerm, 9}) {
 		t.Fatalf("the whole line is not confirmed: %+v", sent)
 	}
 	for key, want := range map[string]string{"k1": "new", "k2": "new", "k3": "old"} {
-		if got := string(s.entries[key].Value); got != want {
+		if got := string(replica.entries[key].Value); got != want {
 			t.Errorf("%s is %q, not %q", key, got, want)
 		}
 	}
@@ -102,9 +102,9 @@
 		t.Fatalf("a part of the former line is taken: %+v", sent)
 	}
 	f.receive(newChunk(next, Position{}, false, "kept", 1))
-	s := f.node.slots[3]
-	if len(s.entries) != 1 || string(s.entries["k1"].Value) != "kept" || s.logTerm != next {
-		t.Fatalf("%d registers of line %d", len(s.entries), s.logTerm)
+	replica := f.node.slots[3]
+	if len(replica.entries) != 1 || string(replica.entries["k1"].Value) != "kept" || replica.logTerm != next {
+		t.Fatalf("%d registers of line %d", len(replica.entries), replica.logTerm)
 	}
 }
 
@@ -113,8 +113,8 @@
 func TestSnapshotReplacesUncertainChanges(t *testing.T) {
 	const before = 1<<15 | 1
 	entry := func(key string, seq uint64) Record {
-		v := Position{before, seq}
-		return Record{Type: RecordEntry, Slot: 3, Term: before, Last: v, Committed: Position{before, min(seq, 2)}, Entry: Entry{Key: key, Position: v, Revision: seq, Value: []byte("doubted")}}
+		position := Position{before, seq}
+		return Record{Type: RecordEntry, Slot: 3, Term: before, Last: position, Committed: Position{before, min(seq, 2)}, Entry: Entry{Key: key, Position: position, Revision: seq, Value: []byte("doubted")}}
 	}
 	f := newFollowerHarness(t, []Record{entry("sure", 1), entry("sure", 2), entry("changed", 3), entry("made", 4)})
 	sent := f.receive(f.heartbeat(leaderTerm))
@@ -122,10 +122,10 @@
 		t.Fatalf("%+v", sent)
 	}
 	owner := New(DefaultConfig("b", 2), newVoterSet(3), 0, nil)
-	s := owner.slots[3]
-	s.state, s.term, s.lastIndex = stateLeader, leaderTerm, 7
-	owner.store(s, Entry{Key: "changed", Position: Position{before, 1}, Revision: 1, Value: []byte("stands")})
-	owner.store(s, Entry{Key: "later", Position: Position{leaderTerm, 7}, Revision: 1, Value: []byte("new")})
+	replica := owner.slots[3]
+	replica.state, replica.term, replica.lastIndex = stateLeader, leaderTerm, 7
+	owner.store(replica, Entry{Key: "changed", Position: Position{before, 1}, Revision: 1, Value: []byte("stands")})
+	owner.store(replica, Entry{Key: "later", Position: Position{leaderTerm, 7}, Revision: 1, Value: []byte("new")})
 	ask := sent[0]
 	ask.From, ask.Incarnation, ask.VoterSetRevision = "a", 1, owner.voterSet.Revision
 	out := owner.Receive(f.now, ask)
