--- a/quorum/claims_test.go
+++ b/quorum/claims_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestClaimsOfAnEra: a claim stands while its era is open; then it is granted to
-// nobody any more, however late it is asked for, and takes no room.
+// TestClaimsOfAGeneration: a claim stands while its generation is open; then it is granted
+// to nobody any more, however late it is asked for, and takes no room.
 func TestClaimsOfAGeneration(t *testing.T) {
 	node, step, do := newSingleNode(t, 10_000_000)
 	now, id := int64(3_000_000), uint64(0)
@@ -30,16 +30,16 @@
 		step(now)
 	}
 	if status := propose(OpClaim, 1, "g/1", "z"); status != StatusConflict {
-		t.Fatalf("forgotten while its era was open: %d", status)
+		t.Fatalf("forgotten while its generation was open: %v", status)
 	}
 	for ; now < 40_000_000; now += 25_000 {
 		step(now)
 	}
 	if status := propose(OpClaim, 1, "g/1", "z"); status != StatusGenerationClosed {
-		t.Fatalf("claimed in a closed era: %d", status)
+		t.Fatalf("claimed in a closed generation: %v", status)
 	}
 	if status := propose(OpUnclaim, 1, "g/1", "y"); status == StatusDone {
-		t.Fatal("given back in a closed era")
+		t.Fatal("given back in a closed generation")
 	}
 	// What is left are the floors of the slots.
 	if left := node.StateBytes() - empty; left > 16*300 {
@@ -47,12 +47,12 @@
 	}
 	id++
 	if result := do(now, Operation{ID: id, Type: OpPut, Key: GenerationKey, Value: []byte("x"), ExpectedRevision: AnyRevision}); result.Status != StatusConflict {
-		t.Fatalf("anybody opens eras: %+v", result)
+		t.Fatalf("anybody opens generations: %+v", result)
 	}
 }
 
-// TestClaimsLeaveRoom: claims that fill their part of the room leave plans and duties
-// theirs, and a duty that finds none is not held up afterwards.
+// TestClaimsLeaveRoom: claims that fill their part of the room leave configurations and role leases
+// theirs, and a role lease that finds none is not blocked afterwards.
 func TestClaimsLeaveRoom(t *testing.T) {
 	node, _, do := newSingleNode(t, 0)
 	node.config.MaxStateBytes = node.StateBytes() + 6000
@@ -67,20 +67,20 @@
 	}
 	hold := func(who string) Result {
 		id++
-		return do(now, Operation{ID: id, Type: OpAcquire, Key: "duty/x", Holder: who, LeaseDuration: 1_000_000})
+		return do(now, Operation{ID: id, Type: OpAcquire, Key: rolePrefix + "x", Holder: who, LeaseDuration: 1_000_000})
 	}
 	if result := hold("p"); result.Status != StatusDone {
-		t.Fatalf("no room for a duty: %+v", result)
+		t.Fatalf("no room for a role lease: %+v", result)
 	}
 	node.config.MaxStateBytes = node.StateBytes()
 	now += 2_000_000
 	// The lone voter's lease would have run out by now if nobody ticked it.
-	node.slots[SlotOf("duty/x", node.config.Slots)].leaseUntil = now + 500_000
+	node.slots[SlotOf(rolePrefix+"x", node.config.Slots)].leaseUntil = now + 500_000
 	if result := hold("q"); result.Status != StatusFull {
 		t.Fatalf("%+v", result)
 	}
 	node.config.MaxStateBytes += 1000
 	if result := hold("r"); result.Status != StatusDone {
-		t.Fatalf("held up by one that found no room: %+v", result)
+		t.Fatalf("blocked by one that found no room: %+v", result)
 	}
 }
--- a/quorum/example_test.go
+++ b/quorum/example_test.go
@@ -6,7 +6,7 @@
 	"violetthread/quorum"
 )
 
-// Three voters in one process: the caller owns time, wires and disk, and this one
+// Three voters in one process: the caller owns time, network and disk, and this one
 // loses nothing.
 func Example() {
 	ro := quorum.VoterSet{Revision: quorum.FirstRevision(1)}
--- a/quorum/explore_actions_test.go
+++ b/quorum/explore_actions_test.go
@@ -22,8 +22,8 @@
 	doStep       verb = "step"       // the one thing that is due next; A times
 	doPut        verb = "put"        // a client changes register B at A
 	doGet        verb = "get"        // a client reads register B at A
-	doClaim      verb = "claim"      // a client claims for era B at A
-	doAcquire    verb = "duty"       // client B asks A for the duty
+	doClaim      verb = "claim"      // a client claims for generation B at A
+	doAcquire    verb = "acquire"    // client B asks A for the role
 	doKill       verb = "kill"       // A's process ends; its records reach the disk
 	doPower      verb = "power"      // A's machine loses its power, and the records not synced but B
 	doStart      verb = "start"      // A boots
@@ -35,19 +35,19 @@
 	doFlow       verb = "flow"       // A's disk syncs again
 	doCut        verb = "cut"        // what A sends to B is lost
 	doHold       verb = "hold"       // what A sends to B stays on its way
-	doHeal       verb = "heal"       // the wire from A to B is whole
+	doHeal       verb = "heal"       // the link from A to B works again
 	doIsolate    verb = "isolate"    // A is cut off both ways
-	doHealAll    verb = "heal-all"   // all wires are whole
+	doHealAll    verb = "heal-all"   // all links work again
 	doDrop       verb = "drop"       // the message due next is lost
 	doRepeat     verb = "repeat"     // the message due next comes again later
 	doPostpone   verb = "postpone"   // the message due next comes after all others
 	doLate       verb = "late"       // the message due next is put aside
 	doRelease    verb = "release"    // the message put aside as number A comes now
 	doLeave      verb = "leave"      // A leaves politely
-	doVoterSet   verb = "roster"     // an operator asks A for step B of the roster
+	doVoterSet   verb = "voterset"   // an operator asks A for change B of the voter set
 )
 
-// oneMachine, twoMachines: what an action's numbers name, for reading and writing.
+// operands says what an action's numbers name: m a machine, n a number.
 var operands = map[verb]string{
 	doTick: "n", doStep: "n", doPut: "mn", doGet: "mn", doClaim: "mn", doAcquire: "mn", doKill: "m", doPower: "mn",
 	doStart: "m", doWipe: "m", doCheckpoint: "m", doFreeze: "m", doThaw: "m", doStall: "m", doFlow: "m",
@@ -71,7 +71,7 @@
 	return text
 }
 
-// trace is a course of the world from its start.
+// trace is a run of the world from its start.
 type trace []action
 
 func (t trace) String() string {
@@ -131,7 +131,7 @@
 	}
 }
 
-// act does one action and judges every state on the way.
+// apply does one action and checks every state on the way.
 func (w *world) apply(action action) {
 	switch action.verb {
 	case doTick:
@@ -235,7 +235,7 @@
 	}
 }
 
-// roster has an operator ask for a change of the roster: the bits of which name the
+// proposeVoterSet has an operator ask for a change of the voter set: the bits of which name the
 // voters that go, and then the machines that come. Most of them are no steps at all.
 func (w *world) proposeVoterSet(i, which int) {
 	if !w.running(i) {
--- a/quorum/explore_cache_test.go
+++ b/quorum/explore_cache_test.go
@@ -64,7 +64,7 @@
 	return sum(encoded)
 }
 
-// life is one state of a running node. It never changes. A state that waits for a sync
+// nodeState is one state of a running node. It never changes. A state that waits for a sync
 // holds closures, which can't be copied: it is made again from the last that did not
 // wait, by the inputs since.
 type nodeState struct {
@@ -90,7 +90,7 @@
 	messageSums []digest
 }
 
-// cache holds every state of a node that was met and what each input did to it: a node
+// cache has every state of a node that was met and what each input did to it: a node
 // decides by its own state and inputs alone, so most of a search is looking up.
 type cache struct {
 	states    map[digest]*nodeState
@@ -109,7 +109,7 @@
 	return state
 }
 
-// again makes a node in the state l that may be changed.
+// rebuild makes a node in this state that may be changed.
 func (s *nodeState) rebuild() *Node {
 	if s.from == nil {
 		return copyNode(s.node)
@@ -144,7 +144,7 @@
 	return result
 }
 
-// waiting is the state n, which l became by an input and which waits for a sync.
+// waiting is the state of node, which state became by an input and which waits for a sync.
 func (c *cache) waiting(state *nodeState, in input, inputKey digest, node *Node) *nodeState {
 	key := sum(append(append([]byte("waits"), state.sum[:]...), inputKey[:]...))
 	if waiting, ok := c.states[key]; ok {
--- a/quorum/explore_checker_test.go
+++ b/quorum/explore_checker_test.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// register is what clients were told of one key.
+// register is what clients saw of one key.
 type register struct {
 	key    string
-	newest uint64   // newest revision that anybody was told, or could have read
+	newest uint64   // newest revision that anybody saw, or could have read
 	values []string // by revision
 }
 
-// asking is an operation that was not answered yet.
+// openOperation is an operation without a result yet.
 type openOperation struct {
 	machine    int
 	operation  Operation
@@ -23,13 +23,13 @@
 	trueTime   int64 // true time
 }
 
-// The duty that clients contend for. A client counts its term from when it asked.
+// The role that clients contend for. A client counts its lease from when it asked.
 const (
 	exploreRoleKey      = rolePrefix + "d"
 	exploreRoleDuration = 6 * tickInterval
 )
 
-// told is an operation as its client saw it, for the checker of histories.
+// completedOperation is an operation as its client saw it, for the linearizability checker.
 type completedOperation struct {
 	openOperation
 	returnedAt int64
@@ -38,14 +38,14 @@
 	value      string
 }
 
-// judge checks the world against what must hold in every state. It reads the nodes'
+// checker checks the world against the invariants of every state. It reads the nodes'
 // state but never what they conclude from it.
 type checker struct {
 	registers []register
 	voterSets []VoterSet // in force anywhere, by step
 	claims    map[string]string
-	roleUntil map[string]int64 // until when each client holds the duty
-	floors    []uint64         // settled on a majority, by slot
+	roleUntil map[string]int64 // until when each client has the role
+	floors    []uint64         // of claims, committed on a majority, by slot
 	pending   []openOperation
 	history   []completedOperation
 	clock     int64 // counts calls and answers
@@ -61,7 +61,7 @@
 	c.roleUntil = map[string]int64{}
 }
 
-// keyOf is the nth plain key of a slot.
+// keyInSlot is the nth plain key of a slot.
 func keyInSlot(slot, slots, nth int) string {
 	for i := 0; ; i++ {
 		key := fmt.Sprint("k", i)
@@ -111,7 +111,7 @@
 	return append(encoded, byte(len(c.voterSets)))
 }
 
-// find records the first thing that is wrong; kind names it.
+// violated records the first violation; kind names the invariant.
 func (c *checker) violated(kind, format string, args ...any) {
 	if c.violation == "" {
 		c.violation = kind + ": " + fmt.Sprintf(format, args...)
@@ -136,7 +136,7 @@
 	c.pending = append(c.pending, call)
 }
 
-// gone forgets what a dead process was asked: nobody will answer it.
+// processDied ends the operations of a dead process: nobody will answer them.
 func (c *checker) processDied(machine int) {
 	for k := len(c.pending) - 1; k >= 0; k-- {
 		if c.pending[k].machine == machine {
@@ -146,7 +146,7 @@
 	}
 }
 
-// note keeps an operation for the checker of histories.
+// addToHistory keeps an operation for the linearizability checker.
 func (c *checker) addToHistory(call openOperation, result Result) {
 	c.clock++
 	if result.Status != StatusDone && (result.Status != StatusUnknown || call.operation.Type != OpPut) {
@@ -184,7 +184,7 @@
 	}
 }
 
-// saw takes note of a revision that somebody was told.
+// revisionSeen takes note of a revision that somebody saw.
 func (c *checker) revisionSeen(register *register, rev uint64, val string) {
 	for uint64(len(register.values)) <= rev {
 		register.values = append(register.values, "")
@@ -199,12 +199,12 @@
 	register.newest = max(register.newest, rev)
 }
 
-// inForce takes note of a roster that some machine goes by.
+// voterSetInForce takes note of a voter set that some machine goes by.
 func (c *checker) voterSetInForce(set VoterSet) {
 	for _, known := range c.voterSets {
 		switch {
 		case known.Revision == set.Revision && !slices.Equal(known.Voters, set.Voters):
-			c.violated("two rosters", "of number %d: %v and %v", set.Step(), known.Voters, set.Voters)
+			c.violated("two voter sets", "of number %d: %v and %v", set.Step(), known.Voters, set.Voters)
 		case known.Revision == set.Revision:
 			return
 		case known.Revision+1 == set.Revision && haveDisjointMajorities(known, set), set.Revision+1 == known.Revision && haveDisjointMajorities(set, known):
@@ -214,7 +214,7 @@
 	c.voterSets = append(c.voterSets, set)
 }
 
-// look checks the present state.
+// check checks the present state.
 func (c *checker) check(w *world) {
 	for i := range c.registers {
 		c.checkOneLease(w, &c.registers[i])
@@ -230,8 +230,8 @@
 	}
 }
 
-// oneLease holds that one node at most can answer for a key, and that it knows of all
-// that anybody was ever told of it.
+// checkOneLease: one node at most can answer for a key, and it knows of all that anybody
+// ever saw of it.
 func (c *checker) checkOneLease(w *world, register *register) {
 	owner := ""
 	for i := range w.worldConfig.machines {
@@ -254,7 +254,7 @@
 	}
 }
 
-// oneHolder holds that one client at most has the duty.
+// checkOneHolder: one client at most has the role.
 func (c *checker) checkOneHolder(now int64) {
 	holders := 0
 	for _, until := range c.roleUntil {
@@ -263,11 +263,11 @@
 		}
 	}
 	if holders > 1 {
-		c.violated("two holders", "of the duty: until %v", c.roleUntil)
+		c.violated("two holders", "of the role: until %v", c.roleUntil)
 	}
 }
 
-// settledFloor learns below which era a slot's claims may have been forgotten.
+// learnFloor learns below which generation a slot's claims may have been forgotten.
 func (c *checker) learnFloor(w *world, slot int) {
 	for i := range w.worldConfig.machines {
 		node := w.machines[i].node
@@ -281,8 +281,8 @@
 	}
 }
 
-// together holds of two machines that no epoch has two owners, and that what both hold
-// of one line is the same up to where both have it whole.
+// checkPair: no term has two leaders, and what two machines have of one log is the same up
+// to where both have all of it.
 func (c *checker) checkPair(w *world, slot, a, b int) {
 	nodeA, nodeB := w.machines[a].node, w.machines[b].node
 	if nodeA == nil || nodeB == nil {
@@ -290,7 +290,7 @@
 	}
 	replicaA, replicaB := nodeA.slots[slot], nodeB.slots[slot]
 	if replicaA.state >= stateRecovering && replicaB.state >= stateRecovering && replicaA.term == replicaB.term {
-		c.violated("two owners of an epoch", "%d: %s and %s", replicaA.term, w.machines[a].name, w.machines[b].name)
+		c.violated("two leaders of a term", "%d: %s and %s", replicaA.term, w.machines[a].name, w.machines[b].name)
 	}
 	if replicaA.logTerm == 0 || replicaA.logTerm != replicaB.logTerm {
 		return
@@ -299,7 +299,7 @@
 	c.checkContains(w, slot, b, a)
 }
 
-// contains holds that y has what x has, up to y's mark.
+// checkContains: b has what a has, up to b's last position.
 func (c *checker) checkContains(w *world, slot, a, b int) {
 	replicaA, replicaB := w.machines[a].node.slots[slot], w.machines[b].node.slots[slot]
 	for key, entry := range replicaA.entries {
@@ -308,7 +308,7 @@
 		}
 		other, ok := replicaB.entries[key]
 		if !ok || other.Position != entry.Position && !replicaA.last.Before(other.Position) {
-			c.violated("lines differ", "of epoch %d: %s has %s of %v, %s has it of %v (%v) and is whole up to %v",
+			c.violated("logs differ", "of term %d: %s has %s of %v, %s has it of %v (%v) and has all up to %v",
 				replicaA.logTerm, w.machines[a].name, key, entry.Position, w.machines[b].name, other.Position, ok, replicaB.last)
 		}
 	}
--- a/quorum/explore_search_test.go
+++ b/quorum/explore_search_test.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// search visits every course of a world that strays from the ordinary one at most so
+// search visits every run of a world that deviates from the ordinary one at most so
 // many times (delay-bounded scheduling): between any two events something may go wrong
 // once more, as long as the budget lasts. Clients change a register before every tick,
-// and whatever is broken may be mended for nothing, all at once.
+// and whatever is broken may be repaired for nothing, all at once.
 type search struct {
 	worldConfig
 	cache   *cache
-	seen    map[digest]int8 // most strays left with which a state was met
+	seen    map[digest]int8 // most deviations left with which a state was met
 	path    trace
 	found   string
 	trace   trace // that led to what was found
 	steps   int
-	deepest int // most events on one course
+	deepest int // most events in one run
 }
 
 func newSearch(size worldConfig) *search {
@@ -22,37 +22,37 @@
 }
 
 // run explores from the end of a prefix, for so many ticks.
-func (s *search) run(prefix trace, ticks, strays int) {
+func (s *search) run(prefix trace, ticks, deviations int) {
 	w := newWorld(s.worldConfig, s.cache)
 	w.play(prefix)
 	s.path = append(trace{}, prefix...)
-	s.visit(w, ticks, strays, 0)
+	s.visit(w, ticks, deviations, 0)
 }
 
-// met reports whether the world was met with as many strays left, and notes it.
-func (s *search) visited(w *world, ticks, strays int) bool {
+// visited reports whether the world was met with as many deviations left, and notes it.
+func (s *search) visited(w *world, ticks, deviationsLeft int) bool {
 	key := w.key()
 	key[0] ^= byte(ticks)
-	if was, ok := s.seen[key]; ok && int(was) >= strays {
+	if was, ok := s.seen[key]; ok && int(was) >= deviationsLeft {
 		return true
 	}
-	s.seen[key] = int8(strays)
+	s.seen[key] = int8(deviationsLeft)
 	return false
 }
 
 // visit goes on from w in every way; w is its to change.
-func (s *search) visit(w *world, ticks, strays, depth int) {
+func (s *search) visit(w *world, ticks, deviationsLeft, depth int) {
 	mark := len(s.path)
 	defer func() { s.path = s.path[:mark] }()
 	for ; s.found == ""; depth++ {
-		if s.violates(w) || s.visited(w, ticks, strays) {
+		if s.violates(w) || s.visited(w, ticks, deviationsLeft) {
 			return
 		}
 		s.deepest = max(s.deepest, depth)
 		quiet := w.idle()
-		if strays > 0 {
+		if deviationsLeft > 0 {
 			for _, action := range deviations(w, quiet) {
-				s.deviate(w, action, ticks, strays-1, depth)
+				s.deviate(w, action, ticks, deviationsLeft-1, depth)
 			}
 		}
 		if !quiet {
@@ -65,13 +65,13 @@
 		}
 		ticks--
 		if w.needsRepair() {
-			s.visitRepaired(w, ticks, strays, depth)
+			s.visitRepaired(w, ticks, deviationsLeft, depth)
 		}
 		s.nextTick(w)
 	}
 }
 
-// between is what happens in every course between two ticks.
+// nextTick is what happens in every run between two ticks.
 func (s *search) nextTick(w *world) {
 	if action, ok := clientTurn(w); ok {
 		w.disturb(action)
@@ -81,16 +81,16 @@
 	s.record(action{verb: doTick, a: 1})
 }
 
-func (s *search) deviate(w *world, action action, ticks, strays, depth int) {
+func (s *search) deviate(w *world, action action, ticks, deviationsLeft, depth int) {
 	copied := w.copied()
 	copied.disturb(action)
 	s.record(action)
-	s.visit(copied, ticks, strays, depth+1)
+	s.visit(copied, ticks, deviationsLeft, depth+1)
 	s.path = s.path[:len(s.path)-1]
 }
 
-// mended goes on with everything repaired before the next tick.
-func (s *search) visitRepaired(w *world, ticks, strays, depth int) {
+// visitRepaired goes on with everything repaired before the next tick.
+func (s *search) visitRepaired(w *world, ticks, deviationsLeft, depth int) {
 	mark := len(s.path)
 	copied := w.copied()
 	for _, action := range repairs(copied) {
@@ -98,7 +98,7 @@
 		s.record(action)
 	}
 	s.nextTick(copied)
-	s.visit(copied, ticks, strays, depth+1)
+	s.visit(copied, ticks, deviationsLeft, depth+1)
 	s.path = s.path[:mark]
 }
 
@@ -117,7 +117,7 @@
 	return true
 }
 
-// settled reports whether nothing is left to do before the next tick.
+// idle reports whether nothing is left to do before the next tick.
 func (w *world) idle() bool {
 	for i := range w.worldConfig.machines {
 		if host := &w.machines[i]; w.running(i) && !host.stalled && len(host.unsynced) > 0 {
@@ -129,7 +129,7 @@
 
 func (w *world) needsRepair() bool { return len(repairs(w)) > 0 }
 
-// repairs are the actions that mend all that is broken.
+// repairs are the actions that repair all that is broken.
 func repairs(w *world) trace {
 	var actions trace
 	for i := range w.worldConfig.voters {
@@ -148,8 +148,8 @@
 	return actions
 }
 
-// strayings are all that may go wrong now: something with the message due next, a loss
-// of power before a sync, and between ticks whatever befalls a machine or a wire.
+// deviations are all that may go wrong now: something with the message due next, a loss
+// of power before a sync, and between ticks whatever befalls a machine or a link.
 func deviations(w *world, quiet bool) trace {
 	var actions trace
 	if w.next() >= 0 {
@@ -197,6 +197,6 @@
 }
 
 func (s *search) String() string {
-	return fmt.Sprintf("%d states, %d events, courses of up to %d events; %d states of a node, %d inputs decided",
+	return fmt.Sprintf("%d states, %d events, runs of up to %d events; %d states of a node, %d inputs decided",
 		len(s.seen), s.steps, s.deepest, len(s.cache.states), s.cache.inputsRun)
 }
--- a/quorum/explore_test.go
+++ b/quorum/explore_test.go
@@ -37,7 +37,7 @@
 	t.Fatalf("%s\nthe shortest trace, in %+v:\n%q\n%s", wrong, size, short, play(size, short).checker.violation)
 }
 
-// TestWalks draws random courses of every world, the same ones every time; as many
+// TestWalks draws random runs of every world, the same ones every time; as many
 // times more as VT_EXPLORE says.
 func TestWalks(t *testing.T) {
 	for _, test := range []struct {
@@ -47,10 +47,10 @@
 	}{
 		{"three", three, 400},
 		{"two slots", twoSlots, 200},
-		{"eras", withGenerations, 250},
+		{"generations", withGenerations, 250},
 		{"late messages", withLateMessages, 150},
-		{"in parts", inChunks, 250},
-		{"roster", threeOfFive, 80},
+		{"in chunks", inChunks, 250},
+		{"voter set", threeOfFive, 80},
 		{"seats", withSeats, 80},
 		{"four", fourOfFive, 70},
 		{"five", five, 50},
@@ -61,7 +61,7 @@
 
 func walks(t *testing.T, size worldConfig, count int) {
 	begin := time.Now()
-	inputs, changes, rosters := 0, 0, 0
+	inputs, changes, setChanges := 0, 0, 0
 	for seed := int64(1); seed <= int64(count); seed++ {
 		actions, w := walk(size, seed, 80)
 		if w.checker.violation != "" {
@@ -72,14 +72,14 @@
 			t.Fatalf("seed %d: %v\n%q", seed, err, actions)
 		}
 		inputs += *w.inputs
-		rosters += len(w.checker.voterSets) - 1
+		setChanges += len(w.checker.voterSets) - 1
 		for _, operation := range w.checker.history {
 			if operation.tookEffect && operation.operation.Type == OpPut {
 				changes++
 			}
 		}
 	}
-	t.Logf("%d walks, %d inputs, %d changes confirmed, %d steps of the roster, %.1f s", count, inputs, changes, rosters, time.Since(begin).Seconds())
+	t.Logf("%d walks, %d inputs, %d changes confirmed, %d changes of the voter set, %.1f s", count, inputs, changes, setChanges, time.Since(begin).Seconds())
 	if changes < 2*count {
 		t.Fatalf("%d changes confirmed: too little to prove anything", changes)
 	}
@@ -93,17 +93,17 @@
 	oneAhead   = "tick 5; put b 0; tick 1; isolate a; hold c b; put b 0; tick 1; heal-all"
 )
 
-// TestSearch visits every course that strays from the ordinary one at most so many
+// TestSearch visits every run that deviates from the ordinary one at most so many
 // times; VT_EXPLORE adds ticks.
 func TestSearch(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		config        worldConfig
-		prefix        string
-		ticks, strays int
+		name              string
+		config            worldConfig
+		prefix            string
+		ticks, deviations int
 	}{
 		{"three", three, calm, 4, 1},
-		{"three, two strays", three, calm, 1, 2},
+		{"three, two deviations", three, calm, 1, 2},
 		{"a change torn", three, changeTorn, 4, 1},
 		{"one behind", three, oneBehind, 3, 1},
 		{"one ahead", three, oneAhead, 3, 1},
@@ -114,12 +114,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			begin := time.Now()
 			s := newSearch(test.config)
-			s.run(readTrace(test.prefix), test.ticks+level()-1, test.strays)
+			s.run(readTrace(test.prefix), test.ticks+level()-1, test.deviations)
 			if s.found != "" {
 				report(t, test.config, s.trace, s.found)
 			}
 			took := time.Since(begin).Seconds()
-			t.Logf("%d ticks, %d strays: %v, %.1f s, %.0f states/s", test.ticks+level()-1, test.strays, s, took, float64(len(s.seen))/took)
+			t.Logf("%d ticks, %d deviations: %v, %.1f s, %.0f states/s", test.ticks+level()-1, test.deviations, s, took, float64(len(s.seen))/took)
 		})
 	}
 }
--- a/quorum/explore_traces_test.go
+++ b/quorum/explore_traces_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestKeptTraces plays the shortest courses that break a rule once a safeguard is taken
+// TestKeptTraces plays the shortest runs that break a rule once a safeguard is taken
 // out. All were found by the explorer, or written down for what it rarely draws.
 func TestKeptTraces(t *testing.T) {
 	for _, test := range []struct {
@@ -14,26 +14,26 @@
 			"tick 1; power a 1; tick 3; put b 1; stall b; put b 0; tick 1; power b 1; start b; start a; tick 5"},
 		{"no grace after a start", three,
 			"tick 4; cut b c; cut c b; tick 5; step 4; kill a; start a; tick 4"},
-		{"no hold for the live owner", three,
+		{"no hold-off for the live leader", three,
 			"isolate c; heal c a; heal a c; tick 6"},
-		{"old lines count as well", three,
+		{"older logs count as well", three,
 			"tick 4; isolate b; claim b 1; tick 5; power a 2; start a; heal-all; tick 5"},
-		{"doubts are kept when a line is joined", three,
+		{"uncertain changes are kept by a snapshot", three,
 			"tick 4; put b 0; power c 0; kill b; kill a; tick 1; start c; start a; tick 1; start b; tick 4"},
-		{"renewed duties are forgotten at takeover", three,
-			"tick 4; duty b 0; tick 1; leave b; tick 3; duty a 1; duty c 1; tick 1"},
+		{"renewed role leases are forgotten by a new leader", three,
+			"tick 4; acquire b 0; tick 1; leave b; tick 3; acquire a 1; acquire c 1; tick 1"},
 		{"reads without a live lease", three,
 			"tick 4; put b 0; tick 1; freeze b; tick 8; put a 0; put c 0; tick 1; thaw b; get b 0"},
 		{"a promise is not recorded", three,
 			"tick 4; hold b a; tick 2; kill b; tick 5; put a 0; power c 0; tick 1; start c; start b; power a 0; tick 8; start a; put b 0; heal-all; tick 6"},
 		{"lease counted from the answer", three,
 			"tick 3; power b 0; start b; tick 5; freeze a; tick 7; put c 0; tick 1; thaw a; tick 1"},
-		{"served before a majority joined", three,
+		{"served before a majority recovered", three,
 			"tick 4; cut b a; cut b c; put b 0; step 1; kill b; heal-all; start b; isolate c; tick 3; step 1; stall a; tick 2; power a 0; kill b; start a; heal-all; tick 14"},
-		{"a step before every slot is firm", threeOfFive,
-			"tick 5; cut b a; cut a b; put b 0; tick 1; kill b; heal-all; start d; roster c 512; tick 4; start e; roster c 1026; tick 2; heal-all; isolate c; tick 12"},
-		{"any change of the roster is a step", threeOfFive,
-			"tick 5; roster c 3582; tick 2"},
+		{"a step before every slot is recovered", threeOfFive,
+			"tick 5; cut b a; cut a b; put b 0; tick 1; kill b; heal-all; start d; voterset c 512; tick 4; start e; voterset c 1026; tick 2; heal-all; isolate c; tick 12"},
+		{"any change of the voter set is a step", threeOfFive,
+			"tick 5; voterset c 3582; tick 2"},
 		{"claims are forgotten at takeover", three,
 			"tick 4; claim b 1; tick 1; leave b; tick 3; claim a 1"},
 		{"a floor is trusted before it is beyond doubt", withGenerations,
@@ -51,7 +51,7 @@
 // left out of what the voter then claims to hold.
 func TestCatchUpInParts(t *testing.T) {
 	for _, course := range []string{
-		"tick 4; power a 2; put b 1; isolate c; start a; put b 0; duty b 0; put b 1; heal-all; tick 1; isolate b; tick 5",
+		"tick 4; power a 2; put b 1; isolate c; start a; put b 0; acquire b 0; put b 1; heal-all; tick 1; isolate b; tick 5",
 		"tick 3; power b 1; start b; tick 5; cut a c; put a 1; power b 1; put a 0; start b; put a 1; heal-all; tick 1",
 	} {
 		if w := play(inChunks, readTrace(course)); w.checker.violation != "" {
@@ -60,11 +60,11 @@
 	}
 }
 
-// TestLateMessages: an answer to a voter's former life, which comes when its next one has
-// lost what was not synced, is not taken for one to it.
+// TestLateMessages: an answer to a voter's former process, which comes when its next one
+// has lost what was not synced, is not taken for one to that.
 func TestLateMessages(t *testing.T) {
 	for _, test := range []struct{ name, trace string }{
-		{"a fill", "tick 5; step 60; stall a; put b 1; step 60; cut b a; put b 0; step 60; heal b a; put b 0; step 2; hold b a; step 60; power a 0; start a; tick 1; step 60; heal b a; postpone; step 60"},
+		{"a snapshot chunk", "tick 5; step 60; stall a; put b 1; step 60; cut b a; put b 0; step 60; heal b a; put b 0; step 2; hold b a; step 60; power a 0; start a; tick 1; step 60; heal b a; postpone; step 60"},
 		{"a vote", "tick 5; step 60; stall a; put b 1; step 60; tick 1; step 60; kill b; tick 3; step 5; late; step 60; power a 0; start a; tick 3; release 0; step 60; tick 14"},
 	} {
 		if w := play(three, readTrace(test.trace)); w.checker.violation != "" {
--- a/quorum/explore_walk_test.go
+++ b/quorum/explore_walk_test.go
@@ -2,7 +2,7 @@
 
 import "math/rand"
 
-// walk draws one random course of a world: mostly what happens by itself, with now and
+// walk draws one random run of a world: mostly what happens by itself, with now and
 // then a disturbance, and repairs so that there is something left to disturb.
 func walk(size worldConfig, seed int64, actions int) (trace, *world) {
 	walker := &walker{Rand: rand.New(rand.NewSource(seed)), w: newWorld(size, nil)}
@@ -25,7 +25,7 @@
 
 func (g *walker) machine() int { return g.Intn(g.w.worldConfig.machines) }
 
-// owner is a machine that answers for a register, or any if none does.
+// leader is a machine that answers for a register, or any if none does.
 func (g *walker) leader(register int) int {
 	for i := range g.w.worldConfig.machines {
 		if g.w.running(i) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// operator asks for a change of the roster, now and then for one that is no step.
+// operator asks for a change of the voter set, now and then for one that is no step.
 func (g *walker) operator() action {
 	at := g.leader(0)
 	if g.Intn(4) == 0 {
@@ -128,7 +128,7 @@
 	return action{verb: doPostpone}
 }
 
-// repair mends one thing that is broken, if any is.
+// repair repairs one thing that is broken, if any is.
 func (g *walker) repair() action {
 	if late := len(g.w.setAside); late > 0 && g.Intn(3) == 0 {
 		return action{verb: doRelease, a: g.Intn(late)}
--- a/quorum/explore_world_test.go
+++ b/quorum/explore_world_test.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// The sizes of the explored world. Terms are short, so that a lease runs out within a
+// The sizes of the explored world. Leases are short, so that one expires within a
 // few ticks; all events between two ticks happen at one instant.
 const (
 	tickInterval          = 100_000
@@ -16,15 +16,15 @@
 	firstWipedIncarnation = 1000
 )
 
-// explorePlan is the plan of every explored node.
-func exploreConfig(name string, inc uint64, size worldConfig) Config {
-	return Config{Name: name, Incarnation: inc, Slots: size.slots, HeartbeatInterval: tickInterval, LeaseDuration: 3 * tickInterval, LeaseMargin: tickInterval / 2,
+// exploreConfig is the configuration of every explored node.
+func exploreConfig(name string, incarnation uint64, size worldConfig) Config {
+	return Config{Name: name, Incarnation: incarnation, Slots: size.slots, HeartbeatInterval: tickInterval, LeaseDuration: 3 * tickInterval, LeaseMargin: tickInterval / 2,
 		ChunkBytes: size.chunkBytes, MaxStateBytes: 1 << 20, GenerationDuration: size.generationDuration, OpenGenerations: 1}
 }
 
-// config sizes a world.
+// worldConfig sizes a world.
 type worldConfig struct {
-	voters             int // of the first roster
+	voters             int // of the first voter set
 	machines           int // with those that may be let in later
 	slots              int
 	generationDuration int64
@@ -89,7 +89,7 @@
 	sum     digest
 }
 
-// link is the state of the wire from one machine to another.
+// link is the state of the link from one machine to another.
 type link uint8
 
 const (
@@ -98,7 +98,7 @@
 	linkHeld      // what is sent stays on its way
 )
 
-// world is a small fleet of real nodes under the explorer's control of time, wires,
+// world is a small fleet of real nodes under the explorer's control of time, links,
 // disks and processes. Copying the struct copies the world when a cache is in use,
 // since the cache's node states never change.
 type world struct {
@@ -115,7 +115,7 @@
 	inputs     *int   // how many inputs nodes took
 }
 
-// newWorld starts all voters of a first roster.
+// newWorld starts all voters of a first set.
 func newWorld(size worldConfig, states *cache) *world {
 	w := &world{worldConfig: size, cache: states, now: tickInterval, inputs: new(int)}
 	w.checker.init(size)
@@ -183,7 +183,7 @@
 }
 
 // kill ends a machine's process; kept of the records not synced yet are on its disk
-// all the same. What is on its way to it may still arrive, in its next life.
+// all the same. What is on its way to it may still arrive, at its next process.
 func (w *world) kill(i, kept int) {
 	host := &w.machines[i]
 	if !host.up {
@@ -195,7 +195,7 @@
 	w.checker.processDied(i)
 }
 
-// sink puts the first n records not synced yet on the disk.
+// flush puts the first n records not synced yet on the disk.
 func (w *world) flush(host *machine, count int) {
 	for j, record := range host.unsynced[:count] {
 		var recordSum digest
@@ -340,12 +340,12 @@
 	}
 }
 
-// reach reports whether a question and its answer come through.
+// reachable reports whether a question and its answer come through.
 func (w *world) reachable(i, j int) bool {
 	return i != j && w.running(j) && w.links[i][j] == linkUp && w.links[j][i] == linkUp
 }
 
-// probe asks for newer rosters while a voter is silent, as the daemon does.
+// pullVoterSets asks for newer voter sets while a voter is silent, as the daemon does.
 func (w *world) pullVoterSets(i int) {
 	node := w.machines[i].node
 	if node == nil {
@@ -366,7 +366,7 @@
 	}
 }
 
-// ask has a machine in no roster ask all it reaches to be let in.
+// requestAdmission has a machine in no voter set ask all it reaches to be let in.
 func (w *world) requestAdmission(i int) {
 	host := &w.machines[i]
 	for j := range w.worldConfig.machines {
@@ -386,7 +386,7 @@
 	}
 }
 
-// do starts a client's operation on a machine.
+// propose starts a client's operation on a machine.
 func (w *world) propose(i int, operation Operation) {
 	if !w.running(i) {
 		return
@@ -400,7 +400,7 @@
 	w.input(i, input{kind: inPropose, operation: operation})
 }
 
-// quiet runs until nothing is left to do before the next tick.
+// runUntilIdle runs until nothing is left to do before the next tick.
 func (w *world) runUntilIdle() {
 	for n := 0; w.checker.violation == "" && w.step(); n++ {
 		if n > 2000 {
@@ -417,7 +417,7 @@
 	return 0
 }
 
-// key tells worlds apart that may go on differently, or be judged differently.
+// key tells worlds apart that may go on differently, or be checked differently.
 func (w *world) key() digest {
 	encoded := make([]byte, 0, 1024)
 	encoded = binary.AppendVarint(encoded, w.now)
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// lone is a roster of one, which settles everything by itself once synced.
+// newSingleNode is a voter set of one, which commits everything by itself once synced. step
+// ticks it and returns the results since; do proposes an operation and returns its result.
 func newSingleNode(t *testing.T, era int64) (node *Node, step func(int64) []Result, do func(int64, Operation) Result) {
 	t.Helper()
 	config := DefaultConfig("a", 1)
@@ -56,9 +57,9 @@
 	}
 	now -= 25_000
 	if b, c, a := node.Silence(now, "b"), node.Silence(now, "c"), node.Silence(now, "a"); b != 1_000_000 || c != 1_975_000 || a != 0 {
-		t.Fatalf("b is silent for %d, c (another life speaks) for %d, the node itself for %d", b, c, a)
+		t.Fatalf("b is silent for %d, c (another incarnation speaks) for %d, the node itself for %d", b, c, a)
 	}
-	now += 5_000_000 // held up: before the first tick after, and from it on
+	now += 5_000_000 // suspended: before the first tick after, and from it on
 	if b := node.Silence(now, "b"); b != 0 {
 		t.Fatalf("after a pause b counts as silent for %d", b)
 	}
@@ -68,7 +69,7 @@
 	}
 }
 
-// TestGrace: a disk that may have granted something waits a term after a start; one
+// TestNoVoteAfterRestart: a disk that may have granted something waits a lease after a start; one
 // that never did has nothing to wait for.
 func TestNoVoteAfterRestart(t *testing.T) {
 	for _, test := range []struct {
--- a/quorum/role_test.go
+++ b/quorum/role_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestDuties: one holder at a time, epochs rise, renewals need the right epoch.
+// TestRoleLeases: one holder at a time, fencing tokens rise, a release needs the right one.
 func TestRoleLeases(t *testing.T) {
 	_, step, do := newSingleNode(t, 0)
 	now, id := int64(3_000_000), uint64(0)
@@ -13,7 +13,7 @@
 	}
 	hold := func(who string, epoch uint64, kind OperationType) Result {
 		id++
-		return do(now, Operation{ID: id, Type: kind, Key: "duty/x", Holder: who, LeaseDuration: 1_000_000, ExpectedRevision: epoch})
+		return do(now, Operation{ID: id, Type: kind, Key: rolePrefix + "x", Holder: who, LeaseDuration: 1_000_000, ExpectedRevision: epoch})
 	}
 	first := hold("p", 0, OpAcquire)
 	if first.Status != StatusDone {
@@ -27,11 +27,11 @@
 		t.Fatalf("a renewal: %+v", again)
 	}
 	if again := hold("p", 0, OpAcquire); again.Status != StatusDone || again.Revision != first.Revision {
-		t.Fatalf("asked again by its own holder, who did not hear of the grant: %+v after %+v", again, first)
+		t.Fatalf("asked for again by its holder, who did not hear of the grant: %+v after %+v", again, first)
 	}
 	wait(900_000)
 	if again := hold("q", 0, OpAcquire); again.Status != StatusConflict {
-		t.Fatalf("a renewed duty was given away: %+v", again)
+		t.Fatalf("a renewed role was given away: %+v", again)
 	}
 	if again := hold("q", first.Revision, OpRelease); again.Status != StatusConflict {
 		t.Fatalf("freed by another: %+v", again)
@@ -39,12 +39,12 @@
 	wait(200_000)
 	again := hold("q", 0, OpAcquire)
 	if again.Status != StatusDone || again.Revision <= first.Revision {
-		t.Fatalf("a duty that ran out: %+v after %+v", again, first)
+		t.Fatalf("a lease that expired: %+v after %+v", again, first)
 	}
 	if late := hold("p", first.Revision, OpAcquire); late.Status != StatusConflict {
-		t.Fatalf("a renewal under an old epoch: %+v", late)
+		t.Fatalf("a renewal by a former holder: %+v", late)
 	}
-	if late := do(now, Operation{ID: 99, Type: OpPut, Key: "duty/x", Value: []byte("x"), ExpectedRevision: AnyRevision}); late.Status != StatusConflict {
-		t.Fatalf("a duty was overwritten: %+v", late)
+	if late := do(now, Operation{ID: 99, Type: OpPut, Key: rolePrefix + "x", Value: []byte("x"), ExpectedRevision: AnyRevision}); late.Status != StatusConflict {
+		t.Fatalf("a role lease was overwritten: %+v", late)
 	}
 }
--- a/quorum/snapshot_test.go
+++ b/quorum/snapshot_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// follower is a voter that hears of a line of which it has nothing.
+// followerHarness is a voter that hears of a log of which it has nothing.
 type followerHarness struct {
 	t     *testing.T
 	node  *Node
@@ -17,7 +17,7 @@
 	return &followerHarness{t: t, node: New(DefaultConfig("a", 1), newVoterSet(3), 0, recs), now: 2_000_000}
 }
 
-// hears takes a message of voter b and returns what is sent then, all records synced.
+// receive takes a message of voter b and returns what is sent then, all records synced.
 func (f *followerHarness) receive(message Message) (sent []Message) {
 	f.now += 50_000
 	message.From, message.Incarnation, message.VoterSetRevision = "b", 2, f.node.voterSet.Revision
@@ -34,7 +34,7 @@
 	}
 }
 
-// asks hears a message and expects that a part is asked for then.
+// expectRequest takes a message and expects that a chunk is asked for then.
 func (f *followerHarness) expectRequest(message Message, after Position) {
 	f.t.Helper()
 	for _, sent := range f.receive(message) {
@@ -52,7 +52,7 @@
 	return Message{Type: MsgHeartbeat, Time: 1, Progress: []SlotProgress{{Slot: 3, Term: epoch, Last: Position{epoch, 9}}}}
 }
 
-// part is a Fill with changes of the epoch, each of key k<number>.
+// newChunk is a MsgSnapshotChunk with changes of the term, each of key k<number>.
 func newChunk(epoch uint64, after Position, more bool, val string, seqs ...uint64) Message {
 	message := Message{Type: MsgSnapshotChunk, Slot: 3, Term: epoch, Joining: true, Previous: after, More: more}
 	for _, seq := range seqs {
@@ -74,14 +74,14 @@
 	f.expectRequest(first, Position{leaderTerm, 3})
 	f.expectRequest(newChunk(leaderTerm, Position{leaderTerm, 3}, true, "new", 5, 6), Position{leaderTerm, 6})
 	if sent := f.receive(first); len(sent) != 0 {
-		t.Fatalf("a repeated part is taken: %+v", sent)
+		t.Fatalf("a repeated chunk is taken: %+v", sent)
 	}
 	if len(replica.entries) != 0 || replica.logTerm != 0 || replica.last != (Position{}) {
-		t.Fatalf("parts count before all have come: %d registers, line %d", len(replica.entries), replica.logTerm)
+		t.Fatalf("chunks count before all have come: %d registers, log %d", len(replica.entries), replica.logTerm)
 	}
 	sent := f.receive(newChunk(leaderTerm, Position{leaderTerm, 6}, false, "new", 9))
 	if len(sent) != 1 || sent[0].Type != MsgAppendAck || sent[0].Last != (Position{leaderTerm, 9}) {
-		t.Fatalf("the whole line is not confirmed: %+v", sent)
+		t.Fatalf("the complete log is not acknowledged: %+v", sent)
 	}
 	for key, want := range map[string]string{"k1": "new", "k2": "new", "k3": "old"} {
 		if got := string(replica.entries[key].Value); got != want {
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestSnapshotOfAnOwnerThatEnds: what was gathered of one line is no part of the next.
+// TestSnapshotOfAFormerLeader: what was gathered of one log is no part of the next.
 func TestSnapshotOfAFormerLeader(t *testing.T) {
 	const next = 2<<16 | 2
 	f := newFollowerHarness(t, nil)
@@ -99,16 +99,16 @@
 	f.now += 400_000
 	f.expectRequest(f.heartbeat(next), Position{})
 	if sent := f.receive(newChunk(leaderTerm, Position{leaderTerm, 3}, false, "lost", 9)); len(sent) != 0 {
-		t.Fatalf("a part of the former line is taken: %+v", sent)
+		t.Fatalf("a chunk of the former log is taken: %+v", sent)
 	}
 	f.receive(newChunk(next, Position{}, false, "kept", 1))
 	replica := f.node.slots[3]
 	if len(replica.entries) != 1 || string(replica.entries["k1"].Value) != "kept" || replica.logTerm != next {
-		t.Fatalf("%d registers of line %d", len(replica.entries), replica.logTerm)
+		t.Fatalf("%d registers of log %d", len(replica.entries), replica.logTerm)
 	}
 }
 
-// TestSnapshotReplacesDoubts: a change in doubt gives way to what the line has in its
+// TestSnapshotReplacesUncertainChanges: an uncertain change gives way to what the log has in its
 // place, also when that is older than all that the voter is certain of.
 func TestSnapshotReplacesUncertainChanges(t *testing.T) {
 	const before = 1<<15 | 1
@@ -138,6 +138,6 @@
 		t.Fatalf("%+v", got.entries)
 	}
 	if _, ok := got.entries["made"]; ok || got.logTerm != leaderTerm {
-		t.Fatalf("a change that the line does not have is kept: %+v", got.entries)
+		t.Fatalf("a change that the log does not have is kept: %+v", got.entries)
 	}
 }
--- a/quorum/voterset_property_test.go
+++ b/quorum/voterset_property_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawStep draws a step of a roster: somebody goes, somebody comes, or both.
+// drawVoterSetStep draws a step of a voter set: somebody goes, somebody comes, or both.
 func drawVoterSetStep(t *rapid.T, set VoterSet, inc uint64) (VoterSet, error) {
 	old := ""
 	if len(set.Voters) > 0 && rapid.Bool().Draw(t, "goes") {
@@ -19,7 +19,7 @@
 	return set.Next(old, &Voter{Name: fmt.Sprint("n", inc), Incarnation: inc})
 }
 
-// TestAnySteps: however a roster changes, every majority of one shares a voter with every
+// TestAnySteps: however a voter set changes, every majority of one shares a voter with every
 // majority of the next, numbers rise by one, and no voter's number is given twice.
 func TestAnySteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/quorum/voterset_test.go
+++ b/quorum/voterset_test.go
@@ -18,7 +18,7 @@
 	return set
 }
 
-// disjoint finds a majority of each roster that share nobody.
+// haveDisjointMajorities finds a majority of each set that share nobody.
 func haveDisjointMajorities(a, b VoterSet) bool {
 	for subset := 0; subset < 1<<len(a.Voters); subset++ {
 		majority := map[Voter]bool{}
@@ -43,7 +43,7 @@
 	return false
 }
 
-// TestStepsShareAVoter tries every step from rosters of one to seven: those that
+// TestStepsShareAVoter tries every step from sets of one to seven: those that
 // are let through leave no two majorities without a common voter, and those that
 // are refused would have.
 func TestStepsShareAVoter(t *testing.T) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestOneRosterOfANumber: a step that is settled comes into force before the next is
-// taken, or two rosters of one number would be about.
+// TestOneVoterSetPerRevision: a step that is committed comes into force before the next is
+// taken, or there would be two voter sets of one revision.
 func TestOneVoterSetPerRevision(t *testing.T) {
 	node, _, do := newSingleNode(t, 0)
 	now := int64(3_000_000)
@@ -92,10 +92,10 @@
 		t.Fatalf("%+v", result)
 	}
 	if result := put("c", 3, 1); result.Status != StatusConflict {
-		t.Fatalf("a second roster of that number: %+v", result)
+		t.Fatalf("a second voter set of that revision: %+v", result)
 	}
 	if ready := node.AdmitVoter(now, Voter{Name: "c", Incarnation: 3}); len(ready.Records) != 0 {
-		t.Fatalf("a second roster of that number: %+v", ready)
+		t.Fatalf("a second voter set of that revision: %+v", ready)
 	}
 }
 
@@ -110,7 +110,7 @@
 		t.Errorf("a newcomer beside all others: %v %d", ok, next.Seats)
 	}
 	if next, ok := set.Admit(Voter{Name: "b", Addr: "at-b", Incarnation: 99}, 0, heard, MaxVoters); !ok || len(next.Voters) != 2 || next.Seats != 3 {
-		t.Errorf("the seat of a lost disk is kept for its next life: %v %+v", ok, next)
+		t.Errorf("the seat of a lost disk is kept for its next incarnation: %v %+v", ok, next)
 	}
 	if next, err := set.Next("", &newcomer); err != nil || next.Seats != 4 {
 		t.Errorf("an operator adds one: %v %d", err, next.Seats)
