--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -18,7 +18,7 @@
 	Revision uint64         `json:"rev,omitempty"` // in force, after a conflict
 }
 
-// Bounds of what an operator may send, in bytes.
+// maxChangeBytes bounds the body of a change of the voter set.
 const maxChangeBytes = 4096
 
 func (n *Node) registerRoutes() {
--- a/internal/app/control/api_status.go
+++ b/internal/app/control/api_status.go
@@ -63,22 +63,32 @@
 	status := n.status.Load()
 	fleet := FleetStatus{
 		ControlNode:   n.settings.Name,
-		Plan:          PlanStatus{cached.Revision, cached.Age(now)},
+		Plan:          PlanStatus{Revision: cached.Revision, AgeUS: cached.Age(now)},
 		Slots:         []SlotStatus{},
 		Nodes:         []NodeStatus{},
 		ChangeAllowed: status.changeAllowed,
 		Disk:          n.DiskStatus(),
 	}
 	for i, slot := range status.slots {
-		fleet.Slots = append(fleet.Slots, SlotStatus{i, slot.Leader, slot.Term, slot.Keys})
+		fleet.Slots = append(fleet.Slots, SlotStatus{Slot: i, Leader: slot.Leader, Term: slot.Term, Keys: slot.Keys})
 	}
 	for _, node := range n.sessions.Live(now) {
-		fleet.Nodes = append(fleet.Nodes, NodeStatus{node.Name, node.Role, node.Zone, node.Http, node.Addr, node.Ready, node.ControlNode, node.Age, node.LeasedRoles})
+		fleet.Nodes = append(fleet.Nodes, NodeStatus{
+			Name:           node.Name,
+			Role:           node.Role,
+			Zone:           node.Zone,
+			HTTP:           node.Http,
+			Addr:           node.Addr,
+			Ready:          node.Ready,
+			ControlNode:    node.ControlNode,
+			AgeUS:          node.Age,
+			SingletonRoles: node.LeasedRoles,
+		})
 	}
 	if set := n.voterSet.Load(); set != nil {
 		fleet.VoterSetStep = codec.UnpackVoterSet(set).Step()
 		for _, voter := range set.Voters {
-			fleet.Voters = append(fleet.Voters, VoterStatus{voter.Name, voter.Addr})
+			fleet.Voters = append(fleet.Voters, VoterStatus{Name: voter.Name, Addr: voter.Addr})
 		}
 	}
 	daemon.WriteJSON(w, http.StatusOK, fleet)
--- a/internal/app/control/frames.go
+++ b/internal/app/control/frames.go
@@ -65,11 +65,17 @@
 	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Receive(now, message)) })
 }
 
-// heartbeatResponse is what a node learns from its heartbeat: the live nodes, the voters, and
-// the plan if it is not the one it has.
+// heartbeatResponse is what a node learns from its heartbeat: the live nodes, the voters,
+// and the plan if it is not the one that the node has.
 func (n *Node) heartbeatResponse(now int64, haveRevision uint64) *fb.HeartbeatResponseT {
 	cached := n.plan.Load()
-	response := &fb.HeartbeatResponseT{Revision: cached.Revision, Age: cached.Age(now), Confirmed: cached.Known, Nodes: n.sessions.Live(now), Generation: n.generation.Load()}
+	response := &fb.HeartbeatResponseT{
+		Revision:   cached.Revision,
+		Age:        cached.Age(now),
+		Confirmed:  cached.Known,
+		Nodes:      n.sessions.Live(now),
+		Generation: n.generation.Load(),
+	}
 	if cached.Revision != haveRevision {
 		response.Plan = cached.Raw
 	}
--- a/internal/app/control/ready.go
+++ b/internal/app/control/ready.go
@@ -9,8 +9,8 @@
 	"violetthread/schema/fb"
 )
 
-// processReady carries out the effects of one step of the voter: records to the disk,
-// then the voter set, messages and results. Called from the voter's loop alone.
+// processReady carries out the effects of one step of the voter: events to the log, records
+// to the disk, then the voter set, messages and results. Called from the voter's loop alone.
 func (n *Node) processReady(ready quorum.Ready) {
 	n.logVoterEvents(ready.Events)
 	n.queueRecords(ready.Records)
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -10,10 +10,15 @@
 )
 
 const (
-	checkpointPartRecords = 1024 // records written between other changes
-	checkpointAtPermille  = 350  // thousandths of the log in use; a checkpoint is due
-	tightAtPermille       = 750  // from here on new changes are refused until a checkpoint made room
-	maxBatchesPerSync     = 512  // that one sync covers
+	// checkpointPartRecords is how much of a checkpoint is written between other changes.
+	checkpointPartRecords = 1024
+	// checkpointAtPermille is the part of the log in use from which on a checkpoint is due.
+	checkpointAtPermille = 350
+	// tightAtPermille is that from which on new changes are refused until a checkpoint made
+	// room.
+	tightAtPermille = 750
+	// maxBatchesPerSync bounds what one sync covers, and so how long it takes.
+	maxBatchesPerSync = 512
 )
 
 // batch is what the voter wants on disk.
@@ -22,8 +27,8 @@
 	checkpoint []quorum.Record // or: the state at this point, to be restated
 }
 
-// queueRecords queues records for the disk. The voter never waits for it: one that falls this
-// far behind is stopped.
+// queueRecords queues records for the disk. The voter never waits for its disk: with
+// maxPendingBatches waiting it is stopped.
 func (n *Node) queueRecords(records []quorum.Record) {
 	if len(records) == 0 || n.storage.recordsLost {
 		return
@@ -60,9 +65,10 @@
 	log           *wal.Log
 	remaining     []quorum.Record // still to be written
 	checkpointing bool            // a checkpoint has begun
-	operation     int64
+	operation     int64           // number of the last one; see storage.activeOperation
 }
 
+// run writes until ctx ends, or the disk refuses.
 func (w *writer) run(ctx context.Context) error {
 	for {
 		batches, ok := w.gather(ctx)
@@ -96,6 +102,7 @@
 	return batches, ctx.Err() == nil
 }
 
+// write appends batches and the next part of a checkpoint, and syncs them.
 func (w *writer) write(batches []batch) error {
 	var count uint64
 	for _, b := range batches {
@@ -133,6 +140,8 @@
 	return nil
 }
 
+// beginCheckpoint restates the state from here on. It begins with the voter set and the
+// disk's incarnation, which the voter's state does not hold.
 func (w *writer) beginCheckpoint(state []quorum.Record) error {
 	set := *w.node.voterSet.Load()
 	set.Incarnation = w.node.Incarnation()
@@ -143,6 +152,7 @@
 	return w.log.AppendCheckpoint([][]byte{codec.PackFounding(&set)})
 }
 
+// continueCheckpoint writes the next part of a checkpoint that has begun.
 func (w *writer) continueCheckpoint() error {
 	if !w.checkpointing {
 		return nil
