--- a/internal/app/directory/rollout_test.go
+++ b/internal/app/directory/rollout_test.go
@@ -76,13 +76,15 @@
 
 // fakePlatform counts update requests, and answers each once release says so.
 type fakePlatform struct {
-	requests atomic.Int64
-	inFlight atomic.Int64
-	release  func() bool
+	requests    atomic.Int64
+	lastRequest atomic.Pointer[UpdateRequest]
+	inFlight    atomic.Int64
+	release     func() bool
 }
 
-func (p *fakePlatform) UpdateWeights(context.Context, UpdateRequest) UpdateResult {
+func (p *fakePlatform) UpdateWeights(_ context.Context, request UpdateRequest) UpdateResult {
 	p.requests.Add(1)
+	p.lastRequest.Store(&request)
 	p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
 	for !p.release() {
@@ -143,6 +145,28 @@
 	}
 }
 
+// A request bears the fencing token and the leader of the lease that it was decided under,
+// and its permit ends with that lease.
+func TestRequestBearsTheToken(t *testing.T) {
+	d, _, platform := newTestDirectory(t)
+	d.role.lease.Store(&rollout.Lease{FencingToken: 9, ExpiresAt: clock.Now() + 60_000_000})
+	d.sendUpdate(t.Context(), rollout.UpdateRequest{Engine: "i-1", Addr: "e:1", Model: "m", Version: 2}, 9)
+	sent := platform.lastRequest.Load()
+	if sent == nil || sent.FencingToken != 9 || sent.Leader != d.role.leaderID {
+		t.Fatalf("%+v", sent)
+	}
+	if sent.Engine != "i-1" || sent.Addr != "e:1" || sent.Model != "m" || sent.Version != 2 {
+		t.Errorf("%+v", sent)
+	}
+	if err := sent.Permit(); err != nil {
+		t.Error(err)
+	}
+	d.role.lease.Store(&rollout.Lease{FencingToken: 10, ExpiresAt: clock.Now() + 60_000_000})
+	if sent.Permit() == nil {
+		t.Error("permitted under a later lease")
+	}
+}
+
 // A polite stop releases the lease once no request is under way, and never takes it again.
 func TestLeaveWaitsForOrders(t *testing.T) {
 	d, control, platform := newTestDirectory(t)
