--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -2,15 +2,12 @@
 
 import (
 	"context"
-	"hash/fnv"
 	"math/rand"
 	"slices"
-	"sort"
-
-	"github.com/samber/lo"
 
 	"violetthread/cacheindex"
 	"violetthread/internal/clock"
+	"violetthread/internal/controlorder"
 	"violetthread/internal/taskgroup"
 	"violetthread/internal/transport"
 	"violetthread/schema/fb"
@@ -25,35 +22,29 @@
 	seeds      []string
 	book       *transport.PeerPool
 	board      *Board
-	fars       map[string]*far
+	fars       map[string]*controlorder.Node
 	cur        string
 	known      bool
 	ask        fb.MapRequestT // what it knows, as it says in its next question
 	nodes      []uint64       // engines that its requests lie at, one for each
 }
 
-type far struct {
-	site  string
-	badAt int64
-}
-
 const (
 	followHold    = 250_000
 	followPatient = 450_000
 	staleWord     = 1_000_000
-	unusedFor     = 1_500_000
 	retryHold     = 50_000 // hold of a question to a node that failed lately
 	afterBad      = 30_000
 )
 
 // NewProxy makes hollow proxy num with under requests under way at engines nodes.
 func NewProxy(c *taskgroup.Group, num int, name, site string, seeds []string, b *Board, nodes []uint64, under int) *Proxy {
-	p := &Proxy{num: num, name: name, site: site, inc: rand.Uint64()>>24 | 1, seeds: seeds, book: transport.NewPeerPool(c), board: b, fars: map[string]*far{}}
+	p := &Proxy{num: num, name: name, site: site, inc: rand.Uint64()>>24 | 1, seeds: seeds, book: transport.NewPeerPool(c), board: b, fars: map[string]*controlorder.Node{}}
 	for range under {
 		p.nodes = append(p.nodes, nodes[rand.Intn(len(nodes))])
 	}
 	for _, a := range seeds {
-		p.fars[a] = &far{}
+		p.fars[a] = &controlorder.Node{}
 	}
 	return p
 }
@@ -81,52 +72,7 @@
 
 // order lists the control nodes to ask, the best one first, as the proxy does.
 func (p *Proxy) order(now int64) []string {
-	l := lo.Keys(p.fars)
-	sort.Slice(l, func(i, j int) bool { return p.before(now, l[i], l[j]) })
-	return l
-}
-
-// failedLately reports whether the node failed, or was out of touch, a short while ago.
-func (x *far) failedLately(now int64) bool {
-	return x.badAt > 0 && now-x.badAt < unusedFor
-}
-
-// before reports whether node a is to be asked before node b.
-func (p *Proxy) before(now int64, a, b string) bool {
-	x, y := p.fars[a], p.fars[b]
-	xFailed, yFailed := x.failedLately(now), y.failedLately(now)
-	if xFailed != yFailed {
-		return yFailed
-	}
-	if xFailed && x.badAt != y.badAt {
-		return x.badAt < y.badAt
-	}
-	if i, j := p.rank(a), p.rank(b); i != j {
-		return i < j
-	}
-	return score(p.name, a) < score(p.name, b)
-}
-
-// rank orders nodes that answered last time, the lowest first.
-func (p *Proxy) rank(a string) (n int) {
-	switch p.fars[a].site {
-	case p.site:
-	case "":
-		n++
-	default:
-		n += 2
-	}
-	if a == p.cur {
-		n--
-	}
-	return n
-}
-
-func score(a, b string) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(a + "|" + b))
-	x := h.Sum64()
-	return (x ^ x>>29) * 0xff51afd7ed558ccd
+	return controlorder.Preference{Name: p.name, Zone: p.site, Current: p.cur}.Sort(now, p.fars)
 }
 
 func (p *Proxy) once(ctx context.Context) bool {
@@ -141,9 +87,9 @@
 	q.Node = &fb.NodeT{Name: p.name, Role: "carrier", Zone: p.site, Http: "127.0.0.1:1", Incarnation: p.inc, Ready: p.known}
 	q.Hold, q.Loads = followHold, p.loads()
 	switch {
-	case !p.known || x.site == "":
+	case !p.known || x.Zone == "":
 		q.Hold = 0
-	case x.failedLately(now):
+	case x.FailedLately(now):
 		q.Hold = retryHold
 	}
 	r, err := p.book.Get(a).Call(ctx, &fb.FrameT{MapRequest: &q}, q.Hold+followPatient)
@@ -156,7 +102,7 @@
 		return len(l) > 1
 	}
 	t := r.MapResponse
-	x.site, x.badAt = t.Zone, 0
+	x.Zone, x.FailedAt = t.Zone, 0
 	p.take(t)
 	if !t.Known || t.Age > staleWord {
 		p.leave(a)
@@ -170,7 +116,7 @@
 
 // leave lets others be asked before a node that failed or is out of touch.
 func (p *Proxy) leave(a string) {
-	p.fars[a].badAt = clock.Now()
+	p.fars[a].FailedAt = clock.Now()
 	if p.cur == a {
 		p.cur = ""
 	}
@@ -182,7 +128,7 @@
 	}
 	for _, v := range voters {
 		if p.fars[v] == nil {
-			p.fars[v] = &far{}
+			p.fars[v] = &controlorder.Node{}
 		}
 	}
 	for a := range p.fars {
--- a/sim/register_edit_test.go
+++ b/sim/register_edit_test.go
@@ -17,6 +17,7 @@
 	node := constants(t, "../internal/app/control")
 	directory := constants(t, "../internal/app/directory")
 	follower := constants(t, "../internal/app/proxy")
+	order := constants(t, "../internal/controlorder")
 	for _, c := range []struct {
 		name string
 		have int64
@@ -31,7 +32,7 @@
 		{"muteAfter", passSilenceLimit, node},
 		{"refreshEvery", directoryRefreshInterval, directory},
 		{"staleRegister", maxDirectoryAge, follower},
-		{"unusedFor", directoryPause, follower},
+		{"AvoidUS", directoryPause, order},
 		{"leaveLeast", leaveLeast, node},
 		{"leaveMost", leaveMost, node},
 		{"slotTerm", platformLeaseUS, operator},
