--- a/internal/app/proxy/budget_test.go
+++ b/internal/app/proxy/budget_test.go
@@ -9,14 +9,14 @@
 	"violetthread/route"
 )
 
-// TestBudgetIsLookedAtWhereItIsSpent: between a passage's move and its attempt others may
+// TestRetryBudgetIsCheckedWhereItIsSpent: between a request's decision and its attempt others may
 // have spent what was left.
-func TestBudgetIsLookedAtWhereItIsSpent(t *testing.T) {
+func TestRetryBudgetIsCheckedWhereItIsSpent(t *testing.T) {
 	u := NewUnattached(t, nil, route.Compile(route.Config{}, 1))
 	u.SetRetries(0, 1)
 	u.SetEngines(&placement.Engine{ID: "e", Pool: "p", Addr: "127.0.0.1:1"})
 	now := clock.Now()
-	p := &forwardedRequest{server: u.c, deadline: now + 1_000_000, placement: placement.Request{Pool: "p", TriedEngines: map[string]bool{}}}
+	p := &forwardedRequest{server: u.server, deadline: now + 1_000_000, placement: placement.Request{Pool: "p", TriedEngines: map[string]bool{}}}
 	if !p.conditions(now).RetryAllowed {
 		t.Fatal("there is no budget to begin with")
 	}
--- a/internal/app/proxy/bytes_test.go
+++ b/internal/app/proxy/bytes_test.go
@@ -102,12 +102,12 @@
 	return nil
 }
 
-// properly is a script that answers everything whole.
+// properly is a script that answers everything completely.
 func properly(kind string) func(c *engineConn, arrival int) {
 	return func(c *engineConn, _ int) { c.answerProperly(kind) }
 }
 
-// sentLength is how many bytes an engine gets of a try.
+// sentLength is how many bytes an engine gets of an attempt.
 func sentLength(t *testing.T, kind string, waitMS int) (length int) {
 	s := newStage(t, "s99")
 	lengths := make(chan int, 2) // one that may be repeated comes twice
@@ -123,10 +123,10 @@
 	return <-lengths
 }
 
-// answerLength is how many bytes an engine's answer to a try has.
+// answerLength is how many bytes an engine's answer to an attempt has.
 func answerLength(kind string) int { return len(answerTo(kind, 0, "s00-000000", 0)) }
 
-// exchange brings a fault about at the first engine that a try reaches; the other one
+// exchange brings a fault about at the first engine that an attempt reaches; the other one
 // would answer properly.
 func (s *stage) exchange(kind string, kept bool, waitMS int, first func(c *engineConn)) error {
 	s.begin(properly(repeatable))
--- a/internal/app/proxy/callerconn.go
+++ b/internal/app/proxy/callerconn.go
@@ -86,7 +86,7 @@
 	if c == nil {
 		return
 	}
-	if t, ok := c.Conn.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
 }
--- a/internal/app/proxy/connpool.go
+++ b/internal/app/proxy/connpool.go
@@ -45,21 +45,21 @@
 func (p *connPool) get(id string) *engineConn {
 	for {
 		p.mu.Lock()
-		l := p.idle[id]
-		if len(l) == 0 {
+		idle := p.idle[id]
+		if len(idle) == 0 {
 			p.mu.Unlock()
 			return nil
 		}
-		w := l[len(l)-1] // the one used last
-		p.idle[id] = l[:len(l)-1]
+		c := idle[len(idle)-1] // the one used last
+		p.idle[id] = idle[:len(idle)-1]
 		p.mu.Unlock()
-		if clock.Now() < w.usableUntil && w.quiet() {
+		if clock.Now() < c.usableUntil && c.quiet() {
 			p.mu.Lock()
 			p.reused++
 			p.mu.Unlock()
-			return w
+			return c
 		}
-		w.kill()
+		c.kill()
 	}
 }
 
@@ -93,32 +93,32 @@
 }
 
 // put gives a connection back after a complete answer with these headers.
-func (p *connPool) put(id string, w *engineConn, h http.Header) {
-	keep := keepAlive(h)
-	if w.br.Buffered() > 0 || keep <= 0 {
-		w.kill()
+func (p *connPool) put(id string, c *engineConn, header http.Header) {
+	keep := keepAlive(header)
+	if c.br.Buffered() > 0 || keep <= 0 {
+		c.kill()
 		return
 	}
-	w.used++
-	w.usableUntil = clock.Now() + keep
-	_ = w.SetDeadline(noDeadline)
+	c.used++
+	c.usableUntil = clock.Now() + keep
+	_ = c.SetDeadline(noDeadline)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[id]) >= maxIdlePerEngine {
-		w.kill()
+		c.kill()
 		return
 	}
-	p.idle[id] = append(p.idle[id], w)
+	p.idle[id] = append(p.idle[id], c)
 }
 
 // keepAlive is for how long a connection may be idle, in microseconds, going by the engine's
 // Keep-Alive header.
-func keepAlive(h http.Header) int64 {
+func keepAlive(header http.Header) int64 {
 	keep := int64(maxIdleUS)
-	for _, f := range strings.Split(h.Get("Keep-Alive"), ",") {
-		if s, ok := strings.CutPrefix(strings.TrimSpace(f), "timeout="); ok {
-			if n, err := strconv.ParseInt(s, 10, 64); err == nil {
-				keep = min(keep, n*1_000_000-keepAliveSlackUS)
+	for _, directive := range strings.Split(header.Get("Keep-Alive"), ",") {
+		if seconds, ok := strings.CutPrefix(strings.TrimSpace(directive), "timeout="); ok {
+			if timeout, err := strconv.ParseInt(seconds, 10, 64); err == nil {
+				keep = min(keep, timeout*1_000_000-keepAliveSlackUS)
 			}
 		}
 	}
@@ -130,13 +130,13 @@
 	now := clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id, l := range p.idle {
-		keep := l[:0]
-		for _, w := range l {
-			if live(id) && now < w.usableUntil {
-				keep = append(keep, w)
+	for id, idle := range p.idle {
+		keep := idle[:0]
+		for _, c := range idle {
+			if live(id) && now < c.usableUntil {
+				keep = append(keep, c)
 			} else {
-				w.kill()
+				c.kill()
 			}
 		}
 		if p.idle[id] = keep; len(keep) == 0 {
--- a/internal/app/proxy/engineattempt.go
+++ b/internal/app/proxy/engineattempt.go
@@ -80,17 +80,17 @@
 // exchange sends the request over the attempt's connection and deals with the answer. It
 // returns the answer if that was read to its end.
 func (a *engineAttempt) exchange() (outcome, *http.Response) {
-	p, s := a.forwarded, a.forwarded.server
+	f, s := a.forwarded, a.forwarded.server
 	// Looked at again at the moment of dispatch: the machine may have slept.
 	now := clock.Now()
 	switch {
 	case s.view.Load().age(now) > s.maxConfigAgeUS():
-		p.forward.StopReason = reasonConfigNotFresh
+		f.forward.StopReason = reasonConfigNotFresh
 		return unreachable, nil
-	case now >= p.deadline:
+	case now >= f.deadline:
 		return unreachable, nil
 	}
-	_ = a.conn.SetDeadline(time.Now().Add(clock.Duration(p.deadline + lateAnswerUS - now)))
+	_ = a.conn.SetDeadline(time.Now().Add(clock.Duration(f.deadline + lateAnswerUS - now)))
 	s.counts.sends.Add(1)
 	_, writeErr := a.conn.Write(a.encodeRequest(now))
 	answer, info, end := a.readHead()
--- a/internal/app/proxy/engineconn.go
+++ b/internal/app/proxy/engineconn.go
@@ -26,19 +26,19 @@
 	if c.br.Buffered() > 0 {
 		return false
 	}
-	t, ok := c.Conn.(*net.TCPConn)
+	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return true
 	}
-	rc, err := t.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
 	clean := false
-	err = rc.Read(func(fd uintptr) bool {
-		var b [1]byte
-		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		clean = errors.Is(e, unix.EAGAIN)
+	err = raw.Read(func(fd uintptr) bool {
+		var first [1]byte
+		_, _, peekErr := unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		clean = errors.Is(peekErr, unix.EAGAIN)
 		return true
 	})
 	return err == nil && clean
@@ -48,17 +48,17 @@
 // ambiguous is an error.
 func (c *engineConn) readHead(request *http.Request) (*http.Response, error) {
 	for {
-		came, _ := c.br.Peek(c.br.Buffered())
-		if end := headEnd(came); end > 0 {
-			if _, err := framingOf(came[:end]); err != nil {
+		received, _ := c.br.Peek(c.br.Buffered())
+		if end := headEnd(received); end > 0 {
+			if _, err := framingOf(received[:end]); err != nil {
 				return nil, err
 			}
 			return http.ReadResponse(c.br, request)
 		}
-		if len(came) == c.br.Size() {
+		if len(received) == c.br.Size() {
 			return nil, trace.LimitExceeded("the head of an answer is over %d bytes", c.br.Size())
 		}
-		if _, err := c.br.Peek(len(came) + 1); err != nil {
+		if _, err := c.br.Peek(len(received) + 1); err != nil {
 			return nil, err
 		}
 	}
@@ -66,8 +66,8 @@
 
 // kill drops a connection at once: what is still on its way is not sent any more.
 func (c *engineConn) kill() {
-	if t, ok := c.Conn.(*net.TCPConn); ok {
-		_ = t.SetLinger(0)
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
--- a/internal/app/proxy/enginerequest.go
+++ b/internal/app/proxy/enginerequest.go
@@ -24,25 +24,25 @@
 // encodeRequest is the request as the engine gets it: method, path, query and body are the
 // caller's own.
 func (a *engineAttempt) encodeRequest(now int64) []byte {
-	p := a.forwarded
+	f := a.forwarded
 	var b bytes.Buffer
-	b.Grow(1024 + len(p.body))
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", p.request.Method, p.request.RequestURI, p.request.Host)
-	if len(p.body) > 0 || p.request.ContentLength > 0 || p.request.Method == http.MethodPost || p.request.Method == http.MethodPut {
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(p.body))
+	b.Grow(1024 + len(f.body))
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", f.request.Method, f.request.RequestURI, f.request.Host)
+	if len(f.body) > 0 || f.request.ContentLength > 0 || f.request.Method == http.MethodPost || f.request.Method == http.MethodPut {
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(f.body))
 	}
 	_ = a.header(now).Write(&b)
 	b.WriteString("\r\n")
-	b.Write(p.body)
+	b.Write(f.body)
 	return b.Bytes()
 }
 
 // header is the caller's, without what concerns its connection, and with what the
 // engine is told.
 func (a *engineAttempt) header(now int64) http.Header {
-	p := a.forwarded
-	h := p.request.Header.Clone()
-	for _, field := range p.request.Header["Connection"] {
+	f := a.forwarded
+	h := f.request.Header.Clone()
+	for _, field := range f.request.Header["Connection"] {
 		for _, name := range strings.Split(field, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
@@ -50,20 +50,20 @@
 	for name := range hopByHop {
 		h.Del(name)
 	}
-	told := EngineRequest{
+	engineRequest := EngineRequest{
 		EngineID:    a.choice.Engine.ID,
-		TimeoutUS:   p.deadline - now,
+		TimeoutUS:   f.deadline - now,
 		Salt:        a.choice.Salt,
 		Source:      a.choice.Source,
 		Destination: a.choice.Destination,
-		Model:       p.info.Model,
+		Model:       f.info.Model,
 		Version:     a.choice.Version,
-		Priority:    p.view.table.Priority(p.tenant, p.route),
-		LastEventID: p.lastEventID,
+		Priority:    f.view.table.Priority(f.tenant, f.route),
+		LastEventID: f.lastEventID,
 	}
-	if p.tenant != nil {
-		told.Tenant = p.tenant.Name
+	if f.tenant != nil {
+		engineRequest.Tenant = f.tenant.Name
 	}
-	p.server.adapter.SetEngineHeaders(h, told)
+	f.server.adapter.SetEngineHeaders(h, engineRequest)
 	return h
 }
--- a/internal/app/proxy/exchange_test.go
+++ b/internal/app/proxy/exchange_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// answers are what an engine may say in place of, before or behind the answer to a try.
-// IDs and bodies of other tries must reach nobody.
+// answers are what an engine may say in place of, before or behind the answer to an
+// attempt. IDs and bodies of other attempts must reach nobody.
 var answers = []struct {
 	name string
 	say  func(c *engineConn, kind, id string)
@@ -73,10 +73,10 @@
 	}, true},
 }
 
-// TestAnswersReachTheirOwnTry: whatever an engine says, on a new connection or a kept one,
-// a caller gets its own answer whole or sees that there is none, and the caller behind it
+// TestAnswersReachTheirOwnAttempt: whatever an engine says, on a new connection or a kept one,
+// a caller gets its own answer completely or sees that there is none, and the caller behind it
 // gets its own as well.
-func TestAnswersReachTheirOwnTry(t *testing.T) {
+func TestAnswersReachTheirOwnAttempt(t *testing.T) {
 	var cases []testCase
 	for _, kind := range kinds {
 		for _, x := range answers {
@@ -225,7 +225,7 @@
 	runCases(t, 16, cases)
 }
 
-// callerRequest is a try in either framing.
+// callerRequest is an attempt in either framing.
 func callerRequest(kind, id string, chunked bool) string {
 	q := request(kind, id, body, longWaitMS)
 	if !chunked {
--- a/internal/app/proxy/export_test.go
+++ b/internal/app/proxy/export_test.go
@@ -19,7 +19,7 @@
 // Unattached is a proxy without control nodes: tests say what is in force and which
 // engines there are.
 type Unattached struct {
-	c      *server
+	server *server
 	Listen string
 }
 
@@ -49,31 +49,31 @@
 		c.pool.closeIdle()
 		c.daemon.Group.Stop()
 	})
-	return &Unattached{c: c, Listen: l.Addr().String()}
+	return &Unattached{server: c, Listen: l.Addr().String()}
 }
 
 // SetEngines replaces the engines by others that have never failed.
 func (u *Unattached) SetEngines(engines ...*placement.Engine) {
-	u.c.mu.Lock()
-	defer u.c.mu.Unlock()
-	u.c.picker = placement.New(u.c.settings.Zone, u.c.hints)
-	u.c.picker.SetFleet(engines, nil)
+	u.server.mu.Lock()
+	defer u.server.mu.Unlock()
+	u.server.picker = placement.New(u.server.settings.Zone, u.server.hints)
+	u.server.picker.SetFleet(engines, nil)
 }
 
 // SetRetries replaces what the proxy may spend on further attempts.
 func (u *Unattached) SetRetries(ratio, allowance float64) {
-	u.c.mu.Lock()
-	defer u.c.mu.Unlock()
-	u.c.retryAllowance = allowance
-	u.c.settings.Bounds.RetryRatio = ratio
-	u.c.retryWindows = map[string]*attempt.RetryWindow{}
+	u.server.mu.Lock()
+	defer u.server.mu.Unlock()
+	u.server.retryAllowance = allowance
+	u.server.settings.Bounds.RetryRatio = ratio
+	u.server.retryWindows = map[string]*attempt.RetryWindow{}
 }
 
 // NewView takes the configuration away, or gives one.
 func (u *Unattached) NewView(table *route.Table) {
-	v := *u.c.view.Load()
+	v := *u.server.view.Load()
 	v.table = table
-	u.c.view.Store(&v)
+	u.server.view.Store(&v)
 }
 
 func quietDaemon() *daemon.Daemon {
--- a/internal/app/proxy/faults_test.go
+++ b/internal/app/proxy/faults_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestSkipBodyIsReadToItsEnd: a connection on which a refusal's body still comes is not
+// TestNotRunBodyIsReadToItsEnd: a connection on which a rejection's body still comes is not
 // used again.
-func TestSkipBodyIsReadToItsEnd(t *testing.T) {
+func TestNotRunBodyIsReadToItsEnd(t *testing.T) {
 	s := newStage(t, "skip")
 	s.begin(properly(repeatable))
 	var mu sync.Mutex
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestOneEnginesStreamStaysWhole: what one engine says goes out as it is, also where its
+// TestOneEnginesStreamStaysIntact: what one engine says goes out as it is, also where its
 // ids do not rise or begin below what the caller has.
-func TestOneEnginesStreamStaysWhole(t *testing.T) {
+func TestOneEnginesStreamStaysIntact(t *testing.T) {
 	for _, after := range []string{"", "3"} {
 		for _, kind := range []string{onceStream, resumable} {
 			s := newStage(t, "ids-"+kind+after)
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestOnlyRefusalsAreProof: the mark of a request that did not run counts on a status that
-// refuses, and nowhere else.
-func TestOnlyRefusalsAreProof(t *testing.T) {
+// TestOnlyRejectionsAreProof: the sign of a request that did not run counts on a status that
+// rejects, and nowhere else.
+func TestOnlyRejectionsAreProof(t *testing.T) {
 	for _, status := range []string{"200 OK", "201 Made", "302 There", "404 Gone", "500 Broken", "504 Late"} {
 		s := newStage(t, "proof-"+status[:3])
 		s.begin(func(c *engineConn, _ int) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// TestLengthBesideChunks: an answer that tells its end in two ways is trusted in neither.
+// TestLengthBesideChunks: an answer that states its end in two ways is trusted in neither.
 func TestLengthBesideChunks(t *testing.T) {
 	for _, kind := range kinds {
 		s := newStage(t, "both-"+kind)
@@ -167,7 +167,7 @@
 	}
 }
 
-// TestRefusedBeforeItWasSentWhole: an engine that refuses a long request without reading it
+// TestRefusedBeforeItWasSentWhole: an engine that rejects a long request without reading it
 // is believed.
 func TestRefusedBeforeItWasSentWhole(t *testing.T) {
 	s := newStage(t, "early")
@@ -204,9 +204,9 @@
 	}
 }
 
-// TestBudgetIsSpentOnce: attempts that fail at one moment get no more further attempts
-// than the budget has.
-func TestBudgetIsSpentOnce(t *testing.T) {
+// TestRetryBudgetIsSpentOnce: attempts that fail at one moment get no more retries than the
+// budget has.
+func TestRetryBudgetIsSpentOnce(t *testing.T) {
 	const callers = 64
 	s := newStage(t, "budget")
 	for round := range 6 {
@@ -245,7 +245,7 @@
 }
 
 // TestCallerGoneIsNoFaultOfTheEngine: an engine that could not be reached because the
-// caller had left does not rest.
+// caller had left is not ejected.
 func TestCallerGoneIsNoFaultOfTheEngine(t *testing.T) {
 	s := newStage(t, "gone")
 	s.alone(properly(repeatable))
@@ -319,7 +319,7 @@
 }
 
 // TestPipelined: requests that come together are answered in order, each its own answer,
-// or told to come again; none is refused for good, and none runs twice.
+// or told to come again; none is rejected for good, and none runs twice.
 func TestPipelined(t *testing.T) {
 	s := newStage(t, "pipe")
 	s.begin(properly(onceOnly))
--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -14,38 +14,38 @@
 
 const second = 1_000_000
 
-// told is a whole answer of a node: its list of engines, by one engine's name, and when
-// weights of model m were named.
-func told(node uint64, listAge int64, engine string, namedAge int64, epoch uint64) *fb.MapResponseT {
-	return &fb.MapResponseT{Incarnation: node, Known: true, FullMap: true, ListAge: listAge, Proxies: 3, AnnouncedTerm: epoch,
-		Engines: []*fb.MapEngineT{{Id: engine}}, Announced: []*fb.AnnouncedVersionT{{Model: "m", Version: 2, Age: namedAge}}}
+// fullState is a node's answer with its map: its list of engines, by one engine's name, and
+// since when weights of model m are announced.
+func fullState(node uint64, listAge int64, engine string, announcedAge int64, term uint64) *fb.MapResponseT {
+	return &fb.MapResponseT{Incarnation: node, Known: true, FullMap: true, ListAge: listAge, Proxies: 3, AnnouncedTerm: term,
+		Engines: []*fb.MapEngineT{{Id: engine}}, Announced: []*fb.AnnouncedVersionT{{Model: "m", Version: 2, Age: announcedAge}}}
 }
 
-// Going over to a node that heard of weights late does not make older ones good again.
-func TestGoingOverKeepsAges(t *testing.T) {
+// Changing to a node that learnt of weights late does not make older ones good again.
+func TestSwitchingNodesKeepsAges(t *testing.T) {
 	const within = 12 * second
 	v := &view{}
-	v.merge(told(1, 0, "e", 11*second, 5), 100*second)
-	v.merge(told(2, 0, "e", 1*second, 5), 102*second)
+	v.merge(fullState(1, 0, "e", 11*second, 5), 100*second)
+	v.merge(fullState(2, 0, "e", 1*second, 5), 102*second)
 	if least := v.minVersion(103*second, "m", within); least != 2 {
-		t.Errorf("version %d may still be begun 14 s after 2 was named", least)
+		t.Errorf("version %d may still be begun 14 s after 2 was announced", least)
 	}
 	before := *v
-	v.merge(told(2, 0, "e", 4*second, 6), 104*second) // the duty changed hands
+	v.merge(fullState(2, 0, "e", 4*second, 6), 104*second) // the rollout role changed hands
 	if least := v.minVersion(105*second, "m", within); least != 0 {
 		t.Errorf("%d must be begun though the bound counts anew", least)
 	}
 	if least := before.minVersion(105*second, "m", within); least != 2 {
 		t.Error("a view that was published has changed")
 	}
-	v.merge(told(1, 0, "e", 90*second, 5), 106*second) // a node that has not noticed
+	v.merge(fullState(1, 0, "e", 90*second, 5), 106*second) // a node that has not noticed
 	if least := v.minVersion(107*second, "m", within); least != 0 {
-		t.Errorf("%d must be begun by the word of an earlier epoch", least)
+		t.Errorf("%d must be begun as a node of an earlier term says", least)
 	}
 }
 
-// An answer that stands does not bring the map again; then and later the newest list is used.
-func stands(node uint64, listAge int64) *fb.MapResponseT {
+// unchangedState is a node's answer without its map, which has not changed.
+func unchangedState(node uint64, listAge int64) *fb.MapResponseT {
 	return &fb.MapResponseT{Incarnation: node, Known: true, ListAge: listAge, Proxies: 3}
 }
 
@@ -63,39 +63,39 @@
 			t.Errorf("%s: the map is not used", what)
 		}
 	}
-	use("the first map", told(1, second, "one", 0, 1), 100*second, "one")
-	use("its own next map", told(1, second, "one more", 0, 1), 100*second+1, "one more")
-	use("another's older list", told(2, 2*second, "two", 0, 1), 100*second+2, "")
-	use("still the older", stands(2, 2*second+200_000), 100*second+200_000, "")
-	use("it has looked again", stands(2, 100_000), 101*second, "two")
-	use("nothing new", stands(2, 200_000), 101*second+100_000, "")
-	use("a third's older list", told(3, 9*second, "three", 0, 1), 102*second, "")
-	use("the platform is down", stands(3, 13*second), 102*second+pendingMapWaitUS+1, "three")
-	use("a node that just started", told(4, codec.AgeNeverRead, "none", 0, 1), 107*second, "")
-	use("and after a while", stands(4, codec.AgeNeverRead), 117*second, "")
-	use("once it has looked", told(4, 0, "four", 0, 1), 118*second, "four")
+	use("the first map", fullState(1, second, "one", 0, 1), 100*second, "one")
+	use("its own next map", fullState(1, second, "one more", 0, 1), 100*second+1, "one more")
+	use("another's older list", fullState(2, 2*second, "two", 0, 1), 100*second+2, "")
+	use("still the older", unchangedState(2, 2*second+200_000), 100*second+200_000, "")
+	use("it has looked again", unchangedState(2, 100_000), 101*second, "two")
+	use("nothing new", unchangedState(2, 200_000), 101*second+100_000, "")
+	use("a third's older list", fullState(3, 9*second, "three", 0, 1), 102*second, "")
+	use("the platform is down", unchangedState(3, 13*second), 102*second+pendingMapWaitUS+1, "three")
+	use("a node that just started", fullState(4, codec.AgeNeverRead, "none", 0, 1), 107*second, "")
+	use("and after a while", unchangedState(4, codec.AgeNeverRead), 117*second, "")
+	use("once it has looked", fullState(4, 0, "four", 0, 1), 118*second, "four")
 }
 
 // A node that is cut off forgets proxies that are still there: what each of them may
-// spend on further sends must not grow by that.
-func TestPeersDoNotFallWhenCutOff(t *testing.T) {
+// spend on retries must not grow by that.
+func TestProxyCountDoesNotFallWhenCutOff(t *testing.T) {
 	v := &view{}
-	all := told(1, 0, "e", 0, 1)
+	all := fullState(1, 0, "e", 0, 1)
 	all.Proxies = 9
 	v.merge(all, 100*second)
-	cut := stands(1, 0)
+	cut := unchangedState(1, 0)
 	cut.Age = 5 * second
 	v.merge(cut, 105*second)
 	if v.proxies != 9 {
-		t.Errorf("%d proxies are counted by the word of a node that is cut off", v.proxies)
+		t.Errorf("%d proxies are counted as a node that is cut off says", v.proxies)
 	}
-	v.merge(stands(1, 0), 106*second)
+	v.merge(unchangedState(1, 0), 106*second)
 	if v.proxies != 3 {
-		t.Errorf("%d proxies are counted, 3 are told", v.proxies)
+		t.Errorf("%d proxies are counted, 3 are reported", v.proxies)
 	}
 }
 
-func TestBehind(t *testing.T) {
+func TestOutOfTouch(t *testing.T) {
 	for _, c := range []struct {
 		known         bool
 		config, named int64
@@ -109,8 +109,8 @@
 	}
 }
 
-// A node that is cut off knows an old roster: who came since is not forgotten by its word.
-func TestOldRosterForgetsNobody(t *testing.T) {
+// A node that is cut off knows an old set of voters: who came since is not forgotten on its account.
+func TestOldVoterSetForgetsNobody(t *testing.T) {
 	f := newFollower(&server{settings: Settings{Seeds: []string{"a"}}})
 	f.setNodes([]string{"b", "c"}, true)
 	f.setNodes([]string{"a", "d"}, false)
@@ -148,33 +148,33 @@
 		{5, "five", true, 13 * second, 0, 7, 11 * second},           // one that knows an older one
 		{9, damaged, true, 14 * second, 0, 7, 11 * second},          // what can't be read is not in use
 		{9, "", true, 15 * second, 0, 7, 11 * second},               // its text did not come along
-		{9, "nine", true, 16 * second, 20 * second, 9, 11 * second}, // news that is old
+		{9, "nine", true, 16 * second, 20 * second, 9, 11 * second}, // a report that is old
 		{9, "", true, 17 * second, 300_000, 9, 17*second - 300_000}, // and fresh again
 		{8, "eight", true, 18 * second, 0, 9, 17*second - 300_000},  // another node's older one
 		{9, "", false, 19 * second, 0, 9, 17*second - 300_000},      // a node that just started
 	} {
-		told := &fb.MapResponseT{Known: s.known, Revision: s.rev, Config: []byte(s.text), Age: s.age}
-		v.mergeConfig(told, s.at, parse)
+		state := &fb.MapResponseT{Known: s.known, Revision: s.rev, Config: []byte(s.text), Age: s.age}
+		v.mergeConfig(state, s.at, parse)
 		if v.revision != s.wantRev || v.configAt != s.wantFrom {
 			t.Fatalf("step %d: revision %d in force at %d, want %d at %d", i, v.revision, v.configAt, s.wantRev, s.wantFrom)
 		}
 	}
 }
 
-// A request that is sent on again begins later: by then its weights may be out of date.
+// A request that is sent again begins later: by then its weights may be out of date.
 func TestLaterAttemptOnNewerWeights(t *testing.T) {
-	const named = 100 * second
+	const announcedAt = 100 * second
 	u := NewUnattached(t, nil, route.Compile(route.Config{}, 1))
 	u.SetEngines(&placement.Engine{ID: "old", Pool: "p", Addr: "127.0.0.1:1", Weights: map[string]uint64{"m": 1}})
-	v := *u.c.view.Load()
-	v.merge(told(1, 0, "old", 0, 1), named)
-	u.c.view.Store(&v)
-	p := &forwardedRequest{server: u.c, info: RequestInfo{Model: "m"}, placement: placement.Request{Pool: "p", Model: "m", TriedEngines: map[string]bool{}}}
-	within := u.c.settings.Bounds.VersionApplyUS
-	if _, err := p.pickEngine(named+within/2, false); err != nil {
+	v := *u.server.view.Load()
+	v.merge(fullState(1, 0, "old", 0, 1), announcedAt)
+	u.server.view.Store(&v)
+	p := &forwardedRequest{server: u.server, info: RequestInfo{Model: "m"}, placement: placement.Request{Pool: "p", Model: "m", TriedEngines: map[string]bool{}}}
+	within := u.server.settings.Bounds.VersionApplyUS
+	if _, err := p.pickEngine(announcedAt+within/2, false); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.pickEngine(named+within, true); !errors.Is(err, errNoEngine) {
+	if _, err := p.pickEngine(announcedAt+within, true); !errors.Is(err, errNoEngine) {
 		t.Fatalf("an engine with older weights was chosen at the bound: %v", err)
 	}
 }
--- a/internal/app/proxy/idle.go
+++ b/internal/app/proxy/idle.go
@@ -22,8 +22,8 @@
 
 // idleLimit is how long a caller's connection may rest under the configuration in force.
 func (s *server) idleLimit() time.Duration {
-	if t := s.view.Load().table; t != nil && t.Limits.IdleUS > 0 {
-		return clock.Duration(t.Limits.IdleUS)
+	if table := s.view.Load().table; table != nil && table.Limits.IdleUS > 0 {
+		return clock.Duration(table.Limits.IdleUS)
 	}
 	return defaultIdleLimit
 }
--- a/internal/app/proxy/relay.go
+++ b/internal/app/proxy/relay.go
@@ -39,23 +39,23 @@
 
 // relayPlain passes an answer on that is no stream.
 func (a *engineAttempt) relayPlain(answer *http.Response) outcome {
-	p := a.forwarded
-	var start bytes.Buffer
-	if _, err := io.Copy(&start, io.LimitReader(answer.Body, bufferedAnswerBytes)); err != nil {
+	f := a.forwarded
+	var buffered bytes.Buffer
+	if _, err := io.Copy(&buffered, io.LimitReader(answer.Body, bufferedAnswerBytes)); err != nil {
 		return a.interrupted(reasonEngineLost)
 	}
 	if answer.StatusCode >= 500 && a.mayRunElsewhere() {
 		return a.interrupted(reasonEngineFailed)
 	}
-	complete := start.Len() < bufferedAnswerBytes
+	complete := buffered.Len() < bufferedAnswerBytes
 	a.responseStarted()
-	a.setLength(answer, start.Len(), complete)
+	a.setLength(answer, buffered.Len(), complete)
 	a.writeHead(answer)
-	if _, err := p.writer.Write(start.Bytes()); err != nil {
+	if _, err := f.writer.Write(buffered.Bytes()); err != nil {
 		return a.interrupted(reasonCallerGone)
 	}
 	if !complete {
-		if _, err := io.Copy(p.writer, answer.Body); err != nil {
+		if _, err := io.Copy(f.writer, answer.Body); err != nil {
 			return a.interrupted(reasonEngineLost)
 		}
 	}
@@ -65,14 +65,14 @@
 // mayRunElsewhere reports whether the request would get another attempt if this one
 // counted as broken.
 func (a *engineAttempt) mayRunElsewhere() bool {
-	p, now := a.forwarded, clock.Now()
-	if !p.forward.Repeatable || now >= p.deadline {
+	f, now := a.forwarded, clock.Now()
+	if !f.forward.Repeatable || now >= f.deadline {
 		return false
 	}
-	trial := p.forward
+	trial := f.forward
 	trial.Attempts = append([]attempt.Attempt(nil), trial.Attempts...)
 	trial.Record(a.id, attempt.Interrupted, reasonEngineFailed)
-	facts := p.conditions(now)
+	facts := f.conditions(now)
 	facts.TimeLeft = true
 	return trial.Next(facts).Action == attempt.ForwardSend
 }
@@ -93,8 +93,8 @@
 
 // writeHead sends the answer's status and headers on.
 func (a *engineAttempt) writeHead(answer *http.Response) {
-	p := a.forwarded
-	h := p.writer.Header()
+	f := a.forwarded
+	h := f.writer.Header()
 	for name, values := range answer.Header {
 		if !hopByHop[name] {
 			h[name] = values
@@ -103,13 +103,13 @@
 	if _, ok := h["Content-Type"]; !ok {
 		h["Content-Type"] = nil // the library would guess
 	}
-	if p.server.daemon.Stopping() {
+	if f.server.daemon.Stopping() {
 		h.Set("Connection", "close")
 	}
-	left := max(0, p.deadline-clock.Now()) + lateWriteUS
-	_ = http.NewResponseController(p.writer).SetWriteDeadline(time.Now().Add(clock.Duration(left)))
-	p.forward.HeadSent = true
-	p.writer.WriteHeader(answer.StatusCode)
+	left := max(0, f.deadline-clock.Now()) + lateWriteUS
+	_ = http.NewResponseController(f.writer).SetWriteDeadline(time.Now().Add(clock.Duration(left)))
+	f.forward.HeadSent = true
+	f.writer.WriteHeader(answer.StatusCode)
 }
 
 // responseStarted takes in that the engine answers with content: what it read of the prompt is
--- a/internal/app/proxy/stream.go
+++ b/internal/app/proxy/stream.go
@@ -74,19 +74,19 @@
 
 // relayEvent passes one event on, unless it went out before; false if the caller is gone.
 func (a *engineAttempt) relayEvent(event []byte, id string) bool {
-	p := a.forwarded
+	f := a.forwarded
 	if !a.isNewEvent(id) {
 		return true
 	}
-	if _, err := p.writer.Write(event); err != nil {
+	if _, err := f.writer.Write(event); err != nil {
 		return false
 	}
-	_ = http.NewResponseController(p.writer).Flush()
+	_ = http.NewResponseController(f.writer).Flush()
 	switch {
 	case id != "":
-		p.lastEventID = id
+		f.lastEventID = id
 	case len(bytes.TrimSpace(event)) > 0 && event[0] != ':':
-		p.forward.Resumable = false // nothing tells where to go on
+		f.forward.Resumable = false // nothing tells where to go on
 	}
 	return true
 }
