--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -440,8 +440,8 @@
 						o.TransferScores = nil
 					}
 				}
-				agent.HandleReply(query, at, t)
-			}, func() { agent.HandleReply(query, at, nil) })
+				agent.HandleResponse(query, at, t)
+			}, func() { agent.HandleResponse(query, at, nil) })
 		}
 	})
 }
