--- a/quorum/explore_search_test.go
+++ b/quorum/explore_search_test.go
@@ -2,57 +2,57 @@
 
 import "fmt"
 
-// search visits every course of a world that strays from the ordinary one at most so
+// search visits every run of a world that deviates from the ordinary one at most so
 // many times (delay-bounded scheduling): between any two events something may go wrong
 // once more, as long as the budget lasts. Clients change a register before every tick,
-// and whatever is broken may be mended for nothing, all at once.
+// and whatever is broken may be repaired for nothing, all at once.
 type search struct {
 	worldConfig
 	cache   *cache
-	seen    map[digest]int8 // most strays left with which a state was met
+	seen    map[digest]int8 // most deviations left with which a state was met
 	path    trace
 	found   string
 	trace   trace // that led to what was found
 	steps   int
-	deepest int // most events on one course
+	deepest int // most events in one run
 }
 
-func newSearch(c worldConfig) *search {
-	return &search{worldConfig: c, cache: newCache(), seen: map[digest]int8{}}
+func newSearch(size worldConfig) *search {
+	return &search{worldConfig: size, cache: newCache(), seen: map[digest]int8{}}
 }
 
 // run explores from the end of a prefix, for so many ticks.
-func (s *search) run(prefix trace, ticks, strays int) {
+func (s *search) run(prefix trace, ticks, deviations int) {
 	w := newWorld(s.worldConfig, s.cache)
 	w.play(prefix)
 	s.path = append(trace{}, prefix...)
-	s.visit(w, ticks, strays, 0)
+	s.visit(w, ticks, deviations, 0)
 }
 
-// met reports whether the world was met with as many strays left, and notes it.
-func (s *search) visited(w *world, ticks, strays int) bool {
-	k := w.key()
-	k[0] ^= byte(ticks)
-	if was, ok := s.seen[k]; ok && int(was) >= strays {
+// visited reports whether the world was met with as many deviations left, and notes it.
+func (s *search) visited(w *world, ticks, deviationsLeft int) bool {
+	key := w.key()
+	key[0] ^= byte(ticks)
+	if was, ok := s.seen[key]; ok && int(was) >= deviationsLeft {
 		return true
 	}
-	s.seen[k] = int8(strays)
+	s.seen[key] = int8(deviationsLeft)
 	return false
 }
 
 // visit goes on from w in every way; w is its to change.
-func (s *search) visit(w *world, ticks, strays, depth int) {
+func (s *search) visit(w *world, ticks, deviationsLeft, depth int) {
 	mark := len(s.path)
 	defer func() { s.path = s.path[:mark] }()
 	for ; s.found == ""; depth++ {
-		if s.violates(w) || s.visited(w, ticks, strays) {
+		if s.violates(w) || s.visited(w, ticks, deviationsLeft) {
 			return
 		}
 		s.deepest = max(s.deepest, depth)
 		quiet := w.idle()
-		if strays > 0 {
-			for _, x := range deviations(w, quiet) {
-				s.deviate(w, x, ticks, strays-1, depth)
+		if deviationsLeft > 0 {
+			for _, action := range deviations(w, quiet) {
+				s.deviate(w, action, ticks, deviationsLeft-1, depth)
 			}
 		}
 		if !quiet {
@@ -65,46 +65,46 @@
 		}
 		ticks--
 		if w.needsRepair() {
-			s.visitRepaired(w, ticks, strays, depth)
+			s.visitRepaired(w, ticks, deviationsLeft, depth)
 		}
 		s.nextTick(w)
 	}
 }
 
-// between is what happens in every course between two ticks.
+// nextTick is what happens in every run between two ticks.
 func (s *search) nextTick(w *world) {
-	if x, ok := clientTurn(w); ok {
-		w.disturb(x)
-		s.record(x)
+	if action, ok := clientTurn(w); ok {
+		w.disturb(action)
+		s.record(action)
 	}
 	w.tick()
 	s.record(action{verb: doTick, a: 1})
 }
 
-func (s *search) deviate(w *world, x action, ticks, strays, depth int) {
-	c := w.copied()
-	c.disturb(x)
-	s.record(x)
-	s.visit(c, ticks, strays, depth+1)
+func (s *search) deviate(w *world, action action, ticks, deviationsLeft, depth int) {
+	copied := w.copied()
+	copied.disturb(action)
+	s.record(action)
+	s.visit(copied, ticks, deviationsLeft, depth+1)
 	s.path = s.path[:len(s.path)-1]
 }
 
-// mended goes on with everything repaired before the next tick.
-func (s *search) visitRepaired(w *world, ticks, strays, depth int) {
+// visitRepaired goes on with everything repaired before the next tick.
+func (s *search) visitRepaired(w *world, ticks, deviationsLeft, depth int) {
 	mark := len(s.path)
-	c := w.copied()
-	for _, x := range repairs(c) {
-		c.disturb(x)
-		s.record(x)
+	copied := w.copied()
+	for _, action := range repairs(copied) {
+		copied.disturb(action)
+		s.record(action)
 	}
-	s.nextTick(c)
-	s.visit(c, ticks, strays, depth+1)
+	s.nextTick(copied)
+	s.visit(copied, ticks, deviationsLeft, depth+1)
 	s.path = s.path[:mark]
 }
 
-func (s *search) record(x action) {
+func (s *search) record(action action) {
 	s.steps++
-	s.path = append(s.path, x)
+	s.path = append(s.path, action)
 }
 
 func (s *search) violates(w *world) bool {
@@ -117,10 +117,10 @@
 	return true
 }
 
-// settled reports whether nothing is left to do before the next tick.
+// idle reports whether nothing is left to do before the next tick.
 func (w *world) idle() bool {
 	for i := range w.worldConfig.machines {
-		if m := &w.machines[i]; w.running(i) && !m.stalled && len(m.unsynced) > 0 {
+		if host := &w.machines[i]; w.running(i) && !host.stalled && len(host.unsynced) > 0 {
 			return false
 		}
 	}
@@ -129,57 +129,57 @@
 
 func (w *world) needsRepair() bool { return len(repairs(w)) > 0 }
 
-// repairs are the actions that mend all that is broken.
+// repairs are the actions that repair all that is broken.
 func repairs(w *world) trace {
-	var t trace
+	var actions trace
 	for i := range w.worldConfig.voters {
-		switch m := &w.machines[i]; {
-		case !m.up:
-			t = append(t, action{verb: doStart, a: i})
-		case m.frozen:
-			t = append(t, action{verb: doThaw, a: i})
-		case m.stalled:
-			t = append(t, action{verb: doFlow, a: i})
+		switch host := &w.machines[i]; {
+		case !host.up:
+			actions = append(actions, action{verb: doStart, a: i})
+		case host.frozen:
+			actions = append(actions, action{verb: doThaw, a: i})
+		case host.stalled:
+			actions = append(actions, action{verb: doFlow, a: i})
 		}
 	}
 	if w.links != [maxMachines][maxMachines]link{} {
-		t = append(t, action{verb: doHealAll})
+		actions = append(actions, action{verb: doHealAll})
 	}
-	return t
+	return actions
 }
 
-// strayings are all that may go wrong now: something with the message due next, a loss
-// of power before a sync, and between ticks whatever befalls a machine or a wire.
+// deviations are all that may go wrong now: something with the message due next, a loss
+// of power before a sync, and between ticks whatever befalls a machine or a link.
 func deviations(w *world, quiet bool) trace {
-	var t trace
+	var actions trace
 	if w.next() >= 0 {
-		t = append(t, action{verb: doDrop}, action{verb: doRepeat}, action{verb: doPostpone})
+		actions = append(actions, action{verb: doDrop}, action{verb: doRepeat}, action{verb: doPostpone})
 	}
 	for i := range w.worldConfig.machines {
-		if n := len(w.machines[i].unsynced); n > 0 {
-			t = append(t, action{doPower, i, 0})
-			if n > 1 {
-				t = append(t, action{doPower, i, n - 1})
+		if unsynced := len(w.machines[i].unsynced); unsynced > 0 {
+			actions = append(actions, action{doPower, i, 0})
+			if unsynced > 1 {
+				actions = append(actions, action{doPower, i, unsynced - 1})
 			}
 		}
 	}
 	if !quiet {
-		return t
+		return actions
 	}
 	for i := range w.worldConfig.machines {
 		if !w.running(i) {
 			continue
 		}
-		for _, v := range []verb{doKill, doFreeze, doStall, doLeave, doIsolate} {
-			t = append(t, action{verb: v, a: i})
+		for _, verb := range []verb{doKill, doFreeze, doStall, doLeave, doIsolate} {
+			actions = append(actions, action{verb: verb, a: i})
 		}
 		for j := range w.worldConfig.machines {
 			if i != j && w.links[i][j] == linkUp && w.machines[j].up {
-				t = append(t, action{doCut, i, j}, action{doHold, i, j})
+				actions = append(actions, action{doCut, i, j}, action{doHold, i, j})
 			}
 		}
 	}
-	return t
+	return actions
 }
 
 // clientTurn is a change of a register at the node that answers for it, each in turn.
@@ -197,6 +197,6 @@
 }
 
 func (s *search) String() string {
-	return fmt.Sprintf("%d states, %d events, courses of up to %d events; %d states of a node, %d inputs decided",
+	return fmt.Sprintf("%d states, %d events, runs of up to %d events; %d states of a node, %d inputs decided",
 		len(s.seen), s.steps, s.deepest, len(s.cache.states), s.cache.inputsRun)
 }
