--- a/docs/symbols_test.go
+++ b/docs/symbols_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 
@@ -178,6 +179,70 @@
 	}
 }
 
+// safeguardColumns are the titles of columns that name entries of scripts/safeguards in quotes.
+var safeguardColumns = []string{"noticed if taken out", "without the safeguard"}
+
+var (
+	quoted         = regexp.MustCompile(`"([^"]+)"`)
+	safeguardEntry = regexp.MustCompile(`(?m)^weaken "([^"]+)"`)
+)
+
+// safeguards lists the names of the entries of scripts/safeguards.
+func safeguards(t *testing.T) map[string]bool {
+	t.Helper()
+	files, err := filepath.Glob("../scripts/safeguards/*")
+	if err != nil {
+		t.Fatal(err)
+	}
+	names := map[string]bool{}
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, match := range safeguardEntry.FindAllStringSubmatch(string(text), -1) {
+			names[match[1]] = true
+		}
+	}
+	return names
+}
+
+// TestPagesNameSafeguards: what a page says would be noticed without a safeguard names an entry
+// that scripts/weaken takes out.
+func TestPagesNameSafeguards(t *testing.T) {
+	names := safeguards(t)
+	for _, page := range []string{"control-safety.md", "bounds.md"} {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		found, inTable := 0, false
+		for line := range strings.Lines(string(text)) {
+			cells := strings.Split(strings.TrimSpace(line), "|")
+			if len(cells) < 3 {
+				inTable = false
+				continue
+			}
+			last := strings.TrimSpace(cells[len(cells)-2])
+			if slices.Contains(safeguardColumns, last) {
+				inTable = true
+			}
+			if !inTable {
+				continue
+			}
+			for _, match := range quoted.FindAllStringSubmatch(last, -1) {
+				found++
+				if !names[match[1]] {
+					t.Errorf("%s names the safeguard %q, which is no entry of scripts/safeguards", page, match[1])
+				}
+			}
+		}
+		if found == 0 {
+			t.Errorf("%s names no safeguard", page)
+		}
+	}
+}
+
 // TestMissing: what is not there is told apart from what is.
 func TestMissing(t *testing.T) {
 	names := declared(t)
