--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -140,7 +140,7 @@
 		return err
 	}
 	w.remaining, w.checkpointing = state, true
-	return w.log.AppendCheckpoint([][]byte{codec.PackFounding(&set)})
+	return w.log.AppendCheckpoint([][]byte{codec.PackIdentity(&set)})
 }
 
 func (w *writer) continueCheckpoint() error {
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -50,7 +50,7 @@
 	dispatcher := g.dispatcher
 	g.Every(100_000, func() {
 		q := codec.FillFeedRequest(dispatcher, &fb.FeedRequestT{Node: &fb.NodeT{Name: g.Name, Role: "remisier", Zone: g.Zone, Incarnation: g.incarnation, Ready: true},
-			HaveRevision: g.plan.Revision, UpdatesIncarnation: g.hintCursor.Inc, UpdatesSince: g.hintCursor.Next})
+			HaveRevision: g.plan.Revision, UpdatesIncarnation: g.hintCursor.Incarnation, UpdatesSince: g.hintCursor.Next})
 		at := g.Clock()
 		agent := g.agent
 		Call(g.Host, agent.Host, q, 500_000, func(q *fb.FeedRequestT, reply func(*fb.FeedResponseT)) {
