--- /dev/null
+++ b/internal/codec/frame.go
@@ -0,0 +1,83 @@
+package codec
+
+import (
+	"encoding/binary"
+	"errors"
+	"hash/crc32"
+	"io"
+	"slices"
+
+	flatbuffers "github.com/google/flatbuffers/go"
+
+	"violetthread/schema/fb"
+)
+
+// MaxFrameBytes bounds the body of a frame, before anything is allocated for it.
+const MaxFrameBytes = 32 << 20
+
+const (
+	headerBytes  = 8        // length and checksum
+	builderBytes = 512      // first size of a frame's builder
+	bodyStep     = 64 << 10 // memory that a body gets before any of it has come
+)
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+
+// Encode packs a frame with its length and checksum in front.
+func Encode(frame *fb.FrameT) []byte {
+	builder := flatbuffers.NewBuilder(builderBytes)
+	builder.Finish(frame.Pack(builder))
+	body := builder.FinishedBytes()
+	encoded := make([]byte, headerBytes, headerBytes+len(body))
+	binary.LittleEndian.PutUint32(encoded, uint32(len(body)))
+	binary.LittleEndian.PutUint32(encoded[4:], crc32.Checksum(body, castagnoli))
+	return append(encoded, body...)
+}
+
+// Decode unpacks the body of a frame. The error is a *FormatError.
+func Decode(body []byte) (*fb.FrameT, error) {
+	if err := Verify(body, frameType); err != nil {
+		return nil, err
+	}
+	return fb.GetRootAsFrame(body, 0).UnPack(), nil
+}
+
+// ReadFrame reads one frame. io.EOF means that there is none; an end within a frame is
+// io.ErrUnexpectedEOF. Other errors are those of the reader, *FrameSizeError and
+// *FormatError.
+func ReadFrame(r io.Reader) (*fb.FrameT, error) {
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return nil, err
+	}
+	size := binary.LittleEndian.Uint32(header[:])
+	if size > MaxFrameBytes {
+		return nil, &FrameSizeError{Bytes: size}
+	}
+	body, err := readBody(r, int(size))
+	if err != nil {
+		return nil, err
+	}
+	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(header[4:]) {
+		return nil, &FormatError{"checksum"}
+	}
+	return Decode(body)
+}
+
+// readBody reads size bytes. Memory grows with what has come, bodyStep or as much again at
+// a time, so that a claimed size costs nothing.
+func readBody(r io.Reader, size int) ([]byte, error) {
+	body := make([]byte, 0, min(size, bodyStep))
+	for len(body) < size {
+		body = slices.Grow(body, min(size-len(body), max(len(body), bodyStep)))
+		start := len(body)
+		body = body[:min(size, cap(body))]
+		if _, err := io.ReadFull(r, body[start:]); err != nil {
+			if errors.Is(err, io.EOF) {
+				err = io.ErrUnexpectedEOF // within a frame
+			}
+			return nil, err
+		}
+	}
+	return body, nil
+}
--- a/internal/codec/wire_test.go
+++ b/internal/codec/frame_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"io"
 	"math/rand"
 	"reflect"
@@ -16,9 +17,9 @@
 )
 
 func samples() []*fb.FrameT {
-	e := quorum.Entry{Key: "plan", Position: quorum.Position{Term: 3, Index: 9}, Revision: 4, Value: []byte(`{"weights":"w1"}`)}
+	entry := quorum.Entry{Key: "plan", Position: quorum.Position{Term: 3, Index: 9}, Revision: 4, Value: []byte(`{"weights":"w1"}`)}
 	return []*fb.FrameT{
-		PackMessage(quorum.Message{Type: quorum.MsgVoteGranted, From: "a", Incarnation: 7, VoterSetRevision: 1, Slot: 3, Term: 65537, Last: quorum.Position{Term: 1, Index: 2}, Entries: []quorum.Entry{e, e}, Keys: []string{"x", "yy"}}),
+		PackMessage(quorum.Message{Type: quorum.MsgVoteGranted, From: "a", Incarnation: 7, VoterSetRevision: 1, Slot: 3, Term: 65537, Last: quorum.Position{Term: 1, Index: 2}, Entries: []quorum.Entry{entry, entry}, Keys: []string{"x", "yy"}}),
 		PackMessage(quorum.Message{Type: quorum.MsgHeartbeat, From: "b", Time: -5, Progress: []quorum.SlotProgress{{Slot: 1, Term: 2, Last: quorum.Position{Term: 2, Index: 1}}}}),
 		{Ref: 5, CapacityResponse: &fb.CapacityResponseT{IndexNode: "c", Grants: []*fb.GrantT{{Engine: "e", Addr: "1.2.3.4:5", Capacity: 3, TransferScores: []*fb.TransferScoreT{{Peer: 1, Permille: 2}}}}, Updates: []*fb.CacheUpdateT{{Hi: 1, Lo: 2, Op: 1}}}},
 		{HeartbeatResponse: &fb.HeartbeatResponseT{Revision: 3, Plan: []byte("{}"), Nodes: []*fb.NodeT{{Name: "n", LeasedRoles: []string{"duty/shard/1"}}}, ControlNodes: []string{"a", "b"}}},
@@ -28,20 +29,20 @@
 
 // TestRoundTrip: what goes in comes out, for messages of voters and records.
 func TestRoundTrip(t *testing.T) {
-	e := quorum.Entry{Key: "k", Position: quorum.Position{Term: 1, Index: 2}, Revision: 3, Value: []byte{0, 255}}
-	m := quorum.Message{Type: quorum.MsgSnapshotChunk, From: "a", Incarnation: 1, VoterSetRevision: 2, Slot: 3, Term: 4, Time: -5, Previous: quorum.Position{Term: 1}, Last: quorum.Position{Index: 2},
-		Committed: quorum.Position{Term: 8, Index: 8}, LogTerm: 6, Joining: true, Entries: []quorum.Entry{e}, Keys: []string{"q"},
+	entry := quorum.Entry{Key: "k", Position: quorum.Position{Term: 1, Index: 2}, Revision: 3, Value: []byte{0, 255}}
+	message := quorum.Message{Type: quorum.MsgSnapshotChunk, From: "a", Incarnation: 1, VoterSetRevision: 2, Slot: 3, Term: 4, Time: -5, Previous: quorum.Position{Term: 1}, Last: quorum.Position{Index: 2},
+		Committed: quorum.Position{Term: 8, Index: 8}, LogTerm: 6, Joining: true, Entries: []quorum.Entry{entry}, Keys: []string{"q"},
 		Progress: []quorum.SlotProgress{{Slot: 1, Term: 2, Last: quorum.Position{Term: 1, Index: 1}, Committed: quorum.Position{Term: 1, Index: 0}}}, Promised: 9}
-	f, err := ReadFrame(bytes.NewReader(Encode(PackMessage(m))))
+	frame, err := ReadFrame(bytes.NewReader(Encode(PackMessage(message))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := UnpackMessage(f.VoterMessage); !reflect.DeepEqual(g, m) {
-		t.Fatalf("%+v became %+v", m, g)
+	if got := UnpackMessage(frame.VoterMessage); !reflect.DeepEqual(got, message) {
+		t.Fatalf("%+v became %+v", message, got)
 	}
-	c := quorum.Record{Type: quorum.RecordEntry, Slot: 5, Term: 6, Last: quorum.Position{Term: 1, Index: 2}, Committed: quorum.Position{Term: 1, Index: 1}, Entry: e}
-	if g, _, err := UnpackRecord(PackRecord(c)); err != nil || !reflect.DeepEqual(g, c) {
-		t.Fatalf("%+v became %+v, %v", c, g, err)
+	record := quorum.Record{Type: quorum.RecordEntry, Slot: 5, Term: 6, Last: quorum.Position{Term: 1, Index: 2}, Committed: quorum.Position{Term: 1, Index: 1}, Entry: entry}
+	if got, _, err := UnpackRecord(PackRecord(record)); err != nil || !reflect.DeepEqual(got, record) {
+		t.Fatalf("%+v became %+v, %v", record, got, err)
 	}
 }
 
@@ -50,31 +51,31 @@
 // and never takes more memory than the message has bytes.
 func TestMutations(t *testing.T) {
 	rng := rand.New(rand.NewSource(3))
-	bad := 0
-	for _, f := range samples() {
-		whole := Encode(f)[8:]
+	rejected := 0
+	for _, frame := range samples() {
+		whole := Encode(frame)[8:]
 		for i := 0; i < 20_000; i++ {
-			b := append([]byte(nil), whole...)
+			body := append([]byte(nil), whole...)
 			switch rng.Intn(4) {
 			case 0:
-				b = b[:rng.Intn(len(b))]
+				body = body[:rng.Intn(len(body))]
 			case 1:
-				b[rng.Intn(len(b))] ^= 1 << rng.Intn(8)
+				body[rng.Intn(len(body))] ^= 1 << rng.Intn(8)
 			case 2:
-				at := rng.Intn(len(b) - 4)
-				copy(b[at:], []byte{0xff, 0xff, 0xff, 0x7f})
+				at := rng.Intn(len(body) - 4)
+				copy(body[at:], []byte{0xff, 0xff, 0xff, 0x7f})
 			default:
 				for j := 0; j < 8; j++ {
-					b[rng.Intn(len(b))] = byte(rng.Intn(256))
+					body[rng.Intn(len(body))] = byte(rng.Intn(256))
 				}
 			}
-			if _, err := Decode(b); err != nil {
-				bad++
+			if _, err := Decode(body); err != nil {
+				rejected++
 			}
 		}
 	}
-	if bad < 20_000 {
-		t.Fatalf("only %d mutations were refused", bad)
+	if rejected < 20_000 {
+		t.Fatalf("only %d mutations were rejected", rejected)
 	}
 }
 
@@ -139,21 +140,54 @@
 
 // FuzzRead: no bytes make reading panic, and a frame that was read is one that can be
 // written and read again.
-func FuzzRead(f *testing.F) {
+func FuzzReadFrame(f *testing.F) {
 	for _, s := range samples() {
 		f.Add(Encode(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		x, err := ReadFrame(bytes.NewReader(b))
+		frame, err := ReadFrame(bytes.NewReader(b))
 		if err != nil {
 			return
 		}
-		y, err := ReadFrame(bytes.NewReader(Encode(x)))
-		if err != nil || !bytes.Equal(Encode(x), Encode(y)) {
-			t.Fatalf("%+v became %+v, %v", x, y, err)
+		again, err := ReadFrame(bytes.NewReader(Encode(frame)))
+		if err != nil || !bytes.Equal(Encode(frame), Encode(again)) {
+			t.Fatalf("%+v became %+v, %v", frame, again, err)
 		}
-		if x.VoterMessage != nil {
-			_ = PackMessage(UnpackMessage(x.VoterMessage))
+		if frame.VoterMessage != nil {
+			_ = PackMessage(UnpackMessage(frame.VoterMessage))
 		}
 	})
 }
+
+// TestErrors: errors of content have types, and those of the reader stay what they are.
+func TestErrors(t *testing.T) {
+	whole := Encode(samples()[0])
+	changed := func(at int, b ...byte) []byte {
+		frame := bytes.Clone(whole)
+		copy(frame[at:], b)
+		return frame
+	}
+	var format *FormatError
+	if _, err := ReadFrame(bytes.NewReader(changed(4, 1, 2, 3, 4))); !errors.As(err, &format) {
+		t.Errorf("a wrong checksum: %v", err)
+	}
+	if _, err := Decode([]byte("no buffer at all")); !errors.As(err, &format) {
+		t.Errorf("a wrong body: %v", err)
+	}
+	if _, _, err := UnpackRecord(nil); !errors.As(err, &format) {
+		t.Errorf("an empty record: %v", err)
+	}
+	if _, _, err := UnpackRecord(PackIdentity(nil)); !errors.As(err, &format) {
+		t.Errorf("an identity without a voter set: %v", err)
+	}
+	var size *FrameSizeError
+	if _, err := ReadFrame(bytes.NewReader(changed(0, 1, 0, 0, 2))); !errors.As(err, &size) || size.Bytes != MaxFrameBytes+1 {
+		t.Errorf("a frame over the bound: %v", err)
+	}
+	if _, err := ReadFrame(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
+		t.Errorf("no frame: %v", err)
+	}
+	if _, err := ReadFrame(bytes.NewReader(whole[:len(whole)-1])); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("a cut frame: %v", err)
+	}
+}
--- a/internal/codec/golden_test.go
+++ b/internal/codec/golden_test.go
@@ -80,7 +80,7 @@
 	t.Run("record", func(t *testing.T) {
 		r, next := &fb.RecordT{}, uint64(0)
 		fill(reflect.ValueOf(r).Elem(), &next)
-		checkDigest(t, packRec(r), goldenRecord)
+		checkDigest(t, encodeRecord(r), goldenRecord)
 	})
 }
 
--- a/internal/codec/record_test.go
+++ b/internal/codec/record_test.go
@@ -8,30 +8,30 @@
 	"violetthread/schema/fb"
 )
 
-// diskRecords is one record of each kind, as a disk holds them.
+// diskRecords is one record of each type, as they lie on a disk.
 func diskRecords() [][]byte {
-	roster := quorum.VoterSet{Revision: quorum.FirstRevision(5), Voters: []quorum.Voter{{Name: "a", Addr: "10.0.0.1:1", Incarnation: 3, Number: 1}}}
+	voterSet := quorum.VoterSet{Revision: quorum.FirstRevision(5), Voters: []quorum.Voter{{Name: "a", Addr: "10.0.0.1:1", Incarnation: 3, Number: 1}}}
 	entry := quorum.Entry{Key: "plan", Position: quorum.Position{Term: 3, Index: 9}, Revision: 4, Value: []byte("{}")}
 	return [][]byte{
 		PackRecord(quorum.Record{Type: quorum.RecordPromise, Slot: 1, Term: 65537}),
 		PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 2, Term: 3, Last: quorum.Position{Term: 3, Index: 9}, Committed: quorum.Position{Term: 3, Index: 8}, Entry: entry}),
 		PackRecord(quorum.Record{Type: quorum.RecordDelete, Slot: 2, Entry: quorum.Entry{Key: "gone"}}),
 		PackRecord(quorum.Record{Type: quorum.RecordLogState, Slot: 2, Term: 4, Last: quorum.Position{Term: 4}}),
-		PackRecord(quorum.Record{Type: quorum.RecordVoterSet, VoterSet: &roster}),
-		PackIdentity(PackVoterSet(roster, 3)),
+		PackRecord(quorum.Record{Type: quorum.RecordVoterSet, VoterSet: &voterSet}),
+		PackIdentity(PackVoterSet(voterSet, 3)),
 		PackIdentity(&fb.VoterSetT{Incarnation: 8}),
 	}
 }
 
-// readRecord takes a record of any content in, and a founding's roster with it.
+// readRecord reads a record of any content, and the voter set in it.
 func readRecord(b []byte) error {
-	rec, founding, err := UnpackRecord(b)
+	rec, identity, err := UnpackRecord(b)
 	if err != nil {
 		return err
 	}
-	if founding != nil {
-		_ = UnpackVoterSet(founding)
-		_ = PackIdentity(founding)
+	if identity != nil {
+		_ = UnpackVoterSet(identity)
+		_ = PackIdentity(identity)
 		return nil
 	}
 	_ = PackRecord(rec)
@@ -59,7 +59,7 @@
 	}
 }
 
-func FuzzUnrec(f *testing.F) {
+func FuzzUnpackRecord(f *testing.F) {
 	for _, b := range diskRecords() {
 		f.Add(b)
 	}
--- /dev/null
+++ b/internal/codec/updates.go
@@ -0,0 +1,132 @@
+package codec
+
+import (
+	"github.com/samber/lo"
+
+	"violetthread/cacheindex"
+	"violetthread/index"
+	"violetthread/schema/fb"
+)
+
+// Feeds of cache updates that index nodes read from each other, as
+// fb.UpdatesRequestT.Feed names them.
+const (
+	HoldingsFeed = 1 // what the engines that the other node leads hold of the asker's shards
+	ZoneFeed     = 2 // what changed for the asker's zone
+	PrefetchFeed = 3 // which blocks the asker's zone should have
+)
+
+// Cursor is how far the reader of a feed has read.
+type Cursor struct {
+	Incarnation uint64 // of the feed's source
+	Next        uint64 // number of the first update not read yet
+}
+
+// ReadyIndexNodes picks the ready index nodes out of the members, and tells whether the one
+// named self is among them.
+func ReadyIndexNodes(members []*fb.NodeT, self string) (peers []index.Peer, included bool) {
+	for _, n := range members {
+		if n.Role != RoleIndexNode || !n.Ready {
+			continue
+		}
+		included = included || n.Name == self
+		peers = append(peers, index.Peer{
+			Name:         n.Name,
+			Zone:         n.Zone,
+			Addr:         n.Addr,
+			Roles:        n.LeasedRoles,
+			Reachability: index.Reachability{ListStale: n.ListStale, Silent: n.Unreachable, Reached: n.Reached},
+		})
+	}
+	return peers, included
+}
+
+// AddIndexNodeStatus adds the leased roles of an index node, and which engines it reaches,
+// to its session, and returns the session. now is microseconds.
+func AddIndexNodeStatus(node *index.Node, now int64, session *fb.NodeT) *fb.NodeT {
+	reach := node.Reachability(now)
+	session.LeasedRoles = node.HeldRoles(now)
+	session.ListStale, session.Unreachable, session.Reached = reach.ListStale, reach.Silent, reach.Reached
+	return session
+}
+
+// AnswerUpdates answers another index node from the feed that it asks for.
+func AnswerUpdates(node *index.Node, q *fb.UpdatesRequestT) *fb.UpdatesResponseT {
+	var batch cacheindex.UpdateBatch
+	var locations []index.HolderLocation
+	switch q.Feed {
+	case HoldingsFeed:
+		batch, locations = node.HoldingsFeed(q.From, q.Shards, q.Incarnation, q.Since)
+	case PrefetchFeed:
+		batch, locations = node.PrefetchFeed(q.Zone, q.Incarnation, q.Since)
+	default:
+		batch = node.ZoneFeed(q.Zone, q.Incarnation, q.Since)
+	}
+	return &fb.UpdatesResponseT{
+		Incarnation: batch.Incarnation,
+		Next:        batch.Next,
+		Reset:       batch.Reset,
+		Updates:     packUpdates(batch.Updates),
+		Locations: lo.Map(locations, func(l index.HolderLocation, _ int) *fb.HolderLocationT {
+			return &fb.HolderLocationT{Id: l.NodeID, Engine: l.Engine, Zone: l.Zone, Store: l.Store}
+		}),
+	}
+}
+
+// ApplyHoldings applies the answer of another node's holdings feed. now is microseconds.
+func ApplyHoldings(node *index.Node, now int64, from string, t *fb.UpdatesResponseT) {
+	node.ApplyHoldings(now, from, UnpackBatch(t), UnpackLocations(t))
+}
+
+// ApplyUpdates applies what a gateway's agent brought to the gateway's table, and returns
+// how far it has read now. Updates that do not follow the last ones are left out.
+func ApplyUpdates(table *cacheindex.Table, cursor Cursor, t *fb.FeedResponseT) Cursor {
+	if t.UpdatesReset {
+		table.Clear()
+	} else if t.UpdatesIncarnation != cursor.Incarnation || t.UpdatesSince != cursor.Next {
+		return cursor
+	}
+	for _, u := range t.Updates {
+		if cacheindex.UpdateOp(u.Op) == cacheindex.OpAdd {
+			table.Put(unpackKey(u), u.Holder)
+		} else {
+			table.Remove(unpackKey(u), u.Holder)
+		}
+	}
+	return Cursor{t.UpdatesIncarnation, t.UpdatesNext}
+}
+
+// UnpackBatch unpacks the updates in a feed's answer.
+func UnpackBatch(t *fb.UpdatesResponseT) cacheindex.UpdateBatch {
+	return cacheindex.UpdateBatch{Incarnation: t.Incarnation, Next: t.Next, Reset: t.Reset, Updates: UnpackUpdates(t.Updates)}
+}
+
+// UnpackUpdates unpacks cache updates.
+func UnpackUpdates(updates []*fb.CacheUpdateT) []cacheindex.Update {
+	return lo.Map(updates, func(u *fb.CacheUpdateT, _ int) cacheindex.Update {
+		return cacheindex.Update{Key: unpackKey(u), Node: u.Holder, Op: cacheindex.UpdateOp(u.Op)}
+	})
+}
+
+// UnpackLocations unpacks where the holders in a feed's answer are.
+func UnpackLocations(t *fb.UpdatesResponseT) []index.HolderLocation {
+	return lo.Map(t.Locations, func(l *fb.HolderLocationT, _ int) index.HolderLocation {
+		return index.HolderLocation{NodeID: l.Id, Engine: l.Engine, Zone: l.Zone, Store: l.Store}
+	})
+}
+
+func packUpdates(updates []cacheindex.Update) []*fb.CacheUpdateT {
+	return lo.Map(updates, func(u cacheindex.Update, _ int) *fb.CacheUpdateT {
+		t := packKey(u.Key)
+		t.Holder, t.Op = u.Node, byte(u.Op)
+		return t
+	})
+}
+
+func packKey(k cacheindex.Key) *fb.CacheUpdateT {
+	return &fb.CacheUpdateT{Hi: k.Hi, Lo: k.Lo, Check: k.Check}
+}
+
+func unpackKey(t *fb.CacheUpdateT) cacheindex.Key {
+	return cacheindex.Key{Hi: t.Hi, Lo: t.Lo, Check: t.Check}
+}
