--- a/internal/app/proxy/relay.go
+++ b/internal/app/proxy/relay.go
@@ -63,7 +63,7 @@
 }
 
 // mayRunElsewhere reports whether the request would get another attempt if this one
-// counted as broken.
+// counted as interrupted.
 func (a *engineAttempt) mayRunElsewhere() bool {
 	f, now := a.forwarded, clock.Now()
 	if !f.forward.Repeatable || now >= f.deadline {
@@ -72,9 +72,9 @@
 	trial := f.forward
 	trial.Attempts = append([]attempt.Attempt(nil), trial.Attempts...)
 	trial.Record(a.id, attempt.Interrupted, reasonEngineFailed)
-	facts := f.conditions(now)
-	facts.TimeLeft = true
-	return trial.Next(facts).Action == attempt.ForwardSend
+	conditions := f.conditions(now)
+	conditions.TimeLeft = true
+	return trial.Next(conditions).Action == attempt.ForwardSend
 }
 
 // setLength tells the length of an answer that is no stream, if it is known.
