--- a/fairqueue/golden_digest_test.go
+++ b/fairqueue/golden_digest_test.go
@@ -28,7 +28,7 @@
 			queue.Push(group, fairqueue.Item{ID: id, Deadline: now + rnd.Int63n(5_000_000), Cost: 1 + rnd.Int63n(400_000)})
 			waiting = append(waiting, [2]string{group, id})
 		case 3:
-			from, item, found := queue.Next(func(group string, running int) bool { return running < 3 })
+			from, item, found := queue.Next(func(_ string, running int) bool { return running < 3 })
 			digest.Flag(found)
 			digest.Text(from)
 			digest.Text(item.ID)
