--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -118,6 +118,20 @@
 			return wrong
 		})
 	}
+	// Engines have little room, some hand over slowly, and blocks come and go.
+	add("fleet/tight", func(_ *testing.T, seed int64) []string {
+		fleet := NewFleet(seed, small)
+		fleet.SlowTransfersFrom = map[string]bool{"e00": true, "e03": true}
+		fleet.Documents = 8
+		for _, engine := range fleet.Engines {
+			engine.capacity, engine.maxBlocks = 2, 40
+		}
+		operator := NewFleetOperator(fleet)
+		fleet.World.At(1_300_000, func() { operator.PutPlan(nil) })
+		fleet.World.At(2_500_000, func() { fleet.sendRequests(operator, 11_000_000) })
+		fleet.World.Run(12_000_000)
+		return fleet.World.violations
+	})
 	return days
 }
 
