--- a/sim/cluster_faults.go
+++ b/sim/cluster_faults.go
@@ -1,6 +1,6 @@
 package sim
 
-// Fault is a kind of failure that Core's days bring about.
+// Fault is a kind of failure of control nodes that a day brings about again and again.
 type Fault string
 
 // The failures of control nodes.
@@ -17,209 +17,287 @@
 	FaultForgottenPromises Fault = "amnesia"   // all but one restart at once while that one is cut off
 	FaultPartialAppend     Fault = "torn"      // changes that reached only some, then kills
 	FaultLeave             Fault = "polite"    // stops that give the slots up first
-	FaultForgottenLeader   Fault = "forgetful" // voters restart while one that waits for its chance does not
+	FaultForgottenLeader   Fault = "forgetful" // voters restart while one that waits for a lease to end does not
 	FaultReplacement       Fault = "replaced"  // machines lose their disks and come back empty, others are added in their place
 	FaultSelfHealing       Fault = "healed"    // machines come back empty, are replaced, or return after that, and no operator is there
 	FaultAll               Fault = "everything"
 )
 
-// CoreFaults lists them all.
-var ClusterFaults = []Fault{FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultLossyLinks, FaultSlowDisks, FaultSlowLinks, FaultForgottenPromises, FaultPartialAppend, FaultReplacement, FaultLeave, FaultForgottenLeader, FaultSelfHealing, FaultAll}
+// ClusterFaults lists them all.
+var ClusterFaults = []Fault{
+	FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultLossyLinks, FaultSlowDisks, FaultSlowLinks,
+	FaultForgottenPromises, FaultPartialAppend, FaultReplacement, FaultLeave, FaultForgottenLeader, FaultSelfHealing, FaultAll,
+}
+
+// singleFaults are the faults of which FaultAll draws one after the other.
+var singleFaults = []Fault{
+	FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultSlowDisks, FaultSlowLinks,
+	FaultForgottenPromises, FaultPartialAppend, FaultReplacement, FaultLeave, FaultForgottenLeader,
+}
 
-// Plague brings about a fault again and again until a true time, then mends all.
+// InjectFaults brings a fault about again and again until a true time, then ends all.
 func (c *Cluster) InjectFaults(fault Fault, until int64) {
 	world := c.world
 	c.selfHealing = fault == FaultSelfHealing
 	if fault == FaultLossyLinks || fault == FaultAll {
 		world.LossPermille, world.DuplicatePermille = 30, 30
 	}
-	all := []Fault{FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultSlowDisks, FaultSlowLinks, FaultForgottenPromises, FaultPartialAppend, FaultReplacement, FaultLeave, FaultForgottenLeader}
-	var next func()
-	next = func() {
-		if world.now >= until {
-			return
-		}
-		g := fault
-		if fault == FaultAll {
-			g = all[world.Rng.Intn(len(all))]
-		}
-		c.injectFault(g)
-		pause := int64(200_000)
-		if world.Rng.Intn(2) == 0 {
-			pause = 2_500_000 // long enough for life to go on between two strikes
-		}
-		world.At(world.now+pause+world.Rng.Int63n(2_000_000), next)
-	}
-	world.At(world.now+1_500_000, next)
-	world.At(until, func() {
-		c.powerLossArmed = false
-		world.LossPermille, world.DuplicatePermille = 0, 0
-		world.HealAll()
-		for _, node := range c.Nodes {
-			node.Disk.SyncDelayUS = 0
-			node.Thaw()
-			if !node.removed {
-				node.Start()
-			}
-		}
-	})
+	world.At(world.now+1_500_000, func() { c.injectNext(fault, until) })
+	world.At(until, c.endFaults)
 }
 
-func (c *Cluster) injectFault(fault Fault) {
+func (c *Cluster) injectNext(fault Fault, until int64) {
 	world := c.world
-	node := c.Nodes[world.Rng.Intn(len(c.Nodes))]
-	back := func(nodes ...*ControlNode) {
-		for _, node := range nodes {
-			world.At(world.now+50_000+world.Rng.Int63n(2_000_000), node.restart)
+	if world.now >= until {
+		return
+	}
+	drawn := fault
+	if fault == FaultAll {
+		drawn = pick(world, singleFaults)
+	}
+	c.injectFault(drawn)
+	pause := int64(200_000)
+	if world.Rng.Intn(2) == 0 {
+		pause = 2_500_000 // long enough for the cluster to recover between two faults
+	}
+	world.At(world.now+pause+world.Rng.Int63n(2_000_000), func() { c.injectNext(fault, until) })
+}
+
+// endFaults ends all faults: every node runs again, except machines that are gone.
+func (c *Cluster) endFaults() {
+	c.powerLossArmed = false
+	c.world.LossPermille, c.world.DuplicatePermille = 0, 0
+	c.world.HealAll()
+	for _, node := range c.Nodes {
+		node.Disk.SyncDelayUS = 0
+		node.Thaw()
+		if !node.removed {
+			node.Start()
 		}
 	}
+}
+
+// injectFault brings a fault about once, at a control node drawn for it or at all.
+func (c *Cluster) injectFault(fault Fault) {
+	node := c.Nodes[c.world.Rng.Intn(len(c.Nodes))]
 	switch fault {
 	case FaultKill:
-		node.Kill()
-		back(node)
+		c.killAndRestart(node)
 	case FaultKillAll:
+		c.killAndRestart(c.Nodes...)
+	case FaultPowerLoss:
+		c.losePower(node)
+	case FaultFreeze:
+		c.freeze(node)
+	case FaultPartition:
+		c.partition()
+	case FaultOneWay:
+		c.cutOneWay(node)
+	case FaultSlowLinks:
+		c.slowLinks(node)
+	case FaultForgottenPromises:
+		c.restartOthers(node)
+	case FaultPartialAppend:
+		c.killWhilePartitioned(node)
+	case FaultForgottenLeader:
+		c.forgetLeader(node)
+	case FaultLeave:
+		c.leave(node)
+	case FaultReplacement:
+		c.replaceVoterUnderFaults()
+	case FaultSelfHealing:
+		c.strikeOneMachine()
+	case FaultSlowDisks:
+		c.slowDisks()
+	}
+}
+
+// restartSoon starts nodes again within two seconds, each at a time of its own.
+func (c *Cluster) restartSoon(nodes ...*ControlNode) {
+	world := c.world
+	for _, node := range nodes {
+		world.At(world.now+50_000+world.Rng.Int63n(2_000_000), node.restart)
+	}
+}
+
+func (c *Cluster) killAndRestart(nodes ...*ControlNode) {
+	for _, node := range nodes {
+		node.Kill()
+	}
+	c.restartSoon(nodes...)
+}
+
+// losePower takes the power of one node or all, now or just after the next
+// acknowledgement while disks are slow: what was acknowledged without a sync is gone then.
+func (c *Cluster) losePower(node *ControlNode) {
+	if c.world.Rng.Intn(2) == 0 {
 		for _, node := range c.Nodes {
-			node.Kill()
+			node.Disk.SyncDelayUS = 40_000
 		}
-		back(c.Nodes...)
-	case FaultPowerLoss:
-		if world.Rng.Intn(2) == 0 {
-			// Everybody's power goes just after an acknowledgement, while disks
-			// are slow: what was acknowledged without a sync is gone.
-			for _, node := range c.Nodes {
-				node.Disk.SyncDelayUS = 40_000
+		c.powerLossArmed = true
+		return
+	}
+	nodes := []*ControlNode{node}
+	if c.world.Rng.Intn(3) == 0 {
+		nodes = c.Nodes
+	}
+	for _, node := range nodes {
+		node.LosePower()
+	}
+	c.restartSoon(nodes...)
+}
+
+func (c *Cluster) freeze(node *ControlNode) {
+	node.Freeze()
+	c.world.At(c.world.now+100_000+c.world.Rng.Int63n(4_000_000), node.Thaw)
+}
+
+func (c *Cluster) partition() {
+	world := c.world
+	world.HealAll()
+	side := world.Rng.Intn(1 << len(c.Nodes)) // a bit for each node
+	for i, one := range c.Nodes {
+		for j, other := range c.Nodes {
+			if side>>i&1 != side>>j&1 {
+				world.Cut(one.Name, other.Name)
 			}
-			c.powerLossArmed = true
-			return
 		}
-		nodes := []*ControlNode{node}
-		if world.Rng.Intn(3) == 0 {
-			nodes = c.Nodes
+	}
+	world.Notef("core cut %b", side)
+}
+
+func (c *Cluster) cutOneWay(node *ControlNode) {
+	world := c.world
+	world.HealAll()
+	for _, other := range c.Nodes {
+		if world.Rng.Intn(2) == 0 {
+			world.Cut(node.Name, other.Name)
+		} else {
+			world.Cut(other.Name, node.Name)
 		}
-		for _, node := range nodes {
-			node.LosePower()
+	}
+	world.Notef("%s cut one way", node.Name)
+}
+
+// slowLinks delays messages of a node in either direction. In half of the cases all that
+// it hears is old, and later nothing goes out any more.
+func (c *Cluster) slowLinks(node *ControlNode) {
+	world := c.world
+	world.linkDelayUS = map[[2]string]int64{}
+	for _, other := range c.Nodes {
+		if node != other && world.Rng.Intn(2) == 0 {
+			world.linkDelayUS[[2]string{node.Name, other.Name}] = world.Rng.Int63n(1_200_000)
 		}
-		back(nodes...)
-	case FaultFreeze:
-		node.Freeze()
-		world.At(world.now+100_000+world.Rng.Int63n(4_000_000), node.Thaw)
-	case FaultPartition:
-		world.HealAll()
-		side := world.Rng.Intn(1 << len(c.Nodes))
-		for i, one := range c.Nodes {
-			for j, other := range c.Nodes {
-				if side>>i&1 != side>>j&1 {
-					world.Cut(one.Name, other.Name)
-				}
-			}
+		if node != other && world.Rng.Intn(2) == 0 {
+			world.linkDelayUS[[2]string{other.Name, node.Name}] = world.Rng.Int63n(1_200_000)
 		}
-		world.Notef("core cut %b", side)
-	case FaultOneWay:
-		world.HealAll()
+	}
+	if world.Rng.Intn(2) == 0 {
+		c.hearLateThenFallSilent(node)
+	}
+}
+
+func (c *Cluster) hearLateThenFallSilent(node *ControlNode) {
+	world := c.world
+	for _, other := range c.Nodes {
+		world.linkDelayUS[[2]string{node.Name, other.Name}] = 0
+		world.linkDelayUS[[2]string{other.Name, node.Name}] = 900_000
+	}
+	world.At(world.now+1_300_000, func() {
 		for _, other := range c.Nodes {
-			if world.Rng.Intn(2) == 0 {
-				world.Cut(node.Name, other.Name)
-			} else {
-				world.Cut(other.Name, node.Name)
-			}
+			world.Cut(node.Name, other.Name)
 		}
-		world.Notef("%s cut one way", node.Name)
-	case FaultSlowLinks:
-		world.linkDelayUS = map[[2]string]int64{}
-		for _, other := range c.Nodes {
-			if node != other && world.Rng.Intn(2) == 0 {
-				world.linkDelayUS[[2]string{node.Name, other.Name}] = world.Rng.Int63n(1_200_000)
-			}
-			if node != other && world.Rng.Intn(2) == 0 {
-				world.linkDelayUS[[2]string{other.Name, node.Name}] = world.Rng.Int63n(1_200_000)
-			}
+		world.Notef("%s speaks to nobody, and hears late", node.Name)
+	})
+	world.At(world.now+3_500_000, world.HealAll)
+}
+
+// restartOthers restarts all nodes but one at once, while that one is cut off.
+func (c *Cluster) restartOthers(node *ControlNode) {
+	world := c.world
+	world.HealAll()
+	world.Notef("%s cut off, the others restart", node.Name)
+	for _, other := range c.Nodes {
+		if node == other {
+			continue
 		}
-		if world.Rng.Intn(2) == 0 {
-			// Answers lag behind, then nothing goes out any more: what still
-			// comes in is old.
-			for _, other := range c.Nodes {
-				world.linkDelayUS[[2]string{node.Name, other.Name}] = 0
-				world.linkDelayUS[[2]string{other.Name, node.Name}] = 900_000
-			}
-			world.At(world.now+1_300_000, func() {
-				for _, other := range c.Nodes {
-					world.Cut(node.Name, other.Name)
-				}
-				world.Notef("%s speaks to nobody, and hears late", node.Name)
-			})
-			world.At(world.now+3_500_000, world.HealAll)
+		world.CutBoth(node.Name, other.Name)
+		other.Kill()
+		world.At(world.now+1000+world.Rng.Int63n(30_000), other.restart)
+	}
+}
+
+// killWhilePartitioned ends a node whose changes reached only some others.
+func (c *Cluster) killWhilePartitioned(node *ControlNode) {
+	world := c.world
+	world.HealAll()
+	for _, other := range c.Nodes {
+		if world.Rng.Intn(3) > 0 {
+			world.Cut(node.Name, other.Name)
 		}
-	case FaultForgottenPromises:
+	}
+	world.At(world.now+20_000+world.Rng.Int63n(100_000), func() {
+		node.Kill()
 		world.HealAll()
-		world.Notef("%s cut off, the others restart", node.Name)
+	})
+	world.At(world.now+400_000+world.Rng.Int63n(4_000_000), node.restart)
+}
+
+// forgetLeader has one node hear nothing of a leader and wait for its lease to end; then
+// the leader is cut off, and the others restart and forget the leases that they granted.
+func (c *Cluster) forgetLeader(leader *ControlNode) {
+	world := c.world
+	world.HealAll()
+	waiting := c.Nodes[world.Rng.Intn(len(c.Nodes))]
+	if waiting == leader {
+		return
+	}
+	world.CutBoth(leader.Name, waiting.Name)
+	world.At(world.now+1_200_000+world.Rng.Int63n(600_000), func() {
+		world.Notef("%s is cut off and forgotten", leader.Name)
 		for _, other := range c.Nodes {
-			if node == other {
+			if other == leader {
 				continue
 			}
-			world.CutBoth(node.Name, other.Name)
-			other.Kill()
-			world.At(world.now+1000+world.Rng.Int63n(30_000), other.restart)
-		}
-	case FaultPartialAppend:
-		world.HealAll()
-		for _, other := range c.Nodes {
-			if world.Rng.Intn(3) > 0 {
-				world.Cut(node.Name, other.Name) // its changes reach nobody, or one
-			}
-		}
-		world.At(world.now+20_000+world.Rng.Int63n(100_000), func() {
-			node.Kill()
-			world.HealAll()
-		})
-		world.At(world.now+400_000+world.Rng.Int63n(4_000_000), node.restart)
-	case FaultForgottenLeader:
-		// One node hears nothing of an owner and waits for its lease to end;
-		// then the owner is cut off and the others forget what they promised.
-		world.HealAll()
-		other := c.Nodes[world.Rng.Intn(len(c.Nodes))]
-		if other == node {
-			return
-		}
-		world.CutBoth(node.Name, other.Name)
-		world.At(world.now+1_200_000+world.Rng.Int63n(600_000), func() {
-			world.Notef("%s is cut off and forgotten", node.Name)
-			for _, x := range c.Nodes {
-				if x == node {
-					continue
-				}
-				world.CutBoth(node.Name, x.Name)
-				if x != other {
-					x.Kill()
-					world.At(world.now+1_000, x.restart)
-				}
+			world.CutBoth(leader.Name, other.Name)
+			if other != waiting {
+				other.Kill()
+				world.At(world.now+1_000, other.restart)
 			}
-		})
-	case FaultLeave:
-		if !node.up || node.frozen || node.node == nil {
-			return
 		}
-		world.Notef("%s leaves politely", node.Name)
-		node.handle(node.node.Leave(node.Clock()))
-		node.After(20_000+world.Rng.Int63n(200_000), node.Kill)
-		world.At(world.now+300_000+world.Rng.Int63n(1_000_000), node.restart)
-	case FaultReplacement:
-		c.replaceVoter()
-		if world.Rng.Intn(2) == 0 {
-			c.injectFault([]Fault{FaultKill, FaultFreeze, FaultPartition}[world.Rng.Intn(3)])
-		}
-	case FaultSelfHealing:
-		c.strikeOneMachine()
-	case FaultSlowDisks:
-		for _, node := range c.Nodes {
-			node.Disk.SyncDelayUS = 0
-			if world.Rng.Intn(3) == 0 {
-				node.Disk.SyncDelayUS = world.Rng.Int63n(3_000_000)
-			}
+	})
+}
+
+// leave stops a node in order: it gives its slots up first.
+func (c *Cluster) leave(node *ControlNode) {
+	if !node.up || node.frozen || node.node == nil {
+		return
+	}
+	world := c.world
+	world.Notef("%s leaves politely", node.Name)
+	node.handle(node.node.Leave(node.Clock()))
+	node.After(20_000+world.Rng.Int63n(200_000), node.Kill)
+	world.At(world.now+300_000+world.Rng.Int63n(1_000_000), node.restart)
+}
+
+// replaceVoterUnderFaults replaces a machine, in half of the cases with another fault.
+func (c *Cluster) replaceVoterUnderFaults() {
+	c.replaceVoter()
+	if c.world.Rng.Intn(2) == 0 {
+		c.injectFault([]Fault{FaultKill, FaultFreeze, FaultPartition}[c.world.Rng.Intn(3)])
+	}
+}
+
+func (c *Cluster) slowDisks() {
+	for _, node := range c.Nodes {
+		node.Disk.SyncDelayUS = 0
+		if c.world.Rng.Intn(3) == 0 {
+			node.Disk.SyncDelayUS = c.world.Rng.Int63n(3_000_000)
 		}
 	}
 }
 
-// acked is called when a client has just been told that its change is in force.
+// changeAcknowledged is called when a client has just been told that its change is in force.
 func (c *Cluster) changeAcknowledged() {
 	if !c.powerLossArmed {
 		return
--- a/sim/fleet_faults.go
+++ b/sim/fleet_faults.go
@@ -1,7 +1,8 @@
 package sim
 
+// injectFaults brings a day's faults about again and again until a true time, and an
+// operator's changes on every day but a calm one.
 func (f *Fleet) injectFaults(day Day, operator *FleetOperator, until int64) {
-	world := f.World
 	switch day {
 	case DayCalm:
 		return
@@ -9,173 +10,227 @@
 		f.EventLossPermille, f.TransferFailurePermille = 200, 300
 	}
 	if day == DayNetwork || day == DayAll {
-		world.LossPermille, world.DuplicatePermille = 10, 10
+		f.World.LossPermille, f.World.DuplicatePermille = 10, 10
 	}
-	kinds := []Day{DayGateways, DayIndex, DayControl, DayEngines, DayNetwork, DayOperators, DayIsolation, DayReplacement, DayWeights}
-	var next func()
-	next = func() {
-		if world.now >= until {
-			return
-		}
-		k := day
-		if day == DayAll {
-			k = kinds[world.Rng.Intn(len(kinds))]
-		}
-		f.injectFault(k, operator)
-		world.At(world.now+300_000+world.Rng.Int63n(2_500_000), next)
-	}
-	next()
+	f.injectNext(day, operator, until)
 	if day != DayOperators {
-		var ops func()
-		ops = func() {
-			if world.now < until {
-				f.injectFault(DayOperators, operator)
-				world.At(world.now+4_000_000+world.Rng.Int63n(4_000_000), ops)
-			}
-		}
-		world.At(world.now+1_000_000, ops)
+		f.World.At(f.World.now+1_000_000, func() { f.operateNext(operator, until) })
 	}
 }
 
-func pick[T any](world *World, list []T) T { return list[world.Rng.Intn(len(list))] }
+// faultDays are the days of which DayAll draws one for each of its faults.
+var faultDays = []Day{DayGateways, DayIndex, DayControl, DayEngines, DayNetwork, DayOperators, DayIsolation, DayReplacement, DayWeights}
 
-func (f *Fleet) injectFault(day Day, operator *FleetOperator) {
+func (f *Fleet) injectNext(day Day, operator *FleetOperator, until int64) {
 	world := f.World
-	harm := func(host *Host, most int64) {
-		d := 50_000 + world.Rng.Int63n(most)
-		switch world.Rng.Intn(3) {
-		case 0:
-			host.Freeze()
-			world.At(world.now+d, host.Thaw)
-		default:
-			host.Kill()
-			world.At(world.now+d, host.Start)
-		}
+	if world.now >= until {
+		return
+	}
+	drawn := day
+	if day == DayAll {
+		drawn = pick(world, faultDays)
 	}
+	f.injectFault(drawn, operator)
+	world.At(world.now+300_000+world.Rng.Int63n(2_500_000), func() { f.injectNext(day, operator, until) })
+}
+
+func (f *Fleet) operateNext(operator *FleetOperator, until int64) {
+	world := f.World
+	if world.now < until {
+		f.injectFault(DayOperators, operator)
+		world.At(world.now+4_000_000+world.Rng.Int63n(4_000_000), func() { f.operateNext(operator, until) })
+	}
+}
+
+func pick[T any](world *World, list []T) T { return list[world.Rng.Intn(len(list))] }
+
+// injectFault brings one of a day's faults about.
+func (f *Fleet) injectFault(day Day, operator *FleetOperator) {
 	switch day {
 	case DayGateways:
-		if world.Rng.Intn(2) == 0 {
-			harm(pick(world, f.Gateways).Host, 3_000_000)
-		} else {
-			harm(pick(world, f.Agents).Host, 6_000_000)
-		}
+		f.harmGateway()
 	case DayIndex:
-		if world.Rng.Intn(6) == 0 {
-			for _, indexNode := range f.IndexNodes {
-				harm(indexNode.Host, 1_500_000)
-			}
-			return
-		}
-		indexNode := pick(world, f.IndexNodes)
-		if world.Rng.Intn(4) == 0 {
-			world.Isolate(indexNode.Name)
-			world.At(world.now+world.Rng.Int63n(4_000_000), world.HealAll)
-			return
-		}
-		harm(indexNode.Host, 5_000_000)
+		f.harmIndexNodes()
 	case DayControl:
-		switch world.Rng.Intn(8) {
-		case 0:
-			f.Cluster.injectFault(FaultKillAll)
-		case 1:
-			f.Cluster.injectFault(FaultPowerLoss)
-		case 2:
-			f.Cluster.injectFault(FaultFreeze)
-		default:
-			f.Cluster.injectFault(FaultKill)
-		}
+		f.harmControlNodes()
 	case DayEngines:
-		engine := pick(world, f.Engines)
-		switch world.Rng.Intn(4) {
-		case 0:
-			if !engine.store {
-				operator.DrainEngine(engine.Name, 2_000_000+world.Rng.Int63n(8_000_000))
-			}
-		case 1:
-			engine.Freeze()
-			world.At(world.now+world.Rng.Int63n(2_000_000), engine.Thaw)
-		default:
-			engine.Kill()
-			world.At(world.now+50_000+world.Rng.Int63n(4_000_000), engine.Start)
-		}
+		f.harmEngine(operator)
 	case DayNetwork:
-		switch world.Rng.Intn(4) {
-		case 0:
-			f.Cluster.injectFault(FaultPartition)
-		case 1:
-			f.Cluster.injectFault(FaultOneWay)
-		default:
-			world.Isolate(pick(world, world.hosts).Name)
-		}
-		world.At(world.now+200_000+world.Rng.Int63n(3_000_000), world.HealAll)
+		f.harmNetwork()
 	case DayWeights:
-		engine := pick(world, f.Engines)
-		switch world.Rng.Intn(7) {
-		case 0, 1, 2:
-			operator.NameWeights()
-		case 3:
-			engine.ignoresWeights = true
-			world.At(world.now+2_000_000+world.Rng.Int63n(20_000_000), func() { engine.ignoresWeights = false })
-		case 4:
-			engine.loadDelayUS = world.Rng.Int63n(4_000_000)
-		case 5:
-			// It dies half turned, or at once, and comes back with what it had.
-			world.At(world.now+world.Rng.Int63n(1_500_000), engine.Kill)
-			world.At(world.now+2_000_000+world.Rng.Int63n(2_000_000), engine.Start)
-		default:
-			indexNode := pick(world, f.IndexNodes)
-			indexNode.Kill()
-			world.At(world.now+100_000+world.Rng.Int63n(3_000_000), indexNode.Start)
-		}
+		f.troubleWeights(operator)
 	case DayReplacement:
-		n := len(f.Cluster.Nodes)
-		f.Cluster.replaceVoter()
-		if len(f.Cluster.Nodes) > n && world.Rng.Intn(2) == 0 {
-			// The machine's other program goes with it, and starts on the new one.
-			indexNode := pick(world, f.IndexNodes)
-			indexNode.Kill()
-			world.At(world.now+1_000_000+world.Rng.Int63n(3_000_000), indexNode.Start)
-		} else if world.Rng.Intn(3) == 0 {
-			f.injectFault(DayControl, operator)
-		}
+		f.replaceMachine(operator)
 	case DayIsolation:
-		group := pick(world, simGroups)
-		switch world.Rng.Intn(6) {
-		case 0:
-			operator.NameWeights()
-		case 1, 2:
-			operator.ToggleGroup(group)
-		default:
-			operator.ToggleIsolation(group)
-		}
+		f.changeIsolation(operator)
 	case DayOperators:
-		switch world.Rng.Intn(4) {
-		case 0:
-			operator.NameWeights()
-		case 1:
-			for i := int64(0); i < 10; i++ {
-				world.At(world.now+i*30_000, func() { operator.PutPlan(nil) })
-			}
-		default:
-			operator.RevokeKey(pick(world, simGroups))
+		f.operate(operator)
+	}
+}
+
+// harm freezes or kills a host for at most so long.
+func (f *Fleet) harm(host *Host, mostUS int64) {
+	world := f.World
+	duration := 50_000 + world.Rng.Int63n(mostUS)
+	if world.Rng.Intn(3) == 0 {
+		host.Freeze()
+		world.At(world.now+duration, host.Thaw)
+		return
+	}
+	host.Kill()
+	world.At(world.now+duration, host.Start)
+}
+
+func (f *Fleet) harmGateway() {
+	if f.World.Rng.Intn(2) == 0 {
+		f.harm(pick(f.World, f.Gateways).Host, 3_000_000)
+	} else {
+		f.harm(pick(f.World, f.Agents).Host, 6_000_000)
+	}
+}
+
+// harmIndexNodes harms all index nodes, cuts one off, or harms one.
+func (f *Fleet) harmIndexNodes() {
+	world := f.World
+	if world.Rng.Intn(6) == 0 {
+		for _, indexNode := range f.IndexNodes {
+			f.harm(indexNode.Host, 1_500_000)
+		}
+		return
+	}
+	indexNode := pick(world, f.IndexNodes)
+	if world.Rng.Intn(4) == 0 {
+		world.Isolate(indexNode.Name)
+		world.At(world.now+world.Rng.Int63n(4_000_000), world.HealAll)
+		return
+	}
+	f.harm(indexNode.Host, 5_000_000)
+}
+
+func (f *Fleet) harmControlNodes() {
+	switch f.World.Rng.Intn(8) {
+	case 0:
+		f.Cluster.injectFault(FaultKillAll)
+	case 1:
+		f.Cluster.injectFault(FaultPowerLoss)
+	case 2:
+		f.Cluster.injectFault(FaultFreeze)
+	default:
+		f.Cluster.injectFault(FaultKill)
+	}
+}
+
+// harmEngine drains, freezes or kills an engine or the store, which is never drained.
+func (f *Fleet) harmEngine(operator *FleetOperator) {
+	world := f.World
+	engine := pick(world, f.Engines)
+	switch world.Rng.Intn(4) {
+	case 0:
+		if !engine.store {
+			operator.DrainEngine(engine.Name, 2_000_000+world.Rng.Int63n(8_000_000))
+		}
+	case 1:
+		engine.Freeze()
+		world.At(world.now+world.Rng.Int63n(2_000_000), engine.Thaw)
+	default:
+		engine.Kill()
+		world.At(world.now+50_000+world.Rng.Int63n(4_000_000), engine.Start)
+	}
+}
+
+func (f *Fleet) harmNetwork() {
+	world := f.World
+	switch world.Rng.Intn(4) {
+	case 0:
+		f.Cluster.injectFault(FaultPartition)
+	case 1:
+		f.Cluster.injectFault(FaultOneWay)
+	default:
+		world.Isolate(pick(world, world.hosts).Name)
+	}
+	world.At(world.now+200_000+world.Rng.Int63n(3_000_000), world.HealAll)
+}
+
+// troubleWeights names weights, or has an engine ignore them, load them slowly or die while
+// it does, or an index node die.
+func (f *Fleet) troubleWeights(operator *FleetOperator) {
+	world := f.World
+	engine := pick(world, f.Engines)
+	switch world.Rng.Intn(7) {
+	case 0, 1, 2:
+		operator.NameWeights()
+	case 3:
+		engine.ignoresWeights = true
+		world.At(world.now+2_000_000+world.Rng.Int63n(20_000_000), func() { engine.ignoresWeights = false })
+	case 4:
+		engine.loadDelayUS = world.Rng.Int63n(4_000_000)
+	case 5:
+		// It comes back with the weights that it had.
+		world.At(world.now+world.Rng.Int63n(1_500_000), engine.Kill)
+		world.At(world.now+2_000_000+world.Rng.Int63n(2_000_000), engine.Start)
+	default:
+		indexNode := pick(world, f.IndexNodes)
+		indexNode.Kill()
+		world.At(world.now+100_000+world.Rng.Int63n(3_000_000), indexNode.Start)
+	}
+}
+
+// replaceMachine replaces a machine of a control node. In half of the cases an index node
+// was on it, and starts on the new one.
+func (f *Fleet) replaceMachine(operator *FleetOperator) {
+	world := f.World
+	before := len(f.Cluster.Nodes)
+	f.Cluster.replaceVoter()
+	if len(f.Cluster.Nodes) > before && world.Rng.Intn(2) == 0 {
+		indexNode := pick(world, f.IndexNodes)
+		indexNode.Kill()
+		world.At(world.now+1_000_000+world.Rng.Int63n(3_000_000), indexNode.Start)
+	} else if world.Rng.Intn(3) == 0 {
+		f.injectFault(DayControl, operator)
+	}
+}
+
+func (f *Fleet) changeIsolation(operator *FleetOperator) {
+	group := pick(f.World, simGroups)
+	switch f.World.Rng.Intn(6) {
+	case 0:
+		operator.NameWeights()
+	case 1, 2:
+		operator.ToggleGroup(group)
+	default:
+		operator.ToggleIsolation(group)
+	}
+}
+
+// operate names weights, puts ten plans in a row, or revokes a key.
+func (f *Fleet) operate(operator *FleetOperator) {
+	world := f.World
+	switch world.Rng.Intn(4) {
+	case 0:
+		operator.NameWeights()
+	case 1:
+		for i := int64(0); i < 10; i++ {
+			world.At(world.now+i*30_000, func() { operator.PutPlan(nil) })
 		}
+	default:
+		operator.RevokeKey(pick(world, simGroups))
 	}
 }
 
-// mend ends all faults.
+// endFaults ends all faults: everybody runs again, except machines that are gone.
 func (f *Fleet) endFaults() {
 	world := f.World
 	world.LossPermille, world.DuplicatePermille = 0, 0
 	f.EventLossPermille, f.TransferFailurePermille = 0, 0
 	f.Cluster.powerLossArmed = false
 	world.HealAll()
-	lost := map[*Host]bool{}
+	removed := map[*Host]bool{}
 	for _, node := range f.Cluster.Nodes {
-		lost[node.Host] = node.removed
+		removed[node.Host] = node.removed
 	}
 	for _, host := range world.hosts {
 		host.Thaw()
-		if !lost[host] {
+		if !removed[host] {
 			host.Start()
 		}
 	}
