--- a/sim/gateway_attempt.go
+++ b/sim/gateway_attempt.go
@@ -11,48 +11,52 @@
 	cause string
 }
 
-func (g *Gateway) progress(action dispatch.Action, st attempt.State, cause string) {
-	g.fleet.World.observe("attempt", g.Name, action.AttemptID, attemptNote{st, cause})
-	g.perform(g.dispatcher.AttemptProgressed(g.Clock(), action.Ref, action.AttemptID, st, cause))
+// progress tells the dispatcher how an attempt got on.
+func (g *Gateway) progress(action dispatch.Action, state attempt.State, cause string) {
+	g.fleet.World.observe("attempt", g.Name, action.AttemptID, attemptNote{state, cause})
+	g.perform(g.dispatcher.AttemptProgressed(g.Clock(), action.Ref, action.AttemptID, state, cause))
 }
 
-// startRun dials an engine: a connection that fails is proof that nothing began.
+// startAttempt dials an engine: a connection that fails is proof that nothing began.
 func (g *Gateway) startAttempt(request *callerRequest, action dispatch.Action) {
 	fleet := g.fleet
 	request.attempts = append(request.attempts, action.AttemptID)
 	engine := fleet.engineNamed(action.Grant.Addr)
-	if g.Clock() > action.StartBefore {
-		g.After(1, func() { g.progress(action, attempt.NotStarted, "woke-late") })
-		return
-	}
-	if engine == nil || !engine.up {
-		g.After(300, func() { g.progress(action, attempt.NotStarted, "unreachable") })
-		return
+	failAfter := func(delayUS int64, cause string) {
+		g.After(delayUS, func() { g.progress(action, attempt.NotStarted, cause) })
 	}
-	if engine.frozen || fleet.World.cutLinks[[2]string{g.Name, engine.Name}] || fleet.World.cutLinks[[2]string{engine.Name, g.Name}] {
-		g.After(400_000, func() { g.progress(action, attempt.NotStarted, "unreachable") })
-		return
+	switch {
+	case g.Clock() > action.StartBefore:
+		failAfter(1, "woke-late")
+	case engine == nil || !engine.up:
+		failAfter(300, "unreachable")
+	case engine.frozen || fleet.World.isCut(g.Host, engine.Host):
+		failAfter(400_000, "unreachable")
+	default:
+		g.sendRun(&engineRun{fleet: fleet, request: request, gateway: g, action: action, engine: engine, engineProcess: engine.process, gatewayProcess: g.process})
 	}
-	run := &engineRun{fleet: fleet, request: request, gateway: g, action: action, engine: engine, engineProcess: engine.process, gatewayProcess: g.process}
-	request.runs[action.AttemptID] = run
-	g.Send(engine.Host, func() { engine.startRun(run) })
-	// A wire whose far end dies is noticed; one whose messages are lost only by
-	// the due.
+}
+
+// sendRun sends a run. An engine that dies before is noticed soon; messages that are lost
+// only by the deadline.
+func (g *Gateway) sendRun(run *engineRun) {
+	run.request.runs[run.action.AttemptID] = run
+	g.Send(run.engine.Host, func() { run.engine.startRun(run) })
 	g.After(5_000, func() { run.checkEngine() })
 }
 
-// out passes a piece on to the caller.
-func (g *Gateway) deliverPiece(run *engineRun, n int) {
-	g.fleet.World.observe("piece", g.Name, run.action.AttemptID, n)
+// deliverPiece passes a piece on to the caller.
+func (g *Gateway) deliverPiece(run *engineRun, number int) {
+	g.fleet.World.observe("piece", g.Name, run.action.AttemptID, number)
 	request := run.request
 	if request.ended || g.requests[run.action.Ref] != request {
 		return
 	}
-	if n == 0 && !g.dispatcher.AllowFirstByte(run.action.Ref, run.action.AttemptID) {
+	if number == 0 && !g.dispatcher.AllowFirstByte(run.action.Ref, run.action.AttemptID) {
 		return
 	}
-	if request.piecesFrom != "" && request.piecesFrom != run.action.AttemptID || n != request.pieces {
-		g.fleet.World.Violation("stitched", "%s/%s got piece %d of %s after %d of %s", request.group, request.id, n, run.action.AttemptID, request.pieces, request.piecesFrom)
+	if request.piecesFrom != "" && request.piecesFrom != run.action.AttemptID || number != request.pieces {
+		g.fleet.World.Violation("stitched", "%s/%s got piece %d of %s after %d of %s", request.group, request.id, number, run.action.AttemptID, request.pieces, request.piecesFrom)
 	}
 	request.piecesFrom = run.action.AttemptID
 	request.pieces++
--- a/sim/network.go
+++ b/sim/network.go
@@ -21,7 +21,12 @@
 	w.Notef("%s isolated", name)
 }
 
-// cutOff reports whether any way to or from a host is cut.
+// isCut reports whether either way between two hosts is cut.
+func (w *World) isCut(a, b *Host) bool {
+	return w.cutLinks[[2]string{a.Name, b.Name}] || w.cutLinks[[2]string{b.Name, a.Name}]
+}
+
+// hasCutLink reports whether any way to or from a host is cut.
 func (w *World) hasCutLink(host *Host) bool {
 	for c := range w.cutLinks {
 		if c[0] == host.Name || c[1] == host.Name {
