--- a/sim/agent.go
+++ b/sim/agent.go
@@ -2,35 +2,56 @@
 
 import (
 	"violetthread/agent"
+	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
 
-// Runner is the agent beside a proxy.
+// Agent is the agent beside a gateway: the real one, and adapters to the simulated world.
 type Agent struct {
 	*Host
 	fleet   *Fleet
-	gateway string
+	gateway string // its name
 	session session
 	agent   *agent.Agent
-	status  *fb.NodeT
+	status  *fb.NodeT // of the gateway, as it last told
 }
 
 func (a *Agent) start() {
 	a.session, a.agent = session{}, agent.New(a.gateway, a.Zone)
 	a.status = &fb.NodeT{Name: a.gateway, Role: "remisier", Zone: a.Zone}
-	agent := a.agent
 	a.fleet.keepSession(a.Host, &a.session, func() *fb.NodeT { return a.status }, nil)
 	a.Every(120_000, func() {
-		for _, query := range agent.Queries(a.Clock(), a.session.nodes) {
-			indexNode, at := a.fleet.indexNodeNamed(query.Via), a.Clock()
-			Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(response *fb.CapacityResponseT) {
-				if a.fleet.HideTransferScores {
-					for _, o := range response.Grants {
-						o.TransferScores = nil
-					}
-				}
-				agent.HandleReply(query, at, response)
-			}, func() { agent.HandleReply(query, at, nil) })
+		for _, query := range a.agent.Queries(a.Clock(), a.session.nodes) {
+			a.ask(query)
 		}
 	})
 }
+
+// ask carries a query to the index node that it is for.
+func (a *Agent) ask(query agent.Query) {
+	indexNode, askedAt := a.fleet.indexNodeNamed(query.Via), a.Clock()
+	Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(response *fb.CapacityResponseT) {
+		if a.fleet.HideTransferScores {
+			for _, grant := range response.Grants {
+				grant.TransferScores = nil
+			}
+		}
+		a.agent.HandleReply(query, askedAt, response)
+	}, func() { a.agent.HandleReply(query, askedAt, nil) })
+}
+
+// answerGateway answers the gateway's poll.
+func (a *Agent) answerGateway(request *fb.FeedRequestT, reply func(*fb.FeedResponseT)) {
+	a.status = request.Node
+	reply(a.agent.Poll(a.Clock(), &a.session.plan, a.session.generation, request))
+}
+
+// propose carries the gateway's operation to the control nodes.
+func (a *Agent) propose(op quorum.Operation, reply func(quorum.Result)) {
+	a.fleet.propose(a.Host, &a.session, a.session.current, op, 1_900_000, func(result quorum.Result, ok bool) {
+		if !ok {
+			result.Status = quorum.StatusUnknown
+		}
+		reply(result)
+	})
+}
--- a/sim/claim_clients.go
+++ b/sim/claim_clients.go
@@ -41,7 +41,7 @@
 func (c *ClaimClients) claim(host *Host, key, nonce string) {
 	node := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
 	Call(host, node.Host, quorum.Operation{Type: quorum.OpClaim, Key: key, Value: []byte(nonce)}, 900_000,
-		func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		node.serve,
 		func(result quorum.Result) {
 			if result.Status == quorum.StatusGenerationClosed {
 				c.Late++
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -28,7 +28,7 @@
 	ask := func(i int, era uint64, nonce string, count map[quorum.Status]int) {
 		node := cluster.Nodes[world.Rng.Intn(4)]
 		Call(host, node.Host, quorum.Operation{Type: quorum.OpClaim, Key: quorum.ClaimKey(era, fmt.Sprintf("dealing-desk/order-%08d", i)), Value: []byte(nonce)}, 2_000_000,
-			func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) }, func(result quorum.Result) { count[result.Status]++ }, func() { count[0]++ })
+			node.serve, func(result quorum.Result) { count[result.Status]++ }, func() { count[0]++ })
 	}
 	var next func()
 	next = func() {
--- a/sim/cluster_replacement.go
+++ b/sim/cluster_replacement.go
@@ -36,13 +36,13 @@
 			return
 		}
 		node := members[world.Rng.Intn(len(members))]
-		Call(host, node.Host, quorum.Operation{Type: quorum.OpGet, Key: quorum.VoterSetKey}, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		Call(host, node.Host, quorum.Operation{Type: quorum.OpGet, Key: quorum.VoterSetKey}, 900_000, node.serve,
 			func(result quorum.Result) {
 				if result.Status != quorum.StatusDone {
 					return
 				}
 				Call(host, node.Host, quorum.Operation{Type: quorum.OpPut, Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: result.Revision}, 900_000,
-					func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) }, func(quorum.Result) {}, func() {})
+					node.serve, func(quorum.Result) {}, func() {})
 			}, func() {})
 		host.After(300_000, try)
 	}
--- a/sim/control_node.go
+++ b/sim/control_node.go
@@ -6,7 +6,8 @@
 	"violetthread/wal"
 )
 
-// Registrar is a control node: the real voter on a real ring on a simulated disk.
+// ControlNode is a control node: the real voter with the real write-ahead log on a
+// simulated disk.
 type ControlNode struct {
 	*Host
 	cluster         *Cluster
@@ -28,110 +29,157 @@
 	Failure         error // of its disk
 }
 
+// start is what the daemon does at its start: it reads its log, and votes if it is in a
+// voter set, or else asks to be taken into one.
 func (n *ControlNode) start() {
-	n.pending, n.recordsIssued, n.syncing, n.checkpointing, n.Failure, n.generation = map[uint64]func(quorum.Result){}, 0, false, false, nil, 0
-	ring, raw, err := wal.Open(n.Disk, n.cluster.logConfig)
+	n.pending = map[uint64]func(quorum.Result){}
+	n.recordsIssued, n.generation = 0, 0
+	n.syncing, n.checkpointing = false, false
+	n.Failure = nil
+	records, err := n.openLog()
 	if err != nil {
 		n.fail(err)
 		return
 	}
-	n.log = ring
+	n.node = nil
+	config := n.voterConfig()
+	if err := n.startVoter(config, records); err != nil {
+		n.node = nil // there is no room for the state itself
+		n.fail(err)
+		return
+	}
+	if n.cluster.selfHealing {
+		n.Every(150_000, n.pollNewerVoterSets)
+	}
+	if n.cluster.onBoot != nil {
+		n.cluster.onBoot(n)
+	}
+	n.Every(config.HeartbeatInterval/4, n.tick)
+}
+
+// openLog reads the records of the log on the disk.
+func (n *ControlNode) openLog() ([]quorum.Record, error) {
+	log, stored, err := wal.Open(n.Disk, n.cluster.logConfig)
+	if err != nil {
+		return nil, err
+	}
+	n.log = log
 	var records []quorum.Record
-	for _, data := range raw {
+	for _, data := range stored {
 		record, _, err := codec.UnpackRecord(data)
 		if err != nil {
-			n.fail(err)
-			return
+			return nil, err
 		}
 		records = append(records, record)
 	}
+	return records, nil
+}
+
+func (n *ControlNode) voterConfig() quorum.Config {
 	config := quorum.DefaultConfig(n.Name, n.incarnation)
 	config.GenerationDuration, config.OpenGenerations = n.cluster.generationUS, 3
 	if n.cluster.leaseUS > 0 {
 		config.LeaseDuration = n.cluster.leaseUS
 	}
 	config.MaxStateBytes = int(int64(n.cluster.logConfig.SegmentCount) * n.cluster.logConfig.SegmentBytes / 4)
-	n.node = nil
+	return config
+}
+
+// startVoter makes the voter, or begins to ask for a place in a voter set.
+func (n *ControlNode) startVoter(config quorum.Config, records []quorum.Record) error {
 	if len(n.voterSet.Voters) > 0 {
 		n.node = quorum.New(config, n.voterSet, n.Clock(), records)
-		if err := n.checkpointIfFull(); err != nil {
-			n.node = nil // there is no room for the state itself
-			n.fail(err)
-			return
-		}
-	} else if n.cluster.selfHealing {
-		at := n.cluster.world.now
-		n.Every(50_000, func() { n.requestAdmission(config, at) })
+		return n.checkpointIfFull()
+	}
+	if n.cluster.selfHealing {
+		startedAt := n.cluster.world.now
+		n.Every(50_000, func() { n.requestAdmission(config, startedAt) })
 	} else {
 		n.Every(200_000, func() { n.pollVoterSet(config) })
 	}
-	if n.cluster.selfHealing {
-		n.Every(150_000, n.pollNewerVoterSets)
+	return nil
+}
+
+func (n *ControlNode) tick() {
+	if n.Failure != nil || n.node == nil {
+		return
 	}
-	if n.cluster.onBoot != nil {
-		n.cluster.onBoot(n)
+	n.node.SetDiskLow(n.log.UsedPermille() > 750)
+	n.handle(n.node.Tick(n.Clock()))
+	if n.node != nil {
+		n.generation = n.node.Generation()
 	}
-	n.Every(config.HeartbeatInterval/4, func() {
-		if n.Failure == nil && n.node != nil {
-			n.node.SetDiskLow(n.log.UsedPermille() > 750)
-			n.handle(n.node.Tick(n.Clock()))
-			if n.node != nil {
-				n.generation = n.node.Generation()
-			}
-		}
-	})
 }
 
-// restart boots the machine again, unless it is gone for good.
+// restart starts the machine again, unless it is gone for good.
 func (n *ControlNode) restart() {
 	if !n.removed {
 		n.Start()
 	}
 }
 
-func (n *ControlNode) handle(o quorum.Ready) {
-	for _, e := range o.Events {
-		n.cluster.world.Notef("%s %s", n.Name, e)
+// handle carries out what the voter decided, in the order that the daemon keeps: records
+// are appended before anything is sent, and results come last.
+func (n *ControlNode) handle(ready quorum.Ready) {
+	for _, event := range ready.Events {
+		n.cluster.world.Notef("%s %s", n.Name, event)
+	}
+	if err := n.appendRecords(ready.Records); err != nil {
+		n.fail(err)
+		return
 	}
-	for _, record := range o.Records {
+	for _, envelope := range ready.Messages {
+		if receiver := n.cluster.nodeNamed(envelope.To); receiver != nil {
+			n.sendMessage(receiver, envelope.Message)
+		}
+	}
+	if !n.deliverResults(ready.Results) {
+		return
+	}
+	if ready.VoterSet != nil && n.cluster.selfHealing && !n.isMemberOf(*ready.VoterSet) {
+		n.retire()
+	}
+}
+
+func (n *ControlNode) appendRecords(records []quorum.Record) error {
+	for _, record := range records {
 		if err := n.log.Append(codec.PackRecord(record)); err != nil {
-			n.fail(err)
-			return
+			return err
 		}
 		n.recordsIssued++
 	}
-	if len(o.Records) > 0 {
+	if len(records) > 0 {
 		n.sync()
 	}
-	for _, s := range o.Messages {
-		for _, peer := range n.cluster.Nodes {
-			if peer.Name == s.To {
-				message := s.Message
-				n.cluster.world.observe("frame", n.Name, peer.Name, message)
-				n.Send(peer.Host, func() { peer.receive(message) })
-				if n.cluster.onMessage != nil {
-					n.cluster.onMessage(peer, message)
-				}
-			}
-		}
+	return nil
+}
+
+func (n *ControlNode) sendMessage(receiver *ControlNode, message quorum.Message) {
+	n.cluster.world.observe("frame", n.Name, receiver.Name, message)
+	n.Send(receiver.Host, func() { receiver.receive(message) })
+	if n.cluster.onMessage != nil {
+		n.cluster.onMessage(receiver, message)
 	}
-	for _, result := range o.Results {
+}
+
+// deliverResults tells callers the results of their operations. It returns false if the
+// process was ended before one.
+func (n *ControlNode) deliverResults(results []quorum.Result) (alive bool) {
+	for _, result := range results {
 		reply := n.pending[result.ID]
 		if reply == nil {
 			continue
 		}
 		delete(n.pending, result.ID)
 		if n.cluster.beforeResult != nil && n.cluster.beforeResult(n, result) {
-			return
+			return false
 		}
 		reply(result)
 	}
-	if o.VoterSet != nil && n.cluster.selfHealing && !n.isMemberOf(*o.VoterSet) {
-		n.retire()
-	}
+	return true
 }
 
-// recv takes a message through the very codec of the wires.
+// receive takes a message, after a pass through the codec of the real transport.
 func (n *ControlNode) receive(message quorum.Message) {
 	if n.node == nil || n.Failure != nil || n.cluster.dropsMessage != nil && n.cluster.dropsMessage(message) {
 		return
@@ -144,7 +192,7 @@
 	n.handle(n.node.Receive(n.Clock(), codec.UnpackMessage(frame.VoterMessage)))
 }
 
-// Do starts an operation on this node.
+// Propose starts an operation on this node; reply is called once unless the process ends.
 func (n *ControlNode) Propose(op quorum.Operation, reply func(quorum.Result)) {
 	if n.node == nil || n.Failure != nil {
 		reply(quorum.Result{Status: quorum.StatusNotLeader})
@@ -156,33 +204,36 @@
 	n.handle(n.node.Propose(n.Clock(), op))
 }
 
-// muteAfter is how long an owner may be silent before nothing is passed on to it, as in
-// the daemon (internal/app/control): whoever asks learns at once to ask elsewhere.
-const silenceLimit = 400_000
+const (
+	// silenceLimit is how long a leader may be silent before nothing is forwarded to it, as
+	// in the daemon (internal/app/control): whoever asks learns at once to ask elsewhere.
+	silenceLimit = 400_000
+	// maxForwards is how often an operation is forwarded at most.
+	maxForwards = 2
+)
 
-// mute reports whether a voter was not heard here for a while.
+// isSilent reports whether a voter was not heard here for a while.
 func (n *ControlNode) isSilent(name string) bool {
 	return n.node != nil && n.node.Silence(n.Clock(), name) > silenceLimit
 }
 
-// Op carries an operation to the owner, as the daemons do, with one hop.
+// serve takes an operation from a client.
+func (n *ControlNode) serve(op quorum.Operation, reply func(quorum.Result)) { n.Forward(op, 0, reply) }
+
+// Forward carries an operation out, or forwards it to the leader of its slot as the daemons
+// do, if it was not forwarded too often.
 func (n *ControlNode) Forward(op quorum.Operation, hops int, reply func(quorum.Result)) {
 	n.Propose(op, func(result quorum.Result) {
-		if result.Status != quorum.StatusNotLeader || result.Leader == "" || result.Leader == n.Name || hops >= 2 {
+		if result.Status != quorum.StatusNotLeader || result.Leader == "" || result.Leader == n.Name || hops >= maxForwards {
 			reply(result)
 			return
 		}
-		if n.isSilent(result.Leader) {
+		leader := n.cluster.nodeNamed(result.Leader)
+		if leader == nil || n.isSilent(result.Leader) {
 			reply(quorum.Result{Status: quorum.StatusNotLeader})
 			return
 		}
-		for _, peer := range n.cluster.Nodes {
-			if peer.Name == result.Leader {
-				Call(n.Host, peer.Host, op, 700_000, func(operation quorum.Operation, rep func(quorum.Result)) { peer.Forward(operation, hops+1, rep) },
-					reply, func() { reply(quorum.Result{Status: quorum.StatusUnknown}) })
-				return
-			}
-		}
-		reply(quorum.Result{Status: quorum.StatusNotLeader})
+		serve := func(op quorum.Operation, reply func(quorum.Result)) { leader.Forward(op, hops+1, reply) }
+		Call(n.Host, leader.Host, op, 700_000, serve, reply, func() { reply(quorum.Result{Status: quorum.StatusUnknown}) })
 	})
 }
--- a/sim/final_fault_day.go
+++ b/sim/final_fault_day.go
@@ -7,17 +7,27 @@
 	"violetthread/attempt"
 )
 
-// RunLast brings one last fault about and asks for service for ten seconds after it:
-// a once-only ticket at every proxy every 150 ms, and a plan every 400 ms. It returns
-// when the last of them that failed was followed by one that did not, over all proxies
-// that live; 0 means that they failed to the end.
-func RunFinalFault(seed int64, fault string, size FleetSize) (back int64, wrong []string) {
+const (
+	// finalProbesUS is how long service is asked for after a final fault.
+	finalProbesUS = 10_000_000
+	// finalAnswersUS is when the last of that must have ended.
+	finalAnswersUS = 16_000_000
+
+	finalRequestEvery = 150_000
+	finalPlanEvery    = 400_000
+)
+
+// RunFinalFault brings one last fault about and asks for service for ten seconds after it:
+// a once-only request at every gateway every 150 ms, and a plan every 400 ms. It returns
+// when the last of them that failed was followed by one that did not, in microseconds after
+// the fault, over all gateways that live; 0 means that they failed to the end.
+func RunFinalFault(seed int64, fault string, size FleetSize) (recoveryUS int64, violations []string) {
 	fleet := NewFleet(seed, size)
 	world := fleet.World
 	operator := NewFleetOperator(fleet)
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
 	at := 6_000_000 + world.Rng.Int63n(1_000_000)
-	world.At(3_000_000, func() { fleet.sendRequests(operator, at+10_000_000) })
+	world.At(3_000_000, func() { fleet.sendRequests(operator, at+finalProbesUS) })
 	world.Run(at)
 	if len(world.violations) > 0 {
 		return 0, world.violations
@@ -25,64 +35,108 @@
 	fleet.nameWeights = operator.NameWeights
 	FinalFaults[fault](fleet)
 	fleet.checker.lastCompletion = 0
-	type word struct{ sent, done int64 } // done 0: it failed
-	told := map[string][]*word{}
-	byID := map[string]*word{}
-	n := 0
-	prober := world.NewHost("prober", "north", func() {})
+	p := newServiceProbes(fleet, operator, at)
+	p.start()
+	world.Run(at + finalAnswersUS)
+	return p.recoveryUS(), world.violations
+}
+
+// serviceProbe is a request or plan that was sent to see whether service is back.
+type serviceProbe struct {
+	doneUS int64 // in microseconds after the fault, 0: it failed
+}
+
+// serviceProbes asks a fleet for service after a fault.
+type serviceProbes struct {
+	fleet       *Fleet
+	operator    *FleetOperator
+	faultAt     int64                      // true time
+	byTarget    map[string][]*serviceProbe // by name of the gateway, or "plan"
+	byRequestID map[string]*serviceProbe
+}
+
+func newServiceProbes(fleet *Fleet, operator *FleetOperator, faultAt int64) *serviceProbes {
+	return &serviceProbes{
+		fleet: fleet, operator: operator, faultAt: faultAt,
+		byTarget:    map[string][]*serviceProbe{},
+		byRequestID: map[string]*serviceProbe{},
+	}
+}
+
+func (p *serviceProbes) start() {
+	prober := p.fleet.World.NewHost("prober", "north", func() {})
 	prober.Start()
-	prober.Every(150_000, func() {
-		for _, gateway := range fleet.Gateways {
-			if !gateway.up || gateway.frozen || world.now > at+10_000_000 {
-				continue
-			}
-			n++
-			request := &callerRequest{group: "desk", kind: "tag", id: fmt.Sprint("probe", n), keyDigest: simKey("desk", 0), gateway: gateway, generation: max(1, fleet.callerGeneration), probe: true}
-			o := &word{sent: world.now - at}
-			byID[request.id] = o
-			told[gateway.Name] = append(told[gateway.Name], o)
-			gateway.After(300, func() { gateway.admit(request, "probe", 5_000_000) })
+	prober.Every(finalRequestEvery, p.sendRequests)
+	prober.Every(finalPlanEvery, p.putPlan)
+	p.fleet.checker.onRequestEnded = func(request *callerRequest, outcome attempt.Outcome) {
+		if request.probe && outcome == attempt.Done {
+			p.byRequestID[request.id].doneUS = p.sinceFault()
 		}
-	})
-	prober.Every(400_000, func() {
-		if world.now > at+10_000_000 || operator.busy {
-			return
+	}
+}
+
+func (p *serviceProbes) sinceFault() int64 { return p.fleet.World.now - p.faultAt }
+
+func (p *serviceProbes) add(target string) *serviceProbe {
+	probe := &serviceProbe{}
+	p.byTarget[target] = append(p.byTarget[target], probe)
+	return probe
+}
+
+func (p *serviceProbes) sendRequests() {
+	for _, gateway := range p.fleet.Gateways {
+		if !gateway.up || gateway.frozen || p.sinceFault() > finalProbesUS {
+			continue
 		}
-		o := &word{sent: world.now - at}
-		told["plan"] = append(told["plan"], o)
-		operator.PutPlan(func() { o.done = world.now - at })
-	})
-	fleet.checker.onRequestEnded = func(request *callerRequest, o attempt.Outcome) {
-		if request.probe && o == attempt.Done {
-			byID[request.id].done = world.now - at
+		request := &callerRequest{
+			group: "desk", kind: "tag", id: fmt.Sprint("probe", len(p.byRequestID)+1), keyDigest: simKey("desk", 0),
+			gateway: gateway, generation: max(1, p.fleet.callerGeneration), probe: true,
 		}
+		p.byRequestID[request.id] = p.add(gateway.Name)
+		gateway.After(300, func() { gateway.admit(request, "probe", 5_000_000) })
 	}
-	world.Run(at + 16_000_000)
-	for _, name := range sortedNames(told) {
-		if host := world.hostNamed(name); host != nil && !host.up {
+}
+
+func (p *serviceProbes) putPlan() {
+	if p.sinceFault() > finalProbesUS || p.operator.busy {
+		return
+	}
+	probe := p.add("plan")
+	p.operator.PutPlan(func() { probe.doneUS = p.sinceFault() })
+}
+
+// recoveryUS is when service was back for good at all targets that are up, 0 if it was not.
+func (p *serviceProbes) recoveryUS() (latest int64) {
+	for _, target := range sortedNames(p.byTarget) {
+		if host := p.fleet.World.hostNamed(target); host != nil && !host.up {
 			continue
 		}
-		var mine int64
-		for _, o := range told[name] {
-			switch {
-			case o.done == 0:
-				mine = 0
-			case mine == 0:
-				mine = o.done
-			}
+		recovered := lastRecovery(p.byTarget[target])
+		if recovered == 0 {
+			return 0
 		}
-		if mine == 0 {
-			return 0, world.violations
+		latest = max(latest, recovered)
+	}
+	return latest
+}
+
+// lastRecovery is when the first probe after the last failed one was done, 0 for none.
+func lastRecovery(probes []*serviceProbe) (recoveredUS int64) {
+	for _, probe := range probes {
+		switch {
+		case probe.doneUS == 0:
+			recoveredUS = 0
+		case recoveredUS == 0:
+			recoveredUS = probe.doneUS
 		}
-		back = max(back, mine)
 	}
-	return back, world.violations
+	return recoveredUS
 }
 
 func sortedNames[V any](byName map[string]V) []string {
 	var names []string
-	for n := range byName {
-		names = append(names, n)
+	for name := range byName {
+		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
--- a/sim/fleet_operator.go
+++ b/sim/fleet_operator.go
@@ -91,7 +91,7 @@
 // ask carries an operator's operation to a control node.
 func (o *FleetOperator) propose(i int, op quorum.Operation, no func(int), yes func(quorum.Result)) {
 	node := o.fleet.Cluster.Nodes[i%len(o.fleet.Cluster.Nodes)] // an operator tries all that ever were
-	Call(o.host, node.Host, op, 1_500_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+	Call(o.host, node.Host, op, 1_500_000, node.serve,
 		func(result quorum.Result) {
 			if result.Status != quorum.StatusDone {
 				no(i)
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -12,7 +12,7 @@
 	"violetthread/schema/fb"
 )
 
-// Proxy is a remisier: the real desk, and adapters to the simulated world.
+// Gateway is a gateway: the real dispatcher, and adapters to the simulated world.
 type Gateway struct {
 	*Host
 	fleet       *Fleet
@@ -26,7 +26,7 @@
 	requests    map[uint64]*callerRequest
 }
 
-// send is one sending of a ticket by a caller.
+// callerRequest is a request as a caller sent it to one gateway.
 type callerRequest struct {
 	group, kind, id, keyDigest string
 	gateway                    *Gateway
@@ -35,59 +35,67 @@
 	attempts                   []string
 	runs                       map[string]*engineRun
 	pieces                     int
-	piecesFrom                 string // the attempt its pieces came from
+	piecesFrom                 string // the attempt that its pieces came from
 	ended                      bool
-	probe                      bool
-	reason                     string
+	probe                      bool   // of RunFinalFault
+	reason                     string // of its end
 	generation                 uint64
 	pieceDelayUS               int64 // how much longer each of its pieces takes
 }
 
 func (g *Gateway) start() {
-	fleet := g.fleet
-	g.incarnation = uint64(fleet.World.Rng.Int63()) >> 24
-	g.dispatcher, g.plan, g.hints, g.hintCursor, g.requests = dispatch.New(g.Name, g.Zone, g.incarnation), plan.Cached{}, cacheindex.NewTable(4096), codec.Cursor{}, map[uint64]*callerRequest{}
-	dispatcher := g.dispatcher
-	g.Every(100_000, func() {
-		q := codec.FillFeedRequest(dispatcher, &fb.FeedRequestT{Node: &fb.NodeT{Name: g.Name, Role: "remisier", Zone: g.Zone, Incarnation: g.incarnation, Ready: true},
-			HaveRevision: g.plan.Revision, UpdatesIncarnation: g.hintCursor.Inc, UpdatesSince: g.hintCursor.Next})
-		at := g.Clock()
-		agent := g.agent
-		Call(g.Host, agent.Host, q, 500_000, func(q *fb.FeedRequestT, reply func(*fb.FeedResponseT)) {
-			agent.status = q.Node
-			reply(agent.agent.Poll(agent.Clock(), &agent.session.plan, agent.session.generation, q))
-		}, func(response *fb.FeedResponseT) {
-			old := g.plan.Revision
-			g.plan, _, _ = g.plan.Apply(plan.Update{Revision: response.Revision, Age: response.Age, Raw: response.Plan, Confirmed: response.Confirmed}, at)
-			if g.plan.Revision < old {
-				fleet.World.Violation("fell back", "%s from revision %d to %d", g.Name, old, g.plan.Revision)
-			}
-			if g.plan.Plan != nil {
-				g.perform(dispatcher.ApplyPlan(g.Clock(), g.plan.Plan, g.plan.ConfirmedAt))
-			}
-			g.perform(dispatcher.ApplyGrants(g.Clock(), codec.UnpackGrants(response.Grants, g.Clock()-at)))
-			g.hintCursor = codec.ApplyUpdates(g.hints, g.hintCursor, response)
-			fleet.callerGeneration = max(fleet.callerGeneration, response.Generation)
-		}, func() {})
+	g.incarnation = uint64(g.fleet.World.Rng.Int63()) >> 24
+	g.dispatcher = dispatch.New(g.Name, g.Zone, g.incarnation)
+	g.plan = plan.Cached{}
+	g.hints, g.hintCursor = cacheindex.NewTable(4096), codec.Cursor{}
+	g.requests = map[uint64]*callerRequest{}
+	g.Every(100_000, g.pollAgent)
+	g.Every(dispatch.TickInterval, func() { g.perform(g.dispatcher.Tick(g.Clock())) })
+}
+
+// pollAgent reports demand to the agent and gets plan, grants and hints from it.
+func (g *Gateway) pollAgent() {
+	status := &fb.NodeT{Name: g.Name, Role: "remisier", Zone: g.Zone, Incarnation: g.incarnation, Ready: true}
+	request := codec.FillFeedRequest(g.dispatcher, &fb.FeedRequestT{
+		Node:               status,
+		HaveRevision:       g.plan.Revision,
+		UpdatesIncarnation: g.hintCursor.Inc,
+		UpdatesSince:       g.hintCursor.Next,
 	})
-	g.Every(dispatch.TickInterval, func() { g.perform(dispatcher.Tick(g.Clock())) })
+	askedAt := g.Clock()
+	Call(g.Host, g.agent.Host, request, 500_000, g.agent.answerGateway,
+		func(response *fb.FeedResponseT) { g.applyFeed(response, askedAt) }, func() {})
 }
 
-// died tells callers and engines that their wires broke.
+func (g *Gateway) applyFeed(response *fb.FeedResponseT, askedAt int64) {
+	before := g.plan.Revision
+	g.plan, _, _ = g.plan.Apply(plan.Update{Revision: response.Revision, Age: response.Age, Raw: response.Plan, Confirmed: response.Confirmed}, askedAt)
+	if g.plan.Revision < before {
+		g.fleet.World.Violation("fell back", "%s from revision %d to %d", g.Name, before, g.plan.Revision)
+	}
+	if g.plan.Plan != nil {
+		g.perform(g.dispatcher.ApplyPlan(g.Clock(), g.plan.Plan, g.plan.ConfirmedAt))
+	}
+	g.perform(g.dispatcher.ApplyGrants(g.Clock(), codec.UnpackGrants(response.Grants, g.Clock()-askedAt)))
+	g.hintCursor = codec.ApplyUpdates(g.hints, g.hintCursor, response)
+	g.fleet.callerGeneration = max(g.fleet.callerGeneration, response.Generation)
+}
+
+// stopped ends all requests: callers and engines notice that their connections broke.
 func (g *Gateway) stopped() {
-	fleet := g.fleet
-	c := g.dispatcher.Counters
-	fleet.Tally.Arrived += c.Arrived
-	fleet.Tally.Retries += c.Retries
-	fleet.Tally.Attempts += c.Attempts
+	tally := &g.fleet.Tally
+	counters := g.dispatcher.Counters
+	tally.Arrived += counters.Arrived
+	tally.Retries += counters.Retries
+	tally.Attempts += counters.Attempts
 	for _, ref := range sortedRefs(g.requests) {
 		request := g.requests[ref]
 		if !request.ended {
 			request.ended = true
-			fleet.Tally.Lost++
+			tally.Lost++
 		}
-		for _, a := range request.attempts {
-			if run := request.runs[a]; run != nil {
+		for _, id := range request.attempts {
+			if run := request.runs[id]; run != nil {
 				run.cancel()
 			}
 		}
@@ -95,125 +103,140 @@
 	g.requests = map[uint64]*callerRequest{}
 }
 
-func sortedRefs(m map[uint64]*callerRequest) []uint64 {
-	var rs []uint64
-	for r := range m {
-		rs = append(rs, r)
+func sortedRefs(requests map[uint64]*callerRequest) []uint64 {
+	var refs []uint64
+	for ref := range requests {
+		refs = append(refs, ref)
 	}
-	slices.Sort(rs)
-	return rs
+	slices.Sort(refs)
+	return refs
 }
 
-// arrive is a ticket at the proxy's door.
-func (g *Gateway) admit(sent *callerRequest, prompt string, dueUS int64) {
-	fleet := g.fleet
+// admit is a request arriving at the gateway.
+func (g *Gateway) admit(sent *callerRequest, prompt string, timeoutUS int64) {
 	now := g.Clock()
-	sent.deadline = fleet.World.now + dueUS // it counts from arrival
-	compiled := g.plan.Plan
-	refused := func(why string) { fleet.requestEnded(sent, attempt.Rejected, why) }
-	if compiled == nil || g.plan.Age(now) > dispatch.MaxPlanAge {
-		refused("plan-not-fresh")
-		return
-	}
-	group, ok := compiled.GroupOf(sent.keyDigest)
-	if !ok || group != sent.group {
-		refused("key-unknown")
+	sent.deadline = g.fleet.World.now + timeoutUS // it counts from arrival
+	if reason := g.refuses(sent); reason != "" {
+		g.fleet.requestEnded(sent, attempt.Rejected, reason)
 		return
 	}
+	compiled := g.plan.Plan
 	g.lastRef++
-	request := dispatch.Request{Ref: g.lastRef, ID: sent.id, IDFromCaller: true, Generation: sent.generation, Group: group, Kind: sent.kind, KeyDigest: sent.keyDigest, Deadline: now + dueUS, Prompt: prompt, Weights: compiled.Weights, Domain: compiled.CacheDomain(group, compiled.Weights)}
-	request.Chain = cacheindex.PrefixKeys(request.Domain, request.Weights, prompt)
-	for i := len(request.Chain) - 1; i >= 0 && len(request.Hints) < 4; i-- {
-		n, ok := g.hints.Get(request.Chain[i])
-		for _, h := range request.Hints {
-			ok = ok && h.Node != n
-		}
-		if ok {
-			request.Hints = append(request.Hints, cacheindex.Hint{Block: i, Node: n})
-		}
+	request := dispatch.Request{
+		Ref:          g.lastRef,
+		ID:           sent.id,
+		IDFromCaller: true,
+		Generation:   sent.generation,
+		Group:        sent.group,
+		Kind:         sent.kind,
+		KeyDigest:    sent.keyDigest,
+		Deadline:     now + timeoutUS,
+		Prompt:       prompt,
+		Weights:      compiled.Weights,
+		Domain:       compiled.CacheDomain(sent.group, compiled.Weights),
 	}
+	request.Chain = cacheindex.PrefixKeys(request.Domain, request.Weights, prompt)
+	request.Hints = g.lookupHints(request.Chain)
 	sent.planRevision, sent.runs = compiled.Revision, map[string]*engineRun{}
 	g.requests[request.Ref] = sent
 	actions, rejection := g.dispatcher.Admit(now, request)
 	if rejection != nil {
 		delete(g.requests, request.Ref)
-		refused(rejection.Reason)
+		g.fleet.requestEnded(sent, attempt.Rejected, rejection.Reason)
 		return
 	}
-	fleet.checker.requestAdmitted(sent)
+	g.fleet.checker.requestAdmitted(sent)
 	g.perform(actions)
 }
 
+// refuses is why a request gets no further than the gateway's door, "" if it does.
+func (g *Gateway) refuses(sent *callerRequest) string {
+	compiled := g.plan.Plan
+	if compiled == nil || g.plan.Age(g.Clock()) > dispatch.MaxPlanAge {
+		return "plan-not-fresh"
+	}
+	if group, ok := compiled.GroupOf(sent.keyDigest); !ok || group != sent.group {
+		return "key-unknown"
+	}
+	return ""
+}
+
+// lookupHints finds up to four nodes that hold a prefix of a chain, the longest first.
+func (g *Gateway) lookupHints(chain []cacheindex.Key) []cacheindex.Hint {
+	var hints []cacheindex.Hint
+	for i := len(chain) - 1; i >= 0 && len(hints) < 4; i-- {
+		node, ok := g.hints.Get(chain[i])
+		known := slices.ContainsFunc(hints, func(hint cacheindex.Hint) bool { return hint.Node == node })
+		if ok && !known {
+			hints = append(hints, cacheindex.Hint{Block: i, Node: node})
+		}
+	}
+	return hints
+}
+
+// perform carries the dispatcher's actions out, as the gateway's daemon does.
 func (g *Gateway) perform(actions []dispatch.Action) {
-	fleet := g.fleet
 	for _, action := range actions {
-		fleet.World.observe("act", g.Name, "", action)
+		g.fleet.World.observe("act", g.Name, "", action)
 		request := g.requests[action.Ref]
-		switch action.Type {
-		case dispatch.ActionClaim, dispatch.ActionReleaseClaim:
-			op := quorum.Operation{Type: quorum.OpClaim, Key: action.ClaimKey, Value: []byte(action.ClaimNonce)}
-			if action.Type == dispatch.ActionReleaseClaim {
-				op.Type = quorum.OpUnclaim
-			}
-			g.claim(action, op)
-		case dispatch.ActionStartAttempt:
-			if request != nil {
-				g.startAttempt(request, action)
-			}
-		case dispatch.ActionCancelAttempt:
-			if request != nil {
-				if run := request.runs[action.AttemptID]; run != nil {
-					run.cancel()
-				}
-			}
-		case dispatch.ActionFinish:
-			if request != nil {
-				delete(g.requests, action.Ref)
-				fleet.requestEnded(request, action.Outcome, action.Reason)
+		switch {
+		case action.Type == dispatch.ActionClaim || action.Type == dispatch.ActionReleaseClaim:
+			g.claim(action)
+		case request == nil:
+		case action.Type == dispatch.ActionStartAttempt:
+			g.startAttempt(request, action)
+		case action.Type == dispatch.ActionCancelAttempt:
+			if run := request.runs[action.AttemptID]; run != nil {
+				run.cancel()
 			}
+		case action.Type == dispatch.ActionFinish:
+			delete(g.requests, action.Ref)
+			g.fleet.requestEnded(request, action.Outcome, action.Reason)
 		}
 	}
 }
 
-// claim goes by the agent to the control nodes, as in the daemons.
-func (g *Gateway) claim(action dispatch.Action, op quorum.Operation) {
-	agent := g.agent
-	Call(g.Host, agent.Host, op, 2_000_000, func(operation quorum.Operation, reply func(quorum.Result)) {
-		g.fleet.propose(agent.Host, &agent.session, agent.session.current, operation, 1_900_000, func(ans quorum.Result, ok bool) {
-			if !ok {
-				ans.Status = quorum.StatusUnknown
-			}
-			reply(ans)
-		})
-	}, func(ans quorum.Result) {
-		if action.Type != dispatch.ActionClaim {
-			return
-		}
-		claim := map[quorum.Status]attempt.ClaimState{quorum.StatusDone: attempt.ClaimGranted, quorum.StatusConflict: attempt.ClaimTaken, quorum.StatusGenerationClosed: attempt.ClaimClosed}[ans.Status]
-		if claim == attempt.ClaimNotRequested {
-			claim = attempt.ClaimUnknown
-		}
-		g.perform(g.dispatcher.ClaimAnswered(g.Clock(), action.Ref, claim))
-	}, func() {
+// claim asks for a claim, or gives it back, through the agent, as the daemons do.
+func (g *Gateway) claim(action dispatch.Action) {
+	op := quorum.Operation{Type: quorum.OpClaim, Key: action.ClaimKey, Value: []byte(action.ClaimNonce)}
+	if action.Type == dispatch.ActionReleaseClaim {
+		op.Type = quorum.OpUnclaim
+	}
+	answered := func(claim attempt.ClaimState) {
 		if action.Type == dispatch.ActionClaim {
-			g.perform(g.dispatcher.ClaimAnswered(g.Clock(), action.Ref, attempt.ClaimUnknown))
+			g.perform(g.dispatcher.ClaimAnswered(g.Clock(), action.Ref, claim))
 		}
-	})
+	}
+	Call(g.Host, g.agent.Host, op, 2_000_000, g.agent.propose,
+		func(result quorum.Result) { answered(claimState(result.Status)) },
+		func() { answered(attempt.ClaimUnknown) })
+}
+
+func claimState(status quorum.Status) attempt.ClaimState {
+	switch status {
+	case quorum.StatusDone:
+		return attempt.ClaimGranted
+	case quorum.StatusConflict:
+		return attempt.ClaimTaken
+	case quorum.StatusGenerationClosed:
+		return attempt.ClaimClosed
+	}
+	return attempt.ClaimUnknown
 }
 
-// ticketEnd is what an observer is told of a ticket's end.
+// ticketEnd is what an observer is told of a request's end.
 type ticketEnd struct {
 	outcome attempt.Outcome
 	reason  string
 }
 
-// ended is what the caller is told last.
-func (f *Fleet) requestEnded(request *callerRequest, outcome attempt.Outcome, why string) {
+// requestEnded is the last that the caller hears of a request.
+func (f *Fleet) requestEnded(request *callerRequest, outcome attempt.Outcome, reason string) {
 	if request.ended {
 		f.World.Violation("two ends", "%s/%s", request.group, request.id)
 	}
-	f.World.observe("ended", request.group, request.id, ticketEnd{outcome, why})
+	f.World.observe("ended", request.group, request.id, ticketEnd{outcome, reason})
 	request.ended = true
-	request.reason = why
-	f.checker.requestEnded(request, outcome, why)
+	request.reason = reason
+	f.checker.requestEnded(request, outcome, reason)
 }
--- a/sim/lease_clients.go
+++ b/sim/lease_clients.go
@@ -37,7 +37,7 @@
 	node := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
 	at := host.Clock()
 	Call(host, node.Host, quorum.Operation{Type: quorum.OpAcquire, Key: "duty/one", ExpectedRevision: *epoch, Holder: fmt.Sprint(host.Name, "#", host.process), LeaseDuration: simLeaseUS}, 500_000,
-		func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+		node.serve,
 		func(result quorum.Result) {
 			if result.Status != quorum.StatusDone {
 				return
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -37,7 +37,7 @@
 		// A request that the network repeats must not change the key twice.
 		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.seen, []byte(seen.Value)
 	}
-	Call(r.Host, node.Host, op, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+	Call(r.Host, node.Host, op, 900_000, node.serve,
 		func(result quorum.Result) { r.answered(seen, result) },
 		func() { r.keep(seen) })
 }
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -50,7 +50,7 @@
 	reg := func() *ControlNode { return r.c.Nodes[world.Rng.Intn(len(r.c.Nodes))] }
 	at := reg()
 	from := world.now
-	Call(host, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { at.Forward(operation, 0, reply) },
+	Call(host, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, at.serve,
 		func(result quorum.Result) {
 			if result.Status != quorum.StatusDone {
 				return
@@ -68,7 +68,7 @@
 			_, was, _ := plan.Decode(result.Value)
 			receiver, sent := reg(), world.now
 			Call(host, receiver.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: result.Revision}, 900_000,
-				func(operation quorum.Operation, reply func(quorum.Result)) { receiver.Forward(operation, 0, reply) },
+				receiver.serve,
 				func(b quorum.Result) {
 					switch b.Status {
 					case quorum.StatusDone:
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -54,7 +54,7 @@
 // do runs an operation on a node and tells the history when it is answered.
 func (s *stage) do(node *ControlNode, op quorum.Operation) (result quorum.Result) {
 	from := s.w.now
-	Call(s.n, node.Host, op, 2_000_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) }, func(x quorum.Result) {
+	Call(s.n, node.Host, op, 2_000_000, node.serve, func(x quorum.Result) {
 		result = x
 		if x.Status == quorum.StatusDone && op.Key == s.h.key {
 			s.h.add(observedOperation{from, s.w.now, x.Revision, string(x.Value), op.Type == quorum.OpPut})
--- a/sim/register_client.go
+++ b/sim/register_client.go
@@ -32,7 +32,7 @@
 		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, quorum.AnyRevision, []byte(fmt.Sprintf("%s-%d", c.Name, c.operations))
 	}
 	from := world.now
-	Call(c.Host, node.Host, op, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) },
+	Call(c.Host, node.Host, op, 900_000, node.serve,
 		func(result quorum.Result) {
 			if result.Status == quorum.StatusDone {
 				c.history.add(observedOperation{from, world.now, result.Revision, string(result.Value), op.Type == quorum.OpPut})
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -52,7 +52,7 @@
 	next = func() {
 		node := d.Nodes[world.Rng.Intn(len(d.Nodes))]
 		k := d.keys[world.Rng.Intn(len(d.keys))]
-		Call(client, node.Host, d.op(k), 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { node.Forward(operation, 0, reply) }, func(result quorum.Result) {
+		Call(client, node.Host, d.op(k), 900_000, node.serve, func(result quorum.Result) {
 			if result.Status == quorum.StatusDone {
 				d.changes++
 			}
