--- a/sim/catchup_day.go
+++ b/sim/catchup_day.go
@@ -33,7 +33,7 @@
 	restartMost = 400_000
 )
 
-// catchupRing has room for a row of configurations beside a checkpoint that is written
+// catchupLog has room for a row of configurations beside a checkpoint that is written
 // record by record; a configuration remembers the changes that led to it.
 func catchupLog(changes int) wal.Config {
 	return wal.Config{SegmentCount: 24, SegmentBytes: int64(20<<10 + changes*48)}
@@ -199,7 +199,7 @@
 
 // cutsCheckpoint ends a process at the next record of a checkpoint in turn, while all
 // members are up and hold everything. The member's next checkpoint is left whole: what
-// is cut short takes room, and a ring that never sees a whole one is full in the end.
+// is cut short takes room, and a log that never sees a whole one is full in the end.
 func (d *CatchupDay) cutsCheckpoint(node *ControlNode, written, of int) bool {
 	if d.rests[node] {
 		d.rests[node] = written < of-1
@@ -219,7 +219,7 @@
 	return true
 }
 
-// watchOwner judges that whoever answers for the configuration has the newest one.
+// watchLeader checks that whoever answers for the configuration has the newest one.
 func (d *CatchupDay) watchLeader() {
 	world := d.World
 	for _, node := range d.Cluster.Nodes {
--- a/sim/checker.go
+++ b/sim/checker.go
@@ -12,8 +12,8 @@
 	weightUpdateBoundUS = 25_000_000
 )
 
-// judge knows what operators and the platform did and when, in true time, and
-// compares what callers, engines and keepers show from the outside.
+// checker is the test oracle of a fleet: it knows what operators and the platform did and
+// when, in true time, and compares what callers, engines and index nodes show from outside.
 type checker struct {
 	fleet            *Fleet
 	acknowledged     []acknowledgement
@@ -25,7 +25,7 @@
 	weightsBeingSent string                    // weights that a plan on its way names
 	isolated         map[string][]span         // group -> when it was walled off
 	removed          map[string][]span         // group -> when there was none of that name
-	runsByAttempt    map[string]map[string]int // ticket -> attempt -> 1
+	runsByAttempt    map[string]map[string]int // request -> attempt -> 1
 	completions      map[string]int
 	lastCompletion   int64
 	onRequestEnded   func(*callerRequest, attempt.Outcome)
@@ -131,7 +131,7 @@
 	}
 }
 
-// step holds what must be true at every instant.
+// checkInvariants checks what must be true at every instant.
 func (c *checker) checkInvariants() {
 	fleet := c.fleet
 	if fleet.World.Events%32 != 0 {
--- a/sim/checker_cache.go
+++ b/sim/checker_cache.go
@@ -6,8 +6,8 @@
 
 const forever = 1 << 60
 
-// between reports whether a span lies between the making of a part and its use,
-// with the time that a plan has to come into force.
+// heldBetween reports whether a span lies between the computing of a block and its use, with
+// the time that a plan has to come into force.
 func (c *checker) heldBetween(ss []span, origin blockOrigin) bool {
 	for _, interval := range ss {
 		if interval.from > 0 && origin.madeAt < interval.to && c.fleet.World.now > interval.from+planBoundUS {
@@ -17,7 +17,7 @@
 	return false
 }
 
-// behind reports whether a group was surely walled off at a time.
+// wasIsolated reports whether a group was certainly isolated at a time, for so long.
 func (c *checker) wasIsolated(group string, at, since int64) bool {
 	for _, interval := range c.isolated[group] {
 		if interval.from > 0 && interval.from+since <= at && at < interval.to {
@@ -27,8 +27,8 @@
 	return false
 }
 
-// reused judges a run that goes on from a kept part, by who made it and by what
-// has been walled off, removed or named since, in true time.
+// blockReused checks a run that goes on from a cached block, by who computed it and by what
+// has been isolated, removed or named since, in true time.
 func (c *checker) blockReused(origin blockOrigin, run *engineRun) {
 	world, group := c.fleet.World, run.request.group
 	switch {
--- a/sim/checker_weights.go
+++ b/sim/checker_weights.go
@@ -10,7 +10,7 @@
 	sentAt, acknowledgedAt int64
 }
 
-// unheeded finds the oldest naming that an engine running these weights has not
+// oldestUnfollowed finds the oldest naming that an engine running these weights has not
 // followed for so long: neither it nor any later one names them.
 func (c *checker) oldestUnfollowed(weights string, bound int64) (naming, bool) {
 	for i, n := range c.namings {
@@ -24,9 +24,9 @@
 	return naming{}, false
 }
 
-// turned holds each engine to each naming by itself, from when the engine could
-// last be told: up, not frozen, listed and not leaving. One that refuses to turn is
-// out of our hands; that it serves nothing any more is judged at every run.
+// checkEngineWeights checks each engine against each naming by itself, from when the engine
+// could last be told: up, not frozen, listed and not leaving. One that ignores the update is
+// nobody's fault; that it serves nothing any more is checked at every run.
 func (c *checker) checkEngineWeights(engine *Engine) {
 	fleet := c.fleet
 	if engine.store {
--- a/sim/claim_clients.go
+++ b/sim/claim_clients.go
@@ -6,17 +6,17 @@
 	"violetthread/quorum"
 )
 
-// Claimers race for claims: of all that ask for one key, one at most is ever told
-// that it holds it.
+// ClaimClients race for claims: of all that ask for one key, at most one is ever told that
+// it holds it.
 type ClaimClients struct {
 	cluster *Cluster
 	holder  map[string]string
 	Won     int
-	// Late counts claims of eras that were over when they were asked for.
+	// Late counts claims of generations that were over when they were asked for.
 	Late int
 }
 
-// NewClaimers adds n clients that race for claims.
+// NewClaimClients adds so many clients that race for claims.
 func NewClaimClients(cluster *Cluster, n int) *ClaimClients {
 	x := &ClaimClients{cluster: cluster, holder: map[string]string{}}
 	for i := 0; i < n; i++ {
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -9,8 +9,8 @@
 	"violetthread/wal"
 )
 
-// TestClaimsWithoutEnd: two hundred once-only tickets a second find room for as long
-// as one likes, on rings as much smaller than the default as the eras are shorter;
+// TestClaimsWithoutEnd: two hundred once-only requests a second find room for as long
+// as one likes, on rings as much smaller than the default as the generations are shorter;
 // and a claim that was granted is granted to nobody else, however late he asks.
 func TestClaimsWithoutEnd(t *testing.T) {
 	t.Parallel()
--- a/sim/cluster.go
+++ b/sim/cluster.go
@@ -7,13 +7,14 @@
 	"violetthread/wal"
 )
 
-// Core is the control nodes of a world.
+// Cluster is the control nodes of a world. Its function fields are for directed days: they
+// let a day lose messages, end processes at chosen moments, or watch.
 type Cluster struct {
 	world        *World
 	voterSet     quorum.VoterSet
 	Nodes        []*ControlNode
 	logConfig    wal.Config
-	generationUS int64                     // how long an era of claims is the newest
+	generationUS int64                     // how long an generation of claims is the newest
 	leaseUS      int64                     // of a slot owner's lease, 0 for the default
 	onNewNode    func(*ControlNode)        // what a fleet adds to a machine
 	onBoot       func(*ControlNode)        // what else runs on a machine, at each start
@@ -29,21 +30,21 @@
 	beforeCheckpointRecord func(r *ControlNode, written, of int) bool
 	// echo is told of every message between voters, for directed days that repeat them.
 	onMessage      func(to *ControlNode, m quorum.Message)
-	replacing      bool   // an operator is changing the roster
+	replacing      bool   // an operator is changing the voter set
 	Replacements   int    // how often that was done
 	powerLossArmed bool   // power goes at the next acknowledgement
-	selfHealing    bool   // registrars let each other in, without an operator
+	selfHealing    bool   // control nodes let each other in, without an operator
 	incarnations   uint64 // drawn so far, beside the first ones
 	Joins          int    // how often a machine was let in
 	SlowestJoinUS  int64  // from its start until all slots were firm with it
 }
 
-// A small ring, so that core days write checkpoints.
+// smallLog is so small that days of control nodes write checkpoints.
 var smallLog = wal.Config{SegmentCount: 10, SegmentBytes: 18 << 10}
 
 var zones = []string{"north", "east", "south", "west"}
 
-// NewCore adds n control nodes.
+// NewCluster adds so many control nodes, which are the voters.
 func NewCluster(world *World, n int) *Cluster {
 	cluster := &Cluster{world: world, generationUS: 800_000, logConfig: smallLog}
 	cluster.voterSet.Revision = quorum.FirstRevision(7)
@@ -66,7 +67,7 @@
 	}
 }
 
-// newNode adds a machine with an empty disk that is in no roster yet.
+// newNode adds a machine with an empty disk that is in no voter set yet.
 func (c *Cluster) newNode() *ControlNode {
 	i := len(c.Nodes)
 	node := &ControlNode{cluster: c, Disk: NewDisk(c.world), incarnation: uint64(100 + i)}
@@ -78,13 +79,13 @@
 	return node
 }
 
-// newInc draws the number of an emptied disk.
+// newIncarnation draws the incarnation of an emptied disk.
 func (c *Cluster) newIncarnation() uint64 {
 	c.incarnations++
 	return 1000 + c.incarnations
 }
 
-// named is the control node of a name, nil if there is none.
+// nodeNamed is the control node of a name, nil if there is none.
 func (c *Cluster) nodeNamed(name string) *ControlNode {
 	for _, node := range c.Nodes {
 		if node.Name == name {
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// voters are the machines in the newest roster that any of them has.
+// currentVoters are the machines in the newest voter set that any of them has.
 func (c *Cluster) currentVoters() (quorum.VoterSet, []*ControlNode) {
 	var voterSet quorum.VoterSet
 	for _, node := range c.Nodes {
@@ -111,7 +112,7 @@
 	return voterSet, out
 }
 
-// newest is the newest era that any control node heard of.
+// newestGeneration is the newest generation of claims that any control node heard of.
 func (c *Cluster) newestGeneration() (e uint64) {
 	for _, node := range c.Nodes {
 		e = max(e, node.generation)
@@ -119,7 +120,7 @@
 	return e
 }
 
-// Owner is the control node that vouches for a key just now, nil for none.
+// LeaderOf is the control node that answers for a key under a lease just now, nil for none.
 func (c *Cluster) LeaderOf(key string) *ControlNode {
 	for _, node := range c.Nodes {
 		if !node.up || node.frozen || node.node == nil {
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// oneOwner holds that no slot has two owners under live leases at one instant.
+// checkOneLeader checks that no slot has two leaders under live leases at one instant.
 func (c *Cluster) checkOneLeader() {
 	if c.world.Events%8 != 0 {
 		return
--- a/sim/cluster_day.go
+++ b/sim/cluster_day.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// CoreDay is one simulated day of the control nodes under a fault. It returns
-// what the clients were told, and what was broken, if anything.
+// ClusterResult is what one simulated day of the control nodes under a fault came to: what
+// the clients were told, and what was violated, if anything.
 type ClusterResult struct {
 	Acknowledged, ClaimsWon, LateClaims, LeaseTerms, Replacements, Checkpoints, Joins int
 	// Slowest is the longest that a machine took from its start to a firm place.
@@ -16,7 +16,7 @@
 	Notes      []string
 }
 
-// RunCore runs one day.
+// RunCluster runs one day of so many microseconds.
 func RunCluster(seed int64, fault Fault, durationUS int64) ClusterResult {
 	world := NewWorld(seed)
 	cluster := NewCluster(world, 4)
--- a/sim/cluster_day_test.go
+++ b/sim/cluster_day_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestCoreDays: control nodes under every kind of failure keep acknowledged
-// changes linearizable, slots and duties single-owned and claims single-held,
+// changes linearizable, slots and roles single-owned and claims single-held,
 // and come back within ten seconds.
 func TestCoreDays(t *testing.T) {
 	for _, fault := range ClusterFaults {
@@ -66,7 +66,7 @@
 
 // TestFailedCandidateFollows: one that could not hear the owner sought its slot in vain
 // and keeps its promise to itself; the owner wins the slot anew above it, so that all
-// voters follow it again. Without that no roster step was ever firm for the one left out.
+// voters follow it again. Without that no voter set step was ever firm for the one left out.
 func TestFailedCandidateFollows(t *testing.T) {
 	s := newStage(t, 1, "plan")
 	s.put("plan", "v1")
--- a/sim/cluster_replacement.go
+++ b/sim/cluster_replacement.go
@@ -4,8 +4,8 @@
 	"violetthread/quorum"
 )
 
-// replace takes a machine away for good, disk and all, and has an operator put an
-// empty one in its place, until the step is taken.
+// replaceVoter takes a machine away for good, disk and all, and has an operator put an empty
+// one in its place, again and again until the voter set is changed.
 func (c *Cluster) replaceVoter() {
 	world := c.world
 	voterSet, members := c.currentVoters()
@@ -49,8 +49,8 @@
 	try()
 }
 
-// heal strikes one machine, once the last one struck has come back: it loses its disk, or
-// its power, or goes and another comes; one that went may return, with its old disk.
+// strikeOneMachine strikes one machine, once the last one struck has recovered: it loses its
+// disk, or its power, or goes and another comes; one that went may return, with its old disk.
 func (c *Cluster) strikeOneMachine() {
 	world := c.world
 	voterSet, members := c.currentVoters()
--- a/sim/config_followers.go
+++ b/sim/config_followers.go
@@ -21,7 +21,8 @@
 	ApplyBound = 2_000_000
 )
 
-// word is what one hop vouches for: a version was in force at a time by its own clock.
+// confirmedVersion is what one hop vouches for: a version was in force at a time by its own
+// clock.
 type confirmedVersion struct {
 	known       bool
 	revision    uint64
@@ -29,7 +30,7 @@
 	confirmedAt int64
 }
 
-// take takes a newer word in.
+// update takes a newer one in.
 func (w *confirmedVersion) update(n confirmedVersion) {
 	switch {
 	case !n.known || w.known && n.revision < w.revision:
@@ -128,13 +129,13 @@
 	return proxy
 }
 
-// words is a directory's answer: ages, since no two hosts' clocks agree.
+// directoryAnswer is a directory's answer: ages, since no two hosts' clocks agree.
 type directoryAnswer struct {
 	config, weights       confirmedVersion
 	configAge, weightsAge int64
 }
 
-// ask asks one directory, and goes on to another when it fails or lags behind.
+// poll asks one directory, and goes on to another when it fails or lags behind.
 func (p *ConfigProxy) poll() {
 	node := p.choose()
 	at := p.Clock()
@@ -185,10 +186,10 @@
 	return p.up && !p.frozen && p.config.known && p.Clock()-p.config.confirmedAt <= ServeAge
 }
 
-// watchEvery is how often what proxies serve by is judged.
+// checkInterval is how often what proxies serve by is checked.
 const checkInterval = 10_000
 
-// ServeJudge judges what proxies serve by.
+// ServeChecker checks what proxies serve by.
 type ServeChecker struct {
 	config  *ConfigHistory
 	weights *WeightsHistory
--- a/sim/config_history.go
+++ b/sim/config_history.go
@@ -8,7 +8,7 @@
 	"violetthread/route"
 )
 
-// Order is a change of the configuration that an operator sends until it has a clear
+// ConfigOrder is a change of the configuration that an operator sends until it has a clear
 // answer. It leads from version base to base+1, so that the versions in force form one
 // chain without gaps.
 type ConfigOrder struct {
@@ -71,7 +71,7 @@
 	h.orders = append(h.orders, order)
 }
 
-// acked judges an acknowledgement.
+// acknowledged checks an acknowledgement.
 func (h *ConfigHistory) acknowledged(order *ConfigOrder, resent bool) {
 	if order.acknowledgedAt == 0 {
 		order.acknowledgedAt = h.world.now
@@ -104,7 +104,7 @@
 	h.newest = max(h.newest, version)
 }
 
-// refused notes a refusal; whether it was right shows at the end.
+// rejected notes a rejection; whether it was right shows at the end.
 func (h *ConfigHistory) rejected(order *ConfigOrder, from int64) {
 	order.rejections = append(order.rejections, interval{from, h.world.now})
 	h.Rejected++
@@ -249,7 +249,7 @@
 	return at
 }
 
-// mayLead tells whether an order may have led to its version. One that was refused did
+// mayHaveMade tells whether an order may have led to its version. One that was rejected did
 // not, or that is a fault of its own.
 func (h *ConfigHistory) mayHaveMade(order *ConfigOrder) bool {
 	t := h.accepted[order.version]
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -132,7 +132,7 @@
 		})
 }
 
-// pick is a node to send to, not the one that was just asked, nor one that was silent
+// chooseNode is a node to send to, not the one that was just asked, nor one that was silent
 // lately.
 func (o *ConfigOperator) chooseNode() *ControlNode {
 	var rest []*ControlNode
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -17,7 +17,7 @@
 	acknowledgementBoundUS = 4_000_000
 )
 
-// configRing has room for configurations of some hundred routes.
+// configLog has room for configurations of some hundred routes.
 var configLog = wal.Config{SegmentCount: 10, SegmentBytes: 64 << 10}
 
 // tolerates is how many of n control nodes may be lost at once, as the platform's
@@ -123,7 +123,7 @@
 	return world.now - from, true
 }
 
-// ConfigOwned reports whether a node answers for the configuration.
+// HasConfigLeader reports whether a node answers for the configuration.
 func (cw *ConfigWorld) HasConfigLeader() bool { return cw.Cluster.LeaderOf(route.ConfigKey) != nil }
 
 // allUp reports whether all control nodes take part.
@@ -136,8 +136,8 @@
 	return true
 }
 
-// AllFirm reports whether all nodes that are up are members and every slot is won and
-// finished under the present roster.
+// AllRecovered reports whether all nodes that are up are voters and every slot has a leader
+// that recovered it under the present voter set.
 func (cw *ConfigWorld) AllRecovered() bool {
 	for _, node := range cw.Cluster.Nodes {
 		if node.removed {
--- a/sim/control_node_disk.go
+++ b/sim/control_node_disk.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// makeRoom restates the state before anything else is written, as the daemon does at its
-// start, if the process ended in the midst of a checkpoint.
+// checkpointIfFull writes a checkpoint before anything else is written, as the daemon does at
+// its start, if the process ended in the midst of one.
 func (n *ControlNode) checkpointIfFull() error {
 	if n.log.UsedPermille() <= 350 {
 		return nil
@@ -50,8 +50,7 @@
 	return n.log.Checkpoint(parts)
 }
 
-// checkpoint writes a part of one with each sync, as the daemon does between
-// changes.
+// advanceCheckpoint writes a part of one with each sync, as the daemon does between changes.
 func (n *ControlNode) advanceCheckpoint() error {
 	if n.node == nil {
 		return nil
@@ -103,14 +102,14 @@
 	n.Kill()
 }
 
-// PowerLoss cuts a node's power and loses what its disk had not synced.
+// LosePower cuts a node's power and loses what its disk had not synced.
 func (n *ControlNode) LosePower() {
 	n.Kill()
 	n.Disk.PowerLoss()
 	n.cluster.world.Notef("%s lost its power", n.Name)
 }
 
-// lose is a machine that comes back empty.
+// loseDisk ends the machine, which comes back with an empty disk.
 func (n *ControlNode) loseDisk() {
 	n.Kill()
 	n.Disk.Wipe()
--- a/sim/control_node_membership.go
+++ b/sim/control_node_membership.go
@@ -6,7 +6,7 @@
 	"violetthread/schema/fb"
 )
 
-// join asks another machine for a roster that holds this disk.
+// pollVoterSet asks another machine for a voter set that this disk is in.
 func (n *ControlNode) pollVoterSet(config quorum.Config) {
 	if n.node != nil {
 		return
@@ -25,8 +25,8 @@
 	}, func() {})
 }
 
-// beLetIn asks all other machines for a place in their roster, as the daemon of a blank
-// disk does.
+// requestAdmission asks all other machines for a place in their voter set, as the daemon of a
+// blank disk does.
 func (n *ControlNode) requestAdmission(config quorum.Config, at int64) {
 	if n.node != nil {
 		return
@@ -68,7 +68,7 @@
 	return ok && voter.Incarnation == n.incarnation
 }
 
-// probe asks for newer rosters while voters are silent, as the daemon does.
+// pollNewerVoterSets asks for newer voter sets while voters are silent, as the daemon does.
 func (n *ControlNode) pollNewerVoterSets() {
 	if n.node == nil || n.Failure != nil {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// retire drops the state of a disk that a newer roster does not hold. The power may go
+// retire drops the state of a disk that a newer voter set does not hold. The power may go
 // in the midst of it: then the old state stands, and it is told again.
 func (n *ControlNode) retire() {
 	inc := n.cluster.newIncarnation()
--- a/sim/engine.go
+++ b/sim/engine.go
@@ -34,8 +34,8 @@
 
 const piecesPerRun = 5
 
-// made tells whose run computed a part, under which weights and when, in true
-// time: the judge goes by that and not by the names that the parts go by.
+// blockOrigin tells whose run computed a block, under which weights and when, in true time:
+// the checker goes by that and not by the keys of blocks.
 type blockOrigin struct {
 	group, weights string
 	madeAt         int64
@@ -119,7 +119,7 @@
 	return report
 }
 
-// turn changes weights once what runs has ended.
+// updateWeights loads other weights once the runs under way have ended.
 func (e *Engine) updateWeights(name string, epoch uint64) {
 	if epoch < e.fencingToken || e.ignoresWeights {
 		return
--- a/sim/final_faults.go
+++ b/sim/final_faults.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// LastFaults are single faults after which nothing is mended: service must come
-// back by itself, with a majority left.
+// FinalFaults are single faults after which nothing is mended: service must come back by
+// itself, with a majority left.
 var FinalFaults = map[string]func(f *Fleet){
 	"a registrar dies": func(f *Fleet) { f.planLeader().Kill() },
 	"a registrar freezes for good": func(f *Fleet) {
@@ -87,7 +87,7 @@
 	},
 }
 
-// LastFaultNames lists the faults in order.
+// FinalFaultNames lists the faults in order.
 func FinalFaultNames() []string { return sortedNames(FinalFaults) }
 
 func (f *Fleet) restartHost(host *Host) {
@@ -95,7 +95,7 @@
 	f.World.At(f.World.now+100_000, host.Start)
 }
 
-// planOwner is the control node that owns the plan's slot.
+// planLeader is the control node that leads the plan's slot.
 func (f *Fleet) planLeader() *ControlNode {
 	for _, node := range f.Cluster.Nodes {
 		if node.node != nil {
@@ -107,7 +107,7 @@
 	return f.Cluster.Nodes[0]
 }
 
-// busiest is the index node that holds most duties of a kind.
+// busiestIndexNode is the index node that holds most roles of a kind.
 func (f *Fleet) busiestIndexNode(kind string) *IndexNode {
 	best, most := f.IndexNodes[0], -1
 	for _, indexNode := range f.IndexNodes {
--- a/sim/final_faults_test.go
+++ b/sim/final_faults_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestLastFault: after any single last fault every living proxy serves again,
+// TestLastFault: after any single last fault every living gateway serves again,
 // and plans are acknowledged again, within ten seconds. VT_SEEDS runs more
 // seeds; -v prints the table of docs/measurements.md.
 func TestLastFault(t *testing.T) {
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -7,7 +7,7 @@
 	"violetthread/wal"
 )
 
-// Fleet is a whole fleet: control nodes, index nodes, proxies with their agents,
+// Fleet is a whole fleet: control nodes, index nodes, gateways with their agents,
 // engines, the platform and callers, all running the daemons' deciding code.
 type Fleet struct {
 	World            *World
@@ -22,7 +22,7 @@
 	checker          *checker
 	requestsSent     int
 	nameWeights      func() // names new weights, for last faults
-	callerGeneration uint64 // newest that any proxy told its callers
+	callerGeneration uint64 // newest that any gateway told its callers
 	// MuteNews loses this part of hint news, in thousandths.
 	EventLossPermille int
 	// HandFail makes this part of hand-overs fail quietly, in thousandths.
--- a/sim/fleet_day.go
+++ b/sim/fleet_day.go
@@ -11,9 +11,9 @@
 // The days. Each causes its failures again and again and ends with a last one.
 const (
 	DayCalm        Day = "calm"
-	DayGateways    Day = "proxies"    // remisiers and runners killed and frozen
-	DayIndex       Day = "index"      // custodians killed, frozen, isolated
-	DayControl     Day = "control"    // registrars killed singly and in herds
+	DayGateways    Day = "proxies"    // gateways and agents killed and frozen
+	DayIndex       Day = "index"      // index nodes killed, frozen, isolated
+	DayControl     Day = "control"    // control nodes killed singly and in herds
 	DayEngines     Day = "engines"    // engines crash, vanish, are replaced, leave; the store is lost
 	DayNetwork     Day = "network"    // cuts, isolated machines, lost and repeated messages
 	DayOperators   Day = "operators"  // keys taken, weights named, storms of plans
@@ -27,10 +27,10 @@
 // Days lists them all.
 var Days = []Day{DayCalm, DayGateways, DayIndex, DayControl, DayEngines, DayNetwork, DayOperators, DayIsolation, DayReplacement, DayWeights, DayReports, DayAll}
 
-// Result is what a day came to.
+// FleetResult is what a day came to.
 type FleetResult struct {
 	Tally
-	// Back is how long after the last fault was mended a ticket was done.
+	// Back is how long after the last fault was mended a request was done.
 	RecoveryUS int64
 	Violations []string
 	Notes      []string
@@ -67,7 +67,7 @@
 			fleet.Tally.Attempts += gateway.dispatcher.Counters.Attempts
 		}
 	}
-	// A tenth of traffic, and what each proxy's budget may have saved up.
+	// A tenth of traffic, and what each gateway's budget may have saved up.
 	if t := fleet.Tally; t.Retries > t.Arrived/10+1 {
 		world.Violation("retries", "%d retries for %d tickets", t.Retries, t.Arrived)
 	}
@@ -75,7 +75,7 @@
 	return result
 }
 
-// call sends tickets until a true time, some of them twice at two proxies.
+// sendRequests sends requests until a true time, some of them twice at two gateways.
 func (f *Fleet) sendRequests(operator *FleetOperator, until int64) {
 	world := f.World
 	if world.now >= until {
--- a/sim/fleet_operator.go
+++ b/sim/fleet_operator.go
@@ -8,12 +8,12 @@
 	"violetthread/quorum"
 )
 
-// Groups of a simulated deployment; the walled ones share nothing.
+// simGroups are the groups of a simulated deployment; the isolated one shares no cache.
 var simGroups = []string{"desk", "east", "west", "walled"}
 
 func simKey(group string, n int) string { return plan.KeyDigest(fmt.Sprintf("%s-%d", group, n)) }
 
-// Script is what operators and the platform do on a day.
+// FleetOperator is what operators and the platform do on a day.
 type FleetOperator struct {
 	fleet      *Fleet
 	host       *Host
@@ -26,7 +26,7 @@
 	plansMade  int
 }
 
-// NewScript puts a first plan in force and keeps operators at work.
+// NewFleetOperator adds an operator; its first plan is put by PutPlan.
 func NewFleetOperator(fleet *Fleet) *FleetOperator {
 	operator := &FleetOperator{fleet: fleet, keyNumbers: map[string]int{}, open: map[string]bool{"desk": true, "east": true, "west": true}, removed: map[string]bool{}, weights: 1}
 	fleet.checker.isolated["walled"] = []span{{1, forever}}
@@ -55,7 +55,7 @@
 	return data
 }
 
-// Put sends a plan and tells the judge when it was acknowledged.
+// PutPlan sends a plan until it is acknowledged, and tells the checker when.
 func (o *FleetOperator) PutPlan(then func()) {
 	if o.busy {
 		return
@@ -88,7 +88,7 @@
 	try(o.fleet.World.Rng.Intn(4))
 }
 
-// ask carries an operator's operation to a control node.
+// propose carries an operator's operation to a control node.
 func (o *FleetOperator) propose(i int, op quorum.Operation, no func(int), yes func(quorum.Result)) {
 	node := o.fleet.Cluster.Nodes[i%len(o.fleet.Cluster.Nodes)] // an operator tries all that ever were
 	Call(o.host, node.Host, op, 1_500_000, node.serve,
@@ -101,7 +101,7 @@
 		}, func() { no(i) })
 }
 
-// TakeKey replaces a group's key; the old one must stop working.
+// RevokeKey replaces a group's key; the old one must stop working.
 func (o *FleetOperator) RevokeKey(group string) {
 	if o.busy {
 		return
@@ -115,7 +115,7 @@
 	})
 }
 
-// Wall walls a group off, or opens it.
+// ToggleIsolation isolates a group's cache, or shares it again.
 func (o *FleetOperator) ToggleIsolation(group string) {
 	if o.busy || o.removed[group] {
 		return
@@ -124,7 +124,7 @@
 	o.putChange(o.fleet.checker.isolated, group, !o.open[group])
 }
 
-// Remove takes a group out of the plan, or puts one of that name in again.
+// ToggleGroup takes a group out of the plan, or puts one of that name in again.
 func (o *FleetOperator) ToggleGroup(group string) {
 	if o.busy || group == "desk" { // one group stays
 		return
@@ -133,7 +133,7 @@
 	o.putChange(o.fleet.checker.removed, group, o.removed[group])
 }
 
-// spell puts the plan in force and tells the judge what began or ended with it.
+// putChange puts the plan in force and tells the checker what began or ended with it.
 func (o *FleetOperator) putChange(m map[string][]span, group string, begins bool) {
 	if n := len(m[group]); !begins && n > 0 {
 		m[group][n-1].to = o.fleet.World.now
@@ -150,7 +150,7 @@
 	})
 }
 
-// Name names new weights, and now and then those of before.
+// NameWeights names new weights, and now and then those of before.
 func (o *FleetOperator) NameWeights() {
 	if o.busy {
 		return
@@ -170,7 +170,7 @@
 	})
 }
 
-// Leave marks an engine as leaving, and lists it again later.
+// DrainEngine marks an engine as leaving, and lists it again later.
 func (o *FleetOperator) DrainEngine(n string, back int64) {
 	fleet := o.fleet
 	mark := func(v bool) {
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// TestCutOffProxyEndsStreams: a proxy that hears nothing of the core any more ends
+// TestCutOffProxyEndsStreams: a gateway that hears nothing of the core any more ends
 // what runs before a key that was taken meanwhile has worked for five seconds.
 func TestCutOffProxyEndsStreams(t *testing.T) {
 	t.Parallel()
@@ -114,7 +114,7 @@
 	})
 	world.At(5_400_000, func() {
 		began = fleet.Tally.Runs
-		world.Isolate(fleet.Agents[0].Name) // the agent is cut off; caller, proxy and engines are not
+		world.Isolate(fleet.Agents[0].Name) // the agent is cut off; caller, gateway and engines are not
 		operator.RevokeKey("desk")
 	})
 	world.Run(16_000_000)
--- a/sim/history.go
+++ b/sim/history.go
@@ -1,6 +1,6 @@
 package sim
 
-// A client drives one key and remembers what it was told, in true time.
+// observedOperation is one operation on a key as its client saw it, in true time.
 type observedOperation struct {
 	invoked, returned int64
 	revision          uint64
--- a/sim/host.go
+++ b/sim/host.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// run runs fn on the host in its present life, after a freeze if need be.
+// runIn runs a task on the host in the process of that number, after a freeze if need be.
 func (h *Host) runIn(process int, task func()) {
 	switch {
 	case !h.up || h.process != process:
--- a/sim/index_node.go
+++ b/sim/index_node.go
@@ -11,13 +11,13 @@
 	"violetthread/schema/fb"
 )
 
-// Custodian is an index node.
+// IndexNode is an index node: the real one, and adapters to the simulated world.
 type IndexNode struct {
 	*Host
 	fleet   *Fleet
 	session session
 	node    *index.Node
-	// leaving: it was stopped politely, gives its duties back and then ends.
+	// leaving: it was stopped politely, gives its roles back and then ends.
 	leaving bool
 }
 
@@ -83,7 +83,7 @@
 	n.Every(200_000, func() { n.followPeers(node) })
 }
 
-// room answers an agent, or passes its question on to the index node that it is for.
+// issueGrants answers an agent, or passes its question on to the index node that it is for.
 func (n *IndexNode) issueGrants(request *fb.CapacityRequestT, reply func(*fb.CapacityResponseT)) {
 	if request.To == "" || request.To == n.Name {
 		response := codec.AnswerCapacity(n.node, n.Clock(), n.Name, request)
@@ -96,7 +96,7 @@
 	}
 }
 
-// relayPatience is how long an index node waits for an answer that it passes on.
+// relayTimeout is how long an index node waits for an answer that it passes on.
 const relayTimeout = 500_000
 
 // engineParts are all parts that an engine keeps, as of a number of its reports.
--- a/sim/lease_clients.go
+++ b/sim/lease_clients.go
@@ -6,7 +6,7 @@
 	"violetthread/quorum"
 )
 
-// Holders contend for a duty: at no instant do two believe that they hold it.
+// LeaseClients contend for a role: at no instant do two believe that they hold its lease.
 type LeaseClients struct {
 	cluster   *Cluster
 	hosts     []*Host
@@ -16,7 +16,7 @@
 
 const simLeaseUS = 900_000
 
-// NewHolders adds n clients that contend for one duty.
+// NewLeaseClients adds so many clients that contend for one role.
 func NewLeaseClients(cluster *Cluster, n int) *LeaseClients {
 	x := &LeaseClients{cluster: cluster, leaseEnds: map[*Host]int64{}}
 	for i := 0; i < n; i++ {
@@ -50,7 +50,7 @@
 		}, func() {})
 }
 
-// plague kills and freezes holders until a true time.
+// injectFaults kills and freezes clients until a true time.
 func (c *LeaseClients) injectFaults(until int64) {
 	world := c.cluster.world
 	if world.now >= until {
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// restart boots a machine with its disk; one that no roster holds begins anew.
+// restart boots a machine with its disk; one that no voter set holds begins anew.
 func (d *membershipDay) restart(node *ControlNode) {
 	if voterSet, _ := d.currentVoters(); !node.isMemberOf(voterSet) {
 		node.loseDisk()
@@ -236,7 +236,7 @@
 	}
 }
 
-// caughtUp reports whether a machine votes in the newest roster and holds every slot's
+// caughtUp reports whether a machine votes in the newest voter set and holds every slot's
 // line up to its owner's last change.
 func (d *membershipDay) caughtUp(node *ControlNode) bool {
 	voterSet, _ := d.currentVoters()
--- a/sim/messages_day.go
+++ b/sim/messages_day.go
@@ -8,7 +8,7 @@
 	echoSoonPercent = 40
 	echoLatePercent = 10
 	// echoSoon is long enough to overtake others, echoLate long enough to outlive leases,
-	// epochs and processes.
+	// terms and processes.
 	echoSoon = 60_000
 	echoLate = 8_000_000
 	// messagesBack is within how long after the trouble every slot takes changes.
--- a/sim/messages_day_test.go
+++ b/sim/messages_day_test.go
@@ -7,7 +7,7 @@
 
 // TestMessageDays: the control nodes' own messages come late, out of order and again, also
 // to a later process of the same name. No answer counts for another question than its own:
-// changes stay linearizable, slots and duties have one owner, claims one holder.
+// changes stay linearizable, slots and roles have one owner, claims one holder.
 func TestMessageDays(t *testing.T) {
 	for _, nodes := range controlSizes {
 		if seeds() == 0 && nodes > 5 {
--- a/sim/move_test.go
+++ b/sim/move_test.go
@@ -8,9 +8,9 @@
 	"violetthread/index"
 )
 
-// TestMoveCost: what it costs when an index node's duties move, because it died or
-// was stopped politely: how long duties have no owner, how long engines are out of
-// use at proxies, and what is read and told anew. VT_SEEDS runs more seeds.
+// TestMoveCost: what it costs when an index node's roles move, because it died or
+// was stopped politely: how long roles have no owner, how long engines are out of
+// use at gateways, and what is read and told anew. VT_SEEDS runs more seeds.
 func TestMoveCost(t *testing.T) {
 	t.Parallel()
 	n := seeds()
@@ -30,8 +30,8 @@
 			for _, x := range fleet.IndexNodes {
 				was += x.node.Counters.Resyncs
 			}
-			lone, last := map[string]int64{}, int64(0) // duty -> how long nobody held it
-			idle := int64(0)                           // engine-microseconds out of use, over proxies
+			lone, last := map[string]int64{}, int64(0) // role -> how long nobody held it
+			idle := int64(0)                           // engine-microseconds out of use, over gateways
 			const step = 10_000
 			if polite {
 				indexNode.leaving = true
--- a/sim/network.go
+++ b/sim/network.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// resetAfter is how long a caller takes to learn that its connection was reset.
+// resetDelay is how long a caller takes to learn that its connection was reset.
 const resetDelay = 1_000
 
 // Call asks another host; exactly one of answer and fail runs, unless the
@@ -94,7 +94,7 @@
 	host.After(durationUS, giveUp)
 }
 
-// resets tells whether connections between two hosts are reset.
+// resetsConnections tells whether connections between two hosts are reset.
 func (w *World) resetsConnections(a, b *Host) bool {
 	return w.resetLinks[[2]string{a.Name, b.Name}] || w.resetLinks[[2]string{b.Name, a.Name}]
 }
--- a/sim/network_partition.go
+++ b/sim/network_partition.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// part cuts one host inside off from one outside.
+// cutOneOff cuts one host inside off from one outside.
 func (w *World) cutOneOff(partition Partition, in, out string) {
 	if partition != PartitionHears {
 		w.Cut(out, in)
--- a/sim/observed_order.go
+++ b/sim/observed_order.go
@@ -10,7 +10,7 @@
 )
 
 // An index node iterates over maps where no order matters to it: over the parts that a
-// feed restates, over where holders lie, and over duties that it gives back. These put
+// feed restates, over where holders lie, and over roles that it gives back. These put
 // what comes of it into one order, so that an observed day is the same each time. In
 // other days the order stays as it comes.
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// orderDuties sorts the duties that are given back, which come before those asked for.
+// orderDuties sorts the roles that are given back, which come before those asked for.
 func (w *World) orderDuties(asks []index.LeaseOp) {
 	if w.observer == nil {
 		return
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -13,7 +13,7 @@
 
 // race is four operators at once: whole plans, patches, with and without a
 // precondition, many entries in one change, answers lost, while the control nodes
-// fail. What every registrar reads back is judged to the byte.
+// fail. What every control node reads back is judged to the byte.
 type race struct {
 	c     *Cluster
 	h     *History
@@ -88,7 +88,7 @@
 		}, func() {})
 }
 
-// read judges what a registrar gives back.
+// read judges what a control node gives back.
 func (r *race) read(from int64, result quorum.Result) {
 	world := r.c.world
 	r.h.add(observedOperation{from, world.now, result.Revision, string(result.Value), false})
--- a/sim/register_client.go
+++ b/sim/register_client.go
@@ -6,7 +6,7 @@
 	"violetthread/quorum"
 )
 
-// Operator is a client that changes and reads one key through any node.
+// RegisterClient is a client that changes and reads one key through any node.
 type RegisterClient struct {
 	*Host
 	cluster    *Cluster
@@ -16,7 +16,7 @@
 	writePercent int
 }
 
-// NewOperator adds a client.
+// NewRegisterClient adds a client of which so many percent of the operations are writes.
 func NewRegisterClient(cluster *Cluster, name string, history *History, puts int) *RegisterClient {
 	o := &RegisterClient{cluster: cluster, history: history, writePercent: puts}
 	o.Host = cluster.world.NewHost(name, "north", func() { o.Every(40_000, o.act) })
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -44,7 +44,7 @@
 	Version uint64 // that is current
 }
 
-// once carries an operation to the owner of its key with one try, which ends at a
+// proposeOnce carries an operation to the leader of its key with one try, which ends at a
 // time by this node's clock.
 func (n *ControlNode) proposeOnce(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
 	over := false
@@ -64,7 +64,7 @@
 	})
 }
 
-// pass hands an operation on to the owner of its key.
+// passToLeader hands an operation on to the leader of its key.
 func (n *ControlNode) passToLeader(op quorum.Operation, hops int, owner string, end func(quorum.Result)) {
 	receiver := n.cluster.nodeNamed(owner)
 	if receiver == nil || n.node == nil || n.node.Silence(n.Clock(), owner) > passSilenceLimit {
@@ -94,7 +94,7 @@
 // value the reply stands; with one it stands once that is in force.
 type decideFunc func(value []byte, revision uint64) (next []byte, reply Reply)
 
-// edit puts what decide makes of a register, deciding anew as long as provably
+// registerEdit puts what decide makes of a register, deciding anew as long as provably
 // nothing was changed and the node hears a majority.
 type registerEdit struct {
 	node     *ControlNode
@@ -113,7 +113,7 @@
 	e.read()
 }
 
-// watch ends the work once no majority is heard: nothing can be read or changed then.
+// checkContact ends the work once no majority is heard: nothing can be read or changed then.
 func (e *registerEdit) checkContact() {
 	if e.finished {
 		return
@@ -184,8 +184,8 @@
 	e.node.proposeOnce(put, 0, e.until, func(result quorum.Result) { e.putDone(result, reply) })
 }
 
-// decided answers without a change, unless the read has grown old: this process may
-// have been paused, and another owner have taken changes. What was taken stays taken.
+// finishUnchanged answers without a change, unless the read has grown old: this process may
+// have been paused, and another leader have taken changes. What was accepted stays accepted.
 func (e *registerEdit) finishUnchanged(reply Reply) {
 	if reply.Outcome != OutcomeAccepted && e.node.Clock()-e.readAt > maxReadAgeUS {
 		reply = Reply{Outcome: OutcomeUnknown}
@@ -206,7 +206,7 @@
 	}
 }
 
-// again reads anew after a pause, while there is time.
+// retryAfter reads anew after a pause, while there is time.
 func (e *registerEdit) retryAfter(pause int64) {
 	if e.node.Clock()+pause >= e.until {
 		e.end(Reply{Outcome: OutcomeUnknown})
@@ -299,5 +299,5 @@
 	return StepPutAsk, StepPutTell
 }
 
-// lost tells whether a step gets lost.
+// isStepLost tells whether a step gets lost.
 func (c *Cluster) isStepLost(step OrderStep) bool { return c.losesStep != nil && c.losesStep(step) }
--- a/sim/retries_test.go
+++ b/sim/retries_test.go
@@ -6,9 +6,9 @@
 	"violetthread/attempt"
 )
 
-// TestRetriesFleetWide: nine proxies, one engine that breaks every run off, callers
+// TestRetriesFleetWide: nine gateways, one engine that breaks every run off, callers
 // that resend what failed. Over the whole fleet attempts stay within a tenth above
-// the tickets, the struggling engine gets less than its part of them, and when it is
+// the requests, the struggling engine gets less than its part of them, and when it is
 // well again, or back from a crash, it is not run down.
 func TestRetriesFleetWide(t *testing.T) {
 	for _, bad := range []string{"breaks off", "refuses", "crashes"} {
@@ -31,7 +31,7 @@
 			}
 			world.At(1_300_000, func() { operator.PutPlan(nil) })
 			world.At(2_500_000, func() {
-				for i := 0; i < 8; i++ { // some 300 tickets a second
+				for i := 0; i < 8; i++ { // some 300 requests a second
 					fleet.sendRequests(operator, 30_000_000)
 				}
 			})
--- a/sim/second_loss_day.go
+++ b/sim/second_loss_day.go
@@ -161,7 +161,7 @@
 	leaveMost  = 900_000
 )
 
-// keepSeats has the roster count the seats that the fleet keeps, as at a founding.
+// keepSeats has the voter set count the seats that the fleet keeps, as at a founding.
 func (c *Cluster) keepSeats() {
 	c.voterSet.Seats = uint16(len(c.voterSet.Voters))
 	for _, node := range c.Nodes {
--- a/sim/shares_test.go
+++ b/sim/shares_test.go
@@ -8,7 +8,7 @@
 	"violetthread/attempt"
 )
 
-// crowd is a group that sends a ticket every gap microseconds at some proxies,
+// crowd is a group that sends a request every gap microseconds at some gateways,
 // from a true time to another.
 type crowd struct {
 	group    string
@@ -41,7 +41,7 @@
 
 type portion struct{ sent, done, refused, late, unknown int }
 
-// TestShares: however the groups' tickets come in, each group gets what its share
+// TestShares: however the groups' requests come in, each group gets what its share
 // entitles it to of what is served, and what can't be done is refused early.
 // VT_SEEDS runs more seeds; -v prints the table of docs/measurements.md.
 func TestShares(t *testing.T) {
--- a/sim/slot_writer.go
+++ b/sim/slot_writer.go
@@ -57,7 +57,7 @@
 	s.operate(s.liveNode(), slot, op, func(bool) {})
 }
 
-// do runs an operation at a node and judges its answer.
+// operate runs an operation at a node and checks its answer.
 func (s *SlotWriter) operate(node *ControlNode, slot int, op quorum.Operation, done func(ok bool)) {
 	world := s.cluster.world
 	from := world.now
@@ -83,7 +83,7 @@
 		func() { done(false) })
 }
 
-// pick is a node that is up; which ones are is no secret to callers for long.
+// liveNode is a node that is up; callers soon learn which ones are.
 func (s *SlotWriter) liveNode() *ControlNode {
 	var live []*ControlNode
 	for _, node := range s.cluster.Nodes {
@@ -97,7 +97,7 @@
 	return live[s.cluster.world.Rng.Intn(len(live))]
 }
 
-// AckedSince reports whether a change of every slot was acknowledged since a time.
+// AcknowledgedSince reports whether a change of every slot was acknowledged since a time.
 func (s *SlotWriter) AcknowledgedSince(at int64) bool {
 	for _, a := range s.acknowledgedAt {
 		if a <= at {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Acks is how many changes were acknowledged.
+// Acknowledged is how many changes were acknowledged.
 func (s *SlotWriter) Acknowledged() (n int) {
 	for _, history := range s.histories {
 		n += history.Acknowledged
--- a/sim/waves_test.go
+++ b/sim/waves_test.go
@@ -8,7 +8,7 @@
 
 // TestWaves: new weights reach a fleet of full size in waves over all of it, also
 // when the busiest index node dies in the middle; half the engines serve all the
-// while, and hardly a ticket fails for it. VT_SEEDS runs more seeds.
+// while, and hardly a request fails for it. VT_SEEDS runs more seeds.
 func TestWaves(t *testing.T) {
 	t.Parallel()
 	n := seeds()
--- a/sim/world.go
+++ b/sim/world.go
@@ -57,7 +57,7 @@
 // Now is true time; hosts see their own clocks.
 func (w *World) Now() int64 { return w.now }
 
-// Wrong records a broken promise, once for each text's kind.
+// Violation records that an invariant was violated, once for each kind of text.
 func (w *World) Violation(kind, f string, a ...any) {
 	if w.violatedKinds[kind] {
 		return
@@ -66,7 +66,7 @@
 	w.violations = append(w.violations, fmt.Sprintf("t=%d %s: %s", w.now, kind, fmt.Sprintf(f, a...)))
 }
 
-// Note records what happened, for the report of a failing seed.
+// Notef records what happened, for the report of a failing seed.
 func (w *World) Notef(f string, a ...any) {
 	w.notes = append(w.notes, fmt.Sprintf("t=%d ", w.now)+fmt.Sprintf(f, a...))
 	if len(w.notes) > 400 {
@@ -77,7 +77,7 @@
 // Notes and Problems are what Note and Wrong gathered.
 func (w *World) Notes() []string { return w.notes }
 
-// Problems lists broken promises.
+// Violations lists the violated invariants.
 func (w *World) Violations() []string { return w.violations }
 
 // At runs fn at a true time.
