--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -225,7 +225,7 @@
 }
 
 // ticketEnd is what an observer is told of a request's end.
-type ticketEnd struct {
+type requestResult struct {
 	outcome attempt.Outcome
 	reason  string
 }
@@ -235,7 +235,7 @@
 	if request.ended {
 		f.World.Violation("two ends", "%s/%s", request.group, request.id)
 	}
-	f.World.observe("ended", request.group, request.id, ticketEnd{outcome, reason})
+	f.World.observe("ended", request.group, request.id, requestResult{outcome, reason})
 	request.ended = true
 	request.reason = reason
 	f.checker.requestEnded(request, outcome, reason)
