--- a/sim/index_node.go
+++ b/sim/index_node.go
@@ -14,73 +14,85 @@
 // IndexNode is an index node: the real one, and adapters to the simulated world.
 type IndexNode struct {
 	*Host
-	fleet   *Fleet
-	session session
-	node    *index.Node
-	// leaving: it was stopped politely, gives its roles back and then ends.
-	leaving bool
+	fleet       *Fleet
+	session     session
+	node        *index.Node
+	incarnation uint64
+	leaving     bool // it was stopped in order: it releases its roles and then ends
 }
 
 func (n *IndexNode) start() {
-	fleet, world := n.fleet, n.fleet.World
 	n.session, n.leaving = session{}, false
-	inc := uint64(world.Rng.Int63()) >> 24
-	n.node = index.New(n.Name, n.Zone, inc)
-	holder := fmt.Sprintf("%s#%x", n.Name, inc)
-	node := n.node
-	fleet.keepSession(n.Host, &n.session, func() *fb.NodeT {
-		status := &fb.NodeT{Name: n.Name, Role: "custodian", Zone: n.Zone, Addr: n.Name, Incarnation: inc, Ready: !n.leaving}
-		return codec.AddIndexNodeStatus(node, n.Clock(), status)
-	}, nil)
-	n.Every(200_000, func() {
-		at := n.Clock()
-		Call(n.Host, fleet.Platform, 0, 600_000, func(_ int, reply func([]index.ListedEngine)) { reply(slices.Clone(fleet.listing)) },
-			func(l []index.ListedEngine) { node.SetListing(at, l) }, func() {
-				if !fleet.Platform.up { // its machine refuses connections
-					node.ConfirmListing(at)
-				}
-			})
-	})
-	n.Every(100_000, func() {
-		now := n.Clock()
-		if n.session.plan.Plan != nil {
-			node.ApplyPlan(n.session.plan.Plan, n.session.plan.ConfirmedAt)
-		}
-		peers, me := codec.ReadyIndexNodes(n.session.nodes, n.Name)
-		if !me && !n.leaving {
-			return
-		}
-		if node.SetPeers(peers); n.leaving {
-			if node.SetPeers(nil); node.HoldsNoLeases() {
-				n.Kill()
-				return
-			}
-		}
-		asks := node.LeaseOps(now)
-		world.orderLeaseOps(asks)
-		for _, leaseOp := range asks {
-			op := quorum.Operation{Type: quorum.OpAcquire, Key: leaseOp.Key, ExpectedRevision: leaseOp.Token, Holder: holder, LeaseDuration: index.LeaseDuration}
-			if leaseOp.Release {
-				op.Type = quorum.OpRelease
-			}
-			fleet.propose(n.Host, &n.session, world.Rng.Intn(4), op, 1_000_000, func(ans quorum.Result, ok bool) {
-				node.LeaseAnswered(n.Clock(), leaseOp, now, ok && ans.Status == quorum.StatusDone, ans.Revision)
-			})
-		}
-	})
-	n.Every(150_000, func() {
-		now := n.Clock()
-		for _, p := range node.Polls(now) {
-			n.pollEngine(node, p)
-		}
-		for _, t := range node.WeightUpdates(now) {
-			if engine := fleet.engineNamed(t.Engine); engine != nil {
-				world.observe("turn", n.Name, engine.Name, t)
-				n.Send(engine.Host, func() { engine.updateWeights(t.Weights, t.FencingToken) })
+	n.incarnation = uint64(n.fleet.World.Rng.Int63()) >> 24
+	n.node = index.New(n.Name, n.Zone, n.incarnation)
+	n.fleet.keepSession(n.Host, &n.session, n.status, nil)
+	n.Every(200_000, n.refreshListing)
+	n.Every(100_000, n.renewLeases)
+	n.Every(150_000, n.pollEngines)
+	n.Every(200_000, n.followPeers)
+}
+
+func (n *IndexNode) status() *fb.NodeT {
+	status := &fb.NodeT{Name: n.Name, Role: "custodian", Zone: n.Zone, Addr: n.Name, Incarnation: n.incarnation, Ready: !n.leaving}
+	return codec.AddIndexNodeStatus(n.node, n.Clock(), status)
+}
+
+// refreshListing asks the platform for its engines. The last listing still stands if the
+// platform's machine refuses connections.
+func (n *IndexNode) refreshListing() {
+	askedAt := n.Clock()
+	platform := n.fleet.Platform
+	serve := func(_ int, reply func([]index.ListedEngine)) { reply(slices.Clone(n.fleet.listing)) }
+	Call(n.Host, platform, 0, 600_000, serve,
+		func(engines []index.ListedEngine) { n.node.SetListing(askedAt, engines) },
+		func() {
+			if !platform.up {
+				n.node.ConfirmListing(askedAt)
 			}
+		})
+}
+
+// renewLeases takes plan and peers in, and asks for what leases the node should hold. One
+// that is leaving ends once it holds none.
+func (n *IndexNode) renewLeases() {
+	now := n.Clock()
+	if n.session.plan.Plan != nil {
+		n.node.ApplyPlan(n.session.plan.Plan, n.session.plan.ConfirmedAt)
+	}
+	peers, isReady := codec.ReadyIndexNodes(n.session.nodes, n.Name)
+	if !isReady && !n.leaving {
+		return
+	}
+	n.node.SetPeers(peers)
+	if n.leaving {
+		n.node.SetPeers(nil)
+		if n.node.HoldsNoLeases() {
+			n.Kill()
+			return
 		}
+	}
+	ops := n.node.LeaseOps(now)
+	n.fleet.World.orderLeaseOps(ops)
+	for _, op := range ops {
+		n.proposeLease(op, now)
+	}
+}
+
+func (n *IndexNode) proposeLease(op index.LeaseOp, askedAt int64) {
+	proposed := quorum.Operation{
+		Type:             quorum.OpAcquire,
+		Key:              op.Key,
+		ExpectedRevision: op.Token,
+		Holder:           fmt.Sprintf("%s#%x", n.Name, n.incarnation),
+		LeaseDuration:    index.LeaseDuration,
+	}
+	if op.Release {
+		proposed.Type = quorum.OpRelease
+	}
+	first := n.fleet.World.Rng.Intn(4)
+	n.fleet.propose(n.Host, &n.session, first, proposed, 1_000_000, func(result quorum.Result, ok bool) {
+		n.node.LeaseAnswered(n.Clock(), op, askedAt, ok && result.Status == quorum.StatusDone, result.Revision)
 	})
-	n.Every(200_000, func() { n.followPeers(node) })
 }
 
 // issueGrants answers an agent, or passes its question on to the index node that it is for.
@@ -99,68 +111,105 @@
 // relayTimeout is how long an index node waits for an answer that it passes on.
 const relayTimeout = 500_000
 
-// engineParts are all parts that an engine keeps, as of a number of its reports.
+// pollEngines polls the engines that it should, and tells those that should load other
+// weights.
+func (n *IndexNode) pollEngines() {
+	now := n.Clock()
+	for _, poll := range n.node.Polls(now) {
+		n.pollEngine(poll)
+	}
+	for _, update := range n.node.WeightUpdates(now) {
+		if engine := n.fleet.engineNamed(update.Engine); engine != nil {
+			n.fleet.World.observe("turn", n.Name, engine.Name, update)
+			n.Send(engine.Host, func() { engine.updateWeights(update.Weights, update.FencingToken) })
+		}
+	}
+}
+
+// engineHoldings are all blocks that an engine holds, as of a number of its reports.
 type engineHoldings struct {
 	incarnation, sequence uint64
 	blocks                []cacheindex.Key
 }
 
-func (n *IndexNode) pollEngine(indexNode *index.Node, p index.Poll) {
-	engine := n.fleet.engineNamed(p.Engine)
+func (n *IndexNode) pollEngine(poll index.Poll) {
+	engine := n.fleet.engineNamed(poll.Engine)
 	if engine == nil {
 		return
 	}
-	ask := func(inc, after uint64) {
-		at := n.Clock()
-		Call(n.Host, engine.Host, 0, 800_000, func(_ int, rep func(index.Report)) { rep(engine.report(inc, after)) },
-			func(report index.Report) { indexNode.ApplyReport(n.Clock(), at, p.Engine, report) }, func() {})
-	}
-	if !p.NeedsHoldings {
-		ask(p.Incarnation, p.AfterSeq)
+	if !poll.NeedsHoldings {
+		n.askReport(engine, poll.Incarnation, poll.AfterSeq)
 		return
 	}
-	Call(n.Host, engine.Host, 0, 800_000, func(_ int, rep func(engineHoldings)) {
-		rep(engineHoldings{engine.incarnation, engine.lastSequence, engine.heldBlocks()})
-	},
-		func(x engineHoldings) {
-			indexNode.ResetHoldings(n.Clock(), p.Engine, x.incarnation, x.sequence, x.blocks)
-			ask(x.incarnation, x.sequence)
-		}, func() {})
+	serve := func(_ int, reply func(engineHoldings)) {
+		reply(engineHoldings{engine.incarnation, engine.lastSequence, engine.heldBlocks()})
+	}
+	Call(n.Host, engine.Host, 0, 800_000, serve, func(holdings engineHoldings) {
+		n.node.ResetHoldings(n.Clock(), poll.Engine, holdings.incarnation, holdings.sequence, holdings.blocks)
+		n.askReport(engine, holdings.incarnation, holdings.sequence)
+	}, func() {})
+}
+
+// askReport asks an engine for its events after a number.
+func (n *IndexNode) askReport(engine *Engine, incarnation, after uint64) {
+	askedAt := n.Clock()
+	serve := func(_ int, reply func(index.Report)) { reply(engine.report(incarnation, after)) }
+	Call(n.Host, engine.Host, 0, 800_000, serve, func(report index.Report) {
+		n.node.ApplyReport(n.Clock(), askedAt, engine.Name, report)
+	}, func() {})
 }
 
-func (n *IndexNode) followPeers(indexNode *index.Node) {
+// followPeers asks the other index nodes for what engines hold in the shards held here,
+// and for what concerns the zones served here.
+func (n *IndexNode) followPeers() {
 	peers, _ := codec.ReadyIndexNodes(n.session.nodes, n.Name)
-	for _, p := range peers {
-		other := n.fleet.indexNodeNamed(p.Name)
+	for _, peer := range peers {
+		other := n.fleet.indexNodeNamed(peer.Name)
 		if other == nil || n.fleet.World.Rng.Intn(1000) < n.fleet.EventLossPermille {
 			continue
 		}
-		ask := func(q *fb.UpdatesRequestT, got func(*fb.UpdatesResponseT)) {
-			q.From = n.Name
-			Call(n.Host, other.Host, q, 800_000, func(q *fb.UpdatesRequestT, reply func(*fb.UpdatesResponseT)) { reply(other.answerUpdates(q)) }, got, func() {})
+		n.followHoldings(other)
+		for _, zone := range n.node.ServedZones() {
+			n.followZone(other, peer, zone)
 		}
-		if mine := indexNode.HeldShards(n.Clock()); len(mine) > 0 {
-			cur := indexNode.HoldingsCursor(p.Name)
-			ask(&fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: mine, Incarnation: cur.Incarnation, Since: cur.Next}, func(response *fb.UpdatesResponseT) {
-				if indexNode.HoldingsCursor(p.Name) == cur {
-					codec.ApplyHoldings(indexNode, n.Clock(), p.Name, response)
-				}
-			})
+	}
+}
+
+func (n *IndexNode) followHoldings(other *IndexNode) {
+	shards := n.node.HeldShards(n.Clock())
+	if len(shards) == 0 {
+		return
+	}
+	cursor := n.node.HoldingsCursor(other.Name)
+	request := &fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: shards, Incarnation: cursor.Incarnation, Since: cursor.Next}
+	n.askUpdates(other, request, func(response *fb.UpdatesResponseT) {
+		if n.node.HoldingsCursor(other.Name) == cursor {
+			codec.ApplyHoldings(n.node, n.Clock(), other.Name, response)
 		}
-		for _, s := range indexNode.ServedZones() {
-			cur := *indexNode.ZoneCursor(s, p.Name)
-			ask(&fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: s, Incarnation: cur.Incarnation, Since: cur.Next}, func(response *fb.UpdatesResponseT) {
-				if *indexNode.ZoneCursor(s, p.Name) == cur {
-					indexNode.ApplyZoneUpdates(s, p.Name, index.ShardsOf(p), codec.UnpackBatch(response))
-				}
-			})
+	})
+}
+
+func (n *IndexNode) followZone(other *IndexNode, peer index.Peer, zone string) {
+	cursor := *n.node.ZoneCursor(zone, other.Name)
+	request := &fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: zone, Incarnation: cursor.Incarnation, Since: cursor.Next}
+	n.askUpdates(other, request, func(response *fb.UpdatesResponseT) {
+		if *n.node.ZoneCursor(zone, other.Name) == cursor {
+			n.node.ApplyZoneUpdates(zone, other.Name, index.ShardsOf(peer), codec.UnpackBatch(response))
 		}
+	})
+}
+
+func (n *IndexNode) askUpdates(other *IndexNode, request *fb.UpdatesRequestT, apply func(*fb.UpdatesResponseT)) {
+	request.From = n.Name
+	serve := func(request *fb.UpdatesRequestT, reply func(*fb.UpdatesResponseT)) {
+		reply(other.answerUpdates(request))
 	}
+	Call(n.Host, other.Host, request, 800_000, serve, apply, func() {})
 }
 
-// newsTell answers another index node.
-func (n *IndexNode) answerUpdates(q *fb.UpdatesRequestT) *fb.UpdatesResponseT {
-	response := codec.AnswerUpdates(n.node, q)
+// answerUpdates answers another index node.
+func (n *IndexNode) answerUpdates(request *fb.UpdatesRequestT) *fb.UpdatesResponseT {
+	response := codec.AnswerUpdates(n.node, request)
 	n.fleet.World.orderUpdates(response.Updates, response.Reset)
 	n.fleet.World.orderLocations(response.Locations)
 	return response
