--- a/sim/cluster_replacement.go
+++ b/sim/cluster_replacement.go
@@ -4,8 +4,16 @@
 	"violetthread/quorum"
 )
 
+// replacement is an operator's change of the voter set, which it tries until it is taken.
+type replacement struct {
+	cluster *Cluster
+	host    *Host // the operator's
+	old     *ControlNode
+	new     *ControlNode
+}
+
 // replaceVoter takes a machine away for good, disk and all, and has an operator put an empty
-// one in its place, again and again until the voter set is changed.
+// one in its place.
 func (c *Cluster) replaceVoter() {
 	world := c.world
 	voterSet, members := c.currentVoters()
@@ -13,40 +21,46 @@
 		return
 	}
 	c.replacing = true
-	old := members[world.Rng.Intn(len(members))]
+	old := pick(world, members)
 	old.Kill()
 	old.Disk.Wipe()
 	old.removed = true
-	newNode := c.newNode()
-	newNode.Start()
-	world.Notef("%s is to replace %s after step %d", newNode.Name, old.Name, voterSet.Step())
-	host := world.NewHost("roster-operator-"+newNode.Name, "north", func() {})
+	successor := c.newNode()
+	successor.Start()
+	world.Notef("%s is to replace %s after step %d", successor.Name, old.Name, voterSet.Step())
+	host := world.NewHost("roster-operator-"+successor.Name, "north", func() {})
 	host.Start()
-	var try func()
-	try = func() {
-		voterSet, members := c.currentVoters()
-		if voter, ok := voterSet.Find(newNode.Name); ok && voter.Incarnation == newNode.incarnation {
-			c.replacing = false
-			c.Replacements++
-			return
-		}
-		next, err := voterSet.Next(old.Name, &quorum.Voter{Name: newNode.Name, Incarnation: newNode.incarnation})
-		if err != nil {
-			world.Violation("roster", "%v", err)
+	r := &replacement{cluster: c, host: host, old: old, new: successor}
+	r.try()
+}
+
+// try proposes the change at a voter drawn for it, and tries again until it is in force.
+func (r *replacement) try() {
+	c := r.cluster
+	voterSet, members := c.currentVoters()
+	if r.new.isMemberOf(voterSet) {
+		c.replacing = false
+		c.Replacements++
+		return
+	}
+	next, err := voterSet.Next(r.old.Name, &quorum.Voter{Name: r.new.Name, Incarnation: r.new.incarnation})
+	if err != nil {
+		c.world.Violation("roster", "%v", err)
+		return
+	}
+	r.propose(pick(c.world, members), next)
+	r.host.After(300_000, r.try)
+}
+
+func (r *replacement) propose(node *ControlNode, next quorum.VoterSet) {
+	read := quorum.Operation{Type: quorum.OpGet, Key: quorum.VoterSetKey}
+	Call(r.host, node.Host, read, 900_000, node.serve, func(result quorum.Result) {
+		if result.Status != quorum.StatusDone {
 			return
 		}
-		node := members[world.Rng.Intn(len(members))]
-		Call(host, node.Host, quorum.Operation{Type: quorum.OpGet, Key: quorum.VoterSetKey}, 900_000, node.serve,
-			func(result quorum.Result) {
-				if result.Status != quorum.StatusDone {
-					return
-				}
-				Call(host, node.Host, quorum.Operation{Type: quorum.OpPut, Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: result.Revision}, 900_000,
-					node.serve, func(quorum.Result) {}, func() {})
-			}, func() {})
-		host.After(300_000, try)
-	}
-	try()
+		put := quorum.Operation{Type: quorum.OpPut, Key: quorum.VoterSetKey, Value: next.Bytes(), ExpectedRevision: result.Revision}
+		Call(r.host, node.Host, put, 900_000, node.serve, func(quorum.Result) {}, func() {})
+	}, func() {})
 }
 
 // strikeOneMachine strikes one machine, once the last one struck has recovered: it loses its
@@ -62,7 +76,7 @@
 	if len(members) < 3 {
 		return
 	}
-	node := members[world.Rng.Intn(len(members))]
+	node := pick(world, members)
 	soon := world.now + 50_000 + world.Rng.Int63n(2_500_000)
 	switch world.Rng.Intn(6) {
 	case 0, 1:
--- a/sim/control_node_membership.go
+++ b/sim/control_node_membership.go
@@ -1,6 +1,8 @@
 package sim
 
 import (
+	"slices"
+
 	"violetthread/internal/codec"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
@@ -11,23 +13,27 @@
 	if n.node != nil {
 		return
 	}
-	other := n.cluster.Nodes[n.cluster.world.Rng.Intn(len(n.cluster.Nodes))]
+	other := pick(n.cluster.world, n.cluster.Nodes)
 	Call(n.Host, other.Host, 0, 300_000, func(_ int, reply func(quorum.VoterSet)) {
 		if other.node != nil {
 			reply(other.node.VoterSet())
 		}
 	}, func(voterSet quorum.VoterSet) {
-		if voter, ok := voterSet.Find(n.Name); ok && voter.Incarnation == n.incarnation && n.node == nil {
-			n.voterSet = voterSet
-			n.node = quorum.New(config, voterSet, n.Clock(), nil)
-			n.cluster.world.Notef("%s joins at step %d", n.Name, voterSet.Step())
+		if n.node == nil && n.isMemberOf(voterSet) {
+			n.joinVoterSet(config, voterSet)
 		}
 	}, func() {})
 }
 
+func (n *ControlNode) joinVoterSet(config quorum.Config, voterSet quorum.VoterSet) {
+	n.voterSet = voterSet
+	n.node = quorum.New(config, voterSet, n.Clock(), nil)
+	n.cluster.world.Notef("%s joins at step %d", n.Name, voterSet.Step())
+}
+
 // requestAdmission asks all other machines for a place in their voter set, as the daemon of a
 // blank disk does.
-func (n *ControlNode) requestAdmission(config quorum.Config, at int64) {
+func (n *ControlNode) requestAdmission(config quorum.Config, startedAt int64) {
 	if n.node != nil {
 		return
 	}
@@ -43,68 +49,69 @@
 				reply(voterSet)
 			}
 		}, func(voterSet quorum.VoterSet) {
-			if n.node != nil || !n.isMemberOf(voterSet) {
-				return
+			if n.node == nil && n.isMemberOf(voterSet) {
+				n.joinVoterSet(config, voterSet)
+				n.cluster.Joins++
+				n.awaitRecovery(startedAt)
 			}
-			n.voterSet = voterSet
-			n.node = quorum.New(config, voterSet, n.Clock(), nil)
-			n.cluster.world.Notef("%s joins at step %d", n.Name, voterSet.Step())
-			n.cluster.Joins++
-			var firm func()
-			firm = func() {
-				if n.node != nil && !n.node.AllSlotsRecovered() {
-					n.After(10_000, firm)
-					return
-				}
-				n.cluster.SlowestJoinUS = max(n.cluster.SlowestJoinUS, n.cluster.world.now-at)
-			}
-			firm()
 		}, func() {})
 	}
 }
 
+// awaitRecovery measures how long it takes from the start until all slots were recovered
+// with the new voter.
+func (n *ControlNode) awaitRecovery(startedAt int64) {
+	if n.node != nil && !n.node.AllSlotsRecovered() {
+		n.After(10_000, func() { n.awaitRecovery(startedAt) })
+		return
+	}
+	n.cluster.SlowestJoinUS = max(n.cluster.SlowestJoinUS, n.cluster.world.now-startedAt)
+}
+
+// isMemberOf reports whether a voter set holds this machine with its present disk.
 func (n *ControlNode) isMemberOf(voterSet quorum.VoterSet) bool {
 	voter, ok := voterSet.Find(n.Name)
 	return ok && voter.Incarnation == n.incarnation
 }
 
-// pollNewerVoterSets asks for newer voter sets while voters are silent, as the daemon does.
+// pollNewerVoterSets asks for newer voter sets while a voter is silent, as the daemon does.
 func (n *ControlNode) pollNewerVoterSets() {
-	if n.node == nil || n.Failure != nil {
+	if n.node == nil || n.Failure != nil || !n.hearsSilence() {
 		return
 	}
-	for _, voter := range n.node.VoterSet().Voters {
-		if n.node.Silence(n.Clock(), voter.Name) < 250_000 {
+	for _, other := range n.cluster.Nodes {
+		if other == n {
 			continue
 		}
-		for _, other := range n.cluster.Nodes {
-			if other == n {
-				continue
+		Call(n.Host, other.Host, 0, 500_000, func(_ int, reply func(quorum.VoterSet)) {
+			if other.node != nil && other.Failure == nil {
+				reply(other.node.VoterSet())
 			}
-			Call(n.Host, other.Host, 0, 500_000, func(_ int, reply func(quorum.VoterSet)) {
-				if other.node != nil && other.Failure == nil {
-					reply(other.node.VoterSet())
-				}
-			}, func(voterSet quorum.VoterSet) {
-				if n.node != nil && n.Failure == nil {
-					n.handle(n.node.ObserveVoterSet(n.Clock(), voterSet))
-				}
-			}, func() {})
-		}
-		return
+		}, func(voterSet quorum.VoterSet) {
+			if n.node != nil && n.Failure == nil {
+				n.handle(n.node.ObserveVoterSet(n.Clock(), voterSet))
+			}
+		}, func() {})
 	}
 }
 
+// hearsSilence reports whether any voter was not heard for a quarter of a second.
+func (n *ControlNode) hearsSilence() bool {
+	return slices.ContainsFunc(n.node.VoterSet().Voters, func(voter quorum.Voter) bool {
+		return n.node.Silence(n.Clock(), voter.Name) >= 250_000
+	})
+}
+
 // retire drops the state of a disk that a newer voter set does not hold. The power may go
-// in the midst of it: then the old state stands, and it is told again.
+// in the midst of it: then the old state stands, and it learns of the newer set again.
 func (n *ControlNode) retire() {
-	inc := n.cluster.newIncarnation()
-	if err := n.log.Checkpoint([][]byte{codec.PackFounding(&fb.VoterSetT{Incarnation: inc})}); err != nil {
+	incarnation := n.cluster.newIncarnation()
+	if err := n.log.Checkpoint([][]byte{codec.PackFounding(&fb.VoterSetT{Incarnation: incarnation})}); err != nil {
 		n.fail(err)
 		return
 	}
-	n.cluster.world.Notef("%s is retired, and is %d from now on", n.Name, inc)
-	n.incarnation, n.voterSet = inc, quorum.VoterSet{}
+	n.cluster.world.Notef("%s is retired, and is %d from now on", n.Name, incarnation)
+	n.incarnation, n.voterSet = incarnation, quorum.VoterSet{}
 	n.Kill()
 	n.Start()
 }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -21,17 +21,19 @@
 	services         map[*ControlNode]*controlServices
 	checker          *checker
 	requestsSent     int
-	nameWeights      func() // names new weights, for last faults
+	nameWeights      func() // names new weights, for final faults
 	callerGeneration uint64 // newest that any gateway told its callers
-	// MuteNews loses this part of hint news, in thousandths.
+	// EventLossPermille is the part of engines' events that gets lost, in thousandths.
 	EventLossPermille int
-	// HandFail makes this part of hand-overs fail quietly, in thousandths.
+	// TransferFailurePermille is the part of cache transfers that fail without notice, in
+	// thousandths.
 	TransferFailurePermille int
-	// SlowFrom are peers whose hand-overs take longer than anyone waits, and
-	// Unlearnt leaves what was learnt of links out of all orders.
-	SlowTransfersFrom  map[string]bool
+	// SlowTransfersFrom are engines, by address, from which transfers take longer than
+	// anyone waits.
+	SlowTransfersFrom map[string]bool
+	// HideTransferScores leaves what was learnt of links out of all grants.
 	HideTransferScores bool
-	// Docs is how many long beginnings each group's prompts have; 0 is one.
+	// Documents is how many long beginnings each group's prompts have; 0 is one.
 	Documents int
 	Tally     Tally
 }
@@ -42,59 +44,74 @@
 // NewFleet makes a fleet and starts it.
 func NewFleet(seed int64, size FleetSize) *Fleet {
 	world := NewWorld(seed)
-	fleet := &Fleet{World: world, Cluster: NewCluster(world, 4), services: map[*ControlNode]*controlServices{}}
-	fleet.Cluster.generationUS = 4_000_000
-	fleet.Cluster.logConfig = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
-	fleet.checker = newChecker(fleet)
-	fleet.Platform = world.NewHost("platform", "north", func() {})
-	fleet.Platform.Start()
-	for _, r := range fleet.Cluster.Nodes {
-		fleet.addServices(r)
-	}
-	fleet.Cluster.onNewNode = fleet.addServices
-	fleet.Cluster.Start()
+	f := &Fleet{World: world, Cluster: NewCluster(world, 4), services: map[*ControlNode]*controlServices{}}
+	f.checker = newChecker(f)
+	f.Platform = world.NewHost("platform", "north", func() {})
+	f.Platform.Start()
+	f.startCluster()
 	for i := 0; i < size.Engines; i++ {
-		engine := newEngine(fleet, fmt.Sprintf("e%02d", i), zones[i%len(zones)], false)
-		fleet.Engines = append(fleet.Engines, engine)
-		fleet.listing = append(fleet.listing, index.ListedEngine{Name: engine.Name, Addr: engine.Name, Zone: engine.Zone})
-		engine.Start()
+		f.addEngine(fmt.Sprintf("e%02d", i), zones[i%len(zones)], false)
 	}
-	store := newEngine(fleet, "store", zones[0], true)
-	fleet.Engines = append(fleet.Engines, store)
-	fleet.listing = append(fleet.listing, index.ListedEngine{Name: "store", Addr: "store", Zone: zones[0], Store: true})
-	store.Start()
+	f.addEngine("store", zones[0], true)
 	for i := 0; i < 4; i++ {
-		indexNode := &IndexNode{fleet: fleet}
-		indexNode.Host = world.NewHost(fmt.Sprint("custodian", i), zones[i], indexNode.start)
-		fleet.IndexNodes = append(fleet.IndexNodes, indexNode)
-		indexNode.Start()
+		f.addIndexNode(i)
 	}
 	for i := 0; i < size.Gateways; i++ {
-		r := &Agent{fleet: fleet, gateway: fmt.Sprint("remisier", i)}
-		r.Host = world.NewHost(fmt.Sprint("runner", i), zones[i%len(zones)], r.start)
-		gateway := &Gateway{fleet: fleet, agent: r}
-		gateway.Host = world.NewHost(r.gateway, r.Zone, gateway.start)
-		gateway.onStop = gateway.stopped
-		fleet.Agents, fleet.Gateways = append(fleet.Agents, r), append(fleet.Gateways, gateway)
-		r.Start()
-		gateway.Start()
+		f.addGateway(i)
 	}
-	world.invariants = append(world.invariants, fleet.checker.checkInvariants)
-	return fleet
+	world.invariants = append(world.invariants, f.checker.checkInvariants)
+	return f
+}
+
+func (f *Fleet) startCluster() {
+	f.Cluster.generationUS = 4_000_000
+	f.Cluster.logConfig = wal.Config{SegmentCount: 16, SegmentBytes: 64 << 10}
+	for _, node := range f.Cluster.Nodes {
+		f.addServices(node)
+	}
+	f.Cluster.onNewNode = f.addServices
+	f.Cluster.Start()
+}
+
+// addEngine starts an engine or the store, and has the platform list it.
+func (f *Fleet) addEngine(name, zone string, store bool) {
+	engine := newEngine(f, name, zone, store)
+	f.Engines = append(f.Engines, engine)
+	f.listing = append(f.listing, index.ListedEngine{Name: name, Addr: name, Zone: zone, Store: store})
+	engine.Start()
+}
+
+func (f *Fleet) addIndexNode(number int) {
+	indexNode := &IndexNode{fleet: f}
+	indexNode.Host = f.World.NewHost(fmt.Sprint("custodian", number), zones[number], indexNode.start)
+	f.IndexNodes = append(f.IndexNodes, indexNode)
+	indexNode.Start()
+}
+
+// addGateway starts a gateway and its agent.
+func (f *Fleet) addGateway(number int) {
+	agent := &Agent{fleet: f, gateway: fmt.Sprint("remisier", number)}
+	agent.Host = f.World.NewHost(fmt.Sprint("runner", number), zones[number%len(zones)], agent.start)
+	gateway := &Gateway{fleet: f, agent: agent}
+	gateway.Host = f.World.NewHost(agent.gateway, agent.Zone, gateway.start)
+	gateway.onStop = gateway.stopped
+	f.Agents, f.Gateways = append(f.Agents, agent), append(f.Gateways, gateway)
+	agent.Start()
+	gateway.Start()
 }
 
-func (f *Fleet) engineNamed(n string) *Engine {
+func (f *Fleet) engineNamed(name string) *Engine {
 	for _, engine := range f.Engines {
-		if engine.Name == n {
+		if engine.Name == name {
 			return engine
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) indexNodeNamed(n string) *IndexNode {
+func (f *Fleet) indexNodeNamed(name string) *IndexNode {
 	for _, indexNode := range f.IndexNodes {
-		if indexNode.Name == n {
+		if indexNode.Name == name {
 			return indexNode
 		}
 	}
