--- a/sim/checker.go
+++ b/sim/checker.go
@@ -4,7 +4,8 @@
 	"violetthread/attempt"
 )
 
-// The bounds of the brief, with what the judge allows for its own resolution.
+// Within how long after its acknowledgement an operator's act must be in force everywhere
+// (docs/design.md), with what the checker allows for its own resolution.
 const (
 	planBoundUS         = 2_000_000
 	revocationBoundUS   = 5_000_000
@@ -15,31 +16,44 @@
 // checker is the test oracle of a fleet: it knows what operators and the platform did and
 // when, in true time, and compares what callers, engines and index nodes show from outside.
 type checker struct {
-	fleet            *Fleet
-	acknowledged     []acknowledgement
-	revokedAt        map[string]int64 // digest -> when its removal was acknowledged
-	drainingSince    map[string]int64 // engine -> when it showed as leaving
-	weights          string
+	fleet *Fleet
+
+	acknowledged  []acknowledgement // of plans
+	revokedAt     map[string]int64  // by digest of a key: when its removal was acknowledged
+	drainingSince map[string]int64  // by engine: when the platform listed it as leaving
+	isolated      map[string][]span // by group: when it was isolated
+	removed       map[string][]span // by group: when there was none of that name
+
+	weights          string // that were named last
 	weightsNamedAt   int64
+	weightsBeingSent string // that a plan on its way names
 	namings          []naming
-	weightsBeingSent string                    // weights that a plan on its way names
-	isolated         map[string][]span         // group -> when it was walled off
-	removed          map[string][]span         // group -> when there was none of that name
-	runsByAttempt    map[string]map[string]int // request -> attempt -> 1
-	completions      map[string]int
-	lastCompletion   int64
-	onRequestEnded   func(*callerRequest, attempt.Outcome)
+
+	runsByAttempt  map[string]map[string]int // by request and attempt
+	completions    map[string]int            // by request
+	lastCompletion int64
+	onRequestEnded func(*callerRequest, attempt.Outcome)
 }
 
+// acknowledgement is a plan that was acknowledged at a true time.
 type acknowledgement struct {
 	at       int64
 	revision uint64
 }
 
 func newChecker(fleet *Fleet) *checker {
-	return &checker{fleet: fleet, revokedAt: map[string]int64{}, drainingSince: map[string]int64{}, isolated: map[string][]span{}, removed: map[string][]span{}, runsByAttempt: map[string]map[string]int{}, completions: map[string]int{}}
+	return &checker{
+		fleet:         fleet,
+		revokedAt:     map[string]int64{},
+		drainingSince: map[string]int64{},
+		isolated:      map[string][]span{},
+		removed:       map[string][]span{},
+		runsByAttempt: map[string]map[string]int{},
+		completions:   map[string]int{},
+	}
 }
 
+// onceKinds are the kinds of requests that may run and complete once at most.
 var onceKinds = map[string]bool{"tag": true, "confirmation": true}
 
 // inForce is the newest revision that must be in force everywhere by now.
@@ -53,6 +67,7 @@
 	return newest
 }
 
+// requestAdmitted checks that a gateway admits by a plan that may still be in force.
 func (c *checker) requestAdmitted(request *callerRequest) {
 	if inForce := c.inForce(planBoundUS); request.planRevision < inForce {
 		c.fleet.World.Violation("old plan", "%s allowed %s/%s under revision %d, %d is in force", request.gateway.Name, request.group, request.id, request.planRevision, inForce)
@@ -60,98 +75,127 @@
 	c.checkKey(request, "was allowed")
 }
 
-func (c *checker) checkKey(request *callerRequest, what string) {
-	if at, ok := c.revokedAt[request.keyDigest]; ok && c.fleet.World.now-at > revocationBoundUS {
-		c.fleet.World.Violation("key works", "%s/%s %s %d us after its key was taken away", request.group, request.id, what, c.fleet.World.now-at)
-	} else if ok {
-		c.fleet.Tally.SlowestRevocationUS = max(c.fleet.Tally.SlowestRevocationUS, c.fleet.World.now-at)
+// checkKey checks that a request's key was not revoked too long ago.
+func (c *checker) checkKey(request *callerRequest, event string) {
+	revokedAt, ok := c.revokedAt[request.keyDigest]
+	if !ok {
+		return
 	}
+	age := c.fleet.World.now - revokedAt
+	if age > revocationBoundUS {
+		c.fleet.World.Violation("key works", "%s/%s %s %d us after its key was taken away", request.group, request.id, event, age)
+		return
+	}
+	c.fleet.Tally.SlowestRevocationUS = max(c.fleet.Tally.SlowestRevocationUS, age)
 }
 
 func (c *checker) pieceDelivered(request *callerRequest) { c.checkKey(request, "got a piece") }
 
+// runStarted checks a run that an engine took.
 func (c *checker) runStarted(engine *Engine, run *engineRun) {
-	fleet := c.fleet
-	fleet.Tally.Runs++
-	request := run.request
+	world, request, attemptID := c.fleet.World, run.request, run.action.AttemptID
+	c.fleet.Tally.Runs++
 	key := request.group + "/" + request.id
 	if c.runsByAttempt[key] == nil {
 		c.runsByAttempt[key] = map[string]int{}
 	}
-	c.runsByAttempt[key][run.action.AttemptID]++
-	if onceKinds[request.kind] && len(c.runsByAttempt[key]) > 1 || c.runsByAttempt[key][run.action.AttemptID] > 1 {
-		fleet.World.Violation("ran twice", "%s (%s): %v", key, request.kind, c.runsByAttempt[key])
+	runs := c.runsByAttempt[key]
+	runs[attemptID]++
+	if onceKinds[request.kind] && len(runs) > 1 || runs[attemptID] > 1 {
+		world.Violation("ran twice", "%s (%s): %v", key, request.kind, runs)
 	}
 	c.checkKey(request, "began")
 	if naming, old := c.oldestUnfollowed(run.action.Weights, weightUpdateBoundUS); old {
-		fleet.World.Violation("old weights served", "%s ran %s under %s, %d us after %s was named", engine.Name, key, run.action.Weights, fleet.World.now-naming.acknowledgedAt, naming.name)
-	}
-	if at, ok := c.drainingSince[engine.Name]; ok {
-		if fleet.World.now-at > drainBoundUS {
-			fleet.World.Violation("leaving", "%s got work %d us after it showed as leaving", engine.Name, fleet.World.now-at)
-		}
-		fleet.Tally.SlowestDrainUS = max(fleet.Tally.SlowestDrainUS, fleet.World.now-at)
+		world.Violation("old weights served", "%s ran %s under %s, %d us after %s was named", engine.Name, key, run.action.Weights, world.now-naming.acknowledgedAt, naming.name)
 	}
+	c.checkDraining(engine)
 	if request.ended {
-		fleet.World.Violation("ran after its end", "%s attempt %s", key, run.action.AttemptID)
+		world.Violation("ran after its end", "%s attempt %s", key, attemptID)
 	}
 }
 
+// checkDraining checks that an engine that takes a run was not listed as leaving too long ago.
+func (c *checker) checkDraining(engine *Engine) {
+	since, ok := c.drainingSince[engine.Name]
+	if !ok {
+		return
+	}
+	age := c.fleet.World.now - since
+	if age > drainBoundUS {
+		c.fleet.World.Violation("leaving", "%s got work %d us after it showed as leaving", engine.Name, age)
+	}
+	c.fleet.Tally.SlowestDrainUS = max(c.fleet.Tally.SlowestDrainUS, age)
+}
+
+// requestEnded checks what the caller was told last.
 func (c *checker) requestEnded(request *callerRequest, outcome attempt.Outcome, reason string) {
-	fleet := c.fleet
-	key := request.group + "/" + request.id
 	if c.onRequestEnded != nil {
 		c.onRequestEnded(request, outcome)
 	}
+	key := request.group + "/" + request.id
 	switch outcome {
 	case attempt.Done:
-		fleet.Tally.Done++
-		c.lastCompletion = fleet.World.now
-		if request.pieces != piecesPerRun {
-			fleet.World.Violation("looks whole", "%s was done with %d pieces", key, request.pieces)
-		}
-		if c.completions[key]++; onceKinds[request.kind] && c.completions[key] > 1 {
-			fleet.World.Violation("done twice", "%s", key)
-		}
+		c.requestDone(request, key)
 	case attempt.Rejected:
-		fleet.Tally.Rejected++
-		if request.pieces > 0 {
-			fleet.World.Violation("refused late", "%s was refused after a piece", key)
-		}
-		for _, id := range request.attempts {
-			if c.runsByAttempt[key][id] > 0 {
-				fleet.World.Violation("refused and ran", "%s (%s): attempt %s ran", key, reason, id)
-			}
-		}
+		c.requestRejected(request, key, reason)
 	default:
-		fleet.Tally.Unknown++
+		c.fleet.Tally.Unknown++
+	}
+	world, gateway := c.fleet.World, request.gateway
+	if world.now > request.deadline+500_000 && gateway.up && !gateway.frozen && world.now > gateway.thawedAt+100_000 {
+		world.Violation("late word", "%s was told %s %d us after its due", key, outcome, world.now-request.deadline)
+	}
+}
+
+func (c *checker) requestDone(request *callerRequest, key string) {
+	c.fleet.Tally.Done++
+	c.lastCompletion = c.fleet.World.now
+	if request.pieces != piecesPerRun {
+		c.fleet.World.Violation("looks whole", "%s was done with %d pieces", key, request.pieces)
 	}
-	if fleet.World.now > request.deadline+500_000 && request.gateway.up && !request.gateway.frozen && fleet.World.now > request.gateway.thawedAt+100_000 {
-		fleet.World.Violation("late word", "%s was told %s %d us after its due", key, outcome, fleet.World.now-request.deadline)
+	if c.completions[key]++; onceKinds[request.kind] && c.completions[key] > 1 {
+		c.fleet.World.Violation("done twice", "%s", key)
 	}
 }
 
-// checkInvariants checks what must be true at every instant.
+// requestRejected checks that a rejected request had no effect.
+func (c *checker) requestRejected(request *callerRequest, key, reason string) {
+	c.fleet.Tally.Rejected++
+	if request.pieces > 0 {
+		c.fleet.World.Violation("refused late", "%s was refused after a piece", key)
+	}
+	for _, id := range request.attempts {
+		if c.runsByAttempt[key][id] > 0 {
+			c.fleet.World.Violation("refused and ran", "%s (%s): attempt %s ran", key, reason, id)
+		}
+	}
+}
+
+// checkInvariants checks, at some of the events, what must be true at every instant.
 func (c *checker) checkInvariants() {
-	fleet := c.fleet
-	if fleet.World.Events%32 != 0 {
+	if c.fleet.World.Events%32 != 0 {
 		return
 	}
-	owner := map[string]string{}
-	for _, c := range fleet.IndexNodes {
-		if !c.up {
+	c.checkOneHolder()
+	if c.fleet.World.Events%256 == 0 {
+		for _, engine := range c.fleet.Engines {
+			c.checkEngineWeights(engine)
+		}
+	}
+}
+
+// checkOneHolder checks that no two index nodes hold the lease of a role.
+func (c *checker) checkOneHolder() {
+	holders := map[string]string{}
+	for _, indexNode := range c.fleet.IndexNodes {
+		if !indexNode.up {
 			continue
 		}
-		for _, role := range c.node.HeldRoles(c.Clock()) {
-			if other := owner[role]; other != "" {
-				fleet.World.Violation("two owners", "%s: %s and %s", role, other, c.Name)
+		for _, role := range indexNode.node.HeldRoles(indexNode.Clock()) {
+			if other := holders[role]; other != "" {
+				c.fleet.World.Violation("two owners", "%s: %s and %s", role, other, indexNode.Name)
 			}
-			owner[role] = c.Name
-		}
-	}
-	if fleet.World.Events%256 == 0 {
-		for _, engine := range fleet.Engines {
-			c.checkEngineWeights(engine)
+			holders[role] = indexNode.Name
 		}
 	}
 }
--- a/sim/cluster.go
+++ b/sim/cluster.go
@@ -10,45 +10,53 @@
 // Cluster is the control nodes of a world. Its function fields are for directed days: they
 // let a day lose messages, end processes at chosen moments, or watch.
 type Cluster struct {
-	world        *World
-	voterSet     quorum.VoterSet
-	Nodes        []*ControlNode
-	logConfig    wal.Config
-	generationUS int64                     // how long an generation of claims is the newest
-	leaseUS      int64                     // of a slot owner's lease, 0 for the default
-	onNewNode    func(*ControlNode)        // what a fleet adds to a machine
-	onBoot       func(*ControlNode)        // what else runs on a machine, at each start
-	dropsMessage func(quorum.Message) bool // messages that get lost, for directed days
-	// answering is asked before a node tells of an operation's end, and whether its
-	// process dies of it; synced likewise, when records are on its disk and before its
-	// voter hears of that. Both are for directed days.
-	beforeResult func(*ControlNode, quorum.Result) bool
-	beforeSynced func(*ControlNode) bool
-	losesStep    func(OrderStep) bool // steps of orders that get lost, for directed days
-	// checkpointing is asked before each record of a checkpoint, how many of it are
-	// written, and whether the process ends there; the parts are single records then.
-	beforeCheckpointRecord func(r *ControlNode, written, of int) bool
-	// echo is told of every message between voters, for directed days that repeat them.
-	onMessage      func(to *ControlNode, m quorum.Message)
+	Nodes     []*ControlNode
+	world     *World
+	voterSet  quorum.VoterSet // as founded
+	logConfig wal.Config
+
+	generationUS int64 // how long a generation of claims is the newest
+	leaseUS      int64 // of a slot's leader, 0 for the default
+	selfHealing  bool  // control nodes admit each other, without an operator
+
 	replacing      bool   // an operator is changing the voter set
-	Replacements   int    // how often that was done
-	powerLossArmed bool   // power goes at the next acknowledgement
-	selfHealing    bool   // control nodes let each other in, without an operator
+	powerLossArmed bool   // all lose their power at the next acknowledgement
 	incarnations   uint64 // drawn so far, beside the first ones
-	Joins          int    // how often a machine was let in
-	SlowestJoinUS  int64  // from its start until all slots were firm with it
+
+	Replacements  int   // how often an operator changed the voter set
+	Joins         int   // how often a machine was admitted
+	SlowestJoinUS int64 // from its start until all slots were recovered with it
+
+	// onNewNode is called for a new machine before its first start, onBoot at each start.
+	onNewNode func(*ControlNode)
+	onBoot    func(*ControlNode)
+	// onMessage sees every message between voters when it is sent.
+	onMessage func(receiver *ControlNode, message quorum.Message)
+	// dropsMessage and losesStep tell whether a message, or a step of an order, gets lost.
+	dropsMessage func(quorum.Message) bool
+	losesStep    func(OrderStep) bool
+	// beforeResult is called before a node tells an operation's result, beforeSynced when
+	// records are on its disk and its voter does not know yet. They return true if they
+	// ended the process.
+	beforeResult func(*ControlNode, quorum.Result) bool
+	beforeSynced func(*ControlNode) bool
+	// beforeCheckpointRecord is called before each record of a checkpoint with how many of
+	// it are written, and returns true if it ended the process. Checkpoints are written
+	// record by record then.
+	beforeCheckpointRecord func(node *ControlNode, written, of int) bool
 }
 
 // smallLog is so small that days of control nodes write checkpoints.
 var smallLog = wal.Config{SegmentCount: 10, SegmentBytes: 18 << 10}
 
+// zones are those of all simulated worlds.
 var zones = []string{"north", "east", "south", "west"}
 
 // NewCluster adds so many control nodes, which are the voters.
-func NewCluster(world *World, n int) *Cluster {
+func NewCluster(world *World, size int) *Cluster {
 	cluster := &Cluster{world: world, generationUS: 800_000, logConfig: smallLog}
 	cluster.voterSet.Revision = quorum.FirstRevision(7)
-	for i := 0; i < n; i++ {
+	for i := 0; i < size; i++ {
 		node := cluster.newNode()
 		cluster.voterSet.Voters = append(cluster.voterSet.Voters, quorum.Voter{Name: node.Name, Addr: node.Name, Incarnation: node.incarnation, Number: uint16(i + 1)})
 		node.voterSet = cluster.voterSet
@@ -60,7 +68,7 @@
 	return cluster
 }
 
-// Start boots all nodes.
+// Start starts all nodes.
 func (c *Cluster) Start() {
 	for _, node := range c.Nodes {
 		node.Start()
