--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -44,8 +44,8 @@
 			t.Fatalf("%+v", query)
 		}
 	}
-	a.HandleReply(queries["i1"], now, nil)
-	a.HandleReply(queries["i2"], now, &fb.CapacityResponseT{})
+	a.HandleResponse(queries["i1"], now, nil)
+	a.HandleResponse(queries["i2"], now, &fb.CapacityResponseT{})
 	askedAt := now
 	now += 100_000
 	queries = queriesByNode(t, a, now, nodes)
@@ -58,7 +58,7 @@
 	if _, busy := queries["i3"]; busy {
 		t.Fatal("i3 was queried twice at a time")
 	}
-	a.HandleReply(queries["i1"], now, &fb.CapacityResponseT{Grants: []*fb.GrantT{{Engine: "e", Age: 7}}})
+	a.HandleResponse(queries["i1"], now, &fb.CapacityResponseT{Grants: []*fb.GrantT{{Engine: "e", Age: 7}}})
 	if reply := a.Poll(now+50, &plan.Cached{}, 0, &fb.FeedRequestT{}); len(reply.Grants) != 1 || reply.Grants[0].Age != 57 {
 		t.Fatalf("%+v", reply.Grants)
 	}
@@ -73,7 +73,7 @@
 	nodes := indexNodes("i1", "i2")
 	a.Poll(0, &plan.Cached{}, 0, &fb.FeedRequestT{})
 	for _, query := range a.Queries(0, nodes) {
-		a.HandleReply(query, 0, nil)
+		a.HandleResponse(query, 0, nil)
 	}
 	for _, query := range a.Queries(100, nodes) {
 		if query.Via != query.IndexNode {
--- a/agent/query.go
+++ b/agent/query.go
@@ -96,7 +96,7 @@
 
 // HandleReply takes in the reply to a query that was put at a time; nil if there was none.
 // What the query reported may be lost then: cache locations and transfer scores stand that.
-func (a *Agent) HandleReply(query Query, askedAt int64, reply *fb.CapacityResponseT) {
+func (a *Agent) HandleResponse(query Query, askedAt int64, reply *fb.CapacityResponseT) {
 	source := a.sources[query.IndexNode]
 	if source == nil {
 		return
--- a/internal/app/agent/server.go
+++ b/internal/app/agent/server.go
@@ -151,5 +151,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.agent.HandleReply(query, askedAt, reply)
+	s.agent.HandleResponse(query, askedAt, reply)
 }
--- a/sim/agent.go
+++ b/sim/agent.go
@@ -36,8 +36,8 @@
 				grant.TransferScores = nil
 			}
 		}
-		a.agent.HandleReply(query, askedAt, response)
-	}, func() { a.agent.HandleReply(query, askedAt, nil) })
+		a.agent.HandleResponse(query, askedAt, response)
+	}, func() { a.agent.HandleResponse(query, askedAt, nil) })
 }
 
 // answerGateway answers the gateway's poll.
