--- a/internal/app/session/session.go
+++ b/internal/app/session/session.go
@@ -1,52 +1,51 @@
-// Package session keeps a node a member: it beats at a registrar, takes the
-// plan and the members back with their age, and carries operations on keys.
 package session
 
 import (
+	"cmp"
 	"context"
 	"slices"
 	"sync"
 	"sync/atomic"
 
-	"github.com/gravitational/trace"
-
 	"violetthread/internal/clock"
 	"violetthread/internal/rendezvous"
 	"violetthread/internal/taskgroup"
 	"violetthread/internal/transport"
 	"violetthread/plan"
-	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
 
+// Microseconds.
 const (
 	heartbeatInterval = 150_000
-	heartbeatTimeout  = 600_000
+	heartbeatTimeout  = 600_000 // for one control node's answer
 )
 
-// View is what a session knows: the plan in force, and the members. It never
-// changes once published.
+// View is what a session knows: the plan in force, and the live nodes. It never changes
+// once published.
 type View struct {
 	plan.Cached
 	Nodes      []*fb.NodeT
-	Generation uint64 // newest era of claims
+	Generation uint64 // newest generation of claims known to be open
 }
 
-// Session is a node's tie to the control nodes.
+// Session is a node's session with the control nodes.
 type Session struct {
-	group        *taskgroup.Group
-	book         *transport.PeerPool
-	self         func() *fb.NodeT
-	seeds        []string
+	group *taskgroup.Group
+	peers *transport.PeerPool
+	self  func() *fb.NodeT
+	seeds []string
+	view  atomic.Pointer[View]
+
 	mu           sync.Mutex
-	controlNodes []string
-	current      string
-	view         atomic.Pointer[View]
+	controlNodes []string // addresses of the voters, as last told by one of them
+	current      string   // address of the one that keeps the session; "" if none
 }
 
-// New makes a session; Run starts it. Self tells of this node at each beat.
-func New(c *taskgroup.Group, book *transport.PeerPool, seeds []string, self func() *fb.NodeT) *Session {
-	s := &Session{group: c, book: book, seeds: seeds, self: self}
+// New makes a session; Run starts it. Self is this node's own state, asked at each
+// heartbeat.
+func New(group *taskgroup.Group, peers *transport.PeerPool, seeds []string, self func() *fb.NodeT) *Session {
+	s := &Session{group: group, peers: peers, seeds: seeds, self: self}
 	s.view.Store(&View{})
 	return s
 }
@@ -61,108 +60,89 @@
 	})
 }
 
-// order lists the registrars to try: the current one first, then the others by
+// candidates lists the control nodes to try: the current one first, then the others by
 // this node's own preference, so that nodes spread.
 func (s *Session) candidates() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := slices.Clone(s.controlNodes)
-	for _, x := range s.seeds {
-		if !slices.Contains(l, x) {
-			l = append(l, x)
+	addrs := slices.Clone(s.controlNodes)
+	for _, seed := range s.seeds {
+		if !slices.Contains(addrs, seed) {
+			addrs = append(addrs, seed)
 		}
 	}
-	me := s.self().Name
-	w := func(a string) uint64 { return rendezvous.Score(me, a) }
-	slices.SortFunc(l, func(a, b string) int {
+	name := s.self().Name
+	slices.SortFunc(addrs, func(a, b string) int {
 		switch {
 		case a == b:
 			return 0
-		case a == s.current || b != s.current && w(a) > w(b):
+		case a == s.current:
 			return -1
+		case b == s.current:
+			return 1
 		}
-		return 1
+		return cmp.Compare(rendezvous.Score(name, b), rendezvous.Score(name, a))
 	})
-	return l
+	return addrs
 }
 
+// heartbeat sends a heartbeat to the first control node that answers.
 func (s *Session) heartbeat(ctx context.Context) {
-	for _, a := range s.candidates() {
-		v := s.view.Load()
-		at := clock.Now()
-		r, err := s.book.Get(a).Call(ctx, &fb.FrameT{HeartbeatRequest: &fb.HeartbeatRequestT{Node: s.self(), HaveRevision: v.Revision}}, heartbeatTimeout)
+	for _, addr := range s.candidates() {
+		before := s.view.Load()
+		sentAt := clock.Now()
+		request := &fb.HeartbeatRequestT{Node: s.self(), HaveRevision: before.Revision}
+		frame, err := s.peers.Get(addr).Call(ctx, &fb.FrameT{HeartbeatRequest: request}, heartbeatTimeout)
 		if ctx.Err() != nil {
 			return
 		}
-		if err != nil || r.HeartbeatResponse == nil {
-			s.mu.Lock()
-			if s.current == a {
-				s.group.Log().Info("session_lost", "registrar", a)
-				s.current = ""
-			}
-			s.mu.Unlock()
+		if err != nil || frame.HeartbeatResponse == nil {
+			s.noteUnanswered(addr)
 			continue
 		}
-		s.mu.Lock()
-		if s.current != a {
-			s.group.Log().Info("session", "registrar", a)
-		}
-		s.current = a
-		if len(r.HeartbeatResponse.ControlNodes) > 0 {
-			s.controlNodes = r.HeartbeatResponse.ControlNodes
-		}
-		s.mu.Unlock()
-		s.publish(v, r.HeartbeatResponse, at)
+		s.noteAnswered(addr, frame.HeartbeatResponse.ControlNodes)
+		s.publish(before, frame.HeartbeatResponse, sentAt)
 		return
 	}
 }
 
-// take publishes a new view. The age counts from before the question was sent,
-// so whatever the answer went through is in it (design §3).
-func (s *Session) publish(v *View, t *fb.HeartbeatResponseT, at int64) {
-	n := *v
-	n.Nodes, n.Generation = t.Nodes, max(n.Generation, t.Generation)
-	h, changed, err := v.Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
-	if err != nil {
-		s.group.Log().Info("plan_unreadable", "rev", t.Revision, "cause", err.Error())
+// noteUnanswered ends the session with a control node that does not answer.
+func (s *Session) noteUnanswered(addr string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.current == addr {
+		s.group.Log().Info("session_lost", "control_node", addr)
+		s.current = ""
 	}
-	n.Cached = h
-	s.view.Store(&n)
-	if changed {
-		s.group.Log().Info("plan", "rev", n.Revision, "age_us", n.Age(clock.Now()))
+}
+
+// noteAnswered keeps who answered, and the voters that it knows.
+func (s *Session) noteAnswered(addr string, controlNodes []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.current != addr {
+		s.group.Log().Info("session_opened", "control_node", addr)
+	}
+	s.current = addr
+	if len(controlNodes) > 0 {
+		s.controlNodes = controlNodes
 	}
 }
 
-// Op asks for an operation on a key and waits up to us for its end. An error
-// means that the outcome is not known.
-func (s *Session) Propose(ctx context.Context, op *fb.OperationRequestT, us int64) (*fb.OperationResponseT, error) {
-	end := clock.Now() + us
-	var last error = trace.ConnectionProblem(nil, "no registrar is reachable; check the seeds and the core machines")
-	for i := 0; clock.Now() < end && ctx.Err() == nil; i++ {
-		as := s.candidates()
-		if len(as) == 0 {
-			break
-		}
-		cp := *op
-		r, err := s.book.Get(as[i%len(as)]).Call(ctx, &fb.FrameT{OperationRequest: &cp}, max(1000, min(end-clock.Now(), us/2+1000)))
-		switch {
-		case err != nil:
-			last = err
-			if op.Type == byte(quorum.OpPut) {
-				return nil, err // the one kind that must not be repeated blindly
-			}
-		case r.OperationResponse == nil:
-			last = trace.BadParameter("a registrar answered out of turn")
-		case quorum.Status(r.OperationResponse.Status) == quorum.StatusUnknown && op.Type != byte(quorum.OpPut):
-			last = trace.ConnectionProblem(nil, "the key changed owners meanwhile; ask again")
-		case quorum.Status(r.OperationResponse.Status) == quorum.StatusNotLeader:
-			last = trace.ConnectionProblem(nil, "the key has no owner just now; try again in a second")
-		default:
-			return r.OperationResponse, nil
-		}
-		if !taskgroup.Sleep(ctx, 20_000) {
-			break
-		}
+// publish publishes a new view. The age counts from before the heartbeat was sent, so that
+// whatever the answer went through is in it (design §3).
+func (s *Session) publish(before *View, response *fb.HeartbeatResponseT, sentAt int64) {
+	next := *before
+	next.Nodes = response.Nodes
+	next.Generation = max(next.Generation, response.Generation)
+	update := plan.Update{Revision: response.Revision, Age: response.Age, Raw: response.Plan, Confirmed: response.Confirmed}
+	cached, changed, err := before.Apply(update, sentAt)
+	if err != nil {
+		s.group.Log().Info("plan_unreadable", "revision", response.Revision, "cause", err.Error())
+	}
+	next.Cached = cached
+	s.view.Store(&next)
+	if changed {
+		s.group.Log().Info("plan_updated", "revision", next.Revision, "age_us", next.Age(clock.Now()))
 	}
-	return nil, last
 }
