--- a/sim/cluster_faults.go
+++ b/sim/cluster_faults.go
@@ -183,13 +183,13 @@
 // it hears is old, and later nothing goes out any more.
 func (c *Cluster) slowLinks(node *ControlNode) {
 	world := c.world
-	world.linkDelayUS = map[[2]string]int64{}
+	world.linkDelayUS = map[link]int64{}
 	for _, other := range c.Nodes {
 		if node != other && world.Rng.Intn(2) == 0 {
-			world.linkDelayUS[[2]string{node.Name, other.Name}] = world.Rng.Int63n(1_200_000)
+			world.linkDelayUS[link{node.Name, other.Name}] = world.Rng.Int63n(1_200_000)
 		}
 		if node != other && world.Rng.Intn(2) == 0 {
-			world.linkDelayUS[[2]string{other.Name, node.Name}] = world.Rng.Int63n(1_200_000)
+			world.linkDelayUS[link{other.Name, node.Name}] = world.Rng.Int63n(1_200_000)
 		}
 	}
 	if world.Rng.Intn(2) == 0 {
@@ -200,8 +200,8 @@
 func (c *Cluster) hearLateThenFallSilent(node *ControlNode) {
 	world := c.world
 	for _, other := range c.Nodes {
-		world.linkDelayUS[[2]string{node.Name, other.Name}] = 0
-		world.linkDelayUS[[2]string{other.Name, node.Name}] = 900_000
+		world.linkDelayUS[link{node.Name, other.Name}] = 0
+		world.linkDelayUS[link{other.Name, node.Name}] = 900_000
 	}
 	world.At(world.now+1_300_000, func() {
 		for _, other := range c.Nodes {
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -7,25 +7,30 @@
 	"violetthread/wal"
 )
 
-// Disk is a simulated folder. What no sync covered may be lost with the power,
-// whole or in part.
+// Disk is a simulated directory of write-ahead log files. What no sync covered may be lost
+// with the power, whole or in part. It implements wal.FS.
 type Disk struct {
+	FailAll     bool  // writes and syncs fail
+	SyncDelayUS int64 // how much longer a control node's syncs take
+
 	world *World
 	files map[string]*diskFile
-	// Fail makes writes and syncs fail, Stall makes syncs take long.
-	FailAll, Full bool
-	SyncDelayUS   int64
 }
 
+var _ wal.FS = (*Disk)(nil)
+
 type diskFile struct {
 	disk    *Disk
 	name    string
-	durable []byte
-	cache   []byte
-	dirty   [][2]int64
+	durable []byte      // survives a loss of power
+	cache   []byte      // what is read back
+	dirty   []dirtySpan // written since the last sync
 }
 
-// diskWrite is what an observer is told of a write.
+// dirtySpan is the bytes from begin to before end.
+type dirtySpan struct{ begin, end int64 }
+
+// diskWrite is what an observer sees of a write.
 type diskWrite struct {
 	offset int64
 	data   []byte
@@ -38,7 +43,7 @@
 // NewDisk makes an empty disk.
 func NewDisk(world *World) *Disk { return &Disk{world: world, files: map[string]*diskFile{}} }
 
-// Size implements wal.FS.
+// Size is the bytes of a file, 0 if it is missing.
 func (d *Disk) Size(name string) (int64, error) {
 	if file := d.files[name]; file != nil {
 		return int64(len(file.durable)), nil
@@ -46,7 +51,7 @@
 	return 0, nil
 }
 
-// Open implements wal.FS.
+// Open opens a file, made with so many zeros if it is missing.
 func (d *Disk) Open(name string, size int64) (wal.File, error) {
 	file := d.files[name]
 	if file == nil {
@@ -60,22 +65,28 @@
 func (d *Disk) PowerLoss() {
 	for _, file := range d.sorted() {
 		for _, span := range file.dirty {
-			for offset := span[0]; offset < span[1]; {
-				end := min(span[1], (offset/sectorBytes+1)*sectorBytes)
-				if d.world.Rng.Intn(2) == 0 {
-					copy(file.durable[offset:end], file.cache[offset:end])
-				}
-				offset = end
-			}
+			file.keepSectors(span)
 		}
 		file.dirty = nil
 		copy(file.cache, file.durable)
 	}
 }
 
+func (f *diskFile) keepSectors(span dirtySpan) {
+	for offset := span.begin; offset < span.end; {
+		end := min(span.end, (offset/sectorBytes+1)*sectorBytes)
+		if f.disk.world.Rng.Intn(2) == 0 {
+			copy(f.durable[offset:end], f.cache[offset:end])
+		}
+		offset = end
+	}
+}
+
 // Wipe loses the disk.
 func (d *Disk) Wipe() { d.files = map[string]*diskFile{} }
 
+// sorted are the files in the order of their segments: the order of a map would change the
+// draws.
 func (d *Disk) sorted() []*diskFile {
 	var out []*diskFile
 	for i := 0; ; i++ {
@@ -99,7 +110,7 @@
 	}
 	f.disk.world.observe("write", f.name, "", diskWrite{offset, data})
 	copy(f.cache[offset:], data)
-	f.dirty = append(f.dirty, [2]int64{offset, offset + int64(len(data))})
+	f.dirty = append(f.dirty, dirtySpan{offset, offset + int64(len(data))})
 	return len(data), nil
 }
 
@@ -110,7 +121,7 @@
 	}
 	f.disk.world.observe("sync", f.name, "", len(f.dirty))
 	for _, span := range f.dirty {
-		copy(f.durable[span[0]:span[1]], f.cache[span[0]:span[1]])
+		copy(f.durable[span.begin:span.end], f.cache[span.begin:span.end])
 	}
 	f.dirty = nil
 	return nil
--- a/sim/host.go
+++ b/sim/host.go
@@ -2,20 +2,21 @@
 
 // Host is a machine, or one process on it.
 type Host struct {
+	Name string
+	Zone string
+
 	world       *World
-	Name        string
-	Zone        string
-	process     int
+	boot        func() // starts its program
+	onStop      func() // called when its process ends, nil for nothing
+	process     int    // number of its process, which rises at each start and end
 	up          bool
 	frozen      bool
-	deferred    []func()
-	clockOffset int64
-	thawedAt    int64 // true time of the last thaw
-	boot        func()
-	onStop      func()
+	deferred    []func() // tasks that came while it was frozen
+	clockOffset int64    // microseconds that its clock is ahead of true time
+	thawedAt    int64    // true time of the last thaw
 }
 
-// NewHost adds a host; boot is run whenever it starts.
+// NewHost adds a host; boot is called whenever it starts.
 func (w *World) NewHost(name, zone string, boot func()) *Host {
 	host := &Host{world: w, Name: name, Zone: zone, boot: boot}
 	w.hosts = append(w.hosts, host)
@@ -31,13 +32,13 @@
 	return nil
 }
 
-// Clock is the host's time since boot: no two hosts agree on it.
+// Clock is the host's time since boot in microseconds: no two hosts agree on it.
 func (h *Host) Clock() int64 { return h.world.now + h.clockOffset }
 
 // Up reports whether the host runs (it may be frozen).
 func (h *Host) Up() bool { return h.up }
 
-// Start boots the host.
+// Start starts the host, unless it is up.
 func (h *Host) Start() {
 	if h.up {
 		return
@@ -62,8 +63,8 @@
 	}
 }
 
-// Freeze stops the host without it noticing; Thaw lets it go on, with all that
-// arrived meanwhile, in order.
+// Freeze stops the host without it noticing. Thaw lets it go on, with all that arrived
+// meanwhile, in any order.
 func (h *Host) Freeze() {
 	if h.up && !h.frozen {
 		h.world.Notef("%s freezes", h.Name)
@@ -97,13 +98,14 @@
 	}
 }
 
-// After runs fn on the host in d microseconds, unless it died meanwhile.
+// After runs a task on the host in so many microseconds, unless its process ends before.
 func (h *Host) After(delayUS int64, task func()) {
 	process := h.process
 	h.world.At(h.world.now+delayUS, func() { h.runIn(process, task) })
 }
 
-// Every runs fn now and then each period with a little jitter.
+// Every runs a task at once and then each period of so many microseconds, with a little
+// jitter, until the process ends.
 func (h *Host) Every(period int64, task func()) {
 	task()
 	h.After(period+h.world.Rng.Int63n(period/8+1), func() { h.Every(period, task) })
--- a/sim/messages_day.go
+++ b/sim/messages_day.go
@@ -93,7 +93,7 @@
 	}
 	for _, one := range d.core.Nodes {
 		for _, other := range d.core.Nodes {
-			world.linkDelayUS[[2]string{one.Name, other.Name}] = world.Rng.Int63n(messageJitter)
+			world.linkDelayUS[link{one.Name, other.Name}] = world.Rng.Int63n(messageJitter)
 		}
 	}
 	world.At(world.now+jitterEvery, d.jitter)
--- a/sim/network.go
+++ b/sim/network.go
@@ -1,14 +1,22 @@
 package sim
 
-// Cut cuts the way from a to b; Heal mends it.
-func (w *World) Cut(a, b string) { w.cutLinks[[2]string{a, b}] = true }
+// link is the way from one host to another, by name. The way back is another link.
+type link struct{ from, to string }
 
-// CutBoth cuts both ways.
-func (w *World) CutBoth(a, b string) { w.Cut(a, b); w.Cut(b, a) }
+// Cut cuts the link from one host to another, until HealAll.
+func (w *World) Cut(from, to string) { w.cutLinks[link{from, to}] = true }
 
-// HealAll mends all cuts and slow ways.
+// CutBoth cuts both links between two hosts.
+func (w *World) CutBoth(a, b string) {
+	w.Cut(a, b)
+	w.Cut(b, a)
+}
+
+// HealAll mends all cut and slow links.
 func (w *World) HealAll() {
-	w.cutLinks, w.resetLinks, w.linkDelayUS = map[[2]string]bool{}, map[[2]string]bool{}, map[[2]string]int64{}
+	w.cutLinks = map[link]bool{}
+	w.resetLinks = map[link]bool{}
+	w.linkDelayUS = map[link]int64{}
 }
 
 // Isolate cuts a host off from all others.
@@ -21,22 +29,23 @@
 	w.Notef("%s isolated", name)
 }
 
-// isCut reports whether either way between two hosts is cut.
+// isCut reports whether either link between two hosts is cut.
 func (w *World) isCut(a, b *Host) bool {
-	return w.cutLinks[[2]string{a.Name, b.Name}] || w.cutLinks[[2]string{b.Name, a.Name}]
+	return w.cutLinks[link{a.Name, b.Name}] || w.cutLinks[link{b.Name, a.Name}]
 }
 
-// hasCutLink reports whether any way to or from a host is cut.
+// hasCutLink reports whether any link to or from a host is cut.
 func (w *World) hasCutLink(host *Host) bool {
-	for link := range w.cutLinks {
-		if link[0] == host.Name || link[1] == host.Name {
+	for cut := range w.cutLinks {
+		if cut.from == host.Name || cut.to == host.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// Send carries fn to another host: late, lost or repeated as the network will.
+// Send runs a task on another host, in the process that runs there now: late, not at all or
+// twice, as the network will.
 func (h *Host) Send(receiver *Host, task func()) {
 	world := h.world
 	if h == receiver {
@@ -48,10 +57,10 @@
 		copies = 2
 	}
 	for i := 0; i < copies; i++ {
-		if world.cutLinks[[2]string{h.Name, receiver.Name}] || world.LossPermille > 0 && world.Rng.Intn(1000) < world.LossPermille {
+		if world.cutLinks[link{h.Name, receiver.Name}] || world.LossPermille > 0 && world.Rng.Intn(1000) < world.LossPermille {
 			continue
 		}
-		delayUS := 150 + world.Rng.Int63n(900) + world.linkDelayUS[[2]string{h.Name, receiver.Name}]
+		delayUS := 150 + world.Rng.Int63n(900) + world.linkDelayUS[link{h.Name, receiver.Name}]
 		if world.Rng.Intn(200) == 0 {
 			delayUS += world.Rng.Int63n(30_000)
 		}
@@ -63,8 +72,10 @@
 // resetDelay is how long a caller takes to learn that its connection was reset.
 const resetDelay = 1_000
 
-// Call asks another host; exactly one of answer and fail runs, unless the
-// asker dies. A call that is answered too late fails.
+// Call sends a request to another host, which serves it there, at once or later, by calling
+// reply. Exactly one of answer and fail runs at the caller, unless its process ends before:
+// answer if a reply arrives within timeoutUS microseconds, fail at their end or when the
+// connection is reset.
 func Call[Q, A any](host, receiver *Host, request Q, timeoutUS int64, serve func(request Q, reply func(A)), answer func(A), fail func()) {
 	ended, process := false, host.process
 	giveUp := func() {
@@ -78,7 +89,7 @@
 		serve(request, func(result A) {
 			host.world.observe("answer", receiver.Name, host.Name, result)
 			receiver.Send(host, func() {
-				if !ended && host.process == process { // an answer to a former life reaches nobody
+				if !ended && host.process == process { // an answer to an earlier process reaches nobody
 					ended = true
 					answer(result)
 				}
@@ -96,5 +107,5 @@
 
 // resetsConnections tells whether connections between two hosts are reset.
 func (w *World) resetsConnections(a, b *Host) bool {
-	return w.resetLinks[[2]string{a.Name, b.Name}] || w.resetLinks[[2]string{b.Name, a.Name}]
+	return w.resetLinks[link{a.Name, b.Name}] || w.resetLinks[link{b.Name, a.Name}]
 }
--- a/sim/network_partition.go
+++ b/sim/network_partition.go
@@ -55,6 +55,6 @@
 		w.Cut(in, out)
 	}
 	if partition == PartitionReset {
-		w.resetLinks[[2]string{in, out}] = true
+		w.resetLinks[link{in, out}] = true
 	}
 }
