--- a/cacheindex/example_test.go
+++ b/cacheindex/example_test.go
@@ -7,23 +7,23 @@
 	"violetthread/cacheindex"
 )
 
-// A proxy looks the longest known part of a prompt up before it chooses.
+// A proxy looks up the longest prefix of a prompt that is known to be cached before it
+// chooses an engine.
 func ExampleTable() {
-	t := cacheindex.NewTable(1024)
-	east := cacheindex.NodeID("engine-7", 1)
-	book := strings.Repeat("the shared beginning of every prompt ", 100)
-	for _, k := range cacheindex.PrefixKeys("commons", "w1", book) {
-		t.Put(k, east)
+	table := cacheindex.NewTable(1024)
+	engine := cacheindex.NodeID("engine-7", 1)
+	shared := strings.Repeat("the shared beginning of every prompt ", 100)
+	for _, key := range cacheindex.PrefixKeys("commons", "w1", shared) {
+		table.Put(key, engine)
 	}
-	prompt := book[:2*cacheindex.BlockBytes] + strings.Repeat("and an end of its own ", 100)
-	h, ok := t.LongestPrefix(cacheindex.PrefixKeys("commons", "w1", prompt), func(n uint64) bool { return n == east })
-	fmt.Println(ok, h.Block+1, "parts")
-	_, ok = t.LongestPrefix(cacheindex.PrefixKeys("wall:bank", "w1", prompt), func(uint64) bool { return true })
-	fmt.Println("behind a wall:", ok)
-	_, ok = t.LongestPrefix(cacheindex.PrefixKeys("commons", "w2", prompt), func(uint64) bool { return true })
-	fmt.Println("under other weights:", ok)
+	prompt := shared[:2*cacheindex.BlockBytes] + strings.Repeat("and an end of its own ", 100)
+	for _, hint := range table.Hints(cacheindex.PrefixKeys("commons", "w1", prompt), 4) {
+		fmt.Println(hint.Node == engine, hint.Block+1, "blocks")
+	}
+	fmt.Println("of an isolated group:", table.Hints(cacheindex.PrefixKeys("wall:bank", "w1", prompt), 4))
+	fmt.Println("under other weights:", table.Hints(cacheindex.PrefixKeys("commons", "w2", prompt), 4))
 	// Output:
-	// true 2 parts
-	// behind a wall: false
-	// under other weights: false
+	// true 2 blocks
+	// of an isolated group: []
+	// under other weights: []
 }
--- a/cacheindex/key.go
+++ b/cacheindex/key.go
@@ -1,7 +1,3 @@
-// Package hint is the fleet's index of kept prompts: in every proxy and index
-// node a table of fixed entries that names, for a part of a prompt, the nearest
-// engine or store known to keep it (design §7; docs/paper.md says what comes
-// from the paper and what changed).
 package cacheindex
 
 import (
@@ -10,58 +6,82 @@
 	"hash/fnv"
 )
 
-// Key names a part of a prompt: a wide hash over the wall's domain, the
-// weights' version and the prefix up to the part's end. Check repeats domain
-// and weights alone, and is compared again wherever a key is used.
+// Key names a prefix of a prompt, or a block that callers name themselves: a hash over the
+// cache domain, the weights' version and the prefix. Check repeats domain and weights
+// alone; it is compared wherever a key is used, so that a collision never crosses domains.
+// Recordings contain keys under the names in the tags.
 type Key struct {
 	Hi    uint64 `json:"Hi"`
 	Lo    uint64 `json:"Lo"`
 	Check uint32 `json:"Check"`
 }
 
-// Block is how many bytes of prompt one part adds; MaxParts bounds a chain.
 const (
+	// BlockBytes is how many bytes of a prompt one block has.
 	BlockBytes = 1024
-	MaxBlocks  = 64
+	// MaxBlocks bounds how many blocks of a prompt have keys.
+	MaxBlocks = 64
 )
 
-// Salt hashes what must never be mixed: the domain and the weights' version.
-func DomainCheck(domain, weights string) uint32 {
-	s := domainHash(domain, weights)
-	return binary.LittleEndian.Uint32(s[24:])
+// keyOf takes the hash part of a key out of a digest.
+func keyOf(digest [sha256.Size]byte, check uint32) Key {
+	return Key{Hi: binary.LittleEndian.Uint64(digest[:]), Lo: binary.LittleEndian.Uint64(digest[8:]), Check: check}
 }
 
-func domainHash(domain, weights string) [32]byte {
+// checkOf takes a check out of a digest, from bytes that keyOf does not use.
+func checkOf(digest [sha256.Size]byte) uint32 { return binary.LittleEndian.Uint32(digest[24:]) }
+
+// DomainCheck is the Check of all keys under a cache domain and weights.
+func DomainCheck(domain, weights string) uint32 { return checkOf(domainHash(domain, weights)) }
+
+func domainHash(domain, weights string) [sha256.Size]byte {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(domain)))
 	b = append(b, domain...)
 	b = append(b, weights...)
 	return sha256.Sum256(b)
 }
 
-// Chain lists the keys of a prompt's whole blocks, shortest prefix first.
+// PrefixKeys lists the keys of a prompt's complete blocks, shortest prefix first.
 func PrefixKeys(domain, weights, prompt string) []Key {
-	h := domainHash(domain, weights)
-	check := binary.LittleEndian.Uint32(h[24:])
-	var ks []Key
-	buf := make([]byte, 0, 32+BlockBytes)
-	for o := 0; o+BlockBytes <= len(prompt) && len(ks) < MaxBlocks; o += BlockBytes {
-		buf = append(buf[:0], h[:]...)
-		buf = append(buf, prompt[o:o+BlockBytes]...)
-		h = sha256.Sum256(buf)
-		ks = append(ks, Key{binary.LittleEndian.Uint64(h[:]), binary.LittleEndian.Uint64(h[8:]), check})
+	digest := domainHash(domain, weights)
+	check := checkOf(digest)
+	var keys []Key
+	buffer := make([]byte, 0, sha256.Size+BlockBytes)
+	for start := 0; start+BlockBytes <= len(prompt) && len(keys) < MaxBlocks; start += BlockBytes {
+		buffer = append(buffer[:0], digest[:]...)
+		buffer = append(buffer, prompt[start:start+BlockBytes]...)
+		digest = sha256.Sum256(buffer)
+		keys = append(keys, keyOf(digest, check))
 	}
-	return ks
+	return keys
+}
+
+// BlockKey names a block that callers name themselves by an id, as an engine caches it:
+// under a salt, which stands for domain and weights, and a model.
+func BlockKey(salt, model, id string) Key {
+	b := make([]byte, 0, 64)
+	b = appendSized(b, salt)
+	b = appendSized(b, model)
+	check := checkOf(sha256.Sum256(b))
+	b = append(b, id...)
+	return keyOf(sha256.Sum256(b), check)
+}
+
+func appendSized(b []byte, s string) []byte {
+	b = binary.LittleEndian.AppendUint16(b, uint16(len(s)))
+	return append(b, s...)
 }
 
-// NodeID names an engine's or a store's one life: a restarted one has another.
-func NodeID(name string, inc uint64) uint64 {
+// NodeID names one incarnation of an engine or a store: a restarted one has another id. It
+// is never 0.
+func NodeID(name string, incarnation uint64) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(binary.LittleEndian.AppendUint64([]byte(name+"\x00"), inc))
-	if s := h.Sum64(); s != 0 {
-		return s
+	_, _ = h.Write(binary.LittleEndian.AppendUint64([]byte(name+"\x00"), incarnation))
+	if sum := h.Sum64(); sum != 0 {
+		return sum
 	}
 	return 1
 }
 
-// Shard is the shard a key belongs to.
+// Shard is the shard that a key belongs to, out of so many.
 func (k Key) Shard(shards int) int { return int(k.Hi % uint64(shards)) }
--- a/cacheindex/table.go
+++ b/cacheindex/table.go
@@ -1,17 +1,24 @@
 package cacheindex
 
-import "sync/atomic"
-
-const ways = 4
-
-// Table is an array of fixed entries managed as a 4-way associative cache. One
-// writer at a time; readers take no lock: each set has a count that is odd
-// while it is being written.
+import (
+	"slices"
+	"sync/atomic"
+)
+
+const (
+	ways        = 4          // entries in a set
+	readRetries = 16         // of a set that is being written meanwhile
+	stampMask   = 0xffffffff // of a stamp, which has the upper half of meta
+)
+
+// Table is an array of fixed entries managed as a 4-way associative cache of hints. One
+// goroutine at a time may write it, and any may read it without a lock: each set has a
+// version that is odd while the set is written (a seqlock).
 type Table struct {
-	mask uint64
-	sets []cacheSet
-	tick atomic.Uint64
-	used atomic.Int64
+	mask  uint64
+	sets  []cacheSet
+	clock atomic.Uint64 // stamps entries in the order in which they are written
+	used  atomic.Int64
 }
 
 type cacheSet struct {
@@ -19,18 +26,22 @@
 	entries [ways]cacheEntry
 }
 
-// slot is 32 bytes: the wide hash, the holder, the check and a stamp.
+// cacheEntry has 32 bytes: the hash, the node (0: the entry is free), and in meta the stamp
+// above the check.
 type cacheEntry struct {
 	hi, lo, node, meta atomic.Uint64
 }
 
+// names reports whether the entry is of a key, whatever its check.
+func (e *cacheEntry) names(key Key) bool { return e.hi.Load() == key.Hi && e.lo.Load() == key.Lo }
+
 // NewTable makes a table for at least n entries.
 func NewTable(n int) *Table {
-	s := uint64(1)
-	for s*ways < uint64(n) {
-		s <<= 1
+	sets := uint64(1)
+	for sets*ways < uint64(n) {
+		sets <<= 1
 	}
-	return &Table{mask: s - 1, sets: make([]cacheSet, s)}
+	return &Table{mask: sets - 1, sets: make([]cacheSet, sets)}
 }
 
 // Len counts the entries in use.
@@ -39,129 +50,148 @@
 // Cap counts all entries.
 func (t *Table) Cap() int { return len(t.sets) * ways }
 
-func (t *Table) set(k Key) *cacheSet { return &t.sets[k.Lo&t.mask] }
+func (t *Table) set(key Key) *cacheSet { return &t.sets[key.Lo&t.mask] }
 
-// Get returns the holder that the hint for k names.
-func (t *Table) Get(k Key) (uint64, bool) {
-	s := t.set(k)
-	for try := 0; try < 16; try++ {
-		q := s.version.Load()
-		if q&1 == 1 {
+// Get returns the node that the hint for a key names. A set that is written all the time
+// counts as a miss.
+func (t *Table) Get(key Key) (node uint64, found bool) {
+	set := t.set(key)
+	for range readRetries {
+		version := set.version.Load()
+		if version&1 == 1 {
 			continue
 		}
-		var node uint64
-		for i := range s.entries {
-			w := &s.entries[i]
-			if w.hi.Load() == k.Hi && w.lo.Load() == k.Lo && uint32(w.meta.Load()) == k.Check {
-				node = w.node.Load()
-				break
-			}
-		}
-		if s.version.Load() == q {
+		node := set.get(key)
+		if set.version.Load() == version {
 			return node, node != 0
 		}
 	}
-	return 0, false // busy counts as a plain miss
+	return 0, false
 }
 
-// Put makes node the hint for k. In a full set the oldest written entry goes.
-func (t *Table) Put(k Key, node uint64) {
-	s := t.set(k)
-	old, at := ^uint64(0), 0
+func (s *cacheSet) get(key Key) uint64 {
 	for i := range s.entries {
-		w := &s.entries[i]
-		if n := w.node.Load(); n == 0 || w.hi.Load() == k.Hi && w.lo.Load() == k.Lo {
-			at, old = i, 0
-			if n != 0 {
-				break
-			}
-		} else if st := w.meta.Load() >> 32; old != 0 && st < old {
-			at, old = i, st
+		entry := &s.entries[i]
+		if entry.names(key) && uint32(entry.meta.Load()) == key.Check {
+			return entry.node.Load()
 		}
 	}
-	if s.entries[at].node.Load() == 0 {
+	return 0
+}
+
+// Put makes a node the hint for a key. In a full set the entry goes that was written first.
+func (t *Table) Put(key Key, node uint64) {
+	set := t.set(key)
+	at := set.place(key)
+	if set.entries[at].node.Load() == 0 {
 		t.used.Add(1)
 	}
-	t.write(s, at, k, node, t.tick.Add(1)&0xffffffff)
+	set.write(at, key, node, t.clock.Add(1)&stampMask)
 }
 
-// Drop forgets the hint for k if it names node; node 0 drops any.
-func (t *Table) Remove(k Key, node uint64) bool {
-	s := t.set(k)
+// place is the entry to write a key to: its own, else the last free one, else the oldest.
+func (s *cacheSet) place(key Key) int {
+	oldest, at := ^uint64(0), 0
 	for i := range s.entries {
-		w := &s.entries[i]
-		if n := w.node.Load(); n != 0 && w.hi.Load() == k.Hi && w.lo.Load() == k.Lo && (node == 0 || n == node) {
-			t.write(s, i, Key{}, 0, 0)
-			t.used.Add(-1)
+		entry := &s.entries[i]
+		free := entry.node.Load() == 0
+		if free || entry.names(key) {
+			at, oldest = i, 0
+			if !free {
+				break
+			}
+		} else if stamp := entry.meta.Load() >> 32; oldest != 0 && stamp < oldest {
+			at, oldest = i, stamp
+		}
+	}
+	return at
+}
+
+// Remove forgets the hint for a key if it names the node, and reports whether it did; node
+// 0 stands for any.
+func (t *Table) Remove(key Key, node uint64) bool {
+	set := t.set(key)
+	for i := range set.entries {
+		entry := &set.entries[i]
+		if hinted := entry.node.Load(); hinted != 0 && entry.names(key) && (node == 0 || hinted == node) {
+			t.free(set, i)
 			return true
 		}
 	}
 	return false
 }
 
-// DropNode forgets every hint that names node.
+// RemoveNode forgets every hint that names a node, and counts them.
 func (t *Table) RemoveNode(node uint64) int {
-	n := 0
+	removed := 0
 	for j := range t.sets {
-		s := &t.sets[j]
-		for i := range s.entries {
-			if s.entries[i].node.Load() == node {
-				t.write(s, i, Key{}, 0, 0)
-				t.used.Add(-1)
-				n++
+		set := &t.sets[j]
+		for i := range set.entries {
+			if set.entries[i].node.Load() == node {
+				t.free(set, i)
+				removed++
 			}
 		}
 	}
-	return n
+	return removed
 }
 
 // Clear forgets everything.
 func (t *Table) Clear() {
 	for j := range t.sets {
-		s := &t.sets[j]
-		for i := range s.entries {
-			if s.entries[i].node.Load() != 0 {
-				t.write(s, i, Key{}, 0, 0)
+		set := &t.sets[j]
+		for i := range set.entries {
+			if set.entries[i].node.Load() != 0 {
+				set.write(i, Key{}, 0, 0)
 			}
 		}
 	}
 	t.used.Store(0)
 }
 
-func (t *Table) write(s *cacheSet, i int, k Key, node, stamp uint64) {
+func (t *Table) free(set *cacheSet, i int) {
+	set.write(i, Key{}, 0, 0)
+	t.used.Add(-1)
+}
+
+func (s *cacheSet) write(i int, key Key, node, stamp uint64) {
 	s.version.Add(1)
-	w := &s.entries[i]
-	w.hi.Store(k.Hi)
-	w.lo.Store(k.Lo)
-	w.node.Store(node)
-	w.meta.Store(stamp<<32 | uint64(k.Check))
+	entry := &s.entries[i]
+	entry.hi.Store(key.Hi)
+	entry.lo.Store(key.Lo)
+	entry.node.Store(node)
+	entry.meta.Store(stamp<<32 | uint64(key.Check))
 	s.version.Add(1)
 }
 
-// Hint is the longest hinted part of a chain.
+// Hint says that a node may have a prompt cached up to a block. Recordings contain it under
+// the names in the tags.
 type Hint struct {
-	Block int    `json:"Part"` // index into the chain
+	Block int    `json:"Part"` // index into the keys of the prompt's prefixes
 	Node  uint64 `json:"Node"`
 }
 
-// Longest looks a chain up from its longest part down and returns the first
-// hint whose holder ok accepts.
-func (t *Table) LongestPrefix(ks []Key, ok func(uint64) bool) (Hint, bool) {
-	for i := len(ks) - 1; i >= 0; i-- {
-		if n, hit := t.Get(ks[i]); hit && ok(n) {
-			return Hint{i, n}, true
+// Hints looks the keys of a prompt's prefixes up, and returns a hint of the longest prefix
+// for each node that is named, limit nodes at most, the longest first.
+func (t *Table) Hints(keys []Key, limit int) []Hint {
+	var hints []Hint
+	for i := len(keys) - 1; i >= 0 && len(hints) < limit; i-- {
+		node, found := t.Get(keys[i])
+		named := slices.ContainsFunc(hints, func(hint Hint) bool { return hint.Node == node })
+		if found && !named {
+			hints = append(hints, Hint{Block: i, Node: node})
 		}
 	}
-	return Hint{}, false
+	return hints
 }
 
-// Each calls f for every hint, for the one writer's use.
-func (t *Table) Each(f func(Key, uint64)) {
+// Each calls visit for every hint. It is for the goroutine that writes.
+func (t *Table) Each(visit func(key Key, node uint64)) {
 	for j := range t.sets {
 		for i := range t.sets[j].entries {
-			w := &t.sets[j].entries[i]
-			if n := w.node.Load(); n != 0 {
-				f(Key{w.hi.Load(), w.lo.Load(), uint32(w.meta.Load())}, n)
+			entry := &t.sets[j].entries[i]
+			if node := entry.node.Load(); node != 0 {
+				visit(Key{Hi: entry.hi.Load(), Lo: entry.lo.Load(), Check: uint32(entry.meta.Load())}, node)
 			}
 		}
 	}
--- /dev/null
+++ b/cacheindex/updatelog_test.go
@@ -0,0 +1,36 @@
+package cacheindex
+
+import "testing"
+
+// TestUpdateLog: a follower that keeps up gets every update once; one that fell behind or
+// followed another incarnation starts anew.
+func TestUpdateLog(t *testing.T) {
+	const incarnation = 3
+	snapshot := []Update{{testKey(77), 1, OpAdd}}
+	log := NewUpdateLog(incarnation, 10, func() []Update { return snapshot })
+	batch := log.Since(0, 0, 5)
+	if !batch.Reset || len(batch.Updates) != 1 {
+		t.Fatalf("a new follower got %+v", batch)
+	}
+	got := 0
+	for i := 1; i <= 50; i++ {
+		log.Append(Update{testKey(i), 1, OpAdd})
+		next := log.Since(incarnation, batch.Next, 5)
+		if next.Reset {
+			t.Fatal("a follower that keeps up was reset")
+		}
+		got, batch = got+len(next.Updates), next
+	}
+	if got != 50 {
+		t.Fatalf("%d of 50", got)
+	}
+	for i := range 40 {
+		log.Append(Update{testKey(i), 2, OpAdd})
+	}
+	if !log.Since(incarnation, batch.Next, 5).Reset {
+		t.Fatal("a follower far behind was not reset")
+	}
+	if !log.Since(incarnation+1, batch.Next, 5).Reset {
+		t.Fatal("a follower of another incarnation was not reset")
+	}
+}
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -48,6 +48,9 @@
 	domainChanged bool // since it came: its chain is of the former domain
 }
 
+// MaxHints is how many nodes the hints of a request name at most.
+const MaxHints = 4
+
 // defaultRunUS is how long a run is expected to take of whose kind nothing is known.
 const defaultRunUS = 500_000
 
--- a/fairqueue/queue.go
+++ b/fairqueue/queue.go
@@ -58,9 +58,6 @@
 // Waiting counts the waiting items of a group.
 func (q *Queue) Waiting(group string) int { return len(q.group(group).items) }
 
-// Running counts a group's items that were dequeued and not yet released.
-func (q *Queue) Running(group string) int { return q.group(group).running }
-
 // DemandByGroup counts what each group has waiting and running; groups with nothing are
 // left out.
 func (q *Queue) DemandByGroup() map[string]int {
@@ -85,7 +82,7 @@
 }
 
 // Next returns the item to serve next, without taking it out, among the groups that
-// mayServe lets through; running is what Running returns for the group.
+// mayServe lets through; running counts the group's items that were dequeued and not released.
 func (q *Queue) Next(mayServe func(group string, running int) bool) (groupName string, item Item, found bool) {
 	var next *groupQueue
 	for _, name := range q.names {
--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -172,7 +172,7 @@
 		Prompt: t.Prompt, Weights: p.Weights, Domain: p.CacheDomain(group, p.Weights)}
 	x.Chain = cacheindex.PrefixKeys(x.Domain, x.Weights, x.Prompt)
 	if g.settings.Index {
-		x.Hints = g.lookupHints(x.Chain)
+		x.Hints = g.table.Hints(x.Chain, dispatch.MaxHints)
 	}
 	c := &call{ref: x.Ref, done: make(chan struct{}), cancels: map[string]context.CancelFunc{}, enc: json.NewEncoder(w)}
 	c.enc.SetEscapeHTML(false)
@@ -202,21 +202,6 @@
 	g.wait(q, c, x.ID)
 }
 
-// hints lists the nearest holders of the longest parts, longest first.
-func (g *gateway) lookupHints(ks []cacheindex.Key) []cacheindex.Hint {
-	var hs []cacheindex.Hint
-	for i := len(ks) - 1; i >= 0 && len(hs) < 4; i-- {
-		n, ok := g.table.Get(ks[i])
-		for _, h := range hs {
-			ok = ok && h.Node != n
-		}
-		if ok {
-			hs = append(hs, cacheindex.Hint{Block: i, Node: n})
-		}
-	}
-	return hs
-}
-
 func decodeRequest(w http.ResponseWriter, q *http.Request, p *plan.Compiled, group string) (t callerapi.Request, status int, reason string) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxBody))
 	if err != nil {
--- a/plan/change.go
+++ b/plan/change.go
@@ -26,7 +26,7 @@
 // NoPlanError says that there is no plan yet that a patch could change.
 type NoPlanError struct{}
 
-func (NoPlanError) Error() string { return "send a whole plan first, with dealer plan put" }
+func (NoPlanError) Error() string { return "send a whole plan first, with violetthread-ctl plan put" }
 
 // PatchError says that a patch can't be read or applied. Its message is that of Err.
 type PatchError struct{ Err error }
--- a/plan/parse.go
+++ b/plan/parse.go
@@ -118,7 +118,7 @@
 func remedyFor(rule string) string {
 	switch rule {
 	case "digest":
-		return "name keys by digest, as `dealer digest` prints it"
+		return "name keys by digest, as `violetthread-ctl digest` prints it"
 	case "hostport":
 		return "give an IP number and a port, such as 127.0.0.1:9000"
 	case "name":
--- a/plan/seal.go
+++ b/plan/seal.go
@@ -103,7 +103,7 @@
 	}
 	var p Plan
 	if err := json.Unmarshal(raw, &p); err != nil {
-		return nil, trace.BadParameter("the plan can't be read: %v; check it with dealer plan check", err)
+		return nil, trace.BadParameter("the plan can't be read: %v; check it with violetthread-ctl plan check", err)
 	}
 	encoded, err := json.Marshal(seal.Next(&p, revision))
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 	encoded, raw, ok := bytes.Cut(sealed, []byte("\n"))
 	if !ok {
-		return seal, nil, trace.BadParameter("the sealed plan is cut short; restore it from a registrar that reads it")
+		return seal, nil, trace.BadParameter("the sealed plan is cut short; restore it from a control node that reads it")
 	}
 	if err := json.Unmarshal(encoded, &seal); err != nil {
 		return seal, nil, trace.BadParameter("the plan's seal can't be read: %v; start the version that wrote it", err)
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -123,15 +123,7 @@
 	g.lastRef++
 	request := dispatch.Request{Ref: g.lastRef, ID: sent.id, IDFromCaller: true, Generation: sent.generation, Group: group, Kind: sent.kind, KeyDigest: sent.keyDigest, Deadline: now + dueUS, Prompt: prompt, Weights: compiled.Weights, Domain: compiled.CacheDomain(group, compiled.Weights)}
 	request.Chain = cacheindex.PrefixKeys(request.Domain, request.Weights, prompt)
-	for i := len(request.Chain) - 1; i >= 0 && len(request.Hints) < 4; i-- {
-		n, ok := g.hints.Get(request.Chain[i])
-		for _, h := range request.Hints {
-			ok = ok && h.Node != n
-		}
-		if ok {
-			request.Hints = append(request.Hints, cacheindex.Hint{Block: i, Node: n})
-		}
-	}
+	request.Hints = g.hints.Hints(request.Chain, dispatch.MaxHints)
 	sent.planRevision, sent.runs = compiled.Revision, map[string]*engineRun{}
 	g.requests[request.Ref] = sent
 	actions, rejection := g.dispatcher.Admit(now, request)
