--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -194,7 +194,7 @@
 }
 
 // ticketEnd is what an observer is told of a ticket's end.
-type ticketEnd struct {
+type requestResult struct {
 	outcome attempt.Outcome
 	reason  string
 }
@@ -204,7 +204,7 @@
 	if request.ended {
 		f.World.Violation("two ends", "%s/%s", request.group, request.id)
 	}
-	f.World.observe("ended", request.group, request.id, ticketEnd{outcome, why})
+	f.World.observe("ended", request.group, request.id, requestResult{outcome, why})
 	request.ended = true
 	request.reason = why
 	f.checker.requestEnded(request, outcome, why)
