--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -13,7 +13,7 @@
 
 // race is four operators at once: whole plans, patches, with and without a
 // precondition, many entries in one change, answers lost, while the control nodes
-// fail. What every registrar reads back is judged to the byte.
+// fail. What every control node reads back is judged to the byte.
 type race struct {
 	c     *Cluster
 	h     *History
@@ -50,7 +50,7 @@
 	reg := func() *ControlNode { return r.c.Nodes[world.Rng.Intn(len(r.c.Nodes))] }
 	at := reg()
 	from := world.now
-	Call(host, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, func(operation quorum.Operation, reply func(quorum.Result)) { at.Forward(operation, 0, reply) },
+	Call(host, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, at.serve,
 		func(result quorum.Result) {
 			if result.Status != quorum.StatusDone {
 				return
@@ -68,7 +68,7 @@
 			_, was, _ := plan.Decode(result.Value)
 			receiver, sent := reg(), world.now
 			Call(host, receiver.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: result.Revision}, 900_000,
-				func(operation quorum.Operation, reply func(quorum.Result)) { receiver.Forward(operation, 0, reply) },
+				receiver.serve,
 				func(b quorum.Result) {
 					switch b.Status {
 					case quorum.StatusDone:
@@ -88,7 +88,7 @@
 		}, func() {})
 }
 
-// read judges what a registrar gives back.
+// read judges what a control node gives back.
 func (r *race) read(from int64, result quorum.Result) {
 	world := r.c.world
 	r.h.add(observedOperation{from, world.now, result.Revision, string(result.Value), false})
