--- a/quorum/admission_test.go
+++ b/quorum/admission_test.go
@@ -1,20 +1,49 @@
 package quorum
 
 import (
-	"fmt"
+	"strconv"
 	"strings"
 	"testing"
 )
 
+// readSilences reads fields of the form name=milliseconds of silence, or name=leaving.
+func readSilences(t *testing.T, text string) (silence func(string) int64, leaving func(string) bool) {
+	t.Helper()
+	silent, leaves := map[string]int64{}, map[string]bool{}
+	for _, field := range strings.Fields(text) {
+		name, how, _ := strings.Cut(field, "=")
+		if how == "leaving" {
+			leaves[name] = true
+			continue
+		}
+		milliseconds, err := strconv.ParseInt(how, 10, 64)
+		if err != nil {
+			t.Fatal(err)
+		}
+		silent[name] = milliseconds * 1000
+	}
+	return func(name string) int64 { return silent[name] }, func(name string) bool { return leaves[name] }
+}
+
+func namesOf(set VoterSet) string {
+	names := ""
+	for _, voter := range set.Voters {
+		names += voter.Name
+	}
+	return names
+}
+
+// TestAdmit: a newcomer takes the place of a voter that is lost or failed, or a new one, and
+// only when that is safe.
 func TestAdmit(t *testing.T) {
 	newcomer := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
 	for _, test := range []struct {
-		what    string
-		voters  int
-		voter   Voter
-		silent  string // name=milliseconds
-		want    string // names after the step, "" for none
-		newcome bool
+		name   string
+		voters int
+		voter  Voter
+		silent string // name=milliseconds
+		want   string // names after the step, "" for none
+		joins  bool
 	}{
 		{"a fourth is added to three", 3, newcomer, "", "abcz", true},
 		{"a fifth is added to four", 4, newcomer, "", "abcdz", true},
@@ -27,13 +56,13 @@
 		{"a lost disk goes before a silent voter", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "d=9000", "acdb", true},
 		{"a lost disk among nine", 9, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdefghi", false},
 		{"in already", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 2}, "", "", false},
-		{"another's number", 4, Voter{Name: "z", Addr: "at-z", Incarnation: 2}, "d=9000", "", false},
+		{"another's incarnation", 4, Voter{Name: "z", Addr: "at-z", Incarnation: 2}, "d=9000", "", false},
 		{"a voter gone, even", 4, newcomer, "c=1500", "abdz", true},
 		{"a voter gone, odd", 3, newcomer, "c=1600", "ab", false},
 		{"the one longest gone", 6, newcomer, "c=1600 e=1700", "abcdfz", true},
 		{"a gone one among nine", 9, newcomer, "c=1600", "abdefghi", false},
-		{"none is added beside one in doubt", 4, newcomer, "c=900", "", false},
-		{"a beat late is no doubt", 4, newcomer, "c=400", "abcdz", true},
+		{"none is added beside a suspect", 4, newcomer, "c=900", "", false},
+		{"a heartbeat late is no reason to suspect", 4, newcomer, "c=400", "abcdz", true},
 		{"just come, it may be in the place of one not yet missed", 4, newcomer, "", "", false},
 		{"just come, a voter gone", 4, newcomer, "c=1500", "abdz", true},
 		{"just come, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
@@ -41,42 +70,33 @@
 		{"no majority heard, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "b=9000 c=9000", "", false},
 		{"one of two gone: no majority is left", 2, newcomer, "b=9000", "", false},
 	} {
-		silent := map[string]int64{}
-		for _, field := range strings.Fields(test.silent) {
-			var ms int64
-			if _, err := fmt.Sscanf(field[2:], "%d", &ms); err != nil {
-				t.Fatal(err)
+		t.Run(test.name, func(t *testing.T) {
+			silence, _ := readSilences(t, test.silent)
+			set := newAddressedSet(test.voters)
+			asked := int64(AddAfter)
+			if strings.HasPrefix(test.name, "just come") {
+				asked--
 			}
-			silent[field[:1]] = ms * 1000
-		}
-		set := newAddressedSet(test.voters)
-		asked := int64(AddAfter)
-		if strings.HasPrefix(test.what, "just come") {
-			asked--
-		}
-		next, ok := set.Admit(test.voter, asked, func(name string) int64 { return silent[name] }, MaxVoters)
-		got, joined := "", false
-		for _, voter := range next.Voters {
-			got += voter.Name
-			joined = joined || voter.Incarnation == test.voter.Incarnation
-		}
-		if !ok {
-			got = ""
-		}
-		if got != test.want || ok && joined != test.newcome {
-			t.Errorf("%s: got %q, newcomer in: %v", test.what, got, joined)
-		}
-		if ok && (haveDisjointMajorities(set, next) || checkStep(set, next) != nil) {
-			t.Errorf("%s: two majorities without a common voter", test.what)
-		}
+			next, ok := set.Admit(test.voter, asked, silence, MaxVoters)
+			got, joined := "", ok && next.hasIncarnation(test.voter.Incarnation)
+			if ok {
+				got = namesOf(next)
+			}
+			if got != test.want || ok && joined != test.joins {
+				t.Errorf("got %q, newcomer in: %v", got, joined)
+			}
+			if ok && (haveDisjointMajorities(set, next) || checkStep(set, next) != nil) {
+				t.Error("two majorities without a common voter")
+			}
+		})
 	}
 }
 
-// TestShed: the seat of a voter whose successor came first is dropped when that gives the
+// TestRemoveSurplus: the seat of a voter whose successor came first is dropped when that gives the
 // rest a smaller majority, and only when enough of the rest is heard.
 func TestRemoveSurplus(t *testing.T) {
 	for _, test := range []struct {
-		what   string
+		name   string
 		voters int
 		seats  uint16
 		gone   string // name=milliseconds of silence, name=leaving
@@ -96,34 +116,21 @@
 		{"just enough are heard", 6, 5, "b=leaving c=600 d=600", "acdef"},
 		{"the smallest", 4, 3, "d=2000", "abc"},
 	} {
-		silent, leaving := map[string]int64{}, map[string]bool{}
-		for _, field := range strings.Fields(test.gone) {
-			name, how, _ := strings.Cut(field, "=")
-			if how == "leaving" {
-				leaving[name] = true
-				continue
+		t.Run(test.name, func(t *testing.T) {
+			silence, leaving := readSilences(t, test.gone)
+			set := newAddressedSet(test.voters)
+			set.Seats = test.seats
+			next, ok := set.RemoveSurplus(leaving, silence)
+			got := ""
+			if ok {
+				got = namesOf(next)
 			}
-			var ms int64
-			if _, err := fmt.Sscan(how, &ms); err != nil {
-				t.Fatal(err)
+			if got != test.want {
+				t.Errorf("got %q", got)
 			}
-			silent[name] = ms * 1000
-		}
-		set := newAddressedSet(test.voters)
-		set.Seats = test.seats
-		next, ok := set.RemoveSurplus(func(name string) bool { return leaving[name] }, func(name string) int64 { return silent[name] })
-		got := ""
-		for _, voter := range next.Voters {
-			got += voter.Name
-		}
-		if !ok {
-			got = ""
-		}
-		if got != test.want {
-			t.Errorf("%s: got %q", test.what, got)
-		}
-		if ok && (haveDisjointMajorities(set, next) || next.Seats != test.seats || next.Majority() >= set.Majority()) {
-			t.Errorf("%s: %d seats, majority %d after %d", test.what, next.Seats, next.Majority(), set.Majority())
-		}
+			if ok && (haveDisjointMajorities(set, next) || next.Seats != test.seats || next.Majority() >= set.Majority()) {
+				t.Errorf("%d seats, majority %d after %d", next.Seats, next.Majority(), set.Majority())
+			}
+		})
 	}
 }
--- a/quorum/example_test.go
+++ b/quorum/example_test.go
@@ -6,61 +6,74 @@
 	"violetthread/quorum"
 )
 
-// Three voters in one process: the caller owns time, network and disk, and this one
-// loses nothing.
-func Example() {
-	ro := quorum.VoterSet{Revision: quorum.FirstRevision(1)}
-	for i, n := range []string{"a", "b", "c"} {
-		ro.Voters = append(ro.Voters, quorum.Voter{Name: n, Incarnation: uint64(i + 1), Number: uint16(i + 1)})
+// cluster is three voters in one process: the caller owns time, network and disk, and this
+// one loses nothing.
+type cluster struct {
+	nodes   map[string]*quorum.Node
+	synced  map[string]uint64 // records on each disk
+	results map[uint64]quorum.Result
+	now     int64 // microseconds
+}
+
+var names = []string{"a", "b", "c"}
+
+func newCluster() *cluster {
+	set := quorum.VoterSet{Revision: quorum.FirstRevision(1)}
+	for i, name := range names {
+		set.Voters = append(set.Voters, quorum.Voter{Name: name, Incarnation: uint64(i + 1), Number: uint16(i + 1)})
 	}
-	nodes := map[string]*quorum.Node{}
-	disk := map[string]uint64{} // records kept so far
-	for i, n := range []string{"a", "b", "c"} {
-		nodes[n] = quorum.New(quorum.DefaultConfig(n, uint64(i+1)), ro, 0, nil)
+	c := &cluster{nodes: map[string]*quorum.Node{}, synced: map[string]uint64{}, results: map[uint64]quorum.Result{}}
+	for _, voter := range set.Voters {
+		c.nodes[voter.Name] = quorum.New(quorum.DefaultConfig(voter.Name, voter.Incarnation), set, c.now, nil)
 	}
-	var now int64
-	type step struct {
-		at string
-		o  quorum.Ready
+	return c
+}
+
+// carryOut carries out the effects of an input, and all that follow from them.
+func (c *cluster) carryOut(name string, ready quorum.Ready) {
+	if count := len(ready.Records); count > 0 { // append and sync them, then say so
+		c.synced[name] += uint64(count)
+		c.carryOut(name, c.nodes[name].RecordsSynced(c.now, c.synced[name]))
 	}
-	var todo []step
-	answer := map[uint64]quorum.Result{}
-	run := func() {
-		for len(todo) > 0 {
-			s := todo[0]
-			todo = todo[1:]
-			if len(s.o.Records) > 0 { // append and sync them, then say so
-				disk[s.at] += uint64(len(s.o.Records))
-				todo = append(todo, step{s.at, nodes[s.at].RecordsSynced(now, disk[s.at])})
-			}
-			for _, m := range s.o.Messages {
-				todo = append(todo, step{m.To, nodes[m.To].Receive(now, m.Message)})
-			}
-			for _, a := range s.o.Results {
-				answer[a.ID] = a
-			}
-		}
+	for _, envelope := range ready.Messages {
+		c.carryOut(envelope.To, c.nodes[envelope.To].Receive(c.now, envelope.Message))
 	}
-	for ; now < 3_000_000; now += 25_000 {
-		for _, n := range []string{"a", "b", "c"} {
-			todo = append(todo, step{n, nodes[n].Tick(now)})
-			run()
-		}
+	for _, result := range ready.Results {
+		c.results[result.ID] = result
 	}
-	owner := nodes["a"].Leader("greeting")
-	do := func(op quorum.Operation) quorum.Result {
-		todo = append(todo, step{owner, nodes[owner].Propose(now, op)})
-		run()
-		return answer[op.ID]
+}
+
+// runFor lets time pass.
+func (c *cluster) runFor(duration int64) {
+	for end := c.now + duration; c.now < end; c.now += 25_000 {
+		for _, name := range names {
+			c.carryOut(name, c.nodes[name].Tick(c.now))
+		}
 	}
-	a := do(quorum.Operation{ID: 1, Type: quorum.OpPut, Key: "greeting", Value: []byte("hello"), ExpectedRevision: 0})
-	fmt.Println(a.Status == quorum.StatusDone, a.Revision)
-	a = do(quorum.Operation{ID: 2, Type: quorum.OpPut, Key: "greeting", Value: []byte("late"), ExpectedRevision: 0})
-	fmt.Println(a.Status == quorum.StatusConflict, a.Revision)
-	a = do(quorum.Operation{ID: 3, Type: quorum.OpGet, Key: "greeting"})
-	fmt.Println(string(a.Value))
+}
+
+// propose starts an operation at the leader of its key.
+func (c *cluster) propose(operation quorum.Operation) quorum.Result {
+	leader := c.nodes["a"].Leader(operation.Key)
+	c.carryOut(leader, c.nodes[leader].Propose(c.now, operation))
+	return c.results[operation.ID]
+}
+
+func Example() {
+	c := newCluster()
+	c.runFor(3_000_000)
+	put := quorum.Operation{ID: 1, Type: quorum.OpPut, Key: "greeting", Value: []byte("hello"), ExpectedRevision: 0}
+	result := c.propose(put)
+	fmt.Println(result.Status, result.Revision)
+
+	put.ID, put.Value = 2, []byte("late")
+	result = c.propose(put)
+	fmt.Println(result.Status, result.Revision)
+
+	result = c.propose(quorum.Operation{ID: 3, Type: quorum.OpGet, Key: "greeting"})
+	fmt.Println(result.Status, string(result.Value))
 	// Output:
-	// true 1
-	// true 1
-	// hello
+	// done 1
+	// conflict 1
+	// done hello
 }
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -2,60 +2,85 @@
 
 import "testing"
 
-// newSingleNode is a voter set of one, which commits everything by itself once synced. step
-// ticks it and returns the results since; do proposes an operation and returns its result.
-func newSingleNode(t *testing.T, era int64) (node *Node, step func(int64) []Result, do func(int64, Operation) Result) {
+// testTick is the interval of tests that tick a node themselves, as its callers do.
+const testTick = 25_000
+
+// singleNode is a voter set of one, which commits everything by itself once synced.
+type singleNode struct {
+	t       *testing.T
+	node    *Node
+	now     int64
+	lastID  uint64 // of an operation
+	records uint64
+	results []Result
+}
+
+// newSingleNode runs a node until it leads all slots, with three open generations of claims.
+func newSingleNode(t *testing.T, generationDuration int64) *singleNode {
 	t.Helper()
 	config := DefaultConfig("a", 1)
-	config.GenerationDuration, config.OpenGenerations = era, 3
-	node = New(config, newVoterSet(1), 0, nil)
-	var recs uint64
-	var out []Result
-	take := func(now int64, ready Ready) {
-		for len(ready.Records) > 0 || len(ready.Results) > 0 {
-			recs += uint64(len(ready.Records))
-			out = append(out, ready.Results...)
-			if len(ready.Records) == 0 {
-				break
-			}
-			ready = node.RecordsSynced(now, recs)
-		}
+	config.GenerationDuration, config.OpenGenerations = generationDuration, 3
+	s := &singleNode{t: t, node: New(config, newVoterSet(1), 0, nil)}
+	s.runUntil(3_000_000 + testTick)
+	s.now = 3_000_000
+	return s
+}
+
+// carryOut carries out the effects of an input, and syncs its records at once.
+func (s *singleNode) carryOut(ready Ready) {
+	s.results = append(s.results, ready.Results...)
+	for len(ready.Records) > 0 {
+		s.records += uint64(len(ready.Records))
+		ready = s.node.RecordsSynced(s.now, s.records)
+		s.results = append(s.results, ready.Results...)
 	}
-	step = func(now int64) []Result {
-		take(now, node.Tick(now))
-		result := out
-		out = nil
-		return result
+}
+
+// runUntil ticks the node until a time is reached.
+func (s *singleNode) runUntil(end int64) {
+	for ; s.now < end; s.now += testTick {
+		s.carryOut(s.node.Tick(s.now))
 	}
-	do = func(now int64, operation Operation) Result {
-		out = nil
-		take(now, node.Propose(now, operation))
-		for _, result := range out {
-			if result.ID == operation.ID {
-				return result
-			}
+}
+
+// propose gives an operation the next ID and returns its result.
+func (s *singleNode) propose(operation Operation) Result {
+	s.t.Helper()
+	s.lastID++
+	operation.ID = s.lastID
+	s.results = nil
+	s.carryOut(s.node.Propose(s.now, operation))
+	for _, result := range s.results {
+		if result.ID == operation.ID {
+			return result
 		}
-		t.Fatalf("no answer to %+v", operation)
-		return Result{}
 	}
-	for now := int64(0); now <= 3_000_000; now += 25_000 {
-		step(now)
+	s.t.Fatalf("no result of %+v", operation)
+	return Result{}
+}
+
+// expect proposes an operation that must end with a status.
+func (s *singleNode) expect(what string, operation Operation, want Status) Result {
+	s.t.Helper()
+	result := s.propose(operation)
+	if result.Status != want {
+		s.t.Fatalf("%s: %+v ended with %v, not %v", what, operation, result.Status, want)
 	}
-	return node, step, do
+	return result
 }
 
 // TestSilence counts from what this node could hear, never from before.
 func TestSilence(t *testing.T) {
 	node := New(DefaultConfig("a", 1), newAddressedSet(3), 10_000_000, nil)
 	now := int64(10_000_000)
-	for ; now < 12_000_000; now += 25_000 {
+	for ; now < 12_000_000; now += testTick {
 		node.Tick(now)
 		if now < 11_000_000 {
 			node.Receive(now, Message{Type: MsgVoterSetRequest, From: "b", Incarnation: 2, VoterSetRevision: node.VoterSet().Revision})
 			node.Receive(now, Message{Type: MsgVoterSetRequest, From: "c", Incarnation: 77, VoterSetRevision: node.VoterSet().Revision})
 		}
 	}
-	now -= 25_000
+	now -= testTick
 	if b, c, a := node.Silence(now, "b"), node.Silence(now, "c"), node.Silence(now, "a"); b != 1_000_000 || c != 1_975_000 || a != 0 {
 		t.Fatalf("b is silent for %d, c (another incarnation speaks) for %d, the node itself for %d", b, c, a)
 	}
@@ -73,20 +98,24 @@
 // that never did has nothing to wait for.
 func TestNoVoteAfterRestart(t *testing.T) {
 	for _, test := range []struct {
-		recs []Record
-		want MessageType
+		name    string
+		records []Record
+		want    MessageType
 	}{
-		{nil, MsgVoteGranted},
-		{[]Record{{Type: RecordPromise, Slot: 3, Term: 0}}, MsgVoteGranted},
-		{[]Record{{Type: RecordPromise, Slot: 3, Term: 1 << 16}}, MsgVoteRejected},
+		{"an empty disk", nil, MsgVoteGranted},
+		{"no promise", []Record{{Type: RecordPromise, Slot: 3, Term: 0}}, MsgVoteGranted},
+		{"a promise, also for another slot", []Record{{Type: RecordPromise, Slot: 3, Term: 1 << 16}}, MsgVoteRejected},
 	} {
-		node := New(DefaultConfig("a", 1), newAddressedSet(3), 5_000_000, test.recs)
-		ready := node.Receive(5_000_100, Message{Type: MsgVoteRequest, From: "b", Incarnation: 2, VoterSetRevision: node.VoterSet().Revision, Slot: 5, Term: 1<<16 | 2})
-		if len(ready.Messages) == 0 {
-			ready = node.RecordsSynced(5_000_200, uint64(len(ready.Records)))
-		}
-		if len(ready.Messages) != 1 || ready.Messages[0].Message.Type != test.want {
-			t.Errorf("%+v: %+v", test.recs, ready.Messages)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			node := New(DefaultConfig("a", 1), newAddressedSet(3), 5_000_000, test.records)
+			ready := node.Receive(5_000_100, Message{Type: MsgVoteRequest, From: "b", Incarnation: 2,
+				VoterSetRevision: node.VoterSet().Revision, Slot: 5, Term: 1<<16 | 2})
+			if len(ready.Messages) == 0 {
+				ready = node.RecordsSynced(5_000_200, uint64(len(ready.Records)))
+			}
+			if len(ready.Messages) != 1 || ready.Messages[0].Message.Type != test.want {
+				t.Errorf("%+v, not %v", ready.Messages, test.want)
+			}
+		})
 	}
 }
--- a/quorum/role_test.go
+++ b/quorum/role_test.go
@@ -2,49 +2,34 @@
 
 import "testing"
 
+const testRole = rolePrefix + "x"
+
+// acquire asks for a role lease of a second.
+func (s *singleNode) acquire(what, holder string, want Status) Result {
+	s.t.Helper()
+	return s.expect(what, Operation{Type: OpAcquire, Key: testRole, Holder: holder, LeaseDuration: 1_000_000}, want)
+}
+
 // TestRoleLeases: one holder at a time, fencing tokens rise, a release needs the right one.
 func TestRoleLeases(t *testing.T) {
-	_, step, do := newSingleNode(t, 0)
-	now, id := int64(3_000_000), uint64(0)
-	wait := func(us int64) {
-		for end := now + us; now < end; now += 25_000 {
-			step(now)
-		}
-	}
-	hold := func(who string, epoch uint64, kind OperationType) Result {
-		id++
-		return do(now, Operation{ID: id, Type: kind, Key: rolePrefix + "x", Holder: who, LeaseDuration: 1_000_000, ExpectedRevision: epoch})
-	}
-	first := hold("p", 0, OpAcquire)
-	if first.Status != StatusDone {
-		t.Fatalf("%+v", first)
-	}
-	if again := hold("q", 0, OpAcquire); again.Status != StatusConflict {
-		t.Fatalf("two holders: %+v", again)
-	}
-	wait(900_000)
-	if again := hold("p", first.Revision, OpAcquire); again.Status != StatusDone || again.Revision != first.Revision {
-		t.Fatalf("a renewal: %+v", again)
-	}
-	if again := hold("p", 0, OpAcquire); again.Status != StatusDone || again.Revision != first.Revision {
-		t.Fatalf("asked for again by its holder, who did not hear of the grant: %+v after %+v", again, first)
-	}
-	wait(900_000)
-	if again := hold("q", 0, OpAcquire); again.Status != StatusConflict {
-		t.Fatalf("a renewed role was given away: %+v", again)
-	}
-	if again := hold("q", first.Revision, OpRelease); again.Status != StatusConflict {
-		t.Fatalf("freed by another: %+v", again)
-	}
-	wait(200_000)
-	again := hold("q", 0, OpAcquire)
-	if again.Status != StatusDone || again.Revision <= first.Revision {
-		t.Fatalf("a lease that expired: %+v after %+v", again, first)
-	}
-	if late := hold("p", first.Revision, OpAcquire); late.Status != StatusConflict {
-		t.Fatalf("a renewal by a former holder: %+v", late)
-	}
-	if late := do(now, Operation{ID: 99, Type: OpPut, Key: rolePrefix + "x", Value: []byte("x"), ExpectedRevision: AnyRevision}); late.Status != StatusConflict {
-		t.Fatalf("a role lease was overwritten: %+v", late)
-	}
+	s := newSingleNode(t, 0)
+	first := s.acquire("a free role", "p", StatusDone)
+	s.acquire("two holders", "q", StatusConflict)
+	s.runUntil(s.now + 900_000)
+	renewal := Operation{Type: OpAcquire, Key: testRole, Holder: "p", LeaseDuration: 1_000_000, ExpectedRevision: first.Revision}
+	if renewed := s.expect("a renewal", renewal, StatusDone); renewed.Revision != first.Revision {
+		t.Fatalf("a renewal: %+v after %+v", renewed, first)
+	}
+	if again := s.acquire("asked for again by its holder, who did not hear of the grant", "p", StatusDone); again.Revision != first.Revision {
+		t.Fatalf("a second grant to its holder: %+v after %+v", again, first)
+	}
+	s.runUntil(s.now + 900_000)
+	s.acquire("a renewed role", "q", StatusConflict)
+	s.expect("released by another", Operation{Type: OpRelease, Key: testRole, Holder: "q", ExpectedRevision: first.Revision}, StatusConflict)
+	s.runUntil(s.now + 200_000)
+	if next := s.acquire("a lease that expired", "q", StatusDone); next.Revision <= first.Revision {
+		t.Fatalf("a lease that expired: %+v after %+v", next, first)
+	}
+	s.expect("a renewal by a former holder", renewal, StatusConflict)
+	s.expect("a role lease overwritten", Operation{Type: OpPut, Key: testRole, Value: []byte("x"), ExpectedRevision: AnyRevision}, StatusConflict)
 }
--- a/quorum/voterset_test.go
+++ b/quorum/voterset_test.go
@@ -1,6 +1,9 @@
 package quorum
 
-import "testing"
+import (
+	"errors"
+	"testing"
+)
 
 func newVoterSet(count int) VoterSet {
 	set := VoterSet{Revision: FirstRevision(9)}
@@ -79,22 +82,17 @@
 // TestOneVoterSetPerRevision: a step that is committed comes into force before the next is
 // taken, or there would be two voter sets of one revision.
 func TestOneVoterSetPerRevision(t *testing.T) {
-	node, _, do := newSingleNode(t, 0)
-	now := int64(3_000_000)
-	put := func(name string, inc, expect uint64) Result {
-		next, err := node.VoterSet().Next("", &Voter{Name: name, Incarnation: inc})
+	s := newSingleNode(t, 0)
+	add := func(name string, incarnation, expected uint64) Operation {
+		next, err := s.node.VoterSet().Next("", &Voter{Name: name, Incarnation: incarnation})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return do(now, Operation{ID: inc, Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: expect})
+		return Operation{Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: expected}
 	}
-	if result := put("b", 2, 0); result.Status != StatusDone {
-		t.Fatalf("%+v", result)
-	}
-	if result := put("c", 3, 1); result.Status != StatusConflict {
-		t.Fatalf("a second voter set of that revision: %+v", result)
-	}
-	if ready := node.AdmitVoter(now, Voter{Name: "c", Incarnation: 3}); len(ready.Records) != 0 {
+	s.expect("a first step", add("b", 2, 0), StatusDone)
+	s.expect("a second voter set of that revision", add("c", 3, 1), StatusConflict)
+	if ready := s.node.AdmitVoter(s.now, Voter{Name: "c", Incarnation: 3}); len(ready.Records) != 0 {
 		t.Fatalf("a second voter set of that revision: %+v", ready)
 	}
 }
@@ -122,3 +120,40 @@
 		t.Errorf("read back: %v %d", err, back.Seats)
 	}
 }
+
+// TestVoterSetErrors: a change that is refused is refused for a reason that callers can match.
+func TestVoterSetErrors(t *testing.T) {
+	set := newVoterSet(4)
+	replaceBy := func(name string, incarnation uint64, number uint16) VoterSet {
+		voters := append([]Voter{{Name: name, Incarnation: incarnation, Number: number}}, set.Voters[1:]...)
+		return VoterSet{Revision: set.Revision + 1, Voters: voters}
+	}
+	next := func(leaves string, joins *Voter) error {
+		_, err := set.Next(leaves, joins)
+		return err
+	}
+	skipped := replaceBy("z", 99, 50)
+	skipped.Revision++
+	for _, test := range []struct {
+		name string
+		err  error
+		want error
+	}{
+		{"nobody of that name goes", next("nobody", nil), ErrNoSuchVoter},
+		{"one of that name is in", next("", &Voter{Name: "a", Incarnation: 99}), ErrVoterExists},
+		{"a revision left out", checkStep(set, skipped), ErrNotNextRevision},
+		{"two at once", checkStep(set, VoterSet{Revision: set.Revision + 1, Voters: set.Voters[2:]}), ErrNotOneStep},
+		{"nothing changes", checkStep(set, VoterSet{Revision: set.Revision + 1, Voters: set.Voters}), ErrNotOneStep},
+		{"nobody is left", checkStep(newVoterSet(1), VoterSet{Revision: set.Revision + 1}), ErrNotOneStep},
+		{"a name twice", checkStep(set, replaceBy("b", 99, 50)), ErrVotersNotDistinct},
+		{"an incarnation twice", checkStep(set, replaceBy("z", 2, 50)), ErrVotersNotDistinct},
+		{"a number twice", checkStep(set, replaceBy("z", 99, 2)), ErrVotersNotDistinct},
+		{"one step", checkStep(set, replaceBy("z", 99, 50)), nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if !errors.Is(test.err, test.want) {
+				t.Errorf("got %v, want %v", test.err, test.want)
+			}
+		})
+	}
+}
