--- a/docs/logs_test.go
+++ b/docs/logs_test.go
@@ -3,11 +3,8 @@
 import (
 	"fmt"
 	"go/ast"
-	"go/parser"
 	"go/token"
-	"io/fs"
 	"os"
-	"path/filepath"
 	"regexp"
 	"slices"
 	"strconv"
@@ -59,21 +56,7 @@
 func loggedEvents(t *testing.T) logEvents {
 	t.Helper()
 	events := logEvents{}
-	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		if entry.IsDir() && strings.HasPrefix(entry.Name(), ".") && entry.Name() != ".." {
-			return filepath.SkipDir
-		}
-		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
-			return nil
-		}
-		files := token.NewFileSet()
-		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
-		if err != nil {
-			return err
-		}
+	eachSourceFile(t, func(files *token.FileSet, file *ast.File) {
 		ast.Inspect(file, func(node ast.Node) bool {
 			if call, ok := node.(*ast.CallExpr); ok {
 				if problem := events.addCall(call); problem != "" {
@@ -82,11 +65,7 @@
 			}
 			return true
 		})
-		return nil
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
 	return events
 }
 
--- a/docs/symbols_test.go
+++ b/docs/symbols_test.go
@@ -44,6 +44,25 @@
 func declared(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
+	eachFile(t, func(_ string, _ *token.FileSet, file *ast.File) {
+		declareFile(names, strings.TrimSuffix(file.Name.Name, "_test"), file)
+	})
+	return names
+}
+
+// eachSourceFile visits all Go files of the project but tests.
+func eachSourceFile(t *testing.T, visit func(files *token.FileSet, file *ast.File)) {
+	t.Helper()
+	eachFile(t, func(path string, files *token.FileSet, file *ast.File) {
+		if !strings.HasSuffix(path, "_test.go") {
+			visit(files, file)
+		}
+	})
+}
+
+// eachFile visits all Go files of the project.
+func eachFile(t *testing.T, visit func(path string, files *token.FileSet, file *ast.File)) {
+	t.Helper()
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -54,17 +73,17 @@
 		if !strings.HasSuffix(path, ".go") {
 			return nil
 		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		files := token.NewFileSet()
+		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
-		declareFile(names, strings.TrimSuffix(file.Name.Name, "_test"), file)
+		visit(path, files, file)
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return names
 }
 
 func declareFile(names map[string]bool, pkg string, file *ast.File) {
@@ -246,6 +265,63 @@
 	}
 }
 
+// operatorPages name metrics, log events, keys and fields of answers.
+var operatorPages = []string{"oncall.md", "operating.md", "platform-operating.md"}
+
+// underscored is a name as metrics, log events, keys and JSON fields are spelt.
+var underscored = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)+$`)
+
+// spelt lists the texts that the product's source spells: string literals, those in struct tags too.
+func spelt(t *testing.T) map[string]bool {
+	t.Helper()
+	words := map[string]bool{}
+	for event, keys := range loggedEvents(t) { // some are joined from parts
+		words[event] = true
+		for key := range keys {
+			words[key] = true
+		}
+	}
+	inQuotes := regexp.MustCompile(`[a-z][a-z0-9_]*`)
+	eachSourceFile(t, func(_ *token.FileSet, file *ast.File) {
+		ast.Inspect(file, func(node ast.Node) bool {
+			basic, ok := node.(*ast.BasicLit)
+			if !ok || basic.Kind != token.STRING {
+				return true
+			}
+			for _, word := range inQuotes.FindAllString(basic.Value, -1) {
+				words[word] = true
+			}
+			return true
+		})
+	})
+	return words
+}
+
+// TestOperatorPagesSpell: the metrics, events, keys and fields that operators are told to look at
+// exist under that name.
+func TestOperatorPagesSpell(t *testing.T) {
+	words := spelt(t)
+	for _, page := range operatorPages {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		found := 0
+		for _, match := range inCode.FindAllStringSubmatch(string(text), -1) {
+			if !underscored.MatchString(match[1]) {
+				continue
+			}
+			found++
+			if !words[match[1]] {
+				t.Errorf("%s names `%s`, which nothing in the source spells", page, match[1])
+			}
+		}
+		if found == 0 {
+			t.Errorf("%s names no metric, event or field", page)
+		}
+	}
+}
+
 // TestMissing: what is not there is told apart from what is.
 func TestMissing(t *testing.T) {
 	names := declared(t)
