--- a/quorum/config.go
+++ b/quorum/config.go
@@ -1,7 +1,8 @@
 package quorum
 
 // Config sets a node's identity, sizes and times. Durations are in microseconds. All voters
-// of a fleet must agree on Slots, LeaseDuration and the generations of claims.
+// of a fleet must agree on Slots and LeaseDuration, and should agree on all else but the name
+// and the incarnation.
 type Config struct {
 	// Name is this voter's name in the voter set.
 	Name string
--- a/quorum/event.go
+++ b/quorum/event.go
@@ -101,4 +101,4 @@
 	return text.String()
 }
 
-func (ready *Ready) event(event Event) { ready.Events = append(ready.Events, event) }
+func (r *Ready) event(event Event) { r.Events = append(r.Events, event) }
--- a/quorum/slot.go
+++ b/quorum/slot.go
@@ -1,5 +1,32 @@
 package quorum
 
+import (
+	"hash/fnv"
+	"strconv"
+	"strings"
+)
+
+// SlotOf maps a key to its slot. The floor of a slot's claims lies in that slot itself.
+func SlotOf(key string, slots int) uint16 {
+	if number, ok := strings.CutPrefix(key, floorPrefix); ok {
+		if slot, err := strconv.Atoi(number); err == nil && slot >= 0 && slot < slots {
+			return uint16(slot)
+		}
+	}
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(key))
+	return uint16(mixBits(hash.Sum64()) % uint64(slots))
+}
+
+// mixBits spreads a hash over all its bits (a part of MurmurHash3's finalizer): the low bits
+// of FNV alone put keys that differ in one digit into few slots.
+func mixBits(hash uint64) uint64 {
+	hash ^= hash >> 33
+	hash *= 0xff51afd7ed558ccd
+	hash ^= hash >> 33
+	return hash
+}
+
 // replicaState is what a node is to a slot, in the words of Raft; stateRecovering comes
 // between winning an election and serving.
 type replicaState uint8
