--- a/internal/app/control/node.go
+++ b/internal/app/control/node.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", settings.TransportAddr)
 	}
-	transport.Serve(process.Group, listener, transport.Chain(n.handleFrame))
+	transport.Serve(process.Group, listener, n.handleFrame)
 	process.OnDrain(n.leave)
 	n.registerRoutes()
 	process.Group.Go("lifecycle", n.runLifecycle)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,7 +1,6 @@
 package transport
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"io"
@@ -12,72 +11,78 @@
 	"violetthread/schema/fb"
 )
 
-// answersAtOnce bounds the frames being answered at once on one connection.
-const answersAtOnce = 256
+// Handler answers a request; nil means that this process does not answer it. A message
+// without response is handled too, and what it returns is dropped. The context ends with
+// the connection.
+type Handler func(ctx context.Context, request *fb.FrameT) *fb.FrameT
 
-// Serve answers frames on l until the group stops.
-func Serve(g *taskgroup.Group, l net.Listener, h Handler) {
-	g.Go("link.close", func(ctx context.Context) {
+// maxConcurrent bounds the requests that are handled at once on one connection; further
+// ones are not read.
+const maxConcurrent = 256
+
+// Serve answers frames on a listener until the group stops, and closes it then.
+func Serve(group *taskgroup.Group, listener net.Listener, handle Handler) {
+	group.Go("transport.close", func(ctx context.Context) {
 		<-ctx.Done()
-		_ = l.Close()
+		_ = listener.Close()
 	})
-	g.Go("link.accept", func(context.Context) {
+	group.Go("transport.accept", func(context.Context) {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			g.Go("link.wire", func(ctx context.Context) { serveConn(ctx, g, conn, h) })
+			group.Go("transport.serve", func(ctx context.Context) { serveConn(ctx, group, conn, handle) })
 		}
 	})
 }
 
-// serveConn answers what comes on one connection, and each question on that one alone.
-func serveConn(ctx context.Context, g *taskgroup.Group, conn net.Conn, h Handler) {
+// serveConn answers what comes on one connection, and each request on that one alone.
+func serveConn(ctx context.Context, group *taskgroup.Group, conn net.Conn, handle Handler) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	g.Go("link.shut", func(context.Context) {
+	group.Go("transport.serve_close", func(context.Context) {
 		<-ctx.Done()
 		_ = conn.Close()
 	})
-	out := make(chan outgoing, outQueue)
-	g.Go("link.write", func(context.Context) { writeAll(ctx, stop, conn, out) })
-	r := bufio.NewReaderSize(counted{conn}, readBufferBytes)
-	room := make(chan struct{}, answersAtOnce)
+	out := make(chan outgoing, writeQueue)
+	group.Go("transport.serve_write", func(context.Context) { writeFrames(ctx, stop, conn, out) })
+	reader := newReader(conn)
+	slots := make(chan struct{}, maxConcurrent)
 	for {
-		f, err := codec.ReadFrame(r)
+		frame, err := codec.ReadFrame(reader)
 		if err != nil {
-			if ctx.Err() == nil && !isGone(err) {
-				g.Log().Info("wire_closed", "peer", conn.RemoteAddr().String(), "cause", err.Error())
+			if ctx.Err() == nil && !isClosed(err) {
+				group.Log().Info("connection_closed", "peer", conn.RemoteAddr().String(), "cause", err.Error())
 			}
 			return
 		}
-		framesIn.Add(1)
-		if unanswered(f) {
-			h(ctx, f) // in order
+		framesReceived.Add(1)
+		if isUnanswered(frame) {
+			handle(ctx, frame) // in order
 			continue
 		}
-		if !taskgroup.Send(ctx, room, struct{}{}) {
+		if !taskgroup.Send(ctx, slots, struct{}{}) {
 			return
 		}
-		g.Go("link.answer", func(context.Context) {
-			answer := h(ctx, f)
-			<-room
-			if answer == nil {
-				answer = &fb.FrameT{Error: &fb.ErrorT{Kind: "unhandled", Text: "this process does not answer that"}}
+		group.Go("transport.answer", func(context.Context) {
+			response := handle(ctx, frame)
+			<-slots
+			if response == nil {
+				response = &fb.FrameT{Error: &fb.ErrorT{Kind: "unhandled", Text: "this process does not answer that"}}
 			}
-			taskgroup.Send(ctx, out, outgoing{withRef(answer, f.Ref), ctx})
+			taskgroup.Send(ctx, out, outgoing{encodeWithRef(response, frame.Ref), ctx})
 		})
 	}
 }
 
-// unanswered reports whether a frame is of the kinds that nobody answers.
-func unanswered(f *fb.FrameT) bool {
-	return f.VoterMessage != nil || f.SessionUpdate != nil || f.LoadUpdate != nil
+// isUnanswered tells whether a message is one without response.
+func isUnanswered(frame *fb.FrameT) bool {
+	return frame.VoterMessage != nil || frame.SessionUpdate != nil || frame.LoadUpdate != nil
 }
 
-// isGone reports whether the far end is simply not there any more.
-func isGone(err error) bool {
+// isClosed tells whether the far end is simply not there any more.
+func isClosed(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.As(err, &network)
 }
--- a/internal/transport/link_test.go
+++ b/internal/transport/transport_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -153,7 +154,7 @@
 // of its answer. A question is never sent twice, and the next one gets its own answer.
 func TestFaultAtEveryByteOfAFrame(t *testing.T) {
 	g := newGroup(t)
-	length := len(withRef(answerTo(question("q-000")), 1))
+	length := len(encodeWithRef(answerTo(question("q-000")), 1))
 	for _, fault := range []string{"reset", "close", "silence"} {
 		for offset := range length {
 			if fault == "silence" && offset%8 != 0 {
@@ -195,7 +196,7 @@
 // does what comes behind it.
 func TestGarbledAtEveryByte(t *testing.T) {
 	g := newGroup(t)
-	length := len(withRef(answerTo(question("q-000")), 1))
+	length := len(encodeWithRef(answerTo(question("q-000")), 1))
 	for offset := range length {
 		e := newFarEnd(t, g, func(c *farConn, q *fb.FrameT, before int) {
 			b := codec.Encode(answerTo(q))
@@ -224,18 +225,18 @@
 	const questions = 64
 	g := newGroup(t)
 	var mu sync.Mutex
-	var held []*fb.FrameT
+	var arrived []*fb.FrameT
 	e := newFarEnd(t, g, func(c *farConn, q *fb.FrameT, _ int) {
 		mu.Lock()
 		defer mu.Unlock()
-		held = append(held, q)
-		c.say(withRef(answerTo(q), q.Ref+1_000_000)) // to nobody
-		if len(held) < questions {
+		arrived = append(arrived, q)
+		c.say(encodeWithRef(answerTo(q), q.Ref+1_000_000)) // to nobody
+		if len(arrived) < questions {
 			return
 		}
-		for i := len(held) - 1; i >= 0; i-- {
-			c.say(codec.Encode(answerTo(held[i])))
-			c.say(withRef(answerTo(held[0]), held[i].Ref)) // another's, as a second answer
+		for i := len(arrived) - 1; i >= 0; i-- {
+			c.say(codec.Encode(answerTo(arrived[i])))
+			c.say(encodeWithRef(answerTo(arrived[0]), arrived[i].Ref)) // another's, as a second answer
 		}
 	})
 	p := NewPeer(g, e.addr)
@@ -389,7 +390,7 @@
 		}
 		return nil
 	})
-	whole := withRef(question("torn"), 7)
+	whole := encodeWithRef(question("torn"), 7)
 	send := func(b []byte) {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -423,3 +424,35 @@
 		t.Errorf("%v, %v", ok, err)
 	}
 }
+
+// TestRemoteError: a request that the far end does not handle ends in an error of its own
+// type, which a broken connection never has.
+func TestRemoteError(t *testing.T) {
+	g := newGroup(t)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	Serve(g, l, func(context.Context, *fb.FrameT) *fb.FrameT { return nil })
+	_, err = NewPeer(g, l.Addr().String()).Call(context.Background(), question("x"), patienceUS)
+	var remote *RemoteError
+	if !errors.As(err, &remote) || remote.Kind != "unhandled" {
+		t.Errorf("an unhandled request: %v", err)
+	}
+	broken := newFarEnd(t, g, func(c *farConn, _ *fb.FrameT, _ int) { c.reset() })
+	_, err = NewPeer(g, broken.addr).Call(context.Background(), question("x"), patienceUS)
+	if err == nil || errors.As(err, &remote) {
+		t.Errorf("a reset connection: %v", err)
+	}
+}
+
+// TestPeerPool: one address has one peer.
+func TestPeerPool(t *testing.T) {
+	pool := NewPeerPool(newGroup(t))
+	if a, b := pool.Get("127.0.0.1:1"), pool.Get("127.0.0.1:1"); a != b || a.Addr() != "127.0.0.1:1" {
+		t.Errorf("%v and %v", a, b)
+	}
+	if pool.Get("127.0.0.1:1") == pool.Get("127.0.0.1:2") {
+		t.Error("two addresses have one peer")
+	}
+}
