--- /dev/null
+++ b/internal/daemon/exit.go
@@ -0,0 +1,19 @@
+package daemon
+
+import (
+	"fmt"
+	"os"
+	"strings"
+)
+
+// exitError is the exit code of a process that ends with an error.
+const exitError = 2
+
+// Exit prints an error to standard error, each of its lines behind the program's name, and
+// ends the process with code 2.
+func Exit(program string, err error) {
+	for _, line := range strings.Split(err.Error(), "\n") {
+		fmt.Fprintf(os.Stderr, "%s: %s\n", program, line)
+	}
+	os.Exit(exitError)
+}
--- /dev/null
+++ b/internal/daemon/metrics.go
@@ -0,0 +1,32 @@
+package daemon
+
+import (
+	"github.com/prometheus/client_golang/prometheus"
+
+	"violetthread/internal/transport"
+)
+
+// namespace is the first part of every metric's name.
+const namespace = "violetthread"
+
+// Gauge shows a value as a metric. read is called at each scrape, from any goroutine.
+func (d *Daemon) Gauge(name, help string, read func() float64) {
+	d.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
+}
+
+// Counter shows a count that only grows as a metric. read is called at each scrape, from
+// any goroutine.
+func (d *Daemon) Counter(name, help string, read func() float64) {
+	d.Metrics.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
+}
+
+// countTraffic shows what went over the process's own connections.
+func (d *Daemon) countTraffic() {
+	count := func(name, help string, of func(transport.Traffic) int64) {
+		d.Counter(name, help, func() float64 { return float64(of(transport.TotalTraffic())) })
+	}
+	count("link_sent_bytes_total", "bytes sent to other nodes", func(t transport.Traffic) int64 { return t.BytesSent })
+	count("link_received_bytes_total", "bytes taken in from other nodes", func(t transport.Traffic) int64 { return t.BytesReceived })
+	count("link_sent_frames_total", "frames sent to other nodes", func(t transport.Traffic) int64 { return t.FramesSent })
+	count("link_received_frames_total", "frames taken in from other nodes", func(t transport.Traffic) int64 { return t.FramesReceived })
+}
