--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -50,9 +50,15 @@
 
 // RunSeen is one run as the engine counts it, for an observer.
 type RunSeen struct {
-	Group, Ticket, Kind, Attempt, Weights string
-	Whole                                 bool
-	Parts, Reused, Taken                  int
+	Group   string `json:"Group"`
+	Ticket  string `json:"Ticket"`
+	Kind    string `json:"Kind"`
+	Attempt string `json:"Attempt"`
+	Weights string `json:"Weights"`
+	Whole   bool   `json:"Whole"`
+	Parts   int    `json:"Parts"`
+	Reused  int    `json:"Reused"`
+	Taken   int    `json:"Taken"`
 }
 
 // Seen is the answer to GET /v1/seen.
@@ -173,7 +179,11 @@
 	}
 }
 
-type stored struct{ Part, Domain, Weights string }
+type stored struct {
+	Part    string `json:"Part"`
+	Domain  string `json:"Domain"`
+	Weights string `json:"Weights"`
+}
 
 func (e *engine) put(w http.ResponseWriter, q *http.Request) {
 	var s stored
