--- a/sim/claim_clients.go
+++ b/sim/claim_clients.go
@@ -6,14 +6,17 @@
 	"violetthread/quorum"
 )
 
+// lateClaimEvery is of how many claims one is followed by another for a key of long ago.
+const lateClaimEvery = 8
+
 // ClaimClients race for claims: of all that ask for one key, at most one is ever told that
 // it holds it.
 type ClaimClients struct {
+	Won  int // claims that were granted, repeats included
+	Late int // claims of generations that were over when they were asked for
+
 	cluster *Cluster
-	holder  map[string]string
-	Won     int
-	// Late counts claims of generations that were over when they were asked for.
-	Late int
+	holder  map[string]string // by key: the nonce that was told so
 }
 
 // NewClaimClients adds so many clients that race for claims.
@@ -25,12 +28,7 @@
 		host.boot = func() {
 			host.Every(25_000, func() {
 				number++
-				era := max(1, cluster.newestGeneration())
-				clients.claim(host, quorum.ClaimKey(era, fmt.Sprintf("g/%d", number/2)), fmt.Sprintf("%s-%d-%d", host.Name, host.process, number))
-				if number%8 == 0 {
-					// Much later somebody asks for what was long ago granted.
-					clients.claim(host, quorum.ClaimKey(max(1, era-min(era, uint64(cluster.world.Rng.Intn(9)))), fmt.Sprintf("g/%d", cluster.world.Rng.Intn(number/2+1))), fmt.Sprintf("%s-%d-%d-late", host.Name, host.process, number))
-				}
+				clients.claimNext(host, number)
 			})
 		}
 		host.Start()
@@ -38,21 +36,37 @@
 	return clients
 }
 
+// claimNext claims the next key, which another client asks for as well, and now and then one
+// that was granted long ago.
+func (c *ClaimClients) claimNext(host *Host, number int) {
+	generation := max(1, c.cluster.newestGeneration())
+	nonce := fmt.Sprintf("%s-%d-%d", host.Name, host.process, number)
+	c.claim(host, quorum.ClaimKey(generation, fmt.Sprintf("g/%d", number/2)), nonce)
+	if number%lateClaimEvery == 0 {
+		rng := c.cluster.world.Rng
+		earlier := max(1, generation-min(generation, uint64(rng.Intn(9))))
+		key := quorum.ClaimKey(earlier, fmt.Sprintf("g/%d", rng.Intn(number/2+1)))
+		c.claim(host, key, nonce+"-late")
+	}
+}
+
 func (c *ClaimClients) claim(host *Host, key, nonce string) {
-	node := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
-	Call(host, node.Host, quorum.Operation{Type: quorum.OpClaim, Key: key, Value: []byte(nonce)}, 900_000,
-		node.serve,
-		func(result quorum.Result) {
-			if result.Status == quorum.StatusGenerationClosed {
-				c.Late++
-			}
-			if result.Status != quorum.StatusDone {
-				return
-			}
-			if o := c.holder[key]; o != "" && o != nonce {
-				c.cluster.world.Violation("claimed twice", "%s by %s and %s", key, o, nonce)
-			}
-			c.holder[key] = nonce
-			c.Won++
-		}, func() {})
+	node := pick(c.cluster.world, c.cluster.Nodes)
+	op := quorum.Operation{Type: quorum.OpClaim, Key: key, Value: []byte(nonce)}
+	Call(host, node.Host, op, 900_000, node.serve, func(result quorum.Result) {
+		switch result.Status {
+		case quorum.StatusGenerationClosed:
+			c.Late++
+		case quorum.StatusDone:
+			c.granted(key, nonce)
+		}
+	}, func() {})
+}
+
+func (c *ClaimClients) granted(key, nonce string) {
+	if other := c.holder[key]; other != "" && other != nonce {
+		c.cluster.world.Violation("claimed twice", "%s by %s and %s", key, other, nonce)
+	}
+	c.holder[key] = nonce
+	c.Won++
 }
--- a/sim/cluster_day.go
+++ b/sim/cluster_day.go
@@ -7,15 +7,25 @@
 // ClusterResult is what one simulated day of the control nodes under a fault came to: what
 // the clients were told, and what was violated, if anything.
 type ClusterResult struct {
-	Acknowledged, ClaimsWon, LateClaims, LeaseTerms, Replacements, Checkpoints, Joins int
-	// Slowest is the longest that a machine took from its start to a firm place.
+	Acknowledged int // changes of the busy key
+	ClaimsWon    int
+	LateClaims   int // of generations that were over
+	LeaseTerms   int // leases newly granted
+	Replacements int // of machines, by an operator
+	Checkpoints  int
+	Joins        int // of machines, without an operator
+	// SlowestJoinUS is the longest that a machine took from its start until all slots were
+	// recovered with it.
 	SlowestJoinUS int64
-	// Back is how long after the last fault was mended a change was acknowledged.
+	// RecoveryUS is how long after the last fault a change was acknowledged.
 	RecoveryUS int64
 	Violations []string
 	Notes      []string
 }
 
+// recoveryBoundUS is within how long after the last fault of a day service must be back.
+const recoveryBoundUS = 10_000_000
+
 // RunCluster runs one day of so many microseconds.
 func RunCluster(seed int64, fault Fault, durationUS int64) ClusterResult {
 	world := NewWorld(seed)
@@ -34,16 +44,32 @@
 	leases.injectFaults(durationUS)
 	world.Run(durationUS)
 	before := history.Acknowledged
-	for world.now < durationUS+10_000_000 && history.Acknowledged == before && len(world.violations) == 0 {
+	for world.now < durationUS+recoveryBoundUS && history.Acknowledged == before && len(world.violations) == 0 {
 		world.Run(world.now + 50_000)
 	}
-	result := ClusterResult{Acknowledged: history.Acknowledged, ClaimsWon: claims.Won, LateClaims: claims.Late, LeaseTerms: leases.Leases, Replacements: cluster.Replacements, RecoveryUS: world.now - durationUS, Joins: cluster.Joins, SlowestJoinUS: cluster.SlowestJoinUS}
+	recoveryUS := world.now - durationUS
 	if history.Acknowledged == before && len(world.violations) == 0 {
 		world.Violation("not back", "no change was acknowledged within ten seconds after the last fault")
 	}
-	for _, node := range cluster.Nodes {
-		result.Checkpoints += node.Checkpoints
+	return ClusterResult{
+		Acknowledged:  history.Acknowledged,
+		ClaimsWon:     claims.Won,
+		LateClaims:    claims.Late,
+		LeaseTerms:    leases.Leases,
+		Replacements:  cluster.Replacements,
+		Checkpoints:   cluster.checkpoints(),
+		Joins:         cluster.Joins,
+		SlowestJoinUS: cluster.SlowestJoinUS,
+		RecoveryUS:    recoveryUS,
+		Violations:    world.violations,
+		Notes:         world.notes,
+	}
+}
+
+// checkpoints is how many its nodes began.
+func (c *Cluster) checkpoints() (total int) {
+	for _, node := range c.Nodes {
+		total += node.Checkpoints
 	}
-	result.Violations, result.Notes = world.violations, world.notes
-	return result
+	return total
 }
--- a/sim/history.go
+++ b/sim/history.go
@@ -8,16 +8,17 @@
 	write             bool
 }
 
-// History judges the operations on one key: with a revision on every answer,
-// linearizable means that revisions never go back in real time, that a change
-// gets a revision above all that ended before it began, and that a revision has
-// one value.
+// History checks the operations on one key as they return: with a revision on every answer,
+// linearizable means that revisions never go back in real time, that a write gets a revision
+// above all that returned before it was invoked, and that a revision has one value. Package
+// lincheck makes the same check afterwards, without that shortcut.
 type History struct {
-	world        *World
-	key          string
-	operations   []observedOperation
-	values       map[uint64]string
-	Acknowledged int
+	Acknowledged int // writes
+
+	world      *World
+	key        string
+	operations []observedOperation
+	values     map[uint64]string // by revision
 }
 
 // NewHistory starts a history of a key.
@@ -26,22 +27,29 @@
 }
 
 func (h *History) add(operation observedOperation) {
-	if v, ok := h.values[operation.revision]; ok && v != operation.value {
-		h.world.Violation("two values", "%s revision %d was %q and %q", h.key, operation.revision, v, operation.value)
+	if value, ok := h.values[operation.revision]; ok && value != operation.value {
+		h.world.Violation("two values", "%s revision %d was %q and %q", h.key, operation.revision, value, operation.value)
 	}
 	h.values[operation.revision] = operation.value
 	for _, earlier := range h.operations {
-		switch {
-		case earlier.returned < operation.invoked && (operation.revision < earlier.revision || operation.write && operation.revision == earlier.revision):
-			h.world.Violation("went back", "%s: revision %d at %d..%d after %d was seen at %d..%d", h.key, operation.revision, operation.invoked, operation.returned, earlier.revision, earlier.invoked, earlier.returned)
-		case operation.returned < earlier.invoked && (earlier.revision < operation.revision || earlier.write && operation.revision == earlier.revision):
-			h.world.Violation("went back", "%s: revision %d after %d", h.key, earlier.revision, operation.revision)
-		case operation.write && earlier.write && operation.revision == earlier.revision:
-			h.world.Violation("two changes", "%s: revision %d was given twice", h.key, operation.revision)
-		}
+		h.compare(earlier, operation)
 	}
 	h.operations = append(h.operations, operation)
 	if operation.write {
 		h.Acknowledged++
 	}
 }
+
+// compare checks the order of two operations.
+func (h *History) compare(earlier, operation observedOperation) {
+	same := operation.revision == earlier.revision
+	switch {
+	case earlier.returned < operation.invoked && (operation.revision < earlier.revision || operation.write && same):
+		h.world.Violation("went back", "%s: revision %d at %d..%d after %d was seen at %d..%d",
+			h.key, operation.revision, operation.invoked, operation.returned, earlier.revision, earlier.invoked, earlier.returned)
+	case operation.returned < earlier.invoked && (earlier.revision < operation.revision || earlier.write && same):
+		h.world.Violation("went back", "%s: revision %d after %d", h.key, earlier.revision, operation.revision)
+	case operation.write && earlier.write && same:
+		h.world.Violation("two changes", "%s: revision %d was given twice", h.key, operation.revision)
+	}
+}
--- a/sim/lease_clients.go
+++ b/sim/lease_clients.go
@@ -6,25 +6,30 @@
 	"violetthread/quorum"
 )
 
+const (
+	simLeaseUS = 900_000
+	// simLeaseMarginUS is how much earlier a client stops to rely on its lease.
+	simLeaseMarginUS = 50_000
+)
+
 // LeaseClients contend for a role: at no instant do two believe that they hold its lease.
 type LeaseClients struct {
+	Leases int // that were newly granted
+
 	cluster   *Cluster
 	hosts     []*Host
 	leaseEnds map[*Host]int64 // by its own clock
-	Leases    int
 }
 
-const simLeaseUS = 900_000
-
 // NewLeaseClients adds so many clients that contend for one role.
 func NewLeaseClients(cluster *Cluster, count int) *LeaseClients {
 	clients := &LeaseClients{cluster: cluster, leaseEnds: map[*Host]int64{}}
 	for i := 0; i < count; i++ {
 		host := cluster.world.NewHost(fmt.Sprint("holder", i), "south", nil)
 		host.boot = func() {
-			epoch := uint64(0)
+			token := uint64(0)
 			clients.leaseEnds[host] = 0
-			host.Every(150_000, func() { clients.acquire(host, &epoch) })
+			host.Every(150_000, func() { clients.acquire(host, &token) })
 		}
 		clients.hosts = append(clients.hosts, host)
 		host.Start()
@@ -33,21 +38,28 @@
 	return clients
 }
 
-func (c *LeaseClients) acquire(host *Host, epoch *uint64) {
-	node := c.cluster.Nodes[c.cluster.world.Rng.Intn(len(c.cluster.Nodes))]
-	at := host.Clock()
-	Call(host, node.Host, quorum.Operation{Type: quorum.OpAcquire, Key: "duty/one", ExpectedRevision: *epoch, Holder: fmt.Sprint(host.Name, "#", host.process), LeaseDuration: simLeaseUS}, 500_000,
-		node.serve,
-		func(result quorum.Result) {
-			if result.Status != quorum.StatusDone {
-				return
-			}
-			if *epoch != result.Revision {
-				c.Leases++
-			}
-			*epoch = result.Revision
-			c.leaseEnds[host] = max(c.leaseEnds[host], at+simLeaseUS-50_000)
-		}, func() {})
+// acquire asks for the lease, or renews it with its fencing token. The lease counts from
+// before it was asked for.
+func (c *LeaseClients) acquire(host *Host, token *uint64) {
+	node := pick(c.cluster.world, c.cluster.Nodes)
+	askedAt := host.Clock()
+	op := quorum.Operation{
+		Type:             quorum.OpAcquire,
+		Key:              "duty/one",
+		ExpectedRevision: *token,
+		Holder:           fmt.Sprint(host.Name, "#", host.process),
+		LeaseDuration:    simLeaseUS,
+	}
+	Call(host, node.Host, op, 500_000, node.serve, func(result quorum.Result) {
+		if result.Status != quorum.StatusDone {
+			return
+		}
+		if *token != result.Revision {
+			c.Leases++
+		}
+		*token = result.Revision
+		c.leaseEnds[host] = max(c.leaseEnds[host], askedAt+simLeaseUS-simLeaseMarginUS)
+	}, func() {})
 }
 
 // injectFaults kills and freezes clients until a true time.
@@ -60,7 +72,7 @@
 		}
 		return
 	}
-	host := c.hosts[world.Rng.Intn(len(c.hosts))]
+	host := pick(world, c.hosts)
 	durationUS := 50_000 + world.Rng.Int63n(2_500_000)
 	if world.Rng.Intn(2) == 0 {
 		host.Freeze()
@@ -72,11 +84,11 @@
 	world.At(world.now+300_000+world.Rng.Int63n(2_000_000), func() { c.injectFaults(until) })
 }
 
+// checkOneHolder checks that at most one client believes that it holds the lease.
 func (c *LeaseClients) checkOneHolder() {
 	holder := ""
 	for _, host := range c.hosts {
-		endsAt := c.leaseEnds[host]
-		if !host.up || host.Clock() >= endsAt {
+		if !host.up || host.Clock() >= c.leaseEnds[host] {
 			continue
 		}
 		if holder != "" {
