--- a/sim/engine.go
+++ b/sim/engine.go
@@ -7,32 +7,39 @@
 	"violetthread/index"
 )
 
-// Engine is a simulated engine, or the store. It counts for the judge.
+// Engine is a simulated engine, or the store, which only takes blocks that engines evict.
 type Engine struct {
 	*Host
-	fleet            *Fleet
-	store            bool
-	incarnation      uint64
-	holdings         map[cacheindex.Key]blockOrigin
-	evictionOrder    []cacheindex.Key
-	events           []index.Event
-	lastSequence     uint64
-	weights          string
-	loading          string
-	fencingToken     uint64
-	runs             map[string]*engineRun
+	fleet     *Fleet
+	store     bool
+	capacity  int // runs at once
+	maxBlocks int // that it holds
+
+	incarnation   uint64
+	holdings      map[cacheindex.Key]blockOrigin
+	evictionOrder []cacheindex.Key // the oldest first
+	events        []index.Event    // the last ones
+	lastSequence  uint64           // of its events
+	weights       string
+	loading       string // weights that it is about to load, "" for none
+	startWeights  string // that it loads at a start
+	fencingToken  uint64 // highest that it was told
+	runs          map[string]*engineRun
+
+	interruptsRuns bool  // it breaks every run off
+	ignoresWeights bool  // it does not load other weights
+	loadDelayUS    int64 // how much longer it takes to load weights
+
+	// For the checker and tests, in true time:
 	startTimes       []int64 // when runs began
-	arrivalTimes     []int64 // when runs came, begun or refused
-	capacity         int
-	maxBlocks        int
-	interruptsRuns   bool   // it breaks every run off
-	ignoresWeights   bool   // it does not change its weights
-	loadDelayUS      int64  // how much longer it takes to load others
-	unreachableUntil int64  // when it last could not be told anything
-	startWeights     string // weights that a start comes up with
+	arrivalTimes     []int64 // when runs arrived, begun or refused
+	unreachableUntil int64   // when it could last not be told anything
 }
 
-const piecesPerRun = 5
+const (
+	piecesPerRun    = 5   // of an answer
+	maxEngineEvents = 400 // that an engine keeps; then the older half goes
+)
 
 // blockOrigin tells whose run computed a block, under which weights and when, in true time:
 // the checker goes by that and not by the keys of blocks.
@@ -52,6 +59,7 @@
 	return engine
 }
 
+// attemptIDs are those of the runs under way, in an order that does not depend on the map.
 func (e *Engine) attemptIDs() []string {
 	var ids []string
 	for id := range e.runs {
@@ -63,12 +71,15 @@
 
 func (e *Engine) start() {
 	e.incarnation = uint64(e.fleet.World.Rng.Int63())
-	e.holdings, e.evictionOrder, e.events, e.lastSequence, e.loading, e.fencingToken, e.runs = map[cacheindex.Key]blockOrigin{}, nil, nil, 0, "", 0, map[string]*engineRun{}
-	e.weights = e.startWeights
+	e.holdings, e.evictionOrder = map[cacheindex.Key]blockOrigin{}, nil
+	e.events, e.lastSequence = nil, 0
+	e.weights, e.loading, e.fencingToken = e.startWeights, "", 0
+	e.runs = map[string]*engineRun{}
 }
 
 func (e *Engine) nodeID() uint64 { return cacheindex.NodeID(e.Name, e.incarnation) }
 
+// publish adds an event for the index node that polls the engine, unless it gets lost.
 func (e *Engine) publish(event index.Event) {
 	e.lastSequence++
 	event.Seq = e.lastSequence
@@ -76,11 +87,12 @@
 		return // lost
 	}
 	e.events = append(e.events, event)
-	if len(e.events) > 400 {
-		e.events = e.events[200:]
+	if len(e.events) > maxEngineEvents {
+		e.events = e.events[maxEngineEvents/2:]
 	}
 }
 
+// addBlock adds a block, if it is not held already.
 func (e *Engine) addBlock(key cacheindex.Key, origin blockOrigin) {
 	if _, ok := e.holdings[key]; ok {
 		return
@@ -89,14 +101,19 @@
 	e.evictionOrder = append(e.evictionOrder, key)
 	e.publish(index.Event{Added: true, Block: key, HasBlock: true})
 	if len(e.evictionOrder) > e.maxBlocks {
-		evicted := e.evictionOrder[0]
-		e.evictionOrder = e.evictionOrder[1:]
-		origin := e.holdings[evicted]
-		delete(e.holdings, evicted)
-		e.publish(index.Event{Removed: true, Block: evicted, HasBlock: true})
-		if store := e.fleet.engineNamed("store"); !e.store && store != nil {
-			e.Send(store.Host, func() { store.addBlock(evicted, origin) })
-		}
+		e.evictOldest()
+	}
+}
+
+// evictOldest drops the block that was added first. An engine's goes to the store.
+func (e *Engine) evictOldest() {
+	evicted := e.evictionOrder[0]
+	e.evictionOrder = e.evictionOrder[1:]
+	origin := e.holdings[evicted]
+	delete(e.holdings, evicted)
+	e.publish(index.Event{Removed: true, Block: evicted, HasBlock: true})
+	if store := e.fleet.engineNamed("store"); !e.store && store != nil {
+		e.Send(store.Host, func() { store.addBlock(evicted, origin) })
 	}
 }
 
@@ -104,6 +121,7 @@
 	return append([]cacheindex.Key(nil), e.evictionOrder...)
 }
 
+// report answers a poll with the events after a number, if they are of this incarnation.
 func (e *Engine) report(incarnation, after uint64) index.Report {
 	report := index.Report{Incarnation: e.incarnation, Weights: e.weights, Running: len(e.runs), Capacity: e.capacity, LastSeq: e.lastSequence}
 	if e.loading != "" {
@@ -135,14 +153,14 @@
 	}
 }
 
+// loadWeights waits for the runs under way, and then drops all blocks with the old weights.
 func (e *Engine) loadWeights() {
 	if len(e.runs) > 0 {
 		e.After(10_000, e.loadWeights)
 		return
 	}
-	if e.weights, e.loading = e.loading, ""; true {
-		e.startWeights = e.weights
-	}
+	e.weights, e.loading = e.loading, ""
+	e.startWeights = e.weights
 	for _, key := range e.evictionOrder {
 		e.publish(index.Event{Removed: true, Block: key, HasBlock: true})
 	}
--- a/sim/events.go
+++ b/sim/events.go
@@ -1,11 +1,13 @@
 package sim
 
+// event is a task at a true time.
 type event struct {
-	time     int64
-	sequence uint64
+	time     int64  // in microseconds
+	sequence uint64 // orders events of one time
 	run      func()
 }
 
+// eventQueue is a heap of events, the next one first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
