--- a/internal/scale/model.go
+++ b/internal/scale/costs.go
@@ -6,13 +6,13 @@
 	of   func(Drivers) float64
 }
 
-const questionRate = 4 // questions a second of a calm proxy: each is held for 0.25 s
+const questionRate = 4 // questions a second of a proxy without changes: each is held for 0.25 s
 
 func (d Drivers) questions() float64 { return questionRate + d.Changes + d.MapChanges }
 
-// polls is how often a second a control node asks all engines for news: 0.15 s after an
-// answer, which is held for 0.9 s at most until there is an event. Hollow engines have
-// two events at a time.
+// polls is how often a second a control node asks all engines for cache events: 0.15 s after an
+// answer, which is held for 0.9 s at most until there is an event. Simulated engines have two
+// events at a time.
 func (d Drivers) polls() float64 {
 	gap := 1.05
 	if d.Events > 0 {
--- a/internal/scale/engines.go
+++ b/internal/scale/engines.go
@@ -28,18 +28,19 @@
 	saltDate         = "2026"
 )
 
-// engine is a hollow engine: it keeps parts, and tells who asks what changed.
+// engine is a simulated engine: it has blocks cached, and tells who asks what changed.
 type engine struct {
 	id, addr, pool, zone, model string
 	bootEpoch                   uint64
 	mu                          sync.Mutex
 	changed                     chan struct{}
 	log                         []event
-	cached                      []int // numbers of the parts that it keeps, oldest first
+	cached                      []int // numbers of the blocks that it has, oldest first
 	next, capacity              int
 	draining                    bool
 }
 
+// event is a block that came to be cached, or was evicted.
 type event struct {
 	cached bool
 	block  int
@@ -50,10 +51,10 @@
 func (e *engine) key(n int) cacheindex.Key {
 	return cacheindex.BlockKey(e.salt(), e.model, e.blockID(n))
 }
-func (e *engine) holderID() uint64           { return placement.EngineHolderID(e.id) }
-func (e *engine) appendEvent(on bool, n int) { e.log = append(e.log, event{on, n}) }
+func (e *engine) holderID() uint64                   { return placement.EngineHolderID(e.id) }
+func (e *engine) appendEvent(cached bool, block int) { e.log = append(e.log, event{cached, block}) }
 
-// Engines are all hollow engines of a run, and the list that tells of them.
+// Engines are all simulated engines of a run, and the platform's list of them.
 type Engines struct {
 	all          []*engine
 	byAddr       map[string]*engine
@@ -65,7 +66,7 @@
 	EventCount   atomic.Int64 // brought about
 }
 
-// counting counts what a listener's connections send.
+// countingListener counts what a listener's connections send.
 type countingListener struct {
 	net.Listener
 	sent *atomic.Int64
@@ -88,7 +89,8 @@
 	return n, err
 }
 
-// StartEngines makes n hollow engines that keep blocks parts together, and serves them.
+// StartEngines makes n simulated engines that have this many blocks cached together, and serves
+// them.
 func StartEngines(group *taskgroup.Group, list string, n, blocks int, observations *Observations) (*Engines, error) {
 	es := &Engines{byAddr: map[string]*engine{}, observations: observations}
 	listener, err := net.Listen("tcp", list)
@@ -122,6 +124,7 @@
 	return es, nil
 }
 
+// serve serves HTTP until the group ends.
 func serve(group *taskgroup.Group, name string, listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: clock.Duration(5_000_000)}
 	group.Go(name, func(context.Context) { _ = server.Serve(listener) })
@@ -131,7 +134,7 @@
 	})
 }
 
-// Run brings events about, rate a second, half of them parts kept and half parts dropped.
+// Run makes rate events a second, half of them blocks cached and half blocks evicted.
 func (es *Engines) Run(ctx context.Context, rate int) {
 	last := clock.Now()
 	taskgroup.Every(ctx, clock.Duration(eventIntervalUS), func(context.Context) {
@@ -144,7 +147,7 @@
 	})
 }
 
-// bring makes n events, a few at one engine after the other.
+// makeEvents makes n events, a few at one engine after the other.
 func (es *Engines) makeEvents(now int64, n int) {
 	es.EventCount.Add(int64(n))
 	for n > 0 {
@@ -172,7 +175,7 @@
 	}
 }
 
-// Toggle lets one engine begin or end leaving.
+// ToggleDraining lets one engine begin or end draining.
 func (es *Engines) ToggleDraining(i int) {
 	e := es.all[i%len(es.all)]
 	e.mu.Lock()
@@ -212,7 +215,7 @@
 	daemon.WriteJSON(w, http.StatusOK, map[string]any{"models": []map[string]any{{"name": e.model, "version": 1}}, "saturated": false})
 }
 
-// events answers a question for news, held until there is some.
+// serveEvents answers a question for cache events, held until there are some.
 func (es *Engines) serveEvents(w http.ResponseWriter, request *http.Request) {
 	e := es.engineOf(request)
 	since, _ := strconv.Atoi(request.URL.Query().Get("since"))
--- a/internal/scale/proc.go
+++ b/internal/scale/processes.go
@@ -16,7 +16,7 @@
 	"violetthread/internal/clock"
 )
 
-// vitals are a process's as they stand.
+// processStats are a process's counters as they stand.
 type processStats struct {
 	at                                     int64
 	cpu                                    int64 // nanoseconds
@@ -33,7 +33,7 @@
 	return t.Nano(), nil
 }
 
-// memory is a process's resident memory and its peak, in MB.
+// processMemory is a process's resident memory and its peak, in MB.
 func processMemory(pid int) (rss, peak float64, err error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -55,7 +55,7 @@
 	return rss, peak, nil
 }
 
-// metrics reads a node's own counters.
+// readMetrics reads a node's own counters.
 func readMetrics(ctx context.Context, addr string) (map[string]float64, error) {
 	ctx, stop := context.WithTimeout(ctx, clock.Duration(3_000_000))
 	defer stop()
@@ -84,6 +84,7 @@
 	return m
 }
 
+// measureProcess reads a process's clock and memory, and its node's own counters at addr.
 func measureProcess(ctx context.Context, pid, addr string) (v processStats, err error) {
 	n, err := strconv.Atoi(pid)
 	if err != nil {
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxy.go
@@ -13,8 +13,8 @@
 	"violetthread/schema/fb"
 )
 
-// Proxy is a hollow proxy: it follows control nodes as a carrier does (its follow.go;
-// TestHollowAsksAsARealOne holds the two together), and keeps nothing but its place.
+// Proxy is a simulated proxy: it follows control nodes as internal/app/proxy does, and keeps
+// nothing but what its next question says.
 type Proxy struct {
 	number       int
 	name, zone   string
@@ -22,22 +22,23 @@
 	seeds        []string
 	controlNodes *transport.PeerPool
 	observations *Observations
-	known        map[string]*controlorder.Node
-	current      string
+	known        map[string]*controlorder.Node // by address
+	current      string                        // address of the node that is followed
 	configKnown  bool
-	next         fb.MapRequestT // what it knows, as it says in its next question
-	busyEngines  []uint64       // engines that its requests lie at, one for each
+	next         fb.MapRequestT // what it has, as its next question says
+	busyEngines  []uint64       // engines that its requests are at, one for each
 }
 
+// Times of the follower in microseconds, as internal/app/proxy has them.
 const (
-	followHoldUS    = 250_000
-	followTimeoutUS = 450_000
+	followHoldUS    = 250_000 // how long a control node may hold a question
+	followTimeoutUS = 450_000 // and how long its answer may take beyond
 	staleRegister   = 1_000_000
 	retryHoldUS     = 50_000 // hold of a question to a node that failed lately
 	followPauseUS   = 30_000
 )
 
-// NewProxy makes hollow proxy num with under requests under way at engines nodes.
+// NewProxy makes simulated proxy number with this many requests in flight at these engines.
 func NewProxy(group *taskgroup.Group, number int, name, zone string, seeds []string, observations *Observations, engines []uint64, requests int) *Proxy {
 	p := &Proxy{number: number, name: name, zone: zone, incarnation: rand.Uint64()>>24 | 1, seeds: seeds, controlNodes: transport.NewPeerPool(group), observations: observations, known: map[string]*controlorder.Node{}}
 	for range requests {
@@ -58,7 +59,7 @@
 	}
 }
 
-// loads tells what it has under way; now and then a request ends and another begins.
+// loads reports what it has in flight.
 func (p *Proxy) loads() (loads []*fb.EngineLoadT) {
 	requests := map[uint64]uint32{}
 	for _, engine := range p.busyEngines {
@@ -75,6 +76,7 @@
 	return controlorder.Preference{Name: p.name, Zone: p.zone, Current: p.current}.Sort(now, p.known)
 }
 
+// askOnce asks one control node, and reports whether the next question may go out at once.
 func (p *Proxy) askOnce(ctx context.Context) bool {
 	now := clock.Now()
 	order := p.order(now)
@@ -114,7 +116,7 @@
 	return true
 }
 
-// leave lets others be asked before a node that failed or is out of touch.
+// nodeFailed lets others be asked before a node that failed or is out of touch.
 func (p *Proxy) nodeFailed(addr string) {
 	p.known[addr].FailedAt = clock.Now()
 	if p.current == addr {
@@ -122,6 +124,7 @@
 	}
 }
 
+// setNodes takes in which control nodes vote.
 func (p *Proxy) setNodes(voters []string) {
 	if len(voters) == 0 {
 		return
@@ -138,6 +141,7 @@
 	}
 }
 
+// apply records what an answer told, and what the next question says.
 func (p *Proxy) apply(state *fb.MapResponseT) {
 	next := &p.next
 	if state.Incarnation != next.Incarnation {
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/simulated_test.go
@@ -26,9 +26,9 @@
 	"violetthread/schema/fb"
 )
 
-// stewards are two scripted ones: the answer to the n-th question is the same, whoever
+// controlNodes are two scripted ones: the answer to the n-th question is the same, whoever
 // of them is asked. After the script they say nothing more.
-type stewards struct {
+type controlNodes struct {
 	mu     sync.Mutex
 	addrs  []string
 	script []func(at string) *fb.MapResponseT
@@ -36,8 +36,8 @@
 	done   chan struct{}
 }
 
-func play(c *taskgroup.Group, ls []net.Listener, script []func(string) *fb.MapResponseT) *stewards {
-	s := &stewards{script: script, done: make(chan struct{})}
+func play(c *taskgroup.Group, ls []net.Listener, script []func(string) *fb.MapResponseT) *controlNodes {
+	s := &controlNodes{script: script, done: make(chan struct{})}
 	for _, l := range ls {
 		a := l.Addr().String()
 		s.addrs = append(s.addrs, a)
@@ -46,7 +46,7 @@
 	return s
 }
 
-func (s *stewards) answer(ctx context.Context, at string, f *fb.FrameT) *fb.FrameT {
+func (s *controlNodes) answer(ctx context.Context, at string, f *fb.FrameT) *fb.FrameT {
 	if f.MapRequest == nil {
 		return nil
 	}
@@ -98,10 +98,10 @@
 	return (&route.Document{Version: version, Text: fmt.Appendf(nil, `{"version":%d,"routes":[],"services":[]}`, version)}).Encode()
 }
 
-// TestHollowAsksAsARealOne: a real proxy and a hollow one ask two scripted control nodes
+// TestSimulatedAsksAsARealOne: a real proxy and a simulated one ask two scripted control nodes
 // the same, in the same order and of the same one, through a start, news, a change, a
 // restart of the control node, one that falls behind, and one that fails.
-func TestHollowAsksAsARealOne(t *testing.T) {
+func TestSimulatedAsksAsARealOne(t *testing.T) {
 	addrs := []string{free(t), free(t)}
 	site := map[string]string{addrs[0]: "north", addrs[1]: "south"}
 	tell := func(at string, rev, inc, m, next uint64, more func(*fb.MapResponseT)) *fb.MapResponseT {
@@ -128,13 +128,13 @@
 			a.Updates = []*fb.CacheUpdateT{{Hi: 1, Lo: 2, Holder: 3, Op: 1}, {Hi: 1, Lo: 2, Holder: 3, Op: 2}}
 		}),
 		step(2, 5, 4, 12, whole(2)),
-		step(2, 9, 1, 1, func(a *fb.MapResponseT) { a.FullMap, a.UpdatesReset = true, true }), // another life of it
+		step(2, 9, 1, 1, func(a *fb.MapResponseT) { a.FullMap, a.UpdatesReset = true, true }), // another incarnation
 		step(2, 9, 1, 1, nil),
 		step(1, 9, 1, 1, func(a *fb.MapResponseT) { a.Config = document(1) }),       // an older configuration
 		step(2, 9, 1, 1, func(a *fb.MapResponseT) { a.Age = staleRegister + 1000 }), // it may be cut off
 		step(2, 7, 2, 5, whole(2)),
 		step(2, 7, 2, 6, nil),
-		step(2, 8, 3, 6, nil), // another life, and no map yet
+		step(2, 8, 3, 6, nil), // another incarnation, and no map yet
 		step(2, 8, 3, 6, whole(2)),
 		func(string) *fb.MapResponseT { return nil }, // it fails
 		step(2, 7, 2, 6, nil),
@@ -153,9 +153,9 @@
 		c.Stop()
 		return s.asked
 	}
-	hollow := run("hollow", func(c *taskgroup.Group) func() {
+	simulated := run("simulated", func(c *taskgroup.Group) func() {
 		p := NewProxy(c, 0, "proxy-1", "north", addrs, NewObservations(1), []uint64{1}, 0)
-		c.Go("hollow", p.Run)
+		c.Go("simulated", p.Run)
 		return func() {}
 	})
 	actual := run("real", func(c *taskgroup.Group) func() {
@@ -175,19 +175,19 @@
 			over.Wait()
 		}
 	})
-	for i := range min(len(actual), len(hollow)) {
-		if actual[i] != hollow[i] {
-			t.Errorf("question %d:\nreal   %s\nhollow %s", i, actual[i], hollow[i])
+	for i := range min(len(actual), len(simulated)) {
+		if actual[i] != simulated[i] {
+			t.Errorf("question %d:\nreal   %s\nsimulated %s", i, actual[i], simulated[i])
 		}
 	}
-	if len(actual) != len(script) || len(hollow) != len(script) {
-		t.Errorf("%d and %d questions of %d", len(actual), len(hollow), len(script))
+	if len(actual) != len(script) || len(simulated) != len(script) {
+		t.Errorf("%d and %d questions of %d", len(actual), len(simulated), len(script))
 	}
 }
 
-// TestHollowEngines are read by what reads real ones: the list, all that is kept, and
+// TestSimulatedEngines are read by what reads real ones: the list, all that is kept, and
 // what changes, whose names come to the keys that are timed.
-func TestHollowEngines(t *testing.T) {
+func TestSimulatedEngines(t *testing.T) {
 	c := taskgroup.New(context.Background(), logr.Discard())
 	defer c.Stop()
 	b := NewObservations(1)
@@ -233,7 +233,7 @@
 		read(e.Addr)
 	}
 	if sum() != 10 {
-		t.Fatalf("%d parts are kept, not 10", sum())
+		t.Fatalf("%d blocks are cached, not 10", sum())
 	}
 	for range 50 {
 		es.makeEvents(77, 20)
@@ -242,15 +242,15 @@
 		read(e.Addr)
 	}
 	if n := sum(); n < 10 || n > 13 {
-		t.Errorf("%d parts are kept after as many came as went", n)
+		t.Errorf("%d blocks are cached after as many came as went", n)
 	}
 	if len(b.cachedAt) < 40 {
-		t.Errorf("%d parts were timed", len(b.cachedAt))
+		t.Errorf("%d blocks were timed", len(b.cachedAt))
 	}
 	for _, e := range es.all {
 		for _, n := range e.cached {
 			if !kept[e.addr][e.key(n)] {
-				t.Errorf("%s keeps part %d and did not tell", e.id, n)
+				t.Errorf("%s has block %d cached and did not tell", e.id, n)
 			}
 		}
 	}
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -1,11 +1,6 @@
-// Package scale measures what real nodes cost beside hollow ones, fits how each cost
-// grows, and says what it comes to at a larger size (docs/CAPACITY.md). Hollow
-// proxies and engines share a process and speak the real wires over loopback.
 package scale
 
-import (
-	"math"
-)
+import "math"
 
 // Size is how large a fleet is, and how much happens in it.
 type Size struct {
@@ -42,7 +37,7 @@
 		Size: Size{Proxies: 20, Engines: 40, Events: 1000, Blocks: 10_000, Tenants: 200, UnderWay: 20, Changes: 2, MapChanges: 1, Seconds: 6}}
 }
 
-// Drivers are what costs follow from: a Size with what follows from it, a second.
+// Drivers are what costs follow from: a Size, with rates for each second.
 type Drivers struct {
 	Proxies     float64 `json:"proxies"` // real ones included
 	Controls    float64 `json:"controls"`
@@ -56,27 +51,37 @@
 	MapChanges  float64 `json:"map_changes"`
 }
 
-// Drivers of a size; the configuration's bytes are measured.
-func (s Size) Drivers(reals, controls int, configBytes float64) Drivers {
-	t := float64(s.Seconds)
-	return Drivers{Proxies: float64(s.Proxies + reals), Controls: float64(controls), Engines: float64(s.Engines), Events: float64(s.Events),
-		Blocks: float64(s.Blocks), Tenants: float64(s.Tenants), ConfigBytes: configBytes, UnderWay: float64(s.UnderWay),
-		Changes: float64(s.Changes) / t, MapChanges: float64(s.MapChanges) / t}
+// Drivers of a size, with this many real proxies and control nodes; the configuration's bytes
+// are measured.
+func (s Size) Drivers(realProxies, controls int, configBytes float64) Drivers {
+	seconds := float64(s.Seconds)
+	return Drivers{
+		Proxies:     float64(s.Proxies + realProxies),
+		Controls:    float64(controls),
+		Engines:     float64(s.Engines),
+		Events:      float64(s.Events),
+		Blocks:      float64(s.Blocks),
+		Tenants:     float64(s.Tenants),
+		ConfigBytes: configBytes,
+		UnderWay:    float64(s.UnderWay),
+		Changes:     float64(s.Changes) / seconds,
+		MapChanges:  float64(s.MapChanges) / seconds,
+	}
 }
 
-// distinct is how many of n engines k requests lie at, spread evenly.
-func distinct(n, k float64) float64 {
-	if n < 1 {
+// distinct is how many engines have one of these requests, if they are spread evenly.
+func distinct(engines, requests float64) float64 {
+	if engines < 1 {
 		return 0
 	}
-	return n * (1 - math.Pow(1-1/n, k))
+	return engines * (1 - math.Pow(1-1/engines, requests))
 }
 
 // Loads is how many engines a proxy has something under way at.
 func (d Drivers) Loads() float64 { return distinct(d.Engines, d.UnderWay) }
 
-// Told is how many engines' loads a proxy is told.
+// OtherLoads is how many engines' loads of other proxies a proxy is told.
 func (d Drivers) OtherLoads() float64 { return distinct(d.Engines, d.UnderWay*(d.Proxies-1)) }
 
-// Askers is how many proxies ask one control node.
+// Followers is how many proxies follow one control node.
 func (d Drivers) Followers() float64 { return d.Proxies / d.Controls }
