--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -343,14 +343,14 @@
 	n.mu.Lock()
 	cur := n.prefetchCursors[site+"|"+p.Name]
 	n.mu.Unlock()
-	t, ok := n.askFeed(ctx, p, &fb.UpdatesRequestT{Feed: codec.PushFeed, Zone: site, Incarnation: cur.Incarnation, Since: cur.Next})
+	t, ok := n.askFeed(ctx, p, &fb.UpdatesRequestT{Feed: codec.PrefetchFeed, Zone: site, Incarnation: cur.Incarnation, Since: cur.Next})
 	if !ok {
 		return
 	}
 	var ps []index.Prefetch
 	n.withNode(func(now int64, k *replay.IndexNode) {
 		n.prefetchCursors[site+"|"+p.Name] = index.Cursor{Incarnation: t.Incarnation, Next: t.Next}
-		ps = k.Prefetches(now, site, codec.UnpackBatch(t), codec.UnpackPlaces(t))
+		ps = k.Prefetches(now, site, codec.UnpackBatch(t), codec.UnpackLocations(t))
 	})
 	for _, x := range ps {
 		_ = n.http.Post(ctx, x.Addr, "/v1/import", 500_000, engineapi.ImportRequest{Block: engineapi.FormatKey(x.Block), From: x.From, FencingToken: x.FencingToken, WaitUS: 300_000, Weights: x.Weights}, nil)
--- a/sim/cluster.go
+++ b/sim/cluster.go
@@ -121,11 +121,11 @@
 }
 
 // newestGeneration is the newest generation of claims that any control node heard of.
-func (c *Cluster) newestGeneration() (e uint64) {
+func (c *Cluster) newestGeneration() (newest uint64) {
 	for _, node := range c.Nodes {
-		e = max(e, node.generation)
+		newest = max(newest, node.generation)
 	}
-	return e
+	return newest
 }
 
 // LeaderOf is the control node that answers for a key under a lease just now, nil for none.
@@ -146,7 +146,7 @@
 	if c.world.Events%8 != 0 {
 		return
 	}
-	owner := map[int]string{}
+	leaders := map[int]string{}
 	for _, node := range c.Nodes {
 		if !node.up || node.node == nil {
 			continue
@@ -155,10 +155,10 @@
 			if !status.IsLeader {
 				continue
 			}
-			if o := owner[i]; o != "" {
+			if o := leaders[i]; o != "" {
 				c.world.Violation("two owners", "slot %d: %s and %s", i, o, node.Name)
 			}
-			owner[i] = node.Name
+			leaders[i] = node.Name
 		}
 	}
 }
--- a/sim/control_node_membership.go
+++ b/sim/control_node_membership.go
@@ -106,7 +106,7 @@
 // in the midst of it: then the old state stands, and it learns of the newer set again.
 func (n *ControlNode) retire() {
 	incarnation := n.cluster.newIncarnation()
-	if err := n.log.Checkpoint([][]byte{codec.PackFounding(&fb.VoterSetT{Incarnation: incarnation})}); err != nil {
+	if err := n.log.Checkpoint([][]byte{codec.PackIdentity(&fb.VoterSetT{Incarnation: incarnation})}); err != nil {
 		n.fail(err)
 		return
 	}
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -59,7 +59,7 @@
 	request := codec.FillFeedRequest(g.dispatcher, &fb.FeedRequestT{
 		Node:               status,
 		HaveRevision:       g.plan.Revision,
-		UpdatesIncarnation: g.hintCursor.Inc,
+		UpdatesIncarnation: g.hintCursor.Incarnation,
 		UpdatesSince:       g.hintCursor.Next,
 	})
 	askedAt := g.Clock()
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -318,7 +318,7 @@
 		e.bytes(v.Value)
 		e.text(v.Leader)
 	case quorum.VoterSet:
-		e.bytes(codec.PackFounding(codec.PackVoterSet(v, 0)))
+		e.bytes(codec.PackIdentity(codec.PackVoterSet(v, 0)))
 	case diskWrite:
 		e.number(v.offset)
 		e.bytes(v.data)
