--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -179,7 +179,7 @@
 	sentAt := clock.Now()
 	if err := r.change(ctx, i, http.MethodPatch, patchText(r.version)); err != nil {
 		r.version-- // it is sent again as it was, and is the same change if it was accepted
-		r.log.Info("change_refused", "error", err.Error())
+		r.log.Info("change_refused", "cause", err.Error())
 		return false
 	}
 	answeredAt := clock.Now()
@@ -239,7 +239,7 @@
 			return nil, err
 		}
 		if err != nil {
-			r.log.Info("node_silent", "node", addr, "error", err.Error())
+			r.log.Info("node_silent", "node", addr, "cause", err.Error())
 		}
 		nodes = append(nodes, stats)
 	}
