--- a/docs/logs_test.go
+++ b/docs/logs_test.go
@@ -140,7 +140,7 @@
 	return text, err == nil
 }
 
-// documentedEvents reads the page: rows of three columns below "Events" are events with their
+// documentedEvents reads the page: rows below "Events" are events with their
 // keys, rows below "Keys" are keys.
 func documentedEvents(t *testing.T) (events logEvents, keys map[string]bool) {
 	t.Helper()
@@ -159,8 +159,10 @@
 		if len(cells) < 4 || !strings.HasPrefix(strings.TrimSpace(cells[1]), "`") {
 			continue
 		}
-		if meaning := strings.TrimSpace(cells[len(cells)-2]); meaning == "" || meaning == "TODO" {
-			t.Errorf("%s: %s has no meaning", logPage, strings.TrimSpace(cells[1]))
+		for _, cell := range cells[1 : len(cells)-1] {
+			if text := strings.TrimSpace(cell); text == "" || text == "TODO" {
+				t.Errorf("%s: something is missing in the row of %s", logPage, strings.TrimSpace(cells[1]))
+			}
 		}
 		names := codeNames(cells[1])
 		switch section {
