--- a/internal/app/control/api_voter_set.go
+++ b/internal/app/control/api_voter_set.go
@@ -16,9 +16,9 @@
 // microseconds.
 const joiningTimeout = 1_000_000
 
-// VoterSetChange is the body of POST /v1/roster: the voter named Leaving leaves, the empty
-// control node that listens at JoiningAddr joins; either may be left out. Step must be the
-// voter set's.
+// VoterSetChange is the body of an operator's change of the voter set: the voter named
+// Leaving leaves, the empty control node that listens at JoiningAddr joins; either may be
+// left out. Step must be the voter set's.
 type VoterSetChange struct {
 	Leaving     string `json:"old,omitempty"`
 	JoiningAddr string `json:"addr,omitempty"`
--- a/internal/app/control/disk_status.go
+++ b/internal/app/control/disk_status.go
@@ -26,9 +26,9 @@
 	n.daemon.Counter("disk_troubles_total", "times that the disk stopped this node from voting", func() float64 { return float64(s.troubleCount.Load()) })
 }
 
-// markDiskUnusable tells operators that the disk can't be used; the log has one event for
+// reportDiskUnusable tells operators that the disk can't be used; the log has one event for
 // each spell of it.
-func (n *Node) markDiskUnusable(err error) {
+func (n *Node) reportDiskUnusable(err error) {
 	s := &n.storage
 	previous := s.status.Load()
 	status := &DiskStatus{Cause: err.Error(), sinceUS: previous.sinceUS}
@@ -41,8 +41,8 @@
 	n.daemon.SetReady("this node does not vote: " + status.Cause)
 }
 
-// markDiskUsable tells operators that the disk takes writes.
-func (n *Node) markDiskUsable() {
+// reportDiskUsable tells operators that the disk takes writes.
+func (n *Node) reportDiskUsable() {
 	s := &n.storage
 	previous := s.status.Load()
 	if previous.Usable {
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -31,7 +31,7 @@
 			n.daemon.Fail(err)
 			return
 		}
-		n.markDiskUnusable(err)
+		n.reportDiskUnusable(err)
 		if !n.storage.retryAfterTrouble(ctx) {
 			return
 		}
@@ -98,7 +98,7 @@
 func (n *Node) runDiskStep(ctx context.Context, operation func() error) error {
 	_, err := n.runDiskOperation(ctx, func() (*diskImage, error) { return nil, operation() })
 	if err == nil {
-		n.markDiskUsable() // it may have stalled meanwhile
+		n.reportDiskUsable() // it may have stalled meanwhile
 	}
 	return err
 }
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -107,13 +107,13 @@
 			return false
 		case err == nil:
 			n.loadImage(image)
-			n.markDiskUsable()
+			n.reportDiskUsable()
 			return true
 		case !isTransient(err) || errors.Is(err, wal.ErrFull):
 			n.daemon.Fail(err)
 			return false
 		}
-		n.markDiskUnusable(err)
+		n.reportDiskUnusable(err)
 		if !n.storage.backOff(ctx) {
 			return false
 		}
@@ -159,7 +159,7 @@
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
-		n.markDiskUnusable(errStalled)
+		n.reportDiskUnusable(errStalled)
 	}
 }
 
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -35,7 +35,7 @@
 	reason, ok := taskgroup.Receive(ctx, n.stopReason)
 	n.voting.Store(false)
 	if ok && !errors.Is(reason, errRemoved) {
-		n.markDiskUnusable(reason)
+		n.reportDiskUnusable(reason)
 		n.stepDown(ctx)
 	}
 	n.voterGroup.Stop()
--- a/internal/app/directory/registers_test.go
+++ b/internal/app/directory/registers_test.go
@@ -70,7 +70,7 @@
 }
 
 // Ages begin anew when another directory leads the rollout, and only then.
-func TestAgesCountFromTheDuty(t *testing.T) {
+func TestAgesCountFromTheRolloutLeader(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
 	control.set(WeightsRoleKey, nil)
@@ -102,7 +102,7 @@
 }
 
 // The age of the registers of weights and rollout goes with each reply.
-func TestAgeOfRegistersIsTold(t *testing.T) {
+func TestAgeOfRegistersIsSent(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
 	d.Refresh(t.Context())
--- /dev/null
+++ b/internal/app/indexnode/frames.go
@@ -0,0 +1,58 @@
+package indexnode
+
+import (
+	"context"
+
+	"github.com/samber/lo"
+
+	"violetthread/internal/codec"
+	"violetthread/membership"
+	"violetthread/recording/replay"
+	"violetthread/schema/fb"
+)
+
+// relayTimeout is how long the answer to a relayed demand is waited for, in microseconds.
+const relayTimeout = 500_000
+
+// handleFrame answers agents and other index nodes.
+func (n *indexNode) handleFrame(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
+	switch {
+	case frame.CapacityRequest != nil && frame.CapacityRequest.To != "" && frame.CapacityRequest.To != n.settings.Name:
+		return n.relay(ctx, frame.CapacityRequest)
+	case frame.CapacityRequest != nil:
+		return &fb.FrameT{CapacityResponse: n.issueGrants(frame.CapacityRequest)}
+	case frame.UpdatesRequest != nil:
+		return &fb.FrameT{UpdatesResponse: n.answerUpdates(frame.UpdatesRequest)}
+	}
+	return nil
+}
+
+// relay passes an agent's demand on to the index node that it is for, which the agent does
+// not reach itself.
+func (n *indexNode) relay(ctx context.Context, request *fb.CapacityRequestT) *fb.FrameT {
+	peer, ok := lo.Find(n.session.View().Nodes, func(node *fb.NodeT) bool {
+		return node.Name == request.To && node.Role == membership.RoleIndexNode
+	})
+	if !ok || peer.Addr == n.settings.TransportAddr {
+		return nil
+	}
+	frame, err := n.peers.Get(peer.Addr).Call(ctx, &fb.FrameT{CapacityRequest: request}, relayTimeout)
+	if err != nil || frame.CapacityResponse == nil {
+		return nil
+	}
+	return &fb.FrameT{CapacityResponse: frame.CapacityResponse}
+}
+
+// issueGrants answers a demand with grants of the engines owned here.
+func (n *indexNode) issueGrants(request *fb.CapacityRequestT) (response *fb.CapacityResponseT) {
+	n.withNode(func(now int64, node *replay.IndexNode) {
+		response = codec.AnswerCapacity(node, now, n.settings.Name, request)
+	})
+	return response
+}
+
+// answerUpdates answers another index node that follows this one.
+func (n *indexNode) answerUpdates(request *fb.UpdatesRequestT) (response *fb.UpdatesResponseT) {
+	n.withNode(func(_ int64, node *replay.IndexNode) { response = codec.AnswerUpdates(node.Node, request) })
+	return response
+}
--- /dev/null
+++ b/internal/app/indexnode/node.go
@@ -0,0 +1,207 @@
+package indexnode
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/binary"
+	"fmt"
+	"net"
+	"sync"
+
+	"github.com/gravitational/trace"
+
+	"violetthread/index"
+	"violetthread/internal/app/session"
+	"violetthread/internal/clock"
+	"violetthread/internal/codec"
+	"violetthread/internal/daemon"
+	"violetthread/internal/engineapi"
+	"violetthread/internal/taskgroup"
+	"violetthread/internal/transport"
+	"violetthread/membership"
+	"violetthread/recording"
+	"violetthread/recording/replay"
+	"violetthread/schema/fb"
+)
+
+// Settings of an index node.
+type Settings struct {
+	daemon.NodeSettings
+	// Platform is where the platform lists its engines. No default.
+	Platform string `json:"platform" validate:"required,ipport" help:"IP:port of the platform's list of engines"`
+	daemon.RecordingSettings
+}
+
+// Defaults of the settings.
+func Defaults() Settings {
+	return Settings{
+		NodeSettings:      daemon.NodeSettings{DrainUS: 3_000_000},
+		RecordingSettings: daemon.RecordingDefaults,
+	}
+}
+
+// Intervals of the loops, in microseconds.
+const (
+	listingInterval = 200_000
+	leasesInterval  = 100_000
+	pollInterval    = 150_000
+	followInterval  = 200_000
+)
+
+// indexNode is a running index node.
+type indexNode struct {
+	settings    Settings
+	daemon      *daemon.Daemon
+	peers       *transport.PeerPool
+	session     *session.Session
+	incarnation uint64 // of this process
+	leaseHolder string // as whom it holds leases; unlike any other process
+	http        *engineapi.Client
+
+	mu              sync.Mutex // guards what follows
+	node            *replay.IndexNode
+	running         map[string]bool         // by spawn's name
+	prefetchCursors map[string]index.Cursor // by zone and peer
+}
+
+// Run runs an index node until it is told to stop.
+func Run(settings Settings) error {
+	process, err := New(settings)
+	if err != nil {
+		return err
+	}
+	return process.Run()
+}
+
+// New makes an index node as a process, ready to Run. Its loops run from here on.
+func New(settings Settings) (*daemon.Daemon, error) {
+	if settings.TransportAddr == "" || len(settings.Seeds) == 0 {
+		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the control nodes' addresses")
+	}
+	process := daemon.New("violetthread-index", settings.Name, settings.HTTPAddr, settings.DrainUS)
+	if err := process.ProfileCPU(settings.CPUProfile); err != nil {
+		return nil, err
+	}
+	n, err := newIndexNode(settings, process)
+	if err != nil {
+		return nil, err
+	}
+	listener, err := net.Listen("tcp", settings.TransportAddr)
+	if err != nil {
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", settings.TransportAddr)
+	}
+	transport.Serve(process.Group, listener, n.handleFrame)
+	n.session.Run()
+	n.startLoops()
+	n.registerMetrics()
+	process.OnDrain(n.releaseLeases)
+	process.SetReady("")
+	return process, nil
+}
+
+// newIndexNode makes an index node without its loops.
+func newIndexNode(settings Settings, process *daemon.Daemon) (*indexNode, error) {
+	incarnation, err := drawIncarnation()
+	if err != nil {
+		return nil, err
+	}
+	n := &indexNode{
+		settings:        settings,
+		daemon:          process,
+		peers:           transport.NewPeerPool(process.Group),
+		incarnation:     incarnation,
+		leaseHolder:     fmt.Sprintf("%s#%x", settings.Name, incarnation),
+		http:            engineapi.NewClient(),
+		node:            &replay.IndexNode{Node: index.New(settings.Name, settings.Zone, incarnation)},
+		running:         map[string]bool{},
+		prefetchCursors: map[string]index.Cursor{},
+	}
+	if settings.Recording != "" {
+		if err := n.startRecording(); err != nil {
+			return nil, err
+		}
+	}
+	n.session = session.New(process.Group, n.peers, settings.Seeds, n.self)
+	return n, nil
+}
+
+// drawIncarnation draws the number of a process.
+func drawIncarnation() (uint64, error) {
+	var b [8]byte
+	if _, err := rand.Read(b[:]); err != nil {
+		return 0, err
+	}
+	return binary.LittleEndian.Uint64(b[:])>>24 | 1, nil
+}
+
+// startRecording records what the node takes in and decides, for replay.
+func (n *indexNode) startRecording() error {
+	header := recording.Header{
+		Component:   recording.ComponentIndexNode,
+		Name:        n.settings.Name,
+		Zone:        n.settings.Zone,
+		Incarnation: n.incarnation,
+	}
+	writer, err := recording.Create(n.settings.Recording, header, n.settings.RecordingBytes)
+	if err != nil {
+		return err
+	}
+	writer.OnFull = func() {
+		n.daemon.Log.Info("recording_full", "file", n.settings.Recording, "bytes", n.settings.RecordingBytes)
+	}
+	n.node.Writer = writer
+	n.daemon.OnStop(func() { _ = writer.Close() })
+	return nil
+}
+
+func (n *indexNode) startLoops() {
+	every := func(name string, intervalUS int64, run func(context.Context)) {
+		n.daemon.Group.Go(name, func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(intervalUS), run) })
+	}
+	every("listing", listingInterval, n.refreshListing)
+	every("leases", leasesInterval, n.renewLeases)
+	every("engines", pollInterval, n.pollEngines)
+	every("peers", followInterval, n.followPeers)
+}
+
+// self is this node's own state, for its heartbeats.
+func (n *indexNode) self() *fb.NodeT {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	status := &fb.NodeT{
+		Name:        n.settings.Name,
+		Role:        membership.RoleIndexNode,
+		Zone:        n.settings.Zone,
+		Addr:        n.settings.TransportAddr,
+		Http:        n.settings.HTTPAddr,
+		Incarnation: n.incarnation,
+		Ready:       n.daemon.Ready(),
+	}
+	return codec.AddIndexNodeStatus(n.node.Node, clock.Now(), status)
+}
+
+// withNode runs a function on the index node, which is not safe for concurrent use.
+func (n *indexNode) withNode(run func(now int64, node *replay.IndexNode)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	run(clock.Now(), n.node)
+}
+
+// spawn runs a function unless the last one of that name still runs.
+func (n *indexNode) spawn(name string, run func(ctx context.Context)) {
+	n.mu.Lock()
+	if n.running[name] {
+		n.mu.Unlock()
+		return
+	}
+	n.running[name] = true
+	n.mu.Unlock()
+	n.daemon.Group.Go(name, func(ctx context.Context) {
+		defer func() {
+			n.mu.Lock()
+			delete(n.running, name)
+			n.mu.Unlock()
+		}()
+		run(ctx)
+	})
+}
--- a/rollout/scheduler.go
+++ b/rollout/scheduler.go
@@ -116,7 +116,7 @@
 // Observe takes in an engine's own word on what it runs, fresher than the list's.
 func (s *Scheduler) Observe(id, model string, version uint64) {
 	if version > s.State.Applied[id][model] {
-		s.markApplied(id, model, version)
+		s.recordApplied(id, model, version)
 	}
 }
 
@@ -138,7 +138,7 @@
 			delete(s.State.Updates, id)
 			changed = true
 		case s.State.Version(id, update.Model, engine.Weights[update.Model]) >= update.Version:
-			s.markApplied(id, update.Model, update.Version)
+			s.recordApplied(id, update.Model, update.Version)
 			if update.Phase == PhaseRequested {
 				s.averageDuration += (now - update.StartedAt - s.averageDuration) / 4
 			}
@@ -185,7 +185,7 @@
 	return requests, inspect, changed
 }
 
-func (s *Scheduler) markApplied(id, model string, version uint64) {
+func (s *Scheduler) recordApplied(id, model string, version uint64) {
 	applied := s.State.Applied[id]
 	if applied == nil {
 		applied = map[string]uint64{}
