--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -99,7 +99,7 @@
 		if err != nil {
 			return nil, err
 		}
-		w.OnFull = func() { d.Log.Info("tape_full", "file", s.Recording, "bytes", s.RecordingBytes) }
+		w.OnFull = func() { d.Log.Info("recording_full", "file", s.Recording, "bytes", s.RecordingBytes) }
 		r.dispatcher.Writer = w
 		d.OnStop(func() { _ = w.Close() })
 	}
@@ -168,11 +168,11 @@
 func (g *gateway) applyFeed(t *fb.FeedResponseT, at int64) {
 	n, changed, err := g.plan.Load().Apply(plan.Update{Revision: t.Revision, Age: t.Age, Raw: t.Plan, Confirmed: t.Confirmed}, at)
 	if err != nil {
-		g.daemon.Log.Info("plan_unreadable", "rev", t.Revision, "cause", err.Error())
+		g.daemon.Log.Info("plan_unreadable", "revision", t.Revision, "cause", err.Error())
 	}
 	g.plan.Store(&n)
 	if changed {
-		g.daemon.Log.Info("plan", "rev", n.Revision, "age_us", n.Age(clock.Now()))
+		g.daemon.Log.Info("plan_updated", "revision", n.Revision, "age_us", n.Age(clock.Now()))
 	}
 	// Ages count from the question: the answer may have been long on its way.
 	os := codec.UnpackGrants(t.Grants, clock.Now()-at)
--- a/internal/app/indexnode/engines.go
+++ b/internal/app/indexnode/engines.go
@@ -140,5 +140,5 @@
 	}
 	request := engineapi.WeightsRequest{Weights: update.Weights, FencingToken: update.FencingToken, Owner: n.settings.Name}
 	err := n.http.Post(ctx, update.Addr, "/v1/weights", weightsTimeout, request, nil)
-	n.daemon.Log.Info("weight_update", "engine", update.Engine, "weights", update.Weights, "fencing_token", update.FencingToken, "error", fmt.Sprint(err))
+	n.daemon.Log.Info("plan_weights_sent", "engine", update.Engine, "weights", update.Weights, "fencing_token", update.FencingToken, "error", fmt.Sprint(err))
 }
