--- a/sim/catchup_day_test.go
+++ b/sim/catchup_day_test.go
@@ -7,7 +7,7 @@
 
 // TestCatchupDays: a long row of changes, some of 350 routes, with members down for a part
 // of it, wiped, restarted, or ended at each record of a checkpoint. A member that is back
-// holds all that is settled within the time for which it counts as lost, and nobody
+// holds all that is committed within the time for which it counts as lost, and nobody
 // answers with old state. VT_SEEDS runs a thousand changes each.
 func TestCatchupDays(t *testing.T) {
 	for _, setback := range Setbacks {
--- a/sim/cluster_day_test.go
+++ b/sim/cluster_day_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestLostAcknowledgement: every word that a change is on disk gets lost, once.
+// TestLostAcknowledgement: every message that a change is on disk gets lost, once.
 // Seed 282 of the lossy days first showed a slot that then stood still for ever.
 func TestLostAcknowledgement(t *testing.T) {
 	s := newStage(t, 1, "plan")
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestFailedCandidateFollows: one that could not hear the owner sought its slot in vain
-// and keeps its promise to itself; the owner wins the slot anew above it, so that all
-// voters follow it again. Without that no voter set step was ever firm for the one left out.
+// TestFailedCandidateFollows: one that could not hear the leader sought its slot in vain
+// and keeps its promise to itself; the leader wins the slot anew above it, so that all
+// voters follow it again. Without that no voter set step was ever recovered with the one left out.
 func TestFailedCandidateFollows(t *testing.T) {
 	s := newStage(t, 1, "plan")
 	s.put("plan", "v1")
--- a/sim/config_followers.go
+++ b/sim/config_followers.go
@@ -13,7 +13,7 @@
 	directoryRefreshInterval = 150_000
 	proxyPollInterval        = 150_000
 	proxyPollTimeout         = 700_000
-	maxDirectoryAge          = 1_000_000 // a directory whose word is older is not asked first
+	maxDirectoryAge          = 1_000_000 // a directory whose answer is older is not asked first
 	directoryPause           = 1_500_000 // for so long
 	// ServeAge is the age of the configuration up to which a proxy serves.
 	ServeAge = 1_600_000
@@ -194,7 +194,7 @@
 	config  *ConfigHistory
 	weights *WeightsHistory
 	proxies []*ConfigProxy
-	// OldConfig is the longest after an acknowledgement that a proxy served by an older
+	// OldestConfigUS is the longest after an acknowledgement that a proxy served by an older
 	// configuration.
 	OldestConfigUS int64
 }
--- a/sim/config_history.go
+++ b/sim/config_history.go
@@ -42,9 +42,9 @@
 	newest                  uint64 // version that was acknowledged or read
 	Acknowledged            int    // orders acknowledged
 	AcknowledgedAfterResend int    // orders acknowledged after a resend
-	Rejected                int    // refusals of orders
+	Rejected                int    // rejections of orders
 	Reads                   int
-	// Behind is the most changes that were in force after an order when it was
+	// MostBehind is the most changes that were in force after an order when it was
 	// acknowledged for the first time.
 	MostBehind uint64
 }
@@ -211,7 +211,7 @@
 	return h.docs[version], true
 }
 
-// Close judges the refusals, once all is known that will be.
+// Close judges the rejections, once all is known that will be.
 func (h *ConfigHistory) Close() {
 	for _, order := range h.orders {
 		for _, r := range order.rejections {
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// platformTerm is the lease of a slot's owner on the users' platform
+	// platformLeaseUS is the lease of a slot's leader on the users' platform
 	// (platform.Control).
 	platformLeaseUS = 600_000
-	// ackBound is within how long a proper change is acknowledged, where a majority
+	// acknowledgementBoundUS is within how long a proper change is acknowledged, where a majority
 	// can be reached.
 	acknowledgementBoundUS = 4_000_000
 )
--- a/sim/fleet_day.go
+++ b/sim/fleet_day.go
@@ -15,7 +15,7 @@
 	DayIsolation   Day = "walls"      // groups walled off, opened, removed and made again
 	DayReplacement Day = "roster"     // core machines lost for good with both programs, others put in their place
 	DayWeights     Day = "weights"    // named again and again, engines that refuse, are slow, die half turned
-	DayReports     Day = "news"       // reports lost, hand-overs fail quietly
+	DayReports     Day = "news"       // reports lost, cache transfers fail quietly
 	DayAll         Day = "everything" // all of it at once
 )
 
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -224,7 +224,7 @@
 	return attempt.ClaimUnknown
 }
 
-// ticketEnd is what an observer is told of a request's end.
+// requestResult is what an observer is told of a request's end.
 type requestResult struct {
 	outcome attempt.Outcome
 	reason  string
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -237,7 +237,7 @@
 }
 
 // caughtUp reports whether a machine votes in the newest voter set and holds every slot's
-// line up to its owner's last change.
+// line up to its leader's last change.
 func (d *membershipDay) caughtUp(node *ControlNode) bool {
 	voterSet, _ := d.currentVoters()
 	if node.node == nil || !node.up || !node.isMemberOf(voterSet) || node.node.VoterSet().Revision != voterSet.Revision || !node.node.AllSlotsRecovered() {
--- a/sim/messages_day.go
+++ b/sim/messages_day.go
@@ -11,8 +11,8 @@
 	// terms and processes.
 	echoSoon = 60_000
 	echoLate = 8_000_000
-	// messagesBack is within how long after the trouble every slot takes changes.
-	messagesBack = 4_000_000
+	// messagesRecoveryBoundUS is within how long after the trouble every slot takes changes.
+	messagesRecoveryBoundUS = 4_000_000
 	// messageJitter is the most by which ways differ, drawn anew every jitterEvery.
 	messageJitter = 60_000
 	jitterEvery   = 300_000
@@ -21,7 +21,7 @@
 // MessagesResult is what a day of repeated and reordered messages came to.
 type MessagesResult struct {
 	Acknowledged, Claims, Leases, Repeated, Restarts int
-	// Stranger counts messages that reached another life of their receiver.
+	// ToNextProcess counts messages that reached another process of their receiver.
 	ToNextProcess int
 	RecoveryUS    int64
 	Violations    []string
@@ -29,7 +29,7 @@
 }
 
 // MessagesDay is a day on which the voters' messages come late, out of order and again,
-// also to the next life of a process of the same name.
+// also to the next process of the same name.
 type MessagesDay struct {
 	world  *World
 	core   *Cluster
@@ -128,11 +128,11 @@
 func (d *MessagesDay) waitBack(writer *SlotWriter) {
 	world := d.world
 	from := world.now
-	for !writer.AcknowledgedSince(from) && world.now < from+messagesBack && len(world.violations) == 0 {
+	for !writer.AcknowledgedSince(from) && world.now < from+messagesRecoveryBoundUS && len(world.violations) == 0 {
 		world.Run(world.now + checkInterval)
 	}
 	d.result.RecoveryUS = world.now - from
 	if !writer.AcknowledgedSince(from) {
-		world.Violation("not back", "not every slot took a change within %d us after the trouble", messagesBack)
+		world.Violation("not back", "not every slot took a change within %d us after the trouble", messagesRecoveryBoundUS)
 	}
 }
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -74,7 +74,7 @@
 	return s.do(s.settle(), quorum.Operation{Type: quorum.OpPut, Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision})
 }
 
-// torn makes the owner take a change that reaches nobody, and die of it.
+// torn makes the leader take a change that reaches nobody, and die of it.
 func (s *stage) torn() *ControlNode {
 	other := s.settle()
 	for _, node := range s.c.Nodes {
@@ -87,7 +87,7 @@
 	return other
 }
 
-// turnUntil kills the owner again and again, restarting it, until it is want, or
+// turnUntil kills the leader again and again, restarting it, until it is want, or
 // until it is no more when want is nil.
 func (s *stage) turnUntil(want *ControlNode) {
 	for i := 0; i < 30; i++ {
@@ -155,7 +155,7 @@
 	}
 }
 
-// TestOldLine: the same change, when its owner comes back and votes before it has
+// TestOldLine: the same change, when its leader comes back and votes before it has
 // heard of the line that followed.
 func TestOldLine(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
--- a/sim/races_day.go
+++ b/sim/races_day.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// raceEnds is within how long after the trouble the newest configuration is read
+	// raceRecoveryBoundUS is within how long after the trouble the newest configuration is read
 	// back and all operators have a clear answer.
-	raceEnds = 8_000_000
+	raceRecoveryBoundUS = 8_000_000
 	// lossPercent of a step's messages get lost.
 	lossPercent = 25
 	// killPercent of the acknowledgements and syncs that may kill do, while all are up.
@@ -18,7 +18,7 @@
 // RaceTrouble is what troubles operators that race.
 type RaceTrouble string
 
-// Kills of the owner at the moments between a sync and its answer; losses are named by
+// Kills of the leader at the moments between a sync and its answer; losses are named by
 // their steps.
 const (
 	KillSynced    RaceTrouble = "killed after its sync"       // before its voter hears of it
@@ -48,12 +48,12 @@
 type RaceResult struct {
 	Orders, Acknowledged, AcknowledgedAfterResend, Rejected, Reads int
 	Lost, Kills                                                    int // messages, processes
-	// Behind is the most changes that were in force after an order when it was
+	// MostBehind is the most changes that were in force after an order when it was
 	// acknowledged for the first time.
 	MostBehind uint64
-	// Slowest is the longest that an operator went without a clear answer.
+	// SlowestOrderUS is the longest that an operator went without a clear answer.
 	SlowestOrderUS int64
-	// Ended is how long after the trouble all was clear.
+	// SettledUS is how long after the trouble all was clear.
 	SettledUS  int64
 	Violations []string
 	Notes      []string
@@ -66,7 +66,7 @@
 	d.AddReaders(2, 150_000)
 	for _, o := range d.Operators {
 		o.Pause = 60_000
-		o.OnAccepted = d.onTaken
+		o.OnAccepted = d.losePowerAll
 	}
 	d.Start()
 	world := d.World
@@ -108,14 +108,14 @@
 	for _, o := range d.Operators {
 		o.OnFinished = func() { told[o] = true }
 	}
-	took, ok := d.Until(raceEnds, func() bool { return len(told) == len(d.Operators) })
+	took, ok := d.Until(raceRecoveryBoundUS, func() bool { return len(told) == len(d.Operators) })
 	d.result.SettledUS = took
 	if !ok {
 		world.Violation("not back", "%d of %d operators had a clear answer %d us after the trouble", len(told), len(d.Operators), took)
 	}
 	reads := d.Config.Reads
-	if _, ok := d.Until(raceEnds, func() bool { return d.Config.Reads > reads+4 }); !ok {
-		world.Violation("not back", "nothing was read back %d us after the trouble", raceEnds)
+	if _, ok := d.Until(raceRecoveryBoundUS, func() bool { return d.Config.Reads > reads+4 }); !ok {
+		world.Violation("not back", "nothing was read back %d us after the trouble", raceRecoveryBoundUS)
 	}
 }
 
@@ -124,7 +124,7 @@
 	r.Orders, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(history.orders), history.Acknowledged, history.AcknowledgedAfterResend, history.Rejected, history.Reads
 	r.MostBehind = history.MostBehind
 	for _, o := range d.Operators {
-		r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestTaken)
+		r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestOrderUS)
 	}
 	r.Violations, r.Notes = d.World.violations, d.World.notes
 }
@@ -145,7 +145,7 @@
 	return true
 }
 
-// dropsMessage loses some of the messages between owner and voters, of the
+// dropsMessage loses some of the messages between leader and voters, of the
 // configuration's slot.
 func (d *RaceDay) dropsMessage(message quorum.Message) bool {
 	kind := quorum.MsgAppend
@@ -155,26 +155,26 @@
 	return message.Type == kind && message.Slot == slotOf(route.ConfigKey) && d.losesOne()
 }
 
-// killsSynced kills the configuration's owner when its records are on disk and its voter
+// killsSynced kills the configuration's leader when its records are on disk and its voter
 // does not know yet.
 func (d *RaceDay) killsSynced(node *ControlNode) bool {
 	if d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
-	return d.kills(node)
+	return d.endProcess(node)
 }
 
-// killsAnswering kills the owner when a change is on a majority's disks and nobody was
+// killsAnswering kills the leader when a change is on a majority's disks and nobody was
 // told.
 func (d *RaceDay) killsAnswering(node *ControlNode, result quorum.Result) bool {
 	if result.Status != quorum.StatusDone || d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
-	return d.kills(node)
+	return d.endProcess(node)
 }
 
-// kills ends a process now and then, while all others are up, and starts it again.
-func (d *RaceDay) kills(node *ControlNode) bool {
+// endProcess ends a process now and then, while all others are up, and starts it again.
+func (d *RaceDay) endProcess(node *ControlNode) bool {
 	world := d.World
 	if !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return false
@@ -189,8 +189,8 @@
 	return true
 }
 
-// onTaken cuts the power of all control nodes at some acknowledgements.
-func (d *RaceDay) onTaken(*ConfigOrder) {
+// losePowerAll cuts the power of all control nodes at some acknowledgements.
+func (d *RaceDay) losePowerAll(*ConfigOrder) {
 	world := d.World
 	if d.trouble != PowerAnswered || world.now >= d.until || !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -14,18 +14,18 @@
 	readTimeoutUS        = 700_000 // in which a directory reads a register
 	maxReadAgeUS         = 500_000 // how old the read may be that an answer rests on
 	contactCheckInterval = 50_000  // between looks at the contact with a majority
-	retryWithoutLeader   = 25_000  // between looks at a register without an owner
+	retryWithoutLeader   = 25_000  // between looks at a register without an leader
 	retryAfterConflict   = 1_000   // after another's change came first
-	passReadTimeoutUS    = 500_000 // for a read that is passed to the owner
+	passReadTimeoutUS    = 500_000 // for a read that is passed to the leader
 	passChangeTimeoutUS  = 2_000_000
 	maxHops              = 2
-	passSilenceLimit     = 400_000 // nothing is passed to an owner silent for so long
+	passSilenceLimit     = 400_000 // nothing is passed to a leader silent for so long
 )
 
-// Outcome is what an operator is told of an order.
+// Outcome is what an operator hears of an order.
 type Outcome uint8
 
-// An order that was Taken is acknowledged. A Refused one builds on a version that is
+// An order whose outcome is OutcomeAccepted is acknowledged. An OutcomeStale one builds on a version that is
 // not current, an Invalid one never will do, and nobody can tell of an Unclear one.
 const (
 	OutcomeUnknown Outcome = iota
@@ -279,19 +279,19 @@
 // The steps of an order, each of which may get lost.
 const (
 	StepOrder    OrderStep = "order"     // operator to node
-	StepReadAsk  OrderStep = "read-ask"  // node to the register's owner
+	StepReadAsk  OrderStep = "read-ask"  // node to the register's leader
 	StepReadTell OrderStep = "read-tell" // and back
-	StepPutAsk   OrderStep = "put-ask"   // node to the register's owner
-	StepWrite    OrderStep = "write"     // owner to the voters
+	StepPutAsk   OrderStep = "put-ask"   // node to the register's leader
+	StepWrite    OrderStep = "write"     // leader to the voters
 	StepWriteOK  OrderStep = "write-ok"  // and back
-	StepPutTell  OrderStep = "put-tell"  // owner to the node
+	StepPutTell  OrderStep = "put-tell"  // leader to the node
 	StepReply    OrderStep = "reply"     // node to operator
 )
 
 // OrderSteps lists them in order.
 var OrderSteps = []OrderStep{StepOrder, StepReadAsk, StepReadTell, StepPutAsk, StepWrite, StepWriteOK, StepPutTell, StepReply}
 
-// stepsOf are the steps of an operation that is passed to its owner.
+// stepsOf are the steps of an operation that is passed to its leader.
 func stepsOf(operationType quorum.OperationType) (ask, tell OrderStep) {
 	if operationType == quorum.OpGet {
 		return StepReadAsk, StepReadTell
--- a/sim/slot_writer.go
+++ b/sim/slot_writer.go
@@ -14,7 +14,7 @@
 	histories      []*History // by slot
 	acknowledgedAt []int64    // by slot, when a change was last acknowledged
 	next           int
-	// OnAck is called at each acknowledgement of a change.
+	// OnAcknowledged is called at each acknowledgement of a change.
 	OnAcknowledged func(slot int)
 }
 
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -81,7 +81,7 @@
 	t.Fatalf("%s is not settled: %v", key, d.world.violations)
 }
 
-// differs names a register of the filled slot that the owner has settled and r holds
+// differs names a register of the filled slot that the leader has settled and r holds
 // otherwise, or "".
 func (d *snapshotDay) differs(node *ControlNode) string {
 	other := d.slotOwner()
@@ -121,7 +121,7 @@
 
 // TestSnapshotInParts: a slot holds five times what a frame takes and changes come a
 // hundred times a second. A machine that comes back empty, or with state of hundreds of
-// changes ago, holds everything in time, also when it or the owner ends midway.
+// changes ago, holds everything in time, also when it or the leader ends midway.
 func TestSnapshotInParts(t *testing.T) {
 	for _, how := range []string{"empty", "behind", "ends midway", "owner ends midway", "lossy"} {
 		t.Run(how, func(t *testing.T) {
