--- /dev/null
+++ b/sim/config_checker.go
@@ -0,0 +1,45 @@
+package sim
+
+// checkInterval is how often what proxies serve by is checked.
+const checkInterval = 10_000
+
+// ServeChecker checks what proxies serve by.
+type ServeChecker struct {
+	config  *ConfigHistory
+	weights *WeightsHistory
+	proxies []*ConfigProxy
+	// OldestConfigUS is the longest after an acknowledgement that a proxy served by an older
+	// configuration.
+	OldestConfigUS int64
+}
+
+// Watch judges until the world ends.
+func (c *ServeChecker) Watch(world *World) {
+	for _, proxy := range c.proxies {
+		if proxy.Serves() {
+			c.check(world, proxy)
+		}
+	}
+	world.At(world.now+checkInterval, func() { c.Watch(world) })
+}
+
+func (c *ServeChecker) check(world *World, proxy *ConfigProxy) {
+	vouched := world.now - (proxy.Clock() - proxy.config.confirmedAt)
+	if floor := c.config.inForceAt(vouched); floor > proxy.config.version {
+		world.Violation("vouched for an older configuration", "%s holds version %d as in force at %d, when %d was", proxy.Name, proxy.config.version, vouched, floor)
+	}
+	if at := c.config.replacedAt(proxy.config.version); at > 0 {
+		old := world.now - at
+		c.OldestConfigUS = max(c.OldestConfigUS, old)
+		if old > ApplyBound {
+			world.Violation("old configuration in use", "%s serves by version %d, replaced %d us ago", proxy.Name, proxy.config.version, old)
+		}
+	}
+	if !proxy.weights.known {
+		return
+	}
+	vouched = world.now - (proxy.Clock() - proxy.weights.confirmedAt)
+	if floor := c.weights.namedAt(vouched); floor > proxy.weights.version {
+		world.Violation("vouched for older weights", "%s holds version %d as the newest at %d, when %d was", proxy.Name, proxy.weights.version, vouched, floor)
+	}
+}
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -1,9 +1,6 @@
 package sim
 
 import (
-	"fmt"
-	"strings"
-
 	"violetthread/route"
 )
 
@@ -77,35 +74,6 @@
 	return change
 }
 
-// mergedRoutes is how many routes merges take turns in replacing.
-const mergedRoutes = 6
-
-func routeText(name, prefix string) string {
-	return fmt.Sprintf(`{"name":%q,"host":"calls.example","path-prefix":%q,"route-type":"idempotent","timeout-ms":2000,"target-latency-ms":600,"priority":1,"max-attempts":2,"traffic-split":[{"service":"engines","weight":3},{"service":"others","weight":1}]}`, name, prefix)
-}
-
-// keyPrefix begins the key that an order brings.
-const keyPrefix = "key-of-order-"
-
-func tenantText(order *ConfigOrder) string {
-	return fmt.Sprintf(`{"name":"desk","api-keys":["%s%d"]}`, keyPrefix, order.id)
-}
-
-func wholeText(order *ConfigOrder, routes int) string {
-	var rs []string
-	for i := range routes {
-		rs = append(rs, routeText(fmt.Sprint("route", i), fmt.Sprintf("/order%d/%d/", order.id, i)))
-	}
-	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"engines","max-connections":8},{"name":"others"}],"tenants":[%s],"limits":{"idle-timeout-ms":5000}}`,
-		order.version, strings.Join(rs, ","), tenantText(order))
-}
-
-func mergeText(order *ConfigOrder) string {
-	name := fmt.Sprint("merged", order.id%mergedRoutes)
-	return fmt.Sprintf(`{"version":%d,"upsert":{"routes":[%s],"tenants":[%s]}}`,
-		order.version, routeText(name, fmt.Sprintf("/merged%d/", order.id)), tenantText(order))
-}
-
 // send sends the order as it stands to a node.
 func (o *ConfigOperator) send() {
 	o.sends++
@@ -183,50 +151,3 @@
 	}
 	o.After(1+o.Pause/2+o.cluster.world.Rng.Int63n(o.Pause+1), o.next)
 }
-
-// ConfigReader reads the configuration back at any node, again and again.
-type ConfigReader struct {
-	*Host
-	cluster *Cluster
-	history *ConfigHistory
-	// Only are the nodes that it reads at, nil for any.
-	Only []*ControlNode
-}
-
-// NewConfigReader adds a reader.
-func NewConfigReader(cluster *Cluster, name, zone string, history *ConfigHistory, every int64) *ConfigReader {
-	r := &ConfigReader{cluster: cluster, history: history}
-	r.Host = cluster.world.NewHost(name, zone, func() { r.Every(every, r.read) })
-	return r
-}
-
-func (r *ConfigReader) read() {
-	nodes := r.Only
-	if nodes == nil {
-		nodes = r.cluster.Nodes
-	}
-	node := nodes[r.cluster.world.Rng.Intn(len(nodes))]
-	r.readAt(node, func(bool) {})
-}
-
-// registerValue is a register as a node answers for it.
-type registerValue struct {
-	value []byte
-	ok    bool
-}
-
-// readAt reads at one node, and tells whether there was an answer.
-func (r *ConfigReader) readAt(node *ControlNode, done func(ok bool)) {
-	from := r.cluster.world.now
-	Call(r.Host, node.Host, 0, operatorSilence,
-		func(_ int, reply func(registerValue)) {
-			node.Read(route.ConfigKey, func(value []byte, _ uint64, ok bool) { reply(registerValue{value, ok}) })
-		},
-		func(a registerValue) {
-			if a.ok {
-				r.history.read(from, a.value)
-			}
-			done(a.ok)
-		},
-		func() { done(false) })
-}
--- /dev/null
+++ b/sim/config_proxy.go
@@ -0,0 +1,80 @@
+package sim
+
+// ConfigProxy serves by the configuration that directories tell it.
+type ConfigProxy struct {
+	*Host
+	cluster     *Cluster
+	directories *Directories
+	config      confirmedVersion
+	weights     confirmedVersion
+	pausedUntil map[*ControlNode]int64 // until when
+	directory   *ControlNode
+}
+
+// NewConfigProxy adds a proxy.
+func NewConfigProxy(cluster *Cluster, name, zone string, dirs *Directories) *ConfigProxy {
+	proxy := &ConfigProxy{cluster: cluster, directories: dirs}
+	proxy.Host = cluster.world.NewHost(name, zone, func() {
+		proxy.config, proxy.weights, proxy.directory = confirmedVersion{}, confirmedVersion{}, nil
+		proxy.pausedUntil = map[*ControlNode]int64{}
+		proxy.Every(proxyPollInterval, proxy.poll)
+	})
+	return proxy
+}
+
+// directoryAnswer is a directory's answer: ages, since no two hosts' clocks agree.
+type directoryAnswer struct {
+	config, weights       confirmedVersion
+	configAge, weightsAge int64
+}
+
+// poll asks one directory, and goes on to another when it fails or lags behind.
+func (p *ConfigProxy) poll() {
+	node := p.choose()
+	at := p.Clock()
+	Call(p.Host, node.Host, 0, proxyPollTimeout,
+		func(_ int, reply func(directoryAnswer)) {
+			if d := p.directories.byNode[node]; d != nil {
+				now := node.Clock()
+				reply(directoryAnswer{d.config, d.weights, now - d.config.confirmedAt, now - d.weights.confirmedAt})
+			}
+		},
+		func(answer directoryAnswer) { p.answered(node, at, answer) },
+		func() { p.pauseDirectory(node) })
+}
+
+func (p *ConfigProxy) answered(node *ControlNode, at int64, answer directoryAnswer) {
+	answer.config.confirmedAt = at - answer.configAge
+	answer.weights.confirmedAt = at - answer.weightsAge
+	p.config.update(answer.config)
+	p.weights.update(answer.weights)
+	if !answer.config.known || answer.configAge > maxDirectoryAge {
+		p.pauseDirectory(node)
+	}
+}
+
+// choose keeps to one directory while it does.
+func (p *ConfigProxy) choose() *ControlNode {
+	if p.directory != nil && p.pausedUntil[p.directory] <= p.Clock() {
+		return p.directory
+	}
+	nodes := p.cluster.Nodes
+	first := p.world.Rng.Intn(len(nodes))
+	p.directory = nodes[first]
+	for i := range nodes {
+		if node := nodes[(first+i)%len(nodes)]; !node.removed && p.pausedUntil[node] <= p.Clock() {
+			p.directory = node
+			break
+		}
+	}
+	return p.directory
+}
+
+func (p *ConfigProxy) pauseDirectory(node *ControlNode) {
+	p.pausedUntil[node] = p.Clock() + directoryPause
+}
+
+// Serves reports whether the configuration is young enough to serve by.
+func (p *ConfigProxy) Serves() bool {
+	return p.up && !p.frozen && p.config.known && p.Clock()-p.config.confirmedAt <= ServeAge
+}
--- /dev/null
+++ b/sim/config_texts.go
@@ -0,0 +1,35 @@
+package sim
+
+import (
+	"fmt"
+	"strings"
+)
+
+// mergedRoutes is how many routes merges take turns in replacing.
+const mergedRoutes = 6
+
+func routeText(name, prefix string) string {
+	return fmt.Sprintf(`{"name":%q,"host":"calls.example","path-prefix":%q,"route-type":"idempotent","timeout-ms":2000,"target-latency-ms":600,"priority":1,"max-attempts":2,"traffic-split":[{"service":"engines","weight":3},{"service":"others","weight":1}]}`, name, prefix)
+}
+
+// keyPrefix begins the key that an order brings.
+const keyPrefix = "key-of-order-"
+
+func tenantText(order *ConfigOrder) string {
+	return fmt.Sprintf(`{"name":"desk","api-keys":["%s%d"]}`, keyPrefix, order.id)
+}
+
+func wholeText(order *ConfigOrder, routes int) string {
+	var rs []string
+	for i := range routes {
+		rs = append(rs, routeText(fmt.Sprint("route", i), fmt.Sprintf("/order%d/%d/", order.id, i)))
+	}
+	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"engines","max-connections":8},{"name":"others"}],"tenants":[%s],"limits":{"idle-timeout-ms":5000}}`,
+		order.version, strings.Join(rs, ","), tenantText(order))
+}
+
+func mergeText(order *ConfigOrder) string {
+	name := fmt.Sprint("merged", order.id%mergedRoutes)
+	return fmt.Sprintf(`{"version":%d,"upsert":{"routes":[%s],"tenants":[%s]}}`,
+		order.version, routeText(name, fmt.Sprintf("/merged%d/", order.id)), tenantText(order))
+}
--- /dev/null
+++ b/sim/order_decisions.go
@@ -0,0 +1,67 @@
+package sim
+
+import (
+	"violetthread/route"
+)
+
+// decideFunc makes the next value of a register from its present one. Without a next
+// value the reply stands; with one it stands once that is in force.
+type decideFunc func(value []byte, revision uint64) (next []byte, reply Reply)
+
+// Texts reads operators' texts. Tests pass the platform's, which this package does
+// not import: an adapter imports the product, never the other way round.
+type Texts struct {
+	Translate func([]byte) (route.Config, []route.Finding)
+	Words     route.FieldNames
+}
+
+// changeConfiguration decides a change of the configuration.
+func changeConfiguration(change route.Change, texts Texts) decideFunc {
+	return func(value []byte, revision uint64) ([]byte, Reply) {
+		var current *route.Document
+		version := uint64(0)
+		if revision != 0 {
+			document, err := route.DecodeDocument(value)
+			if err != nil {
+				return nil, Reply{Outcome: OutcomeUnknown}
+			}
+			current, version = document, document.Version
+		}
+		next, out, _ := change.Apply(current, texts.Translate, texts.Words)
+		switch out {
+		case route.Accepted:
+			return next.Encode(), Reply{OutcomeAccepted, next.Version}
+		case route.Duplicate:
+			return nil, Reply{OutcomeAccepted, version}
+		case route.Stale:
+			return nil, Reply{OutcomeStale, version}
+		case route.Undecidable:
+			return nil, Reply{Outcome: OutcomeUnknown}
+		default:
+			return nil, Reply{OutcomeInvalid, version}
+		}
+	}
+}
+
+// nameWeights decides the naming of a version of a model's weights.
+func nameWeights(model string, version uint64) decideFunc {
+	return func(value []byte, revision uint64) ([]byte, Reply) {
+		current := &route.WeightVersions{}
+		if revision != 0 {
+			versions, err := route.DecodeWeights(value)
+			if err != nil {
+				return nil, Reply{Outcome: OutcomeUnknown}
+			}
+			current = versions
+		}
+		next, finding := current.Add(model, version)
+		switch {
+		case finding != nil:
+			return nil, Reply{Outcome: OutcomeInvalid}
+		case next == nil:
+			return nil, Reply{OutcomeAccepted, current.Latest(model)}
+		default:
+			return next.Encode(), Reply{OutcomeAccepted, version}
+		}
+	}
+}
--- /dev/null
+++ b/sim/order_forward.go
@@ -0,0 +1,67 @@
+package sim
+
+import (
+	"violetthread/quorum"
+)
+
+// proposeOnce carries an operation to the leader of its key with one try, which ends at a
+// time by this node's clock.
+func (n *ControlNode) proposeOnce(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
+	over := false
+	end := func(result quorum.Result) {
+		if !over {
+			over = true
+			reply(result)
+		}
+	}
+	n.After(max(1, until-n.Clock()), func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
+	n.Propose(op, func(result quorum.Result) {
+		if result.Status != quorum.StatusNotLeader || result.Leader == "" || result.Leader == n.Name || hops >= maxHops {
+			end(result)
+			return
+		}
+		n.passToLeader(op, hops, result.Leader, end)
+	})
+}
+
+// passToLeader hands an operation on to the leader of its key.
+func (n *ControlNode) passToLeader(op quorum.Operation, hops int, leaderName string, end func(quorum.Result)) {
+	receiver := n.cluster.nodeNamed(leaderName)
+	if receiver == nil || n.node == nil || n.node.Silence(n.Clock(), leaderName) > passSilenceLimit {
+		end(quorum.Result{Status: quorum.StatusNotLeader})
+		return
+	}
+	limit := int64(passChangeTimeoutUS)
+	if op.Type == quorum.OpGet {
+		limit = passReadTimeoutUS
+	}
+	ask, tell := stepsOf(op.Type)
+	Call(n.Host, receiver.Host, op, limit,
+		func(operation quorum.Operation, answer func(quorum.Result)) {
+			if !n.cluster.isStepLost(ask) {
+				receiver.proposeOnce(operation, hops+1, receiver.Clock()+limit, answer)
+			}
+		},
+		func(result quorum.Result) {
+			if !n.cluster.isStepLost(tell) {
+				end(result)
+			}
+		},
+		func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
+}
+
+// hearsMajority reports whether a node heard a majority of the voters lately. One that
+// does not vote can't tell, and says yes.
+func (n *ControlNode) hearsMajority() bool {
+	if n.node == nil {
+		return true
+	}
+	voters := n.node.VoterSet().Voters
+	heard := 0
+	for _, voter := range voters {
+		if n.node.Silence(n.Clock(), voter.Name) <= passSilenceLimit {
+			heard++
+		}
+	}
+	return heard > len(voters)/2
+}
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -2,7 +2,6 @@
 
 import (
 	"violetthread/quorum"
-	"violetthread/route"
 )
 
 // The way of an operator's order through a control node, as platform.Operator and
@@ -44,56 +43,6 @@
 	Version uint64 // that is current
 }
 
-// proposeOnce carries an operation to the leader of its key with one try, which ends at a
-// time by this node's clock.
-func (n *ControlNode) proposeOnce(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
-	over := false
-	end := func(result quorum.Result) {
-		if !over {
-			over = true
-			reply(result)
-		}
-	}
-	n.After(max(1, until-n.Clock()), func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
-	n.Propose(op, func(result quorum.Result) {
-		if result.Status != quorum.StatusNotLeader || result.Leader == "" || result.Leader == n.Name || hops >= maxHops {
-			end(result)
-			return
-		}
-		n.passToLeader(op, hops, result.Leader, end)
-	})
-}
-
-// passToLeader hands an operation on to the leader of its key.
-func (n *ControlNode) passToLeader(op quorum.Operation, hops int, owner string, end func(quorum.Result)) {
-	receiver := n.cluster.nodeNamed(owner)
-	if receiver == nil || n.node == nil || n.node.Silence(n.Clock(), owner) > passSilenceLimit {
-		end(quorum.Result{Status: quorum.StatusNotLeader})
-		return
-	}
-	limit := int64(passChangeTimeoutUS)
-	if op.Type == quorum.OpGet {
-		limit = passReadTimeoutUS
-	}
-	ask, tell := stepsOf(op.Type)
-	Call(n.Host, receiver.Host, op, limit,
-		func(operation quorum.Operation, answer func(quorum.Result)) {
-			if !n.cluster.isStepLost(ask) {
-				receiver.proposeOnce(operation, hops+1, receiver.Clock()+limit, answer)
-			}
-		},
-		func(result quorum.Result) {
-			if !n.cluster.isStepLost(tell) {
-				end(result)
-			}
-		},
-		func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
-}
-
-// decideFunc makes the next value of a register from its present one. Without a next
-// value the reply stands; with one it stands once that is in force.
-type decideFunc func(value []byte, revision uint64) (next []byte, reply Reply)
-
 // registerEdit puts what decide makes of a register, deciding anew as long as provably
 // nothing was changed and the node hears a majority.
 type registerEdit struct {
@@ -125,22 +74,6 @@
 	e.node.After(contactCheckInterval, e.checkContact)
 }
 
-// hearsMajority reports whether a node heard a majority of the voters lately. One that
-// does not vote can't tell, and says yes.
-func (n *ControlNode) hearsMajority() bool {
-	if n.node == nil {
-		return true
-	}
-	voters := n.node.VoterSet().Voters
-	heard := 0
-	for _, voter := range voters {
-		if n.node.Silence(n.Clock(), voter.Name) <= passSilenceLimit {
-			heard++
-		}
-	}
-	return heard > len(voters)/2
-}
-
 func (e *registerEdit) end(reply Reply) {
 	if !e.finished {
 		e.finished = true
@@ -214,90 +147,3 @@
 	}
 	e.node.After(pause, e.read)
 }
-
-// changeConfiguration decides a change of the configuration.
-func changeConfiguration(change route.Change, texts Texts) decideFunc {
-	return func(value []byte, revision uint64) ([]byte, Reply) {
-		var current *route.Document
-		version := uint64(0)
-		if revision != 0 {
-			document, err := route.DecodeDocument(value)
-			if err != nil {
-				return nil, Reply{Outcome: OutcomeUnknown}
-			}
-			current, version = document, document.Version
-		}
-		next, out, _ := change.Apply(current, texts.Translate, texts.Words)
-		switch out {
-		case route.Accepted:
-			return next.Encode(), Reply{OutcomeAccepted, next.Version}
-		case route.Duplicate:
-			return nil, Reply{OutcomeAccepted, version}
-		case route.Stale:
-			return nil, Reply{OutcomeStale, version}
-		case route.Undecidable:
-			return nil, Reply{Outcome: OutcomeUnknown}
-		default:
-			return nil, Reply{OutcomeInvalid, version}
-		}
-	}
-}
-
-// nameWeights decides the naming of a version of a model's weights.
-func nameWeights(model string, version uint64) decideFunc {
-	return func(value []byte, revision uint64) ([]byte, Reply) {
-		current := &route.WeightVersions{}
-		if revision != 0 {
-			versions, err := route.DecodeWeights(value)
-			if err != nil {
-				return nil, Reply{Outcome: OutcomeUnknown}
-			}
-			current = versions
-		}
-		next, finding := current.Add(model, version)
-		switch {
-		case finding != nil:
-			return nil, Reply{Outcome: OutcomeInvalid}
-		case next == nil:
-			return nil, Reply{OutcomeAccepted, current.Latest(model)}
-		default:
-			return next.Encode(), Reply{OutcomeAccepted, version}
-		}
-	}
-}
-
-// Texts reads operators' texts. Tests pass the platform's, which this package does
-// not import: an adapter imports the product, never the other way round.
-type Texts struct {
-	Translate func([]byte) (route.Config, []route.Finding)
-	Words     route.FieldNames
-}
-
-// OrderStep is a step on an order's way from its operator to the disks and back.
-type OrderStep string
-
-// The steps of an order, each of which may get lost.
-const (
-	StepOrder    OrderStep = "order"     // operator to node
-	StepReadAsk  OrderStep = "read-ask"  // node to the register's leader
-	StepReadTell OrderStep = "read-tell" // and back
-	StepPutAsk   OrderStep = "put-ask"   // node to the register's leader
-	StepWrite    OrderStep = "write"     // leader to the voters
-	StepWriteOK  OrderStep = "write-ok"  // and back
-	StepPutTell  OrderStep = "put-tell"  // leader to the node
-	StepReply    OrderStep = "reply"     // node to operator
-)
-
-// OrderSteps lists them in order.
-var OrderSteps = []OrderStep{StepOrder, StepReadAsk, StepReadTell, StepPutAsk, StepWrite, StepWriteOK, StepPutTell, StepReply}
-
-// stepsOf are the steps of an operation that is passed to its leader.
-func stepsOf(operationType quorum.OperationType) (ask, tell OrderStep) {
-	if operationType == quorum.OpGet {
-		return StepReadAsk, StepReadTell
-	}
-	return StepPutAsk, StepPutTell
-}
-
-// isStepLost tells whether a step gets lost.
-func (c *Cluster) isStepLost(step OrderStep) bool { return c.losesStep != nil && c.losesStep(step) }
