--- a/sim/register_edit_test.go
+++ b/sim/register_edit_test.go
@@ -25,8 +25,8 @@
 	}{
 		{"patienceUS", orderTimeoutUS, operator},
 		{"evidenceUS", maxReadAgeUS, operator},
-		{"againUS", retryWithoutLeader, operator},
-		{"racedUS", retryAfterConflict, operator},
+		{"retryUS", retryWithoutLeader, operator},
+		{"conflictUS", retryAfterConflict, operator},
 		{"contactInterval", contactCheckInterval, node},
 		{"maxHops", maxHops, node},
 		{"contactTimeout", passSilenceLimit, node},
@@ -35,7 +35,7 @@
 		{"AvoidUS", directoryPause, order},
 		{"leavePoll", leavePollUS, node},
 		{"leaveTimeout", leaveTimeoutUS, node},
-		{"slotTerm", platformLeaseUS, operator},
+		{"slotLease", platformLeaseUS, operator},
 	} {
 		if want, ok := c.from[c.name]; !ok || want != c.have {
 			t.Errorf("%s is %d there (known: %v), %d here", c.name, want, ok, c.have)
