--- a/internal/scale/engines.go
+++ b/internal/scale/engines.go
@@ -107,7 +107,7 @@
 	for i := range n {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, trace.ConnectionProblem(err, "can't listen for hollow engine %d; allow more open files or give fewer --engines", i)
+			return nil, trace.ConnectionProblem(err, "can't listen for simulated engine %d; allow more open files or give fewer --engines", i)
 		}
 		model := i % modelCount
 		e := &engine{id: fmt.Sprintf("engine-%05d", i), addr: listener.Addr().String(), pool: fmt.Sprintf("service-%02d", model), zone: fmt.Sprintf("zone-%02d", i%zoneCount),
--- a/internal/scale/index_test.go
+++ b/internal/scale/index_test.go
@@ -25,7 +25,7 @@
 }
 
 // BenchmarkDirectory is a shard's owner of docs/CAPACITY.md: what a part takes, and an
-// event whose news goes to each zone whose nearest holder it changes.
+// event whose update goes to each zone whose nearest holder it changes.
 func BenchmarkDirectory(b *testing.B) {
 	for _, sites := range []int{0, 5, 13} {
 		b.Run(fmt.Sprintf("sites-%d", sites), func(b *testing.B) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// BenchmarkSnapshot packs, and BenchmarkTake unpacks, all news of an index as one answer.
+// BenchmarkSnapshot packs, and BenchmarkTake unpacks, all updates of an index as one answer.
 func BenchmarkSnapshot(b *testing.B) {
 	f := snapshot()
 	b.ResetTimer()
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -80,7 +80,7 @@
 	complete := waitUntil(ctx, startTimeoutUS, func() bool { return r.observations.ReadyCount() == s.Proxies })
 	ready := clock.Now() - startedAt
 	if !complete && s.Role != "limit" {
-		return nil, trace.LimitExceeded("%d of %d hollow proxies know all after %d s; give smaller sizes, or --role limit", r.observations.ReadyCount(), s.Proxies, startTimeoutUS/1_000_000)
+		return nil, trace.LimitExceeded("%d of %d simulated proxies know all after %d s; give smaller sizes, or --role limit", r.observations.ReadyCount(), s.Proxies, startTimeoutUS/1_000_000)
 	}
 	taskgroup.Sleep(ctx, settleUS)
 	return r.window(ctx, float64(ready)/1000)
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -4,15 +4,15 @@
 
 // Size is how large a fleet is, and how much happens in it.
 type Size struct {
-	Proxies    int   `json:"proxies" validate:"min=1,max=1000" help:"hollow proxies"`
-	Engines    int   `json:"engines" validate:"min=1,max=4000" help:"hollow engines"`
+	Proxies    int   `json:"proxies" validate:"min=1,max=1000" help:"simulated proxies"`
+	Engines    int   `json:"engines" validate:"min=1,max=4000" help:"simulated engines"`
 	Events     int   `json:"events" validate:"min=0,max=1000000" help:"cache events of all engines together, a second"`
 	Blocks     int   `json:"blocks" validate:"min=0,max=4000000" help:"blocks that all engines keep"`
 	Tenants    int   `json:"tenants" validate:"min=1,max=20000" help:"tenants in the configuration; one route to ten of them"`
 	UnderWay   int   `json:"under_way" validate:"min=0,max=10000" help:"requests under way at each proxy"`
 	Changes    int   `json:"changes" validate:"min=0,max=100" help:"changes of the configuration while it measures"`
 	MapChanges int   `json:"map_changes" validate:"min=0,max=100" help:"changes of the platform's list while it measures"`
-	Stagger    int64 `json:"stagger_us" validate:"min=0,max=1000000" help:"between the starts of two hollow proxies; 0 leaves each time to take its first answer"`
+	Stagger    int64 `json:"stagger_us" validate:"min=0,max=1000000" help:"between the starts of two simulated proxies; 0 leaves each time to take its first answer"`
 	Seconds    int64 `json:"seconds" validate:"min=1,max=60" help:"how long it measures"`
 }
 
