--- a/quorum/doc.go
+++ b/quorum/doc.go
@@ -43,7 +43,7 @@
 // has come is staged in memory and counts for nothing before the last chunk: until then a key
 // that changed again meanwhile is missing.
 //
-// # Voter set (voterset.go, admission.go, change.go)
+// # Voter set (voterset.go, admission.go, change.go, install.go)
 //
 // The list of voters is itself a register (VoterSetKey), committed by a majority of the set
 // before. One step adds a voter, removes one, or replaces one of an even number, so that
