--- a/sim/cutoff_day_test.go
+++ b/sim/cutoff_day_test.go
@@ -11,7 +11,7 @@
 )
 
 // platformTexts reads texts as the platform's operators write them.
-var platformTexts = Texts{Translate: platform.Translate, Words: platform.Words}
+var platformTexts = Texts{Translate: platform.Translate, Words: platform.FieldNames}
 
 // controlSizes are the numbers of control nodes of the directed days: 4 bear the loss
 // of one, 5 and 8 that of two.
