--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -50,9 +50,15 @@
 
 // RunSeen is one run as the engine counts it, for an observer.
 type ObservedRun struct {
-	Group, RequestID, Kind, Attempt, Weights string
-	Completed                                bool
-	Blocks, Reused, Transferred              int
+	Group       string `json:"Group"`
+	RequestID   string `json:"Ticket"`
+	Kind        string `json:"Kind"`
+	Attempt     string `json:"Attempt"`
+	Weights     string `json:"Weights"`
+	Completed   bool   `json:"Whole"`
+	Blocks      int    `json:"Parts"`
+	Reused      int    `json:"Reused"`
+	Transferred int    `json:"Taken"`
 }
 
 // Seen is the answer to GET /v1/seen.
@@ -173,7 +179,11 @@
 	}
 }
 
-type blockTransfer struct{ Block, Domain, Weights string }
+type blockTransfer struct {
+	Block   string `json:"Part"`
+	Domain  string `json:"Domain"`
+	Weights string `json:"Weights"`
+}
 
 func (e *engine) servePut(w http.ResponseWriter, q *http.Request) {
 	var s blockTransfer
