--- a/sim/cutoff_day.go
+++ b/sim/cutoff_day.go
@@ -8,9 +8,9 @@
 
 const (
 	cutDurationUS = 20_000_000
-	// backBound is within how long after a cut everything is back in service.
+	// recoveryBoundOfCutUS is within how long after a cut everything is back in service.
 	recoveryBoundOfCutUS = 4_000_000
-	// ownerBound is the longest that nobody may answer for a register while a majority
+	// leaderBoundUS is the longest that nobody may answer for a register while a majority
 	// is in touch.
 	leaderBoundUS = 2_000_000
 	// insideReadEvery is between two reads on the side that is cut off.
@@ -32,14 +32,14 @@
 // CutoffResult is what such a day came to.
 type CutoffResult struct {
 	Acknowledged, Rejected, Reads, Named, Cuts int
-	// OldConfig is the longest that a proxy served by a configuration after a newer one
+	// OldestConfigUS is the longest that a proxy served by a configuration after a newer one
 	// was acknowledged.
 	OldestConfigUS int64
-	// Gap is the longest without an acknowledgement while a majority was in touch.
+	// LongestGapUS is the longest without an acknowledgement while a majority was in touch.
 	LongestGapUS int64
-	// Ownerless is the longest that no node answered for the configuration.
+	// LongestWithoutLeaderUS is the longest that no node answered for the configuration.
 	LongestWithoutLeaderUS int64
-	// Back is the longest from the end of a cut until all proxies serve, every control
+	// SlowestRecoveryUS is the longest from the end of a cut until all proxies serve, every control
 	// node answers and all operators had a clear answer.
 	SlowestRecoveryUS int64
 	Violations        []string
@@ -126,7 +126,7 @@
 	}
 }
 
-// choose picks the machines to cut off, among them the configuration's owner if asked for.
+// chooseMachines picks the machines to cut off, among them the configuration's leader if asked for.
 func (d *CutoffDay) chooseMachines(owner bool) []*ControlNode {
 	world := d.World
 	n := 1 + world.Rng.Intn(tolerates(len(d.Cluster.Nodes)))
@@ -166,7 +166,7 @@
 	}
 }
 
-// back names what is not yet in service after a cut: a proxy that does not serve, a
+// notInService names what is not yet in service after a cut: a proxy that does not serve, a
 // machine that was cut off and does not answer for the configuration, an operator that
 // had no clear answer yet. It is empty once all is back.
 func (d *CutoffDay) notInService(machines []*ControlNode) func() string {
