--- a/cmd/violetthread/main.go
+++ b/cmd/violetthread/main.go
@@ -1,5 +1,5 @@
-// Command violetthread runs a node of a violetthread fleet on a platform that tells
-// it all it needs in a settings file (docs/platform.md).
+// Command violetthread runs a node of a violetthread fleet on a platform that gives it all
+// it needs to know in a settings file (docs/platform.md).
 package main
 
 import (
@@ -13,37 +13,51 @@
 	"violetthread/platform"
 )
 
+const program = "violetthread"
+
+// command is a subcommand and what it does with the settings file.
+type command struct {
+	name, about string
+	run         func(platform.Boot) error
+}
+
 func main() {
-	p := flaggy.NewParser("violetthread")
-	p.Description, p.Version, p.ShowCompletion = "A node of a violetthread fleet on a platform with a settings file of its own.", daemon.Version, false
-	boot := platform.BootPath()
-	p.String(&boot, "b", "boot", "settings file that the platform wrote")
-	verb := func(name, about string) *flaggy.Subcommand {
-		c := flaggy.NewSubcommand(name)
-		c.Description = about
-		p.AttachSubcommand(c, 1)
-		return c
+	if err := run(os.Args[1:]); err != nil {
+		daemon.Exit(program, err)
 	}
-	proxy := verb("proxy", "take callers' requests and pass them through to engines")
-	control := verb("control", "keep the control state, follow the engines, answer operators")
-	check := verb("check", "read the settings file, list every mistake and end")
-	if err := p.ParseArgs(os.Args[1:]); err != nil {
-		daemon.Exit("violetthread", trace.BadParameter("flags: %v; see --help", err))
+}
+
+func run(args []string) error {
+	path := platform.BootPath()
+	commands := []command{
+		{"proxy", "take callers' requests and pass them through to engines", platform.Proxy},
+		{"control", "keep the control state, follow the engines, answer operators", platform.Control},
+		{"check", "read the settings file, list every mistake and end", func(b platform.Boot) error {
+			fmt.Printf("%s is in order: node=%s class=%s\n", path, b.Node, b.Class)
+			return nil
+		}},
 	}
-	b, err := platform.ReadBoot(boot)
-	if err == nil {
-		switch {
-		case proxy.Used:
-			err = platform.Proxy(b)
-		case control.Used:
-			err = platform.Control(b)
-		case check.Used:
-			fmt.Printf("%s is in order: node=%s class=%s\n", boot, b.Node, b.Class)
-		default:
-			p.ShowHelp()
-		}
+	p := flaggy.NewParser(program)
+	p.Description, p.Version, p.ShowCompletion = "A node of a violetthread fleet on a platform with a settings file of its own.", daemon.Version, false
+	p.String(&path, "b", "boot", "settings file that the platform wrote")
+	subcommands := make([]*flaggy.Subcommand, len(commands))
+	for i, c := range commands {
+		subcommands[i] = flaggy.NewSubcommand(c.name)
+		subcommands[i].Description = c.about
+		p.AttachSubcommand(subcommands[i], 1)
+	}
+	if err := p.ParseArgs(args); err != nil {
+		return trace.BadParameter("flags: %v; see --help", err)
 	}
+	boot, err := platform.ReadBoot(path)
 	if err != nil {
-		daemon.Exit("violetthread", err)
+		return err
+	}
+	for i, c := range commands {
+		if subcommands[i].Used {
+			return c.run(boot)
+		}
 	}
+	p.ShowHelp()
+	return nil
 }
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -6,313 +6,34 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
-	"net"
-	"net/http"
 	"os"
 	"strings"
-	"sync"
-	"syscall"
 	"testing"
 	"time"
 
-	"violetthread/internal/app/agent"
 	"violetthread/internal/app/control"
-	"violetthread/internal/app/gateway"
-	"violetthread/internal/app/indexnode"
 	"violetthread/internal/callerapi"
-	"violetthread/internal/daemon"
-	"violetthread/internal/standin/backend"
-	"violetthread/internal/standin/engine"
-	"violetthread/internal/standin/platform"
 	"violetthread/internal/taskgroup"
 	"violetthread/plan"
 	"violetthread/quorum"
 	"violetthread/recording/replay"
-	"violetthread/wal"
 )
 
-// ports hands out addresses that were free a moment ago.
-func ports(t *testing.T, n int) []string {
-	t.Helper()
-	var ls []net.Listener
-	var out []string
-	for i := 0; i < n; i++ {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		ls, out = append(ls, l), append(out, l.Addr().String())
-	}
-	for _, l := range ls {
-		_ = l.Close()
-	}
-	return out
-}
-
-// sick is a disk that stalls, fills up or fails when told to. A full one takes part of
-// what is written to it.
-type sick struct {
-	wal.FS
-	mu   sync.Mutex
-	gate *sync.Cond
-	how  string // "" is well; stalled, full, failing
-}
-
-type sickFile struct {
-	wal.File
-	d *sick
-}
-
-func newSick(fs wal.FS) *sick {
-	d := &sick{FS: fs}
-	d.gate = sync.NewCond(&d.mu)
-	return d
-}
-
-func (d *sick) turn(how string) {
-	d.mu.Lock()
-	d.how = how
-	d.mu.Unlock()
-	d.gate.Broadcast()
-}
-
-// pass waits while the disk is stalled.
-func (d *sick) pass(write bool) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for d.how == "stalled" {
-		d.gate.Wait()
-	}
-	switch {
-	case d.how == "full" && write:
-		return syscall.ENOSPC
-	case d.how == "failing":
-		return syscall.EIO
-	}
-	return nil
-}
-
-func (d *sick) Open(name string, size int64) (wal.File, error) {
-	has, err := d.FS.Size(name)
-	if err != nil {
-		return nil, err
-	}
-	if err := d.pass(has < size); err != nil && has < size {
-		return nil, err
-	}
-	f, err := d.FS.Open(name, size)
-	return sickFile{f, d}, err
-}
-
-func (f sickFile) WriteAt(b []byte, o int64) (int, error) {
-	if err := f.d.pass(true); err != nil {
-		n, _ := f.File.WriteAt(b[:len(b)/2], o)
-		return n, err
-	}
-	return f.File.WriteAt(b, o)
-}
-
-func (f sickFile) Sync() error {
-	if err := f.d.pass(false); err != nil {
-		return err
-	}
-	return f.File.Sync()
-}
-
-type rig struct {
-	t          *testing.T
-	registrars []string
-	proxies    []string
-	engines    []string
-	platform   string
-	backend    string
-	tapes      []string
-	stop       map[string]*daemon.Daemon
-	wg         sync.WaitGroup
-	disks      []*sick // of the registrars
-}
-
-func (r *rig) run(name string, d *daemon.Daemon, err error) {
-	r.t.Helper()
-	if err != nil {
-		r.t.Fatalf("%s: %v", name, err)
-	}
-	r.stop[name] = d
-	r.wg.Add(1)
-	c := taskgroup.New(d.Group.Context(), d.Log)
-	c.Go(name, func(context.Context) {
-		defer r.wg.Done()
-		_ = d.Run()
-	})
-}
-
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, stop: map[string]*daemon.Daemon{}}
-	p := ports(t, 32)
-	next := func() string { a := p[0]; p = p[1:]; return a }
-	dir := t.TempDir()
-	var wires []string
-	for i := 0; i < 4; i++ {
-		wires = append(wires, next())
-	}
-	sites := []string{"north", "east", "south", "west"}
-	for i := 0; i < 4; i++ {
-		s := control.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Bootstrap, s.DataDir = fmt.Sprint("control", i), sites[i], next(), wires[i], true, fmt.Sprintf("%s/r%d", dir, i)
-		s.LogSegments, s.LogSegmentBytes, s.DrainUS = 8, 256<<10, 0
-		s.Seeds = wires[:3] // the fourth joins
-		s.Disk = func(fs wal.FS) wal.FS {
-			r.disks = append(r.disks, newSick(fs))
-			return r.disks[len(r.disks)-1]
-		}
-		r.registrars = append(r.registrars, s.HTTPAddr)
-		d, err := control.NewDaemon(s)
-		r.run(s.Name, d, err)
-	}
-	var list []string
-	for i := 0; i < 3; i++ {
-		s := engine.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.PieceUS, s.RecomputeUS, s.WeightsLoadUS, s.DrainUS = fmt.Sprint("e", i), sites[i], next(), 3_000, 500, 50_000, 0
-		r.engines = append(r.engines, s.HTTPAddr)
-		list = append(list, fmt.Sprintf("%s=%s@%s", s.Name, s.HTTPAddr, s.Zone))
-		d, err := engine.New(s)
-		r.run(s.Name, d, err)
-	}
-	r.platform, r.backend = next(), next()
-	ps := platform.Defaults()
-	ps.Name, ps.Zone, ps.HTTPAddr, ps.Engines = "platform", "core", r.platform, list
-	d, err := platform.New(ps)
-	r.run("platform", d, err)
-	bs := backend.Defaults()
-	bs.Name, bs.Zone, bs.HTTPAddr = "backend", "core", r.backend
-	d, err = backend.New(bs)
-	r.run("backend", d, err)
-	for i := 0; i < 2; i++ {
-		s := indexnode.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Seeds, s.Platform, s.DrainUS = fmt.Sprint("index", i), sites[i], next(), next(), wires[:3], r.platform, 500_000
-		s.Recording = fmt.Sprintf("%s/index%d.recording", dir, i)
-		r.tapes = append(r.tapes, s.Recording)
-		d, err := indexnode.New(s)
-		r.run(s.Name, d, err)
-	}
-	for i := 0; i < 2; i++ {
-		a := agent.Defaults()
-		a.Name, a.Zone, a.HTTPAddr, a.TransportAddr, a.Seeds, a.DrainUS = fmt.Sprint("gateway", i), sites[i], next(), next(), wires[:3], 0
-		d, err := agent.NewDaemon(a)
-		r.run(a.Name+"-agent", d, err)
-		s := gateway.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.Agent, s.DrainUS = a.Name, a.Zone, next(), a.TransportAddr, 3_000_000
-		s.Recording = fmt.Sprintf("%s/gateway%d.recording", dir, i)
-		r.tapes = append(r.tapes, s.Recording)
-		r.proxies = append(r.proxies, s.HTTPAddr)
-		d, err = gateway.New(s)
-		r.run(s.Name, d, err)
-	}
-	t.Cleanup(r.down)
-	return r
-}
-
-func (r *rig) down() {
-	for _, d := range r.disks {
-		d.turn("")
-	}
-	for n, d := range r.stop {
-		d.Stop()
-		delete(r.stop, n)
-	}
-	r.wg.Wait()
-}
-
-// until waits for a condition that another process brings about.
-func (r *rig) until(what string, f func() bool) {
-	r.t.Helper()
-	tick, end := time.NewTicker(10*time.Millisecond), time.After(30*time.Second)
-	defer tick.Stop()
-	for !f() {
-		select {
-		case <-tick.C:
-		case <-end:
-			r.t.Fatalf("waited in vain until %s", what)
-		}
-	}
-}
-
-func (r *rig) get(url string) (int, string) {
-	q, err := http.Get("http://" + url)
-	if err != nil {
-		return 0, err.Error()
-	}
-	defer q.Body.Close()
-	b, _ := io.ReadAll(q.Body)
-	return q.StatusCode, string(b)
-}
-
-func (r *rig) send(method, url, key string, h map[string]string, body string) (int, string) {
-	q, err := http.NewRequest(method, "http://"+url, strings.NewReader(body))
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	if key != "" {
-		q.Header.Set("Authorization", "Bearer "+key)
-	}
-	for k, v := range h {
-		q.Header.Set(k, v)
-	}
-	a, err := http.DefaultClient.Do(q)
-	if err != nil {
-		return 0, err.Error()
-	}
-	defer a.Body.Close()
-	b, _ := io.ReadAll(a.Body)
-	return a.StatusCode, string(b)
-}
-
-// ticket sends a ticket and returns the status, the frames and the last one.
-func (r *rig) ticket(proxy int, key, body string) (int, []callerapi.Frame, callerapi.Frame) {
-	st, out := r.send("POST", r.proxies[proxy]+"/v1/tickets", key, nil, body)
-	var fs []callerapi.Frame
-	for _, l := range strings.Split(strings.TrimSpace(out), "\n") {
-		var f callerapi.Frame
-		if json.Unmarshal([]byte(l), &f) == nil {
-			fs = append(fs, f)
-		}
-	}
-	if len(fs) == 0 {
-		return st, nil, callerapi.Frame{}
-	}
-	return st, fs, fs[len(fs)-1]
-}
-
-func (r *rig) runs(ticket string) (n int) {
-	for _, e := range r.engines {
-		_, b := r.get(e + "/v1/seen")
-		var s engine.Observations
-		_ = json.Unmarshal([]byte(b), &s)
-		for _, x := range s.Runs {
-			if x.RequestID == ticket {
-				n++
-			}
-		}
-	}
-	return n
-}
-
 const planText = `{"weights":"w1","kinds":{"mandate-check":{"due_us":9000000},"instruction-tag":{"once":true,"due_us":5000000}},
 "groups":{"desk":{"share":2,"keys":["%s"]},"walled":{"share":1,"wall":true,"keys":["%s"],"kinds":["instruction-tag"]}},
 "entries":[{"path":"/app/","to":"%s","due_us":2000000}],
 "notes":{"big":123456789012345678901234567890,"é":"ünï€😀","order":[3,1,2]}}`
 
-// TestWholePath runs everything once: founding, a plan, tickets, claims, bad
-// input, a key taken from a connected caller, entries, a polite stop, tapes.
+// TestWholePath runs everything once: bootstrap, a plan, requests, claims,
+// bad input, a key taken from a connected caller, routes, a graceful stop, recordings.
 func TestWholePath(t *testing.T) {
-	r := newRig(t)
-	reg := r.registrars[1] + "/v1/plan"
+	r := newTestFleet(t)
+	reg := r.controls[1] + "/v1/plan"
 	body := fmt.Sprintf(planText, plan.KeyDigest("k-desk"), plan.KeyDigest("k-walled"), r.backend)
 	r.until("a plan is taken", func() bool { st, _ := r.send("PUT", reg, "", nil, body); return st == 200 })
 
 	t.Run("read back is what was sent", func(t *testing.T) {
-		if _, got := r.get(r.registrars[3] + "/v1/plan"); got != body {
+		if _, got := r.get(r.controls[3] + "/v1/plan"); got != body {
 			t.Fatalf("sent %s\ngot  %s", body, got)
 		}
 	})
@@ -334,7 +55,7 @@
 		c := taskgroup.New(r.stop["platform"].Group.Context(), r.stop["platform"].Log)
 		for i := 0; i < 8; i++ {
 			c.Go("operator", func(context.Context) {
-				st, _ := r.send("PATCH", r.registrars[i%4]+"/v1/plan", "", nil, fmt.Sprintf(`{"notes":{"op%d":%d}}`, i, i))
+				st, _ := r.send("PATCH", r.controls[i%4]+"/v1/plan", "", nil, fmt.Sprintf(`{"notes":{"op%d":%d}}`, i, i))
 				done <- st
 			})
 		}
@@ -359,33 +80,33 @@
 	for i := range r.proxies {
 		r.until("the proxies are ready", func() bool { st, _ := r.get(r.proxies[i] + "/readyz"); return st == 200 })
 	}
-	era := ""
+	generation := ""
 	r.until("an era is open", func() bool {
 		st, b := r.get(r.proxies[0] + "/v1/era")
 		var e callerapi.Generation
-		era = fmt.Sprint(e.Generation)
+		generation = fmt.Sprint(e.Generation)
 		if st == 200 && json.Unmarshal([]byte(b), &e) == nil {
-			era = fmt.Sprint(e.Generation)
+			generation = fmt.Sprint(e.Generation)
 		}
 		st2, _ := r.get(r.proxies[1] + "/v1/era")
 		return st == 200 && st2 == 200
 	})
 	t.Run("tickets", func(t *testing.T) {
 		long := strings.Repeat("shared words of every prompt. ", 300)
-		_, fs, last := r.ticket(0, "k-desk", `{"kind":"mandate-check","id":"m1","prompt":"`+long+`"}`)
+		_, fs, last := r.request(0, "k-desk", `{"kind":"mandate-check","id":"m1","prompt":"`+long+`"}`)
 		if last.Frame != "done" || last.Pieces == nil || *last.Pieces != 60 || len(fs) != 62 || fs[0].Frame != "accepted" {
 			t.Fatalf("%d frames, last %+v", len(fs), last)
 		}
-		if _, _, last = r.ticket(1, "k-walled", `{"kind":"instruction-tag","id":"x1","era":`+era+`,"prompt":"a"}`); last.Frame != "done" {
+		if _, _, last = r.request(1, "k-walled", `{"kind":"instruction-tag","id":"x1","era":`+generation+`,"prompt":"a"}`); last.Frame != "done" {
 			t.Fatalf("%+v", last)
 		}
-		if st, _, last := r.ticket(0, "k-walled", `{"kind":"instruction-tag","id":"x1","era":`+era+`,"prompt":"a"}`); last.Frame != "unknown" || last.Reason != "duplicate" {
+		if st, _, last := r.request(0, "k-walled", `{"kind":"instruction-tag","id":"x1","era":`+generation+`,"prompt":"a"}`); last.Frame != "unknown" || last.Reason != "duplicate" {
 			t.Fatalf("a resend elsewhere: %d %+v", st, last)
 		}
 		if n := r.runs("x1"); n != 1 {
 			t.Fatalf("x1 ran %d times", n)
 		}
-		if _, fs, last = r.ticket(0, "k-desk", `{"kind":"instruction-tag","prompt":"a"}`); last.Frame != "done" || last.Ticket == "" || fs[0].Ticket != last.Ticket {
+		if _, fs, last = r.request(0, "k-desk", `{"kind":"instruction-tag","prompt":"a"}`); last.Frame != "done" || last.Ticket == "" || fs[0].Ticket != last.Ticket {
 			t.Fatalf("a ticket without an id: %+v", last)
 		}
 	})
@@ -410,14 +131,14 @@
 			{"k-desk", `{"kind":"instruction-tag","id":"y1","era":99999999,"prompt":""}`, "era-unopened", 400},
 			{"k-desk", `{"kind":"mandate-check","prompt":"` + string(bytes.Repeat([]byte("x"), 5<<20)) + `"}`, "too-large", 413},
 		} {
-			st, _, f := r.ticket(0, c.key, c.body)
+			st, _, f := r.request(0, c.key, c.body)
 			if st != c.status || f.Reason != c.reason || f.Frame != "refused" || f.Remedy == "" {
 				t.Errorf("%.60s: %d %+v, want %d %s", c.body, st, f, c.status, c.reason)
 			}
 		}
 	})
 	t.Run("entries", func(t *testing.T) {
-		id := map[string]string{"X-Ticket-Id": "order-1", "X-Ticket-Era": era}
+		id := map[string]string{"X-Ticket-Id": "order-1", "X-Ticket-Era": generation}
 		if st, out := r.send("POST", r.proxies[0]+"/app/orders", "k-desk", map[string]string{"X-Ticket-Id": "order-1"}, "hello"); st != 400 || !strings.Contains(out, "era-missing") {
 			t.Fatalf("%d %s", st, out)
 		}
@@ -455,12 +176,12 @@
 		// running when the plan arrives.
 		long := string(bytes.Repeat([]byte("y"), 64<<10))
 		for i := 0; i < 6; i++ {
-			_, _, _ = r.ticket(0, "k-desk", `{"kind":"instruction-tag","prompt":"warm"}`)
+			_, _, _ = r.request(0, "k-desk", `{"kind":"instruction-tag","prompt":"warm"}`)
 		}
 		c.Go("caller", func(context.Context) {
 			var w word
 			for i := 0; i < 100 && w.st != 401 && w.last.Reason != "key-taken"; i++ {
-				w.st, _, w.last = r.ticket(0, "k-desk", fmt.Sprintf(`{"kind":"mandate-check","id":"long%d","prompt":"%s"}`, i, long))
+				w.st, _, w.last = r.request(0, "k-desk", fmt.Sprintf(`{"kind":"mandate-check","id":"long%d","prompt":"%s"}`, i, long))
 			}
 			got <- w
 		})
@@ -485,7 +206,7 @@
 		}
 	})
 	r.down()
-	for _, f := range r.tapes {
+	for _, f := range r.recordings {
 		h, err := os.Open(f)
 		if err != nil {
 			t.Fatal(err)
@@ -502,21 +223,21 @@
 // Plans are acknowledged all the same, and what was acknowledged is read back from
 // whoever is left.
 func TestSickDisks(t *testing.T) {
-	r := newRig(t)
+	r := newTestFleet(t)
 	body := fmt.Sprintf(planText, plan.KeyDigest("k-desk"), plan.KeyDigest("k-walled"), r.backend)
 	put := func(i, n int) bool {
-		st, _ := r.send("PATCH", r.registrars[i]+"/v1/plan", "", nil, fmt.Sprintf(`{"notes":{"n":%d}}`, n))
+		st, _ := r.send("PATCH", r.controls[i]+"/v1/plan", "", nil, fmt.Sprintf(`{"notes":{"n":%d}}`, n))
 		return st == 200
 	}
-	r.until("a plan is taken", func() bool { st, _ := r.send("PUT", r.registrars[1]+"/v1/plan", "", nil, body); return st == 200 })
+	r.until("a plan is taken", func() bool { st, _ := r.send("PUT", r.controls[1]+"/v1/plan", "", nil, body); return st == 200 })
 	owner := func() int {
-		for _, a := range r.registrars {
+		for _, a := range r.controls {
 			var f control.FleetStatus
 			if _, b := r.get(a + "/v1/fleet"); json.Unmarshal([]byte(b), &f) != nil || len(f.Slots) == 0 {
 				continue
 			}
 			o := f.Slots[quorum.SlotOf("plan", len(f.Slots))].Leader
-			for k := range r.registrars {
+			for k := range r.controls {
 				if o == fmt.Sprint("control", k) && r.stop[o] != nil {
 					return k
 				}
@@ -524,26 +245,26 @@
 		}
 		return -1
 	}
-	sickly := -1
-	r.until("the plan has an owner", func() bool { sickly = owner(); return sickly >= 0 })
-	r.disks[sickly].turn("stalled")
-	other := (sickly + 1) % 4
+	faulty := -1
+	r.until("the plan has an owner", func() bool { faulty = owner(); return faulty >= 0 })
+	r.disks[faulty].setFault("stalled")
+	other := (faulty + 1) % 4
 	for n := 1; n <= 5; n++ {
 		r.until("a plan is acknowledged beside a stalled disk", func() bool { return put(other, n) })
 	}
-	r.disks[sickly].turn("failing") // and now it is gone for good
-	r.until("its registrar votes no more", func() bool { return !r.stop[fmt.Sprint("control", sickly)].Ready() })
-	serves := func(i int) bool { st, _ := r.get(r.registrars[i] + "/healthz"); return st == 200 }
-	if !serves(sickly) {
-		t.Fatal("the registrar of a failing disk has ended")
+	r.disks[faulty].setFault("failing") // and now it is gone for good
+	r.until("its control node votes no more", func() bool { return !r.stop[fmt.Sprint("control", faulty)].Ready() })
+	serves := func(i int) bool { st, _ := r.get(r.controls[i] + "/healthz"); return st == 200 }
+	if !serves(faulty) {
+		t.Fatal("the control node of a failing disk has ended")
 	}
-	r.until("the plan has another owner", func() bool { o := owner(); return o >= 0 && o != sickly && put(o, 6) })
-	for i := range r.registrars {
-		if i == sickly {
+	r.until("the plan has another owner", func() bool { o := owner(); return o >= 0 && o != faulty && put(o, 6) })
+	for i := range r.controls {
+		if i == faulty {
 			continue
 		}
 		r.until("what was acknowledged is read back", func() bool {
-			_, b := r.get(r.registrars[i] + "/v1/plan")
+			_, b := r.get(r.controls[i] + "/v1/plan")
 			return strings.Contains(b, `"n":6`) && strings.Contains(b, "123456789012345678901234567890")
 		})
 	}
@@ -551,10 +272,10 @@
 	// and nobody pretends otherwise.
 	full := -1
 	r.until("the plan has an owner still", func() bool { full = owner(); return full >= 0 })
-	r.disks[full].turn("full")
+	r.disks[full].setFault("full")
 	left := -1
-	for i := range r.registrars {
-		if i != sickly && i != full {
+	for i := range r.controls {
+		if i != faulty && i != full {
 			left = i
 		}
 	}
@@ -563,18 +284,18 @@
 		t.Fatal("two of four acknowledged a plan")
 	}
 	if !serves(full) {
-		t.Fatal("the registrar of a full disk has ended")
+		t.Fatal("the control node of a full disk has ended")
 	}
 	// With room again and a disk that works again all is as before.
-	r.disks[full].turn("")
-	r.disks[sickly].turn("")
-	for _, i := range []int{sickly, full} {
+	r.disks[full].setFault("")
+	r.disks[faulty].setFault("")
+	for _, i := range []int{faulty, full} {
 		r.until("it votes again", func() bool { return r.stop[fmt.Sprint("control", i)].Ready() })
 	}
 	r.until("a plan is acknowledged again", func() bool { return put(full, 9) })
-	for i := range r.registrars {
+	for i := range r.controls {
 		r.until("what was acknowledged last is read back", func() bool {
-			_, b := r.get(r.registrars[i] + "/v1/plan")
+			_, b := r.get(r.controls[i] + "/v1/plan")
 			return strings.Contains(b, `"n":9`) && strings.Contains(b, "123456789012345678901234567890")
 		})
 	}
--- a/scripts/days/draw.go
+++ b/scripts/days/draw.go
@@ -49,14 +49,14 @@
 func draw(s site, seed uint64) day {
 	picked := themes[seed%uint64(len(themes))]
 	d := &draft{random: rand.New(rand.NewPCG(seed, streamOfDays)), site: s}
-	marks := s.marks()
+	reference := s.referenceDay()
 	d.day = day{
 		Name:         fmt.Sprintf("%s-%d", picked.name, seed),
 		Slot:         "trouble",
 		Seed:         seed,
 		LengthS:      math.Round(d.between(picked.lengthS[0], picked.lengthS[1])),
-		One:          marks.One,
-		Zero:         marks.Zero,
+		One:          reference.One,
+		Zero:         reference.Zero,
 		Goal:         goal{dayFloor},
 		FloorClasses: []float64{partFloor},
 		FloorZones:   []float64{partFloor},
--- a/scripts/days/main_test.go
+++ b/scripts/days/main_test.go
@@ -230,9 +230,9 @@
 	}
 }
 
-func TestMarksOfTrouble(t *testing.T) {
+func TestReferenceDay(t *testing.T) {
 	s, _ := testSite(t)
-	if got := s.marks(); got.One != 0.7 || got.Zero != 0.3 {
+	if got := s.referenceDay(); got.One != 0.7 || got.Zero != 0.3 {
 		t.Errorf("marks %+v", got)
 	}
 }
--- a/scripts/days/site.go
+++ b/scripts/days/site.go
@@ -80,7 +80,7 @@
 }
 
 // marks are those of the first day of trouble, or of the first day.
-func (s site) marks() standardDay {
+func (s site) referenceDay() standardDay {
 	for _, day := range s.Days {
 		if day.Slot == "trouble" {
 			return day
