--- a/sim/second_loss_day.go
+++ b/sim/second_loss_day.go
@@ -37,9 +37,9 @@
 	lossStep = 50_000
 	// lossWindow is swept from when a second loss is borne.
 	lossWindow = 3_000_000
-	// lossServed is within how long after a second loss every slot takes changes again.
+	// lossRecoveryBoundUS is within how long after a second loss every slot takes changes again.
 	lossRecoveryBoundUS = 4_000_000
-	// lossBackAfter is when machines of the second loss come back.
+	// lossReturnUS is when machines of the second loss come back.
 	lossReturnUS = 1_500_000
 )
 
@@ -58,9 +58,9 @@
 // SecondLossResult is what such a run came to.
 type SecondLossResult struct {
 	Acknowledged, Lost int
-	// Served is how long after the second loss a change of every slot was acknowledged.
+	// RecoveryUS is how long after the second loss a change of every slot was acknowledged.
 	RecoveryUS int64
-	// Firm is how long after the machines were back all slots were firm with them.
+	// RejoinUS is how long after the machines were back all slots were recovered with them.
 	RejoinUS   int64
 	Violations []string
 	Notes      []string
@@ -71,9 +71,9 @@
 	SecondLoss
 	world  *ConfigWorld
 	writer *SlotWriter
-	// counts is until when the first loss counts, by the platform's rule.
+	// firstLossUntil is until when the first loss counts, by the platform's rule.
 	firstLossUntil int64
-	// from is since when the second loss is borne.
+	// bearableFrom is since when the second loss is borne.
 	bearableFrom int64
 	lost         []*ControlNode
 	result       SecondLossResult
@@ -169,7 +169,7 @@
 	}
 }
 
-// strike waits for an acknowledgement and loses as many machines as may still be lost,
+// loseSecond waits for an acknowledgement and loses as many machines as may still be lost,
 // those first that hold the newest changes of its slot.
 func (r *secondLossRun) loseSecond() {
 	world := r.world.World
@@ -186,7 +186,7 @@
 	r.writer.OnAcknowledged = nil
 }
 
-// holders are the machines that go: they hold the most of a slot.
+// mostRecent are the machines that go: they hold the most of a slot.
 func (r *secondLossRun) mostRecent(slot int) []*ControlNode {
 	spare := tolerates(r.Nodes)
 	if r.world.World.now < r.firstLossUntil {
@@ -238,7 +238,7 @@
 	r.world.World.At(r.world.World.now+lossReturnUS, node.restart)
 }
 
-// settle waits until every slot takes changes again, and until all machines are firm
+// awaitRecovery waits until every slot takes changes again, and until all machines are firm
 // members, each within its bound, and reads everything back.
 func (r *secondLossRun) awaitRecovery() {
 	world := r.world.World
