--- a/docs/symbols_test.go
+++ b/docs/symbols_test.go
@@ -201,6 +201,40 @@
 	}
 }
 
+// TestArchitectureFiles: each file that a step of the architecture page names spells one of the
+// symbols of that step.
+func TestArchitectureFiles(t *testing.T) {
+	text, err := os.ReadFile("architecture.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	steps := 0
+	for line := range strings.Lines(string(text)) {
+		cells := strings.Split(line, "|")
+		if len(cells) != 5 || !strings.Contains(cells[3], ".go`") {
+			continue
+		}
+		steps++
+		for _, file := range codeNames(cells[3]) {
+			source, err := os.ReadFile(filepath.Join("..", file))
+			if err != nil {
+				t.Error(err)
+				continue
+			}
+			spelt := func(symbol string) bool {
+				name := symbol[strings.LastIndex(symbol, ".")+1:]
+				return regexp.MustCompile(`\b` + name + `\b`).Match(source)
+			}
+			if !slices.ContainsFunc(codeNames(cells[2]), spelt) {
+				t.Errorf("%s spells nothing that its step names: %s", file, strings.TrimSpace(cells[1]))
+			}
+		}
+	}
+	if steps < 20 {
+		t.Errorf("only %d steps were found", steps)
+	}
+}
+
 // safeguardColumns are the titles of columns that name entries of scripts/safeguards in quotes.
 var safeguardColumns = []string{"noticed if taken out", "without the safeguard"}
 
