--- a/internal/scale/simulated_test.go
+++ b/internal/scale/simulated_test.go
@@ -55,7 +55,7 @@
 	if i < len(s.script) {
 		q := *f.MapRequest
 		n := *q.Node
-		// Its life, its page and whether it serves callers already are its own affair.
+		// Its incarnation, its page and whether it serves callers already are its own affair.
 		n.Incarnation, n.Http, n.Ready = 0, "", false
 		q.Node = &n
 		b, _ := json.Marshal(q)
@@ -99,7 +99,7 @@
 }
 
 // TestSimulatedAsksAsARealOne: a real proxy and a simulated one ask two scripted control nodes
-// the same, in the same order and of the same one, through a start, news, a change, a
+// the same, in the same order and of the same one, through a start, cache updates, a change, a
 // restart of the control node, one that falls behind, and one that fails.
 func TestSimulatedAsksAsARealOne(t *testing.T) {
 	addrs := []string{free(t), free(t)}
