--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -1,5 +1,8 @@
-// Package backend is a stand-in for the small application behind the plain
-// entries: it counts what it is asked, so that an observer sees a double call.
+// Package backend is a stand-in for the small application behind the plain entries. It
+// answers every path, and counts the requests by method, path and request id, so that a judge
+// outside the fleet sees a request that was sent twice.
+//
+// New may be called from any goroutine; handlers run concurrently.
 package backend
 
 import (
@@ -12,41 +15,46 @@
 	"violetthread/internal/daemon"
 )
 
+const (
+	maxBodyBytes    = 1 << 20 // read of a request; what is beyond is left unread
+	requestIDHeader = "X-Ticket-Id"
+	breaksSuffix    = "/breaks" // of paths whose connection breaks off
+)
+
 // Settings of the stand-in back end.
 type Settings struct{ daemon.NodeSettings }
 
-// Defaults of the settings.
+// Defaults are the settings of a back end that stops at once.
 func Defaults() Settings { return Settings{daemon.NodeSettings{}} }
 
-// Run runs the stand-in until it is told to stop.
-func Run(s Settings) error {
-	d, err := New(s)
-	if err != nil {
-		return err
-	}
-	return d.Run()
+type backend struct {
+	mu       sync.Mutex
+	requests map[string]int // method, path and request id
 }
 
-// New makes one, ready to Run.
-func New(s Settings) (*daemon.Daemon, error) {
-	d := daemon.New("backend", s.Name, s.HTTPAddr, s.DrainUS)
-	var mu sync.Mutex
-	calls := map[string]int{}
-	d.Handle("/seen", func(w http.ResponseWriter, _ *http.Request) {
-		mu.Lock()
-		defer mu.Unlock()
-		daemon.WriteJSON(w, 200, calls)
-	})
-	d.HandlePrefix("/", func(w http.ResponseWriter, q *http.Request) {
-		b, _ := io.ReadAll(io.LimitReader(q.Body, 1<<20))
-		mu.Lock()
-		calls[fmt.Sprintf("%s %s %s", q.Method, q.URL.Path, q.Header.Get("X-Ticket-Id"))]++
-		mu.Unlock()
-		if strings.HasSuffix(q.URL.Path, "/breaks") {
-			panic(http.ErrAbortHandler) // a back end that struggles: it breaks off
-		}
-		daemon.WriteJSON(w, 200, map[string]any{"method": q.Method, "path": q.URL.Path, "bytes": len(b)})
-	})
+// New makes a stand-in that serves once it is run. The error is always nil.
+func New(settings Settings) (*daemon.Daemon, error) {
+	d := daemon.New("backend", settings.Name, settings.HTTPAddr, settings.DrainUS)
+	b := &backend{requests: map[string]int{}}
+	d.Handle("/seen", b.serveCounts)
+	d.HandlePrefix("/", b.serve)
 	d.SetReady("")
 	return d, nil
 }
+
+func (b *backend) serveCounts(w http.ResponseWriter, _ *http.Request) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	daemon.WriteJSON(w, http.StatusOK, b.requests)
+}
+
+func (b *backend) serve(w http.ResponseWriter, request *http.Request) {
+	body, _ := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes))
+	b.mu.Lock()
+	b.requests[fmt.Sprintf("%s %s %s", request.Method, request.URL.Path, request.Header.Get(requestIDHeader))]++
+	b.mu.Unlock()
+	if strings.HasSuffix(request.URL.Path, breaksSuffix) {
+		panic(http.ErrAbortHandler) // net/http closes the connection and logs nothing
+	}
+	daemon.WriteJSON(w, http.StatusOK, map[string]any{"method": request.Method, "path": request.URL.Path, "bytes": len(body)})
+}
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,142 +1,119 @@
-// Package platform is a stand-in for what runs the machines: it lists engines,
-// marks the ones that are leaving and asks nodes whether they are ready.
 package platform
 
 import (
 	"context"
 	"encoding/json"
 	"net/http"
-	"strings"
 	"sync"
 
-	"github.com/gravitational/trace"
-
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/internal/engineapi"
 	"violetthread/internal/taskgroup"
 )
 
-// Settings of the stand-in platform.
-type Settings struct {
-	daemon.NodeSettings
-	Engines []string `json:"engines" help:"name=IP:port@site of each engine, with commas"`
-	Store   string   `json:"store" help:"name=IP:port@site of the store"`
-	Nodes   []string `json:"nodes" help:"IP:port of the HTTP side of each node to ask for readiness"`
-}
-
-// Defaults of the settings.
-func Defaults() Settings { return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 0}} }
+const (
+	readinessPeriodUS  = 500_000 // between two questions to all nodes
+	readinessTimeoutUS = 300_000 // for one node's answer
+)
 
 type platform struct {
-	mu      sync.Mutex
-	engines []engineapi.ListedEngine
-	since   map[string]int64
-	ready   map[string]bool
-}
+	client *engineapi.Client
+	nodes  []string // that are asked for readiness
 
-func parseEngine(s, kind string) (engineapi.ListedEngine, error) {
-	n, rest, ok := strings.Cut(s, "=")
-	a, site, ok2 := strings.Cut(rest, "@")
-	if !ok || !ok2 {
-		return engineapi.ListedEngine{}, trace.BadParameter("%q is not name=IP:port@site; write it so", s)
-	}
-	return engineapi.ListedEngine{Name: n, Addr: a, Zone: site, Kind: kind}, nil
+	mu      sync.Mutex // guards what follows
+	engines []engineapi.ListedEngine
+	ready   map[string]bool // by node, as it last answered
 }
 
-// Run runs the stand-in until it is told to stop.
-func Run(s Settings) error {
-	d, err := New(s)
+// New makes a stand-in that serves once it is run. It fails when an engine is not written as
+// Settings has it.
+func New(settings Settings) (*daemon.Daemon, error) {
+	engines, err := settings.list()
 	if err != nil {
-		return err
+		return nil, err
 	}
-	return d.Run()
-}
-
-// New makes one, ready to Run.
-func New(s Settings) (*daemon.Daemon, error) {
-	p := &platform{since: map[string]int64{}, ready: map[string]bool{}}
-	for _, x := range s.Engines {
-		l, err := parseEngine(x, "engine")
-		if err != nil {
-			return nil, err
-		}
-		p.engines = append(p.engines, l)
-	}
-	if s.Store != "" {
-		l, err := parseEngine(s.Store, "store")
-		if err != nil {
-			return nil, err
-		}
-		p.engines = append(p.engines, l)
-	}
-	d := daemon.New("platform", s.Name, s.HTTPAddr, s.DrainUS)
+	p := &platform{client: engineapi.NewClient(), nodes: settings.Nodes, engines: engines, ready: map[string]bool{}}
+	d := daemon.New("platform", settings.Name, settings.HTTPAddr, settings.DrainUS)
 	d.Handle("/v1/engines", p.serveEngines)
 	d.Handle("/v1/mark", p.serveUpdate)
-	d.Handle("/v1/ready", func(w http.ResponseWriter, _ *http.Request) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		daemon.WriteJSON(w, 200, p.ready)
-	})
-	c := engineapi.NewClient()
-	d.Group.Go("ready", func(ctx context.Context) {
-		taskgroup.Every(ctx, clock.Duration(500_000), func(ctx context.Context) {
-			for _, n := range s.Nodes {
-				ok := c.Get(ctx, n, "/readyz", 300_000, nil) == nil
-				p.mu.Lock()
-				p.ready[n] = ok
-				p.mu.Unlock()
-			}
-		})
+	d.Handle("/v1/ready", p.serveReadiness)
+	d.Group.Go("readiness", func(ctx context.Context) {
+		taskgroup.Every(ctx, clock.Duration(readinessPeriodUS), p.checkReadiness)
 	})
 	d.SetReady("")
 	return d, nil
 }
 
+// checkReadiness asks the nodes one after the other.
+func (p *platform) checkReadiness(ctx context.Context) {
+	for _, node := range p.nodes {
+		ready := p.client.Get(ctx, node, "/readyz", readinessTimeoutUS, nil) == nil
+		p.mu.Lock()
+		p.ready[node] = ready
+		p.mu.Unlock()
+	}
+}
+
+func (p *platform) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	daemon.WriteJSON(w, http.StatusOK, p.ready)
+}
+
 func (p *platform) serveEngines(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: p.engines})
+	daemon.WriteJSON(w, http.StatusOK, engineapi.EngineList{Engines: p.engines})
 }
 
-// Mark is the body of POST /v1/mark: what became of an engine.
+// EngineUpdate is the body of POST /v1/mark: what became of an engine.
 type EngineUpdate struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
-	Gone    bool   `json:"gone"`
-	Addr    string `json:"addr"` // with Site: list it anew
+	Gone    bool   `json:"gone"` // it is taken off the list
+	Addr    string `json:"addr"` // IP:port; an engine that is not listed is added
 	Zone    string `json:"site"`
 }
 
-func (p *platform) serveUpdate(w http.ResponseWriter, q *http.Request) {
-	var m EngineUpdate
-	if json.NewDecoder(q.Body).Decode(&m) != nil || m.Name == "" {
-		daemon.WriteJSON(w, 400, daemon.ErrorResponse{Reason: "malformed", Remedy: "send name and leaving, gone, or addr and site"})
+func (p *platform) serveUpdate(w http.ResponseWriter, request *http.Request) {
+	var update EngineUpdate
+	if json.NewDecoder(request.Body).Decode(&update) != nil || update.Name == "" {
+		daemon.WriteJSON(w, http.StatusBadRequest, daemon.ErrorResponse{Reason: "malformed", Remedy: "send name and leaving, gone, or addr and site"})
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []engineapi.ListedEngine
+	p.engines = update.apply(p.engines)
+	daemon.WriteJSON(w, http.StatusOK, engineapi.EngineList{Engines: p.engines})
+}
+
+// apply returns the list with the update; the list itself stays as it is.
+func (u EngineUpdate) apply(engines []engineapi.ListedEngine) (updated []engineapi.ListedEngine) {
 	found := false
-	for _, l := range p.engines {
-		if l.Name == m.Name {
-			found = true
-			if m.Gone {
-				continue
-			}
-			l.Leaving = m.Leaving
-			if m.Addr != "" {
-				l.Addr = m.Addr
-			}
-			if m.Zone != "" {
-				l.Zone = m.Zone
-			}
+	for _, engine := range engines {
+		if engine.Name != u.Name {
+			updated = append(updated, engine)
+			continue
 		}
-		out = append(out, l)
+		found = true
+		if !u.Gone {
+			updated = append(updated, u.applyTo(engine))
+		}
+	}
+	if !found && u.Addr != "" {
+		updated = append(updated, engineapi.ListedEngine{Name: u.Name, Addr: u.Addr, Zone: u.Zone, Kind: kindEngine, Leaving: u.Leaving})
+	}
+	return updated
+}
+
+func (u EngineUpdate) applyTo(engine engineapi.ListedEngine) engineapi.ListedEngine {
+	engine.Leaving = u.Leaving
+	if u.Addr != "" {
+		engine.Addr = u.Addr
 	}
-	if !found && m.Addr != "" {
-		out = append(out, engineapi.ListedEngine{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Kind: "engine", Leaving: m.Leaving})
+	if u.Zone != "" {
+		engine.Zone = u.Zone
 	}
-	p.engines = out
-	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: out})
+	return engine
 }
