--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -92,7 +92,7 @@
 // Told is what a caller was told of one sending of a ticket.
 type Result struct {
 	Group, Kind, ID, Proxy      string
-	Once                        bool
+	OnceOnly                    bool
 	Outcome, Reason             string // outcome "" is an answer without its last frame
 	Status                      int
 	FirstPieceUS, TotalUS       int64
@@ -135,7 +135,7 @@
 		if k.sharesPrefix {
 			prompt = prefix[g.name] + prompt
 		}
-		t := Result{Group: g.name, Kind: k.name, ID: fmt.Sprintf("%s-%d-%d", s.Scenario, s.Seed, n), Proxy: p, Once: k.onceOnly, DueUS: k.dueUS, Generation: l.observeGeneration(0),
+		t := Result{Group: g.name, Kind: k.name, ID: fmt.Sprintf("%s-%d-%d", s.Scenario, s.Seed, n), Proxy: p, OnceOnly: k.onceOnly, DueUS: k.dueUS, Generation: l.observeGeneration(0),
 			HangsUp: rng.Int63n(1000) < s.HangUpPermille}
 		again := k.onceOnly && rng.Int63n(1000) < s.ResendPermille
 		q := s.Proxies[rng.Intn(len(s.Proxies))]
@@ -414,9 +414,9 @@
 			allRefused = allRefused && t.Outcome == "refused"
 		}
 		switch {
-		case ts[0].Once && n > 1:
+		case ts[0].OnceOnly && n > 1:
 			r.Violations = append(r.Violations, fmt.Sprintf("%s ran %d times", id, n))
-		case ts[0].Once && dones > 1:
+		case ts[0].OnceOnly && dones > 1:
 			r.Violations = append(r.Violations, fmt.Sprintf("%s was done %d times", id, dones))
 		case allRefused && n > 0:
 			r.Violations = append(r.Violations, fmt.Sprintf("%s was refused and ran", id))
