--- a/internal/standin/callers/callers_test.go
+++ b/internal/standin/callers/callers_test.go
@@ -19,7 +19,7 @@
 )
 
 func newTestGenerator(settings Settings) *loadGenerator {
-	return &loadGenerator{settings: settings, scenario: scenarios["selat"], http: http.DefaultClient}
+	return &loadGenerator{settings: settings, http: http.DefaultClient}
 }
 
 // serve runs a server that answers everything alike, and returns its address.
