--- a/sim/config_followers.go
+++ b/sim/config_followers.go
@@ -31,13 +31,13 @@
 }
 
 // update takes a newer one in.
-func (w *confirmedVersion) update(n confirmedVersion) {
+func (v *confirmedVersion) update(newer confirmedVersion) {
 	switch {
-	case !n.known || w.known && n.revision < w.revision:
-	case w.known && n.revision == w.revision:
-		w.confirmedAt = max(w.confirmedAt, n.confirmedAt)
+	case !newer.known || v.known && newer.revision < v.revision:
+	case v.known && newer.revision == v.revision:
+		v.confirmedAt = max(v.confirmedAt, newer.confirmedAt)
 	default:
-		*w = n
+		*v = newer
 	}
 }
 
@@ -146,16 +146,16 @@
 				reply(directoryAnswer{d.config, d.weights, now - d.config.confirmedAt, now - d.weights.confirmedAt})
 			}
 		},
-		func(a directoryAnswer) { p.answered(node, at, a) },
+		func(answer directoryAnswer) { p.answered(node, at, answer) },
 		func() { p.pauseDirectory(node) })
 }
 
-func (p *ConfigProxy) answered(node *ControlNode, at int64, a directoryAnswer) {
-	a.config.confirmedAt = at - a.configAge
-	a.weights.confirmedAt = at - a.weightsAge
-	p.config.update(a.config)
-	p.weights.update(a.weights)
-	if !a.config.known || a.configAge > maxDirectoryAge {
+func (p *ConfigProxy) answered(node *ControlNode, at int64, answer directoryAnswer) {
+	answer.config.confirmedAt = at - answer.configAge
+	answer.weights.confirmedAt = at - answer.weightsAge
+	p.config.update(answer.config)
+	p.weights.update(answer.weights)
+	if !answer.config.known || answer.configAge > maxDirectoryAge {
 		p.pauseDirectory(node)
 	}
 }
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -65,9 +65,9 @@
 }
 
 // passToLeader hands an operation on to the leader of its key.
-func (n *ControlNode) passToLeader(op quorum.Operation, hops int, owner string, end func(quorum.Result)) {
-	receiver := n.cluster.nodeNamed(owner)
-	if receiver == nil || n.node == nil || n.node.Silence(n.Clock(), owner) > passSilenceLimit {
+func (n *ControlNode) passToLeader(op quorum.Operation, hops int, leaderName string, end func(quorum.Result)) {
+	receiver := n.cluster.nodeNamed(leaderName)
+	if receiver == nil || n.node == nil || n.node.Silence(n.Clock(), leaderName) > passSilenceLimit {
 		end(quorum.Result{Status: quorum.StatusNotLeader})
 		return
 	}
