--- a/sim/catchup_day.go
+++ b/sim/catchup_day.go
@@ -42,11 +42,11 @@
 // CatchupResult is what a day of many changes came to.
 type CatchupResult struct {
 	Changes, Large, Setbacks, Checkpoints int
-	// Steps are the records of checkpoints at which a process ended.
+	// CutRecords are the records of checkpoints at which a process ended.
 	CutRecords int
-	// CaughtUp is the longest from a member's start until it holds all that is settled.
+	// SlowestCatchupUS is the longest from a voter's start until it holds all that is committed.
 	SlowestCatchupUS int64
-	// Owners counts the changes of the configuration's owner.
+	// Leaders counts the changes of the configuration's leader.
 	Leaders    int
 	Violations []string
 	Notes      []string
@@ -130,7 +130,7 @@
 	})
 }
 
-// end ends a member's process, by a kill or with the power, and its disk if asked for.
+// stopMember ends a voter's process, by a kill or with the power, and its disk if asked for.
 func (d *CatchupDay) stopMember(node *ControlNode, wiped bool) {
 	d.result.Setbacks++
 	switch {
@@ -143,7 +143,7 @@
 	}
 }
 
-// begin starts the member again and waits until it holds all that is settled.
+// restartMember starts the member again and waits until it holds all that is committed.
 func (d *CatchupDay) restartMember(node *ControlNode) {
 	world := d.World
 	at := world.now
@@ -167,8 +167,8 @@
 	look()
 }
 
-// holdsAll reports whether a member votes and holds every slot up to what its owner
-// knows to be settled.
+// holdsCommitted reports whether a node votes and holds every slot up to what its leader
+// knows to be committed.
 func (d *CatchupDay) holdsCommitted(node *ControlNode) bool {
 	if !node.up || node.node == nil || !node.node.AllSlotsRecovered() {
 		return false
