--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -7,7 +7,7 @@
 	"violetthread/quorum"
 )
 
-// stage drives single nodes through a set course of events.
+// directedRun drives single nodes through a set course of events.
 type directedRun struct {
 	t       *testing.T
 	world   *World
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// settle waits until the key has an owner.
+// awaitLeader waits until the key has a leader.
 func (r *directedRun) awaitLeader() *ControlNode {
 	r.t.Helper()
 	for end := r.world.now + 15_000_000; r.world.now < end; r.world.Run(r.world.now + 10_000) {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// do runs an operation on a node and tells the history when it is answered.
+// operate runs an operation on a node and tells the history when it is answered.
 func (r *directedRun) operate(node *ControlNode, op quorum.Operation) (result quorum.Result) {
 	from := r.world.now
 	Call(r.client, node.Host, op, 2_000_000, node.serve, func(x quorum.Result) {
@@ -74,7 +74,7 @@
 	return r.operate(r.awaitLeader(), quorum.Operation{Type: quorum.OpPut, Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision})
 }
 
-// torn makes the leader take a change that reaches nobody, and die of it.
+// tornLeader makes the leader take a change that reaches nobody, and die of it.
 func (r *directedRun) tornLeader() *ControlNode {
 	other := r.awaitLeader()
 	for _, node := range r.cluster.Nodes {
@@ -87,7 +87,7 @@
 	return other
 }
 
-// turnUntil kills the leader again and again, restarting it, until it is want, or
+// moveLeaderTo kills the leader again and again, restarting it, until it is want, or
 // until it is no more when want is nil.
 func (r *directedRun) moveLeaderTo(want *ControlNode) {
 	for i := 0; i < 30; i++ {
@@ -108,7 +108,7 @@
 	r.t.Fatal("the node never came to own the key")
 }
 
-// beside is a key of the same slot, whose changes move the slot's marks on.
+// keyBeside is a key of the same slot, whose changes move the slot's positions on.
 func keyBeside(key string) string {
 	for i := 0; ; i++ {
 		if k := fmt.Sprint("beside", i); quorum.SlotOf(k, 16) == quorum.SlotOf(key, 16) {
