--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -30,72 +30,111 @@
 // goes, over many reuses of its segments.
 func TestPowerLoss(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
-		world := sim.NewWorld(seed)
-		disk := sim.NewDisk(world)
-		log, _ := open(t, disk, testConfig)
-		rng := rand.New(rand.NewSource(seed))
-		var live []string // what must be found: since the last checkpoint, at least the synced
-		synced, count := 0, 0
-		var parts [][]byte // still to come of the checkpoint under way
-		checkpointing, from := false, 0
+		r := newPowerLossRun(t, seed)
 		for step := 0; step < 300; step++ {
-			if checkpointing && rng.Intn(2) == 0 {
-				if len(parts) > 0 {
-					if err := log.AppendCheckpoint(parts[:1]); err != nil {
-						t.Fatalf("seed %d: %v", seed, err)
-					}
-					parts = parts[1:]
-				} else {
-					if err := log.EndCheckpoint(); err != nil {
-						t.Fatalf("seed %d: %v", seed, err)
-					}
-					live, checkpointing = live[from:], false
-					synced = len(live)
-				}
-			}
-			switch choice := rng.Intn(20); {
-			case choice < 14:
-				count++
-				text := fmt.Sprintf("%d-%s", count, make([]byte, rng.Intn(120)))
-				if err := log.Append([]byte(text)); err != nil {
-					t.Fatalf("seed %d: %v", seed, err)
-				}
-				live = append(live, text)
-			case choice < 18:
-				if err := log.Sync(); err != nil {
-					t.Fatal(err)
-				}
-				synced = len(live)
-			default:
-				disk.PowerLoss()
-				var got []string
-				log, got = open(t, disk, testConfig)
-				checkpointing = false // what was written of a checkpoint counts for nothing
-				if len(got) < synced || len(got) > len(live) {
-					t.Fatalf("seed %d: %d records, %d synced of %d", seed, len(got), synced, len(live))
-				}
-				for i := range got {
-					if got[i] != live[i] {
-						t.Fatalf("seed %d: record %d is %q, not %q", seed, i, got[i], live[i])
-					}
-				}
-				live, synced = got, len(got)
-			}
-			if log.UsedPermille() > 250 && !checkpointing {
-				// Keep the last few, as a checkpoint would restate live state;
-				// others are appended between its parts.
-				from = max(0, len(live)-4)
-				parts = nil
-				for _, text := range live[from:] {
-					parts = append(parts, []byte(text))
-				}
-				if err := log.BeginCheckpoint(); err != nil {
-					t.Fatalf("seed %d: %v", seed, err)
-				}
-				checkpointing = true
-			}
+			r.step()
+		}
+	}
+}
+
+// powerLossRun is a log that is written, checkpointed and read back after losses of power.
+type powerLossRun struct {
+	t    *testing.T
+	seed int64
+	rng  *rand.Rand
+	disk *sim.Disk
+	log  *wal.Log
+
+	live   []string // what must be found: since the last checkpoint, at least the synced
+	synced int      // of these
+	number int      // of the last record
+
+	checkpointing  bool
+	checkpointFrom int      // where live will begin after the checkpoint under way
+	checkpointRest [][]byte // records that are still to come of it
+}
+
+func newPowerLossRun(t *testing.T, seed int64) *powerLossRun {
+	t.Helper()
+	disk := sim.NewDisk(sim.NewWorld(seed))
+	log, _ := open(t, disk, testConfig)
+	return &powerLossRun{t: t, seed: seed, rng: rand.New(rand.NewSource(seed)), disk: disk, log: log}
+}
+
+func (r *powerLossRun) step() {
+	r.t.Helper()
+	if r.checkpointing && r.rng.Intn(2) == 0 {
+		r.advanceCheckpoint()
+	}
+	switch choice := r.rng.Intn(20); {
+	case choice < 14:
+		r.append()
+	case choice < 18:
+		r.must(r.log.Sync())
+		r.synced = len(r.live)
+	default:
+		r.losePower()
+	}
+	if r.log.UsedPermille() > 250 && !r.checkpointing {
+		r.beginCheckpoint()
+	}
+}
+
+func (r *powerLossRun) must(err error) {
+	r.t.Helper()
+	if err != nil {
+		r.t.Fatalf("seed %d: %v", r.seed, err)
+	}
+}
+
+func (r *powerLossRun) append() {
+	r.t.Helper()
+	r.number++
+	text := fmt.Sprintf("%d-%s", r.number, make([]byte, r.rng.Intn(120)))
+	r.must(r.log.Append([]byte(text)))
+	r.live = append(r.live, text)
+}
+
+func (r *powerLossRun) losePower() {
+	r.t.Helper()
+	r.disk.PowerLoss()
+	var got []string
+	r.log, got = open(r.t, r.disk, testConfig)
+	r.checkpointing = false // what was written of a checkpoint counts for nothing
+	if len(got) < r.synced || len(got) > len(r.live) {
+		r.t.Fatalf("seed %d: %d records, %d synced of %d", r.seed, len(got), r.synced, len(r.live))
+	}
+	for i := range got {
+		if got[i] != r.live[i] {
+			r.t.Fatalf("seed %d: record %d is %q, not %q", r.seed, i, got[i], r.live[i])
 		}
 	}
+	r.live, r.synced = got, len(got)
+}
+
+// beginCheckpoint keeps the last few records, as a checkpoint would restate live state;
+// others are appended between its parts.
+func (r *powerLossRun) beginCheckpoint() {
+	r.t.Helper()
+	r.checkpointFrom = max(0, len(r.live)-4)
+	r.checkpointRest = nil
+	for _, text := range r.live[r.checkpointFrom:] {
+		r.checkpointRest = append(r.checkpointRest, []byte(text))
+	}
+	r.must(r.log.BeginCheckpoint())
+	r.checkpointing = true
+}
+
+func (r *powerLossRun) advanceCheckpoint() {
+	r.t.Helper()
+	if len(r.checkpointRest) > 0 {
+		r.must(r.log.AppendCheckpoint(r.checkpointRest[:1]))
+		r.checkpointRest = r.checkpointRest[1:]
+		return
+	}
+	r.must(r.log.EndCheckpoint())
+	r.live, r.checkpointing = r.live[r.checkpointFrom:], false
+	r.synced = len(r.live)
 }
 
 // TestFlippedBit: a bit that flips in synced data is found, never passed on and
