--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -13,82 +13,103 @@
 
 // operatorRace is four operators at once: whole plans, patches, with and without a
 // precondition, many entries in one change, answers lost, while the control nodes
-// fail. What every control node reads back is judged to the byte.
+// fail. What every control node reads back is checked to the byte.
 type operatorRace struct {
 	cluster  *Cluster
 	history  *History
-	texts    map[uint64][]byte // revision -> what its operator was told is in force
-	bases    map[uint64][]byte // revision -> the text its change was applied to
+	texts    map[uint64][]byte // by revision: what its operator heard is in force
+	bases    map[uint64][]byte // by revision: the text that its change was applied to
 	changes  map[uint64]plan.Change
 	outcomes map[string]int
 	number   int
 }
 
+// sendChange draws a change, applies it to what one control node reads, and puts the result
+// at another.
 func (r *operatorRace) sendChange(host *Host, operator int) {
 	world := r.cluster.world
 	r.number++
+	change := r.drawChange(operator)
+	reader := pick(world, r.cluster.Nodes)
+	invoked := world.now
+	get := quorum.Operation{Type: quorum.OpGet, Key: planKey}
+	Call(host, reader.Host, get, 900_000, reader.serve, func(result quorum.Result) {
+		if result.Status == quorum.StatusDone {
+			r.read(invoked, result)
+			r.put(host, change, result)
+		}
+	}, func() {})
+}
+
+// drawChange draws a small patch, a whole plan, many routes at once, or a group.
+func (r *operatorRace) drawChange(operator int) plan.Change {
+	rng := r.cluster.world.Rng
 	body := fmt.Sprintf(`{"notes":{"op%d":%d,"big":12345678901234567890%d}}`, operator, r.number, r.number%10)
 	change := plan.Change{Patch: true}
-	switch world.Rng.Intn(6) {
+	switch rng.Intn(6) {
 	case 0:
 		change.Patch = false
 		body = fmt.Sprintf(`{"weights":"w%d", "kinds":{"k":{"due_us":1000000}},"groups":{"g%d":{"share":1.50,"keys":[]}},"notes":{"é":"ü😀 %d"}}`, r.number%3+1, operator, r.number)
-	case 1: // many routes at once
-		var routes []plan.Route
-		for i := 0; i < 40; i++ {
-			routes = append(routes, plan.Route{Path: fmt.Sprintf("/app%d/%d", operator, i), Backend: "127.0.0.1:9000", TimeoutUS: 1_000_000 + int64(r.number)})
-		}
-		written, _ := json.Marshal(map[string]any{"entries": routes})
-		body = string(written)
+	case 1:
+		body = r.manyRoutes(operator)
 	case 2:
 		body = fmt.Sprintf(`{"groups":{"g%d":{"share":2,"wall":%v,"keys":[]}}}`, operator, r.number%2 == 0)
 	}
 	change.Body = []byte(body)
-	if world.Rng.Intn(3) == 0 {
+	if rng.Intn(3) == 0 {
 		change.Conditional, change.ExpectedRevision = true, uint64(len(r.texts)) // what it last heard of, perhaps
 	}
-	drawNode := func() *ControlNode { return r.cluster.Nodes[world.Rng.Intn(len(r.cluster.Nodes))] }
-	reader := drawNode()
-	from := world.now
-	Call(host, reader.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, reader.serve,
-		func(result quorum.Result) {
-			if result.Status != quorum.StatusDone {
-				return
-			}
-			r.read(from, result)
-			sealed, raw, err := change.Apply(result.Revision, result.Value)
-			if err != nil {
-				var other plan.RevisionConflictError
-				if result.Revision > 0 && (change.Conditional && change.ExpectedRevision == result.Revision || !change.Conditional && !errors.As(err, &other)) {
-					world.Violation("a good change was declined", "%v", err)
-				}
-				r.outcomes["declined"]++
-				return
-			}
-			_, was, _ := plan.Decode(result.Value)
-			writer, sent := drawNode(), world.now
-			Call(host, writer.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: result.Revision}, 900_000,
-				writer.serve,
-				func(written quorum.Result) {
-					switch written.Status {
-					case quorum.StatusDone:
-						if change.Conditional && written.Revision != change.ExpectedRevision+1 {
-							world.Violation("precondition", "revision %d was given on condition of %d", written.Revision, change.ExpectedRevision)
-						}
-						r.history.add(observedOperation{sent, world.now, written.Revision, string(sealed), true})
-						r.texts[written.Revision], r.bases[written.Revision], r.changes[written.Revision] = raw, was, change
-						r.outcomes["in force"]++
-						r.cluster.changeAcknowledged()
-					case quorum.StatusConflict:
-						r.outcomes["conflict"]++
-					default:
-						r.outcomes["unknown"]++
-					}
-				}, func() { r.outcomes["no answer"]++ })
-		}, func() {})
+	return change
+}
+
+func (r *operatorRace) manyRoutes(operator int) string {
+	var routes []plan.Route
+	for i := 0; i < 40; i++ {
+		routes = append(routes, plan.Route{Path: fmt.Sprintf("/app%d/%d", operator, i), Backend: "127.0.0.1:9000", TimeoutUS: 1_000_000 + int64(r.number)})
+	}
+	body, _ := json.Marshal(map[string]any{"entries": routes})
+	return string(body)
+}
+
+// put applies a change to what was read, and puts the result, unless it must be declined.
+func (r *operatorRace) put(host *Host, change plan.Change, current quorum.Result) {
+	world := r.cluster.world
+	sealed, text, err := change.Apply(current.Revision, current.Value)
+	if err != nil {
+		var conflict plan.RevisionConflictError
+		if current.Revision > 0 && (change.Conditional && change.ExpectedRevision == current.Revision || !change.Conditional && !errors.As(err, &conflict)) {
+			world.Violation("a good change was declined", "%v", err)
+		}
+		r.outcomes["declined"]++
+		return
+	}
+	writer, invoked := pick(world, r.cluster.Nodes), world.now
+	put := quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: current.Revision}
+	Call(host, writer.Host, put, 900_000, writer.serve, func(written quorum.Result) {
+		switch written.Status {
+		case quorum.StatusDone:
+			r.history.add(observedOperation{invoked, world.now, written.Revision, string(sealed), true})
+			r.acknowledged(change, written.Revision, current.Value, text)
+		case quorum.StatusConflict:
+			r.outcomes["conflict"]++
+		default:
+			r.outcomes["unknown"]++
+		}
+	}, func() { r.outcomes["no answer"]++ })
+}
+
+// acknowledged checks a change that is in force, and notes it.
+func (r *operatorRace) acknowledged(change plan.Change, revision uint64, base, text []byte) {
+	if change.Conditional && revision != change.ExpectedRevision+1 {
+		r.cluster.world.Violation("precondition", "revision %d was given on condition of %d", revision, change.ExpectedRevision)
+	}
+	_, baseText, _ := plan.Decode(base)
+	r.texts[revision], r.bases[revision], r.changes[revision] = text, baseText, change
+	r.outcomes["in force"]++
+	r.cluster.changeAcknowledged()
 }
 
-// read judges what a control node gives back.
+// read checks what a control node gives back.
 func (r *operatorRace) read(from int64, result quorum.Result) {
 	world := r.cluster.world
 	r.history.add(observedOperation{from, world.now, result.Revision, string(result.Value), false})
