--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -176,24 +176,24 @@
 		s.Name, s.Zone, s.HTTPAddr, s.PieceUS, s.RecomputeUS, s.WeightsLoadUS, s.DrainUS = fmt.Sprint("e", i), sites[i], next(), 3_000, 500, 50_000, 0
 		r.engines = append(r.engines, s.HTTPAddr)
 		list = append(list, fmt.Sprintf("%s=%s@%s", s.Name, s.HTTPAddr, s.Zone))
-		d, err := engine.New(s)
+		d, err := engine.NewDaemon(s)
 		r.run(s.Name, d, err)
 	}
 	r.platform, r.backend = next(), next()
 	ps := platform.Defaults()
 	ps.Name, ps.Zone, ps.HTTPAddr, ps.Engines = "platform", "core", r.platform, list
-	d, err := platform.New(ps)
+	d, err := platform.NewDaemon(ps)
 	r.run("platform", d, err)
 	bs := backend.Defaults()
 	bs.Name, bs.Zone, bs.HTTPAddr = "backend", "core", r.backend
-	d, err = backend.New(bs)
+	d, err = backend.NewDaemon(bs)
 	r.run("backend", d, err)
 	for i := 0; i < 2; i++ {
 		s := indexnode.Defaults()
 		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Seeds, s.Platform, s.DrainUS = fmt.Sprint("index", i), sites[i], next(), next(), wires[:3], r.platform, 500_000
 		s.Recording = fmt.Sprintf("%s/index%d.recording", dir, i)
 		r.tapes = append(r.tapes, s.Recording)
-		d, err := indexnode.New(s)
+		d, err := indexnode.NewDaemon(s)
 		r.run(s.Name, d, err)
 	}
 	for i := 0; i < 2; i++ {
@@ -206,7 +206,7 @@
 		s.Recording = fmt.Sprintf("%s/gateway%d.recording", dir, i)
 		r.tapes = append(r.tapes, s.Recording)
 		r.proxies = append(r.proxies, s.HTTPAddr)
-		d, err = gateway.New(s)
+		d, err = gateway.NewDaemon(s)
 		r.run(s.Name, d, err)
 	}
 	t.Cleanup(r.down)
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -20,7 +20,7 @@
 
 // Run runs the stand-in until it is told to stop.
 func Run(s Settings) error {
-	d, err := New(s)
+	d, err := NewDaemon(s)
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*daemon.Daemon, error) {
+func NewDaemon(s Settings) (*daemon.Daemon, error) {
 	d := daemon.New("backend", s.Name, s.HTTPAddr, s.DrainUS)
 	var mu sync.Mutex
 	calls := map[string]int{}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -96,7 +96,7 @@
 
 // Run runs a stand-in until it is told to stop.
 func Run(s Settings) error {
-	d, err := New(s)
+	d, err := NewDaemon(s)
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*daemon.Daemon, error) {
+func NewDaemon(s Settings) (*daemon.Daemon, error) {
 	e, err := newEngine(s)
 	if err != nil {
 		return nil, err
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -46,7 +46,7 @@
 
 // Run runs the stand-in until it is told to stop.
 func Run(s Settings) error {
-	d, err := New(s)
+	d, err := NewDaemon(s)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*daemon.Daemon, error) {
+func NewDaemon(s Settings) (*daemon.Daemon, error) {
 	p := &platform{since: map[string]int64{}, ready: map[string]bool{}}
 	for _, x := range s.Engines {
 		l, err := parseEngine(x, "engine")
