--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -2,7 +2,7 @@
 // answers every path, and counts the requests by method, path and request id, so that a judge
 // outside the fleet sees a request that was sent twice.
 //
-// New may be called from any goroutine; handlers run concurrently.
+// NewDaemon may be called from any goroutine; handlers run concurrently.
 package backend
 
 import (
@@ -32,8 +32,8 @@
 	requests map[string]int // method, path and request id
 }
 
-// New makes a stand-in that serves once it is run. The error is always nil.
-func New(settings Settings) (*daemon.Daemon, error) {
+// NewDaemon makes a stand-in that serves once it is run. The error is always nil.
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	d := daemon.New("backend", settings.Name, settings.HTTPAddr, settings.DrainUS)
 	b := &backend{requests: map[string]int{}}
 	d.Handle("/seen", b.serveCounts)
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -11,6 +11,6 @@
 // /v1/seen: which runs took place, which of them reused blocks across a wall between tenants
 // or across weights, and which orders came under a fencing token that was already superseded.
 //
-// New may be called from any goroutine. The HTTP handlers run concurrently; one mutex guards
+// NewDaemon may be called from any goroutine. The HTTP handlers run concurrently; one mutex guards
 // their state.
 package engine
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -32,8 +32,8 @@
 	random       randomSource
 }
 
-// New makes a stand-in that serves once it is run.
-func New(settings Settings) (*daemon.Daemon, error) {
+// NewDaemon makes a stand-in that serves once it is run.
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	e, err := newEngine(settings)
 	if err != nil {
 		return nil, err
--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -2,5 +2,5 @@
 // store (docs/engine-protocol.md), takes in what becomes of an engine at /v1/mark, which
 // trials use to take engines away, and asks nodes whether they are ready.
 //
-// New may be called from any goroutine; handlers run concurrently.
+// NewDaemon may be called from any goroutine; handlers run concurrently.
 package platform
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -26,9 +26,9 @@
 	ready   map[string]bool // by node, as it last answered
 }
 
-// New makes a stand-in that serves once it is run. It fails when an engine is not written as
+// NewDaemon makes a stand-in that serves once it is run. It fails when an engine is not written as
 // Settings has it.
-func New(settings Settings) (*daemon.Daemon, error) {
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	engines, err := settings.list()
 	if err != nil {
 		return nil, err
