--- a/cmd/violetthread-standin/main.go
+++ b/cmd/violetthread-standin/main.go
@@ -21,9 +21,9 @@
 	engines, list, backends, calls := engine.Defaults(), platform.Defaults(), backend.Defaults(), callers.Defaults()
 	latency, rollout, cpu := probe.LatencyDefaults(), probe.RolloutDefaults(), probe.CPUProbe{}
 	return []daemon.Command{
-		{Name: "latency", About: "measure what a proxy and a claim add, in pairs against an engine asked directly", Settings: &latency, Run: func() error { return latency.Run() }},
-		{Name: "rollout", About: "measure how long an acknowledged plan takes to be in force everywhere", Settings: &rollout, Run: func() error { return rollout.Run() }},
-		{Name: "cpu", About: "print the processor time that processes have used, in microseconds", Settings: &cpu, Run: func() error { return cpu.Run() }},
+		{Name: "latency", About: "measure what a proxy and a claim add, in pairs against an engine asked directly", Settings: &latency, Run: func() error { return latency.Run(os.Stdout) }},
+		{Name: "rollout", About: "measure how long an acknowledged plan takes to be in force everywhere", Settings: &rollout, Run: func() error { return rollout.Run(os.Stdout) }},
+		{Name: "cpu", About: "print the processor time that processes have used, in microseconds", Settings: &cpu, Run: func() error { return cpu.Run(os.Stdout) }},
 		{Name: "engine", About: "a stand-in model engine, or with --store true the store", Settings: &engines, Run: func() error { return serve(engine.NewDaemon(engines)) }},
 		{Name: "platform", About: "a stand-in platform that lists engines", Settings: &list, Run: func() error { return serve(platform.NewDaemon(list)) }},
 		{Name: "backend", About: "a stand-in app back end", Settings: &backends, Run: func() error { return serve(backend.NewDaemon(backends)) }},
