--- a/internal/engineapi/api.go
+++ b/internal/engineapi/api.go
@@ -1,65 +1,62 @@
-// Package engineapi is how engines, the store and the platform are spoken to:
-// HTTP/1.1 with JSON, as docs/engine-protocol.md describes it.
 package engineapi
 
-import (
-	"encoding/binary"
-	"encoding/hex"
-
-	"violetthread/cacheindex"
-)
-
-// Run is the body of POST /v1/run. The answer is a stream of Line, one JSON
-// object a line. An answer other than 200 with a Refusal proves that the run
-// did not and will not begin.
+// RunRequest is the body of POST /v1/run. The answer is a stream of RunFrame, one JSON
+// object a line. An answer other than 200 with a Rejection proves that the run did not and
+// will not begin.
 type RunRequest struct {
 	Attempt      string    `json:"attempt"`
 	RequestID    string    `json:"ticket"`
 	Group        string    `json:"group"`
 	Kind         string    `json:"kind"`
-	Domain       string    `json:"domain"`
+	Domain       string    `json:"domain"` // cache domain
 	Weights      string    `json:"weights"`
-	FencingToken uint64    `json:"epoch"`
-	NodeID       uint64    `json:"id,string"`
+	FencingToken uint64    `json:"epoch"`     // of the engine's owner
+	NodeID       uint64    `json:"id,string"` // of the engine's incarnation
 	Prompt       string    `json:"prompt"`
-	Blocks       []string  `json:"parts"`
+	Blocks       []string  `json:"parts"` // keys of the prompt's blocks
 	Transfer     *Transfer `json:"take,omitempty"`
-	DueUS        int64     `json:"due_us"`
+	DueUS        int64     `json:"due_us"` // microseconds from now to the deadline
 }
 
-// Take orders a part to be fetched from a peer. When it does not come within
-// WaitUS the engine recomputes; nothing in the answer tells which happened.
+// Transfer orders blocks to be fetched from another engine or the store. When they do not
+// come within WaitUS the engine recomputes them; nothing in the answer tells which happened.
 type Transfer struct {
-	Block  int    `json:"part"`
-	From   string `json:"from"`
+	Block  int    `json:"part"` // index of the last block to fetch
+	From   string `json:"from"` // IP:port
 	WaitUS int64  `json:"wait_us"`
 }
 
-// Refusal is why a run will not begin.
+// Rejection is why a run will not begin.
 type Rejection struct {
 	Reason string `json:"refused"`
 }
 
-// Line is one line of a run: began first, then pieces, then done.
+// RunFrame is one line of a run: began first, then pieces, then done.
 type RunFrame struct {
 	Began  bool    `json:"began,omitempty"`
 	Piece  *string `json:"piece,omitempty"`
 	Done   bool    `json:"done,omitempty"`
-	Pieces int     `json:"n,omitempty"` // with done: how many pieces there were
+	Pieces int     `json:"n,omitempty"` // with done: how many there were
 }
 
-// Event is one thing an engine or the store tells: a part kept or dropped, or
-// a run ended after recomputing so many bytes of its prompt.
+// Values of Event.Op.
+const (
+	EventAdded    = "keep" // Block is cached now
+	EventRemoved  = "drop" // Block is cached no more
+	EventFinished = "ran"  // Attempt ended, after RecomputedBytes were recomputed
+)
+
+// Event is one thing that an engine or the store tells.
 type Event struct {
 	Seq             uint64 `json:"seq"`
-	Op              string `json:"op"` // keep, drop, ran
+	Op              string `json:"op"`
 	Block           string `json:"part,omitempty"`
 	Attempt         string `json:"attempt,omitempty"`
 	RecomputedBytes uint64 `json:"filled,omitempty"`
 }
 
-// Report is the answer to GET /v1/report?inc=I&after=N: the events after N, or
-// what is left of them. A first event beyond N+1 shows a gap.
+// Report is the answer to GET /v1/report?inc=I&after=N: the events after N, or what is left
+// of them. A first event beyond N+1 shows a gap.
 type Report struct {
 	Name        string  `json:"name"`
 	Incarnation uint64  `json:"inc,string"`
@@ -68,34 +65,37 @@
 	QueueLength int     `json:"queue"`
 	Capacity    int     `json:"room"`
 	SlowUS      int64   `json:"slow_us"`
-	LastSeq     uint64  `json:"last"`
+	LastSeq     uint64  `json:"last"` // of the newest event
 	Events      []Event `json:"events"`
 }
 
-// Keeps is the answer to GET /v1/keeps: all parts kept as of event Seq.
+// Holdings is the answer to GET /v1/keeps: all blocks cached as of event Seq.
 type Holdings struct {
 	Incarnation uint64   `json:"inc,string"`
 	Seq         uint64   `json:"seq"`
 	Blocks      []string `json:"parts"`
 }
 
-// Weights is the body of POST /v1/weights.
+// WeightsRequest is the body of POST /v1/weights: change to other weights.
 type WeightsRequest struct {
 	Weights      string `json:"weights"`
-	FencingToken uint64 `json:"epoch"`
-	Owner        string `json:"owner"`
+	FencingToken uint64 `json:"epoch"` // of the engine's owner
+	Owner        string `json:"owner"` // its name
 }
 
-// Import is the body of POST /v1/import: fetch a part ahead of need.
+// ImportRequest is the body of POST /v1/import: fetch a block ahead of need.
 type ImportRequest struct {
 	Block        string `json:"part"`
-	From         string `json:"from"`
-	FencingToken uint64 `json:"epoch"`
+	From         string `json:"from"`  // IP:port
+	FencingToken uint64 `json:"epoch"` // of the engine's owner
 	WaitUS       int64  `json:"wait_us"`
 	Weights      string `json:"weights"`
 }
 
-// Listed is one line of the platform's list.
+// KindStore is ListedEngine.Kind of the store.
+const KindStore = "store"
+
+// ListedEngine is one entry of the platform's list.
 type ListedEngine struct {
 	Name    string `json:"name"`
 	Addr    string `json:"addr"`
@@ -104,34 +104,7 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// Listing is the answer to the platform's GET /v1/engines.
+// EngineList is the answer to the platform's GET /v1/engines.
 type EngineList struct {
 	Engines []ListedEngine `json:"engines"`
 }
-
-// Part writes a key as engines know it: 40 hex digits, check last.
-func FormatKey(k cacheindex.Key) string {
-	var b [20]byte
-	binary.BigEndian.PutUint64(b[:], k.Hi)
-	binary.BigEndian.PutUint64(b[8:], k.Lo)
-	binary.BigEndian.PutUint32(b[16:], k.Check)
-	return hex.EncodeToString(b[:])
-}
-
-// Key reads a part's name back.
-func ParseKey(s string) (cacheindex.Key, bool) {
-	b, err := hex.DecodeString(s)
-	if err != nil || len(b) != 20 {
-		return cacheindex.Key{}, false
-	}
-	return cacheindex.Key{Hi: binary.BigEndian.Uint64(b), Lo: binary.BigEndian.Uint64(b[8:]), Check: binary.BigEndian.Uint32(b[16:])}, true
-}
-
-// Parts writes a chain.
-func FormatKeys(ks []cacheindex.Key) []string {
-	out := make([]string, len(ks))
-	for i, k := range ks {
-		out[i] = FormatKey(k)
-	}
-	return out
-}
--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -11,54 +11,61 @@
 	"github.com/gravitational/trace"
 )
 
+const (
+	maxAnswerBytes      = 16 << 20
+	idleConnTimeout     = 10 * time.Second
+	maxIdleConnsPerHost = 2
+)
+
 // Client asks engines, the store and the platform for short answers.
 type Client struct{ http *http.Client }
 
-const maxAnswer = 16 << 20
-
 // NewClient makes a client.
 func NewClient() *Client {
-	return &Client{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}}}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, IdleConnTimeout: idleConnTimeout}
+	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Get reads a JSON answer into out within us microseconds.
-func (c *Client) Get(ctx context.Context, addr, path string, us int64, out any) error {
-	return c.do(ctx, http.MethodGet, addr, path, us, nil, out)
+// Get reads a JSON answer into out, within timeoutUS microseconds. Of the errors that wrap
+// another, that of a connection is among the causes.
+func (c *Client) Get(ctx context.Context, addr, path string, timeoutUS int64, out any) error {
+	return c.do(ctx, http.MethodGet, addr, path, timeoutUS, nil, out)
 }
 
-// Post sends a JSON body; out may be nil.
-func (c *Client) Post(ctx context.Context, addr, path string, us int64, in, out any) error {
-	b, err := json.Marshal(in)
+// Post sends a JSON body and reads a JSON answer into out, which may be nil, within
+// timeoutUS microseconds.
+func (c *Client) Post(ctx context.Context, addr, path string, timeoutUS int64, in, out any) error {
+	body, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	return c.do(ctx, http.MethodPost, addr, path, us, b, out)
+	return c.do(ctx, http.MethodPost, addr, path, timeoutUS, body, out)
 }
 
-func (c *Client) do(ctx context.Context, method, addr, path string, us int64, body []byte, out any) error {
-	ctx, stop := context.WithTimeout(ctx, time.Duration(us)*time.Microsecond)
-	defer stop()
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
+func (c *Client) do(ctx context.Context, method, addr, path string, timeoutUS int64, body []byte, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(timeoutUS)*time.Microsecond)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return trace.BadParameter("%s is no address: %v; check the platform's list", addr, err)
 	}
-	q.Header.Set("Content-Type", "application/json")
-	r, err := c.http.Do(q)
+	request.Header.Set("Content-Type", "application/json")
+	response, err := c.http.Do(request)
 	if err != nil {
 		return trace.Wrap(err, "%s%s did not answer", addr, path)
 	}
-	defer r.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
+	defer response.Body.Close()
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return trace.Wrap(err, "%s%s broke off", addr, path)
 	}
-	if r.StatusCode/100 != 2 {
-		return trace.BadParameter("%s%s answered %d: %.200s", addr, path, r.StatusCode, b)
+	if response.StatusCode/100 != 2 {
+		return trace.BadParameter("%s%s answered %d: %.200s", addr, path, response.StatusCode, answer)
 	}
 	if out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(b, out); err != nil {
+	if err := json.Unmarshal(answer, out); err != nil {
 		return trace.BadParameter("%s%s sent no proper JSON: %v", addr, path, err)
 	}
 	return nil
