--- /dev/null
+++ b/internal/app/gateway/requests.go
@@ -0,0 +1,185 @@
+package gateway
+
+import (
+	"context"
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"violetthread/cacheindex"
+	"violetthread/dispatch"
+	"violetthread/internal/callerapi"
+	"violetthread/internal/clock"
+	"violetthread/internal/daemon"
+)
+
+const (
+	maxBodyBytes = 4 << 20
+	maxIDBytes   = 128
+	// slowReaderUS is how long after its deadline a caller that reads too slowly is cut off.
+	slowReaderUS = 2_000_000
+)
+
+// serveRequest answers POST /v1/tickets.
+func (g *gateway) serveRequest(w http.ResponseWriter, r *http.Request) {
+	if r.Method != http.MethodPost {
+		daemon.WriteJSON(w, http.StatusMethodNotAllowed, daemon.ErrorResponse{Reason: "no-such-method", Remedy: "use POST"})
+		return
+	}
+	arrived := clock.Now()
+	from, rejected := g.authenticate(r)
+	if rejected != nil {
+		g.reject(w, *rejected)
+		return
+	}
+	body, rejected := g.readRequest(w, r, from)
+	if rejected != nil {
+		g.reject(w, *rejected)
+		return
+	}
+	request := g.newRequest(body, from, arrived)
+	c := newCall(w, request.Ref)
+	if rejected := g.admit(w, c, request, body.DueUS); rejected != nil {
+		g.reject(w, *rejected)
+		return
+	}
+	g.awaitFinish(r.Context(), c, request.ID)
+}
+
+// admit hands a request to the dispatcher and answers that it was taken in. Nothing is
+// written before, by whatever the dispatcher started already: the call is locked meanwhile.
+func (g *gateway) admit(w http.ResponseWriter, c *call, request dispatch.Request, dueUS int64) *rejection {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var refused *dispatch.Rejection
+	g.step(func(now int64) []dispatch.Action {
+		g.calls[c.ref] = c
+		actions, rejected := g.dispatcher.Admit(now, request)
+		if refused = rejected; refused != nil {
+			delete(g.calls, c.ref)
+		}
+		return actions
+	})
+	if refused != nil {
+		return &rejection{statusOf(refused.Reason), refused.Reason, refused.RetryAfterUS}
+	}
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Duration(dueUS + slowReaderUS)))
+	w.Header().Set("Content-Type", "application/x-ndjson")
+	w.Header().Set("X-Ticket-Id", request.ID)
+	accepted := callerapi.Frame{Frame: callerapi.FrameAccepted, Ticket: request.ID, Node: g.settings.Name, Generation: g.generation.Load()}
+	c.writeFrameLocked(accepted, false)
+	return nil
+}
+
+// awaitFinish sees a request through. Whatever happens, there is one last frame or none at
+// all, and without one the answer is plainly incomplete.
+func (g *gateway) awaitFinish(ctx context.Context, c *call, id string) {
+	select {
+	case <-c.done:
+	case <-ctx.Done():
+		g.step(func(now int64) []dispatch.Action {
+			return g.dispatcher.Stop(now, c.ref, callerapi.ReasonCallerGone)
+		})
+		<-c.done
+	}
+	c.finish(id)
+}
+
+// newRequest makes what the dispatcher decides about.
+func (g *gateway) newRequest(body callerapi.Request, from caller, arrived int64) dispatch.Request {
+	id := body.ID
+	if id == "" {
+		id = g.newRequestID()
+	}
+	request := dispatch.Request{
+		Ref:          g.lastRef.Add(1),
+		ID:           id,
+		IDFromCaller: body.ID != "",
+		Generation:   body.Generation,
+		Group:        from.group,
+		Kind:         body.Kind,
+		KeyDigest:    from.keyDigest,
+		Deadline:     arrived + body.DueUS,
+		Prompt:       body.Prompt,
+		Weights:      from.plan.Weights,
+		Domain:       from.plan.CacheDomain(from.group, from.plan.Weights),
+	}
+	request.Chain = cacheindex.PrefixKeys(request.Domain, request.Weights, request.Prompt)
+	if g.settings.Index {
+		request.Hints = g.table.Hints(request.Chain, dispatch.MaxHints)
+	}
+	return request
+}
+
+// newRequestID makes up an id, which no other gateway or incarnation makes up too.
+func (g *gateway) newRequestID() string {
+	b := binary.BigEndian.AppendUint64(nil, g.incarnation)
+	b = binary.BigEndian.AppendUint32(b, uint32(g.lastRef.Add(1)))
+	return "t-" + hex.EncodeToString(b)
+}
+
+// readRequest reads the body of a request and checks it against the plan. The deadline is
+// filled in if the caller left it open.
+func (g *gateway) readRequest(w http.ResponseWriter, r *http.Request, from caller) (callerapi.Request, *rejection) {
+	var request callerapi.Request
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	if err != nil {
+		return request, &rejection{http.StatusRequestEntityTooLarge, callerapi.ReasonTooLarge, 0}
+	}
+	request, err = callerapi.DecodeRequest(body)
+	var unknownField *callerapi.UnknownFieldError
+	switch {
+	case errors.As(err, &unknownField):
+		return request, badRequest(callerapi.ReasonUnknownField)
+	case err != nil:
+		return request, badRequest(callerapi.ReasonMalformed)
+	}
+	if rejected := checkRequest(&request, from); rejected != nil {
+		return request, rejected
+	}
+	if request.ID != "" && from.plan.Kinds[request.Kind].Once {
+		if reason := g.checkGeneration(request.Generation); reason != "" {
+			return request, badRequest(reason)
+		}
+	}
+	return request, nil
+}
+
+// checkRequest checks a request against the plan and fills its deadline in.
+func checkRequest(request *callerapi.Request, from caller) *rejection {
+	kind, known := from.plan.Kinds[request.Kind]
+	switch {
+	case !known:
+		return badRequest(callerapi.ReasonUnknownKind)
+	case !from.plan.MaySend(from.group, request.Kind):
+		return &rejection{http.StatusForbidden, callerapi.ReasonKindRevoked, 0}
+	case len(request.ID) > maxIDBytes || strings.ContainsFunc(request.ID, unprintable):
+		return badRequest(callerapi.ReasonBadID)
+	case request.DueUS < 0:
+		return badRequest(callerapi.ReasonDeadlinePast)
+	}
+	if request.DueUS == 0 {
+		request.DueUS = kind.DueUS
+	}
+	if request.DueUS > max(kind.MaxDueUS, kind.DueUS) {
+		return badRequest(callerapi.ReasonDeadlineTooFar)
+	}
+	return nil
+}
+
+func unprintable(c rune) bool { return c <= ' ' || c > '~' }
+
+func badRequest(reason string) *rejection { return &rejection{http.StatusBadRequest, reason, 0} }
+
+// newCall makes the call whose answer goes to w.
+func newCall(w http.ResponseWriter, ref uint64) *call {
+	c := &call{ref: ref, done: make(chan struct{}), cancels: map[string]context.CancelFunc{}, encoder: json.NewEncoder(w)}
+	c.encoder.SetEscapeHTML(false)
+	c.flusher, _ = w.(http.Flusher)
+	return c
+}
--- a/internal/app/indexnode/indexnode.go
+++ b/internal/app/indexnode/indexnode.go
@@ -58,7 +58,7 @@
 
 // Run runs a custodian until it is told to stop.
 func Run(s Settings) error {
-	d, err := New(s)
+	d, err := NewDaemon(s)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*daemon.Daemon, error) {
+func NewDaemon(s Settings) (*daemon.Daemon, error) {
 	if s.TransportAddr == "" || len(s.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the registrars' addresses")
 	}
