--- a/cmd/violetthread-standin/main.go
+++ b/cmd/violetthread-standin/main.go
@@ -19,7 +19,7 @@
 
 func commands() []daemon.Command {
 	engines, list, backends, calls := engine.Defaults(), platform.Defaults(), backend.Defaults(), callers.Defaults()
-	latency, rollout, cpu := probe.LatencyDefaults(), probe.RolloutDefaults(), probe.CPU{}
+	latency, rollout, cpu := probe.LatencyDefaults(), probe.RolloutDefaults(), probe.CPUProbe{}
 	return []daemon.Command{
 		{Name: "latency", About: "measure what a proxy and a claim add, in pairs against an engine asked directly", Settings: &latency, Run: func() error { return latency.Run() }},
 		{Name: "rollout", About: "measure how long an acknowledged plan takes to be in force everywhere", Settings: &rollout, Run: func() error { return rollout.Run() }},
@@ -38,7 +38,7 @@
 		return err
 	}
 	report.Print(os.Stdout)
-	if len(report.Broken) > 0 {
+	if len(report.Violations) > 0 {
 		os.Exit(1)
 	}
 	return nil
--- a/internal/app/proxy/standin_test.go
+++ b/internal/app/proxy/standin_test.go
@@ -262,7 +262,7 @@
 
 func newStage(t testing.TB, name string) *stage {
 	t.Helper()
-	return &stage{t: t, name: name, engines: newEngines(t), proxy: proxy.NewUnattached(t, platform.Door{}, testTable())}
+	return &stage{t: t, name: name, engines: newEngines(t), proxy: proxy.NewUnattached(t, platform.Adapter{}, testTable())}
 }
 
 // begin starts a case with engines that nobody has asked yet.
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -173,7 +173,7 @@
 	var list []string
 	for i := 0; i < 3; i++ {
 		s := engine.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.PieceUS, s.FillUS, s.LoadUS, s.DrainUS = fmt.Sprint("e", i), sites[i], next(), 3_000, 500, 50_000, 0
+		s.Name, s.Zone, s.HTTPAddr, s.PieceUS, s.RecomputeUS, s.WeightsLoadUS, s.DrainUS = fmt.Sprint("e", i), sites[i], next(), 3_000, 500, 50_000, 0
 		r.engines = append(r.engines, s.HTTPAddr)
 		list = append(list, fmt.Sprintf("%s=%s@%s", s.Name, s.HTTPAddr, s.Zone))
 		d, err := engine.New(s)
@@ -287,10 +287,10 @@
 func (r *rig) runs(ticket string) (n int) {
 	for _, e := range r.engines {
 		_, b := r.get(e + "/v1/seen")
-		var s engine.Seen
+		var s engine.Observations
 		_ = json.Unmarshal([]byte(b), &s)
 		for _, x := range s.Runs {
-			if x.Ticket == ticket {
+			if x.RequestID == ticket {
 				n++
 			}
 		}
--- a/internal/scale/hollow_test.go
+++ b/internal/scale/hollow_test.go
@@ -159,7 +159,7 @@
 		return func() {}
 	})
 	actual := run("real", func(c *taskgroup.Group) func() {
-		d, err := proxy.New(proxy.Settings{Name: "proxy-1", Zone: "north", HTTP: free(t), Listen: free(t), Seeds: addrs, Bounds: route.DefaultBounds(), HintEntries: 64}, platform.Door{})
+		d, err := proxy.New(proxy.Settings{Name: "proxy-1", Zone: "north", HTTP: free(t), Listen: free(t), Seeds: addrs, Bounds: route.DefaultBounds(), HintEntries: 64}, platform.Adapter{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/callers/callers.go
+++ b/internal/standin/callers/callers.go
@@ -32,38 +32,38 @@
 
 // Settings of a load.
 type Settings struct {
-	Scenario string   `json:"scenario" validate:"oneof=selat subtitulos" help:"selat or subtitulos"`
-	Proxies  []string `json:"proxies" validate:"required,min=1,dive,ipport" help:"IP:port of the remisiers, with commas"`
-	Engines  []string `json:"engines" validate:"required,min=1,dive,ipport" help:"IP:port of the engines, to ask what ran"`
-	Seconds  int64    `json:"seconds" validate:"min=1,max=3600" help:"how long new tickets are sent"`
-	Rate     int64    `json:"rate" validate:"min=1,max=5000" help:"new tickets a second, all groups together"`
-	Seed     int64    `json:"seed" help:"seed of arrivals and prompts"`
-	Resend   int64    `json:"resend_permille" validate:"min=0,max=1000" help:"once-only tickets sent again elsewhere, in thousandths"`
-	Hangup   int64    `json:"hangup_permille" validate:"min=0,max=1000" help:"callers who hang up early, in thousandths"`
-	Skew     bool     `json:"skew" help:"send the largest group's tickets to one proxy only"`
-	Report   string   `json:"report" help:"file for the report as JSON"`
-	DoneMin  int64    `json:"done_min_permille" validate:"min=0,max=1000" help:"least part of tickets that must be done, else the exit code is 1"`
-	Faults   bool     `json:"faults" help:"faults are being caused meanwhile: runs of killed engines are not counted"`
+	Scenario        string   `json:"scenario" validate:"oneof=selat subtitulos" help:"selat or subtitulos"`
+	Proxies         []string `json:"proxies" validate:"required,min=1,dive,ipport" help:"IP:port of the remisiers, with commas"`
+	Engines         []string `json:"engines" validate:"required,min=1,dive,ipport" help:"IP:port of the engines, to ask what ran"`
+	Seconds         int64    `json:"seconds" validate:"min=1,max=3600" help:"how long new tickets are sent"`
+	Rate            int64    `json:"rate" validate:"min=1,max=5000" help:"new tickets a second, all groups together"`
+	Seed            int64    `json:"seed" help:"seed of arrivals and prompts"`
+	ResendPermille  int64    `json:"resend_permille" validate:"min=0,max=1000" help:"once-only tickets sent again elsewhere, in thousandths"`
+	HangUpPermille  int64    `json:"hangup_permille" validate:"min=0,max=1000" help:"callers who hang up early, in thousandths"`
+	Skew            bool     `json:"skew" help:"send the largest group's tickets to one proxy only"`
+	Report          string   `json:"report" help:"file for the report as JSON"`
+	MinDonePermille int64    `json:"done_min_permille" validate:"min=0,max=1000" help:"least part of tickets that must be done, else the exit code is 1"`
+	Faults          bool     `json:"faults" help:"faults are being caused meanwhile: runs of killed engines are not counted"`
 }
 
 // Defaults of the settings.
 func Defaults() Settings {
-	return Settings{Scenario: "selat", Seconds: 10, Rate: 40, Seed: 1, Resend: 50}
+	return Settings{Scenario: "selat", Seconds: 10, Rate: 40, Seed: 1, ResendPermille: 50}
 }
 
 type group struct {
-	name   string
-	weight int
-	shared int // parts of prompt that its callers share
+	name         string
+	weight       int
+	sharedBlocks int // parts of prompt that its callers share
 }
 
 type kind struct {
-	name   string
-	weight int
-	once   bool
-	dueUS  int64
-	own    int // bytes of prompt that are a ticket's own
-	long   bool
+	name         string
+	weight       int
+	onceOnly     bool
+	dueUS        int64
+	ownBytes     int // bytes of prompt that are a ticket's own
+	sharesPrefix bool
 }
 
 type scenario struct {
@@ -87,57 +87,57 @@
 }
 
 // Key is the key that a group's callers carry in the example plans.
-func Key(g string) string { return "key-of-" + g }
+func CallerKey(g string) string { return "key-of-" + g }
 
 // Told is what a caller was told of one sending of a ticket.
-type Told struct {
-	Group, Kind, ID, Proxy string
-	Once                   bool
-	Outcome, Reason        string // outcome "" is an answer without its last frame
-	Status                 int
-	FirstUS, TotalUS       int64
-	DueUS                  int64
-	Broken                 string // what was wrong with the frames
-	Hangup, Again, Moved   bool
-	Era                    uint64
+type Result struct {
+	Group, Kind, ID, Proxy      string
+	Once                        bool
+	Outcome, Reason             string // outcome "" is an answer without its last frame
+	Status                      int
+	FirstPieceUS, TotalUS       int64
+	DueUS                       int64
+	Violation                   string // what was wrong with the frames
+	HangsUp, Resent, FailedOver bool
+	Generation                  uint64
 }
 
-type load struct {
-	s    Settings
-	sc   scenario
-	http *http.Client
-	mu   sync.Mutex
-	told []Told
-	era  uint64 // newest that a proxy told of
+type loadGenerator struct {
+	settings   Settings
+	scenario   scenario
+	http       *http.Client
+	mu         sync.Mutex
+	results    []Result
+	generation uint64 // newest that a proxy told of
 }
 
 // Run plays a load and reports. Broken says which must-nevers were broken.
 func Run(s Settings) (*Report, error) {
-	l := &load{s: s, sc: scenarios[s.Scenario], http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+	l := &loadGenerator{settings: s, scenario: scenarios[s.Scenario], http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	c := taskgroup.New(context.Background(), daemon.NewLogger("violetthread-standin", "callers"))
 	defer c.Stop()
 	rng := rand.New(rand.NewSource(s.Seed))
 	prefix := map[string]string{}
-	for _, g := range l.sc.groups {
-		prefix[g.name] = text(rng, g.shared*1024)
+	for _, g := range l.scenario.groups {
+		prefix[g.name] = randomText(rng, g.sharedBlocks*1024)
 	}
-	l.ask()
+	l.fetchGeneration()
 	end := clock.Now() + s.Seconds*1_000_000
 	var wg sync.WaitGroup
 	for n := 0; clock.Now() < end; n++ {
-		g := pickWeighted(rng, l.sc.groups, func(g group) int { return g.weight })
-		k := pickWeighted(rng, l.sc.kinds, func(k kind) int { return k.weight })
+		g := pickWeighted(rng, l.scenario.groups, func(g group) int { return g.weight })
+		k := pickWeighted(rng, l.scenario.kinds, func(k kind) int { return k.weight })
 		p := s.Proxies[rng.Intn(len(s.Proxies))]
-		if s.Skew && g.name == l.sc.groups[0].name {
+		if s.Skew && g.name == l.scenario.groups[0].name {
 			p = s.Proxies[0]
 		}
-		prompt := text(rng, k.own)
-		if k.long {
+		prompt := randomText(rng, k.ownBytes)
+		if k.sharesPrefix {
 			prompt = prefix[g.name] + prompt
 		}
-		t := Told{Group: g.name, Kind: k.name, ID: fmt.Sprintf("%s-%d-%d", s.Scenario, s.Seed, n), Proxy: p, Once: k.once, DueUS: k.dueUS, Era: l.newest(0),
-			Hangup: rng.Int63n(1000) < s.Hangup}
-		again := k.once && rng.Int63n(1000) < s.Resend
+		t := Result{Group: g.name, Kind: k.name, ID: fmt.Sprintf("%s-%d-%d", s.Scenario, s.Seed, n), Proxy: p, Once: k.onceOnly, DueUS: k.dueUS, Generation: l.observeGeneration(0),
+			HangsUp: rng.Int63n(1000) < s.HangUpPermille}
+		again := k.onceOnly && rng.Int63n(1000) < s.ResendPermille
 		q := s.Proxies[rng.Intn(len(s.Proxies))]
 		wg.Add(1)
 		c.Go("caller", func(ctx context.Context) {
@@ -147,7 +147,7 @@
 				c.Go("caller.again", func(ctx context.Context) {
 					defer wg.Done()
 					t2 := t
-					t2.Proxy, t2.Again, t2.Hangup = q, true, false
+					t2.Proxy, t2.Resent, t2.HangsUp = q, true, false
 					l.send(ctx, t2, prompt)
 				})
 			}
@@ -161,22 +161,22 @@
 
 // newest takes in an era that a proxy told of and returns the newest of all. A new id
 // is sent with it, a resend with the one that its id was first sent with.
-func (l *load) newest(e uint64) uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.era = max(l.era, e)
-	return l.era
+func (g *loadGenerator) observeGeneration(e uint64) uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.generation = max(g.generation, e)
+	return g.generation
 }
 
 // agent is the generated client, for one proxy.
-func (l *load) agent(proxy, key string) (*client.Client, error) {
-	return client.NewClient("http://"+proxy, client.WithHTTPClient(l.http), client.WithKey(key))
+func (g *loadGenerator) client(proxy, key string) (*client.Client, error) {
+	return client.NewClient("http://"+proxy, client.WithHTTPClient(g.http), client.WithKey(key))
 }
 
 // ask learns the era from the first proxy that tells.
-func (l *load) ask() {
-	for _, p := range l.s.Proxies {
-		ua, err := l.agent(p, "")
+func (g *loadGenerator) fetchGeneration() {
+	for _, p := range g.settings.Proxies {
+		ua, err := g.client(p, "")
 		if err != nil {
 			continue
 		}
@@ -188,7 +188,7 @@
 		err = json.NewDecoder(q.Body).Decode(&e)
 		_ = q.Body.Close()
 		if err == nil && e.Era > 0 {
-			l.newest(e.Era)
+			g.observeGeneration(e.Era)
 			return
 		}
 	}
@@ -204,7 +204,7 @@
 	return xs[0]
 }
 
-func text(rng *rand.Rand, n int) string {
+func randomText(rng *rand.Rand, n int) string {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = "abcdefghijklmnopqrstuvwxyz     "[rng.Intn(31)]
@@ -212,33 +212,33 @@
 	return string(b)
 }
 
-func (l *load) send(ctx context.Context, t Told, prompt string) {
+func (g *loadGenerator) send(ctx context.Context, t Result, prompt string) {
 	began := clock.Now()
 	first := t
-	l.call(ctx, &t, prompt, began)
+	g.exchange(ctx, &t, prompt, began)
 	// A caller that was turned away at the door, or found nobody there, goes to
 	// another proxy once: nothing of its ticket was taken in.
-	if (t.Status == http.StatusServiceUnavailable || t.Reason == "nobody-there") && len(l.s.Proxies) > 1 {
-		i := slices.Index(l.s.Proxies, first.Proxy)
-		first.Proxy, first.Moved = l.s.Proxies[(i+1+len(first.ID)%(len(l.s.Proxies)-1))%len(l.s.Proxies)], true
+	if (t.Status == http.StatusServiceUnavailable || t.Reason == "nobody-there") && len(g.settings.Proxies) > 1 {
+		i := slices.Index(g.settings.Proxies, first.Proxy)
+		first.Proxy, first.FailedOver = g.settings.Proxies[(i+1+len(first.ID)%(len(g.settings.Proxies)-1))%len(g.settings.Proxies)], true
 		t = first
-		l.call(ctx, &t, prompt, began)
+		g.exchange(ctx, &t, prompt, began)
 	}
 	t.TotalUS = clock.Now() - began
-	l.mu.Lock()
-	l.told = append(l.told, t)
-	l.mu.Unlock()
+	g.mu.Lock()
+	g.results = append(g.results, t)
+	g.mu.Unlock()
 }
 
-func (l *load) call(ctx context.Context, t *Told, prompt string, began int64) {
+func (g *loadGenerator) exchange(ctx context.Context, t *Result, prompt string, began int64) {
 	ctx, stop := context.WithTimeout(ctx, clock.Duration(t.DueUS+10_000_000))
 	defer stop()
-	ua, err := l.agent(t.Proxy, Key(t.Group))
+	ua, err := g.client(t.Proxy, CallerKey(t.Group))
 	if err != nil {
-		t.Broken = err.Error()
+		t.Violation = err.Error()
 		return
 	}
-	r, err := ua.SendTicket(ctx, client.Ticket{Kind: t.Kind, Id: &t.ID, Era: &t.Era, DueUs: &t.DueUS, Prompt: prompt})
+	r, err := ua.SendTicket(ctx, client.Ticket{Kind: t.Kind, Id: &t.ID, Era: &t.Generation, DueUs: &t.DueUS, Prompt: prompt})
 	if err != nil {
 		t.Reason = "unreachable"
 		if errors.Is(err, syscall.ECONNREFUSED) {
@@ -252,10 +252,10 @@
 		x, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16))
 		var f client.Frame
 		if json.Unmarshal(x, &f) != nil || f.Frame == "" || lo.FromPtr(f.Remedy) == "" {
-			t.Broken = fmt.Sprintf("status %d without a typed reason: %.100s", r.StatusCode, x)
+			t.Violation = fmt.Sprintf("status %d without a typed reason: %.100s", r.StatusCode, x)
 		}
 		t.Outcome, t.Reason = f.Frame, lo.FromPtr(f.Reason)
-		l.newest(lo.FromPtr(f.Era))
+		g.observeGeneration(lo.FromPtr(f.Era))
 		return
 	}
 	sc := bufio.NewScanner(r.Body)
@@ -264,43 +264,43 @@
 	for sc.Scan() {
 		var f client.Frame
 		if err := json.Unmarshal(sc.Bytes(), &f); err != nil {
-			t.Broken = "no JSON: " + sc.Text()
+			t.Violation = "no JSON: " + sc.Text()
 			return
 		}
 		if t.Outcome != "" {
-			t.Broken = "a frame after the last one: " + sc.Text()
+			t.Violation = "a frame after the last one: " + sc.Text()
 			return
 		}
 		switch f.Frame {
 		case "accepted":
-			l.newest(lo.FromPtr(f.Era))
+			g.observeGeneration(lo.FromPtr(f.Era))
 		case "piece":
 			if n == 0 {
-				t.FirstUS = clock.Now() - began
+				t.FirstPieceUS = clock.Now() - began
 			}
 			a, i, _ := strings.Cut(lo.FromPtr(f.Text), "#")
 			if run == "" {
 				run = a
 			}
 			if a != run || i != fmt.Sprint(n) || lo.FromPtr(f.N) != n {
-				t.Broken = fmt.Sprintf("stitched: piece %d of %s after %d of %s", lo.FromPtr(f.N), lo.FromPtr(f.Text), n, run)
+				t.Violation = fmt.Sprintf("stitched: piece %d of %s after %d of %s", lo.FromPtr(f.N), lo.FromPtr(f.Text), n, run)
 			}
 			n++
-			if t.Hangup {
+			if t.HangsUp {
 				t.Reason = "hung-up"
 				return
 			}
 		default:
 			if !f.Last() {
-				t.Broken = "frame of no known kind: " + f.Frame
+				t.Violation = "frame of no known kind: " + f.Frame
 				return
 			}
 			t.Outcome, t.Reason = f.Frame, lo.FromPtr(f.Reason)
-			if f.Frame == "done" && (f.Pieces == nil || *f.Pieces != n || n != engine.Pieces[t.Kind]) {
-				t.Broken = fmt.Sprintf("done after %d pieces", n)
+			if f.Frame == "done" && (f.Pieces == nil || *f.Pieces != n || n != engine.PiecesByKind[t.Kind]) {
+				t.Violation = fmt.Sprintf("done after %d pieces", n)
 			}
 			if f.Frame != "done" && lo.FromPtr(f.Remedy) == "" {
-				t.Broken = "no remedy with " + t.Reason
+				t.Violation = "no remedy with " + t.Reason
 			}
 		}
 	}
@@ -308,24 +308,24 @@
 
 // Report is what a load came to.
 type Report struct {
-	Scenario   string                    `json:"scenario"`
-	Sent       int                       `json:"sent"`
-	Done       int                       `json:"done"`
-	Refused    int                       `json:"refused"`
-	Unknown    int                       `json:"unknown"`
-	Incomplete int                       `json:"incomplete"`
-	Moved      int                       `json:"moved_to_another_proxy"`
-	Reasons    map[string]int            `json:"reasons"`
-	LateUS     int64                     `json:"worst_lateness_us"`
-	LateNos    int                       `json:"refused_after_half_the_due"`
-	FirstUS    [3]int64                  `json:"first_piece_us_p50_p90_p99"`
-	TotalUS    [3]int64                  `json:"total_us_p50_p90_p99"`
-	Runs       int                       `json:"runs"`
-	Parts      int                       `json:"parts"`
-	Reused     int                       `json:"parts_reused"`
-	Taken      int                       `json:"parts_taken_from_peers"`
-	Groups     map[string]map[string]int `json:"groups"`
-	Broken     []string                  `json:"broken"`
+	Scenario          string                    `json:"scenario"`
+	Sent              int                       `json:"sent"`
+	Done              int                       `json:"done"`
+	Rejected          int                       `json:"refused"`
+	Unknown           int                       `json:"unknown"`
+	Incomplete        int                       `json:"incomplete"`
+	FailedOver        int                       `json:"moved_to_another_proxy"`
+	Reasons           map[string]int            `json:"reasons"`
+	WorstLatenessUS   int64                     `json:"worst_lateness_us"`
+	LateRejections    int                       `json:"refused_after_half_the_due"`
+	FirstPieceUS      [3]int64                  `json:"first_piece_us_p50_p90_p99"`
+	TotalUS           [3]int64                  `json:"total_us_p50_p90_p99"`
+	Runs              int                       `json:"runs"`
+	Blocks            int                       `json:"parts"`
+	ReusedBlocks      int                       `json:"parts_reused"`
+	TransferredBlocks int                       `json:"parts_taken_from_peers"`
+	Groups            map[string]map[string]int `json:"groups"`
+	Violations        []string                  `json:"broken"`
 }
 
 func percentiles(xs []int64) (out [3]int64) {
@@ -340,38 +340,38 @@
 }
 
 // report judges from the outside: callers' answers against engines' counts.
-func (l *load) report() (*Report, error) {
-	r := &Report{Scenario: l.s.Scenario, Reasons: map[string]int{}, Groups: map[string]map[string]int{}, Broken: []string{}}
+func (g *loadGenerator) report() (*Report, error) {
+	r := &Report{Scenario: g.settings.Scenario, Reasons: map[string]int{}, Groups: map[string]map[string]int{}, Violations: []string{}}
 	c := engineapi.NewClient()
-	runs := map[string][]engine.RunSeen{}
-	for _, a := range l.s.Engines {
-		var s engine.Seen
+	runs := map[string][]engine.ObservedRun{}
+	for _, a := range g.settings.Engines {
+		var s engine.Observations
 		if err := c.Get(context.Background(), a, "/v1/seen", 5_000_000, &s); err != nil {
-			if l.s.Faults {
+			if g.settings.Faults {
 				continue
 			}
 			return nil, trace.Wrap(err, "an engine does not tell what ran; give --faults true if that is meant")
 		}
 		for _, x := range s.Runs {
-			runs[x.Group+"/"+x.Ticket] = append(runs[x.Group+"/"+x.Ticket], x)
+			runs[x.Group+"/"+x.RequestID] = append(runs[x.Group+"/"+x.RequestID], x)
 			r.Runs++
-			r.Parts += x.Parts
-			r.Reused += x.Reused
-			r.Taken += x.Taken
+			r.Blocks += x.Blocks
+			r.ReusedBlocks += x.Reused
+			r.TransferredBlocks += x.Transferred
 		}
-		for _, m := range s.Mixed {
-			r.Broken = append(r.Broken, "mixed cache at "+s.Name+": "+m)
+		for _, m := range s.MixedBlocks {
+			r.Violations = append(r.Violations, "mixed cache at "+s.Name+": "+m)
 		}
-		for _, m := range s.Owners {
-			r.Broken = append(r.Broken, "two owners at "+s.Name+": "+m)
+		for _, m := range s.StaleOwners {
+			r.Violations = append(r.Violations, "two owners at "+s.Name+": "+m)
 		}
 	}
 	var first, total []int64
-	byID := map[string][]Told{}
-	for _, t := range l.told {
+	byID := map[string][]Result{}
+	for _, t := range g.results {
 		r.Sent++
-		if t.Moved {
-			r.Moved++
+		if t.FailedOver {
+			r.FailedOver++
 		}
 		byID[t.Group+"/"+t.ID] = append(byID[t.Group+"/"+t.ID], t)
 		g := r.Groups[t.Group]
@@ -382,11 +382,11 @@
 		switch t.Outcome {
 		case "done":
 			r.Done++
-			first, total = append(first, t.FirstUS), append(total, t.TotalUS)
+			first, total = append(first, t.FirstPieceUS), append(total, t.TotalUS)
 		case "refused":
-			r.Refused++
+			r.Rejected++
 			if t.TotalUS > t.DueUS/2 {
-				r.LateNos++
+				r.LateRejections++
 			}
 		case "unknown":
 			r.Unknown++
@@ -397,14 +397,14 @@
 		if t.Outcome != "done" {
 			r.Reasons[t.Reason]++
 		}
-		if x := t.TotalUS - t.DueUS; x > r.LateUS {
-			r.LateUS = x
+		if x := t.TotalUS - t.DueUS; x > r.WorstLatenessUS {
+			r.WorstLatenessUS = x
 		}
-		if t.Broken != "" {
-			r.Broken = append(r.Broken, t.Group+"/"+t.ID+": "+t.Broken)
+		if t.Violation != "" {
+			r.Violations = append(r.Violations, t.Group+"/"+t.ID+": "+t.Violation)
 		}
 	}
-	r.FirstUS, r.TotalUS = percentiles(first), percentiles(total)
+	r.FirstPieceUS, r.TotalUS = percentiles(first), percentiles(total)
 	for id, ts := range byID {
 		n, dones, allRefused := len(runs[id]), 0, true
 		for _, t := range ts {
@@ -415,22 +415,22 @@
 		}
 		switch {
 		case ts[0].Once && n > 1:
-			r.Broken = append(r.Broken, fmt.Sprintf("%s ran %d times", id, n))
+			r.Violations = append(r.Violations, fmt.Sprintf("%s ran %d times", id, n))
 		case ts[0].Once && dones > 1:
-			r.Broken = append(r.Broken, fmt.Sprintf("%s was done %d times", id, dones))
+			r.Violations = append(r.Violations, fmt.Sprintf("%s was done %d times", id, dones))
 		case allRefused && n > 0:
-			r.Broken = append(r.Broken, fmt.Sprintf("%s was refused and ran", id))
-		case dones > 0 && n == 0 && !l.s.Faults:
-			r.Broken = append(r.Broken, fmt.Sprintf("%s was done and no engine ran it", id))
+			r.Violations = append(r.Violations, fmt.Sprintf("%s was refused and ran", id))
+		case dones > 0 && n == 0 && !g.settings.Faults:
+			r.Violations = append(r.Violations, fmt.Sprintf("%s was done and no engine ran it", id))
 		}
 	}
-	sort.Strings(r.Broken)
-	if l.s.DoneMin > 0 && int64(r.Done)*1000 < l.s.DoneMin*int64(r.Sent) {
-		r.Broken = append(r.Broken, fmt.Sprintf("only %d of %d done", r.Done, r.Sent))
+	sort.Strings(r.Violations)
+	if g.settings.MinDonePermille > 0 && int64(r.Done)*1000 < g.settings.MinDonePermille*int64(r.Sent) {
+		r.Violations = append(r.Violations, fmt.Sprintf("only %d of %d done", r.Done, r.Sent))
 	}
-	if l.s.Report != "" {
+	if g.settings.Report != "" {
 		b, _ := json.MarshalIndent(r, "", "  ")
-		if err := os.WriteFile(l.s.Report, append(b, '\n'), 0o644); err != nil {
+		if err := os.WriteFile(g.settings.Report, append(b, '\n'), 0o644); err != nil {
 			return nil, err
 		}
 	}
@@ -441,21 +441,21 @@
 func (r *Report) Print(w io.Writer) {
 	ms := func(x int64) string { return time.Duration(x * 1000).Round(time.Millisecond).String() }
 	fmt.Fprintf(w, "scenario          %s\nsent              %d\ndone              %d\nrefused           %d\nunknown           %d\nincomplete        %d\nmoved on at door  %d\n",
-		r.Scenario, r.Sent, r.Done, r.Refused, r.Unknown, r.Incomplete, r.Moved)
-	fmt.Fprintf(w, "first piece       p50 %s  p90 %s  p99 %s\n", ms(r.FirstUS[0]), ms(r.FirstUS[1]), ms(r.FirstUS[2]))
+		r.Scenario, r.Sent, r.Done, r.Rejected, r.Unknown, r.Incomplete, r.FailedOver)
+	fmt.Fprintf(w, "first piece       p50 %s  p90 %s  p99 %s\n", ms(r.FirstPieceUS[0]), ms(r.FirstPieceUS[1]), ms(r.FirstPieceUS[2]))
 	fmt.Fprintf(w, "whole answer      p50 %s  p90 %s  p99 %s\n", ms(r.TotalUS[0]), ms(r.TotalUS[1]), ms(r.TotalUS[2]))
-	fmt.Fprintf(w, "worst lateness    %s\nlate refusals     %d\n", ms(r.LateUS), r.LateNos)
-	fmt.Fprintf(w, "runs              %d\nparts reused      %d of %d (%d taken from peers)\n", r.Runs, r.Reused, r.Parts, r.Taken)
+	fmt.Fprintf(w, "worst lateness    %s\nlate refusals     %d\n", ms(r.WorstLatenessUS), r.LateRejections)
+	fmt.Fprintf(w, "runs              %d\nparts reused      %d of %d (%d taken from peers)\n", r.Runs, r.ReusedBlocks, r.Blocks, r.TransferredBlocks)
 	for _, k := range sortedKeys(r.Reasons) {
 		fmt.Fprintf(w, "reason            %-20s %d\n", k, r.Reasons[k])
 	}
 	for _, g := range sortedKeys(r.Groups) {
 		fmt.Fprintf(w, "group             %-16s done %d, refused %d, unknown %d, incomplete %d\n", g, r.Groups[g]["done"], r.Groups[g]["refused"], r.Groups[g]["unknown"], r.Groups[g]["incomplete"])
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Fprintln(w, "BROKEN            "+b)
 	}
-	if len(r.Broken) == 0 {
+	if len(r.Violations) == 0 {
 		fmt.Fprintln(w, "no must-never was broken")
 	}
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -29,13 +29,13 @@
 func Defaults() Settings { return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 0}} }
 
 type platform struct {
-	mu    sync.Mutex
-	list  []engineapi.ListedEngine
-	since map[string]int64
-	ready map[string]bool
+	mu      sync.Mutex
+	engines []engineapi.ListedEngine
+	since   map[string]int64
+	ready   map[string]bool
 }
 
-func listed(s, kind string) (engineapi.ListedEngine, error) {
+func parseEngine(s, kind string) (engineapi.ListedEngine, error) {
 	n, rest, ok := strings.Cut(s, "=")
 	a, site, ok2 := strings.Cut(rest, "@")
 	if !ok || !ok2 {
@@ -57,22 +57,22 @@
 func New(s Settings) (*daemon.Daemon, error) {
 	p := &platform{since: map[string]int64{}, ready: map[string]bool{}}
 	for _, x := range s.Engines {
-		l, err := listed(x, "engine")
+		l, err := parseEngine(x, "engine")
 		if err != nil {
 			return nil, err
 		}
-		p.list = append(p.list, l)
+		p.engines = append(p.engines, l)
 	}
 	if s.Store != "" {
-		l, err := listed(s.Store, "store")
+		l, err := parseEngine(s.Store, "store")
 		if err != nil {
 			return nil, err
 		}
-		p.list = append(p.list, l)
+		p.engines = append(p.engines, l)
 	}
 	d := daemon.New("platform", s.Name, s.HTTPAddr, s.DrainUS)
-	d.Handle("/v1/engines", p.engines)
-	d.Handle("/v1/mark", p.mark)
+	d.Handle("/v1/engines", p.serveEngines)
+	d.Handle("/v1/mark", p.serveUpdate)
 	d.Handle("/v1/ready", func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -93,23 +93,23 @@
 	return d, nil
 }
 
-func (p *platform) engines(w http.ResponseWriter, _ *http.Request) {
+func (p *platform) serveEngines(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: p.list})
+	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: p.engines})
 }
 
 // Mark is the body of POST /v1/mark: what became of an engine.
-type Mark struct {
+type EngineUpdate struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
 	Gone    bool   `json:"gone"`
 	Addr    string `json:"addr"` // with Site: list it anew
-	Site    string `json:"site"`
+	Zone    string `json:"site"`
 }
 
-func (p *platform) mark(w http.ResponseWriter, q *http.Request) {
-	var m Mark
+func (p *platform) serveUpdate(w http.ResponseWriter, q *http.Request) {
+	var m EngineUpdate
 	if json.NewDecoder(q.Body).Decode(&m) != nil || m.Name == "" {
 		daemon.WriteJSON(w, 400, daemon.ErrorResponse{Reason: "malformed", Remedy: "send name and leaving, gone, or addr and site"})
 		return
@@ -118,7 +118,7 @@
 	defer p.mu.Unlock()
 	var out []engineapi.ListedEngine
 	found := false
-	for _, l := range p.list {
+	for _, l := range p.engines {
 		if l.Name == m.Name {
 			found = true
 			if m.Gone {
@@ -128,15 +128,15 @@
 			if m.Addr != "" {
 				l.Addr = m.Addr
 			}
-			if m.Site != "" {
-				l.Zone = m.Site
+			if m.Zone != "" {
+				l.Zone = m.Zone
 			}
 		}
 		out = append(out, l)
 	}
 	if !found && m.Addr != "" {
-		out = append(out, engineapi.ListedEngine{Name: m.Name, Addr: m.Addr, Zone: m.Site, Kind: "engine", Leaving: m.Leaving})
+		out = append(out, engineapi.ListedEngine{Name: m.Name, Addr: m.Addr, Zone: m.Zone, Kind: "engine", Leaving: m.Leaving})
 	}
-	p.list = out
+	p.engines = out
 	daemon.WriteJSON(w, 200, engineapi.EngineList{Engines: out})
 }
--- a/internal/standin/probe/probe.go
+++ b/internal/standin/probe/probe.go
@@ -25,22 +25,22 @@
 
 // Latency asks for paired runs: the same ticket through a proxy and straight to
 // an engine that no fleet uses.
-type Latency struct {
-	Proxy  string `json:"proxy" validate:"required,ipport" help:"IP:port of a remisier"`
-	Engine string `json:"engine" validate:"required,ipport" help:"IP:port of an engine that is on nobody's list, named spare"`
-	Group  string `json:"group" validate:"required" help:"group whose example key is used"`
-	Kind   string `json:"kind" validate:"required" help:"a kind that is not once-only"`
-	Once   string `json:"once" validate:"required" help:"a once-only kind with as many pieces"`
-	Pairs  int    `json:"pairs" validate:"min=5,max=100000" help:"pairs to send"`
+type LatencyProbe struct {
+	Proxy        string `json:"proxy" validate:"required,ipport" help:"IP:port of a remisier"`
+	Engine       string `json:"engine" validate:"required,ipport" help:"IP:port of an engine that is on nobody's list, named spare"`
+	Group        string `json:"group" validate:"required" help:"group whose example key is used"`
+	Kind         string `json:"kind" validate:"required" help:"a kind that is not once-only"`
+	OnceOnlyKind string `json:"once" validate:"required" help:"a once-only kind with as many pieces"`
+	Pairs        int    `json:"pairs" validate:"min=5,max=100000" help:"pairs to send"`
 }
 
 // LatencyDefaults are the defaults.
-func LatencyDefaults() Latency {
-	return Latency{Group: "dealing-desk", Kind: "plain", Once: "instruction-tag", Pairs: 200}
+func LatencyDefaults() LatencyProbe {
+	return LatencyProbe{Group: "dealing-desk", Kind: "plain", OnceOnlyKind: "instruction-tag", Pairs: 200}
 }
 
 // first sends a body and returns the time to the first piece.
-func first(c *http.Client, url, key string, body any) (int64, error) {
+func firstPiece(c *http.Client, url, key string, body any) (int64, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return 0, err
@@ -80,28 +80,28 @@
 }
 
 // Run sends the pairs, alternating which goes first, and prints medians.
-func (l Latency) Run() error {
+func (p LatencyProbe) Run() error {
 	api := engineapi.NewClient()
 	var rep engineapi.Report
-	if err := api.Get(context.Background(), l.Engine, "/v1/report?inc=0&after=0", 2_000_000, &rep); err != nil {
+	if err := api.Get(context.Background(), p.Engine, "/v1/report?inc=0&after=0", 2_000_000, &rep); err != nil {
 		return err
 	}
 	id := cacheindex.NodeID(rep.Name, rep.Incarnation)
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}
 	var direct, proxy, once, dProxy, dOnce []int64
 	tag := clock.Now()
-	for i := 0; i < l.Pairs; i++ {
+	for i := 0; i < p.Pairs; i++ {
 		prompt := fmt.Sprintf("probe %d", i)
 		run := func() (int64, error) {
-			return first(c, "http://"+l.Engine+"/v1/run", "", engineapi.RunRequest{Attempt: fmt.Sprint("probe", tag, i), RequestID: fmt.Sprint("p", i), Group: l.Group, Kind: l.Once,
+			return firstPiece(c, "http://"+p.Engine+"/v1/run", "", engineapi.RunRequest{Attempt: fmt.Sprint("probe", tag, i), RequestID: fmt.Sprint("p", i), Group: p.Group, Kind: p.OnceOnlyKind,
 				Domain: "commons", Weights: rep.Weights, FencingToken: 1, NodeID: id, Prompt: prompt, DueUS: 5_000_000})
 		}
 		send := func(kind string) func() (int64, error) {
 			return func() (int64, error) {
-				return first(c, "http://"+l.Proxy+"/v1/tickets", callers.Key(l.Group), callerapi.Request{Kind: kind, ID: fmt.Sprintf("%s-%d-%d", kind, tag, i), Prompt: prompt})
+				return firstPiece(c, "http://"+p.Proxy+"/v1/tickets", callers.CallerKey(p.Group), callerapi.Request{Kind: kind, ID: fmt.Sprintf("%s-%d-%d", kind, tag, i), Prompt: prompt})
 			}
 		}
-		fs := []func() (int64, error){run, send(l.Kind), send(l.Once)}
+		fs := []func() (int64, error){run, send(p.Kind), send(p.OnceOnlyKind)}
 		var t [3]int64
 		for k := range fs {
 			j := (k + i) % 3 // each goes first as often as the others
@@ -114,28 +114,28 @@
 		direct, proxy, once = append(direct, t[0]), append(proxy, t[1]), append(once, t[2])
 		dProxy, dOnce = append(dProxy, t[1]-t[0]), append(dOnce, t[2]-t[1])
 	}
-	fmt.Printf("first piece, medians of %d: direct %d us, by proxy %d us, once-only by proxy %d us\n", l.Pairs, median(direct), median(proxy), median(once))
+	fmt.Printf("first piece, medians of %d: direct %d us, by proxy %d us, once-only by proxy %d us\n", p.Pairs, median(direct), median(proxy), median(once))
 	fmt.Printf("paired differences, medians: proxy adds %d us, a claim adds %d us\n", median(dProxy), median(dOnce))
 	return nil
 }
 
 // Rollout measures how long an acknowledged plan takes to be in force everywhere.
-type Rollout struct {
-	Registrars []string `json:"controls" old:"registrars" validate:"required,min=1,dive,ipport" help:"IP:port of control nodes' HTTP sides"`
-	Proxies    []string `json:"proxies" validate:"required,min=1,dive,ipport" help:"IP:port of the remisiers"`
-	Times      int      `json:"times" validate:"min=1,max=10000" help:"changes to make"`
+type RolloutProbe struct {
+	Controls []string `json:"controls" old:"registrars" validate:"required,min=1,dive,ipport" help:"IP:port of control nodes' HTTP sides"`
+	Proxies  []string `json:"proxies" validate:"required,min=1,dive,ipport" help:"IP:port of the remisiers"`
+	Changes  int      `json:"times" validate:"min=1,max=10000" help:"changes to make"`
 }
 
 // RolloutDefaults are the defaults.
-func RolloutDefaults() Rollout { return Rollout{Times: 20} }
+func RolloutDefaults() RolloutProbe { return RolloutProbe{Changes: 20} }
 
 // Run makes the changes and prints the median and the worst time.
-func (x Rollout) Run() error {
+func (x RolloutProbe) Run() error {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	var ack, all []int64
-	for i := 0; i < x.Times; i++ {
+	for i := 0; i < x.Changes; i++ {
 		at := clock.Now()
-		q, err := http.NewRequest(http.MethodPatch, "http://"+x.Registrars[i%len(x.Registrars)]+"/v1/plan", strings.NewReader(fmt.Sprintf(`{"notes":{"rollout":%d}}`, at)))
+		q, err := http.NewRequest(http.MethodPatch, "http://"+x.Controls[i%len(x.Controls)]+"/v1/plan", strings.NewReader(fmt.Sprintf(`{"notes":{"rollout":%d}}`, at)))
 		if err != nil {
 			return err
 		}
@@ -153,7 +153,7 @@
 		ack = append(ack, done-at)
 		for _, p := range x.Proxies {
 			for {
-				rev, err := revAt(c, p)
+				rev, err := planRevision(c, p)
 				if err != nil {
 					return err
 				}
@@ -166,11 +166,11 @@
 		all = append(all, clock.Now()-done)
 	}
 	fmt.Printf("plan changes: %d; acknowledged after a median of %d us, worst %d us; in force at all %d proxies after a median of %d us, worst %d us\n",
-		x.Times, median(ack), slices.Max(ack), len(x.Proxies), median(all), slices.Max(all))
+		x.Changes, median(ack), slices.Max(ack), len(x.Proxies), median(all), slices.Max(all))
 	return nil
 }
 
-func revAt(c *http.Client, p string) (uint64, error) {
+func planRevision(c *http.Client, p string) (uint64, error) {
 	r, err := c.Get("http://" + p + "/metrics")
 	if err != nil {
 		return 0, err
@@ -188,14 +188,14 @@
 }
 
 // CPU prints the processor time that processes have used, for differences.
-type CPU struct {
+type CPUProbe struct {
 	PIDs []string `json:"pids" validate:"required,min=1" help:"process ids, with commas"`
 }
 
 // Run prints the sum in microseconds.
-func (x CPU) Run() error {
+func (p CPUProbe) Run() error {
 	var sum int64
-	for _, p := range x.PIDs {
+	for _, p := range p.PIDs {
 		b, err := os.ReadFile("/proc/" + p + "/stat")
 		if err != nil {
 			return trace.NotFound("process %s is not there", p)
--- a/sim/catchup_day.go
+++ b/sim/catchup_day.go
@@ -55,19 +55,19 @@
 // CatchupDay is a row of changes with setbacks of one kind.
 type CatchupDay struct {
 	*ConfigWorld
-	setback Setback
-	changes int
-	step    int                   // record at which the next checkpoint is cut short
-	rests   map[*ControlNode]bool // its last checkpoint was cut short, the next one is not
-	busy    bool
-	leader  string
-	version map[uint64]uint64 // by revision of the register
-	result  CatchupResult
+	setback       Setback
+	changes       int
+	nextCutRecord int                   // record at which the next checkpoint is cut short
+	sparesNext    map[*ControlNode]bool // its last checkpoint was cut short, the next one is not
+	busy          bool
+	leader        string
+	version       map[uint64]uint64 // by revision of the register
+	result        CatchupResult
 }
 
 // RunCatchup runs a day of so many changes.
 func RunCatchup(seed int64, nodes, changes int, setback Setback, texts Texts) CatchupResult {
-	d := &CatchupDay{ConfigWorld: NewConfigWorld(seed, nodes, texts), setback: setback, changes: changes, rests: map[*ControlNode]bool{}, version: map[uint64]uint64{}}
+	d := &CatchupDay{ConfigWorld: NewConfigWorld(seed, nodes, texts), setback: setback, changes: changes, sparesNext: map[*ControlNode]bool{}, version: map[uint64]uint64{}}
 	d.Cluster.logConfig = catchupLog(changes)
 	d.Cluster.selfHealing = true
 	d.AddOperators(2)
@@ -121,17 +121,17 @@
 	world.At(world.now+100_000+world.Rng.Int63n(500_000), func() {
 		node := d.Cluster.Nodes[world.Rng.Intn(len(d.Cluster.Nodes))]
 		d.busy = true
-		d.end(node, d.setback == SetbackWiped)
+		d.stopMember(node, d.setback == SetbackWiped)
 		away := world.Rng.Int63n(downMost)
 		if d.setback == SetbackRestarts {
 			away = world.Rng.Int63n(restartMost)
 		}
-		world.At(world.now+away, func() { d.begin(node) })
+		world.At(world.now+away, func() { d.restartMember(node) })
 	})
 }
 
 // end ends a member's process, by a kill or with the power, and its disk if asked for.
-func (d *CatchupDay) end(node *ControlNode, wiped bool) {
+func (d *CatchupDay) stopMember(node *ControlNode, wiped bool) {
 	d.result.Setbacks++
 	switch {
 	case wiped:
@@ -144,7 +144,7 @@
 }
 
 // begin starts the member again and waits until it holds all that is settled.
-func (d *CatchupDay) begin(node *ControlNode) {
+func (d *CatchupDay) restartMember(node *ControlNode) {
 	world := d.World
 	at := world.now
 	bound := syncTime(len(d.Cluster.Nodes))
@@ -152,7 +152,7 @@
 	var look func()
 	look = func() {
 		took := world.now - at
-		if d.holdsAll(node) {
+		if d.holdsCommitted(node) {
 			d.result.SlowestCatchupUS = max(d.result.SlowestCatchupUS, took)
 			d.busy = false
 			d.next()
@@ -169,7 +169,7 @@
 
 // holdsAll reports whether a member votes and holds every slot up to what its owner
 // knows to be settled.
-func (d *CatchupDay) holdsAll(node *ControlNode) bool {
+func (d *CatchupDay) holdsCommitted(node *ControlNode) bool {
 	if !node.up || node.node == nil || !node.node.AllSlotsRecovered() {
 		return false
 	}
@@ -201,21 +201,21 @@
 // members are up and hold everything. The member's next checkpoint is left whole: what
 // is cut short takes room, and a log that never sees a whole one is full in the end.
 func (d *CatchupDay) cutsCheckpoint(node *ControlNode, written, of int) bool {
-	if d.rests[node] {
-		d.rests[node] = written < of-1
+	if d.sparesNext[node] {
+		d.sparesNext[node] = written < of-1
 		return false
 	}
-	if d.busy || written != d.step || !d.allUp() {
+	if d.busy || written != d.nextCutRecord || !d.allUp() {
 		return false
 	}
-	d.step++
-	if d.step >= of {
-		d.step = 0
+	d.nextCutRecord++
+	if d.nextCutRecord >= of {
+		d.nextCutRecord = 0
 	}
 	d.result.CutRecords++
-	d.rests[node], d.busy = true, true
-	d.end(node, false)
-	d.World.At(d.World.now+1+d.World.Rng.Int63n(restartMost), func() { d.begin(node) })
+	d.sparesNext[node], d.busy = true, true
+	d.stopMember(node, false)
+	d.World.At(d.World.now+1+d.World.Rng.Int63n(restartMost), func() { d.restartMember(node) })
 	return true
 }
 
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -38,7 +38,7 @@
 	last       *ControlNode
 	silent     map[*ControlNode]int64 // when last
 	// SlowestTaken is the longest from sending an order to hearing of its end.
-	SlowestTaken int64
+	SlowestOrderUS int64
 }
 
 // NewConfigOperator adds an operator.
@@ -176,7 +176,7 @@
 
 // finish ends an order and turns to the next.
 func (o *ConfigOperator) finish() {
-	o.SlowestTaken = max(o.SlowestTaken, o.cluster.world.now-o.order.sentAt)
+	o.SlowestOrderUS = max(o.SlowestOrderUS, o.cluster.world.now-o.order.sentAt)
 	o.order = nil
 	if o.OnFinished != nil {
 		o.OnFinished()
--- a/sim/cutoff_day.go
+++ b/sim/cutoff_day.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	cutLasts = 20_000_000
+	cutDurationUS = 20_000_000
 	// backBound is within how long after a cut everything is back in service.
-	backBound = 4_000_000
+	recoveryBoundOfCutUS = 4_000_000
 	// ownerBound is the longest that nobody may answer for a register while a majority
 	// is in touch.
-	ownerBound = 2_000_000
+	leaderBoundUS = 2_000_000
 	// insideReadEvery is between two reads on the side that is cut off.
 	insideReadEvery = 60_000
 	// calmBetween two cuts, once all is back.
@@ -24,9 +24,9 @@
 // change.
 type CutoffDay struct {
 	*ConfigWorld
-	inside *ConfigOperator // on the side that is cut off
-	reader *ConfigReader   // likewise, and reads there as long as it is
-	onSide []*ConfigProxy
+	inside        *ConfigOperator // on the side that is cut off
+	reader        *ConfigReader   // likewise, and reads there as long as it is
+	proxiesInside []*ConfigProxy
 }
 
 // CutoffResult is what such a day came to.
@@ -79,7 +79,7 @@
 	d.AddReaders(1, insideReadEvery)
 	d.reader = d.Readers[2]
 	d.inside = d.Operators[0]
-	d.onSide = d.Proxies[:2]
+	d.proxiesInside = d.Proxies[:2]
 	return d
 }
 
@@ -87,9 +87,9 @@
 // is back.
 func (d *CutoffDay) cut(partition Partition, result *CutoffResult) {
 	world := d.World
-	machines := d.choose(result.Cuts%2 == 0)
+	machines := d.chooseMachines(result.Cuts%2 == 0)
 	inside := []*Host{d.inside.Host, d.reader.Host}
-	for _, proxy := range d.onSide {
+	for _, proxy := range d.proxiesInside {
 		inside = append(inside, proxy.Host)
 	}
 	for _, machine := range machines {
@@ -100,16 +100,16 @@
 		d.restartOutside(machines)
 	}
 	d.reader.Only = machines
-	d.watchGap(world.now+cutLasts, result)
+	d.watchGap(world.now+cutDurationUS, result)
 	world.Rejoin(inside)
 	d.reader.Only = nil
 	world.Notef("healed")
 	result.Cuts++
-	missing := d.back(machines)
-	took, ok := d.Until(backBound, func() bool { return missing() == "" })
+	missing := d.notInService(machines)
+	took, ok := d.Until(recoveryBoundOfCutUS, func() bool { return missing() == "" })
 	result.SlowestRecoveryUS = max(result.SlowestRecoveryUS, took)
 	if !ok {
-		world.Violation("not back", "%s was not in service %d us after a cut of kind %s", missing(), backBound, partition)
+		world.Violation("not back", "%s was not in service %d us after a cut of kind %s", missing(), recoveryBoundOfCutUS, partition)
 	}
 	world.Run(world.now + calmBetween)
 }
@@ -127,7 +127,7 @@
 }
 
 // choose picks the machines to cut off, among them the configuration's owner if asked for.
-func (d *CutoffDay) choose(owner bool) []*ControlNode {
+func (d *CutoffDay) chooseMachines(owner bool) []*ControlNode {
 	world := d.World
 	n := 1 + world.Rng.Intn(tolerates(len(d.Cluster.Nodes)))
 	nodes := d.Cluster.Nodes
@@ -156,7 +156,7 @@
 			owned = world.now
 		}
 		result.LongestWithoutLeaderUS = max(result.LongestWithoutLeaderUS, world.now-owned)
-		if world.now-owned > ownerBound {
+		if world.now-owned > leaderBoundUS {
 			world.Violation("no owner", "of the configuration for %d us, with a majority in touch", world.now-owned)
 		}
 		result.LongestGapUS = max(result.LongestGapUS, world.now-at)
@@ -169,7 +169,7 @@
 // back names what is not yet in service after a cut: a proxy that does not serve, a
 // machine that was cut off and does not answer for the configuration, an operator that
 // had no clear answer yet. It is empty once all is back.
-func (d *CutoffDay) back(machines []*ControlNode) func() string {
+func (d *CutoffDay) notInService(machines []*ControlNode) func() string {
 	answered := map[*ControlNode]bool{}
 	for _, machine := range machines {
 		d.probe(machine, answered)
--- a/sim/cutoff_day_test.go
+++ b/sim/cutoff_day_test.go
@@ -11,7 +11,7 @@
 )
 
 // platformTexts reads texts as the platform's operators write them.
-var platformTexts = Texts{Translate: platform.Translate, Words: platform.Words}
+var platformTexts = Texts{Translate: platform.Translate, Words: platform.FieldNames}
 
 // controlSizes are the numbers of control nodes of the directed days: 4 bear the loss
 // of one, 5 and 8 that of two.
@@ -60,7 +60,7 @@
 				sum.add(r)
 			}
 			t.Logf("%d cuts: %d acknowledged, %d refused, %d read back, %d weights named; old configuration in use for %s of %s, no owner for %s of %s, no acknowledgement for %s of %s, back after %s of %s",
-				sum.Cuts, sum.Acknowledged, sum.Rejected, sum.Reads, sum.Named, seconds(sum.OldestConfigUS), seconds(ApplyBound), seconds(sum.LongestWithoutLeaderUS), seconds(ownerBound), seconds(sum.LongestGapUS), seconds(acknowledgementBoundUS), seconds(sum.SlowestRecoveryUS), seconds(backBound))
+				sum.Cuts, sum.Acknowledged, sum.Rejected, sum.Reads, sum.Named, seconds(sum.OldestConfigUS), seconds(ApplyBound), seconds(sum.LongestWithoutLeaderUS), seconds(leaderBoundUS), seconds(sum.LongestGapUS), seconds(acknowledgementBoundUS), seconds(sum.SlowestRecoveryUS), seconds(recoveryBoundOfCutUS))
 			if sum.Acknowledged < 20*sum.Cuts || sum.Reads < 50*sum.Cuts || sum.Rejected == 0 || sum.Named < 10*sum.Cuts {
 				t.Error("too little to prove anything")
 			}
--- a/sim/messages_day.go
+++ b/sim/messages_day.go
@@ -12,7 +12,7 @@
 	echoSoon = 60_000
 	echoLate = 8_000_000
 	// messagesBack is within how long after the trouble every slot takes changes.
-	messagesBack = 4_000_000
+	messagesRecoveryBoundUS = 4_000_000
 	// messageJitter is the most by which ways differ, drawn anew every jitterEvery.
 	messageJitter = 60_000
 	jitterEvery   = 300_000
@@ -128,11 +128,11 @@
 func (d *MessagesDay) waitBack(writer *SlotWriter) {
 	world := d.world
 	from := world.now
-	for !writer.AcknowledgedSince(from) && world.now < from+messagesBack && len(world.violations) == 0 {
+	for !writer.AcknowledgedSince(from) && world.now < from+messagesRecoveryBoundUS && len(world.violations) == 0 {
 		world.Run(world.now + checkInterval)
 	}
 	d.result.RecoveryUS = world.now - from
 	if !writer.AcknowledgedSince(from) {
-		world.Violation("not back", "not every slot took a change within %d us after the trouble", messagesBack)
+		world.Violation("not back", "not every slot took a change within %d us after the trouble", messagesRecoveryBoundUS)
 	}
 }
--- a/sim/messages_day_test.go
+++ b/sim/messages_day_test.go
@@ -22,7 +22,7 @@
 				sum.add(r)
 			}
 			t.Logf("%d messages repeated, %d of them to another life, %d restarts: %d acknowledged, %d claims, %d terms; back after %s of %s",
-				sum.Repeated, sum.ToNextProcess, sum.Restarts, sum.Acknowledged, sum.Claims, sum.Leases, seconds(sum.RecoveryUS), seconds(messagesBack))
+				sum.Repeated, sum.ToNextProcess, sum.Restarts, sum.Acknowledged, sum.Claims, sum.Leases, seconds(sum.RecoveryUS), seconds(messagesRecoveryBoundUS))
 			if sum.ToNextProcess < 50 || sum.Restarts < 2 || sum.Acknowledged < 50 || sum.Claims == 0 || sum.Leases == 0 {
 				t.Error("too little to prove anything")
 			}
--- a/sim/races_day.go
+++ b/sim/races_day.go
@@ -8,7 +8,7 @@
 const (
 	// raceEnds is within how long after the trouble the newest configuration is read
 	// back and all operators have a clear answer.
-	raceEnds = 8_000_000
+	raceRecoveryBoundUS = 8_000_000
 	// lossPercent of a step's messages get lost.
 	lossPercent = 25
 	// killPercent of the acknowledgements and syncs that may kill do, while all are up.
@@ -66,7 +66,7 @@
 	d.AddReaders(2, 150_000)
 	for _, o := range d.Operators {
 		o.Pause = 60_000
-		o.OnAccepted = d.onTaken
+		o.OnAccepted = d.losePowerAll
 	}
 	d.Start()
 	world := d.World
@@ -108,14 +108,14 @@
 	for _, o := range d.Operators {
 		o.OnFinished = func() { told[o] = true }
 	}
-	took, ok := d.Until(raceEnds, func() bool { return len(told) == len(d.Operators) })
+	took, ok := d.Until(raceRecoveryBoundUS, func() bool { return len(told) == len(d.Operators) })
 	d.result.SettledUS = took
 	if !ok {
 		world.Violation("not back", "%d of %d operators had a clear answer %d us after the trouble", len(told), len(d.Operators), took)
 	}
 	reads := d.Config.Reads
-	if _, ok := d.Until(raceEnds, func() bool { return d.Config.Reads > reads+4 }); !ok {
-		world.Violation("not back", "nothing was read back %d us after the trouble", raceEnds)
+	if _, ok := d.Until(raceRecoveryBoundUS, func() bool { return d.Config.Reads > reads+4 }); !ok {
+		world.Violation("not back", "nothing was read back %d us after the trouble", raceRecoveryBoundUS)
 	}
 }
 
@@ -124,7 +124,7 @@
 	r.Orders, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(history.orders), history.Acknowledged, history.AcknowledgedAfterResend, history.Rejected, history.Reads
 	r.MostBehind = history.MostBehind
 	for _, o := range d.Operators {
-		r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestTaken)
+		r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestOrderUS)
 	}
 	r.Violations, r.Notes = d.World.violations, d.World.notes
 }
@@ -161,7 +161,7 @@
 	if d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
-	return d.kills(node)
+	return d.endProcess(node)
 }
 
 // killsAnswering kills the owner when a change is on a majority's disks and nobody was
@@ -170,11 +170,11 @@
 	if result.Status != quorum.StatusDone || d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
-	return d.kills(node)
+	return d.endProcess(node)
 }
 
 // kills ends a process now and then, while all others are up, and starts it again.
-func (d *RaceDay) kills(node *ControlNode) bool {
+func (d *RaceDay) endProcess(node *ControlNode) bool {
 	world := d.World
 	if !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return false
@@ -190,7 +190,7 @@
 }
 
 // onTaken cuts the power of all control nodes at some acknowledgements.
-func (d *RaceDay) onTaken(*ConfigOrder) {
+func (d *RaceDay) losePowerAll(*ConfigOrder) {
 	world := d.World
 	if d.trouble != PowerAnswered || world.now >= d.until || !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return
--- a/sim/races_day_test.go
+++ b/sim/races_day_test.go
@@ -26,7 +26,7 @@
 				}
 			}
 			t.Logf("%d orders: %d taken, %d after a resend, %d refused, %d read back; %d messages lost, %d kills; %d changes behind at most, a clear answer after %s, all clear after %s of %s",
-				sum.Orders, sum.Acknowledged, sum.AcknowledgedAfterResend, sum.Rejected, sum.Reads, sum.Lost, sum.Kills, sum.MostBehind, seconds(sum.SlowestOrderUS), seconds(sum.SettledUS), seconds(raceEnds))
+				sum.Orders, sum.Acknowledged, sum.AcknowledgedAfterResend, sum.Rejected, sum.Reads, sum.Lost, sum.Kills, sum.MostBehind, seconds(sum.SlowestOrderUS), seconds(sum.SettledUS), seconds(raceRecoveryBoundUS))
 			if sum.Acknowledged < 20 || sum.Rejected == 0 || sum.Lost+sum.Kills < 3 || sum.Reads < 40 {
 				t.Error("too little to prove anything")
 			}
--- a/sim/second_loss_day.go
+++ b/sim/second_loss_day.go
@@ -38,9 +38,9 @@
 	// lossWindow is swept from when a second loss is borne.
 	lossWindow = 3_000_000
 	// lossServed is within how long after a second loss every slot takes changes again.
-	lossServed = 4_000_000
+	lossRecoveryBoundUS = 4_000_000
 	// lossBackAfter is when machines of the second loss come back.
-	lossBackAfter = 1_500_000
+	lossReturnUS = 1_500_000
 )
 
 // SecondLoss is one run: a prelude, and a second loss at an instant after it.
@@ -69,14 +69,14 @@
 // secondLossRun is a run under way.
 type secondLossRun struct {
 	SecondLoss
-	cw     *ConfigWorld
+	world  *ConfigWorld
 	writer *SlotWriter
 	// counts is until when the first loss counts, by the platform's rule.
-	counts int64
+	firstLossUntil int64
 	// from is since when the second loss is borne.
-	from   int64
-	gone   []*ControlNode
-	result SecondLossResult
+	bearableFrom int64
+	lost         []*ControlNode
+	result       SecondLossResult
 }
 
 // RunSecondLoss runs one.
@@ -85,7 +85,7 @@
 	configWorld.Cluster.logConfig = smallLog
 	configWorld.Cluster.selfHealing = true
 	configWorld.Cluster.keepSeats()
-	s := &secondLossRun{SecondLoss: loss, cw: configWorld, writer: NewSlotWriter(configWorld.Cluster)}
+	s := &secondLossRun{SecondLoss: loss, world: configWorld, writer: NewSlotWriter(configWorld.Cluster)}
 	configWorld.Cluster.Start()
 	world := configWorld.World
 	world.At(500_000, s.writer.Start)
@@ -93,9 +93,9 @@
 		world.Violation("not begun", "not every slot took a change within %d us", world.now)
 	}
 	s.prelude()
-	world.Run(max(world.now, s.from) + loss.Instant)
-	s.strike()
-	s.settle()
+	world.Run(max(world.now, s.bearableFrom) + loss.Instant)
+	s.loseSecond()
+	s.awaitRecovery()
 	s.result.Acknowledged, s.result.Violations, s.result.Notes = s.writer.Acknowledged(), world.violations, world.notes
 	return s.result
 }
@@ -103,11 +103,11 @@
 // prelude brings the first loss or the planned work about, and tells from when on a
 // second loss is borne.
 func (r *secondLossRun) prelude() {
-	world, nodes := r.cw.World, r.cw.Cluster.Nodes
+	world, nodes := r.world.World, r.world.Cluster.Nodes
 	first := nodes[world.Rng.Intn(len(nodes))]
 	back := world.now + leaveTimeoutUS + leavePollUS + world.Rng.Int63n(2_500_000)
 	sync := syncTime(r.Nodes)
-	r.counts = back + sync
+	r.firstLossUntil = back + sync
 	switch r.Prelude {
 	case RepairedDisk:
 		world.Notef("%s loses its disk", first.Name)
@@ -120,25 +120,25 @@
 		r.leave(first)
 		world.At(back, first.restart)
 	case Replacement:
-		successor := r.cw.Cluster.newNode()
+		successor := r.world.Cluster.newNode()
 		successor.Start()
-		r.counts = world.now + sync
+		r.firstLossUntil = world.now + sync
 		world.At(back, func() {
 			r.leave(first)
 			first.removed = true
 		})
 		world.Run(back)
 	}
-	r.from = world.now
+	r.bearableFrom = world.now
 	if tolerates(r.Nodes) == 1 {
-		r.from = max(r.from, r.counts)
+		r.bearableFrom = max(r.bearableFrom, r.firstLossUntil)
 	}
 }
 
 // leave stops a machine politely, as control.Node does: it ends once its seat was dropped,
 // if its successor was let in before.
 func (r *secondLossRun) leave(node *ControlNode) {
-	r.cw.World.Notef("%s leaves politely", node.Name)
+	r.world.World.Notef("%s leaves politely", node.Name)
 	if !node.up || node.node == nil {
 		return
 	}
@@ -171,34 +171,34 @@
 
 // strike waits for an acknowledgement and loses as many machines as may still be lost,
 // those first that hold the newest changes of its slot.
-func (r *secondLossRun) strike() {
-	world := r.cw.World
+func (r *secondLossRun) loseSecond() {
+	world := r.world.World
 	struck := false
 	r.writer.OnAcknowledged = func(slot int) {
 		if !struck {
 			struck = true
-			r.lose(r.holders(slot))
+			r.lose(r.mostRecent(slot))
 		}
 	}
-	if _, ok := r.cw.Until(lossServed, func() bool { return struck }); !ok {
-		world.Violation("not served", "no change was acknowledged for %d us after one loss: %v", lossServed, r.SecondLoss)
+	if _, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return struck }); !ok {
+		world.Violation("not served", "no change was acknowledged for %d us after one loss: %v", lossRecoveryBoundUS, r.SecondLoss)
 	}
 	r.writer.OnAcknowledged = nil
 }
 
 // holders are the machines that go: they hold the most of a slot.
-func (r *secondLossRun) holders(slot int) []*ControlNode {
+func (r *secondLossRun) mostRecent(slot int) []*ControlNode {
 	spare := tolerates(r.Nodes)
-	if r.cw.World.now < r.counts {
+	if r.world.World.now < r.firstLossUntil {
 		spare--
 	}
 	var live []*ControlNode
-	for _, node := range r.cw.Cluster.Nodes {
+	for _, node := range r.world.Cluster.Nodes {
 		if node.up && node.node != nil && !node.removed {
 			live = append(live, node)
 		}
 	}
-	world := r.cw.World
+	world := r.world.World
 	world.Rng.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	slices.SortStableFunc(live, func(one, other *ControlNode) int {
 		x, y := one.node.Status(one.Clock())[slot], other.node.Status(other.Clock())[slot]
@@ -215,9 +215,9 @@
 
 // lose loses machines at once.
 func (r *secondLossRun) lose(nodes []*ControlNode) {
-	world := r.cw.World
-	r.gone, r.result.Lost = nodes, len(nodes)
-	for _, node := range r.cw.Cluster.Nodes {
+	world := r.world.World
+	r.lost, r.result.Lost = nodes, len(nodes)
+	for _, node := range r.world.Cluster.Nodes {
 		switch {
 		case slices.Contains(nodes, node):
 			world.Notef("%s is lost: %s", node.Name, r.Loss)
@@ -235,22 +235,22 @@
 	} else {
 		node.loseDisk()
 	}
-	r.cw.World.At(r.cw.World.now+lossBackAfter, node.restart)
+	r.world.World.At(r.world.World.now+lossReturnUS, node.restart)
 }
 
 // settle waits until every slot takes changes again, and until all machines are firm
 // members, each within its bound, and reads everything back.
-func (r *secondLossRun) settle() {
-	world := r.cw.World
+func (r *secondLossRun) awaitRecovery() {
+	world := r.world.World
 	at := world.now
-	took, ok := r.cw.Until(lossServed, func() bool { return r.writer.AcknowledgedSince(at) })
+	took, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return r.writer.AcknowledgedSince(at) })
 	r.result.RecoveryUS = took
 	if !ok {
-		world.Violation("not served", "not every slot took a change within %d us after the second loss: %v", lossServed, r.SecondLoss)
+		world.Violation("not served", "not every slot took a change within %d us after the second loss: %v", lossRecoveryBoundUS, r.SecondLoss)
 	}
-	world.Run(max(world.now, at+lossBackAfter))
+	world.Run(max(world.now, at+lossReturnUS))
 	back := world.now
-	if _, ok := r.cw.Until(syncTime(r.Nodes), r.cw.AllRecovered); !ok {
+	if _, ok := r.world.Until(syncTime(r.Nodes), r.world.AllRecovered); !ok {
 		world.Violation("not firm", "not every machine was a firm member %d us after it was back: %v", syncTime(r.Nodes), r.SecondLoss)
 	}
 	r.result.RejoinUS = world.now - back
--- a/sim/second_loss_day_test.go
+++ b/sim/second_loss_day_test.go
@@ -28,7 +28,7 @@
 					}
 				}
 				t.Logf("%d second losses of %d machines, %d acknowledged: all slots served after %s of %s, firm after %s of %s",
-					runs, gone, acks, seconds(served), seconds(lossServed), seconds(firm), seconds(syncTime(nodes)))
+					runs, gone, acks, seconds(served), seconds(lossRecoveryBoundUS), seconds(firm), seconds(syncTime(nodes)))
 				if gone < runs || acks < 50*runs {
 					t.Error("too little to prove anything")
 				}
