--- a/internal/app/indexnode/engines.go
+++ b/internal/app/indexnode/engines.go
@@ -22,14 +22,6 @@
 	weightsTimeout = 2_500_000 // for an engine to take other weights
 )
 
-// Values of engines' answers.
-const (
-	kindStore = "store"
-	opKeep    = "keep"
-	opDrop    = "drop"
-	opRan     = "ran"
-)
-
 // refreshListing follows the platform's list of engines. While the platform refuses
 // connections it shows nothing to anyone, and the last list stays in force; while it is
 // merely silent, the list ages and engines get no new work (docs/bounds.md).
@@ -44,7 +36,7 @@
 				Name:    engine.Name,
 				Addr:    engine.Addr,
 				Zone:    engine.Zone,
-				Store:   engine.Kind == kindStore,
+				Store:   engine.Kind == engineapi.KindStore,
 				Leaving: engine.Leaving,
 			}
 		})
@@ -114,11 +106,11 @@
 	for _, event := range packed.Events {
 		unpacked := index.Event{
 			Seq:             event.Seq,
-			Added:           event.Op == opKeep,
-			Removed:         event.Op == opDrop,
+			Added:           event.Op == engineapi.EventAdded,
+			Removed:         event.Op == engineapi.EventRemoved,
 			RecomputedBytes: event.RecomputedBytes,
 		}
-		if event.Op == opRan {
+		if event.Op == engineapi.EventFinished {
 			unpacked.FinishedAttempt = event.Attempt
 		}
 		unpacked.Block, unpacked.HasBlock = engineapi.ParseKey(event.Block)
