--- a/recording/reader.go
+++ b/recording/reader.go
@@ -14,9 +14,9 @@
 // What is wrong with a recording, for errors.Is.
 var (
 	// ErrEmpty means that there is no complete first line.
-	ErrEmpty = errors.New("the recording is empty; record one with --tape")
+	ErrEmpty = errors.New("the recording is empty; record one with --recording")
 	// ErrNoRecording means that the first line is no Header.
-	ErrNoRecording = errors.New("this is no recording; give a file that a daemon wrote with --tape")
+	ErrNoRecording = errors.New("this is no recording; give a file that a daemon wrote with --recording")
 )
 
 // VersionError is a recording of another version.
--- a/recording/writer.go
+++ b/recording/writer.go
@@ -25,7 +25,7 @@
 func Create(path string, header Header, maxBytes int64) (*Writer, error) {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return nil, trace.Wrap(err, "can't write the recording; give --tape a file in a folder that exists")
+		return nil, trace.Wrap(err, "can't write the recording; give --recording a file in a folder that exists")
 	}
 	w := &Writer{file: file, buffer: bufio.NewWriterSize(file, writeBufferBytes), remaining: maxBytes}
 	header.Version = Version
