--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -71,7 +71,7 @@
 
 // Run runs a remisier until it is told to stop.
 func Run(s Settings) error {
-	d, err := New(s)
+	d, err := NewDaemon(s)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 }
 
 // New makes one, ready to Run.
-func New(s Settings) (*daemon.Daemon, error) {
+func NewDaemon(s Settings) (*daemon.Daemon, error) {
 	d := daemon.New("violetthread-gateway", s.Name, s.HTTPAddr, s.DrainUS)
 	// A proxy keeps little and makes much garbage: rarer collections cost it a few
 	// megabytes and save processor time, for which its machines are paid.
--- a/internal/app/indexnode/node.go
+++ b/internal/app/indexnode/node.go
@@ -66,7 +66,7 @@
 
 // Run runs an index node until it is told to stop.
 func Run(settings Settings) error {
-	process, err := New(settings)
+	process, err := NewDaemon(settings)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 }
 
 // New makes an index node as a process, ready to Run. Its loops run from here on.
-func New(settings Settings) (*daemon.Daemon, error) {
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	if settings.TransportAddr == "" || len(settings.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the control nodes' addresses")
 	}
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -116,7 +116,7 @@
 		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Seeds, s.Platform, s.DrainUS = fmt.Sprint("index", i), sites[i], next(), next(), wires[:3], r.platform, 500_000
 		s.Recording = fmt.Sprintf("%s/index%d.recording", dir, i)
 		r.recordings = append(r.recordings, s.Recording)
-		d, err := indexnode.New(s)
+		d, err := indexnode.NewDaemon(s)
 		r.run(s.Name, d, err)
 	}
 	for i := 0; i < 2; i++ {
@@ -129,7 +129,7 @@
 		s.Recording = fmt.Sprintf("%s/gateway%d.recording", dir, i)
 		r.recordings = append(r.recordings, s.Recording)
 		r.proxies = append(r.proxies, s.HTTPAddr)
-		d, err = gateway.New(s)
+		d, err = gateway.NewDaemon(s)
 		r.run(s.Name, d, err)
 	}
 	t.Cleanup(r.down)
--- a/sim/cluster_day_test.go
+++ b/sim/cluster_day_test.go
@@ -38,21 +38,21 @@
 // TestLostAcknowledgement: every message that a change is on disk gets lost, once.
 // Seed 282 of the lossy days first showed a slot that then stood still for ever.
 func TestLostAcknowledgement(t *testing.T) {
-	s := newStage(t, 1, "plan")
+	s := newDirectedRun(t, 1, "plan")
 	s.put("plan", "v1")
 	lost := 0
-	s.c.dropsMessage = func(message quorum.Message) bool {
+	s.cluster.dropsMessage = func(message quorum.Message) bool {
 		if message.Type == quorum.MsgAppendAck {
 			lost++
 		}
 		return message.Type == quorum.MsgAppendAck
 	}
-	s.w.At(s.w.now+300_000, func() { s.c.dropsMessage = nil })
+	s.world.At(s.world.now+300_000, func() { s.cluster.dropsMessage = nil })
 	if result := s.put("plan", "v2"); result.Status != quorum.StatusDone || lost == 0 {
 		t.Fatalf("%d words lost: %+v", lost, result)
 	}
-	if len(s.w.violations) > 0 {
-		t.Fatal(s.w.violations)
+	if len(s.world.violations) > 0 {
+		t.Fatal(s.world.violations)
 	}
 }
 
@@ -68,25 +68,25 @@
 // and keeps its promise to itself; the leader wins the slot anew above it, so that all
 // voters follow it again. Without that no voter set step was ever recovered with the one left out.
 func TestFailedCandidateFollows(t *testing.T) {
-	s := newStage(t, 1, "plan")
+	s := newDirectedRun(t, 1, "plan")
 	s.put("plan", "v1")
-	other, i := s.settle(), quorum.SlotOf("plan", 16)
-	node := s.c.Nodes[0]
+	other, i := s.awaitLeader(), quorum.SlotOf("plan", 16)
+	node := s.cluster.Nodes[0]
 	if node == other {
-		node = s.c.Nodes[1]
+		node = s.cluster.Nodes[1]
 	}
 	at := func(node *ControlNode) quorum.SlotStatus { return node.node.Status(node.Clock())[i] }
-	s.w.Cut(other.Name, node.Name)
-	s.w.Run(s.w.now + 4_000_000)
+	s.world.Cut(other.Name, node.Name)
+	s.world.Run(s.world.now + 4_000_000)
 	if at(node).Term <= at(other).Term {
 		t.Fatalf("nothing was sought: %+v beside %+v", at(node), at(other))
 	}
-	s.w.HealAll()
-	s.w.Run(s.w.now + 2_000_000)
-	if other = s.owner(); other == nil || at(node).Leader != other.Name || at(node).Term != at(other).Term || at(node).Last != at(other).Last {
+	s.world.HealAll()
+	s.world.Run(s.world.now + 2_000_000)
+	if other = s.leader(); other == nil || at(node).Leader != other.Name || at(node).Term != at(other).Term || at(node).Last != at(other).Last {
 		t.Fatalf("it does not follow: %+v", at(node))
 	}
-	if len(s.w.violations) > 0 {
-		t.Fatal(s.w.violations)
+	if len(s.world.violations) > 0 {
+		t.Fatal(s.world.violations)
 	}
 }
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -94,22 +94,22 @@
 			return RunSecondLoss(seed, SecondLoss{controlSizes[i%2], prelude, Losses[i%len(Losses)], 500_000}).Violations
 		})
 	}
-	for i, change := range changes {
+	for i, change := range membershipChanges {
 		add("membership/"+string(change), func(_ *testing.T, seed int64) []string {
-			d := newMembershipDay(seed, coreSizes[i%3])
-			d.world.Run(d.bring(changes[i%(len(changes)-1)]))
-			d.strike(losses[i%len(losses)])
+			d := newMembershipDay(seed, clusterSizes[i%3])
+			d.world.Run(d.change(membershipChanges[i%(len(membershipChanges)-1)]))
+			d.loseMachines(machineLosses[i%len(machineLosses)])
 			return d.world.violations
 		})
 	}
 	add("snapshot", func(t *testing.T, seed int64) []string {
 		d := newSnapshotDay(t, seed, 60)
-		node := d.alive()[0]
+		node := d.liveVoters()[0]
 		node.Kill()
 		node.loseDisk()
 		d.world.Run(d.world.now + 1_000_000)
 		node.Start()
-		d.until(d.size.sync, func() bool { return d.caughtUp(node) })
+		d.until(d.size.recoveryUS, func() bool { return d.caughtUp(node) })
 		return d.world.violations
 	})
 	for _, fault := range []string{"the owner of most engines dies in a roll-out", "a site is lost"} {
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -8,46 +8,46 @@
 )
 
 // coreChange is a repair or a piece of planned work on the core.
-type coreChange string
+type membershipChange string
 
 const (
-	repaired  coreChange = "repaired"  // machines come back with empty disks
-	replaced  coreChange = "replaced"  // machines are gone for good, empty ones come a second later
-	planned   coreChange = "planned"   // an empty machine comes first, then another is told to stop for good
-	hurried   coreChange = "hurried"   // the same, and the other is told to stop a second after the start
-	restarted coreChange = "restarted" // machines are told to stop, and come back with their disks
-	mixed     coreChange = "mixed"     // up to four of these, one after the other
+	changeRepaired  membershipChange = "repaired"  // machines come back with empty disks
+	changeReplaced  membershipChange = "replaced"  // machines are gone for good, empty ones come a second later
+	changePlanned   membershipChange = "planned"   // an empty machine comes first, then another is told to stop for good
+	changeHurried   membershipChange = "hurried"   // the same, and the other is told to stop a second after the start
+	changeRestarted membershipChange = "restarted" // machines are told to stop, and come back with their disks
+	changeMixed     membershipChange = "mixed"     // up to four of these, one after the other
 )
 
-var changes = []coreChange{repaired, replaced, planned, hurried, restarted, mixed}
+var membershipChanges = []membershipChange{changeRepaired, changeReplaced, changePlanned, changeHurried, changeRestarted, changeMixed}
 
 // coreLoss is what happens to as many machines as the core tolerates, once the change counts
 // as over.
-type coreLoss string
+type machineLoss string
 
 const (
-	gone  coreLoss = "gone"  // they lose their power for good
-	wiped coreLoss = "wiped" // they lose their disks just after an acknowledgement, all others their power
+	lossOfPowerForGood machineLoss = "gone"  // they lose their power for good
+	lossOfDisks        machineLoss = "wiped" // they lose their disks just after an acknowledgement, all others their power
 )
 
-var losses = []coreLoss{gone, wiped}
+var machineLosses = []machineLoss{lossOfPowerForGood, lossOfDisks}
 
 // coreSize is a core with what it is said to tolerate.
-type coreSize struct {
+type clusterSize struct {
 	machines, tolerated int
-	sync                int64 // after its return a machine counts as lost for so long
+	recoveryUS          int64 // after its return a machine counts as lost for so long
 }
 
-var coreSizes = []coreSize{{3, 1, 4_000_000}, {4, 1, 4_000_000}, {5, 2, 6_000_000}, {8, 2, 6_000_000}}
+var clusterSizes = []clusterSize{{3, 1, 4_000_000}, {4, 1, 4_000_000}, {5, 2, 6_000_000}, {8, 2, 6_000_000}}
 
 // membershipDay is a core on which changes and losses are brought about.
 type membershipDay struct {
 	*Cluster
-	size coreSize
-	h    *History
+	size    clusterSize
+	history *History
 }
 
-func newMembershipDay(seed int64, size coreSize) *membershipDay {
+func newMembershipDay(seed int64, size clusterSize) *membershipDay {
 	world := NewWorld(seed)
 	cluster := NewCluster(world, size.machines)
 	cluster.selfHealing = true
@@ -55,10 +55,10 @@
 	for _, node := range cluster.Nodes {
 		node.voterSet = cluster.voterSet
 	}
-	d := &membershipDay{Cluster: cluster, size: size, h: NewHistory(world, "plan")}
+	d := &membershipDay{Cluster: cluster, size: size, history: NewHistory(world, "plan")}
 	cluster.Start()
 	for i := 0; i < 3; i++ {
-		NewRegisterClient(cluster, fmt.Sprint("operator", i), d.h, 60).Start()
+		NewRegisterClient(cluster, fmt.Sprint("operator", i), d.history, 60).Start()
 	}
 	for i := 0; i < 4; i++ {
 		NewRegisterClient(cluster, fmt.Sprint("reader", i), NewHistory(world, fmt.Sprint("rare", i)), 8).Start()
@@ -68,7 +68,7 @@
 }
 
 // alive lists the machines that are up and vote, drawn in any order.
-func (d *membershipDay) alive() []*ControlNode {
+func (d *membershipDay) liveVoters() []*ControlNode {
 	_, members := d.currentVoters()
 	members = slices.DeleteFunc(members, func(node *ControlNode) bool { return !node.up || node.removed })
 	d.world.Rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
@@ -93,16 +93,16 @@
 }
 
 // bring does a change and returns when it counts as over, and the machines come or gone.
-func (d *membershipDay) bring(c coreChange) int64 {
+func (d *membershipDay) change(kind membershipChange) int64 {
 	world := d.world
-	members := d.alive()
-	switch c {
-	case repaired, replaced:
+	members := d.liveVoters()
+	switch kind {
+	case changeRepaired, changeReplaced:
 		over := world.now
 		for _, node := range members[:1+world.Rng.Intn(d.size.tolerated)] {
 			back := world.now + 1_000_000
-			over = max(over, back+d.size.sync)
-			if c == repaired {
+			over = max(over, back+d.size.recoveryUS)
+			if kind == changeRepaired {
 				d.world.Notef("%s loses its disk", node.Name)
 				node.loseDisk()
 				world.At(back, node.restart)
@@ -114,21 +114,21 @@
 			world.At(back, d.newNode().Start)
 		}
 		return over
-	case planned, hurried:
+	case changePlanned, changeHurried:
 		newNode := d.newNode()
 		newNode.Start()
-		at := world.now + d.size.sync
-		if c == hurried {
+		at := world.now + d.size.recoveryUS
+		if kind == changeHurried {
 			at = world.now + 1_000_000
 		}
 		world.At(at, func() { d.stop(members[0], func() { members[0].removed = true }) })
-		return world.now + d.size.sync + 1
+		return world.now + d.size.recoveryUS + 1
 	default:
 		node := members[0]
 		d.stop(node, func() {
 			world.At(world.now+500_000, func() { d.restart(node) })
 		})
-		return world.now + 600_000 + d.size.sync
+		return world.now + 600_000 + d.size.recoveryUS
 	}
 }
 
@@ -142,32 +142,32 @@
 
 // strike loses as many machines as are tolerated, the plan's owner among them every
 // other time, and returns how long after it a change was acknowledged; 0 is never.
-func (d *membershipDay) strike(l coreLoss) int64 {
+func (d *membershipDay) loseMachines(loss machineLoss) int64 {
 	world := d.world
-	members := d.alive()
+	members := d.liveVoters()
 	if world.Rng.Intn(2) == 0 {
 		slices.SortStableFunc(members, func(one, other *ControlNode) int {
-			return owns(other) - owns(one)
+			return slotsLed(other) - slotsLed(one)
 		})
 	}
 	for i, node := range members {
 		switch {
-		case l == gone && i < d.size.tolerated:
+		case loss == lossOfPowerForGood && i < d.size.tolerated:
 			node.LosePower()
 			node.removed = true
-		case l == wiped && i < d.size.tolerated:
+		case loss == lossOfDisks && i < d.size.tolerated:
 			d.world.Notef("%s loses its disk", node.Name)
 			node.loseDisk()
 			world.At(world.now+1_000_000, node.restart)
-		case l == wiped:
+		case loss == lossOfDisks:
 			node.LosePower()
 			world.At(world.now+50_000+world.Rng.Int63n(300_000), node.restart)
 		}
 	}
-	from, n := world.now, d.h.Acknowledged
+	from, n := world.now, d.history.Acknowledged
 	for world.now < from+10_000_000 && len(world.violations) == 0 {
 		world.Run(world.now + 10_000)
-		if d.h.Acknowledged > n {
+		if d.history.Acknowledged > n {
 			// The readers go on, and tell what is lost.
 			back := world.now - from
 			world.Run(world.now + 2_000_000)
@@ -177,7 +177,7 @@
 	return 0
 }
 
-func owns(node *ControlNode) int {
+func slotsLed(node *ControlNode) int {
 	if _, ok := node.node.ReadUnderLease(node.Clock(), planKey); ok {
 		return 1
 	}
@@ -188,9 +188,9 @@
 // a repair, a replacement or a restart counts as over. A majority is left, and what was
 // acknowledged is read back.
 func TestLossAfterChange(t *testing.T) {
-	for _, size := range coreSizes {
-		for _, c := range changes {
-			for _, l := range losses {
+	for _, size := range clusterSizes {
+		for _, c := range membershipChanges {
+			for _, l := range machineLosses {
 				t.Run(fmt.Sprintf("%d of %d/%s/%s", size.tolerated, size.machines, c, l), func(t *testing.T) {
 					t.Parallel()
 					var worst int64
@@ -199,24 +199,24 @@
 						d := newMembershipDay(seed, size)
 						over := d.world.now
 						most := 2
-						if c == mixed {
+						if c == changeMixed {
 							most = 4
 						}
 						for range 1 + d.world.Rng.Intn(most) {
 							next := c
-							if c == mixed {
-								next = changes[d.world.Rng.Intn(len(changes)-1)]
+							if c == changeMixed {
+								next = membershipChanges[d.world.Rng.Intn(len(membershipChanges)-1)]
 							}
-							over = d.bring(next)
+							over = d.change(next)
 							d.world.Run(over)
 						}
 						d.world.Run(over + d.world.Rng.Int63n(600_000))
 						if d.world.Rng.Intn(2) == 0 {
-							for n := d.h.Acknowledged; d.h.Acknowledged == n && len(d.world.violations) == 0 && d.world.now < over+3_000_000; {
+							for n := d.history.Acknowledged; d.history.Acknowledged == n && len(d.world.violations) == 0 && d.world.now < over+3_000_000; {
 								d.world.Run(d.world.now + 500)
 							}
 						}
-						back := d.strike(l)
+						back := d.loseMachines(l)
 						if len(d.world.violations) > 0 {
 							t.Fatalf("seed %d: %v\n%s", seed, d.world.violations, strings.Join(d.world.notes[max(0, len(d.world.notes)-60):], "\n"))
 						}
@@ -272,34 +272,34 @@
 // TestCaughtUpInTime: a machine that comes back or comes new votes and holds everything
 // long before it stops counting as lost.
 func TestCaughtUpInTime(t *testing.T) {
-	for _, size := range coreSizes {
+	for _, size := range clusterSizes {
 		t.Run(fmt.Sprint(size.machines), func(t *testing.T) {
 			t.Parallel()
 			var worst [4]int64
 			for seed := int64(1); seed <= max(seeds(), 2); seed++ {
-				for kind, change := range []coreChange{repaired, replaced, planned, restarted} {
+				for kind, change := range []membershipChange{changeRepaired, changeReplaced, changePlanned, changeRestarted} {
 					d := newMembershipDay(seed, size)
-					node := d.alive()[0]
+					node := d.liveVoters()[0]
 					switch change {
-					case repaired:
+					case changeRepaired:
 						node.loseDisk()
 						d.world.Run(d.world.now + 1_000_000)
 						node.restart()
-					case replaced:
+					case changeReplaced:
 						node.LosePower()
 						node.removed = true
 						d.world.Run(d.world.now + 1_000_000)
 						node = d.newNode()
 						node.Start()
-					case planned:
+					case changePlanned:
 						node = d.newNode()
 						node.Start()
-					case restarted:
+					case changeRestarted:
 						d.stop(node, func() {})
 						d.world.Run(d.world.now + 1_000_000)
 						d.restart(node)
 					}
-					took, ok := d.until(size.sync, func() bool { return d.caughtUp(node) })
+					took, ok := d.until(size.recoveryUS, func() bool { return d.caughtUp(node) })
 					if len(d.world.violations) > 0 {
 						t.Fatalf("seed %d, %s: %v", seed, change, d.world.violations)
 					}
@@ -310,7 +310,7 @@
 				}
 			}
 			t.Logf("holds everything after, at worst: disk lost %.2f s, replaced %.2f s, added %.2f s, restarted %.2f s; bound %.0f s",
-				float64(worst[0])/1e6, float64(worst[1])/1e6, float64(worst[2])/1e6, float64(worst[3])/1e6, float64(size.sync)/1e6)
+				float64(worst[0])/1e6, float64(worst[1])/1e6, float64(worst[2])/1e6, float64(worst[3])/1e6, float64(size.recoveryUS)/1e6)
 		})
 	}
 }
@@ -319,17 +319,17 @@
 // ends, so that the rest bears as many losses as before; one that goes without a word
 // loses it once it is missed.
 func TestSeatOfTheLeaver(t *testing.T) {
-	for _, size := range coreSizes {
+	for _, size := range clusterSizes {
 		for _, polite := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%d/polite %v", size.machines, polite), func(t *testing.T) {
 				t.Parallel()
 				var worst int64
 				for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 					d := newMembershipDay(seed, size)
-					node := d.alive()[0]
+					node := d.liveVoters()[0]
 					newNode := d.newNode()
 					newNode.Start()
-					d.world.Run(d.world.now + size.sync)
+					d.world.Run(d.world.now + size.recoveryUS)
 					bound, dropped := int64(2_000_000), true
 					if polite {
 						bound = 500_000
--- a/sim/move_test.go
+++ b/sim/move_test.go
@@ -13,11 +13,11 @@
 // use at gateways, and what is read and told anew. VT_SEEDS runs more seeds.
 func TestMoveCost(t *testing.T) {
 	t.Parallel()
-	n := seeds()
+	runs := seeds()
 	for _, polite := range []bool{false, true} {
-		var orphan, out, settled []int64
+		var withoutHolderUS, outOfUseUS, recoveredUS []int64
 		moved, resyncs, failed, sent := 0, uint64(0), 0, 0
-		for seed := int64(1); seed <= max(n, 2); seed++ {
+		for seed := int64(1); seed <= max(runs, 2); seed++ {
 			fleet := NewFleet(seed, FleetSize{Gateways: 9, Engines: 18})
 			operator := NewFleetOperator(fleet)
 			world := fleet.World
@@ -27,11 +27,11 @@
 			indexNode := fleet.busiestIndexNode("duty/engine/")
 			moved += len(indexNode.node.HeldRoles(indexNode.Clock()))
 			was := uint64(0)
-			for _, x := range fleet.IndexNodes {
-				was += x.node.Counters.Resyncs
+			for _, other := range fleet.IndexNodes {
+				was += other.node.Counters.Resyncs
 			}
-			lone, last := map[string]int64{}, int64(0) // role -> how long nobody held it
-			idle := int64(0)                           // engine-microseconds out of use, over gateways
+			withoutHolder, last := map[string]int64{}, int64(0) // role -> how long nobody held it
+			idle := int64(0)                                    // engine-microseconds out of use, over gateways
 			const step = 10_000
 			if polite {
 				indexNode.leaving = true
@@ -42,23 +42,23 @@
 			for world.now < 16_000_000 && len(world.violations) == 0 {
 				world.Run(world.now + step)
 				held := map[string]bool{}
-				for _, x := range fleet.IndexNodes {
-					if x.up {
-						for _, d := range x.node.HeldRoles(x.Clock()) {
-							held[d] = true
+				for _, other := range fleet.IndexNodes {
+					if other.up {
+						for _, role := range other.node.HeldRoles(other.Clock()) {
+							held[role] = true
 						}
 					}
 				}
 				all := true
 				for _, engine := range fleet.Engines {
-					if d := index.EngineRole(engine.Name); !held[d] {
-						lone[d] += step
+					if role := index.EngineRole(engine.Name); !held[role] {
+						withoutHolder[role] += step
 						all = false
 					}
 				}
 				for i := 0; i < index.Shards; i++ {
-					if d := index.ShardRole(i); !held[d] {
-						lone[d] += step
+					if role := index.ShardRole(i); !held[role] {
+						withoutHolder[role] += step
 						all = false
 					}
 				}
@@ -76,17 +76,17 @@
 			if len(world.violations) > 0 {
 				t.Fatalf("seed %d: %v", seed, world.violations)
 			}
-			for _, durationUS := range lone {
-				orphan = append(orphan, durationUS)
+			for _, durationUS := range withoutHolder {
+				withoutHolderUS = append(withoutHolderUS, durationUS)
 			}
-			if len(lone) == 0 {
-				orphan = append(orphan, 0)
+			if len(withoutHolder) == 0 {
+				withoutHolderUS = append(withoutHolderUS, 0)
 			}
-			settled = append(settled, last)
-			out = append(out, idle/9)
-			for _, x := range fleet.IndexNodes {
-				if x != indexNode {
-					resyncs += x.node.Counters.Resyncs
+			recoveredUS = append(recoveredUS, last)
+			outOfUseUS = append(outOfUseUS, idle/9)
+			for _, other := range fleet.IndexNodes {
+				if other != indexNode {
+					resyncs += other.node.Counters.Resyncs
 				}
 			}
 			resyncs -= min(resyncs, was-indexNode.node.Counters.Resyncs)
@@ -96,12 +96,12 @@
 				t.Errorf("seed %d: a duty had no owner after %d us", seed, last)
 			}
 		}
-		slices.Sort(orphan)
-		slices.Sort(out)
-		slices.Sort(settled)
-		mid := func(x []int64) float64 { return float64(x[len(x)/2]) / 1e6 }
-		top := func(x []int64) float64 { return float64(x[len(x)-1]) / 1e6 }
+		slices.Sort(withoutHolderUS)
+		slices.Sort(outOfUseUS)
+		slices.Sort(recoveredUS)
+		mid := func(other []int64) float64 { return float64(other[len(other)/2]) / 1e6 }
+		top := func(other []int64) float64 { return float64(other[len(other)-1]) / 1e6 }
 		t.Logf("| polite %v | %d duties moved | without an owner, each: %.2f s, %.2f s at worst | all have one after %.2f s, %.2f s | engines out of use: %.1f, %.1f engine-seconds at a proxy | %d keeps read whole | %d of %d tickets refused |",
-			polite, moved, mid(orphan), top(orphan), mid(settled), top(settled), mid(out), top(out), resyncs, failed, sent)
+			polite, moved, mid(withoutHolderUS), top(withoutHolderUS), mid(recoveredUS), top(recoveredUS), mid(outOfUseUS), top(outOfUseUS), resyncs, failed, sent)
 	}
 }
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -28,7 +28,7 @@
 	cluster.generationUS = 60_000_000
 	cluster.logConfig.SegmentBytes = 2 << 20
 	cluster.Start()
-	d := &snapshotDay{membershipDay: &membershipDay{Cluster: cluster, size: coreSizes[1], h: NewHistory(world, planKey)}, every: 10_000}
+	d := &snapshotDay{membershipDay: &membershipDay{Cluster: cluster, size: clusterSizes[1], history: NewHistory(world, planKey)}, every: 10_000}
 	cluster.dropsMessage = func(message quorum.Message) bool {
 		size := 0
 		for _, entry := range message.Entries {
@@ -60,7 +60,7 @@
 		client.After(d.every, next)
 	}
 	client.After(1, next)
-	NewRegisterClient(cluster, "operator", d.h, 60).Start()
+	NewRegisterClient(cluster, "operator", d.history, 60).Start()
 	return d
 }
 
@@ -111,8 +111,8 @@
 
 // slotOwner is the machine that owns the slot, or nil.
 func (d *snapshotDay) slotOwner() *ControlNode {
-	for _, node := range d.alive() {
-		if owns(node) == 1 {
+	for _, node := range d.liveVoters() {
+		if slotsLed(node) == 1 {
 			return node
 		}
 	}
@@ -130,7 +130,7 @@
 			largest := 0
 			for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 				d := newSnapshotDay(t, seed, 100)
-				node := d.alive()[0]
+				node := d.liveVoters()[0]
 				if how == "behind" { // and a line behind, since it owned the slot
 					d.until(2_000_000, func() bool { node = d.slotOwner(); return node != nil })
 				}
@@ -140,7 +140,7 @@
 				}
 				d.world.Run(d.world.now + 6_000_000)
 				node.Start()
-				bound := d.size.sync
+				bound := d.size.recoveryUS
 				switch how {
 				case "ends midway":
 					d.until(1_000_000, func() bool { return node.node != nil })
