--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// coreChange is a repair or a piece of planned work on the core.
+// membershipChange is a repair or a piece of planned work on the control machines.
 type membershipChange string
 
 const (
@@ -21,7 +21,7 @@
 
 var membershipChanges = []membershipChange{changeRepaired, changeReplaced, changePlanned, changeHurried, changeRestarted, changeMixed}
 
-// coreLoss is what happens to as many machines as the core tolerates, once the change counts
+// machineLoss is what happens to as many machines as the cluster tolerates, once the change counts
 // as over.
 type machineLoss string
 
@@ -32,7 +32,7 @@
 
 var machineLosses = []machineLoss{lossOfPowerForGood, lossOfDisks}
 
-// coreSize is a core with what it is said to tolerate.
+// clusterSize is a number of control machines with what it is said to tolerate.
 type clusterSize struct {
 	machines, tolerated int
 	recoveryUS          int64 // after its return a machine counts as lost for so long
@@ -40,7 +40,7 @@
 
 var clusterSizes = []clusterSize{{3, 1, 4_000_000}, {4, 1, 4_000_000}, {5, 2, 6_000_000}, {8, 2, 6_000_000}}
 
-// membershipDay is a core on which changes and losses are brought about.
+// membershipDay is a cluster on which changes and losses are brought about.
 type membershipDay struct {
 	*Cluster
 	size    clusterSize
@@ -67,7 +67,7 @@
 	return d
 }
 
-// alive lists the machines that are up and vote, drawn in any order.
+// liveVoters lists the machines that are up and vote, drawn in any order.
 func (d *membershipDay) liveVoters() []*ControlNode {
 	_, members := d.currentVoters()
 	members = slices.DeleteFunc(members, func(node *ControlNode) bool { return !node.up || node.removed })
@@ -92,7 +92,7 @@
 	node.After(100_000, wait)
 }
 
-// bring does a change and returns when it counts as over, and the machines come or gone.
+// change does a change and returns when it counts as over, and the machines come or gone.
 func (d *membershipDay) change(kind membershipChange) int64 {
 	world := d.world
 	members := d.liveVoters()
@@ -140,7 +140,7 @@
 	node.restart()
 }
 
-// strike loses as many machines as are tolerated, the plan's owner among them every
+// loseMachines loses as many machines as are tolerated, the plan's owner among them every
 // other time, and returns how long after it a change was acknowledged; 0 is never.
 func (d *membershipDay) loseMachines(loss machineLoss) int64 {
 	world := d.world
