--- a/internal/app/indexnode/node.go
+++ b/internal/app/indexnode/node.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
 	"fmt"
 	"net"
 	"sync"
@@ -11,6 +9,7 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/index"
+	"violetthread/internal/app/process"
 	"violetthread/internal/app/session"
 	"violetthread/internal/clock"
 	"violetthread/internal/codec"
@@ -66,23 +65,23 @@
 
 // Run runs an index node until it is told to stop.
 func Run(settings Settings) error {
-	process, err := NewDaemon(settings)
+	d, err := NewDaemon(settings)
 	if err != nil {
 		return err
 	}
-	return process.Run()
+	return d.Run()
 }
 
-// New makes an index node as a process, ready to Run. Its loops run from here on.
+// NewDaemon makes an index node as a process, ready to Run. Its loops run from here on.
 func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	if settings.TransportAddr == "" || len(settings.Seeds) == 0 {
 		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the control nodes' addresses")
 	}
-	process := daemon.New("violetthread-index", settings.Name, settings.HTTPAddr, settings.DrainUS)
-	if err := process.ProfileCPU(settings.CPUProfile); err != nil {
+	d := daemon.New("violetthread-index", settings.Name, settings.HTTPAddr, settings.DrainUS)
+	if err := d.ProfileCPU(settings.CPUProfile); err != nil {
 		return nil, err
 	}
-	n, err := newIndexNode(settings, process)
+	n, err := newIndexNode(settings, d)
 	if err != nil {
 		return nil, err
 	}
@@ -90,70 +89,41 @@
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", settings.TransportAddr)
 	}
-	transport.Serve(process.Group, listener, n.handleFrame)
+	transport.Serve(d.Group, listener, n.handleFrame)
 	n.session.Run()
 	n.startLoops()
 	n.registerMetrics()
-	process.OnDrain(n.releaseLeases)
-	process.SetReady("")
-	return process, nil
+	d.OnDrain(n.releaseLeases)
+	d.SetReady("")
+	return d, nil
 }
 
 // newIndexNode makes an index node without its loops.
-func newIndexNode(settings Settings, process *daemon.Daemon) (*indexNode, error) {
-	incarnation, err := drawIncarnation()
+func newIndexNode(settings Settings, d *daemon.Daemon) (*indexNode, error) {
+	incarnation, err := process.NewIncarnation()
+	if err != nil {
+		return nil, err
+	}
+	header := recording.Header{Component: recording.ComponentIndexNode, Name: settings.Name, Zone: settings.Zone, Incarnation: incarnation}
+	writer, err := process.StartRecording(d, settings.RecordingSettings, header)
 	if err != nil {
 		return nil, err
 	}
 	n := &indexNode{
 		settings:        settings,
-		daemon:          process,
-		peers:           transport.NewPeerPool(process.Group),
+		daemon:          d,
+		peers:           transport.NewPeerPool(d.Group),
 		incarnation:     incarnation,
 		leaseHolder:     fmt.Sprintf("%s#%x", settings.Name, incarnation),
 		http:            engineapi.NewClient(),
-		node:            &replay.IndexNode{Node: index.New(settings.Name, settings.Zone, incarnation)},
+		node:            &replay.IndexNode{Node: index.New(settings.Name, settings.Zone, incarnation), Writer: writer},
 		running:         map[string]bool{},
 		prefetchCursors: map[string]index.Cursor{},
 	}
-	if settings.Recording != "" {
-		if err := n.startRecording(); err != nil {
-			return nil, err
-		}
-	}
-	n.session = session.New(process.Group, n.peers, settings.Seeds, n.self)
+	n.session = session.New(d.Group, n.peers, settings.Seeds, n.self)
 	return n, nil
 }
 
-// drawIncarnation draws the number of a process.
-func drawIncarnation() (uint64, error) {
-	var b [8]byte
-	if _, err := rand.Read(b[:]); err != nil {
-		return 0, err
-	}
-	return binary.LittleEndian.Uint64(b[:])>>24 | 1, nil
-}
-
-// startRecording records what the node takes in and decides, for replay.
-func (n *indexNode) startRecording() error {
-	header := recording.Header{
-		Component:   recording.ComponentIndexNode,
-		Name:        n.settings.Name,
-		Zone:        n.settings.Zone,
-		Incarnation: n.incarnation,
-	}
-	writer, err := recording.Create(n.settings.Recording, header, n.settings.RecordingBytes)
-	if err != nil {
-		return err
-	}
-	writer.OnFull = func() {
-		n.daemon.Log.Info("recording_full", "file", n.settings.Recording, "bytes", n.settings.RecordingBytes)
-	}
-	n.node.Writer = writer
-	n.daemon.OnStop(func() { _ = writer.Close() })
-	return nil
-}
-
 func (n *indexNode) startLoops() {
 	every := func(name string, intervalUS int64, run func(context.Context)) {
 		n.daemon.Group.Go(name, func(ctx context.Context) { taskgroup.Every(ctx, clock.Duration(intervalUS), run) })
