--- a/scripts/knownred/main.go
+++ b/scripts/knownred/main.go
@@ -22,7 +22,7 @@
 		fmt.Fprintln(os.Stderr, "known-red:", err)
 		os.Exit(2)
 	}
-	known, err := parse(string(list))
+	known, err := parseList(string(list))
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "known-red: %v\n", err)
 		os.Exit(2)
@@ -34,46 +34,46 @@
 			os.Exit(2)
 		}
 	}
-	if !r.close() {
+	if !r.finish() {
 		os.Exit(1)
 	}
 }
 
 // groups splits arguments at "--".
-func groups(args []string) (out [][]string) {
+func groups(args []string) (groups [][]string) {
 	for {
 		i := slices.Index(args, "--")
 		if i < 0 {
-			return append(out, args)
+			return append(groups, args)
 		}
-		out, args = append(out, args[:i]), args[i+1:]
+		groups, args = append(groups, args[:i]), args[i+1:]
 	}
 }
 
-// red is a line of the list.
-type red struct{ test, cause, issue string }
+// knownFailure is a line of the list.
+type knownFailure struct{ test, cause, issue string }
 
-// parse reads a list: "package.Test | cause | issue" lines and comments.
-func parse(text string) (out []red, err error) {
-	for i, l := range strings.Split(text, "\n") {
-		l = strings.TrimSpace(l)
-		if l == "" || l[0] == '#' {
+// parseList reads a list: "package.Test | cause | issue" lines and comments.
+func parseList(text string) (list []knownFailure, err error) {
+	for i, line := range strings.Split(text, "\n") {
+		line = strings.TrimSpace(line)
+		if line == "" || line[0] == '#' {
 			continue
 		}
-		f := strings.Split(l, "|")
-		for j := range f {
-			f[j] = strings.TrimSpace(f[j])
+		fields := strings.Split(line, "|")
+		for j := range fields {
+			fields[j] = strings.TrimSpace(fields[j])
 		}
-		pkg, test, ok := strings.Cut(f[0], ".")
-		if len(f) != 3 || !ok || pkg == "" || test == "" || f[1] == "" || f[2] == "" {
+		pkg, test, ok := strings.Cut(fields[0], ".")
+		if len(fields) != 3 || !ok || pkg == "" || test == "" || fields[1] == "" || fields[2] == "" {
 			return nil, fmt.Errorf("%s:%d: write package.Test | cause | issue", listName, i+1)
 		}
-		if slices.ContainsFunc(out, func(r red) bool { return r.test == f[0] }) {
-			return nil, fmt.Errorf("%s:%d: %s is listed twice", listName, i+1, f[0])
+		if slices.ContainsFunc(list, func(r knownFailure) bool { return r.test == fields[0] }) {
+			return nil, fmt.Errorf("%s:%d: %s is listed twice", listName, i+1, fields[0])
 		}
-		out = append(out, red{f[0], f[1], f[2]})
+		list = append(list, knownFailure{fields[0], fields[1], fields[2]})
 	}
-	return out, nil
+	return list, nil
 }
 
 // event is one line of go test -json.
@@ -81,209 +81,222 @@
 	Action, Package, Test, Output, ImportPath, FailedBuild string
 }
 
-// pack is what is known of one package's tests while they run.
-type pack struct {
-	lines  []string            // of the package itself
-	output map[string][]string // of a test that has not passed
-	state  map[string]string   // of each test: run, pass, fail or skip
-	order  []string
-	wild   bool // it ended otherwise than by failing tests
+// packageRun is what is known of one package's tests while they run.
+type packageRun struct {
+	lines    []string            // of the package itself
+	output   map[string][]string // of a test that has not passed
+	state    map[string]string   // of each test: run, pass, fail or skip
+	order    []string
+	brokeOff bool // it ended otherwise than by failing tests
 }
 
 type run struct {
-	out    io.Writer
-	known  []red
-	packs  map[string]*pack
-	state  map[string]string // of every test, by package.Test
-	wrong  []string          // why the run as a whole fails
-	module string
+	out      io.Writer
+	known    []knownFailure
+	running  map[string]*packageRun
+	state    map[string]string // of every test, by package.Test
+	failures []string          // why the run as a whole fails
+	module   string
 }
 
-func newRun(known []red, out io.Writer) *run {
-	return &run{out: out, known: known, packs: map[string]*pack{}, state: map[string]string{}, module: "violetthread/"}
+func newRun(known []knownFailure, out io.Writer) *run {
+	return &run{out: out, known: known, running: map[string]*packageRun{}, state: map[string]string{}, module: "violetthread/"}
 }
 
 // test runs go test once.
 func (r *run) test(args []string) error {
-	c := exec.Command("go", append([]string{"test", "-json"}, args...)...)
-	c.Stderr = os.Stderr
-	p, err := c.StdoutPipe()
+	command := exec.Command("go", append([]string{"test", "-json"}, args...)...)
+	command.Stderr = os.Stderr
+	stdout, err := command.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	if err := c.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		return err
 	}
-	fails, err := r.read(p)
+	fails, err := r.readEvents(stdout)
 	if err != nil {
-		_ = c.Wait()
+		_ = command.Wait()
 		return err
 	}
-	if err := c.Wait(); err != nil && fails == 0 {
-		r.wrong = append(r.wrong, "go test "+strings.Join(args, " ")+": "+err.Error())
+	if err := command.Wait(); err != nil && fails == 0 {
+		r.failures = append(r.failures, "go test "+strings.Join(args, " ")+": "+err.Error())
 	}
 	return nil
 }
 
-// read takes the events of one go test in and counts the packages that failed.
-func (r *run) read(in io.Reader) (fails int, err error) {
-	d := json.NewDecoder(in)
+// readEvents handles the events of one go test and counts the packages that failed.
+func (r *run) readEvents(in io.Reader) (fails int, err error) {
+	decoder := json.NewDecoder(in)
 	for {
-		var e event
-		if err := d.Decode(&e); err == io.EOF {
+		var event event
+		if err := decoder.Decode(&event); err == io.EOF {
 			break
 		} else if err != nil {
 			return fails, fmt.Errorf("go test -json can't be read: %v", err)
 		}
-		if e.Action == "fail" && e.Test == "" && e.Package != "" {
+		if event.Action == "fail" && event.Test == "" && event.Package != "" {
 			fails++
 		}
-		r.take(e)
+		r.handle(event)
 	}
-	for n := range r.packs {
-		r.wrong = append(r.wrong, n+": has no end")
+	for n := range r.running {
+		r.failures = append(r.failures, n+": has no end")
 	}
-	clear(r.packs)
+	clear(r.running)
 	return fails, nil
 }
 
-func (r *run) take(e event) {
-	if e.Package == "" { // of the compiler
-		fmt.Fprint(r.out, e.Output)
+func (r *run) handle(event event) {
+	if event.Package == "" { // of the compiler
+		fmt.Fprint(r.out, event.Output)
 		return
 	}
-	p := r.packs[e.Package]
-	if p == nil {
-		p = &pack{output: map[string][]string{}, state: map[string]string{}}
-		r.packs[e.Package] = p
+	pkg := r.running[event.Package]
+	if pkg == nil {
+		pkg = &packageRun{output: map[string][]string{}, state: map[string]string{}}
+		r.running[event.Package] = pkg
 	}
 	switch {
-	case e.Action == "output":
-		p.wild = p.wild || wild(e.Output, e.Test)
-		if e.Test == "" {
-			p.lines = append(p.lines, e.Output)
-		} else if !strings.HasPrefix(e.Output, "=== ") {
-			p.output[e.Test] = append(p.output[e.Test], e.Output)
+	case event.Action == "output":
+		pkg.brokeOff = pkg.brokeOff || endsProcess(event.Output, event.Test)
+		if event.Test == "" {
+			pkg.lines = append(pkg.lines, event.Output)
+		} else if !strings.HasPrefix(event.Output, "=== ") {
+			pkg.output[event.Test] = append(pkg.output[event.Test], event.Output)
 		}
-	case e.Test != "":
-		if _, is := p.state[e.Test]; !is {
-			p.order = append(p.order, e.Test)
+	case event.Test != "":
+		if _, is := pkg.state[event.Test]; !is {
+			pkg.order = append(pkg.order, event.Test)
 		}
-		switch e.Action {
+		switch event.Action {
 		case "run", "fail", "skip":
-			p.state[e.Test] = e.Action
+			pkg.state[event.Test] = event.Action
 		case "pass":
-			p.state[e.Test] = e.Action
-			delete(p.output, e.Test)
+			pkg.state[event.Test] = event.Action
+			delete(pkg.output, event.Test)
 		}
-	case e.Action == "pass" || e.Action == "fail" || e.Action == "skip":
-		r.end(e, p)
-		delete(r.packs, e.Package)
+	case event.Action == "pass" || event.Action == "fail" || event.Action == "skip":
+		r.finishPackage(event, pkg)
+		delete(r.running, event.Package)
 	}
 }
 
-// wild tells by a line that a package's process ended in another way than by failing
+// endsProcess tells by a line that a package's process ended in another way than by failing
 // tests, so that some tests may not have run at all.
-func wild(line, test string) bool {
-	l := strings.TrimSpace(line)
-	return strings.HasPrefix(l, "panic: ") || strings.HasPrefix(l, "fatal error: ") || strings.HasPrefix(l, "signal: ") ||
-		test == "" && strings.HasPrefix(l, "exit status ") && l != "exit status 1"
+func endsProcess(line, test string) bool {
+	trimmed := strings.TrimSpace(line)
+	return strings.HasPrefix(trimmed, "panic: ") || strings.HasPrefix(trimmed, "fatal error: ") || strings.HasPrefix(trimmed, "signal: ") ||
+		test == "" && strings.HasPrefix(trimmed, "exit status ") && trimmed != "exit status 1"
 }
 
-// end judges a package and prints what go test would, or which of its tests are
+// finishPackage judges a package and prints what go test would, or which of its tests are
 // passed over.
-func (r *run) end(e event, p *pack) {
+func (r *run) finishPackage(e event, pkg *packageRun) {
 	name := strings.TrimPrefix(e.Package, r.module)
-	var bad, over []string
-	failed := 0
-	for _, t := range p.order {
-		s := p.state[t]
-		r.state[name+"."+t] = s
-		switch {
-		case s == "run":
-			bad = append(bad, name+"."+t+" did not end")
-		case s != "fail":
-		case r.listed(name + "." + t):
-			failed++
-			over = append(over, t)
-		case r.excused(name, t, p):
-			failed++
-		default:
-			failed++
-			bad = append(bad, name+"."+t)
-		}
-	}
-	if p.wild {
-		bad = append(bad, name+": its process broke off")
+	failures, passedOver, failed := r.judgeTests(name, pkg)
+	if pkg.brokeOff {
+		failures = append(failures, name+": its process broke off")
 	}
 	if e.Action == "fail" && failed == 0 {
-		why := "failed, though none of its tests did"
+		cause := "failed, though none of its tests did"
 		if e.FailedBuild != "" {
-			why = "does not build"
+			cause = "does not build"
 		}
-		bad = append(bad, name+": "+why)
+		failures = append(failures, name+": "+cause)
 	}
-	r.wrong = append(r.wrong, bad...)
-	for _, t := range p.order {
-		if p.state[t] != "pass" && p.state[t] != "skip" {
-			fmt.Fprint(r.out, strings.Join(p.output[t], ""))
+	r.failures = append(r.failures, failures...)
+	for _, test := range pkg.order {
+		if pkg.state[test] != "pass" && pkg.state[test] != "skip" {
+			fmt.Fprint(r.out, strings.Join(pkg.output[test], ""))
 		}
 	}
-	for _, l := range p.lines {
-		if t := strings.TrimSpace(l); t == "PASS" || len(bad) == 0 && e.Action == "fail" && (t == "FAIL" || t == "exit status 1") {
+	excused := len(failures) == 0
+	for _, line := range pkg.lines {
+		r.printPackageLine(line, excused, excused && e.Action == "fail", passedOver)
+	}
+}
+
+// judgeTests returns the tests that count as failures, the listed ones that failed, and how
+// many failed in all.
+func (r *run) judgeTests(name string, pkg *packageRun) (failures, passedOver []string, failed int) {
+	for _, test := range pkg.order {
+		state := pkg.state[test]
+		r.state[name+"."+test] = state
+		if state == "run" {
+			failures = append(failures, name+"."+test+" did not end")
+		}
+		if state != "fail" {
 			continue
 		}
-		if rest, ok := strings.CutPrefix(l, "FAIL\t"); ok && len(bad) == 0 {
-			l = "known-red\t" + strings.TrimRight(rest, "\n") + "\t" + strings.Join(over, " ") + "\n"
+		failed++
+		switch {
+		case r.listed(name + "." + test):
+			passedOver = append(passedOver, test)
+		case !r.excused(name, test, pkg):
+			failures = append(failures, name+"."+test)
 		}
-		fmt.Fprint(r.out, l)
 	}
+	return failures, passedOver, failed
+}
+
+// printPackageLine prints a line of the package itself. A package that failed by listed
+// tests alone is known-red in place of FAIL.
+func (r *run) printPackageLine(line string, excused, hideFailure bool, passedOver []string) {
+	text := strings.TrimSpace(line)
+	if text == "PASS" || hideFailure && (text == "FAIL" || text == "exit status 1") {
+		return
+	}
+	if rest, ok := strings.CutPrefix(line, "FAIL\t"); ok && excused {
+		line = "known-red\t" + strings.TrimRight(rest, "\n") + "\t" + strings.Join(passedOver, " ") + "\n"
+	}
+	fmt.Fprint(r.out, line)
 }
 
 func (r *run) listed(test string) bool {
-	return slices.ContainsFunc(r.known, func(k red) bool { return k.test == test })
+	return slices.ContainsFunc(r.known, func(k knownFailure) bool { return k.test == test })
 }
 
 // excused reports whether a test failed only because listed ones below it did. One
 // that wrote anything itself may have failed by itself.
-func (r *run) excused(pkg, test string, p *pack) bool {
-	below := false
-	for t, s := range p.state {
-		if s == "fail" && strings.HasPrefix(t, test+"/") {
-			if r.listed(pkg + "." + t) {
-				below = true
-			} else if !slices.ContainsFunc(r.known, func(k red) bool { return strings.HasPrefix(k.test, pkg+"."+t+"/") }) {
+func (r *run) excused(name, test string, pkg *packageRun) bool {
+	listedBelow := false
+	for below, s := range pkg.state {
+		if s == "fail" && strings.HasPrefix(below, test+"/") {
+			if r.listed(name + "." + below) {
+				listedBelow = true
+			} else if !slices.ContainsFunc(r.known, func(k knownFailure) bool { return strings.HasPrefix(k.test, name+"."+below+"/") }) {
 				return false
 			}
 		}
 	}
-	own := slices.ContainsFunc(p.output[test], func(l string) bool {
+	own := slices.ContainsFunc(pkg.output[test], func(l string) bool {
 		return !strings.HasPrefix(strings.TrimSpace(l), "--- FAIL: "+test+" ")
 	})
-	return below && !own
+	return listedBelow && !own
 }
 
-// close compares the list with what ran, says what was passed over and whether all
+// finish compares the list with what ran, says what was passed over and whether all
 // is well.
-func (r *run) close() bool {
-	var over bytes.Buffer
-	for _, k := range r.known {
-		switch r.state[k.test] {
+func (r *run) finish() bool {
+	var passedOver bytes.Buffer
+	for _, known := range r.known {
+		switch r.state[known.test] {
 		case "fail":
-			fmt.Fprintf(&over, "  %s: %s (issue %s)\n", k.test, k.cause, strings.TrimPrefix(k.issue, "#"))
+			fmt.Fprintf(&passedOver, "  %s: %s (issue %s)\n", known.test, known.cause, strings.TrimPrefix(known.issue, "#"))
 		case "pass":
-			r.wrong = append(r.wrong, k.test+" passes: take it off "+listName)
+			r.failures = append(r.failures, known.test+" passes: take it off "+listName)
 		case "skip":
-			r.wrong = append(r.wrong, k.test+" is skipped, though "+listName+" says that it fails")
+			r.failures = append(r.failures, known.test+" is skipped, though "+listName+" says that it fails")
 		case "":
-			r.wrong = append(r.wrong, k.test+" is on "+listName+" and is not there")
+			r.failures = append(r.failures, known.test+" is on "+listName+" and is not there")
 		}
 	}
-	if over.Len() > 0 {
-		fmt.Fprintf(r.out, "known red, passed over (%s):\n%s", listName, over.String())
+	if passedOver.Len() > 0 {
+		fmt.Fprintf(r.out, "known red, passed over (%s):\n%s", listName, passedOver.String())
 	}
-	if len(r.wrong) > 0 {
-		fmt.Fprintf(r.out, "FAIL: %s\n", strings.Join(r.wrong, "\nFAIL: "))
+	if len(r.failures) > 0 {
+		fmt.Fprintf(r.out, "FAIL: %s\n", strings.Join(r.failures, "\nFAIL: "))
 	}
-	return len(r.wrong) == 0
+	return len(r.failures) == 0
 }
--- a/scripts/knownred/main_test.go
+++ b/scripts/knownred/main_test.go
@@ -73,16 +73,16 @@
 		"a package without one":   {"", []string{"run TestA"}, false, []string{"has no end"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			known, err := parse(c.list)
+			known, err := parseList(c.list)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var out bytes.Buffer
 			r := newRun(known, &out)
-			if _, err := r.read(bytes.NewReader(said(t, c.events...))); err != nil {
+			if _, err := r.readEvents(bytes.NewReader(said(t, c.events...))); err != nil {
 				t.Fatal(err)
 			}
-			if ok := r.close(); ok != c.ok {
+			if ok := r.finish(); ok != c.ok {
 				t.Errorf("ok is %v", ok)
 			}
 			for _, s := range c.has {
@@ -103,12 +103,12 @@
 }
 
 func TestParse(t *testing.T) {
-	got, err := parse("# about\n\n internal/rig.TestX/a.b | late, or lost | #12 \n")
-	if want := []red{{"internal/rig.TestX/a.b", "late, or lost", "#12"}}; err != nil || !reflect.DeepEqual(got, want) {
+	got, err := parseList("# about\n\n internal/rig.TestX/a.b | late, or lost | #12 \n")
+	if want := []knownFailure{{"internal/rig.TestX/a.b", "late, or lost", "#12"}}; err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, %v", got, err)
 	}
 	for _, l := range []string{"TestX | c | 1", "p.TestX", "p.TestX | c", "p.TestX | | 1", "p.TestX | c | ", ".TestX | c | 1", "p. | c | 1", "p.TestX | c | 1 | d", "p.X | c | 1\np.X | d | 2"} {
-		if _, err := parse(l); err == nil {
+		if _, err := parseList(l); err == nil {
 			t.Errorf("%q is taken", l)
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 func TestUnreadable(t *testing.T) {
-	if _, err := newRun(nil, &bytes.Buffer{}).read(strings.NewReader("FAIL p [setup failed]\n")); err == nil {
+	if _, err := newRun(nil, &bytes.Buffer{}).readEvents(strings.NewReader("FAIL p [setup failed]\n")); err == nil {
 		t.Error("taken for an event")
 	}
 }
