--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -32,7 +32,7 @@
 	random       randomSource
 }
 
-// New makes a stand-in that serves once it is run.
+// NewDaemon makes a stand-in that serves once it is run.
 func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	e, err := newEngine(settings)
 	if err != nil {
--- a/plancheck/check.go
+++ b/plancheck/check.go
@@ -1,4 +1,4 @@
-// Package compliance checks a plan against the fleet as it is. It is pure; the
+// Package plancheck checks a plan against the fleet as it is. It is pure; the
 // program of that name gathers what it needs.
 package plancheck
 
