--- a/client/client_test.go
+++ b/client/client_test.go
@@ -1,38 +1,78 @@
 package client
 
 import (
+	"context"
+	"net/http"
+	"net/http/httptest"
 	"reflect"
+	"strings"
 	"testing"
 
 	"violetthread/internal/callerapi"
 )
 
-// TestSchemaIsWhatIsServed: the proxy's types and the schema's name the same fields.
-func TestSchemaIsWhatIsServed(t *testing.T) {
-	names := func(x any) map[string]reflect.Kind {
-		out, v := map[string]reflect.Kind{}, reflect.TypeOf(x)
-		for i := 0; i < v.NumField(); i++ {
-			k := v.Field(i).Type
-			if k.Kind() == reflect.Pointer {
-				k = k.Elem()
-			}
-			out[v.Field(i).Tag.Get("json")] = k.Kind()
+// fieldKinds are the kinds of a struct's fields by their names in JSON.
+func fieldKinds(value any) map[string]reflect.Kind {
+	kinds := map[string]reflect.Kind{}
+	structType := reflect.TypeOf(value)
+	for i := range structType.NumField() {
+		field := structType.Field(i)
+		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		fieldType := field.Type
+		if fieldType.Kind() == reflect.Pointer {
+			fieldType = fieldType.Elem()
 		}
-		norm := map[string]reflect.Kind{}
-		for n, k := range out {
-			for i, c := range n {
-				if c == ',' {
-					n = n[:i]
-					break
-				}
+		kinds[name] = fieldType.Kind()
+	}
+	return kinds
+}
+
+// TestSchemaIsWhatIsServed: the proxy's types and the schema's have the same fields.
+func TestSchemaIsWhatIsServed(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		schema, served any
+	}{
+		{"request", Ticket{}, callerapi.Request{}},
+		{"frame", Frame{}, callerapi.Frame{}},
+		{"generation", Era{}, callerapi.Generation{}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if schema, served := fieldKinds(c.schema), fieldKinds(c.served); !reflect.DeepEqual(schema, served) {
+				t.Errorf("the schema says %v, the proxy %v", schema, served)
 			}
-			norm[n] = k
-		}
-		return norm
+		})
 	}
-	for _, c := range [][2]any{{Ticket{}, callerapi.Request{}}, {Frame{}, callerapi.Frame{}}, {Era{}, callerapi.Generation{}}} {
-		if a, b := names(c[0]), names(c[1]); !reflect.DeepEqual(a, b) {
-			t.Errorf("%T: the schema says %v, the proxy %v", c[0], a, b)
+}
+
+// TestLast: the frames that end an answer are those of the proxy.
+func TestLast(t *testing.T) {
+	for _, name := range []string{
+		callerapi.FrameAccepted, callerapi.FramePiece, callerapi.FrameDone, callerapi.FrameRefused, callerapi.FrameUnknown, "",
+	} {
+		if last, served := (Frame{Frame: name}).Last(), (callerapi.Frame{Frame: name}).Last(); last != served {
+			t.Errorf("frame %q: last is %v here and %v at the proxy", name, last, served)
 		}
 	}
 }
+
+// TestWithKey: the key goes with every call.
+func TestWithKey(t *testing.T) {
+	var got string
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		got = r.Header.Get("Authorization")
+	}))
+	t.Cleanup(server.Close)
+	c, err := NewClient(server.URL, WithKey("secret"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := c.SendTicket(context.Background(), Ticket{Kind: "k", Prompt: "p"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = response.Body.Close()
+	if want := "Bearer secret"; got != want {
+		t.Errorf("sent %q, want %q", got, want)
+	}
+}
--- a/plancheck/check.go
+++ b/plancheck/check.go
@@ -1,23 +1,32 @@
-// Package compliance checks a plan against the fleet as it is. It is pure; the
-// program of that name gathers what it needs.
 package plancheck
 
 import (
+	"cmp"
 	"fmt"
-	"sort"
+	"slices"
 	"strings"
 
 	"violetthread/plan"
 )
 
-// Finding is one thing an operator should know before putting a plan in force.
+// Severity says how much a finding matters. The values are part of the output in JSON.
+type Severity string
+
+// The severities.
+const (
+	SeverityError   Severity = "error"   // the plan will not do what it says
+	SeverityWarning Severity = "warning" // look twice
+)
+
+// Finding is one thing that an operator should know before putting a plan in force.
 type Finding struct {
-	Severity string `json:"weight"` // error: it will not do what it says; warning: look twice
-	Path     string `json:"path"`
-	Text     string `json:"text"`
-	Remedy   string `json:"remedy"`
+	Severity Severity `json:"weight"`
+	Path     string   `json:"path"` // of the plan's field
+	Text     string   `json:"text"`
+	Remedy   string   `json:"remedy"`
 }
 
+// String is the finding in one line, as the command line prints it.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s: %s; %s", f.Severity, f.Path, f.Text, f.Remedy)
 }
@@ -25,219 +34,269 @@
 // Engine is an engine as its owner and the platform see it.
 type Engine struct {
 	Name, Zone, Weights string
-	Leaving, Owned      bool
-	Capacity            int
+	Leaving             bool
+	Owned               bool // by an index node
+	Capacity            int  // runs at a time
 }
 
 // Fleet is the fleet as it is.
 type Fleet struct {
-	Engines         []Engine
-	Proxies         []string // live ones
-	Voters          []string
-	Up              map[string]bool // voters that answer
+	Engines []Engine
+	Proxies []string // live ones
+	Voters  []string
+	Up      map[string]bool // voters that answer
+	// VotersRecovered: the last change of the voter set is finished.
 	VotersRecovered bool
-	// BackEnds tells for each entry's address whether something listens there.
+	// BackEnds says for each route's back end whether something listens there; those left
+	// out were not asked.
 	BackEnds map[string]bool
-	// Now is the plan in force, if any.
+	// Current is the plan in force, nil for none.
 	Current *plan.Plan
-	// Without names a voter that is about to be taken away.
+	// WithoutVoter names a voter that is about to be taken away, "" for none.
 	WithoutVoter string
 }
 
-// Check lists findings, errors first.
-func Check(p *plan.Plan, f Fleet) []Finding {
-	c := &checker{plan: p, fleet: f, limits: p.Limits.WithDefaults()}
+// Check lists findings, errors first, then by path.
+func Check(p *plan.Plan, fleet Fleet) []Finding {
+	c := &checker{plan: p, fleet: fleet, limits: p.Limits.WithDefaults()}
 	c.checkEngines()
+	c.checkCapacityPerEngine()
 	c.checkGroups()
+	c.checkRemovals()
 	c.checkKinds()
 	c.checkRoutes()
 	c.checkVoters()
-	sort.SliceStable(c.findings, func(i, j int) bool {
-		return c.findings[i].Severity < c.findings[j].Severity || c.findings[i].Severity == c.findings[j].Severity && c.findings[i].Path < c.findings[j].Path
+	slices.SortStableFunc(c.findings, func(a, b Finding) int {
+		return cmp.Or(cmp.Compare(a.Severity, b.Severity), cmp.Compare(a.Path, b.Path))
 	})
 	return c.findings
 }
 
+// checker gathers findings.
 type checker struct {
 	plan     *plan.Plan
 	fleet    Fleet
-	limits   plan.Limits
+	limits   plan.Limits // with defaults
 	findings []Finding
 }
 
-func (c *checker) add(w, path, remedy, text string, a ...any) {
-	c.findings = append(c.findings, Finding{w, path, fmt.Sprintf(text, a...), remedy})
+func (c *checker) fail(path, remedy, text string, args ...any) {
+	c.add(SeverityError, path, remedy, text, args)
 }
 
-// usable are the engines that may get new work.
-func (c *checker) usableEngines() (es []Engine) {
-	for _, e := range c.fleet.Engines {
-		if !e.Leaving && e.Owned {
-			es = append(es, e)
+func (c *checker) warn(path, remedy, text string, args ...any) {
+	c.add(SeverityWarning, path, remedy, text, args)
+}
+
+func (c *checker) add(severity Severity, path, remedy, text string, args []any) {
+	c.findings = append(c.findings, Finding{Severity: severity, Path: path, Text: fmt.Sprintf(text, args...), Remedy: remedy})
+}
+
+// usableEngines are the engines that may get new work.
+func (c *checker) usableEngines() (usable []Engine) {
+	for _, engine := range c.fleet.Engines {
+		if !engine.Leaving && engine.Owned {
+			usable = append(usable, engine)
 		}
 	}
-	return es
+	return usable
 }
 
-func (c *checker) capacity() (n int) {
-	for _, e := range c.usableEngines() {
-		n += min(e.Capacity, c.limits.CapacityPerEngine)
+// capacity is that of all usable engines together under the plan.
+func (c *checker) capacity() (capacity int) {
+	for _, engine := range c.usableEngines() {
+		capacity += min(engine.Capacity, c.limits.CapacityPerEngine)
 	}
-	return n
+	return capacity
 }
 
 func (c *checker) checkEngines() {
-	var away []string
-	runs := 0
-	for _, e := range c.fleet.Engines {
-		if e.Leaving || !e.Owned {
-			away = append(away, e.Name)
+	var unusable []string
+	onWeights := 0
+	for _, engine := range c.fleet.Engines {
+		if engine.Leaving || !engine.Owned {
+			unusable = append(unusable, engine.Name)
 		}
-		if e.Weights == c.plan.Weights {
-			runs++
+		if engine.Weights == c.plan.Weights {
+			onWeights++
 		}
 	}
-	us := c.usableEngines()
 	switch {
-	case len(us) == 0:
-		c.add("error", "engines", "start engines, or look why no custodian owns them", "no engine can take work: %d are listed, all leaving or without an owner", len(c.fleet.Engines))
-	case len(away) > 0:
-		c.add("warning", "engines", "count on the others only", "%s are leaving or have no owner", strings.Join(away, ", "))
-	}
-	if runs == 0 && len(c.fleet.Engines) > 0 {
-		c.add("warning", "weights", "make sure that every engine can load them; putting the plan in force starts turning all of them", "no engine runs %s now", c.plan.Weights)
-	}
-	if n := c.plan.Limits.CapacityPerEngine; n > 0 {
-		for _, e := range us {
-			if e.Capacity > 0 && e.Capacity < n {
-				c.add("warning", "limits.room_per_engine", "lower it, or mind that the engine's own bound holds", "%s has room for %d, not %d", e.Name, e.Capacity, n)
-				break
-			}
-		}
+	case len(unusable) == len(c.fleet.Engines):
+		c.fail("engines", "start engines, or look why no index node owns them",
+			"no engine can take work: %d are listed, all leaving or without an owner", len(c.fleet.Engines))
+	case len(unusable) > 0:
+		c.warn("engines", "count on the others only", "%s are leaving or have no owner", strings.Join(unusable, ", "))
 	}
-	if n := len(c.fleet.Proxies); n > 0 && len(us) > 0 {
-		if each := c.capacity() / len(us); each < n {
-			c.add("warning", "limits.room_per_engine", "raise it to the number of proxies, or expect proxies to take turns at engines", "an engine's room of %d is shared by %d proxies", each, n)
+	if onWeights == 0 && len(c.fleet.Engines) > 0 {
+		c.warn("weights", "make sure that every engine can load them; putting the plan in force starts turning all of them",
+			"no engine runs %s now", c.plan.Weights)
+	}
+}
+
+// checkCapacityPerEngine compares the plan's limit with the engines and the proxies.
+func (c *checker) checkCapacityPerEngine() {
+	const path = "limits.room_per_engine"
+	usable := c.usableEngines()
+	if limit := c.plan.Limits.CapacityPerEngine; limit > 0 {
+		below := func(engine Engine) bool { return engine.Capacity > 0 && engine.Capacity < limit }
+		if at := slices.IndexFunc(usable, below); at >= 0 {
+			c.warn(path, "lower it, or mind that the engine's own bound holds",
+				"%s has room for %d, not %d", usable[at].Name, usable[at].Capacity, limit)
 		}
 	}
+	proxies := len(c.fleet.Proxies)
+	if proxies == 0 || len(usable) == 0 {
+		return
+	}
+	if each := c.capacity() / len(usable); each < proxies {
+		c.warn(path, "raise it to the number of proxies, or expect proxies to take turns at engines",
+			"an engine's room of %d is shared by %d proxies", each, proxies)
+	}
 }
 
 func (c *checker) checkGroups() {
-	sum, room := 0.0, c.capacity()
-	for _, g := range c.plan.Groups {
-		sum += g.Share
+	shares, capacity := 0.0, c.capacity()
+	for _, group := range c.plan.Groups {
+		shares += group.Share
 	}
-	for n, g := range c.plan.Groups {
-		at := "groups[" + n + "]"
-		if len(g.Keys) == 0 {
-			c.add("warning", at+".keys", "give it a key, or drop the group", "nobody can call as this group")
+	for name, group := range c.plan.Groups {
+		path := "groups[" + name + "]"
+		if len(group.Keys) == 0 {
+			c.warn(path+".keys", "give it a key, or drop the group", "nobody can call as this group")
 		}
-		if room == 0 {
+		if capacity == 0 {
 			continue
 		}
-		if part := g.Share / sum * float64(room); part < 1 {
-			c.add("error", at+".share", "raise its share, or add engines", "when all groups are busy its share is %.2f of one place", part)
+		promised := group.Share / shares * float64(capacity)
+		if promised < 1 {
+			c.fail(path+".share", "raise its share, or add engines", "when all groups are busy its share is %.2f of one place", promised)
 		}
-		if g.CeilingPermille > 0 {
-			if most := float64(g.CeilingPermille) / 1000 * float64(room); most < g.Share/sum*float64(room) {
-				c.add("error", at+".ceiling", "raise the ceiling or lower the share", "the ceiling allows %.1f places and the share promises %.1f", most, g.Share/sum*float64(room))
-			}
+		allowed := float64(group.CeilingPermille) / 1000 * float64(capacity)
+		if group.CeilingPermille > 0 && allowed < promised {
+			c.fail(path+".ceiling", "raise the ceiling or lower the share",
+				"the ceiling allows %.1f places and the share promises %.1f", allowed, promised)
 		}
-		if c.fleet.Current != nil {
-			if o, ok := c.fleet.Current.Groups[n]; ok && o.Isolated && !g.Isolated {
-				c.add("warning", at+".wall", "make sure that this is meant", "a wall that stands now would fall: its prompts would be kept together with others' from then on")
-			}
+		if current, there := c.currentGroup(name); there && current.Isolated && !group.Isolated {
+			c.warn(path+".wall", "make sure that this is meant",
+				"a wall that stands now would fall: its prompts would be kept together with others' from then on")
 		}
 	}
+}
+
+// currentGroup is a group of the plan in force.
+func (c *checker) currentGroup(name string) (group plan.Group, there bool) {
+	if c.fleet.Current == nil {
+		return plan.Group{}, false
+	}
+	group, there = c.fleet.Current.Groups[name]
+	return group, there
+}
+
+// checkRemovals compares the groups and keys with those in force.
+func (c *checker) checkRemovals() {
 	if c.fleet.Current == nil {
 		return
 	}
-	for n, g := range c.fleet.Current.Groups {
-		x, ok := c.plan.Groups[n]
-		if !ok {
-			c.add("warning", "groups["+n+"]", "make sure that its callers are gone", "the group is in force now and would go, with %d keys", len(g.Keys))
+	for name, current := range c.fleet.Current.Groups {
+		group, there := c.plan.Groups[name]
+		if !there {
+			c.warn("groups["+name+"]", "make sure that its callers are gone",
+				"the group is in force now and would go, with %d keys", len(current.Keys))
 			continue
 		}
-		for _, k := range g.Keys {
-			if !contains(x.Keys, k) {
-				c.add("warning", "groups["+n+"].keys", "make sure that its callers have another", "a key that works now would be taken away: %.19s...", k)
+		for _, digest := range current.Keys {
+			if !containsFold(group.Keys, digest) {
+				c.warn("groups["+name+"].keys", "make sure that its callers have another",
+					"a key that works now would be taken away: %.19s...", digest)
 			}
 		}
 	}
 }
 
-func contains(xs []string, x string) bool {
-	for _, y := range xs {
-		if strings.EqualFold(x, y) {
-			return true
-		}
-	}
-	return false
+func containsFold(texts []string, text string) bool {
+	return slices.ContainsFunc(texts, func(other string) bool { return strings.EqualFold(text, other) })
 }
 
 func (c *checker) checkKinds() {
-	for n, k := range c.plan.Kinds {
-		at := "kinds[" + n + "]"
-		if k.TypicalUS > k.DueUS {
-			c.add("error", at+".due_us", "give it a later due", "a run typically takes %d us and is due after %d", k.TypicalUS, k.DueUS)
+	for name, kind := range c.plan.Kinds {
+		path := "kinds[" + name + "]"
+		if kind.TypicalUS > kind.DueUS {
+			c.fail(path+".due_us", "give it a later due", "a run typically takes %d us and is due after %d", kind.TypicalUS, kind.DueUS)
 		}
-		sent := false
-		for _, g := range c.plan.Groups {
-			sent = sent || len(g.Kinds) == 0 || contains(g.Kinds, n)
+		if !c.sendable(name) {
+			c.warn(path, "let a group send it, or drop it", "no group may send this kind")
 		}
-		if !sent {
-			c.add("warning", at, "let a group send it, or drop it", "no group may send this kind")
+		if c.fleet.Current == nil {
+			continue
 		}
-		if c.fleet.Current != nil {
-			if o, ok := c.fleet.Current.Kinds[n]; ok && o.Once && !k.Once {
-				c.add("warning", at+".once", "make sure that running twice does no harm", "tickets of this kind run at most once now and might run twice")
-			}
+		if current, there := c.fleet.Current.Kinds[name]; there && current.Once && !kind.Once {
+			c.warn(path+".once", "make sure that running twice does no harm",
+				"tickets of this kind run at most once now and might run twice")
+		}
+	}
+}
+
+// sendable reports whether a group may send a kind.
+func (c *checker) sendable(kind string) bool {
+	for _, group := range c.plan.Groups {
+		if len(group.Kinds) == 0 || containsFold(group.Kinds, kind) {
+			return true
 		}
 	}
+	return false
 }
 
 func (c *checker) checkRoutes() {
-	for i, e := range c.plan.Routes {
-		at := fmt.Sprintf("entries[%d]", i)
-		if up, asked := c.fleet.BackEnds[e.Backend]; asked && !up {
-			c.add("error", at+".to", "start the back end, or mend the address", "nothing listens at %s", e.Backend)
-		}
-		for j, o := range c.plan.Routes {
-			p, q := strings.TrimSuffix(o.Path, "/"), strings.TrimSuffix(e.Path, "/")
-			if j < i && p == q {
-				c.add("error", at+".path", "keep one of them", "matches nothing that entries[%d] does not match", j)
+	for i, route := range c.plan.Routes {
+		path := fmt.Sprintf("entries[%d]", i)
+		if up, asked := c.fleet.BackEnds[route.Backend]; asked && !up {
+			c.fail(path+".to", "start the back end, or mend the address", "nothing listens at %s", route.Backend)
+		}
+		for j, earlier := range c.plan.Routes[:i] {
+			if strings.TrimSuffix(earlier.Path, "/") == strings.TrimSuffix(route.Path, "/") {
+				c.fail(path+".path", "keep one of them", "matches nothing that entries[%d] does not match", j)
 			}
 		}
 	}
 }
 
+// checkVoters checks whether a majority of the voters is up, also without WithoutVoter.
 func (c *checker) checkVoters() {
+	const path = "roster"
+	leaving := c.fleet.WithoutVoter
 	up := 0
 	var down []string
-	for _, v := range c.fleet.Voters {
-		if c.fleet.Up[v] && v != c.fleet.WithoutVoter {
+	for _, voter := range c.fleet.Voters {
+		switch {
+		case voter == leaving:
+		case c.fleet.Up[voter]:
 			up++
-		} else if v != c.fleet.WithoutVoter {
-			down = append(down, v)
+		default:
+			down = append(down, voter)
 		}
 	}
-	need := len(c.fleet.Voters)/2 + 1
+	voters, majority := len(c.fleet.Voters), len(c.fleet.Voters)/2+1
 	switch {
-	case len(c.fleet.Voters) == 0:
-	case up < need && c.fleet.WithoutVoter != "":
-		c.add("error", "roster", "bring "+strings.Join(down, ", ")+" back first", "without %s only %d of %d voters are up and %d are needed: nothing could be changed", c.fleet.WithoutVoter, up, len(c.fleet.Voters), need)
-	case up < need:
-		c.add("error", "roster", "bring "+strings.Join(down, ", ")+" back", "only %d of %d voters are up, %d are needed", up, len(c.fleet.Voters), need)
-	case up == need:
-		if c.fleet.WithoutVoter != "" {
-			down = append(down, c.fleet.WithoutVoter)
-		}
-		c.add("warning", "roster", "bring back or replace "+strings.Join(down, ", ")+" soon", "one more voter down and nothing can be changed")
-	}
-	if c.fleet.WithoutVoter != "" && !contains(c.fleet.Voters, c.fleet.WithoutVoter) {
-		c.add("error", "roster", "name one of "+strings.Join(c.fleet.Voters, ", "), "no voter is named %s", c.fleet.WithoutVoter)
-	}
-	if c.fleet.WithoutVoter != "" && !c.fleet.VotersRecovered {
-		c.add("warning", "roster", "wait a second and check again", "the last change of the roster is not finished yet")
+	case voters == 0:
+	case up < majority && leaving != "":
+		c.fail(path, "bring "+strings.Join(down, ", ")+" back first",
+			"without %s only %d of %d voters are up and %d are needed: nothing could be changed", leaving, up, voters, majority)
+	case up < majority:
+		c.fail(path, "bring "+strings.Join(down, ", ")+" back", "only %d of %d voters are up, %d are needed", up, voters, majority)
+	case up == majority:
+		if leaving != "" {
+			down = append(down, leaving)
+		}
+		c.warn(path, "bring back or replace "+strings.Join(down, ", ")+" soon", "one more voter down and nothing can be changed")
+	}
+	if leaving == "" {
+		return
+	}
+	if !containsFold(c.fleet.Voters, leaving) {
+		c.fail(path, "name one of "+strings.Join(c.fleet.Voters, ", "), "no voter is named %s", leaving)
+	}
+	if !c.fleet.VotersRecovered {
+		c.warn(path, "wait a second and check again", "the last change of the roster is not finished yet")
 	}
 }
