--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -1,6 +1,6 @@
 package callerapi
 
-// Request is the body of POST /v1/tickets.
+// Request is the body with which a caller sends a request (docs/caller-api.md).
 type Request struct {
 	Kind string `json:"kind"`
 	// ID is the caller's own name for the request within its group; without one the proxy
@@ -14,7 +14,8 @@
 	Prompt string `json:"prompt"`
 }
 
-// Generation is the answer to GET /v1/era: what new IDs of once-only kinds are sent with.
+// Generation is the answer to the question for the newest generation of claims, which new
+// IDs of once-only kinds are sent with (docs/caller-api.md).
 type Generation struct {
 	Generation uint64 `json:"era"`
 }
@@ -32,7 +33,7 @@
 // such a one is incomplete, and counts as unknown.
 type Frame struct {
 	Frame        string  `json:"frame"`
-	Ticket       string  `json:"ticket,omitempty"` // id of the request
+	RequestID    string  `json:"ticket,omitempty"` // id of the request
 	Node         string  `json:"node,omitempty"`   // name of the proxy
 	Index        int     `json:"n,omitempty"`      // of a piece, from 0
 	Text         *string `json:"text,omitempty"`   // of a piece
--- a/internal/engineapi/client.go
+++ b/internal/engineapi/client.go
@@ -29,7 +29,7 @@
 // Get reads a JSON answer into out, within timeoutUS microseconds. Of the errors that wrap
 // another, that of a connection is among the causes.
 func (c *Client) Get(ctx context.Context, addr, path string, timeoutUS int64, out any) error {
-	return c.do(ctx, http.MethodGet, addr, path, timeoutUS, nil, out)
+	return c.do(ctx, timeoutUS, exchange{method: http.MethodGet, addr: addr, path: path, out: out})
 }
 
 // Post sends a JSON body and reads a JSON answer into out, which may be nil, within
@@ -39,34 +39,41 @@
 	if err != nil {
 		return err
 	}
-	return c.do(ctx, http.MethodPost, addr, path, timeoutUS, body, out)
+	return c.do(ctx, timeoutUS, exchange{method: http.MethodPost, addr: addr, path: path, body: body, out: out})
 }
 
-func (c *Client) do(ctx context.Context, method, addr, path string, timeoutUS int64, body []byte, out any) error {
+// exchange is a question and where its answer goes.
+type exchange struct {
+	method, addr, path string
+	body               []byte
+	out                any // nil if the answer does not matter
+}
+
+func (c *Client) do(ctx context.Context, timeoutUS int64, e exchange) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(timeoutUS)*time.Microsecond)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, e.method, "http://"+e.addr+e.path, bytes.NewReader(e.body))
 	if err != nil {
-		return trace.BadParameter("%s is no address: %v; check the platform's list", addr, err)
+		return trace.BadParameter("%s is no address: %v; check the platform's list", e.addr, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		return trace.Wrap(err, "%s%s did not answer", addr, path)
+		return trace.Wrap(err, "%s%s did not answer", e.addr, e.path)
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return trace.Wrap(err, "%s%s broke off", addr, path)
+		return trace.Wrap(err, "%s%s broke off", e.addr, e.path)
 	}
 	if response.StatusCode/100 != 2 {
-		return trace.BadParameter("%s%s answered %d: %.200s", addr, path, response.StatusCode, answer)
+		return trace.BadParameter("%s%s answered %d: %.200s", e.addr, e.path, response.StatusCode, answer)
 	}
-	if out == nil {
+	if e.out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
-		return trace.BadParameter("%s%s sent no proper JSON: %v", addr, path, err)
+	if err := json.Unmarshal(answer, e.out); err != nil {
+		return trace.BadParameter("%s%s sent no proper JSON: %v", e.addr, e.path, err)
 	}
 	return nil
 }
