--- a/cmd/violetthread-standin/main.go
+++ b/cmd/violetthread-standin/main.go
@@ -24,9 +24,9 @@
 		{Name: "latency", About: "measure what a proxy and a claim add, in pairs against an engine asked directly", Settings: &latency, Run: func() error { return latency.Run() }},
 		{Name: "rollout", About: "measure how long an acknowledged plan takes to be in force everywhere", Settings: &rollout, Run: func() error { return rollout.Run() }},
 		{Name: "cpu", About: "print the processor time that processes have used, in microseconds", Settings: &cpu, Run: func() error { return cpu.Run() }},
-		{Name: "engine", About: "a stand-in model engine, or with --store true the store", Settings: &engines, Run: func() error { return serve(engine.New(engines)) }},
-		{Name: "platform", About: "a stand-in platform that lists engines", Settings: &list, Run: func() error { return serve(platform.New(list)) }},
-		{Name: "backend", About: "a stand-in app back end", Settings: &backends, Run: func() error { return serve(backend.New(backends)) }},
+		{Name: "engine", About: "a stand-in model engine, or with --store true the store", Settings: &engines, Run: func() error { return serve(engine.NewDaemon(engines)) }},
+		{Name: "platform", About: "a stand-in platform that lists engines", Settings: &list, Run: func() error { return serve(platform.NewDaemon(list)) }},
+		{Name: "backend", About: "a stand-in app back end", Settings: &backends, Run: func() error { return serve(backend.NewDaemon(backends)) }},
 		{Name: "callers", About: "callers of one deployment; exit code 1 when a rule was broken", Settings: &calls, Run: func() error { return play(calls) }},
 	}
 }
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -99,17 +99,17 @@
 		s.Name, s.Zone, s.HTTPAddr, s.PieceUS, s.RecomputeUS, s.WeightsLoadUS, s.DrainUS = fmt.Sprint("e", i), sites[i], next(), 3_000, 500, 50_000, 0
 		r.engines = append(r.engines, s.HTTPAddr)
 		list = append(list, fmt.Sprintf("%s=%s@%s", s.Name, s.HTTPAddr, s.Zone))
-		d, err := engine.New(s)
+		d, err := engine.NewDaemon(s)
 		r.run(s.Name, d, err)
 	}
 	r.platform, r.backend = next(), next()
 	ps := platform.Defaults()
 	ps.Name, ps.Zone, ps.HTTPAddr, ps.Engines = "platform", "core", r.platform, list
-	d, err := platform.New(ps)
+	d, err := platform.NewDaemon(ps)
 	r.run("platform", d, err)
 	bs := backend.Defaults()
 	bs.Name, bs.Zone, bs.HTTPAddr = "backend", "core", r.backend
-	d, err = backend.New(bs)
+	d, err = backend.NewDaemon(bs)
 	r.run("backend", d, err)
 	for i := 0; i < 2; i++ {
 		s := indexnode.Defaults()
--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -33,7 +33,7 @@
 }
 
 // New makes a stand-in that serves once it is run. The error is always nil.
-func New(settings Settings) (*daemon.Daemon, error) {
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	d := daemon.New("backend", settings.Name, settings.HTTPAddr, settings.DrainUS)
 	b := &backend{requests: map[string]int{}}
 	d.Handle("/seen", b.serveCounts)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -33,7 +33,7 @@
 }
 
 // New makes a stand-in that serves once it is run.
-func New(settings Settings) (*daemon.Daemon, error) {
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	e, err := newEngine(settings)
 	if err != nil {
 		return nil, err
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -28,7 +28,7 @@
 
 // New makes a stand-in that serves once it is run. It fails when an engine is not written as
 // Settings has it.
-func New(settings Settings) (*daemon.Daemon, error) {
+func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	engines, err := settings.list()
 	if err != nil {
 		return nil, err
