--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
 	"sync"
 
 	"github.com/go-logr/logr"
 
 	"violetthread/cacheindex"
+	"violetthread/internal/app/process"
 	"violetthread/internal/clock"
 	"violetthread/internal/taskgroup"
 	"violetthread/rollout"
@@ -97,7 +96,10 @@
 
 // newDirectory makes a directory without its loops.
 func newDirectory(group *taskgroup.Group, settings Settings, control Control, platform Platform) *Directory {
-	incarnation := drawIncarnation()
+	incarnation, err := process.NewIncarnation()
+	if err != nil {
+		panic(err) // no machine of ours is without random numbers
+	}
 	d := &Directory{
 		settings:     settings,
 		log:          group.Log(),
@@ -117,15 +119,6 @@
 	return d
 }
 
-// drawIncarnation draws the number of a directory.
-func drawIncarnation() uint64 {
-	var b [8]byte
-	if _, err := rand.Read(b[:]); err != nil {
-		panic(err) // no machine of ours is without random numbers
-	}
-	return binary.LittleEndian.Uint64(b[:])>>24 | 1
-}
-
 // notify wakes all that wait for something urgent to change. Called under the lock.
 func (d *Directory) notify() {
 	close(d.changed)
