--- a/scripts/days/kinds.go
+++ b/scripts/days/kinds.go
@@ -79,6 +79,20 @@
 // anywhere is the core, or the class that carries the traffic.
 func (d *draft) anywhere() string { return d.pick("", core) }
 
+// anyOrLeader is no variant, so that any machine is struck, or the one that strikes the leader.
+func (d *draft) anyOrLeader() string { return d.pick("", "leader") }
+
+// strike aims a fault at machines of the class that it was drawn for: at one of the core, in a
+// variant, or at a share of those that carry the traffic.
+func (d *draft) strike(one entry, lowShare, highShare float64, variant func() string) entry {
+	if one.On == core {
+		one.Count, one.How = 1, variant()
+		return one
+	}
+	one.Share = d.between(lowShare, highShare)
+	return one
+}
+
 // after is what is done to a machine when it returns, and during a cut.
 func (d *draft) after() string {
 	return how(d.pick("", "meet", "race"), d.pick("", "", "hard"), d.pick("", "", "drain"))
@@ -112,7 +126,7 @@
 
 func drawClockStep(d *draft) entry {
 	return entry{Share: d.between(0.2, 0.6), X: d.between(1000, 4000), ForS: d.between(3, 10),
-		How: how(d.pick("back", "ahead"), d.pick("", "leader"))}
+		How: how(d.pick("back", "ahead"), d.anyOrLeader())}
 }
 
 func drawConfigChange(d *draft) entry {
@@ -125,11 +139,11 @@
 }
 
 func drawDisk(d *draft) entry {
-	return entry{ForS: d.between(2, 6), How: d.pick("", "leader")}
+	return entry{ForS: d.between(2, 6), How: d.anyOrLeader()}
 }
 
 func drawDiskSlow(d *draft) entry {
-	return entry{ForS: d.between(3, 8), X: d.between(15, 45), How: d.pick("", "leader")}
+	return entry{ForS: d.between(3, 8), X: d.between(15, 45), How: d.anyOrLeader()}
 }
 
 func drawGarble(d *draft) entry {
@@ -157,32 +171,17 @@
 
 func drawNodeFreeze(d *draft) entry {
 	one := entry{ForS: d.between(0.8, 6), On: d.anywhere()}
-	if one.On == core {
-		one.Count, one.How = 1, how(d.whom(), d.after())
-		return one
-	}
-	one.Share = d.between(0.1, 0.25)
-	return one
+	return d.strike(one, 0.1, 0.25, func() string { return how(d.whom(), d.after()) })
 }
 
 func drawNodeKill(d *draft) entry {
 	one := entry{ForS: d.between(0.3, 4), On: d.anywhere(), How: d.pick("", "power")}
-	if one.On == core {
-		one.Count, one.How = 1, how(one.How, d.whom(), d.after())
-		return one
-	}
-	one.Share = d.between(0.1, 0.25)
-	return one
+	return d.strike(one, 0.1, 0.25, func() string { return how(one.How, d.whom(), d.after()) })
 }
 
 func drawNodeSlow(d *draft) entry {
 	one := entry{X: d.between(3, 8), ForS: d.between(2, 6), On: d.anywhere()}
-	if one.On == core {
-		one.Count, one.How = 1, d.pick("", "leader")
-		return one
-	}
-	one.Share = d.between(0.1, 0.2)
-	return one
+	return d.strike(one, 0.1, 0.2, d.anyOrLeader)
 }
 
 func drawRelease(d *draft) entry {
@@ -199,12 +198,7 @@
 
 func drawResetConnections(d *draft) entry {
 	one := entry{X: d.between(0.3, 1), ForS: d.between(0.5, 3), On: d.anywhere()}
-	if one.On == core {
-		one.Count, one.How = 1, d.pick("", "leader")
-		return one
-	}
-	one.Share = d.between(0.1, 0.6)
-	return one
+	return d.strike(one, 0.1, 0.6, d.anyOrLeader)
 }
 
 func drawRollTerm(d *draft) entry {
--- a/scripts/days/main_test.go
+++ b/scripts/days/main_test.go
@@ -233,7 +233,7 @@
 func TestReferenceDay(t *testing.T) {
 	s, _ := testSite(t)
 	if got := s.referenceDay(); got.One != 0.7 || got.Zero != 0.3 {
-		t.Errorf("marks %+v", got)
+		t.Errorf("reference day %+v", got)
 	}
 }
 
--- a/scripts/days/site.go
+++ b/scripts/days/site.go
@@ -33,7 +33,8 @@
 	Model string `toml:"model"`
 }
 
-// standardDay is one of the site's own days; its marks are taken over.
+// standardDay is one of the site's own days; its bounds of scoring, One and Zero, are taken
+// over.
 type standardDay struct {
 	Slot string  `toml:"slot"`
 	One  float64 `toml:"one"`
@@ -79,7 +80,7 @@
 	return out
 }
 
-// marks are those of the first day of trouble, or of the first day.
+// referenceDay is the first day of trouble, or the first day if there is none.
 func (s site) referenceDay() standardDay {
 	for _, day := range s.Days {
 		if day.Slot == "trouble" {
