--- a/index/weights.go
+++ b/index/weights.go
@@ -125,8 +125,8 @@
 	var updates []WeightUpdate
 	for name, engine := range n.engines {
 		token, owned := n.HoldsLease(now, EngineRole(name))
-		toldOfLate := engine.updateSentAt > 0 && now-engine.updateSentAt < weightUpdateRetry
-		if !owned || engine.Store || engine.reportedAt == 0 || toldOfLate {
+		updateSentLately := engine.updateSentAt > 0 && now-engine.updateSentAt < weightUpdateRetry
+		if !owned || engine.Store || engine.reportedAt == 0 || updateSentLately {
 			continue
 		}
 		if us, outdated := n.outdatedFor(now, engine); outdated && us >= n.waveDelay(name) {
--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -57,7 +57,7 @@
 
 // finish writes the last frame, which says the outcome.
 func (c *call) finish(id string) {
-	last := callerapi.Frame{Frame: string(c.final.Outcome), Ticket: id}
+	last := callerapi.Frame{Frame: string(c.final.Outcome), RequestID: id}
 	if c.final.Outcome != attempt.Done {
 		last.Reason, last.Remedy, last.RetryAfterUS = c.final.Reason, callerapi.Remedy(c.final.Reason), c.final.RetryAfterUS
 	}
--- a/internal/app/gateway/requests.go
+++ b/internal/app/gateway/requests.go
@@ -71,7 +71,7 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Duration(dueUS + slowReaderUS)))
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.Header().Set("X-Ticket-Id", request.ID)
-	accepted := callerapi.Frame{Frame: callerapi.FrameAccepted, Ticket: request.ID, Node: g.settings.Name, Generation: g.generation.Load()}
+	accepted := callerapi.Frame{Frame: callerapi.FrameAccepted, RequestID: request.ID, Node: g.settings.Name, Generation: g.generation.Load()}
 	c.writeFrameLocked(accepted, false)
 	return nil
 }
--- a/internal/app/gateway/routes.go
+++ b/internal/app/gateway/routes.go
@@ -71,7 +71,7 @@
 	case "":
 		return true
 	case callerapi.ReasonDuplicate, callerapi.ReasonGenerationClosed:
-		daemon.WriteJSON(w, http.StatusConflict, callerapi.Frame{Frame: callerapi.FrameUnknown, Ticket: id, Reason: reason, Remedy: callerapi.Remedy(reason)})
+		daemon.WriteJSON(w, http.StatusConflict, callerapi.Frame{Frame: callerapi.FrameUnknown, RequestID: id, Reason: reason, Remedy: callerapi.Remedy(reason)})
 	default:
 		g.reject(w, rejection{http.StatusServiceUnavailable, reason, retrySoonUS})
 	}
--- a/internal/callerapi/api.go
+++ b/internal/callerapi/api.go
@@ -32,7 +32,7 @@
 // such a one is incomplete, and counts as unknown.
 type Frame struct {
 	Frame        string  `json:"frame"`
-	Ticket       string  `json:"ticket,omitempty"` // id of the request
+	RequestID    string  `json:"ticket,omitempty"` // id of the request
 	Node         string  `json:"node,omitempty"`   // name of the proxy
 	Index        int     `json:"n,omitempty"`      // of a piece, from 0
 	Text         *string `json:"text,omitempty"`   // of a piece
--- a/internal/e2e/e2e_test.go
+++ b/internal/e2e/e2e_test.go
@@ -106,7 +106,7 @@
 		if n := r.runs("x1"); n != 1 {
 			t.Fatalf("x1 ran %d times", n)
 		}
-		if _, fs, last = r.request(0, "k-desk", `{"kind":"instruction-tag","prompt":"a"}`); last.Frame != "done" || last.Ticket == "" || fs[0].Ticket != last.Ticket {
+		if _, fs, last = r.request(0, "k-desk", `{"kind":"instruction-tag","prompt":"a"}`); last.Frame != "done" || last.RequestID == "" || fs[0].RequestID != last.RequestID {
 			t.Fatalf("a ticket without an id: %+v", last)
 		}
 	})
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -14,84 +14,84 @@
 // race is four operators at once: whole plans, patches, with and without a
 // precondition, many entries in one change, answers lost, while the control nodes
 // fail. What every control node reads back is judged to the byte.
-type race struct {
-	c     *Cluster
-	h     *History
-	texts map[uint64][]byte // revision -> what its operator was told is in force
-	base  map[uint64][]byte // revision -> the text its change was applied to
-	how   map[uint64]plan.Change
-	done  map[string]int
-	n     int
+type operatorRace struct {
+	cluster  *Cluster
+	history  *History
+	texts    map[uint64][]byte // revision -> what its operator was told is in force
+	bases    map[uint64][]byte // revision -> the text its change was applied to
+	changes  map[uint64]plan.Change
+	outcomes map[string]int
+	number   int
 }
 
-func (r *race) act(host *Host, who int) {
-	world := r.c.world
-	r.n++
-	body := fmt.Sprintf(`{"notes":{"op%d":%d,"big":12345678901234567890%d}}`, who, r.n, r.n%10)
-	c := plan.Change{Patch: true}
+func (r *operatorRace) sendChange(host *Host, operator int) {
+	world := r.cluster.world
+	r.number++
+	body := fmt.Sprintf(`{"notes":{"op%d":%d,"big":12345678901234567890%d}}`, operator, r.number, r.number%10)
+	change := plan.Change{Patch: true}
 	switch world.Rng.Intn(6) {
 	case 0:
-		c.Patch = false
-		body = fmt.Sprintf(`{"weights":"w%d", "kinds":{"k":{"due_us":1000000}},"groups":{"g%d":{"share":1.50,"keys":[]}},"notes":{"é":"ü😀 %d"}}`, r.n%3+1, who, r.n)
+		change.Patch = false
+		body = fmt.Sprintf(`{"weights":"w%d", "kinds":{"k":{"due_us":1000000}},"groups":{"g%d":{"share":1.50,"keys":[]}},"notes":{"é":"ü😀 %d"}}`, r.number%3+1, operator, r.number)
 	case 1: // many routes at once
-		var es []plan.Route
+		var routes []plan.Route
 		for i := 0; i < 40; i++ {
-			es = append(es, plan.Route{Path: fmt.Sprintf("/app%d/%d", who, i), Backend: "127.0.0.1:9000", TimeoutUS: 1_000_000 + int64(r.n)})
+			routes = append(routes, plan.Route{Path: fmt.Sprintf("/app%d/%d", operator, i), Backend: "127.0.0.1:9000", TimeoutUS: 1_000_000 + int64(r.number)})
 		}
-		b, _ := json.Marshal(map[string]any{"entries": es})
-		body = string(b)
+		written, _ := json.Marshal(map[string]any{"entries": routes})
+		body = string(written)
 	case 2:
-		body = fmt.Sprintf(`{"groups":{"g%d":{"share":2,"wall":%v,"keys":[]}}}`, who, r.n%2 == 0)
+		body = fmt.Sprintf(`{"groups":{"g%d":{"share":2,"wall":%v,"keys":[]}}}`, operator, r.number%2 == 0)
 	}
-	c.Body = []byte(body)
+	change.Body = []byte(body)
 	if world.Rng.Intn(3) == 0 {
-		c.Conditional, c.ExpectedRevision = true, uint64(len(r.texts)) // what it last heard of, perhaps
+		change.Conditional, change.ExpectedRevision = true, uint64(len(r.texts)) // what it last heard of, perhaps
 	}
-	reg := func() *ControlNode { return r.c.Nodes[world.Rng.Intn(len(r.c.Nodes))] }
-	at := reg()
+	drawNode := func() *ControlNode { return r.cluster.Nodes[world.Rng.Intn(len(r.cluster.Nodes))] }
+	reader := drawNode()
 	from := world.now
-	Call(host, at.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, at.serve,
+	Call(host, reader.Host, quorum.Operation{Type: quorum.OpGet, Key: planKey}, 900_000, reader.serve,
 		func(result quorum.Result) {
 			if result.Status != quorum.StatusDone {
 				return
 			}
 			r.read(from, result)
-			sealed, raw, err := c.Apply(result.Revision, result.Value)
+			sealed, raw, err := change.Apply(result.Revision, result.Value)
 			if err != nil {
 				var other plan.RevisionConflictError
-				if result.Revision > 0 && (c.Conditional && c.ExpectedRevision == result.Revision || !c.Conditional && !errors.As(err, &other)) {
+				if result.Revision > 0 && (change.Conditional && change.ExpectedRevision == result.Revision || !change.Conditional && !errors.As(err, &other)) {
 					world.Violation("a good change was declined", "%v", err)
 				}
-				r.done["declined"]++
+				r.outcomes["declined"]++
 				return
 			}
 			_, was, _ := plan.Decode(result.Value)
-			receiver, sent := reg(), world.now
-			Call(host, receiver.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: result.Revision}, 900_000,
-				receiver.serve,
-				func(b quorum.Result) {
-					switch b.Status {
+			writer, sent := drawNode(), world.now
+			Call(host, writer.Host, quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: result.Revision}, 900_000,
+				writer.serve,
+				func(written quorum.Result) {
+					switch written.Status {
 					case quorum.StatusDone:
-						if c.Conditional && b.Revision != c.ExpectedRevision+1 {
-							world.Violation("precondition", "revision %d was given on condition of %d", b.Revision, c.ExpectedRevision)
+						if change.Conditional && written.Revision != change.ExpectedRevision+1 {
+							world.Violation("precondition", "revision %d was given on condition of %d", written.Revision, change.ExpectedRevision)
 						}
-						r.h.add(observedOperation{sent, world.now, b.Revision, string(sealed), true})
-						r.texts[b.Revision], r.base[b.Revision], r.how[b.Revision] = raw, was, c
-						r.done["in force"]++
-						r.c.changeAcknowledged()
+						r.history.add(observedOperation{sent, world.now, written.Revision, string(sealed), true})
+						r.texts[written.Revision], r.bases[written.Revision], r.changes[written.Revision] = raw, was, change
+						r.outcomes["in force"]++
+						r.cluster.changeAcknowledged()
 					case quorum.StatusConflict:
-						r.done["conflict"]++
+						r.outcomes["conflict"]++
 					default:
-						r.done["unknown"]++
+						r.outcomes["unknown"]++
 					}
-				}, func() { r.done["no answer"]++ })
+				}, func() { r.outcomes["no answer"]++ })
 		}, func() {})
 }
 
 // read judges what a control node gives back.
-func (r *race) read(from int64, result quorum.Result) {
-	world := r.c.world
-	r.h.add(observedOperation{from, world.now, result.Revision, string(result.Value), false})
+func (r *operatorRace) read(from int64, result quorum.Result) {
+	world := r.cluster.world
+	r.history.add(observedOperation{from, world.now, result.Revision, string(result.Value), false})
 	_, raw, err := plan.Decode(result.Value)
 	if err != nil {
 		world.Violation("unreadable", "revision %d: %v", result.Revision, err)
@@ -100,8 +100,8 @@
 	if want, ok := r.texts[result.Revision]; ok && !bytes.Equal(want, raw) {
 		world.Violation("read back as something else", "revision %d: %q, acknowledged was %q", result.Revision, raw, want)
 	}
-	if c, ok := r.how[result.Revision]; ok && !c.Patch && !bytes.Equal(c.Body, raw) {
-		world.Violation("not to the byte", "revision %d: %q, sent was %q", result.Revision, raw, c.Body)
+	if change, ok := r.changes[result.Revision]; ok && !change.Patch && !bytes.Equal(change.Body, raw) {
+		world.Violation("not to the byte", "revision %d: %q, sent was %q", result.Revision, raw, change.Body)
 	}
 }
 
@@ -129,11 +129,11 @@
 		cluster := NewCluster(world, 4)
 		cluster.logConfig.SegmentBytes = 64 << 10 // plans are larger than claims
 		cluster.Start()
-		r := &race{c: cluster, h: NewHistory(world, planKey), texts: map[uint64][]byte{}, base: map[uint64][]byte{}, how: map[uint64]plan.Change{}, done: map[string]int{}}
+		r := &operatorRace{cluster: cluster, history: NewHistory(world, planKey), texts: map[uint64][]byte{}, bases: map[uint64][]byte{}, changes: map[uint64]plan.Change{}, outcomes: map[string]int{}}
 		for i := 0; i < 4; i++ {
 			var host *Host
 			host = world.NewHost(fmt.Sprint("operator", i), zones[i], func() {
-				host.Every(60_000, func() { r.act(host, i) })
+				host.Every(60_000, func() { r.sendChange(host, i) })
 			})
 			host.Start()
 		}
@@ -143,13 +143,13 @@
 			t.Fatalf("%s, seed %d: %v", fault, seed, world.violations)
 		}
 		// Every change between two acknowledged neighbours is the patch it was sent as.
-		for rev := range r.how {
-			if prev, ok := r.texts[rev-1]; ok && !bytes.Equal(prev, r.base[rev]) {
-				t.Fatalf("%s, seed %d: revision %d was made of %q, in force was %q", fault, seed, rev, r.base[rev], prev)
+		for rev := range r.changes {
+			if prev, ok := r.texts[rev-1]; ok && !bytes.Equal(prev, r.bases[rev]) {
+				t.Fatalf("%s, seed %d: revision %d was made of %q, in force was %q", fault, seed, rev, r.bases[rev], prev)
 			}
 
 		}
-		for k, v := range r.done {
+		for k, v := range r.outcomes {
 			sum[k] += v
 		}
 	}
