--- a/cmd/violetthread-ctl/view_index.go
+++ b/cmd/violetthread-ctl/view_index.go
@@ -12,8 +12,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/index"
-	"violetthread/internal/codec"
 	"violetthread/internal/controlclient"
+	"violetthread/membership"
 )
 
 // unusedBelow is the transfer score, in thousandths, below which a link is not used.
@@ -27,7 +27,7 @@
 		return v, err
 	}
 	for _, n := range fleet.Nodes {
-		if n.Role == codec.RoleIndexNode {
+		if n.Role == membership.RoleIndexNode {
 			v.rows = append(v.rows, t.enginesOf(n.Name, n.HTTP)...)
 		}
 	}
--- a/cmd/violetthread-ctl/view_proxies.go
+++ b/cmd/violetthread-ctl/view_proxies.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"violetthread/internal/codec"
+	"violetthread/membership"
 )
 
 // proxies lists how fresh each gateway's plan is and what it does. The columns from
@@ -17,7 +17,7 @@
 		return v, err
 	}
 	for _, n := range fleet.Nodes {
-		if n.Role != codec.RoleGateway {
+		if n.Role != membership.RoleGateway {
 			continue
 		}
 		r := row{"proxy": n.Name, "site": n.Zone, "ready": n.Ready}
--- a/cmd/violetthread-validate/fleet.go
+++ b/cmd/violetthread-validate/fleet.go
@@ -8,8 +8,8 @@
 	"github.com/gravitational/trace"
 
 	"violetthread/internal/app/control"
-	"violetthread/internal/codec"
 	"violetthread/internal/engineapi"
+	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/plancheck"
 )
@@ -36,7 +36,7 @@
 		fleet.Up[v.Name] = listens(v.Addr)
 	}
 	for _, n := range status.Nodes {
-		if n.Role == codec.RoleGateway {
+		if n.Role == membership.RoleGateway {
 			fleet.Proxies = append(fleet.Proxies, n.Name)
 		}
 	}
@@ -53,7 +53,7 @@
 func (c *checker) ownedEngines(ctx context.Context, nodes []control.NodeStatus) map[string]ownedEngine {
 	owned := map[string]ownedEngine{}
 	for _, n := range nodes {
-		if n.Role != codec.RoleIndexNode {
+		if n.Role != membership.RoleIndexNode {
 			continue
 		}
 		var engines []ownedEngine
--- a/internal/app/gateway/feed.go
+++ b/internal/app/gateway/feed.go
@@ -6,6 +6,7 @@
 	"violetthread/dispatch"
 	"violetthread/internal/clock"
 	"violetthread/internal/codec"
+	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/schema/fb"
 )
@@ -18,7 +19,7 @@
 	request := &fb.FeedRequestT{
 		Node: &fb.NodeT{
 			Name:        g.settings.Name,
-			Role:        codec.RoleGateway,
+			Role:        membership.RoleGateway,
 			Zone:        g.settings.Zone,
 			Http:        g.settings.HTTPAddr,
 			Incarnation: g.incarnation,
--- a/internal/app/proxy/server.go
+++ b/internal/app/proxy/server.go
@@ -21,6 +21,7 @@
 	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
 	"violetthread/internal/transport"
+	"violetthread/membership"
 	"violetthread/placement"
 	"violetthread/route"
 	"violetthread/schema/fb"
@@ -116,7 +117,7 @@
 
 // self is this proxy as control nodes list it.
 func (s *server) self() *fb.NodeT {
-	return &fb.NodeT{Name: s.settings.Name, Role: "carrier", Zone: s.settings.Zone, Http: s.settings.HTTP, Incarnation: s.incarnation, Ready: s.daemon.Ready()}
+	return &fb.NodeT{Name: s.settings.Name, Role: membership.RoleProxy, Zone: s.settings.Zone, Http: s.settings.HTTP, Incarnation: s.incarnation, Ready: s.daemon.Ready()}
 }
 
 // retryWindow is this proxy's share of the retries that a pool may get in all. The caller
--- a/internal/codec/updates.go
+++ b/internal/codec/updates.go
@@ -5,6 +5,7 @@
 
 	"violetthread/cacheindex"
 	"violetthread/index"
+	"violetthread/membership"
 	"violetthread/schema/fb"
 )
 
@@ -26,7 +27,7 @@
 // named self is among them.
 func ReadyIndexNodes(members []*fb.NodeT, self string) (peers []index.Peer, included bool) {
 	for _, n := range members {
-		if n.Role != RoleIndexNode || !n.Ready {
+		if n.Role != membership.RoleIndexNode || !n.Ready {
 			continue
 		}
 		included = included || n.Name == self
--- a/internal/scale/proxy.go
+++ b/internal/scale/proxy.go
@@ -10,6 +10,7 @@
 	"violetthread/internal/controlorder"
 	"violetthread/internal/taskgroup"
 	"violetthread/internal/transport"
+	"violetthread/membership"
 	"violetthread/schema/fb"
 )
 
@@ -105,7 +106,7 @@
 	addr := order[0]
 	node := p.known[addr]
 	question := p.next
-	question.Node = &fb.NodeT{Name: p.name, Role: "carrier", Zone: p.zone, Http: "127.0.0.1:1", Incarnation: p.incarnation, Ready: p.configKnown}
+	question.Node = &fb.NodeT{Name: p.name, Role: membership.RoleProxy, Zone: p.zone, Http: "127.0.0.1:1", Incarnation: p.incarnation, Ready: p.configKnown}
 	question.Hold, question.Loads = followHoldUS, p.loads()
 	switch {
 	case !p.configKnown || node.Zone == "":
--- a/sim/agent.go
+++ b/sim/agent.go
@@ -2,6 +2,7 @@
 
 import (
 	"violetthread/agent"
+	"violetthread/membership"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -18,7 +19,7 @@
 
 func (a *Agent) start() {
 	a.session, a.agent = session{}, agent.New(a.gateway, a.Zone)
-	a.status = &fb.NodeT{Name: a.gateway, Role: "remisier", Zone: a.Zone}
+	a.status = &fb.NodeT{Name: a.gateway, Role: membership.RoleGateway, Zone: a.Zone}
 	a.fleet.keepSession(a.Host, &a.session, func() *fb.NodeT { return a.status }, nil)
 	a.Every(120_000, func() {
 		for _, query := range a.agent.Queries(a.Clock(), a.session.nodes) {
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -7,6 +7,7 @@
 	"violetthread/cacheindex"
 	"violetthread/dispatch"
 	"violetthread/internal/codec"
+	"violetthread/membership"
 	"violetthread/plan"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
@@ -55,7 +56,7 @@
 
 // pollAgent reports demand to the agent and gets plan, grants and hints from it.
 func (g *Gateway) pollAgent() {
-	status := &fb.NodeT{Name: g.Name, Role: "remisier", Zone: g.Zone, Incarnation: g.incarnation, Ready: true}
+	status := &fb.NodeT{Name: g.Name, Role: membership.RoleGateway, Zone: g.Zone, Incarnation: g.incarnation, Ready: true}
 	request := codec.FillFeedRequest(g.dispatcher, &fb.FeedRequestT{
 		Node:               status,
 		HaveRevision:       g.plan.Revision,
--- a/sim/index_node.go
+++ b/sim/index_node.go
@@ -7,6 +7,7 @@
 	"violetthread/cacheindex"
 	"violetthread/index"
 	"violetthread/internal/codec"
+	"violetthread/membership"
 	"violetthread/quorum"
 	"violetthread/schema/fb"
 )
@@ -33,7 +34,7 @@
 }
 
 func (n *IndexNode) status() *fb.NodeT {
-	status := &fb.NodeT{Name: n.Name, Role: "custodian", Zone: n.Zone, Addr: n.Name, Incarnation: n.incarnation, Ready: !n.leaving}
+	status := &fb.NodeT{Name: n.Name, Role: membership.RoleIndexNode, Zone: n.Zone, Addr: n.Name, Incarnation: n.incarnation, Ready: !n.leaving}
 	return codec.AddIndexNodeStatus(n.node, n.Clock(), status)
 }
 
