--- a/internal/app/control/api_voter_set.go
+++ b/internal/app/control/api_voter_set.go
@@ -75,7 +75,7 @@
 	}
 	identity := response.JoinResponse
 	if identity.VoterSet != nil && len(identity.VoterSet.Voters) > 0 {
-		writeUnchanged(w, http.StatusConflict, "newcomer-not-empty", "its disk belongs to a voter set already; give it an empty data_dir")
+		writeUnchanged(w, http.StatusConflict, "newcomer-not-empty", "its disk belongs to a voter set already; give it an empty data folder")
 		return nil
 	}
 	return &quorum.Voter{Name: identity.Name, Addr: addr, Incarnation: identity.Incarnation}
--- a/internal/app/control/bootstrap.go
+++ b/internal/app/control/bootstrap.go
@@ -16,9 +16,9 @@
 // responseLifetime is how old a seed's response may be for a bootstrap, in microseconds.
 const responseLifetime = 700_000
 
-// firstStart reports whether this node belongs to a fleet that starts for the first time,
+// mayBootstrap reports whether this node belongs to a fleet that starts for the first time,
 // and never had a seat in it. One that lost its seat was replaced: its seat is taken.
-func (n *Node) firstStart() bool { return n.settings.Bootstrap && !n.removed.Load() }
+func (n *Node) mayBootstrap() bool { return n.settings.Bootstrap && !n.removed.Load() }
 
 // tryBootstrap makes a fleet's first voter set out of what the seeds just replied, or says
 // what is waited for. Only seeds bootstrap, once each has replied with its incarnation and none
@@ -30,17 +30,17 @@
 			return nil, &joinError{"waiting to be let into the fleet's voter set", "a majority of its control nodes must be up"}
 		}
 	}
-	if !n.firstStart() {
-		return nil, &joinError{"no founded fleet is reachable", "if this is the fleet's first start, give every control node --found true"}
+	if !n.mayBootstrap() {
+		return nil, &joinError{"no bootstrapped fleet is reachable", "if this is the fleet's first start, set initial-launch (--found of violetthread-control) to true at every control node"}
 	}
 	if !slices.Contains(n.settings.Seeds, n.settings.TransportAddr) {
-		return nil, &joinError{"waiting for the seeds to found the fleet", "start the control nodes at " + strings.Join(n.settings.Seeds, ", ")}
+		return nil, &joinError{"waiting for the seeds to bootstrap the fleet", "start the control nodes at " + strings.Join(n.settings.Seeds, ", ")}
 	}
 	voters := []*fb.VoterT{{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation()}}
 	for _, addr := range lo.Without(lo.Uniq(n.settings.Seeds), n.settings.TransportAddr) {
 		peer := responses[addr]
 		if peer.response == nil || now-peer.askedAt > responseLifetime {
-			return nil, &joinError{"founding waits until every seed answers", addr + " does not"}
+			return nil, &joinError{"bootstrap waits until every seed answers", addr + " does not"}
 		}
 		voters = append(voters, &fb.VoterT{Name: peer.response.Name, Addr: addr, Incarnation: peer.response.Incarnation})
 	}
--- a/internal/app/control/bootstrap_test.go
+++ b/internal/app/control/bootstrap_test.go
@@ -28,7 +28,7 @@
 		responses []peerResponse
 		want      string // in the reason
 	}{
-		{"not told to", seedNode("a", false, "a:1", "a:1", "b:1"), nil, "no founded fleet"},
+		{"not told to", seedNode("a", false, "a:1", "a:1", "b:1"), nil, "no bootstrapped fleet"},
 		{"not a seed", seedNode("c", true, "c:1", "a:1", "b:1"), nil, "waiting for the seeds"},
 		{"a seed never replied", seedNode("a", true, "a:1", "a:1", "b:1"), nil, "every seed"},
 		{"a seed did not answer", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, nil}}, "every seed"},
--- a/internal/app/control/disk_image.go
+++ b/internal/app/control/disk_image.go
@@ -78,25 +78,25 @@
 func decodeImage(raw [][]byte) (*diskImage, error) {
 	image := &diskImage{recordCount: len(raw)}
 	for _, data := range raw {
-		record, founding, err := codec.UnpackRecord(data)
+		record, identity, err := codec.UnpackRecord(data)
 		if err != nil {
 			return nil, trace.Wrap(err, "the write-ahead log holds a record that this version can't read; start the version that wrote it")
 		}
-		if err := image.add(record, founding); err != nil {
+		if err := image.add(record, identity); err != nil {
 			return nil, err
 		}
 	}
 	return image, nil
 }
 
-func (i *diskImage) add(record quorum.Record, founding *fb.VoterSetT) error {
+func (i *diskImage) add(record quorum.Record, identity *fb.VoterSetT) error {
 	switch {
-	case founding != nil && founding.Revision == 0: // of a disk in no voter set
-		i.incarnation, i.knownAddrs = founding.Incarnation, voterAddrs(founding)
+	case identity != nil && identity.Revision == 0: // of a disk in no voter set
+		i.incarnation, i.knownAddrs = identity.Incarnation, voterAddrs(identity)
 		return nil
-	case founding != nil:
-		i.incarnation = founding.Incarnation
-		return i.adoptVoterSet(founding)
+	case identity != nil:
+		i.incarnation = identity.Incarnation
+		return i.adoptVoterSet(identity)
 	case record.VoterSet != nil:
 		i.records = append(i.records, record)
 		return i.adoptVoterSet(codec.PackVoterSet(*record.VoterSet, i.incarnation))
@@ -110,7 +110,7 @@
 	if i.voterSet != nil {
 		before, fleet := codec.UnpackVoterSet(i.voterSet).Fleet(), codec.UnpackVoterSet(set).Fleet()
 		if before != fleet {
-			return trace.BadParameter("the write-ahead log holds records of fleets %d and %d; move data_dir aside and rejoin as an empty node", before, fleet)
+			return trace.BadParameter("the write-ahead log holds records of fleets %d and %d; move the data folder aside and start again as an empty node", before, fleet)
 		}
 	}
 	i.voterSet = set
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -53,7 +53,7 @@
 	return lo.Without(lo.Uniq(append(slices.Clone(n.knownAddrs), n.settings.Seeds...)), n.settings.TransportAddr, "")
 }
 
-// peerReply is what a control node answered to requestJoin.
+// peerResponse is what a control node answered to requestJoin.
 type peerResponse struct {
 	addr     string
 	askedAt  int64
@@ -125,7 +125,7 @@
 // requestJoin asks one control node who it is and which voter set it follows. A blank one
 // asks to be admitted by that. Nil means that there was no answer.
 func (n *Node) requestJoin(ctx context.Context, addr string, blank bool) *fb.JoinResponseT {
-	request := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation(), Blank: blank, InitialLaunch: n.firstStart()}
+	request := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation(), Blank: blank, InitialLaunch: n.mayBootstrap()}
 	response, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: request}, askTimeout)
 	if err != nil || response.JoinResponse == nil || response.JoinResponse.Incarnation == 0 {
 		return nil // who that is lies on a disk that was not read yet
@@ -149,10 +149,10 @@
 }
 
 // admit hands a blank node that asks for a seat to the voter.
-func (n *Node) admit(joining quorum.Voter, firstStart bool) {
+func (n *Node) admit(joining quorum.Voter, initial bool) {
 	taskgroup.TrySend(n.commands, func(now int64) {
-		if firstStart {
-			n.processReady(n.voter.AdmitFoundingVoter(now, joining))
+		if initial {
+			n.processReady(n.voter.AdmitInitialVoter(now, joining))
 			return
 		}
 		n.processReady(n.voter.AdmitVoter(now, joining))
--- a/internal/app/control/node.go
+++ b/internal/app/control/node.go
@@ -87,7 +87,7 @@
 // AddHandler. Its loops run from here on; its HTTP pages are served by Daemon().Run.
 func NewNode(settings Settings) (*Node, error) {
 	if settings.DataDir == "" || settings.TransportAddr == "" {
-		return nil, trace.BadParameter("data_dir and wire are needed; give --data-dir a folder and --wire an IP:port")
+		return nil, trace.BadParameter("a data folder and an address are needed; set data-directory and internal-port-range (--data-dir and --wire of violetthread-control)")
 	}
 	process := daemon.New("violetthread-control", settings.Name, settings.HTTPAddr, settings.DrainUS)
 	if err := process.ProfileCPU(settings.CPUProfile); err != nil {
@@ -108,7 +108,7 @@
 	n.initStorage()
 	listener, err := net.Listen("tcp", settings.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", settings.TransportAddr)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; free that port, or give this node another address (internal-port-range; --wire of violetthread-control)", settings.TransportAddr)
 	}
 	transport.Serve(process.Group, listener, n.handleFrame)
 	process.OnDrain(n.leave)
--- a/internal/e2e/disk_test.go
+++ b/internal/e2e/disk_test.go
@@ -75,8 +75,8 @@
 
 // sickDisks are troubles that pass, and what is said of them.
 var diskFaults = []struct{ how, cause string }{
-	{"full", "free space where data_dir lies"},
-	{"failing", "check the disk below data_dir"},
+	{"full", "free space where the data folder lies"},
+	{"failing", "check the disk below the data folder"},
 	{"stalled", "the disk does not answer"},
 }
 
@@ -255,7 +255,7 @@
 	}
 	m.disk.setFault("")
 	m.ended.Wait()
-	if m.err == nil || !strings.Contains(m.err.Error(), "rejoin as an empty node") {
+	if m.err == nil || !strings.Contains(m.err.Error(), "start again as an empty node") {
 		t.Fatalf("it ended with %v", m.err)
 	}
 	m.node = nil
@@ -270,8 +270,8 @@
 		do           func(t *testing.T, path string)
 	}{
 		{"cut", "a file was cut", func(t *testing.T, path string) { must(t, os.Truncate(path, 1<<20)) }},
-		{"header", "rejoin as an empty node", func(t *testing.T, path string) { flip(t, path, 9) }},
-		{"record", "rejoin as an empty node", func(t *testing.T, path string) { flip(t, path, 60) }},
+		{"header", "start again as an empty node", func(t *testing.T, path string) { flip(t, path, 9) }},
+		{"record", "start again as an empty node", func(t *testing.T, path string) { flip(t, path, 60) }},
 	} {
 		t.Run(damage.name, func(t *testing.T) {
 			c := newCluster(t, 3)
@@ -359,7 +359,7 @@
 			c.start("blank", false)
 			c.until("it says what to do", time.Now(), func() bool {
 				st, why := c.page("blank", "/readyz")
-				return st == 503 && strings.Contains(why, "no founded fleet is reachable")
+				return st == 503 && strings.Contains(why, "no bootstrapped fleet is reachable")
 			})
 			if c.machines["blank"].node.Voting() || c.machines["blank"].node.VoterAddrs() != nil {
 				t.Fatal("it votes in a fleet of its own")
--- a/quorum/change.go
+++ b/quorum/change.go
@@ -10,13 +10,13 @@
 // gone already or is about to.
 func (n *Node) AdmitVoter(now int64, newcomer Voter) Ready { return n.admit(now, newcomer, false) }
 
-// AdmitFoundingVoter lets a newcomer in as AdmitVoter does, into a seat of its own: it belongs
+// AdmitInitialVoter lets a newcomer in as AdmitVoter does, into a seat of its own: it belongs
 // to a fleet that starts for the first time and has not all its voters yet.
-func (n *Node) AdmitFoundingVoter(now int64, newcomer Voter) Ready {
+func (n *Node) AdmitInitialVoter(now int64, newcomer Voter) Ready {
 	return n.admit(now, newcomer, true)
 }
 
-func (n *Node) admit(now int64, newcomer Voter, founding bool) Ready {
+func (n *Node) admit(now int64, newcomer Voter, initial bool) Ready {
 	var ready Ready
 	asked := n.askingFor(now, newcomer.Incarnation)
 	if !n.mayChangeVoterSet(now) {
@@ -26,7 +26,7 @@
 	if !ok {
 		return ready
 	}
-	if founding && next.Seats > 0 {
+	if initial && next.Seats > 0 {
 		next.Seats = max(next.Seats, uint16(len(next.Voters)))
 	}
 	event := Event{Type: EventVoterAdmitted, Peer: newcomer.Name, Incarnation: newcomer.Incarnation}
--- a/quorum/voterset.go
+++ b/quorum/voterset.go
@@ -30,7 +30,7 @@
 const (
 	// stepBits is how many of the lower bits of a revision count the steps.
 	stepBits = 20
-	// firstAddedNumber is above the numbers of all founding voters.
+	// firstAddedNumber is above the numbers of all initial voters.
 	firstAddedNumber = 16
 )
 
--- a/wal/damage_test.go
+++ b/wal/damage_test.go
@@ -76,7 +76,7 @@
 			fs := full.snapshot()
 			f := fs.files[name]
 			f.cache, f.durable = f.cache[:i], f.durable[:i]
-			if _, err := tryOpen(fs, smallestConfig); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "rejoin as an empty node") {
+			if _, err := tryOpen(fs, smallestConfig); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "start again as an empty node") {
 				t.Fatalf("%s cut at %d: %v", name, i, err)
 			}
 			if len(fs.files[name].cache) != i {
@@ -173,7 +173,7 @@
 func TestOtherSizes(t *testing.T) {
 	for _, other := range []wal.Config{{SegmentCount: 6, SegmentBytes: 4096}, {SegmentCount: 4, SegmentBytes: 4096}, {SegmentCount: 5, SegmentBytes: 8192}, {SegmentCount: 10, SegmentBytes: 8192}} {
 		fs, want := written(t, testConfig, 30)
-		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "set ring_files and ring_bytes as they were") {
+		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "start with the sizes that the log was made with (ring_files, ring_bytes; fixed under a deploy file)") {
 			t.Fatalf("%+v: %v", other, err)
 		}
 		if got, err := tryOpen(fs, testConfig); err != nil || !slices.Equal(got, want) {
@@ -413,7 +413,7 @@
 	for _, f := range fs.files {
 		f.fs = fs
 	}
-	if _, err := log.Reopen(); !errors.Is(err, wal.ErrCorrupt) || !strings.Contains(err.Error(), "rejoin as an empty node") {
+	if _, err := log.Reopen(); !errors.Is(err, wal.ErrCorrupt) || !strings.Contains(err.Error(), "start again as an empty node") {
 		t.Fatal(err)
 	}
 }
@@ -424,7 +424,7 @@
 	fs, want := written(t, testConfig, 5)
 	fs.full = true
 	got, err := tryOpen(fs, testConfig)
-	if !errors.Is(err, wal.ErrDisk) || !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), "free space where data_dir lies") {
+	if !errors.Is(err, wal.ErrDisk) || !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), "free space where the data folder lies") {
 		t.Fatal(err)
 	}
 	if !slices.Equal(got, want) {
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -10,22 +10,22 @@
 var (
 	// ErrFull means that a record finds no room before the next checkpoint. Details are
 	// in a *FullError.
-	ErrFull = errors.New("the ring is full")
+	ErrFull = errors.New("the write-ahead log is full")
 	// ErrCorrupt means that something synced can't be read back. It is permanent.
 	// Details are in a *CorruptionError.
-	ErrCorrupt = errors.New("the ring can't be read back")
+	ErrCorrupt = errors.New("the write-ahead log can't be read back")
 	// ErrVersion means that another version of the program wrote the files. Details are
 	// in a *VersionError.
-	ErrVersion = errors.New("the ring is of another format")
+	ErrVersion = errors.New("the write-ahead log is of another format")
 	// ErrLayout means that the files are not those that the Config describes. Details
 	// are in a *LayoutError.
-	ErrLayout = errors.New("the ring has other sizes")
+	ErrLayout = errors.New("the write-ahead log has other sizes")
 	// ErrDisk means that the disk refused to open, read, write or sync. It may be
 	// temporary: Open and Reopen tell. Details are in a *DiskError.
 	ErrDisk = errors.New("the disk refused an operation")
 )
 
-const rejoinRemedy = "move data_dir aside and rejoin as an empty node"
+const rejoinRemedy = "move the data folder aside and start again as an empty node"
 
 // DiskError is an operation that the disk refused. It matches ErrDisk and its cause.
 type DiskError struct {
@@ -41,9 +41,9 @@
 // Remedy is what an operator can do about it.
 func (e *DiskError) Remedy() string {
 	if errors.Is(e.Err, syscall.ENOSPC) || errors.Is(e.Err, syscall.EDQUOT) {
-		return "free space where data_dir lies"
+		return "free space where the data folder lies"
 	}
-	return "check the disk below data_dir, and replace it if this goes on"
+	return "check the disk below the data folder, and replace it if this goes on"
 }
 
 // Unwrap gives ErrDisk and the cause.
@@ -72,7 +72,7 @@
 
 // Error names the remedy.
 func (e *LayoutError) Error() string {
-	const remedy = "set ring_files and ring_bytes as they were; if they were not changed, a file was cut: " + rejoinRemedy
+	const remedy = "start with the sizes that the log was made with (ring_files, ring_bytes; fixed under a deploy file); if they were not changed, a file was cut: " + rejoinRemedy
 	return fmt.Sprintf("%v: file %d %s; %s", ErrLayout, e.File, e.Detail, remedy)
 }
 
--- a/wal/errors_test.go
+++ b/wal/errors_test.go
@@ -69,7 +69,7 @@
 	log, _ := open(t, newFaultyFS(1), testConfig)
 	err := log.Append(make([]byte, testConfig.SegmentBytes))
 	var full *wal.FullError
-	if !errors.As(err, &full) || !errors.Is(err, wal.ErrFull) || full.Remedy != "raise ring_bytes, with an empty data_dir" {
+	if !errors.As(err, &full) || !errors.Is(err, wal.ErrFull) || full.Remedy != "raise ring_bytes (fixed under a deploy file), with an empty data folder" {
 		t.Fatalf("%v (%T)", err, err)
 	}
 }
--- a/wal/osdisk/osdisk.go
+++ b/wal/osdisk/osdisk.go
@@ -84,7 +84,7 @@
 	}
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = file.Close()
-		return nil, trace.AlreadyExists("another process uses %s; stop it, or give this one its own data_dir", d.Path)
+		return nil, trace.AlreadyExists("another process uses %s; stop it, or give this one a data folder of its own", d.Path)
 	}
 	return file, nil
 }
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		if l.fileIndex(sequence) != index {
-			return found, &LayoutError{index, "is one of a ring with another count of files"}
+			return found, &LayoutError{index, "is one of a write-ahead log with another count of files"}
 		}
 		segment := scanSegment(content, sequence)
 		segment.previousEnd = previousEnd
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -23,7 +23,7 @@
 
 func (c Config) check() error {
 	if c.SegmentCount < minSegmentCount || c.SegmentBytes < minSegmentBytes {
-		return trace.BadParameter("a ring needs at least %d files of %d bytes; raise ring_files or ring_bytes", minSegmentCount, minSegmentBytes)
+		return trace.BadParameter("a write-ahead log needs at least %d files of %d bytes; raise ring_files or ring_bytes", minSegmentCount, minSegmentBytes)
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 	if size > l.config.SegmentBytes-headerBytes {
 		return &FullError{
 			Detail: fmt.Sprintf("a record of %d bytes does not fit a file of %d", len(data), l.config.SegmentBytes),
-			Remedy: "raise ring_bytes, with an empty data_dir",
+			Remedy: "raise ring_bytes (fixed under a deploy file), with an empty data folder",
 		}
 	}
 	if l.offset+size > l.config.SegmentBytes {
@@ -212,7 +212,7 @@
 	if l.sequence+2-l.oldestNeeded > uint64(l.config.SegmentCount-keepFree) {
 		return &FullError{
 			Detail: "no file is free before the next checkpoint",
-			Remedy: "raise ring_files, with an empty data_dir",
+			Remedy: "raise ring_files (fixed under a deploy file), with an empty data folder",
 		}
 	}
 	if err := l.Sync(); err != nil {
