--- a/quorum/admission.go
+++ b/quorum/admission.go
@@ -41,14 +41,15 @@
 	return seen
 }
 
-// Admit is the step that lets newcomer in, which has asked for it for so long, if there is one
-// to take now; silence tells for how long a voter was not heard. Voters go only to make place:
+// Admit is the step that lets newcomer in, if one may be taken now. askedFor is how long it
+// has been asking, silence how long a voter was not heard, both in microseconds. Voters go
+// only to make place:
 //   - one whose name or address the newcomer has, with another incarnation: that disk is lost;
 //   - else the one that is silent longest, once it counts as failed;
 //
 // else the newcomer is added, up to limit voters. An odd set loses the voter first and gains
 // the newcomer by the step after. Nothing is done when no majority is heard.
-func (set VoterSet) Admit(newcomer Voter, asked int64, silence func(name string) int64, limit int) (VoterSet, bool) {
+func (set VoterSet) Admit(newcomer Voter, askedFor int64, silence func(name string) int64, limit int) (VoterSet, bool) {
 	seen := set.contacts(silence)
 	if seen.heard < set.Majority() {
 		return set, false
@@ -60,7 +61,7 @@
 	if former := set.formerSelf(newcomer); former != "" {
 		leaves = former
 	}
-	if leaves == "" && (seen.suspect || asked < AddAfter || len(set.Voters) >= limit) {
+	if leaves == "" && (seen.suspect || askedFor < AddAfter || len(set.Voters) >= limit) {
 		return set, false
 	}
 	for _, joins := range []*Voter{&newcomer, nil} {
@@ -86,10 +87,9 @@
 	return ""
 }
 
-// hasSurplus reports whether a voter was let in before the one that it replaces had gone, and
-// that one's seat costs a loss: an even set needs as many voters as the odd one above it. An
-// odd set keeps the majority that it has when a voter goes, so that a failed one there costs
-// nothing.
+// hasSurplus reports whether the set has more voters than seats, and an even number of them.
+// An even set tolerates no more failures than the odd set below it, so its surplus voter is
+// removed; in an odd set a failed surplus voter costs nothing.
 func (set VoterSet) hasSurplus() bool {
 	return set.Seats > 0 && len(set.Voters) > int(set.Seats) && len(set.Voters)%2 == 0
 }
--- a/quorum/doc.go
+++ b/quorum/doc.go
@@ -34,7 +34,7 @@
 // Leaders send heartbeats; a follower that answers one votes for nobody else for
 // Config.LeaseDuration. The leader's lease counts from when it sent the newest heartbeat that a
 // majority answered, less Config.LeaseMargin for the drift of clocks. Under a live lease it
-// answers reads alone (ReadUnderLease); this is the lease read of Raft's dissertation, and the
+// answers reads alone (OpGet); this is the lease read of Raft's dissertation, and the
 // master lease of Chubby.
 //
 // # Catching up (snapshot.go)
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -107,7 +107,7 @@
 // handleVoteRequest grants a vote unless a live leader may hold a lease that this voter
 // answered for, also before it restarted.
 func (n *Node) handleVoteRequest(now int64, replica *slotReplica, message Message, ready *Ready) {
-	holdOff := max(replica.noVoteUntil, n.startedAt+n.config.LeaseDuration) - now
+	holdOff := max(replica.noVoteUntil, n.noVoteBefore) - now
 	// The live leader itself may win its slot anew: its lease guards nobody else.
 	if message.Term <= replica.promised || holdOff > 0 && message.From != replica.leader {
 		n.send(ready, message.From, Message{Type: MsgVoteRejected, Slot: message.Slot, Term: message.Term,
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -22,7 +22,7 @@
 	pendingVoterSet  uint64 // revision being put on disk
 	self             Voter
 	slots            []*slotReplica
-	startedAt        int64
+	noVoteBefore     int64 // a lease granted before the restart may run until then
 	noCampaignBefore int64
 	heartbeatSentAt  int64
 	recordsIssued    uint64
@@ -39,13 +39,13 @@
 }
 
 // New makes a node at time now from the records that its disk held, in their order. The
-// voter set is that of the fleet's founding or any later one; a newer one among the records
+// voter set is that of the fleet's bootstrap or any later one; a newer one among the records
 // goes before it.
 func New(config Config, set VoterSet, now int64, records []Record) *Node {
 	n := &Node{
 		config:         config,
 		voterSet:       set,
-		startedAt:      now,
+		noVoteBefore:   now + config.LeaseDuration,
 		lastHeard:      map[string]int64{},
 		admittedAt:     map[string]int64{},
 		leavingSince:   map[string]int64{},
@@ -64,10 +64,10 @@
 	n.pendingVoterSet = n.voterSet.Revision
 	n.noCampaignBefore = now + config.LeaseDuration
 	if !n.promisedAny() {
-		// A disk that granted nothing has no grant to wait out. In a fleet that works already
-		// it still hears the leaders first: its own promise to itself would keep it from
-		// following them.
-		n.startedAt = now - config.LeaseDuration
+		// A disk that promised nothing has no lease to wait out and may vote at once. In a
+		// fleet that works already it campaigns only after a lease: its promise to itself
+		// would keep it from following the live leaders.
+		n.noVoteBefore = now
 		if set.Step() == 1 {
 			n.noCampaignBefore = now
 		}
--- a/quorum/role.go
+++ b/quorum/role.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// A role is a singleton duty of the fleet, and its register holds a lease of it (design §4.5).
+// A role is a task that one node at a time has for the fleet; its register holds the lease
+// (design §4.5).
 // The register's revision rises with each grant and is the holder's fencing token. Grants are
 // written; renewals are not: the slot's leader keeps them in memory under its own lease, and
 // a later leader waits a whole LeaseDuration before it grants the role to another.
@@ -46,7 +47,7 @@
 		c.finish(StatusConflict, c.current)
 	case live && lease.Holder == operation.Holder:
 		// Also for one whose grant was lost, or whose request comes late: a second grant to
-		// the same incarnation would make its own orders out of date.
+		// the same incarnation would make its own fencing token stale.
 		c.replica.roleLeaseUntil[operation.Key] = c.now + lease.Duration
 		c.finish(StatusDone, c.current)
 	case live:
