--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -21,16 +21,19 @@
 // maxChangeBytes bounds the body of a change of the voter set.
 const maxChangeBytes = 4096
 
+// registerRoutes registers paths and metrics. /v1/plan, plan_* and era belong to the product's
+// own interface; under a deploy file nothing uses them, and refreshPlan reads a key that was
+// never put.
 func (n *Node) registerRoutes() {
 	n.daemon.Handle("/v1/plan", n.servePlan)
 	n.daemon.Handle("/v1/fleet", n.serveFleet)
 	n.daemon.Handle("/v1/roster", n.serveVoterSetChange)
-	n.daemon.Gauge("slots_owned", "slots whose keys this node owns under a live lease", n.countLedSlots)
+	n.daemon.Gauge("slots_owned", "slots that this node leads under a live lease", n.countLedSlots)
 	n.daemon.Gauge("state_bytes", "bytes of live control state", func() float64 { return float64(n.status.Load().stateBytes) })
-	n.daemon.Gauge("ring_used_permille", "part of the disk ring in use", func() float64 { return float64(n.storage.usedPermille.Load()) })
-	n.daemon.Gauge("era", "newest era of claims known to be open", func() float64 { return float64(n.generation.Load()) })
-	n.daemon.Gauge("plan_rev", "revision of the plan last vouched for", func() float64 { return float64(n.plan.Load().Revision) })
-	n.daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(n.plan.Load().Age(clock.Now())) })
+	n.daemon.Gauge("ring_used_permille", "thousandths of the write-ahead log in use", func() float64 { return float64(n.storage.usedPermille.Load()) })
+	n.daemon.Gauge("era", "newest generation of claims known to be open", func() float64 { return float64(n.generation.Load()) })
+	n.daemon.Gauge("plan_rev", "revision of the plan as its leader last confirmed it", func() float64 { return float64(n.plan.Load().Revision) })
+	n.daemon.Gauge("plan_age_us", "microseconds since the plan was confirmed", func() float64 { return float64(n.plan.Load().Age(clock.Now())) })
 }
 
 // countLedSlots is the number of slots that this node leads.
--- a/internal/app/control/api_status.go
+++ b/internal/app/control/api_status.go
@@ -32,7 +32,7 @@
 // SlotStatus is a slot of the control state.
 type SlotStatus struct {
 	Slot   int    `json:"slot"`
-	Leader string `json:"owner"`
+	Leader string `json:"owner"` // last heard of; it may be gone. slots_owned counts live leases
 	Term   uint64 `json:"epoch"`
 	Keys   int    `json:"keys"`
 }
--- a/internal/app/control/frames.go
+++ b/internal/app/control/frames.go
@@ -51,7 +51,7 @@
 	case frame.OperationRequest != nil:
 		ctx, cancel := context.WithTimeout(ctx, clock.Duration(frameTimeout))
 		defer cancel()
-		return &fb.FrameT{OperationResponse: n.execute(ctx, frame.OperationRequest)}
+		return &fb.FrameT{OperationResponse: n.ExecuteOnce(ctx, frame.OperationRequest)}
 	}
 	return nil
 }
--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -21,11 +21,6 @@
 	attemptPause      = 30_000    // between two attempts of Execute
 )
 
-// ExecuteOnce carries an operation out with one attempt.
-func (n *Node) ExecuteOnce(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
-	return n.execute(ctx, request)
-}
-
 // Execute carries an operation out, trying again while it provably did nothing, or while
 // doing it twice is the same as once, for as long as Settings.OperationTimeout.
 func (n *Node) Execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
@@ -35,7 +30,7 @@
 	inDoubt := false
 	for {
 		attempt := *request
-		response := n.execute(ctx, &attempt)
+		response := n.ExecuteOnce(ctx, &attempt)
 		again := false
 		response, inDoubt, again = judgeAttempt(quorum.OperationType(request.Type), response, inDoubt)
 		if !again || !taskgroup.Sleep(ctx, attemptPause) {
@@ -73,8 +68,9 @@
 	return &fb.OperationResponseT{Status: byte(status)}
 }
 
-// execute carries an operation to the leader of its key's slot, which may be this node.
-func (n *Node) execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
+// ExecuteOnce carries an operation to the leader of its key's slot, which may be this node,
+// with one attempt.
+func (n *Node) ExecuteOnce(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
 	if !n.voting.Load() {
 		if via := n.nextPeer(); via != "" && request.Hops < maxHops {
 			return n.forward(ctx, via, request)
--- a/internal/app/control/plan_cache.go
+++ b/internal/app/control/plan_cache.go
@@ -26,7 +26,7 @@
 	cached := n.plan.Load()
 	askedAt := clock.Now()
 	request := &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey, HaveRevision: cached.Revision}
-	response := n.execute(ctx, request)
+	response := n.ExecuteOnce(ctx, request)
 	if quorum.Status(response.Status) != quorum.StatusDone {
 		if relayedResponse := n.readPlanThroughPeer(request); relayedResponse != nil {
 			response = relayedResponse
--- a/internal/app/control/stall.go
+++ b/internal/app/control/stall.go
@@ -1,7 +1,7 @@
 package control
 
-// stallTicks is how many ticks of the voter, two seconds of them, one write and sync may
-// take.
+// stallTicks is how many ticks of the voter one write and sync may take: two seconds, at a
+// quarter of quorum's default heartbeat interval each (see startLoops).
 const stallTicks = 80
 
 // stallWatch counts ticks of the voter during one operation of the disk. It counts ticks
--- a/internal/app/control/storage.go
+++ b/internal/app/control/storage.go
@@ -109,6 +109,7 @@
 			n.loadImage(image)
 			n.reportDiskUsable()
 			return true
+		// A log without room for a checkpoint at its start gets none by waiting.
 		case !isTransient(err) || errors.Is(err, wal.ErrFull):
 			n.daemon.Fail(err)
 			return false
@@ -163,8 +164,8 @@
 	}
 }
 
-// startDiskOperation runs an operation that may stall on a goroutine that nobody waits for
-// without bounds.
+// startDiskOperation runs an operation in a goroutine of storage.operations. A stalled disk
+// may hold it up for ever, so whoever waits for it sets a bound.
 func (n *Node) startDiskOperation(name string, operation func()) {
 	n.storage.operations.Go(name, func(context.Context) { operation() })
 }
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -23,7 +23,8 @@
 const stateShare = 4
 
 // runVoter runs the voter until a newer voter set leaves this disk out, or the disk can't
-// be used: one loop for its state, one for its disk, one to each peer. It returns which.
+// be used: one loop for its state, one for its disk, one to each peer. It returns why it
+// stopped: errRemoved, or what the disk did.
 func (n *Node) runVoter(ctx context.Context) error {
 	n.voterGroup = taskgroup.New(ctx, n.daemon.Log)
 	n.voter = n.newVoter(n.voterSet.Load(), n.Incarnation(), n.records)
