--- a/attempt/forward.go
+++ b/attempt/forward.go
@@ -70,15 +70,15 @@
 	decisive, interrupted := survey(f.Attempts)
 	switch {
 	case decisive != nil:
-		return f.nextAfter(decisive)
+		return f.nextInFlightOrCompleted(decisive)
 	case interrupted != nil:
 		return f.nextInterrupted(interrupted, conditions)
 	}
 	return f.nextNeverRan(conditions)
 }
 
-// nextAfter decides while an attempt is in flight or when it completed.
-func (f *Forward) nextAfter(a *Attempt) ForwardDecision {
+// nextInFlightOrCompleted decides while an attempt is in flight or when it completed.
+func (f *Forward) nextInFlightOrCompleted(a *Attempt) ForwardDecision {
 	switch {
 	case a.State == Completed:
 		return ForwardDecision{Action: ForwardDone}
@@ -92,7 +92,7 @@
 
 // nextInterrupted decides when the last attempt may have run.
 func (f *Forward) nextInterrupted(last *Attempt, conditions Conditions) ForwardDecision {
-	more := f.maySendAgain(f.enginesReached(), conditions)
+	more := f.maySend(f.enginesReached(), conditions)
 	switch {
 	case more && (f.HeadSent && f.Resumable || !f.HeadSent && f.Repeatable):
 		return ForwardDecision{Action: ForwardSend, SpendsRetry: true}
@@ -106,7 +106,7 @@
 func (f *Forward) nextNeverRan(conditions Conditions) ForwardDecision {
 	reached := f.enginesReached()
 	switch {
-	case f.maySendAgain(reached, conditions):
+	case f.maySend(reached, conditions):
 		return ForwardDecision{Action: ForwardSend, SpendsRetry: reached > 0}
 	case f.HeadSent:
 		return ForwardDecision{Action: ForwardAbort, Reason: reasonNoEngine}
@@ -120,9 +120,9 @@
 	return ForwardDecision{Action: ForwardReject, Reason: ReasonRetryBudget}
 }
 
-// maySendAgain reports whether one more engine may be asked, as far as time, the route's
+// maySend reports whether one more engine may be asked, as far as time, the route's
 // limit and the retry budget go. The first engine that is reached spends no budget.
-func (f *Forward) maySendAgain(reached int, conditions Conditions) bool {
+func (f *Forward) maySend(reached int, conditions Conditions) bool {
 	return f.StopReason == "" && conditions.TimeLeft && reached < f.MaxEngines &&
 		(reached == 0 || conditions.RetryAllowed)
 }
--- a/attempt/history.go
+++ b/attempt/history.go
@@ -102,15 +102,15 @@
 	decisive, interrupted := survey(h.Attempts)
 	switch {
 	case decisive != nil:
-		return h.nextAfter(decisive)
+		return h.nextInFlightOrCompleted(decisive)
 	case interrupted != nil:
 		return h.nextInterrupted(interrupted, conditions)
 	}
 	return h.nextNeverRan(conditions)
 }
 
-// nextAfter decides while an attempt is in flight or when it completed.
-func (h *History) nextAfter(a *Attempt) Decision {
+// nextInFlightOrCompleted decides while an attempt is in flight or when it completed.
+func (h *History) nextInFlightOrCompleted(a *Attempt) Decision {
 	switch {
 	case a.State == Completed:
 		return Decision{Action: Finish, Outcome: Done}
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -22,9 +22,9 @@
 	ControlAddr string
 	// Bounds are those of the deployment that a rollout keeps.
 	Bounds route.Bounds
-	// ListInterval is how old the list of engines becomes before it is asked for anew, in
+	// ListIntervalUS is how old the list of engines becomes before it is asked for anew, in
 	// microseconds. A longer one costs the platform fewer calls.
-	ListInterval int64
+	ListIntervalUS int64
 	// Parse reads an operator's text; the table is nil if it can't be read.
 	Parse func(text []byte, revision uint64) *route.Table
 }
@@ -76,9 +76,9 @@
 
 	// Of the list's loop alone: which map of the first node in line this one's list equals,
 	// and when that node was asked.
-	firstIncarnation uint64
-	firstRevision    uint64
-	firstAskedAt     int64
+	listSourceIncarnation uint64
+	listSourceRevision    uint64
+	listSourceAskedAt     int64
 }
 
 // New makes a directory and starts its loops on the group.
--- a/internal/app/directory/engine_list.go
+++ b/internal/app/directory/engine_list.go
@@ -15,9 +15,9 @@
 const (
 	// listStagger is how much longer than the one before it in line a node goes without a
 	// list before it asks the platform itself.
-	listStagger  = 300_000
-	listTimeout  = 900_000 // for the platform's answer
-	firstTimeout = 400_000 // for that of the first node in line
+	listStagger       = 300_000
+	listTimeout       = 900_000 // for the platform's answer
+	listSourceTimeout = 400_000 // for that of the first node in line
 )
 
 // refreshList brings the list of engines up to date. The first node in line asks the
@@ -26,16 +26,16 @@
 // whose link heals (design §3), so it is asked for, and its age counts from then.
 func (d *Directory) refreshList(ctx context.Context) {
 	now := clock.Now()
-	if now-d.listTime() < d.settings.ListInterval {
+	if now-d.listTime() < d.settings.ListIntervalUS {
 		return
 	}
 	position, first := listPosition(d.control.VoterAddrs(), d.settings.ControlAddr)
-	if position > 0 && now-d.firstAskedAt >= d.settings.ListInterval/2 {
-		d.firstAskedAt = now
+	if position > 0 && now-d.listSourceAskedAt >= d.settings.ListIntervalUS/2 {
+		d.listSourceAskedAt = now
 		d.copyListFrom(ctx, first)
 		now = clock.Now()
 	}
-	if now-d.listTime() < d.settings.ListInterval+position*listStagger {
+	if now-d.listTime() < d.settings.ListIntervalUS+position*listStagger {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(listTimeout))
@@ -64,23 +64,23 @@
 // copyListFrom takes over the list that another core machine has.
 func (d *Directory) copyListFrom(ctx context.Context, addr string) {
 	askedAt := clock.Now()
-	request := &fb.MapRequestT{Incarnation: d.firstIncarnation, HaveMap: d.firstRevision, UpdatesIncarnation: 1}
-	response, err := d.control.Call(ctx, addr, &fb.FrameT{MapRequest: request}, firstTimeout)
+	request := &fb.MapRequestT{Incarnation: d.listSourceIncarnation, HaveMap: d.listSourceRevision, UpdatesIncarnation: 1}
+	response, err := d.control.Call(ctx, addr, &fb.FrameT{MapRequest: request}, listSourceTimeout)
 	if err != nil || response.MapResponse == nil {
 		return
 	}
-	mapReply := response.MapResponse
+	mapResponse := response.MapResponse
 	d.mu.Lock()
-	d.announcements.Merge(codec.UnpackVersionAges(mapReply, askedAt))
+	d.announcements.Merge(codec.UnpackVersionAges(mapResponse, askedAt))
 	d.mu.Unlock()
-	if !mapReply.FullMap { // the list is still the one that was taken over last
+	if !mapResponse.FullMap { // the list is still the one that was taken over last
 		d.mu.Lock()
-		d.listReadAt = max(d.listReadAt, askedAt-mapReply.ListAge)
+		d.listReadAt = max(d.listReadAt, askedAt-mapResponse.ListAge)
 		d.mu.Unlock()
 		return
 	}
-	if d.adoptList(askedAt-mapReply.ListAge, unpackEngines(mapReply.Engines)) {
-		d.firstIncarnation, d.firstRevision = mapReply.Incarnation, mapReply.Map
+	if d.adoptList(askedAt-mapResponse.ListAge, unpackEngines(mapResponse.Engines)) {
+		d.listSourceIncarnation, d.listSourceRevision = mapResponse.Incarnation, mapResponse.Map
 	}
 }
 
@@ -112,7 +112,7 @@
 	if askedAt <= d.listReadAt {
 		return false
 	}
-	d.listReadAt, d.firstIncarnation = askedAt, 0
+	d.listReadAt, d.listSourceIncarnation = askedAt, 0
 	if !slices.EqualFunc(engines, d.listedEngines, sameEngine) {
 		d.listedEngines = engines
 		d.mapRevision++
--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -81,7 +81,7 @@
 	}
 	config := rollout.DefaultConfig(d.settings.Bounds.VersionApplyUS, d.settings.Bounds.LeaseUS)
 	role := d.role
-	role.scheduler, role.stateRevision = rollout.New(config, now, role.heldSince, state), response.Revision
+	role.scheduler, role.stateRevision = rollout.New(config, now, role.countFrom, state), response.Revision
 	if role.startedAt == 0 {
 		role.startedAt = now
 	} else {
@@ -160,7 +160,7 @@
 
 // sendUpdate sends one request, if the lease still permits it.
 func (d *Directory) sendUpdate(ctx context.Context, request rollout.UpdateRequest, fencingToken uint64) {
-	ctx, cancel := context.WithTimeout(ctx, clock.Duration(rollout.RequestTimeout))
+	ctx, cancel := context.WithTimeout(ctx, clock.Duration(rollout.RequestTimeoutUS))
 	defer cancel()
 	role := d.role
 	permit := func() error { return role.lease.Load().Permit(clock.Now(), fencingToken) }
--- a/internal/app/directory/weights_role.go
+++ b/internal/app/directory/weights_role.go
@@ -38,7 +38,7 @@
 
 	mu            sync.Mutex // guards what follows
 	leaving       bool       // the lease was released and is not asked for again
-	heldSince     int64      // when this node came to lead
+	countFrom     int64      // when this node came to lead
 	startedAt     int64      // when it first made a scheduler under this lease
 	sentAt        map[string]int64
 	inspectedAt   map[string]int64
@@ -71,7 +71,7 @@
 		return now < lease.ExpiresAt
 	}
 	if response.Revision != lease.FencingToken {
-		role.scheduler, role.heldSince = nil, now-takeoverWindow
+		role.scheduler, role.countFrom = nil, now-takeoverWindow
 		role.startedAt, role.sentAt = 0, map[string]int64{}
 		d.logLeaseAcquired(response.Revision)
 	}
--- a/internal/app/proxy/admission.go
+++ b/internal/app/proxy/admission.go
@@ -26,7 +26,7 @@
 	arrived := clock.Now()
 	s.counts.arrived.Add(1)
 	if s.view.Load().table == nil {
-		s.respondError(w, http.StatusServiceUnavailable, reasonConfigMissing, backoffConfigMissing)
+		s.respondError(w, http.StatusServiceUnavailable, reasonConfigMissing, backoffConfigMissingUS)
 		return
 	}
 	if callerConnOf(r.Context()).ambiguity() != nil {
@@ -92,7 +92,7 @@
 	switch {
 	case tooOld:
 		s.counts.rejected.Add(1)
-		s.respondError(f.writer, http.StatusServiceUnavailable, reasonConfigNotFresh, backoffConfigNotFresh)
+		s.respondError(f.writer, http.StatusServiceUnavailable, reasonConfigNotFresh, backoffConfigNotFreshUS)
 		return false
 	case reason != "":
 		s.respondError(f.writer, status, reason, 0)
@@ -143,7 +143,7 @@
 }
 
 // poolOf draws a route's pool by weight, alike for every request of one name.
-func poolOf(r *route.Route, name string) string {
+func poolOf(r *route.Route, attemptID string) string {
 	sum := 0
 	for _, share := range r.Split {
 		sum += share.Weight
@@ -151,7 +151,7 @@
 	if sum <= 0 {
 		return ""
 	}
-	point := int(rendezvous.Score(name, r.Name) >> 11 % uint64(sum))
+	point := int(rendezvous.Score(attemptID, r.Name) >> 11 % uint64(sum))
 	for _, share := range r.Split {
 		if point -= share.Weight; point < 0 {
 			return share.Pool
--- a/internal/app/proxy/callerconn.go
+++ b/internal/app/proxy/callerconn.go
@@ -59,7 +59,7 @@
 	}
 	c.mu.Unlock()
 	n, err := c.Conn.Read(b)
-	for n == 0 && c.keepResting(err) {
+	for n == 0 && c.staysIdle(err) {
 		n, err = c.Conn.Read(b)
 	}
 	c.mu.Lock()
--- a/internal/app/proxy/engineattempt.go
+++ b/internal/app/proxy/engineattempt.go
@@ -36,7 +36,7 @@
 
 var (
 	completed   = outcome{state: attempt.Completed}
-	unreachable = outcome{attempt.NotStarted, attempt.Unreachable}
+	nothingSent = outcome{attempt.NotStarted, attempt.Unreachable}
 )
 
 // lateAnswerUS is how much later than the caller's deadline an engine may answer.
@@ -50,7 +50,7 @@
 	s.counts.cachedTokens.Add(int64(a.choice.CachedTokens))
 	ctx := a.forwarded.request.Context()
 	if !a.connect(ctx) {
-		return unreachable
+		return nothingSent
 	}
 	stop := context.AfterFunc(ctx, a.conn.kill)
 	end, answer := a.exchange()
@@ -86,9 +86,9 @@
 	switch {
 	case s.view.Load().age(now) > s.maxConfigAgeUS():
 		f.forward.StopReason = reasonConfigNotFresh
-		return unreachable, nil
+		return nothingSent, nil
 	case now >= f.deadline:
-		return unreachable, nil
+		return nothingSent, nil
 	}
 	_ = a.conn.SetDeadline(time.Now().Add(clock.Duration(f.deadline + lateAnswerUS - now)))
 	s.counts.sends.Add(1)
@@ -130,7 +130,7 @@
 	case a.forwarded.request.Context().Err() != nil:
 		cause = reasonCallerGone
 	case clock.Now() >= a.forwarded.deadline:
-		cause = reasonDuePassed
+		cause = reasonDeadlinePassed
 	}
 	return outcome{attempt.Interrupted, cause}
 }
--- a/internal/app/proxy/forwarded.go
+++ b/internal/app/proxy/forwarded.go
@@ -86,7 +86,7 @@
 		f.abort() // nobody is there to read it
 	}
 	status := http.StatusBadGateway
-	if reason == reasonDuePassed {
+	if reason == reasonDeadlinePassed {
 		status = http.StatusGatewayTimeout
 	}
 	f.server.respondError(f.writer, status, reason, 0)
@@ -107,9 +107,9 @@
 		}
 	}
 	s.counts.rejected.Add(1)
-	backoff := int64(backoffRefused)
+	backoff := int64(backoffRefusedUS)
 	if reason == reasonNoEngine {
-		backoff = backoffNoEngine
+		backoff = backoffNoEngineUS
 	}
 	s.respondError(f.writer, http.StatusServiceUnavailable, reason, backoff)
 }
@@ -193,7 +193,7 @@
 		f.placement.Misdirected = true
 	case a.unreached:
 		s.picker.Eject(clock.Now(), engine, ejectInterruptedUS, true)
-	case end.state == attempt.Interrupted && end.cause != reasonCallerGone && end.cause != reasonDuePassed:
+	case end.state == attempt.Interrupted && end.cause != reasonCallerGone && end.cause != reasonDeadlinePassed:
 		s.counts.interrupted.Add(1)
 		s.picker.Eject(clock.Now(), engine, ejectInterruptedUS, true)
 	}
--- a/internal/app/proxy/idle.go
+++ b/internal/app/proxy/idle.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// resting is the connection's idle state, and whether it rests.
-func (c *callerConn) resting() (idleState, bool) {
+// isIdle is the connection's idle state, and whether it rests.
+func (c *callerConn) isIdle() (idleState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idle, !c.idle.since.IsZero()
@@ -73,20 +73,20 @@
 // SetReadDeadline sets the time after which reads fail. While the connection rests, the
 // idle limit in force goes before the server's.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
-	if idle, resting := c.resting(); resting {
+	if idle, ok := c.isIdle(); ok {
 		t, _ = idle.deadline(time.Now())
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// keepResting reports whether a read that ran into its deadline goes on, because the
+// staysIdle reports whether a read that ran into its deadline goes on, because the
 // connection rests and may do so for longer.
-func (c *callerConn) keepResting(err error) bool {
+func (c *callerConn) staysIdle(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	idle, resting := c.resting()
-	if !resting {
+	idle, ok := c.isIdle()
+	if !ok {
 		return false
 	}
 	next, over := idle.deadline(time.Now())
--- a/internal/app/proxy/reject.go
+++ b/internal/app/proxy/reject.go
@@ -21,7 +21,7 @@
 	reasonEngineLost      = "engine-lost"
 	reasonEngineFailed    = "engine-failed"
 	reasonEngineMalformed = "engine-malformed"
-	reasonDuePassed       = "due-passed"
+	reasonDeadlinePassed  = "due-passed"
 	reasonCallerGone      = "caller-gone"
 )
 
@@ -41,16 +41,16 @@
 	reasonEngineLost:          "the request may have run; look before sending it again",
 	reasonEngineFailed:        "the request may have run; look before sending it again",
 	reasonEngineMalformed:     "the request may have run; look before sending it again",
-	reasonDuePassed:           "the request may have run; allow more time",
+	reasonDeadlinePassed:      "the request may have run; allow more time",
 	reasonCallerGone:          "nobody is left to be told",
 }
 
 // How long a caller is asked to stay away after a rejection, in microseconds.
 const (
-	backoffConfigMissing  = 300_000
-	backoffConfigNotFresh = 400_000
-	backoffNoEngine       = 300_000
-	backoffRefused        = 150_000
+	backoffConfigMissingUS  = 300_000
+	backoffConfigNotFreshUS = 400_000
+	backoffNoEngineUS       = 300_000
+	backoffRefusedUS        = 150_000
 )
 
 // respondError answers a request that is not forwarded, or whose answer was lost. A backoffUS
--- a/internal/app/proxy/view.go
+++ b/internal/app/proxy/view.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// staleRegister is the age in microseconds beyond which a node's knowledge shows that it
+	// staleRegisterUS is the age in microseconds beyond which a node's knowledge shows that it
 	// is cut off from the leader of a register; another one is asked then.
-	staleRegister = 1_000_000
+	staleRegisterUS = 1_000_000
 	// pendingMapWaitUS is for how long a map whose list of engines is older than that of the
 	// map in use waits for its node to read a newer list: the platform may be down.
 	pendingMapWaitUS = 3_000_000
@@ -80,7 +80,7 @@
 // mergeConfig takes in the configuration that a node knows, and returns whether it is another
 // one. A revision never goes back within this proxy's incarnation; an age counts only for the
 // revision in use.
-func (v *view) mergeConfig(state *fb.MapResponseT, at int64, parse func(text []byte, revision uint64) *route.Table) (changed bool) {
+func (v *view) mergeConfig(state *fb.MapResponseT, at int64, parse func(value []byte, revision uint64) *route.Table) (changed bool) {
 	if !state.Known || state.Revision < v.revision {
 		return false
 	}
@@ -122,5 +122,5 @@
 // outOfTouch reports whether a node is cut off from the leader of a register. One that was
 // restarted while it is cut off knows no configuration at all.
 func outOfTouch(state *fb.MapResponseT) bool {
-	return !state.Known || state.Age > staleRegister || state.AnnouncedAge > staleRegister
+	return !state.Known || state.Age > staleRegisterUS || state.AnnouncedAge > staleRegisterUS
 }
--- a/sim/register_edit_test.go
+++ b/sim/register_edit_test.go
@@ -31,7 +31,7 @@
 		{"maxHops", maxHops, node},
 		{"contactTimeout", passSilenceLimit, node},
 		{"refreshInterval", directoryRefreshInterval, directory},
-		{"staleRegister", maxDirectoryAge, follower},
+		{"staleRegisterUS", maxDirectoryAge, follower},
 		{"AvoidUS", directoryPause, order},
 		{"leavePoll", leavePollUS, node},
 		{"leaveTimeout", leaveTimeoutUS, node},
