--- a/cacheindex/table.go
+++ b/cacheindex/table.go
@@ -171,6 +171,17 @@
 	Node  uint64 `json:"Node"`
 }
 
+// LongestPrefix returns the hint of the longest known prefix whose node accept accepts, and
+// whether there is one. keys are those of a prompt's prefixes, the shortest first.
+func (t *Table) LongestPrefix(keys []Key, accept func(node uint64) bool) (hint Hint, found bool) {
+	for i := len(keys) - 1; i >= 0; i-- {
+		if node, known := t.Get(keys[i]); known && accept(node) {
+			return Hint{Block: i, Node: node}, true
+		}
+	}
+	return Hint{}, false
+}
+
 // Hints looks the keys of a prompt's prefixes up, and returns a hint of the longest prefix
 // for each node that is named, limit nodes at most, the longest first.
 func (t *Table) Hints(keys []Key, limit int) []Hint {
--- a/cacheindex/table_test.go
+++ b/cacheindex/table_test.go
@@ -42,6 +42,36 @@
 	}
 }
 
+// TestLongestPrefix: the longest known prefix is found whose node the caller accepts.
+func TestLongestPrefix(t *testing.T) {
+	table := NewTable(64)
+	keys := []Key{testKey(1), testKey(2), testKey(3), testKey(4)}
+	table.Put(keys[0], 10)
+	table.Put(keys[1], 20)
+	table.Put(keys[2], 30)
+	tests := []struct {
+		name   string
+		keys   []Key
+		accept func(uint64) bool
+		want   Hint
+		found  bool
+	}{
+		{"any node", keys, func(uint64) bool { return true }, Hint{Block: 2, Node: 30}, true},
+		{"not the longest's node", keys, func(node uint64) bool { return node != 30 }, Hint{Block: 1, Node: 20}, true},
+		{"only the shortest's node", keys, func(node uint64) bool { return node == 10 }, Hint{Block: 0, Node: 10}, true},
+		{"no node accepted", keys, func(uint64) bool { return false }, Hint{}, false},
+		{"nothing known", keys[3:], func(uint64) bool { return true }, Hint{}, false},
+		{"no keys", nil, func(uint64) bool { return true }, Hint{}, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if hint, found := table.LongestPrefix(test.keys, test.accept); hint != test.want || found != test.found {
+				t.Errorf("%+v %v, not %+v %v", hint, found, test.want, test.found)
+			}
+		})
+	}
+}
+
 // TestTableRace reads while one goroutine writes: a reader sees a node that was written for
 // that very key, or none.
 func TestTableRace(t *testing.T) {
--- a/internal/app/directory/cache_events.go
+++ b/internal/app/directory/cache_events.go
@@ -24,23 +24,21 @@
 // failuresUntilDown is how many questions in a row fail before an engine counts as down.
 const failuresUntilDown = 2
 
-// storeID names a store in the map.
-func storeID(addr string) string { return "store " + addr }
-
 // eventSource is an engine or store whose cache events are followed.
 type eventSource struct {
 	addr string
 	node uint64 // that stands for it in cache events
 }
 
-// eventSources lists, by id, what is to be followed. Called under the lock.
+// eventSources lists, by id, what is to be followed. Engines of pools without models have no
+// reader, and so no health check. Called under the lock.
 func (d *Directory) eventSources() map[string]eventSource {
 	sources := map[string]eventSource{}
 	if d.table == nil {
 		return sources
 	}
 	for _, pool := range d.table.Stores() {
-		sources[storeID(pool.StoreAddr)] = eventSource{pool.StoreAddr, placement.StoreHolderID(pool.StoreAddr)}
+		sources[placement.StoreID(pool.StoreAddr)] = eventSource{pool.StoreAddr, placement.StoreHolderID(pool.StoreAddr)}
 	}
 	for _, engine := range d.listedEngines {
 		if pool := d.table.Pool(engine.Pool); pool != nil && len(pool.Models) > 0 {
@@ -99,7 +97,7 @@
 	epoch     string // of the source, as it last answered
 	cursor    string // of the next question; of run alone, as epoch
 	failures  int    // questions in a row that failed
-	answered  bool   // or failed, once
+	answered  bool   // has answered or failed at least once
 }
 
 func (r *eventReader) run(ctx context.Context) {
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -25,8 +25,8 @@
 	// ListIntervalUS is how old the list of engines becomes before it is asked for anew, in
 	// microseconds. A longer one costs the platform fewer calls.
 	ListIntervalUS int64
-	// Parse reads an operator's text; the table is nil if it can't be read.
-	Parse func(text []byte, revision uint64) *route.Table
+	// Parse compiles the value of register route/config; the table is nil if it can't be read.
+	Parse func(value []byte, revision uint64) *route.Table
 }
 
 // Intervals of the loops, in microseconds.
@@ -74,8 +74,8 @@
 	events       *cacheindex.UpdateLog              // changes of cachedBlocks
 	proxies      map[string]*proxyState
 
-	// Of the list's loop alone: which map of the first node in line this one's list equals,
-	// and when that node was asked.
+	// Of the list's loop alone: which map of the list's source, the first node in line, this
+	// one's list equals, and when that node was asked.
 	listSourceIncarnation uint64
 	listSourceRevision    uint64
 	listSourceAskedAt     int64
--- a/internal/app/directory/engine_list.go
+++ b/internal/app/directory/engine_list.go
@@ -64,6 +64,8 @@
 // copyListFrom takes over the list that another core machine has.
 func (d *Directory) copyListFrom(ctx context.Context, addr string) {
 	askedAt := clock.Now()
+	// UpdatesIncarnation has no effect here: without Node no events come, and without Hold the
+	// response is not delayed.
 	request := &fb.MapRequestT{Incarnation: d.listSourceIncarnation, HaveMap: d.listSourceRevision, UpdatesIncarnation: 1}
 	response, err := d.control.Call(ctx, addr, &fb.FrameT{MapRequest: request}, listSourceTimeout)
 	if err != nil || response.MapResponse == nil {
--- a/internal/app/directory/map_response.go
+++ b/internal/app/directory/map_response.go
@@ -9,6 +9,7 @@
 	"violetthread/internal/codec"
 	"violetthread/internal/taskgroup"
 	"violetthread/membership"
+	"violetthread/placement"
 	"violetthread/schema/fb"
 )
 
@@ -162,15 +163,15 @@
 	}
 	if d.table != nil {
 		for _, pool := range d.table.Stores() {
-			id := storeID(pool.StoreAddr)
+			id := placement.StoreID(pool.StoreAddr)
 			out = append(out, &fb.MapEngineT{Id: id, Addr: pool.StoreAddr, Zone: pool.Zone, Store: true, Unhealthy: down(id)})
 		}
 	}
 	return out
 }
 
-// namedVersions tells how long ago each version of weights was announced. Called under the
-// lock.
+// announcedVersions lists how long ago each version of weights was announced. Called under
+// the lock.
 func (d *Directory) announcedVersions(now int64) (out []*fb.AnnouncedVersionT) {
 	d.announcements.Each(func(model string, version uint64, at int64) {
 		out = append(out, &fb.AnnouncedVersionT{Model: model, Version: version, Age: now - at})
--- a/internal/app/directory/ports.go
+++ b/internal/app/directory/ports.go
@@ -55,7 +55,7 @@
 type CacheEventPage struct {
 	Epoch   string // another one after each start of the engine
 	Next    string // cursor of the next question
-	Missing bool   // events before these were dropped
+	Missing bool   // events before these were dropped; not acted on, since a hint out of date costs one miss
 	Events  []CacheEvent
 }
 
@@ -66,7 +66,7 @@
 	// UpdateWeights sends one update request, once.
 	UpdateWeights(ctx context.Context, request UpdateRequest) UpdateResult
 	// RunningWeights is an engine's own word on its weights, and whether it is changing them.
-	RunningWeights(ctx context.Context, addr string) (weights map[string]uint64, busy bool, err error)
+	RunningWeights(ctx context.Context, addr string) (weights map[string]uint64, updating bool, err error)
 	// CacheEvents asks an engine or store for what changed after a cursor, which may
 	// delay its answer by waitUS microseconds until there is something.
 	CacheEvents(ctx context.Context, addr, cursor string, waitUS int64) (CacheEventPage, error)
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -10,10 +10,6 @@
 	"violetthread/schema/fb"
 )
 
-// namedVersionsKept is how many versions of a model proxies learn of: who lags behind an
-// older announcement is late by that, whatever was announced since.
-const announcedVersionsKept = 8
-
 // readTimeout is how long the read of one register may take, in microseconds.
 const readTimeout = 700_000
 
@@ -63,7 +59,7 @@
 	}
 	d.newestVersions = newestOf(doc)
 	for _, model := range doc.Models {
-		for _, version := range model.Versions[max(0, len(model.Versions)-announcedVersionsKept):] {
+		for _, version := range model.Versions[max(0, len(model.Versions)-route.MaxAnnouncedVersions):] {
 			if _, known := d.announcements.AnnouncedAt(model.Model, version); !known {
 				d.announcements.Observe(model.Model, version, since)
 			}
@@ -78,10 +74,9 @@
 	}
 }
 
-// changedSince is the earliest time at which a register can have changed that was last
-// read, unchanged, at a time: its age must not be taken for less. But who could not read
-// for long was cut off or stood still, or the core was without a majority. The bounds of
-// weights count from the end of such trouble, which was not long ago.
+// changedSince is the earliest time at which a register may have changed that was read
+// unchanged at lastRead. It is at most takeoverWindow ago: whoever could not read for longer
+// was cut off, or the core had no majority, and bounds on weights count anew after that.
 func changedSince(lastRead, now int64) int64 {
 	return max(lastRead, now-takeoverWindow)
 }
--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -192,8 +192,8 @@
 func (d *Directory) inspect(ctx context.Context, engine rollout.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(inspectTimeout))
 	defer cancel()
-	weights, busy, err := d.platform.RunningWeights(ctx, engine.Addr)
-	if err != nil || busy {
+	weights, updating, err := d.platform.RunningWeights(ctx, engine.Addr)
+	if err != nil || updating {
 		return
 	}
 	d.withScheduler(func(scheduler *rollout.Scheduler, _ int64) {
--- a/internal/app/directory/weights_role.go
+++ b/internal/app/directory/weights_role.go
@@ -18,12 +18,9 @@
 
 // Microseconds.
 const (
-	// takeoverWindow is how long before a change of the leader the core may have been in
-	// order again: a lease expires a while after its holder was lost.
+	// takeoverWindow is how long before a change of leader is seen the core may have worked
+	// again already. Ages of announcements count from there.
 	takeoverWindow = 4_000_000
-	// leaseMargin is added to the bound of a lease for what is asked for: the leader renews
-	// in time for the bound to be kept.
-	leaseMargin = 500_000
 	// leaseSlack is how long before its lease expires the leader stops.
 	leaseSlack   = 300_000
 	renewTimeout = 800_000
@@ -38,7 +35,7 @@
 
 	mu            sync.Mutex // guards what follows
 	leaving       bool       // the lease was released and is not asked for again
-	countFrom     int64      // when this node came to lead
+	countFrom     int64      // announcements count from here at the earliest: takeoverWindow before this node came to lead
 	startedAt     int64      // when it first made a scheduler under this lease
 	sentAt        map[string]int64
 	inspectedAt   map[string]int64
@@ -60,7 +57,7 @@
 func (d *Directory) renewLease(ctx context.Context, now int64) bool {
 	role := d.role
 	lease := *role.lease.Load()
-	duration := d.settings.Bounds.LeaseUS + leaseMargin
+	duration := d.settings.Bounds.LeaseUS + rollout.LeaseMarginUS
 	if lease.ExpiresAt-now > duration*2/3 {
 		return true
 	}
--- a/internal/app/proxy/adapter.go
+++ b/internal/app/proxy/adapter.go
@@ -39,9 +39,9 @@
 	HasSuccessStamp bool   // the engine's own sign of a success
 	NotRun          bool   // the engine did not run the request and never will
 	HasLoad         bool   // Running, Waiting and Slots were reported
-	Running         int    // requests at the engine
+	Running         int    // requests at the engine; not used
 	Waiting         int
-	Slots           int
+	Slots           int // not used
 }
 
 // Adapter translates between callers, engines and the proxy. Its methods are called from many
--- a/internal/app/proxy/admission.go
+++ b/internal/app/proxy/admission.go
@@ -25,7 +25,7 @@
 func (s *server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	arrived := clock.Now()
 	s.counts.arrived.Add(1)
-	if s.view.Load().table == nil {
+	if s.view.Load().table == nil { // not reached: the port opens with the first configuration
 		s.respondError(w, http.StatusServiceUnavailable, reasonConfigMissing, backoffConfigMissingUS)
 		return
 	}
@@ -87,7 +87,8 @@
 		}
 	}
 	age := f.view.age(clock.Now())
-	// What is refused for good must rest on a configuration that is fresh.
+	// 401 and 404 are final: they need a configuration at most half as old as a change may take
+	// to be in force.
 	tooOld := age > s.maxConfigAgeUS() || reason != "" && age > s.settings.Bounds.ConfigApplyUS/2
 	switch {
 	case tooOld:
@@ -101,7 +102,8 @@
 	return true
 }
 
-// prepare sets a request's deadline, what may be repeated of it, and what it asks of placement.
+// prepare sets a request's deadline, what may be repeated of it and what it asks of placement,
+// and counts it for the retry budget.
 // arrived is when it began to arrive, in monotonic microseconds.
 func (f *forwardedRequest) prepare(arrived int64) {
 	s := f.server
@@ -142,7 +144,7 @@
 	return timeout
 }
 
-// poolOf draws a route's pool by weight, alike for every request of one name.
+// poolOf draws a route's pool by weight; one attempt id always draws the same one.
 func poolOf(r *route.Route, attemptID string) string {
 	sum := 0
 	for _, share := range r.Split {
--- a/internal/app/proxy/engineanswer.go
+++ b/internal/app/proxy/engineanswer.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// matches reports whether an answer belongs to this attempt. One without a name is
-// trusted only on a connection that carried nothing before.
+// matches reports whether an answer belongs to this attempt. One without an attempt id is
+// accepted only as a rejection, and only as the first answer on a new connection.
 func (a *engineAttempt) matches(info ResponseInfo, stray int) bool {
 	if info.AttemptID == "" {
 		return info.NotRun && stray == 0 && a.conn.used == 0
--- a/internal/app/proxy/forwarded.go
+++ b/internal/app/proxy/forwarded.go
@@ -51,7 +51,7 @@
 		decision := f.forward.Next(f.conditions(now))
 		switch decision.Action {
 		case attempt.ForwardSend:
-			// A budget that was spent meanwhile is seen at the next step.
+			// errRetryBudget needs nothing here: Next sees the spent budget, and ends the request.
 			if err := f.send(now, decision.SpendsRetry); errors.Is(err, errNoEngine) {
 				f.reject(reasonNoEngine)
 				return
@@ -65,7 +65,7 @@
 		case attempt.ForwardLost:
 			f.respondLost(decision.Reason)
 			return
-		default: // ForwardAbort: whatever went out so far must not look complete
+		default: // ForwardAbort; ForwardWait can't come, as no attempt is in flight here. What went out must not look complete.
 			s.counts.aborted.Add(1)
 			f.abort()
 		}
@@ -92,8 +92,8 @@
 	f.server.respondError(f.writer, status, reason, 0)
 }
 
-// reject promises that the request has not run and will not; it says that it is lost if
-// an attempt may have run.
+// reject answers that the request has not run and will not. If an attempt may have run, and
+// no engine was left for another, it answers engine-lost instead.
 func (f *forwardedRequest) reject(reason string) {
 	s := f.server
 	for _, a := range f.forward.Attempts {
--- a/internal/app/proxy/idle.go
+++ b/internal/app/proxy/idle.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// isIdle is the connection's idle state, and whether it rests.
+// isIdle returns the connection's idle state, and whether it is idle.
 func (c *callerConn) isIdle() (idleState, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/app/proxy/readiness.go
+++ b/internal/app/proxy/readiness.go
@@ -4,12 +4,13 @@
 	"context"
 
 	"violetthread/internal/clock"
+	"violetthread/route"
 )
 
 const (
 	revocationSlackUS = 400_000 // kept back of the bound on revoked keys, for a request's own way
 	minConfigAgeUS    = 500_000 // however short that bound is
-	unboundedUS       = 1 << 49
+	unboundedUS       = 1 << 49 // below unknownAgeUS: a configuration that is not known is too old all the same
 )
 
 // maxConfigAgeUS is the age beyond which a configuration may not be acted on: a key that it
@@ -34,14 +35,25 @@
 		s.daemon.SetReady("no engine is known yet")
 		return
 	}
-	if s.httpServer.Load() == nil && !s.daemon.Stopping() {
-		if err := s.listen(v.table.Limits); err != nil {
-			s.daemon.SetReady(err.Error())
-			return
-		}
+	if err := s.listenOnce(v.table.Limits); err != nil {
+		s.daemon.SetReady(err.Error())
+		return
 	}
 	s.daemon.SetReady("")
+	s.shareRetryAllowance(v.proxies)
+}
+
+// listenOnce opens the port for callers, unless it is open or the proxy stops.
+func (s *server) listenOnce(limits route.Limits) error {
+	if s.httpServer.Load() != nil || s.daemon.Stopping() {
+		return nil
+	}
+	return s.listen(limits)
+}
+
+// shareRetryAllowance takes this proxy's share of the retry allowance, one of so many proxies.
+func (s *server) shareRetryAllowance(proxies int) {
 	s.mu.Lock()
-	s.retryAllowance = float64(s.settings.Bounds.RetryAllowance) * retryShare / float64(v.proxies)
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	s.retryAllowance = float64(s.settings.Bounds.RetryAllowance) * retryShare / float64(proxies)
 }
--- a/internal/app/proxy/reject.go
+++ b/internal/app/proxy/reject.go
@@ -36,7 +36,7 @@
 	reasonConfigMissing:       "come back shortly; an operator's first configuration is awaited",
 	reasonNoEngine:            "come back shortly; no engine of the pool is in use",
 	attempt.ReasonEnginesFull: "come back shortly; the engines that were asked are full",
-	attempt.ReasonRetryBudget: "come back shortly; further tries are bounded over the whole fleet",
+	attempt.ReasonRetryBudget: "come back shortly; further attempts are bounded over the whole fleet",
 	attempt.ReasonDeadline:    "allow more time",
 	reasonEngineLost:          "the request may have run; look before sending it again",
 	reasonEngineFailed:        "the request may have run; look before sending it again",
--- a/internal/app/proxy/server.go
+++ b/internal/app/proxy/server.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
 	"errors"
 	"io"
 	"log"
@@ -17,6 +15,7 @@
 
 	"violetthread/attempt"
 	"violetthread/cacheindex"
+	"violetthread/internal/app/process"
 	"violetthread/internal/clock"
 	"violetthread/internal/daemon"
 	"violetthread/internal/taskgroup"
@@ -81,11 +80,11 @@
 // New makes a proxy, ready to Run.
 func New(settings Settings, adapter Adapter) (*daemon.Daemon, error) {
 	if settings.Listen == "" || len(settings.Seeds) == 0 {
-		return nil, trace.BadParameter("an address for callers and a seed are needed; look at the settings file")
+		return nil, trace.BadParameter("an address for callers and a control node are needed; set bind-addresses.frontend and seed-nodes in the settings file")
 	}
-	var random [8]byte
-	if _, err := rand.Read(random[:]); err != nil {
-		return nil, trace.Wrap(err)
+	incarnation, err := process.NewIncarnation()
+	if err != nil {
+		return nil, err
 	}
 	d := daemon.New("violetthread-proxy", settings.Name, settings.HTTP, max(settings.Bounds.GraceUS-graceSlackUS, minGraceUS))
 	s := &server{
@@ -93,7 +92,7 @@
 		daemon:         d,
 		adapter:        adapter,
 		controlNodes:   transport.NewPeerPool(d.Group),
-		incarnation:    binary.LittleEndian.Uint64(random[:])>>24 | 1,
+		incarnation:    incarnation,
 		pool:           newConnPool(),
 		hints:          cacheindex.NewHolderTable(settings.HintEntries),
 		retryWindows:   map[string]*attempt.RetryWindow{},
--- a/internal/app/proxy/splitter.go
+++ b/internal/app/proxy/splitter.go
@@ -14,7 +14,7 @@
 	ambiguity error  // of the request whose head came last
 }
 
-// part is a part of a request.
+// part is which part of a request the next byte belongs to.
 type part uint8
 
 const (
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -62,8 +62,11 @@
 	}
 }
 
+// StoreID is the id of a store in the fleet's map, which directories and proxies agree on.
+func StoreID(addr string) string { return "store " + addr }
+
 // StoreHolderID is the holder in the hint table that stands for a store.
-func StoreHolderID(addr string) uint64 { return cacheindex.NodeID("store "+addr, 0) }
+func StoreHolderID(addr string) uint64 { return cacheindex.NodeID(StoreID(addr), 0) }
 
 // EngineHolderID is the holder in the hint table that stands for one incarnation of an engine.
 func EngineHolderID(id string) uint64 { return cacheindex.NodeID(id, 0) }
--- a/rollout/config.go
+++ b/rollout/config.go
@@ -1,5 +1,9 @@
 package rollout
 
+// LeaseMarginUS is how much longer, in microseconds, than the bound between update requests
+// of two leaders the leader asks its lease for, and a new leader waits.
+const LeaseMarginUS = 500_000
+
 // Config bounds a rollout. Durations are microseconds.
 type Config struct {
 	// ApplyWithinUS is the time from the announcement of a version until every engine has to
@@ -18,7 +22,7 @@
 	// time. Default 300; the rest has to carry the load.
 	MaxConcurrentPermille int
 	// LeaseDurationUS is the time within which two leaders must not both send one engine a
-	// request. Default: the bound given, and 0.5 s.
+	// request. Default: the bound given, and LeaseMarginUS.
 	LeaseDurationUS int64
 	// RetryAfterUS is how long after a request without an answer it is sent again. Default:
 	// longer than LeaseDurationUS, and 4 s at least.
@@ -37,7 +41,7 @@
 		ExpectedDurationUS:    2_600_000,
 		MinConcurrent:         2,
 		MaxConcurrentPermille: 300,
-		LeaseDurationUS:       lease + 500_000,
+		LeaseDurationUS:       lease + LeaseMarginUS,
 		RetryAfterUS:          max(4_000_000, lease+1_000_000),
 		SlowAfterUS:           6_000_000,
 	}
--- a/route/announcements.go
+++ b/route/announcements.go
@@ -22,7 +22,8 @@
 	models map[string]map[uint64]int64 // announcement time by model and version
 }
 
-// Term is the term that the times count in.
+// Term is the term that the times count in. A term is here the revision of the rollout role's
+// register, not a slot's term.
 func (a *Announcements) Term() uint64 { return a.term }
 
 // Clone is a copy that shares nothing.
--- a/route/bounds.go
+++ b/route/bounds.go
@@ -1,7 +1,9 @@
 package route
 
 // Bounds are the figures that an operator's rules set for a whole fleet (docs/design.md §3).
-// Fields that end in US are microseconds.
+// Fields that end in US are microseconds. Used are GraceUS, ConfigApplyUS, RevocationUS,
+// RevocationGlobal, VersionApplyUS, LeaseUS, RetryWindowUS, RetryRatio and RetryAllowance;
+// docs/platform.md says how the others are kept.
 type Bounds struct {
 	SeedStaleUS       int64   // a list of seed nodes may be this much out of date
 	AddressReuseUS    int64   // until an engine's address may be given to another pool's
@@ -19,8 +21,8 @@
 	RetryWindowUS     int64   // window over which retries are counted
 	RecoveryUS        int64   // back in service after the last fault
 	TransitUS         int64   // an event's way from engine to caller
-	LeaseUS           int64   // between orders of two lease holders to one engine
-	UnfreezeUS        int64   // orders this soon after a suspended machine resumes are forgiven
+	LeaseUS           int64   // between update requests of two leaders to one engine
+	UnfreezeUS        int64   // update requests this soon after a suspended machine resumes are forgiven
 	RetryRatio        float64 // retries for each request
 	RetryAllowance    int64   // retries on top of that, in each window of the whole fleet
 	RevocationGlobal  bool    // RevocationUS holds for nodes out of touch, too
--- a/route/change.go
+++ b/route/change.go
@@ -31,7 +31,7 @@
 
 // String is the outcome's name in logs.
 func (o Outcome) String() string {
-	names := [...]string{"none", "accepted", "duplicate", "stale", "invalid", "forgotten"}
+	names := [...]string{"none", "accepted", "duplicate", "stale", "invalid", "undecidable"}
 	if int(o) < len(names) {
 		return names[o]
 	}
--- a/route/config.go
+++ b/route/config.go
@@ -15,14 +15,14 @@
 	Name, Host, Prefix string // Prefix begins and ends with a slash
 	Semantics          Semantics
 	TimeoutUS          int64          // microseconds for the whole request, above 0
-	LatencyTargetUS    int64          // microseconds within which an answer, or its first event, is in time; 0 for none
-	EventGapUS         int64          // longest pause between events that is in time, in microseconds; 0 for none
+	LatencyTargetUS    int64          // microseconds within which an answer, or its first event, is in time; 0 for none; read, and not used
+	EventGapUS         int64          // longest pause between events that is in time, in microseconds; 0 for none; read, and not used
 	Priority           int            // 0 is the highest
 	Split              []WeightedPool // where its requests go
 	MaxEngines         int            // engines that one request may be sent to, at the most
 	Public             bool           // needs no key
 	Resumable          bool           // its streams can go on at another engine after the last event
-	DescribesPrompt    bool           // its requests name their model, tokens and prompt blocks
+	DescribesPrompt    bool           // its requests name their model, tokens and prompt blocks; read, and not used
 }
 
 // WeightedPool is a pool's part of a route's requests: Weight of the sum of all weights.
@@ -34,14 +34,14 @@
 // Pool is a service: engines that take requests, or a store of cached prompt blocks.
 type Pool struct {
 	Name            string
-	MaxConnections  int     // of all callers together, at each engine; 0 sets no bound
+	MaxConnections  int     // read, and not enforced; 0 sets no bound
 	StoreAddr       string  // IP:port, if this is a store; empty for engines
 	Zone            string  // of the store
 	CacheTokens     int64   // tokens that an engine's memory holds; 0 if not known
-	BytesPerToken   int64   // of cached prompt blocks
-	LinkMbps        float64 // megabits a second between the store and engines
+	BytesPerToken   int64   // of cached prompt blocks; read, and not used
+	LinkMbps        float64 // megabits a second between the store and engines; read, and not used
 	Slots           int     // requests that an engine runs at one time
-	MaxEventReaders int     // readers of cache events that an engine serves at one time
+	MaxEventReaders int     // readers of cache events that an engine serves at one time; read, and not used
 	Models          []string
 }
 
--- a/route/document.go
+++ b/route/document.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	malformed := trace.BadParameter("the configuration's register is malformed; send the whole configuration again")
+	malformed := trace.BadParameter("the configuration's register is malformed; ask a node of the version that wrote it")
 	r := bytes.NewReader(body)
 	d := &Document{}
 	count, err := readUvarintPair(r, &d.Version)
--- a/route/frame.go
+++ b/route/frame.go
@@ -29,7 +29,7 @@
 	}
 	end := len(frame) - 4
 	if crc32.Checksum(frame[:end], castagnoli) != binary.LittleEndian.Uint32(frame[end:]) {
-		return nil, trace.BadParameter("the register's checksum is wrong; restore the node's disk from another")
+		return nil, trace.BadParameter("the register's checksum is wrong; report it with the versions of all control nodes")
 	}
 	return frame[1:end], nil
 }
--- a/route/weightversions.go
+++ b/route/weightversions.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	malformed := trace.BadParameter("the register of weights is malformed; name the versions again")
+	malformed := trace.BadParameter("the register of weights is malformed; ask a node of the version that wrote it")
 	r := bytes.NewReader(body)
 	count, err := binary.ReadUvarint(r)
 	if err != nil || count > MaxModels {
