--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -24,7 +24,7 @@
 	Bounds route.Bounds
 	// ListInterval is how old the list of engines becomes before it is asked for anew, in
 	// microseconds. A longer one costs the platform fewer calls.
-	ListInterval int64
+	ListIntervalUS int64
 	// Parse reads an operator's text; the table is nil if it can't be read.
 	Parse func(text []byte, revision uint64) *route.Table
 }
--- a/internal/app/directory/engine_list.go
+++ b/internal/app/directory/engine_list.go
@@ -26,16 +26,16 @@
 // whose link heals (design §3), so it is asked for, and its age counts from then.
 func (d *Directory) refreshList(ctx context.Context) {
 	now := clock.Now()
-	if now-d.listTime() < d.settings.ListInterval {
+	if now-d.listTime() < d.settings.ListIntervalUS {
 		return
 	}
 	position, first := listPosition(d.control.VoterAddrs(), d.settings.ControlAddr)
-	if position > 0 && now-d.firstAskedAt >= d.settings.ListInterval/2 {
+	if position > 0 && now-d.firstAskedAt >= d.settings.ListIntervalUS/2 {
 		d.firstAskedAt = now
 		d.copyListFrom(ctx, first)
 		now = clock.Now()
 	}
-	if now-d.listTime() < d.settings.ListInterval+position*listStagger {
+	if now-d.listTime() < d.settings.ListIntervalUS+position*listStagger {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(listTimeout))
--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -160,7 +160,7 @@
 
 // sendUpdate sends one request, if the lease still permits it.
 func (d *Directory) sendUpdate(ctx context.Context, request rollout.UpdateRequest, fencingToken uint64) {
-	ctx, cancel := context.WithTimeout(ctx, clock.Duration(rollout.RequestTimeout))
+	ctx, cancel := context.WithTimeout(ctx, clock.Duration(rollout.RequestTimeoutUS))
 	defer cancel()
 	role := d.role
 	permit := func() error { return role.lease.Load().Permit(clock.Now(), fencingToken) }
--- a/internal/app/directory/rollout_test.go
+++ b/internal/app/directory/rollout_test.go
@@ -107,7 +107,7 @@
 	control, platform := newFakeControl(), &fakePlatform{release: func() bool { return true }}
 	group := taskgroup.New(t.Context(), logr.Discard())
 	t.Cleanup(group.Stop)
-	settings := Settings{Name: "core-1", ControlAddr: "b:1", Bounds: route.DefaultBounds(), ListInterval: 1_000_000, Parse: func([]byte, uint64) *route.Table { return nil }}
+	settings := Settings{Name: "core-1", ControlAddr: "b:1", Bounds: route.DefaultBounds(), ListIntervalUS: 1_000_000, Parse: func([]byte, uint64) *route.Table { return nil }}
 	return newDirectory(group, settings, control, platform), control, platform
 }
 
--- a/rollout/config.go
+++ b/rollout/config.go
@@ -4,13 +4,13 @@
 type Config struct {
 	// ApplyWithin is the time from the announcement of a version until every engine has to
 	// run it. No default; a shorter one updates more engines at a time.
-	ApplyWithin int64
+	ApplyWithinUS int64
 	// DrainDuration is how long proxies send an engine nothing new before its request goes
 	// out. Default 350 ms; a longer one leaves fewer requests to be cut off.
-	DrainDuration int64
+	DrainDurationUS int64
 	// ExpectedDuration is what one engine's update is expected to take before any was seen.
 	// Default 2.6 s; see maxConcurrent.
-	ExpectedDuration int64
+	ExpectedDurationUS int64
 	// MinConcurrent is how many updates of a pool run at a time when there is time enough.
 	// Default 2.
 	MinConcurrent int
@@ -19,26 +19,26 @@
 	MaxConcurrentPermille int
 	// LeaseDuration is the time within which two leaders must not both send one engine a
 	// request. Default: the bound given, and 0.5 s.
-	LeaseDuration int64
+	LeaseDurationUS int64
 	// RetryAfter is how long after a request without an answer it is sent again. Default:
 	// longer than LeaseDuration, and 4 s at least.
-	RetryAfter int64
+	RetryAfterUS int64
 	// SlowAfter is how long an update counts against the others of its pool. Default 6 s; a
 	// longer one lets a stuck engine delay others.
-	SlowAfter int64
+	SlowAfterUS int64
 }
 
 // DefaultConfig is the daemons' configuration for a bound, and for the lease within which
 // two leaders must not both send one engine a request.
 func DefaultConfig(applyWithin, lease int64) Config {
 	return Config{
-		ApplyWithin:           applyWithin,
-		DrainDuration:         350_000,
-		ExpectedDuration:      2_600_000,
+		ApplyWithinUS:         applyWithin,
+		DrainDurationUS:       350_000,
+		ExpectedDurationUS:    2_600_000,
 		MinConcurrent:         2,
 		MaxConcurrentPermille: 300,
-		LeaseDuration:         lease + 500_000,
-		RetryAfter:            max(4_000_000, lease+1_000_000),
-		SlowAfter:             6_000_000,
+		LeaseDurationUS:       lease + 500_000,
+		RetryAfterUS:          max(4_000_000, lease+1_000_000),
+		SlowAfterUS:           6_000_000,
 	}
 }
--- a/rollout/lease.go
+++ b/rollout/lease.go
@@ -8,7 +8,7 @@
 
 // RequestTimeout is how long an update request may be on its way, in microseconds. None is
 // written so shortly before its lease expires.
-const RequestTimeout = 800_000
+const RequestTimeoutUS = 800_000
 
 // Lease is that of the rollout leader, as the leader counts it: from before it asked for
 // it. The zero Lease permits nothing.
@@ -33,7 +33,7 @@
 }
 
 func (e *LeaseEndingError) Error() string {
-	return fmt.Sprintf("the lease ends in %d us, a request may take %d; renew it first", e.LeftUS, RequestTimeout)
+	return fmt.Sprintf("the lease ends in %d us, a request may take %d; renew it first", e.LeftUS, RequestTimeoutUS)
 }
 
 // Permit tells why a request that was decided under a fencing token must not be written
@@ -44,7 +44,7 @@
 	if fencingToken != l.FencingToken {
 		return trace.Wrap(&StaleTokenError{Decided: fencingToken, Current: l.FencingToken})
 	}
-	if now >= l.ExpiresAt-RequestTimeout {
+	if now >= l.ExpiresAt-RequestTimeoutUS {
 		return trace.Wrap(&LeaseEndingError{LeftUS: l.ExpiresAt - now})
 	}
 	return nil
--- a/rollout/lease_test.go
+++ b/rollout/lease_test.go
@@ -15,8 +15,8 @@
 		want  error // of this type
 	}{
 		{"fresh", 1_000_000, 7, nil},
-		{"just in time", 5_000_000 - RequestTimeout - 1, 7, nil},
-		{"too late to arrive", 5_000_000 - RequestTimeout, 7, &LeaseEndingError{}},
+		{"just in time", 5_000_000 - RequestTimeoutUS - 1, 7, nil},
+		{"too late to arrive", 5_000_000 - RequestTimeoutUS, 7, &LeaseEndingError{}},
 		{"run out", 5_000_001, 7, &LeaseEndingError{}},
 		{"paused for long", 25_000_000, 7, &LeaseEndingError{}},
 		{"decided under an earlier lease", 1_000_000, 6, &StaleTokenError{}},
@@ -81,11 +81,11 @@
 	if got := requested(resumed(startedAt), now); !slices.Equal(got, []string{"unsent"}) {
 		t.Errorf("requests to %v, want one to the engine that was sent none", got)
 	}
-	if got := requested(resumed(startedAt), now-1_000_000+config.RetryAfter); !slices.Contains(got, "sent") {
+	if got := requested(resumed(startedAt), now-1_000_000+config.RetryAfterUS); !slices.Contains(got, "sent") {
 		t.Errorf("requests to %v, the one without an answer is not repeated", got)
 	}
 	// Right after the leader changed, another leader's requests may still be under way.
-	if got := requested(resumed(now-config.LeaseDuration+1), now); len(got) != 0 {
+	if got := requested(resumed(now-config.LeaseDurationUS+1), now); len(got) != 0 {
 		t.Errorf("requests to %v within the lease of the leader before", got)
 	}
 }
--- a/rollout/pacing.go
+++ b/rollout/pacing.go
@@ -30,13 +30,13 @@
 		s.lagging[late.model] = true
 	}
 	for id, update := range s.State.Updates {
-		if now-update.StartedAt < s.config.SlowAfter {
+		if now-update.StartedAt < s.config.SlowAfterUS {
 			updating[live[id].Pool]++
 		}
 	}
 	for _, late := range laggards {
 		_, underWay := s.State.Updates[late.ID]
-		waits := s.formerRequests[late.ID] && now < s.formerLeaseUntil-s.config.DrainDuration
+		waits := s.formerRequests[late.ID] && now < s.formerLeaseUntil-s.config.DrainDurationUS
 		if underWay || waits || updating[late.Pool] >= s.maxConcurrent(now, behind[late.Pool], all[late.Pool], late.model) {
 			continue
 		}
@@ -55,7 +55,7 @@
 		if engine.Draining {
 			continue
 		}
-		late := s.latest(engine)
+		late := s.worstLag(engine)
 		if late == nil {
 			continue
 		}
@@ -73,7 +73,7 @@
 // latest is the model in which an engine lags behind most; nil if in none. Versions of
 // several models can't be compared; what counts is how many announcements an engine lags
 // behind, and the version stands for that well enough.
-func (s *Scheduler) latest(engine Engine) *laggard {
+func (s *Scheduler) worstLag(engine Engine) *laggard {
 	var late *laggard
 	for model, reported := range engine.Weights {
 		version := s.State.Version(engine.ID, model, reported)
@@ -111,7 +111,7 @@
 // gets no new requests, which is costly, but all updating at once costs more.
 func (s *Scheduler) maxConcurrent(now int64, behind, all int, model string) int {
 	most := (all*s.config.MaxConcurrentPermille + 999) / 1000
-	left := s.config.ApplyWithin*usableShare/1000 - (now - s.targets[model].announcedAt)
+	left := s.config.ApplyWithinUS*usableShare/1000 - (now - s.targets[model].announcedAt)
 	if left <= s.averageDuration {
 		return most
 	}
--- a/rollout/scheduler.go
+++ b/rollout/scheduler.go
@@ -39,10 +39,10 @@
 		config:           config,
 		targets:          map[string]target{},
 		lagging:          map[string]bool{},
-		averageDuration:  config.ExpectedDuration,
+		averageDuration:  config.ExpectedDurationUS,
 		notBefore:        notBefore,
 		formerRequests:   map[string]bool{},
-		formerLeaseUntil: now + config.LeaseDuration,
+		formerLeaseUntil: now + config.LeaseDurationUS,
 	}
 	if s.State.Updates == nil {
 		s.State.Updates = map[string]Update{}
@@ -67,7 +67,7 @@
 // that time was its own, so that no other leader's lease is to be waited out anew; and a
 // request that the state has but that was never sent goes out at once.
 func (s *Scheduler) Resume(startedAt int64, sentAt map[string]int64) {
-	s.formerLeaseUntil = startedAt + s.config.LeaseDuration
+	s.formerLeaseUntil = startedAt + s.config.LeaseDurationUS
 	for id, update := range s.State.Updates {
 		if update.Phase == PhaseRequested {
 			update.RequestedAt = sentAt[id]
@@ -124,7 +124,7 @@
 // retryRejectedAfter.
 func (s *Scheduler) Postpone(now int64, id string) {
 	if update, ok := s.State.Updates[id]; ok && update.Phase == PhaseRequested {
-		update.RequestedAt = now - s.config.RetryAfter + retryRejectedAfter
+		update.RequestedAt = now - s.config.RetryAfterUS + retryRejectedAfter
 		s.State.Updates[id] = update
 	}
 }
@@ -166,12 +166,12 @@
 		newest := s.targets[update.Model].version
 		switch {
 		case s.formerRequests[id] && now < s.formerLeaseUntil:
-		case update.Phase == PhaseDraining && now-update.StartedAt >= s.config.DrainDuration:
+		case update.Phase == PhaseDraining && now-update.StartedAt >= s.config.DrainDurationUS:
 			update.Phase, update.Version, update.RequestedAt = PhaseRequested, max(newest, update.Version), now
 			s.State.Updates[id] = update
 			changed = true
 			requests = append(requests, UpdateRequest{id, live[id].Addr, update.Model, update.Version})
-		case update.Phase == PhaseRequested && now-update.RequestedAt >= s.config.RetryAfter:
+		case update.Phase == PhaseRequested && now-update.RequestedAt >= s.config.RetryAfterUS:
 			update.RequestedAt = now
 			s.State.Updates[id] = update
 			requests = append(requests, UpdateRequest{id, live[id].Addr, update.Model, update.Version})
--- a/route/announcements.go
+++ b/route/announcements.go
@@ -7,7 +7,7 @@
 
 // maxAnnouncedVersions is how many versions of a model are remembered: an engine that lags
 // behind an older version is late by that one, whatever was announced since.
-const maxAnnouncedVersions = 8
+const MaxAnnouncedVersions = 8
 
 // Announcements tell since when versions of weights are known to be announced, in the time of
 // the node that keeps it (monotonic microseconds). An age that is too small would let requests
@@ -47,7 +47,7 @@
 	if known, ok := versions[version]; !ok || at < known {
 		versions[version] = at
 	}
-	if len(versions) > maxAnnouncedVersions {
+	if len(versions) > MaxAnnouncedVersions {
 		delete(versions, slices.Min(slices.Collect(maps.Keys(versions))))
 	}
 }
--- a/route/announcements_test.go
+++ b/route/announcements_test.go
@@ -94,12 +94,12 @@
 
 func TestAnnouncementsAreBounded(t *testing.T) {
 	a := &Announcements{}
-	for version := uint64(1); version <= 3*maxAnnouncedVersions; version++ {
+	for version := uint64(1); version <= 3*MaxAnnouncedVersions; version++ {
 		a.Observe("m", version, int64(version))
 	}
 	count := 0
 	a.Each(func(string, uint64, int64) { count++ })
-	if _, ok := a.AnnouncedAt("m", 3*maxAnnouncedVersions); count != maxAnnouncedVersions || !ok {
+	if _, ok := a.AnnouncedAt("m", 3*MaxAnnouncedVersions); count != MaxAnnouncedVersions || !ok {
 		t.Errorf("%d versions are kept, the newest %v", count, ok)
 	}
 }
