--- a/internal/app/proxy/admission.go
+++ b/internal/app/proxy/admission.go
@@ -25,8 +25,8 @@
 func (s *server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	arrived := clock.Now()
 	s.counts.arrived.Add(1)
-	if s.view.Load().table == nil {
-		s.respondError(w, http.StatusServiceUnavailable, reasonConfigMissing, backoffConfigMissing)
+	if s.view.Load().table == nil { // not reached: the port opens with the first configuration
+		s.respondError(w, http.StatusServiceUnavailable, reasonConfigMissing, backoffConfigMissingUS)
 		return
 	}
 	if callerConnOf(r.Context()).ambiguity() != nil {
@@ -87,12 +87,13 @@
 		}
 	}
 	age := f.view.age(clock.Now())
-	// What is refused for good must rest on a configuration that is fresh.
+	// 401 and 404 are final: they need a configuration at most half as old as a change may take
+	// to be in force.
 	tooOld := age > s.maxConfigAgeUS() || reason != "" && age > s.settings.Bounds.ConfigApplyUS/2
 	switch {
 	case tooOld:
 		s.counts.rejected.Add(1)
-		s.respondError(f.writer, http.StatusServiceUnavailable, reasonConfigNotFresh, backoffConfigNotFresh)
+		s.respondError(f.writer, http.StatusServiceUnavailable, reasonConfigNotFresh, backoffConfigNotFreshUS)
 		return false
 	case reason != "":
 		s.respondError(f.writer, status, reason, 0)
@@ -101,7 +102,8 @@
 	return true
 }
 
-// prepare sets a request's deadline, what may be repeated of it, and what it asks of placement.
+// prepare sets a request's deadline, what may be repeated of it and what it asks of placement,
+// and counts it for the retry budget.
 // arrived is when it began to arrive, in monotonic microseconds.
 func (f *forwardedRequest) prepare(arrived int64) {
 	s := f.server
@@ -142,8 +144,8 @@
 	return timeout
 }
 
-// poolOf draws a route's pool by weight, alike for every request of one name.
-func poolOf(r *route.Route, name string) string {
+// poolOf draws a route's pool by weight; one attempt id always draws the same one.
+func poolOf(r *route.Route, attemptID string) string {
 	sum := 0
 	for _, share := range r.Split {
 		sum += share.Weight
@@ -151,7 +153,7 @@
 	if sum <= 0 {
 		return ""
 	}
-	point := int(rendezvous.Score(name, r.Name) >> 11 % uint64(sum))
+	point := int(rendezvous.Score(attemptID, r.Name) >> 11 % uint64(sum))
 	for _, share := range r.Split {
 		if point -= share.Weight; point < 0 {
 			return share.Pool
--- a/rollout/lease.go
+++ b/rollout/lease.go
@@ -6,7 +6,7 @@
 	"github.com/gravitational/trace"
 )
 
-// RequestTimeout is how long an update request may be on its way, in microseconds. None is
+// RequestTimeoutUS is how long an update request may be on its way, in microseconds. None is
 // written so shortly before its lease expires.
 const RequestTimeoutUS = 800_000
 
