--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -81,7 +81,7 @@
 	}
 	config := rollout.DefaultConfig(d.settings.Bounds.VersionApplyUS, d.settings.Bounds.LeaseUS)
 	role := d.role
-	role.scheduler, role.stateRevision = rollout.New(config, now, role.heldSince, state), response.Revision
+	role.scheduler, role.stateRevision = rollout.New(config, now, role.countFrom, state), response.Revision
 	if role.startedAt == 0 {
 		role.startedAt = now
 	} else {
@@ -192,8 +192,8 @@
 func (d *Directory) inspect(ctx context.Context, engine rollout.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(inspectTimeout))
 	defer cancel()
-	weights, busy, err := d.platform.RunningWeights(ctx, engine.Addr)
-	if err != nil || busy {
+	weights, updating, err := d.platform.RunningWeights(ctx, engine.Addr)
+	if err != nil || updating {
 		return
 	}
 	d.withScheduler(func(scheduler *rollout.Scheduler, _ int64) {
--- a/rollout/pacing.go
+++ b/rollout/pacing.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// usableShare is the thousandths of Config.ApplyWithin that updates are paced for; the rest
+// usableShare is the thousandths of Config.ApplyWithinUS that updates are paced for; the rest
 // is for what takes longer than the average.
 const usableShare = 780
 
@@ -70,7 +70,7 @@
 	return out
 }
 
-// latest is the model in which an engine lags behind most; nil if in none. Versions of
+// worstLag is the model in which an engine lags behind most; nil if in none. Versions of
 // several models can't be compared; what counts is how many announcements an engine lags
 // behind, and the version stands for that well enough.
 func (s *Scheduler) worstLag(engine Engine) *laggard {
