--- a/rollout/config.go
+++ b/rollout/config.go
@@ -1,14 +1,18 @@
 package rollout
 
+// LeaseMarginUS is how much longer, in microseconds, than the bound between update requests
+// of two leaders the leader asks its lease for, and a new leader waits.
+const LeaseMarginUS = 500_000
+
 // Config bounds a rollout. Durations are microseconds.
 type Config struct {
-	// ApplyWithin is the time from the announcement of a version until every engine has to
+	// ApplyWithinUS is the time from the announcement of a version until every engine has to
 	// run it. No default; a shorter one updates more engines at a time.
 	ApplyWithinUS int64
-	// DrainDuration is how long proxies send an engine nothing new before its request goes
+	// DrainDurationUS is how long proxies send an engine nothing new before its request goes
 	// out. Default 350 ms; a longer one leaves fewer requests to be cut off.
 	DrainDurationUS int64
-	// ExpectedDuration is what one engine's update is expected to take before any was seen.
+	// ExpectedDurationUS is what one engine's update is expected to take before any was seen.
 	// Default 2.6 s; see maxConcurrent.
 	ExpectedDurationUS int64
 	// MinConcurrent is how many updates of a pool run at a time when there is time enough.
@@ -17,13 +21,13 @@
 	// MaxConcurrentPermille is the thousandths of a pool's engines that may be updated at a
 	// time. Default 300; the rest has to carry the load.
 	MaxConcurrentPermille int
-	// LeaseDuration is the time within which two leaders must not both send one engine a
-	// request. Default: the bound given, and 0.5 s.
+	// LeaseDurationUS is the time within which two leaders must not both send one engine a
+	// request. Default: the bound given, and LeaseMarginUS.
 	LeaseDurationUS int64
-	// RetryAfter is how long after a request without an answer it is sent again. Default:
-	// longer than LeaseDuration, and 4 s at least.
+	// RetryAfterUS is how long after a request without an answer it is sent again. Default:
+	// longer than LeaseDurationUS, and 4 s at least.
 	RetryAfterUS int64
-	// SlowAfter is how long an update counts against the others of its pool. Default 6 s; a
+	// SlowAfterUS is how long an update counts against the others of its pool. Default 6 s; a
 	// longer one lets a stuck engine delay others.
 	SlowAfterUS int64
 }
@@ -37,7 +41,7 @@
 		ExpectedDurationUS:    2_600_000,
 		MinConcurrent:         2,
 		MaxConcurrentPermille: 300,
-		LeaseDurationUS:       lease + 500_000,
+		LeaseDurationUS:       lease + LeaseMarginUS,
 		RetryAfterUS:          max(4_000_000, lease+1_000_000),
 		SlowAfterUS:           6_000_000,
 	}
