--- a/internal/app/control/contact.go
+++ b/internal/app/control/contact.go
@@ -13,7 +13,7 @@
 const (
 	// contactTimeout is how long a voter may be silent before nothing is forwarded to it
 	// and it no longer counts towards a majority in contact. It lies between silentAfter,
-	// from which on it is probed, and quorum.SuspectAfter, from which on it does not count
+	// from which on it is probed, and quorum.SuspectAfterUS, from which on it does not count
 	// in elections.
 	contactTimeout = 400_000
 	// contactInterval is how often contact with a majority is looked at during a call.
--- a/quorum/doc.go
+++ b/quorum/doc.go
@@ -32,8 +32,8 @@
 // # Leases (lease.go)
 //
 // Leaders send heartbeats; a follower that answers one votes for nobody else for
-// Config.LeaseDuration. The leader's lease counts from when it sent the newest heartbeat that a
-// majority answered, less Config.LeaseMargin for the drift of clocks. Under a live lease it
+// Config.LeaseDurationUS. The leader's lease counts from when it sent the newest heartbeat that a
+// majority answered, less Config.LeaseMarginUS for the drift of clocks. Under a live lease it
 // answers reads alone (OpGet); this is the lease read of Raft's dissertation, and the
 // master lease of Chubby.
 //
@@ -71,7 +71,7 @@
 // the caller's clock. A Node is not safe for concurrent use; the daemon (internal/app/control)
 // and the simulator (sim) each call it from one goroutine.
 //
-// It assumes that clocks run at rates that differ by less than LeaseMargin in a LeaseDuration,
+// It assumes that clocks run at rates that differ by less than LeaseMarginUS in a LeaseDurationUS,
 // that a synced record stays on its disk, that an emptied disk comes back under another
 // incarnation, and that messages may be lost, delayed, repeated and reordered but not forged.
 //
--- a/quorum/operation.go
+++ b/quorum/operation.go
@@ -43,9 +43,9 @@
 	// ExpectedRevision is, for OpPut, the revision that the key must have (0: absent), and
 	// for OpRelease the revision of the lease.
 	ExpectedRevision uint64
-	// Holder and LeaseDuration (microseconds) describe a role lease (design §4.5).
-	Holder        string
-	LeaseDuration int64
+	// Holder and LeaseDurationUS (microseconds) describe a role lease (design §4.5).
+	Holder          string
+	LeaseDurationUS int64
 }
 
 // Status is how an operation ended. The numbers are sent.
