--- a/route/announcements.go
+++ b/route/announcements.go
@@ -6,7 +6,8 @@
 )
 
 // MaxAnnouncedVersions is how many versions of a model are remembered: an engine that lags
-// behind an older version is late by that one, whatever was announced since.
+// behind an older version is late by that one, whatever was announced since. Directories
+// announce as many to proxies.
 const MaxAnnouncedVersions = 8
 
 // Announcements tell since when versions of weights are known to be announced, in the time of
