--- a/sim/register_edit_test.go
+++ b/sim/register_edit_test.go
@@ -24,7 +24,7 @@
 		from map[string]int64
 	}{
 		{"patienceUS", orderTimeoutUS, operator},
-		{"evidenceUS", maxReadAgeUS, operator},
+		{"maxReadAgeUS", maxReadAgeUS, operator},
 		{"retryUS", retryWithoutLeader, operator},
 		{"conflictUS", retryAfterConflict, operator},
 		{"contactInterval", contactCheckInterval, node},
