--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -24,7 +24,7 @@
 // Execute carries an operation out, trying again while it provably did nothing, or while
 // doing it twice is the same as once, for as long as Settings.OperationTimeout.
 func (n *Node) Execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
-	timeout := lo.Ternary(n.settings.OperationTimeout > 0, n.settings.OperationTimeout, Defaults().OperationTimeout)
+	timeout := lo.Ternary(n.settings.OperationTimeoutUS > 0, n.settings.OperationTimeoutUS, Defaults().OperationTimeoutUS)
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(timeout))
 	defer cancel()
 	inDoubt := false
@@ -83,7 +83,7 @@
 		Value:            request.Value,
 		ExpectedRevision: request.ExpectedRevision,
 		Holder:           request.Holder,
-		LeaseDuration:    request.LeaseDuration,
+		LeaseDurationUS:  request.LeaseDuration,
 	})
 	if !ok {
 		return failed(quorum.StatusUnknown)
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -50,15 +50,15 @@
 // newVoter makes a voter from what a disk holds.
 func (n *Node) newVoter(set *fb.VoterSetT, incarnation uint64, records []quorum.Record) *quorum.Node {
 	config := quorum.DefaultConfig(n.settings.Name, incarnation)
-	config.GenerationDuration = n.settings.GenerationDuration
+	config.GenerationDurationUS = n.settings.GenerationDurationUS
 	config.OpenGenerations = n.settings.OpenGenerations
-	config.LeaseDuration = n.settings.LeaseDuration
+	config.LeaseDurationUS = n.settings.LeaseDurationUS
 	config.MaxStateBytes = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / stateShare)
 	return quorum.New(config, codec.UnpackVoterSet(set), clock.Now(), records)
 }
 
 func (n *Node) startLoops() {
-	tick := quorum.DefaultConfig("", 0).HeartbeatInterval / 4
+	tick := quorum.DefaultConfig("", 0).HeartbeatIntervalUS / 4
 	n.voterGroup.Go("voter", func(ctx context.Context) {
 		run := func(command func(int64)) { command(clock.Now()) }
 		taskgroup.Serve(ctx, n.commands, clock.Duration(tick), run, n.tickVoter)
--- a/internal/e2e/core_test.go
+++ b/internal/e2e/core_test.go
@@ -61,7 +61,7 @@
 func (c *cluster) machine(name string) {
 	s := control.Defaults()
 	s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.DataDir, s.DrainUS = name, "north", c.port(), c.port(), c.t.TempDir(), 0
-	s.LogSegments, s.LogSegmentBytes, s.OperationTimeout = 16, 2<<20, 2_500_000
+	s.LogSegments, s.LogSegmentBytes, s.OperationTimeoutUS = 16, 2<<20, 2_500_000
 	m := &machine{settings: s, disk: newFaultyDisk(nil)}
 	m.settings.Disk = func(fs wal.FS) wal.FS {
 		m.disk.FS = fs
--- a/membership/sessions.go
+++ b/membership/sessions.go
@@ -9,7 +9,7 @@
 )
 
 // SessionTimeout is how long a session lasts after its last heartbeat, in microseconds.
-const SessionTimeout = 2_000_000
+const SessionTimeoutUS = 2_000_000
 
 // peerTimeout is how long a control node's announcement may stay out before it counts as
 // unreachable, in microseconds. It is well below SessionTimeout, so that another control
@@ -76,7 +76,7 @@
 			via = sender
 		}
 		relayed := via != sender
-		if node.Age < 0 || node.Age >= SessionTimeout || relayed && slices.Contains(firsthand, via) {
+		if node.Age < 0 || node.Age >= SessionTimeoutUS || relayed && slices.Contains(firsthand, via) {
 			continue
 		}
 		s.record(node, now-node.Age, via)
@@ -89,7 +89,7 @@
 	var names []string
 	for name, peer := range s.peers {
 		silence := now - peer.heardAt
-		if silence >= SessionTimeout {
+		if silence >= SessionTimeoutUS {
 			delete(s.peers, name)
 			continue
 		}
@@ -115,7 +115,7 @@
 	var nodes []*fb.NodeT
 	for name, session := range s.sessions {
 		age := now - session.heardAt
-		if age >= SessionTimeout {
+		if age >= SessionTimeoutUS {
 			delete(s.sessions, name)
 			continue
 		}
--- a/membership/sessions_test.go
+++ b/membership/sessions_test.go
@@ -66,7 +66,7 @@
 	a.Heartbeat(0, &fb.NodeT{Name: "node"})
 	announce(0, a, b)
 	const interval = 100_000
-	for now := int64(0); now < 2*SessionTimeout; now += interval {
+	for now := int64(0); now < 2*SessionTimeoutUS; now += interval {
 		// Each announcement takes as long as the time between two.
 		var announcements []*fb.SessionUpdateT
 		for _, from := range survivors {
@@ -81,7 +81,7 @@
 		}
 	}
 	for _, sessions := range survivors {
-		if has(sessions, 2*SessionTimeout, "node") {
+		if has(sessions, 2*SessionTimeoutUS, "node") {
 			t.Fatalf("%s keeps a session that ended long ago", sessions.self)
 		}
 	}
--- a/quorum/admission.go
+++ b/quorum/admission.go
@@ -12,9 +12,9 @@
 // nobody is added beside it: it may be about to be replaced. A newcomer waits AddAfter before
 // it is added, since it may have come in the place of one that has just gone (design §4.6).
 const (
-	FailedAfter  = 1_500_000
-	SuspectAfter = 500_000
-	AddAfter     = 600_000
+	FailedAfterUS  = 1_500_000
+	SuspectAfterUS = 500_000
+	AddAfterUS     = 600_000
 )
 
 // contacts is which voters of a set are heard.
@@ -29,12 +29,12 @@
 	var longest int64
 	for _, voter := range set.Voters {
 		silent := silence(voter.Name)
-		if silent < SuspectAfter {
+		if silent < SuspectAfterUS {
 			seen.heard++
 		} else {
 			seen.suspect = true
 		}
-		if silent >= FailedAfter && silent > longest {
+		if silent >= FailedAfterUS && silent > longest {
 			seen.failed, longest = voter.Name, silent
 		}
 	}
@@ -61,7 +61,7 @@
 	if former := set.formerSelf(newcomer); former != "" {
 		leaves = former
 	}
-	if leaves == "" && (seen.suspect || askedFor < AddAfter || len(set.Voters) >= limit) {
+	if leaves == "" && (seen.suspect || askedFor < AddAfterUS || len(set.Voters) >= limit) {
 		return set, false
 	}
 	for _, joins := range []*Voter{&newcomer, nil} {
--- a/quorum/admission_test.go
+++ b/quorum/admission_test.go
@@ -73,7 +73,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			silence, _ := readSilences(t, test.silent)
 			set := newAddressedSet(test.voters)
-			asked := int64(AddAfter)
+			asked := int64(AddAfterUS)
 			if strings.HasPrefix(test.name, "just come") {
 				asked--
 			}
--- a/quorum/change.go
+++ b/quorum/change.go
@@ -37,7 +37,7 @@
 // askingFor is for how long a newcomer has been asking to be let in.
 func (n *Node) askingFor(now int64, incarnation uint64) int64 {
 	request, ok := n.joinRequests[incarnation]
-	if !ok || now-request.last > FailedAfter {
+	if !ok || now-request.last > FailedAfterUS {
 		request.first = now
 	}
 	request.last = now
@@ -80,7 +80,7 @@
 	}
 	leaving := func(name string) bool {
 		at, said := n.leavingSince[name]
-		return said && now-at < n.config.LeaseDuration
+		return said && now-at < n.config.LeaseDurationUS
 	}
 	if next, ok := n.voterSet.RemoveSurplus(leaving, n.silenceAt(now)); ok {
 		n.proposeVoterSet(now, next, Event{Type: EventSurplusRemoved}, ready)
--- a/quorum/claims.go
+++ b/quorum/claims.go
@@ -67,7 +67,7 @@
 	switch {
 	case !isClaim(operation.Key) || generation == 0 || len(operation.Value) == 0:
 		c.finish(StatusConflict, Entry{})
-	case n.config.GenerationDuration > 0 && generation > n.generation+1:
+	case n.config.GenerationDurationUS > 0 && generation > n.generation+1:
 		c.finish(StatusGenerationNotOpen, Entry{})
 	case generation < n.claimFloor(c.replica):
 		c.finish(StatusGenerationClosed, Entry{})
@@ -103,7 +103,7 @@
 
 // tickGenerations is the leader's part: it opens generations, and raises its slot's floor.
 func (n *Node) tickGenerations(now int64, replica *slotReplica, ready *Ready) {
-	if n.config.GenerationDuration <= 0 {
+	if n.config.GenerationDurationUS <= 0 {
 		return
 	}
 	if replica.id == SlotOf(GenerationKey, n.config.Slots) {
@@ -120,7 +120,7 @@
 		return
 	}
 	age := now - replica.generationSince
-	if newest.Revision == 0 || age > n.config.GenerationDuration || n.claimsCrowded(age) {
+	if newest.Revision == 0 || age > n.config.GenerationDurationUS || n.claimsCrowded(age) {
 		replica.generationSince = now
 		n.replicate(now, replica, Entry{Key: GenerationKey, Revision: newest.Revision + 1, Value: []byte{1}}, Operation{}, ready)
 	}
@@ -130,7 +130,7 @@
 // then, but lasts an eighth of its time: refusing all claims would be worse. Its length is
 // nobody's safety.
 func (n *Node) claimsCrowded(age int64) bool {
-	return n.stateBytes > n.maxClaimBytes()/8*7 && age > n.config.GenerationDuration/8
+	return n.stateBytes > n.maxClaimBytes()/8*7 && age > n.config.GenerationDurationUS/8
 }
 
 // raiseFloor closes the generations that are too old.
--- a/quorum/config.go
+++ b/quorum/config.go
@@ -12,13 +12,13 @@
 	Slots int
 	// HeartbeatInterval is the time between a leader's heartbeats; 0.1 s by default. Longer
 	// ones save messages and make failures be noticed later.
-	HeartbeatInterval int64
+	HeartbeatIntervalUS int64
 	// LeaseDuration is how long a leader's lease lasts; 1 s by default. It bounds how long a
 	// slot stays without a leader after a failure.
-	LeaseDuration int64
+	LeaseDurationUS int64
 	// LeaseMargin is how long before its lease ends a leader stops; 0.15 s by default. It
 	// covers the drift between clocks.
-	LeaseMargin int64
+	LeaseMarginUS int64
 	// ChunkBytes bounds the entries of one chunk of a snapshot; 256 KiB by default.
 	ChunkBytes int
 	// MaxStateBytes is the live state beyond which changes are refused with StatusFull;
@@ -26,7 +26,7 @@
 	MaxStateBytes int
 	// GenerationDuration is how long a generation of claims is the newest; 120 s by default.
 	// With 0 there are no generations, and claims stay for ever.
-	GenerationDuration int64
+	GenerationDurationUS int64
 	// OpenGenerations is how many generations take claims at a time; 5 by default.
 	OpenGenerations int
 }
@@ -34,15 +34,15 @@
 // DefaultConfig returns the values that the daemons start from.
 func DefaultConfig(name string, incarnation uint64) Config {
 	return Config{
-		Name:               name,
-		Incarnation:        incarnation,
-		Slots:              16,
-		HeartbeatInterval:  100_000,
-		LeaseDuration:      1_000_000,
-		LeaseMargin:        150_000,
-		ChunkBytes:         256 << 10,
-		MaxStateBytes:      96 << 20,
-		GenerationDuration: 120_000_000,
-		OpenGenerations:    5,
+		Name:                 name,
+		Incarnation:          incarnation,
+		Slots:                16,
+		HeartbeatIntervalUS:  100_000,
+		LeaseDurationUS:      1_000_000,
+		LeaseMarginUS:        150_000,
+		ChunkBytes:           256 << 10,
+		MaxStateBytes:        96 << 20,
+		GenerationDurationUS: 120_000_000,
+		OpenGenerations:      5,
 	}
 }
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -17,7 +17,7 @@
 	count := 0
 	for _, voter := range n.voterSet.Voters {
 		at, heard := n.lastHeard[voter.Name]
-		if voter.Name == n.config.Name || heard && now-at < SuspectAfter {
+		if voter.Name == n.config.Name || heard && now-at < SuspectAfterUS {
 			count++
 		}
 	}
@@ -44,7 +44,7 @@
 		if name == n.config.Name {
 			return rank
 		}
-		if n.Silence(now, name) < SuspectAfter {
+		if n.Silence(now, name) < SuspectAfterUS {
 			rank++
 		}
 	}
@@ -56,7 +56,7 @@
 		return
 	}
 	free := max(replica.noVoteUntil, replica.noCampaignUntil, n.noCampaignBefore)
-	turn := free + n.campaignRank(now, replica)*2*n.config.HeartbeatInterval
+	turn := free + n.campaignRank(now, replica)*2*n.config.HeartbeatIntervalUS
 	if replica.campaignAtOnce || now >= turn {
 		replica.campaignAtOnce = false
 		n.campaign(now, replica, ready)
@@ -64,7 +64,7 @@
 }
 
 func (n *Node) tickCandidate(now int64, replica *slotReplica, ready *Ready) {
-	if now-replica.campaignStartedAt > n.config.LeaseDuration/2 {
+	if now-replica.campaignStartedAt > n.config.LeaseDurationUS/2 {
 		n.endCampaign(now, replica, ready)
 	}
 }
@@ -72,7 +72,7 @@
 // endCampaign gives a campaign up, and lets those before this node in rank go first.
 func (n *Node) endCampaign(now int64, replica *slotReplica, ready *Ready) {
 	n.becomeFollower(now, replica, ready)
-	replica.nextCampaignAt = now + n.config.HeartbeatInterval*(1+n.campaignRank(now, replica))
+	replica.nextCampaignAt = now + n.config.HeartbeatIntervalUS*(1+n.campaignRank(now, replica))
 }
 
 // campaign asks for votes for a term above all that this voter promised.
@@ -177,5 +177,5 @@
 	if replica.leader == n.config.Name {
 		replica.leader = ""
 	}
-	replica.nextCampaignAt = now + n.config.LeaseDuration/2
+	replica.nextCampaignAt = now + n.config.LeaseDurationUS/2
 }
--- a/quorum/explore_actions_test.go
+++ b/quorum/explore_actions_test.go
@@ -168,7 +168,7 @@
 	case doClaim:
 		w.propose(action.a, Operation{Type: OpClaim, Key: ClaimKey(uint64(action.b), "c")})
 	case doAcquire:
-		w.propose(action.a, Operation{Type: OpAcquire, Key: exploreRoleKey, Holder: strconv.Itoa(action.b), LeaseDuration: exploreRoleDuration})
+		w.propose(action.a, Operation{Type: OpAcquire, Key: exploreRoleKey, Holder: strconv.Itoa(action.b), LeaseDurationUS: exploreRoleDuration})
 	case doKill:
 		w.kill(action.a, len(host.unsynced))
 	case doPower:
--- a/quorum/explore_world_test.go
+++ b/quorum/explore_world_test.go
@@ -18,8 +18,8 @@
 
 // exploreConfig is the configuration of every explored node.
 func exploreConfig(name string, incarnation uint64, size worldConfig) Config {
-	return Config{Name: name, Incarnation: incarnation, Slots: size.slots, HeartbeatInterval: tickInterval, LeaseDuration: 3 * tickInterval, LeaseMargin: tickInterval / 2,
-		ChunkBytes: size.chunkBytes, MaxStateBytes: 1 << 20, GenerationDuration: size.generationDuration, OpenGenerations: 1}
+	return Config{Name: name, Incarnation: incarnation, Slots: size.slots, HeartbeatIntervalUS: tickInterval, LeaseDurationUS: 3 * tickInterval, LeaseMarginUS: tickInterval / 2,
+		ChunkBytes: size.chunkBytes, MaxStateBytes: 1 << 20, GenerationDurationUS: size.generationDuration, OpenGenerations: 1}
 }
 
 // worldConfig sizes a world.
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -37,8 +37,8 @@
 	}
 	slices.Sort(sent)
 	answered := sent[len(sent)-n.voterSet.Majority()]
-	replica.leaseUntil = max(replica.leaseUntil, answered+n.config.LeaseDuration-n.config.LeaseMargin)
-	replica.noVoteUntil = max(replica.noVoteUntil, now+n.config.LeaseDuration)
+	replica.leaseUntil = max(replica.leaseUntil, answered+n.config.LeaseDurationUS-n.config.LeaseMarginUS)
+	replica.noVoteUntil = max(replica.noVoteUntil, now+n.config.LeaseDurationUS)
 }
 
 // handleHeartbeat follows the leaders of the slots that are listed, and answers how far this
@@ -61,7 +61,7 @@
 func (n *Node) followHeartbeat(now int64, from string, slot SlotProgress, ready *Ready) SlotProgress {
 	replica := n.slots[slot.Slot]
 	if slot.Term < replica.promised {
-		replica.noCampaignUntil = max(replica.noCampaignUntil, now+n.config.LeaseDuration)
+		replica.noCampaignUntil = max(replica.noCampaignUntil, now+n.config.LeaseDurationUS)
 		return SlotProgress{Slot: slot.Slot, Term: replica.promised}
 	}
 	n.followHigherTerm(now, replica, slot.Term, ready)
@@ -69,7 +69,7 @@
 	if slot.Recovered {
 		replica.recoveredUnder = n.voterSet.Revision
 	}
-	replica.noVoteUntil = max(replica.noVoteUntil, now+n.config.LeaseDuration)
+	replica.noVoteUntil = max(replica.noVoteUntil, now+n.config.LeaseDurationUS)
 	if replica.logTerm == slot.Term && replica.committed.Before(slot.Committed) {
 		replica.committed = slot.Committed
 	}
@@ -134,7 +134,7 @@
 // leaseExpired reports whether the lease ran out, or did not begin in its whole duration.
 func (n *Node) leaseExpired(now int64, replica *slotReplica) bool {
 	if replica.leaseUntil == 0 {
-		return now-replica.campaignStartedAt > n.config.LeaseDuration
+		return now-replica.campaignStartedAt > n.config.LeaseDurationUS
 	}
 	return now >= replica.leaseUntil
 }
@@ -143,7 +143,7 @@
 func (n *Node) mustCampaignAnew(now int64, replica *slotReplica) bool {
 	waited := now - replica.higherTermSeenAt
 	return replica.higherTerm > replica.term && len(replica.pendingOrder) == 0 &&
-		waited > higherTermPatience*n.config.HeartbeatInterval
+		waited > higherTermPatience*n.config.HeartbeatIntervalUS
 }
 
 // ReadUnderLease returns the committed register of a key if this node leads its slot under a
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -45,7 +45,7 @@
 	n := &Node{
 		config:         config,
 		voterSet:       set,
-		noVoteBefore:   now + config.LeaseDuration,
+		noVoteBefore:   now + config.LeaseDurationUS,
 		lastHeard:      map[string]int64{},
 		admittedAt:     map[string]int64{},
 		leavingSince:   map[string]int64{},
@@ -62,7 +62,7 @@
 	n.self, _ = n.voterSet.Find(config.Name)
 	n.self.Incarnation = config.Incarnation
 	n.pendingVoterSet = n.voterSet.Revision
-	n.noCampaignBefore = now + config.LeaseDuration
+	n.noCampaignBefore = now + config.LeaseDurationUS
 	if !n.promisedAny() {
 		// A disk that promised nothing has no lease to wait out and may vote at once. In a
 		// fleet that works already it campaigns only after a lease: its promise to itself
@@ -96,7 +96,7 @@
 	if !n.isVoter() {
 		return ready
 	}
-	if now-n.heartbeatSentAt >= n.config.HeartbeatInterval {
+	if now-n.heartbeatSentAt >= n.config.HeartbeatIntervalUS {
 		n.heartbeatSentAt = now
 		n.broadcastHeartbeat(now, &ready)
 	}
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -19,7 +19,7 @@
 func newSingleNode(t *testing.T, generationDuration int64) *singleNode {
 	t.Helper()
 	config := DefaultConfig("a", 1)
-	config.GenerationDuration, config.OpenGenerations = generationDuration, 3
+	config.GenerationDurationUS, config.OpenGenerations = generationDuration, 3
 	s := &singleNode{t: t, node: New(config, newVoterSet(1), 0, nil)}
 	s.runUntil(3_000_000 + testTick)
 	s.now = 3_000_000
--- a/quorum/operation.go
+++ b/quorum/operation.go
@@ -44,8 +44,8 @@
 	// for OpRelease the revision of the lease.
 	ExpectedRevision uint64
 	// Holder and LeaseDuration (microseconds) describe a role lease (design §4.5).
-	Holder        string
-	LeaseDuration int64
+	Holder          string
+	LeaseDurationUS int64
 }
 
 // Status is how an operation ended. The numbers are sent.
--- a/quorum/role.go
+++ b/quorum/role.go
@@ -43,7 +43,7 @@
 	operation, lease := c.operation, parseRoleLease(c.current.Value)
 	live := lease.Holder != "" && c.now < c.replica.roleLeaseUntil[operation.Key]
 	switch {
-	case !isRole(operation.Key) || operation.Holder == "" || operation.LeaseDuration <= 0:
+	case !isRole(operation.Key) || operation.Holder == "" || operation.LeaseDurationUS <= 0:
 		c.finish(StatusConflict, c.current)
 	case live && lease.Holder == operation.Holder:
 		// Also for one whose grant was lost, or whose request comes late: a second grant to
@@ -53,7 +53,7 @@
 	case live:
 		c.finish(StatusConflict, c.current)
 	default: // free, or expired
-		n.change(c, c.next(roleLease{operation.Holder, operation.LeaseDuration}.encode()))
+		n.change(c, c.next(roleLease{operation.Holder, operation.LeaseDurationUS}.encode()))
 	}
 }
 
--- a/quorum/role_test.go
+++ b/quorum/role_test.go
@@ -7,7 +7,7 @@
 // acquire asks for a role lease of a second.
 func (s *singleNode) acquire(what, holder string, want Status) Result {
 	s.t.Helper()
-	return s.expect(what, Operation{Type: OpAcquire, Key: testRole, Holder: holder, LeaseDuration: 1_000_000}, want)
+	return s.expect(what, Operation{Type: OpAcquire, Key: testRole, Holder: holder, LeaseDurationUS: 1_000_000}, want)
 }
 
 // TestRoleLeases: one holder at a time, fencing tokens rise, a release needs the right one.
@@ -16,7 +16,7 @@
 	first := s.acquire("a free role", "p", StatusDone)
 	s.acquire("two holders", "q", StatusConflict)
 	s.runUntil(s.now + 900_000)
-	renewal := Operation{Type: OpAcquire, Key: testRole, Holder: "p", LeaseDuration: 1_000_000, ExpectedRevision: first.Revision}
+	renewal := Operation{Type: OpAcquire, Key: testRole, Holder: "p", LeaseDurationUS: 1_000_000, ExpectedRevision: first.Revision}
 	if renewed := s.expect("a renewal", renewal, StatusDone); renewed.Revision != first.Revision {
 		t.Fatalf("a renewal: %+v after %+v", renewed, first)
 	}
--- a/quorum/snapshot.go
+++ b/quorum/snapshot.go
@@ -25,7 +25,7 @@
 // catchUp asks the leader for what this voter lacks of the log up to a position, unless it
 // asked lately.
 func (n *Node) catchUp(now int64, replica *slotReplica, last Position, ready *Ready) {
-	patience := n.config.HeartbeatInterval
+	patience := n.config.HeartbeatIntervalUS
 	if replica.snapshot != nil && replica.snapshot.logTerm == replica.leaderTerm {
 		patience *= chunkPatience
 	}
--- a/quorum/voterset_property_test.go
+++ b/quorum/voterset_property_test.go
@@ -55,8 +55,8 @@
 		set := newAddressedSet(rapid.IntRange(1, MaxVoters).Draw(t, "voters"))
 		silent, heard := map[string]int64{}, 0
 		for _, voter := range set.Voters {
-			silent[voter.Name] = rapid.SampledFrom([]int64{0, SuspectAfter - 1, SuspectAfter, FailedAfter - 1, FailedAfter, 9 * FailedAfter}).Draw(t, voter.Name)
-			if silent[voter.Name] < SuspectAfter {
+			silent[voter.Name] = rapid.SampledFrom([]int64{0, SuspectAfterUS - 1, SuspectAfterUS, FailedAfterUS - 1, FailedAfterUS, 9 * FailedAfterUS}).Draw(t, voter.Name)
+			if silent[voter.Name] < SuspectAfterUS {
 				heard++
 			}
 		}
@@ -64,7 +64,7 @@
 		if rapid.Bool().Draw(t, "a disk lost") {
 			come.Name = rapid.SampledFrom(set.Voters).Draw(t, "whose").Name
 		}
-		asked := rapid.SampledFrom([]int64{0, AddAfter - 1, AddAfter}).Draw(t, "asked")
+		asked := rapid.SampledFrom([]int64{0, AddAfterUS - 1, AddAfterUS}).Draw(t, "asked")
 		next, ok := set.Admit(come, asked, func(name string) int64 { return silent[name] }, MaxVoters)
 		if !ok {
 			return
@@ -73,7 +73,7 @@
 			t.Fatalf("%v follows %v with %d heard", next, set, heard)
 		}
 		for _, voter := range set.Voters {
-			if kept, in := next.Find(voter.Name); (!in || kept != voter) && voter.Name != come.Name && silent[voter.Name] < FailedAfter {
+			if kept, in := next.Find(voter.Name); (!in || kept != voter) && voter.Name != come.Name && silent[voter.Name] < FailedAfterUS {
 				t.Fatalf("%s goes after a silence of %d", voter.Name, silent[voter.Name])
 			}
 		}
--- a/quorum/voterset_test.go
+++ b/quorum/voterset_test.go
@@ -104,7 +104,7 @@
 	set := newAddressedSet(3)
 	set.Seats = 3
 	newcomer := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
-	if next, ok := set.Admit(newcomer, AddAfter, heard, MaxVoters); !ok || next.Seats != 3 {
+	if next, ok := set.Admit(newcomer, AddAfterUS, heard, MaxVoters); !ok || next.Seats != 3 {
 		t.Errorf("a newcomer beside all others: %v %d", ok, next.Seats)
 	}
 	if next, ok := set.Admit(Voter{Name: "b", Addr: "at-b", Incarnation: 99}, 0, heard, MaxVoters); !ok || len(next.Voters) != 2 || next.Seats != 3 {
--- a/sim/control_node.go
+++ b/sim/control_node.go
@@ -54,7 +54,7 @@
 	if n.cluster.onBoot != nil {
 		n.cluster.onBoot(n)
 	}
-	n.Every(config.HeartbeatInterval/4, n.tick)
+	n.Every(config.HeartbeatIntervalUS/4, n.tick)
 }
 
 // openLog reads the records of the log on the disk.
@@ -77,9 +77,9 @@
 
 func (n *ControlNode) voterConfig() quorum.Config {
 	config := quorum.DefaultConfig(n.Name, n.incarnation)
-	config.GenerationDuration, config.OpenGenerations = n.cluster.generationUS, 3
+	config.GenerationDurationUS, config.OpenGenerations = n.cluster.generationUS, 3
 	if n.cluster.leaseUS > 0 {
-		config.LeaseDuration = n.cluster.leaseUS
+		config.LeaseDurationUS = n.cluster.leaseUS
 	}
 	config.MaxStateBytes = int(int64(n.cluster.logConfig.SegmentCount) * n.cluster.logConfig.SegmentBytes / 4)
 	return config
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -353,7 +353,7 @@
 	e.bytes(o.Value)
 	e.unsigned(o.ExpectedRevision)
 	e.text(o.Holder)
-	e.number(o.LeaseDuration)
+	e.number(o.LeaseDurationUS)
 }
 
 func (e *goldenEncoder) word(world confirmedVersion) {
--- a/sim/index_node.go
+++ b/sim/index_node.go
@@ -85,7 +85,7 @@
 		Key:              op.Key,
 		ExpectedRevision: op.Token,
 		Holder:           fmt.Sprintf("%s#%x", n.Name, n.incarnation),
-		LeaseDuration:    index.LeaseDuration,
+		LeaseDurationUS:  index.LeaseDuration,
 	}
 	if op.Release {
 		proposed.Type = quorum.OpRelease
--- a/sim/lease_clients.go
+++ b/sim/lease_clients.go
@@ -48,7 +48,7 @@
 		Key:              "duty/one",
 		ExpectedRevision: *token,
 		Holder:           fmt.Sprint(host.Name, "#", host.process),
-		LeaseDuration:    simLeaseUS,
+		LeaseDurationUS:  simLeaseUS,
 	}
 	Call(host, node.Host, op, 500_000, node.serve, func(result quorum.Result) {
 		if result.Status != quorum.StatusDone {
