--- a/internal/app/control/operations.go
+++ b/internal/app/control/operations.go
@@ -22,7 +22,7 @@
 )
 
 // Execute carries an operation out, trying again while it provably did nothing, or while
-// doing it twice is the same as once, for as long as Settings.OperationTimeout.
+// doing it twice is the same as once, for as long as Settings.OperationTimeoutUS.
 func (n *Node) Execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
 	timeout := lo.Ternary(n.settings.OperationTimeoutUS > 0, n.settings.OperationTimeoutUS, Defaults().OperationTimeoutUS)
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(timeout))
--- a/internal/app/control/settings.go
+++ b/internal/app/control/settings.go
@@ -16,7 +16,7 @@
 	// LogSegments is the number of preallocated segments of the write-ahead log. Default
 	// 32. With LogSegmentBytes it bounds the control state at a quarter of the log.
 	LogSegments int `json:"ring_files" validate:"min=8,max=1024" help:"segment files of the write-ahead log"`
-	// GenerationDuration is how long a generation of claims is the newest, in microseconds.
+	// GenerationDurationUS is how long a generation of claims is the newest, in microseconds.
 	// Default 120 s. A longer one lets a claim be repeated later, and keeps more claims.
 	GenerationDurationUS int64 `json:"generation_us" old:"era_us" validate:"min=1000000,max=86400000000" help:"microseconds that a generation of claims is the newest"`
 	// OpenGenerations is the number of generations whose claims are accepted. Default 5.
@@ -24,10 +24,10 @@
 	// Disk wraps the folder that the log lies in, for failures of disks in tests. Nil, the
 	// default, wraps nothing. It has no name in a settings file and no flag.
 	Disk func(wal.FS) wal.FS
-	// OperationTimeout bounds Node.Execute, the way operators' requests take, in
+	// OperationTimeoutUS bounds Node.Execute, the way operators' requests take, in
 	// microseconds. Default 4 s.
 	OperationTimeoutUS int64 `json:"patience_us" validate:"min=100000,max=60000000" help:"longest wait for an operator's change to be committed, in microseconds"`
-	// LeaseDuration is the lease of a slot's leader, in microseconds, the same at every
+	// LeaseDurationUS is the lease of a slot's leader, in microseconds, the same at every
 	// control node of a fleet. Default 1 s. A shorter one moves a slot sooner after its
 	// leader is lost, and costs more heartbeats.
 	LeaseDurationUS int64 `json:"term_us" validate:"min=300000,max=10000000" help:"lease of a slot's leader in microseconds, the same at every control node of a fleet"`
--- a/membership/sessions.go
+++ b/membership/sessions.go
@@ -8,11 +8,11 @@
 	"violetthread/schema/fb"
 )
 
-// SessionTimeout is how long a session lasts after its last heartbeat, in microseconds.
+// SessionTimeoutUS is how long a session lasts after its last heartbeat, in microseconds.
 const SessionTimeoutUS = 2_000_000
 
 // peerTimeout is how long a control node's announcement may stay out before it counts as
-// unreachable, in microseconds. It is well below SessionTimeout, so that another control
+// unreachable, in microseconds. It is well below SessionTimeoutUS, so that another control
 // node relays its sessions before they end.
 const peerTimeout = 700_000
 
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -86,7 +86,7 @@
 }
 
 // Tick lets time pass: heartbeats, elections and the ends of leases depend on it. It must be
-// called a few times per HeartbeatInterval.
+// called a few times per HeartbeatIntervalUS.
 func (n *Node) Tick(now int64) Ready {
 	var ready Ready
 	if now-n.lastTickAt > maxTickGap {
--- a/quorum/operation.go
+++ b/quorum/operation.go
@@ -43,7 +43,7 @@
 	// ExpectedRevision is, for OpPut, the revision that the key must have (0: absent), and
 	// for OpRelease the revision of the lease.
 	ExpectedRevision uint64
-	// Holder and LeaseDuration (microseconds) describe a role lease (design §4.5).
+	// Holder and LeaseDurationUS (microseconds) describe a role lease (design §4.5).
 	Holder          string
 	LeaseDurationUS int64
 }
