--- a/quorum/admission.go
+++ b/quorum/admission.go
@@ -9,7 +9,7 @@
 const MaxVoters = 9
 
 // Silences, in microseconds, after which a voter's place may be taken, and from which on
-// nobody is added beside it: it may be about to be replaced. A newcomer waits AddAfter before
+// nobody is added beside it: it may be about to be replaced. A newcomer waits AddAfterUS before
 // it is added, since it may have come in the place of one that has just gone (design §4.6).
 const (
 	FailedAfterUS  = 1_500_000
--- a/quorum/role.go
+++ b/quorum/role.go
@@ -9,7 +9,7 @@
 // (design §4.5).
 // The register's revision rises with each grant and is the holder's fencing token. Grants are
 // written; renewals are not: the slot's leader keeps them in memory under its own lease, and
-// a later leader waits a whole LeaseDuration before it grants the role to another.
+// a later leader waits a whole LeaseDurationUS before it grants the role to another.
 
 // rolePrefix begins the keys of roles. It is stored.
 const rolePrefix = "duty/"
