--- a/internal/app/proxy/adapter.go
+++ b/internal/app/proxy/adapter.go
@@ -7,53 +7,53 @@
 	"violetthread/route"
 )
 
-// RequestInfo is what an adapter reads off a caller's request.
+// RequestInfo is what an adapter parses from a caller's request headers.
 type RequestInfo struct {
-	AttemptID       string // the caller's name for this attempt
-	TimeoutUS       int64  // microseconds that the caller waits, 0 if it did not say
-	Key             string // of the tenant, empty for none
+	AttemptID       string // chosen by the caller
+	TimeoutUS       int64  // how long the caller waits for the response, in microseconds; 0 if not given
+	Key             string // API key of the tenant, empty for none
 	Model           string
 	Blocks          []placement.Block // of the prompt
 	PromptTokens    int
 	MaxOutputTokens int
-	LastEventID     string // the caller has a stream's events up to this one
+	LastEventID     string // last event of a stream that the caller has received
 }
 
-// EngineRequest is what an engine is told beside the caller's own request.
+// EngineRequest is what the proxy tells an engine in addition to the caller's own request.
 type EngineRequest struct {
-	EngineID    string // of the incarnation that is meant
-	TimeoutUS   int64  // microseconds left to answer
+	EngineID    string // of the incarnation that the request is meant for
+	TimeoutUS   int64  // microseconds left for the response
 	Tenant      string // empty on a public route
 	Salt        string // of the keys of the prompt's blocks
 	Source      string // address to fetch cached blocks from, empty for none
 	Destination string // address to send computed blocks to, empty for none
 	Model       string
-	Version     uint64 // of the model's weights that must be run
+	Version     uint64 // of the model's weights that must be used
 	Priority    int    // 0 is the highest
-	LastEventID string // a stream goes on after this event
+	LastEventID string // a resumed stream continues after this event
 }
 
-// ResponseInfo is what an adapter reads off the head of an engine's answer.
+// ResponseInfo is what an adapter parses from the status and headers of an engine's response.
 type ResponseInfo struct {
-	AttemptID       string // of the request that it answers
-	HasSuccessStamp bool   // the engine's own sign of a success
-	NotRun          bool   // the engine did not run the request and never will
-	HasLoad         bool   // Running, Waiting and Slots were reported
+	AttemptID       string // of the request that is answered
+	HasSuccessStamp bool   // the engine has marked the response as a success of its own
+	NotRun          bool   // the engine has not run the request and never will
+	HasLoad         bool   // whether Running, Waiting and Slots were reported
 	Running         int    // requests at the engine; not used
 	Waiting         int
 	Slots           int // not used
 }
 
-// Adapter translates between callers, engines and the proxy. Its methods are called from many
-// goroutines at once.
+// Adapter translates between the message formats of callers and engines and those of the proxy. Its
+// methods must be safe for concurrent use.
 type Adapter interface {
-	// ParseRequest reads a caller's headers. An error is answered as a malformed request.
+	// ParseRequest parses a caller's headers. On an error the request is rejected as malformed.
 	ParseRequest(h http.Header) (RequestInfo, error)
-	// SetEngineHeaders puts what the engine is told into the headers that go to it, and
-	// takes out what it must not see.
+	// SetEngineHeaders adds r to the headers of the request to the engine, and removes headers that
+	// the engine must not see.
 	SetEngineHeaders(h http.Header, r EngineRequest)
-	// ParseResponse reads the status and headers of an engine's answer.
+	// ParseResponse parses the status and headers of an engine's response.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// ParseConfig reads the value of the configuration's register; nil if it is malformed.
+	// ParseConfig parses the value of the configuration register; nil if it is malformed.
 	ParseConfig(value []byte, revision uint64) *route.Table
 }
--- a/internal/app/proxy/admission.go
+++ b/internal/app/proxy/admission.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	bodyReadTimeoutUS = 15_000_000 // longest that a body may take to arrive
-	defaultBodyBytes  = 16 << 20   // where the configuration sets no bound
-	defaultTimeoutUS  = 30_000_000 // where neither the caller nor the route sets one
+	bodyReadTimeoutUS = 15_000_000 // longest time to receive a request body
+	defaultBodyBytes  = 16 << 20   // limit if the configuration sets none
+	defaultTimeoutUS  = 30_000_000 // if neither the caller nor the route sets one
 )
 
-// serveRequest takes one request of a caller: it reads it whole, finds its route and tenant,
-// and forwards it.
+// serveRequest handles one request of a caller: it reads the body, finds the route and the tenant,
+// and forwards the request.
 func (s *server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	arrived := clock.Now()
 	s.counts.arrived.Add(1)
-	if s.view.Load().table == nil { // not reached: the port opens with the first configuration
+	if s.view.Load().table == nil { // not expected: the port opens only once a configuration is known
 		s.respondError(w, http.StatusServiceUnavailable, reasonConfigMissing, backoffConfigMissingUS)
 		return
 	}
@@ -43,7 +43,7 @@
 	if !ok {
 		return
 	}
-	// The body may have taken its time: what is in force is looked up after it.
+	// Reading the body may have taken long, so the configuration is loaded only now.
 	f := &forwardedRequest{server: s, writer: w, request: r, info: info, view: s.view.Load(), body: body, lastEventID: info.LastEventID}
 	if s.admit(f) {
 		f.prepare(arrived)
@@ -51,7 +51,7 @@
 	}
 }
 
-// readBody reads a request's body whole. If it can't, it has answered.
+// readBody reads the whole request body. If it returns false, it has already responded.
 func (s *server) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(clock.Duration(bodyReadTimeoutUS)))
@@ -66,13 +66,13 @@
 		s.respondError(w, http.StatusRequestEntityTooLarge, reasonTooLarge, 0)
 		return nil, false
 	case err != nil:
-		panic(http.ErrAbortHandler) // it never arrived whole
+		panic(http.ErrAbortHandler) // the body is incomplete: nothing to respond to
 	}
 	_ = control.SetReadDeadline(noDeadline)
 	return body, true
 }
 
-// admit finds a request's route and tenant. If it returns false, it has answered.
+// admit finds a request's route and tenant. If it returns false, it has already responded.
 func (s *server) admit(f *forwardedRequest) bool {
 	table := f.view.table
 	path, _, _ := strings.Cut(f.request.RequestURI, "?")
@@ -87,8 +87,8 @@
 		}
 	}
 	age := f.view.age(clock.Now())
-	// 401 and 404 are final: they need a configuration at most half as old as a change may take
-	// to be in force.
+	// Callers take 401 and 404 as final, so these need a configuration that is at most half as old
+	// as the time within which a change must be in force.
 	tooOld := age > s.maxConfigAgeUS() || reason != "" && age > s.settings.Bounds.ConfigApplyUS/2
 	switch {
 	case tooOld:
@@ -102,9 +102,8 @@
 	return true
 }
 
-// prepare sets a request's deadline, what may be repeated of it and what it asks of placement,
-// and counts it for the retry budget.
-// arrived is when it began to arrive, in monotonic microseconds.
+// prepare sets a request's deadline, its retry rules and its placement request, and counts it for
+// the retry budget. arrived is when the proxy began to serve it, in monotonic microseconds.
 func (f *forwardedRequest) prepare(arrived int64) {
 	s := f.server
 	f.deadline = arrived + timeoutOf(f.info, f.route)
@@ -133,7 +132,7 @@
 	s.retryWindow(f.placement.Pool).CountRequest(clock.Now())
 }
 
-// timeoutOf is the shorter of what the caller waits and what the route allows, in microseconds.
+// timeoutOf returns the shorter of the caller's and the route's time-out, in microseconds.
 func timeoutOf(info RequestInfo, r *route.Route) int64 {
 	timeout := info.TimeoutUS
 	if t := r.TimeoutUS; t > 0 && (timeout <= 0 || t < timeout) {
@@ -145,7 +144,7 @@
 	return timeout
 }
 
-// poolOf draws a route's pool by weight; one attempt id always draws the same one.
+// poolOf selects one of a route's pools by weight. The same attempt id always gets the same pool.
 func poolOf(r *route.Route, attemptID string) string {
 	sum := 0
 	for _, share := range r.Split {
--- a/internal/app/proxy/bytes_test.go
+++ b/internal/app/proxy/bytes_test.go
@@ -14,7 +14,7 @@
 	"violetthread/internal/taskgroup"
 )
 
-// fault is what an engine does in place of going on.
+// fault is how a fake engine fails in the middle of an exchange.
 type fault string
 
 const (
@@ -23,9 +23,10 @@
 	faultSilence fault = "silence"
 )
 
-// strike does it. A silent engine holds its connection until the far end drops it.
-func (c *engineConn) strike(f fault) {
-	c.over = true
+// inject makes the engine fail. A silent engine keeps its connection open until the proxy closes
+// it.
+func (c *engineConn) inject(f fault) {
+	c.stopped = true
 	switch f {
 	case faultReset:
 		resetConn(c.Conn)
@@ -40,16 +41,16 @@
 	}
 }
 
-// testCase is one trouble, brought about on a stage.
+// testCase is one fault scenario, run on a harness.
 type testCase struct {
 	name string
-	run  func(s *stage) error
+	run  func(s *harness) error
 }
 
 const reportedFailures = 12
 
-// runCases spreads cases over stages that run beside each other.
-func runCases(t *testing.T, stages int, cases []testCase) {
+// runCases distributes cases over harnesses that run in parallel.
+func runCases(t *testing.T, harnesses int, cases []testCase) {
 	t.Helper()
 	group := taskgroup.New(context.Background(), logr.Discard())
 	next := make(chan testCase, len(cases))
@@ -60,8 +61,8 @@
 	var mu sync.Mutex
 	var failed []string
 	var done sync.WaitGroup
-	for i := range min(stages, len(cases)) {
-		s := newStage(t, fmt.Sprintf("s%02d", i))
+	for i := range min(harnesses, len(cases)) {
+		s := newHarness(t, fmt.Sprintf("s%02d", i))
 		done.Add(1)
 		group.Go("stage", func(context.Context) {
 			defer done.Done()
@@ -93,52 +94,52 @@
 	body        = "the question"
 )
 
-// keep makes the proxy keep a connection to the engine that it asks next.
-func (s *stage) keep() error {
+// warmUp makes the proxy pool a connection to the engine that it asks next.
+func (s *harness) warmUp() error {
 	id := s.newID()
-	if a := s.call(repeatable, id, body, longWaitMS); !a.whole(repeatable, id) {
-		return fmt.Errorf("warming up: %+v", a)
+	if a := s.call(repeatable, id, body, longWaitMS); !a.complete(repeatable, id) {
+		return fmt.Errorf("warm-up request failed: %+v", a)
 	}
 	return nil
 }
 
-// properly is a script that answers everything completely.
-func properly(kind string) func(c *engineConn, arrival int) {
-	return func(c *engineConn, _ int) { c.answerProperly(kind) }
+// completeResponses returns a script that gives a complete response to every request.
+func completeResponses(kind string) func(c *engineConn, arrival int) {
+	return func(c *engineConn, _ int) { c.respond(kind) }
 }
 
-// sentLength is how many bytes an engine gets of an attempt.
+// sentLength returns how many bytes an engine receives for an attempt.
 func sentLength(t *testing.T, kind string, waitMS int) (length int) {
-	s := newStage(t, "s99")
-	lengths := make(chan int, 2) // one that may be repeated comes twice
+	s := newHarness(t, "s99")
+	lengths := make(chan int, 2) // a repeatable request is sent twice
 	s.begin(func(c *engineConn, _ int) {
 		n, err := c.requestLength()
 		if err != nil {
 			t.Error(err)
 		}
 		lengths <- n
-		c.strike(faultReset)
+		c.inject(faultReset)
 	})
 	s.call(kind, s.newID(), body, waitMS)
 	return <-lengths
 }
 
-// answerLength is how many bytes an engine's answer to an attempt has.
-func answerLength(kind string) int { return len(answerTo(kind, 0, "s00-000000", 0)) }
+// responseLength returns the length in bytes of an engine's response to an attempt.
+func responseLength(kind string) int { return len(responseTo(kind, 0, "s00-000000", 0)) }
 
-// exchange brings a fault about at the first engine that an attempt reaches; the other one
-// would answer properly.
-func (s *stage) exchange(kind string, kept bool, waitMS int, first func(c *engineConn)) error {
-	s.begin(properly(repeatable))
-	if kept {
-		if err := s.keep(); err != nil {
+// exchange lets the first engine that an attempt reaches fail; the other one would respond
+// completely.
+func (s *harness) exchange(kind string, pooled bool, waitMS int, first func(c *engineConn)) error {
+	s.begin(completeResponses(repeatable))
+	if pooled {
+		if err := s.warmUp(); err != nil {
 			return err
 		}
 	}
 	var reused atomic.Bool
-	s.engines.follow(func(c *engineConn, arrival int) {
+	s.engines.setScript(func(c *engineConn, arrival int) {
 		if arrival > 0 {
-			c.answerProperly(kind)
+			c.respond(kind)
 			return
 		}
 		reused.Store(c.served > 0)
@@ -146,61 +147,61 @@
 	})
 	id := s.newID()
 	a := s.call(kind, id, body, waitMS)
-	if err := s.judge(kind, id, a); err != nil {
+	if err := s.check(kind, id, a); err != nil {
 		return err
 	}
-	if s.engines.count() > 0 && reused.Load() != kept {
-		return errors.New("not the connection that was meant")
+	if s.engines.count() > 0 && reused.Load() != pooled {
+		return errors.New("the attempt used the wrong kind of connection (new or pooled)")
 	}
-	if waitMS == longWaitMS && mayRepeat(kind) && !a.whole(kind, id) {
-		return fmt.Errorf("it may be repeated, and got %+v", a)
+	if waitMS == longWaitMS && mayRepeat(kind) && !a.complete(kind, id) {
+		return fmt.Errorf("a repeatable request got %+v", a)
 	}
 	return nil
 }
 
-// TestFaultAtEveryByteOfARequest: an engine resets or closes after every byte that it
-// reads, or falls silent.
+// TestFaultAtEveryByteOfARequest: an engine resets or closes the connection, or goes silent, at
+// each byte offset of the request that it reads.
 func TestFaultAtEveryByteOfARequest(t *testing.T) {
 	var cases []testCase
 	for _, kind := range kinds {
 		length := sentLength(t, kind, longWaitMS)
 		for offset := 0; offset <= length; offset++ {
 			for _, f := range []fault{faultReset, faultClose} {
-				kept := (offset%2 == 0) == (f == faultReset)
-				name := fmt.Sprintf("%s, %s after %d of %d bytes read, kept %v", kind, f, offset, length, kept)
-				cases = append(cases, testCase{name, func(s *stage) error { return s.requestFault(kind, f, offset, kept, longWaitMS) }})
+				pooled := (offset%2 == 0) == (f == faultReset)
+				name := fmt.Sprintf("%s, %s after %d of %d bytes read, pooled %v", kind, f, offset, length, pooled)
+				cases = append(cases, testCase{name, func(s *harness) error { return s.requestFault(kind, f, offset, pooled, longWaitMS) }})
 			}
 		}
 		for offset := 0; offset <= length; offset += 16 {
 			name := fmt.Sprintf("%s, silence after %d of %d bytes read", kind, offset, length)
-			cases = append(cases, testCase{name, func(s *stage) error { return s.requestFault(kind, faultSilence, offset, offset%32 == 0, shortWaitMS) }})
+			cases = append(cases, testCase{name, func(s *harness) error { return s.requestFault(kind, faultSilence, offset, offset%32 == 0, shortWaitMS) }})
 		}
 	}
 	runCases(t, 16, cases)
 }
 
-func (s *stage) requestFault(kind string, f fault, offset int, kept bool, waitMS int) error {
-	return s.exchange(kind, kept, waitMS, func(c *engineConn) {
+func (s *harness) requestFault(kind string, f fault, offset int, pooled bool, waitMS int) error {
+	return s.exchange(kind, pooled, waitMS, func(c *engineConn) {
 		_ = c.readSome(offset)
-		c.strike(f)
+		c.inject(f)
 	})
 }
 
-// TestFaultAtEveryByteOfAnAnswer: an engine that ran the request resets, closes or falls
-// silent after every byte of its answer.
-func TestFaultAtEveryByteOfAnAnswer(t *testing.T) {
+// TestFaultAtEveryByteOfAResponse: an engine that ran the request resets or closes the connection,
+// or goes silent, at each byte offset of its response.
+func TestFaultAtEveryByteOfAResponse(t *testing.T) {
 	var cases []testCase
 	for _, kind := range kinds {
-		length := answerLength(kind)
+		length := responseLength(kind)
 		for offset := range length {
 			for _, f := range []fault{faultReset, faultClose, faultSilence} {
-				kept, waitMS := offset%2 == 0, longWaitMS
+				pooled, waitMS := offset%2 == 0, longWaitMS
 				if f == faultSilence {
 					waitMS = shortWaitMS
 				}
-				name := fmt.Sprintf("%s, %s after %d of %d bytes answered", kind, f, offset, length)
-				cases = append(cases, testCase{name, func(s *stage) error {
-					return s.exchange(kind, kept, waitMS, func(c *engineConn) { c.answerPart(kind, offset, f) })
+				name := fmt.Sprintf("%s, %s after %d of %d bytes of the response", kind, f, offset, length)
+				cases = append(cases, testCase{name, func(s *harness) error {
+					return s.exchange(kind, pooled, waitMS, func(c *engineConn) { c.respondPartially(kind, offset, f) })
 				}})
 			}
 		}
@@ -208,12 +209,12 @@
 	runCases(t, 48, cases)
 }
 
-// answerPart reads a request and answers the first bytes of what it should.
-func (c *engineConn) answerPart(kind string, bytes int, f fault) {
+// respondPartially reads a request and sends the first bytes of its response.
+func (c *engineConn) respondPartially(kind string, bytes int, f fault) {
 	r, _, err := c.readRequest()
 	if err != nil {
 		return
 	}
-	c.say(answerTo(kind, c.engine, r.Header.Get(headerAttempt), 0)[:bytes])
-	c.strike(f)
+	c.send(responseTo(kind, c.engine, r.Header.Get(headerAttempt), 0)[:bytes])
+	c.inject(f)
 }
--- a/internal/app/proxy/callerconn.go
+++ b/internal/app/proxy/callerconn.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// callerConn is a caller's connection. It hands on one request at a time: what arrived together
-// with a request and lies beyond its end stays here until the next one is read.
+// callerConn is a caller's connection. Its reads return the bytes of one request at a time:
+// pipelined bytes beyond the end of a request are buffered until the next request is read.
 type callerConn struct {
 	net.Conn
 	mu       sync.Mutex
 	requests splitter
-	pending  []byte // beyond the end of a request
+	pending  []byte // received beyond the end of the current request
 	idle     idleState
 }
 
 type callerConnKey struct{}
 
-// callerListener accepts callers' connections. idleLimit is how long one may rest.
+// callerListener accepts callers' connections. idleLimit returns how long one may stay idle.
 type callerListener struct {
 	net.Listener
 	idleLimit func() time.Duration
 }
 
-// Accept waits for the next caller.
+// Accept waits for the next connection.
 func (l callerListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -34,7 +34,7 @@
 	return &callerConn{Conn: c, idle: idleState{limit: l.idleLimit}}, nil
 }
 
-// withCallerConn and callerConnOf carry a request's connection in its context.
+// withCallerConn and callerConnOf store and load a request's connection in its context.
 func withCallerConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, c)
 }
@@ -44,7 +44,7 @@
 	return c
 }
 
-// Read never reads beyond the end of a request. One read at a time is under way.
+// Read never reads beyond the end of a request. It must not be called concurrently.
 func (c *callerConn) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -59,19 +59,19 @@
 	}
 	c.mu.Unlock()
 	n, err := c.Conn.Read(b)
-	for n == 0 && c.staysIdle(err) {
+	for n == 0 && c.extendIdle(err) {
 		n, err = c.Conn.Read(b)
 	}
 	c.mu.Lock()
 	if n > 0 {
-		c.idle.since = time.Time{} // the next request has begun
+		c.idle.since = time.Time{} // the next request has started
 	}
 	taken := c.requests.take(b[:n])
 	c.pending = append([]byte(nil), b[taken:n]...)
 	return taken, err
 }
 
-// ambiguity says why it is not clear where the request whose head came last ends; nil if it is.
+// ambiguity returns why the end of the latest request is ambiguous; nil if it is not.
 func (c *callerConn) ambiguity() error {
 	if c == nil {
 		return nil
@@ -81,7 +81,8 @@
 	return c.requests.ambiguity
 }
 
-// resetOnClose makes the end of the connection visible as an abnormal one.
+// resetOnClose makes a later Close send a TCP reset, so that the caller sees that the response was
+// cut off.
 func (c *callerConn) resetOnClose() {
 	if c == nil {
 		return
--- a/internal/app/proxy/connpool.go
+++ b/internal/app/proxy/connpool.go
@@ -13,42 +13,42 @@
 	"violetthread/internal/clock"
 )
 
-// connPool keeps connections to engines. A connection carries one request at a time, and is
-// used again only if its last answer was complete and nothing unasked has arrived on it.
+// connPool keeps idle connections to engines. A connection carries one request at a time, and is
+// reused only if its last response was complete and no unsolicited data has arrived on it.
 type connPool struct {
 	mu     sync.Mutex
-	idle   map[string][]*engineConn // by id of the engine's incarnation, the one used last at the end
-	limits map[string]*idleLimit    // by pool of engines
-	dialed uint64                   // connections made
-	reused uint64                   // connections taken out of the pool
+	idle   map[string][]*engineConn    // by id of the engine's incarnation, most recently used last
+	limits map[string]*engineIdleLimit // by pool of engines
+	dialed uint64                      // connections made
+	reused uint64                      // connections taken from the pool
 
 	dialTimeoutUS int64
-	longKeepAlive bool // connections are kept for as long as engines say
+	longKeepAlive bool // keep connections for as long as the engines announce
 }
 
 const (
-	maxIdlePerEngine = 24 // idle connections kept to one engine
+	maxIdlePerEngine = 24 // idle connections kept per engine
 
 	defaultDialTimeoutUS = 350_000
-	keepAliveUS          = 1_000_000 // between two probes of an idle connection
-	keepAliveProbes      = 2         // unanswered, after which it is broken
-	userTimeoutMS        = 2000      // for data that is not acknowledged
+	probeIntervalUS      = 1_000_000 // TCP keep-alive: idle time before the first probe, and interval
+	maxUnansweredProbes  = 2         // after which the connection is broken
+	userTimeoutMS        = 2000      // TCP_USER_TIMEOUT: longest time that sent data may stay unacknowledged
 )
 
 func newConnPool() *connPool {
 	return &connPool{
 		idle:          map[string][]*engineConn{},
-		limits:        map[string]*idleLimit{},
+		limits:        map[string]*engineIdleLimit{},
 		dialTimeoutUS: defaultDialTimeoutUS,
 		longKeepAlive: true,
 	}
 }
 
-// limit is what is known of idle connections to a pool's engines. Called under the lock.
-func (p *connPool) limit(pool string) *idleLimit {
+// limit returns the idle limit for engines of a pool. The caller holds p.mu.
+func (p *connPool) limit(pool string) *engineIdleLimit {
 	limit := p.limits[pool]
 	if limit == nil {
-		limit = &idleLimit{}
+		limit = &engineIdleLimit{}
 		p.limits[pool] = limit
 	}
 	return limit
@@ -62,7 +62,7 @@
 	return len(idle) > 0 && clock.Now() < idle[len(idle)-1].usableUntil
 }
 
-// get takes an idle connection to an engine's incarnation; nil if there is none.
+// get takes an idle connection to an engine's incarnation from the pool; nil if there is none.
 func (p *connPool) get(id string) *engineConn {
 	for {
 		p.mu.Lock()
@@ -71,30 +71,31 @@
 			p.mu.Unlock()
 			return nil
 		}
-		c := idle[len(idle)-1] // the one used last
+		c := idle[len(idle)-1] // most recently used
 		p.idle[id] = idle[:len(idle)-1]
 		p.mu.Unlock()
 		now := clock.Now()
-		if now < c.usableUntil && c.quiet() {
+		if now < c.usableUntil && c.nothingReceived() {
 			c.idledUS = now - c.idleSince
 			p.mu.Lock()
 			p.reused++
 			p.mu.Unlock()
 			return c
 		}
-		c.kill()
+		c.reset()
 	}
 }
 
-// dial makes a new connection. An engine that falls silent is noticed by the kernel.
+// dial opens a new connection, with TCP keep-alive and user time-out so that the kernel detects an
+// engine that has gone silent.
 func (p *connPool) dial(ctx context.Context, addr string) (*engineConn, error) {
 	dialer := net.Dialer{
 		Timeout: clock.Duration(p.dialTimeoutUS),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     clock.Duration(keepAliveUS),
-			Interval: clock.Duration(keepAliveUS),
-			Count:    keepAliveProbes,
+			Idle:     clock.Duration(probeIntervalUS),
+			Interval: clock.Duration(probeIntervalUS),
+			Count:    maxUnansweredProbes,
 		},
 		Control: setUserTimeout,
 	}
@@ -105,43 +106,44 @@
 	p.mu.Lock()
 	p.dialed++
 	p.mu.Unlock()
-	return &engineConn{Conn: c, br: bufio.NewReaderSize(c, maxAnswerHeadBytes)}, nil
+	return &engineConn{Conn: c, br: bufio.NewReaderSize(c, maxResponseHeaderBytes)}, nil
 }
 
-// setUserTimeout has the kernel give a connection up whose data is not acknowledged.
+// setUserTimeout makes the kernel break a connection whose data is not acknowledged in time.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMS)
 	})
 }
 
-// lost takes in that a connection to a pool's engine, which had been idle, broke without an
-// answer.
-func (p *connPool) lost(pool string, c *engineConn) {
+// recordIdleLoss records that a reused connection to one of a pool's engines broke without a
+// response.
+func (p *connPool) recordIdleLoss(pool string, c *engineConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit(pool).lost(c.idledUS)
+	p.limit(pool).recordLoss(c.idledUS)
 }
 
-// keepUS is for how long a connection to a pool's engine may be idle. Called under the lock.
-func (p *connPool) keepUS(pool string, header http.Header) int64 {
-	keep := keepAlive(header)
+// idleTimeoutUS returns how long a connection to an engine of a pool may stay idle. The caller
+// holds p.mu.
+func (p *connPool) idleTimeoutUS(pool string, header http.Header) int64 {
+	keep := parseKeepAlive(header)
 	if !p.longKeepAlive {
 		return min(keep, shortIdleUS)
 	}
 	return p.limit(pool).apply(keep)
 }
 
-// put gives a connection to a pool's engine back after a complete answer with these headers.
+// put returns a connection to the pool after a complete response with this header.
 func (p *connPool) put(pool, id string, c *engineConn, header http.Header) {
 	p.mu.Lock()
 	if c.used > 0 {
-		p.limit(pool).proved(c.idledUS)
+		p.limit(pool).recordReuse(c.idledUS)
 	}
-	keep := p.keepUS(pool, header)
+	keep := p.idleTimeoutUS(pool, header)
 	p.mu.Unlock()
 	if c.br.Buffered() > 0 || keep <= 0 {
-		c.kill()
+		c.reset()
 		return
 	}
 	c.used++
@@ -151,13 +153,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[id]) >= maxIdlePerEngine {
-		c.kill()
+		c.reset()
 		return
 	}
 	p.idle[id] = append(p.idle[id], c)
 }
 
-// sweep drops connections to engines that are gone, and those idle for too long.
+// sweep closes idle connections to engines that are gone, and those that have been idle for too
+// long.
 func (p *connPool) sweep(live func(id string) bool) {
 	now := clock.Now()
 	p.mu.Lock()
@@ -168,7 +171,7 @@
 			if live(id) && now < c.usableUntil {
 				keep = append(keep, c)
 			} else {
-				c.kill()
+				c.reset()
 			}
 		}
 		if p.idle[id] = keep; len(keep) == 0 {
@@ -177,5 +180,5 @@
 	}
 }
 
-// closeIdle drops all idle connections.
+// closeIdle closes all idle connections.
 func (p *connPool) closeIdle() { p.sweep(func(string) bool { return false }) }
--- a/internal/app/proxy/connpool_test.go
+++ b/internal/app/proxy/connpool_test.go
@@ -13,7 +13,7 @@
 	"violetthread/placement"
 )
 
-// pipedConn is a connection to an engine that says nothing.
+// pipedConn returns a connection to an engine that sends nothing.
 func pipedConn(t *testing.T) *engineConn {
 	t.Helper()
 	near, far := net.Pipe()
@@ -24,14 +24,15 @@
 	return &engineConn{Conn: near, br: bufio.NewReader(near)}
 }
 
-// saying is the header of an answer whose engine keeps connections for some seconds.
-func saying(seconds string) http.Header {
+// keepAliveHeader returns the header of a response whose engine keeps idle connections for some
+// seconds.
+func keepAliveHeader(seconds string) http.Header {
 	return http.Header{"Keep-Alive": {"timeout=" + seconds}}
 }
 
-// TestPoolKeepsAsSaid: a connection is kept for as long as its engine says, only for a short
-// while if that is switched off, and not at all if the engine says none.
-func TestPoolKeepsAsSaid(t *testing.T) {
+// TestPoolHonoursKeepAlive: a connection is kept for as long as its engine announces, only for a
+// short time if long keep-alive is switched off, and not at all if the engine announces 0.
+func TestPoolHonoursKeepAlive(t *testing.T) {
 	for _, c := range []struct {
 		seconds   string
 		long      bool
@@ -44,7 +45,7 @@
 	} {
 		pool := newConnPool()
 		pool.longKeepAlive = c.long
-		pool.put("p", "i-1", pipedConn(t), saying(c.seconds))
+		pool.put("p", "i-1", pipedConn(t), keepAliveHeader(c.seconds))
 		if pool.connected("i-1") != c.connected || pool.connected("i-2") {
 			t.Errorf("%+v: connected %v", c, pool.connected("i-1"))
 		}
@@ -59,23 +60,23 @@
 			t.Errorf("%+v: usable for %d µs", c, left)
 		}
 		if pool.connected("i-1") {
-			t.Errorf("%+v: it was taken, and there is another", c)
+			t.Errorf("%+v: still connected after the only connection was taken", c)
 		}
 	}
 }
 
-// TestPoolLearnsFromLosses: after a loss, connections to the engines of that pool are kept for
-// a shorter time, those of another pool as before.
-func TestPoolLearnsFromLosses(t *testing.T) {
+// TestPoolShortensIdleTimeAfterLoss: after an idle connection was lost, connections to engines of
+// that pool are kept for a shorter time; other pools are not affected.
+func TestPoolShortensIdleTimeAfterLoss(t *testing.T) {
 	pool := newConnPool()
 	lost := pipedConn(t)
 	lost.used, lost.idledUS = 1, 3_000_000
-	pool.lost("p", lost)
+	pool.recordIdleLoss("p", lost)
 	for name, most := range map[string]int64{"p": 1_500_000, "q": 10_000_000} {
-		pool.put(name, "i-"+name, pipedConn(t), saying("10"))
+		pool.put(name, "i-"+name, pipedConn(t), keepAliveHeader("10"))
 		conn := pool.get("i-" + name)
 		if conn == nil {
-			t.Fatalf("pool %s kept nothing", name)
+			t.Fatalf("pool %s kept no connection", name)
 		}
 		if left := conn.usableUntil - clock.Now(); left > most || left < most/2 {
 			t.Errorf("pool %s: usable for %d µs, want about %d", name, left, most)
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestDecisionMetrics: the metrics compare the prediction with what came, for requests with a
-// prompt alone.
+// TestDecisionMetrics: the metrics compare predicted and actual times, only for requests with a
+// prompt.
 func TestDecisionMetrics(t *testing.T) {
 	picker := placement.New("here", nil)
 	picker.SetFleet([]*placement.Engine{{ID: "i-1", Pool: "p", Zone: "here"}}, nil)
@@ -92,7 +93,7 @@
 	for _, tokens := range []int{0, 100} {
 		choice, ok := picker.Pick(1_000_000, &placement.Request{Pool: "p", PromptTokens: tokens})
 		if !ok {
-			t.Fatal("no choice")
+			t.Fatal("no engine selected")
 		}
 		picker.RequestSent(1_000_000, &choice)
 		metrics.observe(1_200_000, &choice)
@@ -105,7 +106,7 @@
 	}
 }
 
-// histogramOf is how many values a histogram holds, and their sum.
+// histogramOf returns the number of values in a histogram, and their sum.
 func histogramOf(t *testing.T, histogram prometheus.Histogram) (count uint64, sum float64) {
 	t.Helper()
 	var metric dto.Metric
--- a/internal/app/proxy/engineattempt.go
+++ b/internal/app/proxy/engineattempt.go
@@ -9,17 +9,17 @@
 	"violetthread/placement"
 )
 
-// engineAttempt is one attempt of a request at one engine.
+// engineAttempt is one attempt to run a request on one engine.
 type engineAttempt struct {
 	forwarded *forwardedRequest
 	choice    *placement.Choice
-	id        string // in the forwarded request's record
+	id        string // in forwardedRequest.forward
 	conn      *engineConn
 
-	unreached bool // no connection came about, and the caller is not the reason
-	began     bool // the engine has answered with content
-	withdrawn bool // it had not begun shortly before the bound on newer weights
-	resumes   bool // it goes on with a stream that another engine began
+	connectFailed bool // connecting failed, and not because the caller had gone
+	started       bool // the engine has started the content of its response
+	withdrawn     bool // the engine had not started shortly before the deadline for the newer weights
+	resuming      bool // continues a stream that another engine started
 }
 
 // outcome is how an attempt ended.
@@ -28,10 +28,10 @@
 	cause string
 }
 
-// Causes of attempts that never began, beside attempt.Unreachable.
+// Causes of attempts that did not start, in addition to attempt.Unreachable.
 const (
-	causeNotRun      = "skipped" // the engine says that it did not run it
-	causeMisdirected = "other"   // the address is another engine's, or it has other weights
+	causeNotRun      = "skipped" // the engine says that it did not run the request
+	causeMisdirected = "other"   // the address now belongs to another engine, or the engine has other weights
 )
 
 var (
@@ -39,10 +39,10 @@
 	nothingSent = outcome{attempt.NotStarted, attempt.Unreachable}
 )
 
-// lateAnswerUS is how much later than the caller's deadline an engine may answer.
-const lateAnswerUS = 120_000
+// responseGraceUS is how long after the caller's deadline an engine's response is still accepted.
+const responseGraceUS = 120_000
 
-// run sends the request and relays the answer as far as it comes.
+// run sends the request and relays the response as far as it arrives.
 func (a *engineAttempt) run() outcome {
 	s, engine := a.forwarded.server, a.choice.Engine
 	s.counts.prefillTokens.Add(int64(a.choice.PrefillTokens))
@@ -52,19 +52,20 @@
 	if !a.connect(ctx) {
 		return nothingSent
 	}
-	stop := context.AfterFunc(ctx, a.conn.kill)
-	end, answer := a.exchange()
-	// A connection is kept only after a complete answer, and if nobody has killed it.
-	if answer != nil && !answer.Close && stop() {
-		s.pool.put(engine.Pool, engine.ID, a.conn, answer.Header)
+	stop := context.AfterFunc(ctx, a.conn.reset)
+	end, response := a.exchange()
+	// A connection is pooled only after a complete response, and only if it was not reset meanwhile
+	// because the caller had gone.
+	if response != nil && !response.Close && stop() {
+		s.pool.put(engine.Pool, engine.ID, a.conn, response.Header)
 		return end
 	}
 	stop()
-	a.conn.kill()
+	a.conn.reset()
 	return end
 }
 
-// connect takes a connection of the pool, or makes one.
+// connect takes a connection from the pool, or dials a new one.
 func (a *engineAttempt) connect(ctx context.Context) bool {
 	s, engine := a.forwarded.server, a.choice.Engine
 	a.conn = s.pool.get(engine.ID)
@@ -73,47 +74,47 @@
 	}
 	conn, err := s.pool.dial(ctx, engine.Addr)
 	a.conn = conn
-	a.unreached = err != nil && ctx.Err() == nil
+	a.connectFailed = err != nil && ctx.Err() == nil
 	return err == nil
 }
 
-// exchange sends the request over the attempt's connection and deals with the answer. It
-// returns the answer if that was read to its end.
+// exchange sends the request on the attempt's connection and handles the response. It returns the
+// response if that was read to its end.
 func (a *engineAttempt) exchange() (outcome, *http.Response) {
 	f, s := a.forwarded, a.forwarded.server
-	// Looked at again at the moment of dispatch: the machine may have slept.
+	// Checked again right before sending: the machine may have been suspended since.
 	now := clock.Now()
 	switch {
 	case s.view.Load().age(now) > s.maxConfigAgeUS():
 		f.forward.StopReason = reasonConfigNotFresh
 		return nothingSent, nil
-	case now >= f.deadline || now >= a.beginLimit():
+	case now >= f.deadline || now >= a.startDeadline():
 		return nothingSent, nil
 	}
-	a.setLimit(now, a.waitLimit(now))
+	a.setConnDeadline(now, a.waitDeadline(now))
 	s.counts.sends.Add(1)
 	_, writeErr := a.conn.Write(a.encodeRequest(now))
-	answer, info, end := a.readHead()
-	if answer == nil {
+	response, info, end := a.readHead()
+	if response == nil {
 		return end, nil
 	}
 	a.reportLoad(info)
 	switch {
-	case info.NotRun: // an engine may refuse a request before it has read it whole
-		return a.notRun(answer)
+	case info.NotRun: // an engine may reject a request before it has read all of it
+		return a.notRun(response)
 	case writeErr != nil:
 		return a.interrupted(reasonEngineLost), nil
 	}
-	if cause := rejectAnswer(answer, info); cause != "" {
+	if cause := rejectReason(response, info); cause != "" {
 		return a.interrupted(cause), nil
 	}
-	if end = a.relay(answer); end != completed {
+	if end = a.relay(response); end != completed {
 		return end, nil
 	}
-	return end, answer
+	return end, response
 }
 
-// reportLoad tells placement what the engine reported of its load.
+// reportLoad passes the load that the engine reported on to placement.
 func (a *engineAttempt) reportLoad(info ResponseInfo) {
 	if !info.HasLoad {
 		return
@@ -124,7 +125,7 @@
 	s.picker.ReportLoad(clock.Now(), a.choice.Engine.ID, info.Waiting)
 }
 
-// interrupted is the outcome of an attempt that was sent and lost.
+// interrupted returns the outcome of an attempt that was sent and failed after that.
 func (a *engineAttempt) interrupted(cause string) outcome {
 	switch {
 	case a.forwarded.request.Context().Err() != nil:
--- a/internal/app/proxy/engineconn.go
+++ b/internal/app/proxy/engineconn.go
@@ -10,21 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxAnswerHeadBytes bounds the head of an engine's answer.
-const maxAnswerHeadBytes = 16 << 10
+// maxResponseHeaderBytes bounds the head of an engine's response.
+const maxResponseHeaderBytes = 16 << 10
 
 // engineConn is a connection to one engine.
 type engineConn struct {
 	net.Conn
 	br          *bufio.Reader
-	used        int   // complete answers that it carried
-	usableUntil int64 // monotonic microseconds; not used again after it
-	idleSince   int64 // monotonic microseconds at which its last answer ended
-	idledUS     int64 // for how long it was idle before it was used again
+	used        int   // complete responses received
+	usableUntil int64 // monotonic microseconds; not reused after this time
+	idleSince   int64 // monotonic microseconds at which the last response ended
+	idledUS     int64 // how long it was idle before it was reused
 }
 
-// quiet reports whether the engine has neither closed the connection nor sent anything.
-func (c *engineConn) quiet() bool {
+// nothingReceived reports whether the connection is open and has no unread data.
+func (c *engineConn) nothingReceived() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -36,18 +36,18 @@
 	if err != nil {
 		return false
 	}
-	clean := false
+	wouldBlock := false
 	err = raw.Read(func(fd uintptr) bool {
 		var first [1]byte
 		_, _, peekErr := unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		clean = errors.Is(peekErr, unix.EAGAIN)
+		wouldBlock = errors.Is(peekErr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && clean
+	return err == nil && wouldBlock
 }
 
-// readHead reads the head of the next answer, to a request of this kind. An answer whose end is
-// ambiguous is an error.
+// readHead reads the head of the next response, which answers a request of this method. A response
+// with ambiguous framing is an error.
 func (c *engineConn) readHead(request *http.Request) (*http.Response, error) {
 	for {
 		received, _ := c.br.Peek(c.br.Buffered())
@@ -58,7 +58,7 @@
 			return http.ReadResponse(c.br, request)
 		}
 		if len(received) == c.br.Size() {
-			return nil, trace.LimitExceeded("the head of an answer is over %d bytes", c.br.Size())
+			return nil, trace.LimitExceeded("the head of a response exceeds %d bytes", c.br.Size())
 		}
 		if _, err := c.br.Peek(len(received) + 1); err != nil {
 			return nil, err
@@ -66,8 +66,8 @@
 	}
 }
 
-// kill drops a connection at once: what is still on its way is not sent any more.
-func (c *engineConn) kill() {
+// reset closes the connection with a TCP reset: data not sent yet is discarded.
+func (c *engineConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/app/proxy/enginerequest.go
+++ b/internal/app/proxy/enginerequest.go
@@ -9,7 +9,7 @@
 	"violetthread/placement"
 )
 
-// hopByHop are headers that concern one connection only.
+// hopByHop are the headers that apply to a single connection and are not forwarded.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -23,10 +23,10 @@
 	"Upgrade":             true,
 }
 
-// defaultPriority is what engines take for a request whose priority they are not told.
+// defaultPriority is the priority that engines assume if a request has none.
 const defaultPriority = 5
 
-// encodeRequest is the request as the engine gets it: method, path, query and body are the
+// encodeRequest returns the request to the engine in wire format. Method, target and body are the
 // caller's own.
 func (a *engineAttempt) encodeRequest(now int64) []byte {
 	f := a.forwarded
@@ -42,8 +42,8 @@
 	return b.Bytes()
 }
 
-// header is the caller's, without what concerns its connection, and with what the
-// engine is told.
+// header returns the header of the request to the engine: the caller's without hop-by-hop headers,
+// with the adapter's headers for the engine.
 func (a *engineAttempt) header(now int64) http.Header {
 	f := a.forwarded
 	h := f.request.Header.Clone()
--- a/internal/app/proxy/export_test.go
+++ b/internal/app/proxy/export_test.go
@@ -15,17 +15,16 @@
 	"violetthread/route"
 )
 
-const patienceUS = 10_000_000
+const testDialTimeoutUS = 10_000_000
 
-// Unattached is a proxy without control nodes: tests say what is in force and which
-// engines there are.
-type Unattached struct {
+// Standalone is a proxy without control nodes: tests set its configuration and its engines.
+type Standalone struct {
 	server *server
 	Listen string
 }
 
-// NewUnattached starts one that listens for callers.
-func NewUnattached(t testing.TB, door Adapter, table *route.Table) *Unattached {
+// NewStandalone starts a proxy that listens for callers.
+func NewStandalone(t testing.TB, adapter Adapter, table *route.Table) *Standalone {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +35,7 @@
 	c := &server{
 		settings:       Settings{Name: "unattached", Zone: "here", Bounds: bounds, Cost: placement.DefaultCostModel()},
 		daemon:         quietDaemon(),
-		adapter:        door,
+		adapter:        adapter,
 		pool:           newConnPool(),
 		hints:          cacheindex.NewHolderTable(64),
 		retryWindows:   map[string]*attempt.RetryWindow{},
@@ -44,7 +43,7 @@
 		decisions:      newDecisionMetrics(),
 		loadChanges:    make(chan struct{}, 1),
 	}
-	c.pool.dialTimeoutUS = patienceUS // the machine may be busy with other tests
+	c.pool.dialTimeoutUS = testDialTimeoutUS // the machine may be busy with other tests
 	c.picker = c.newPicker()
 	c.view.Store(&view{table: table, revision: 1, configAt: clock.Now() + 1<<40, configKnown: true, proxies: 1})
 	c.serveCallers(l, table.Limits)
@@ -52,20 +51,20 @@
 		c.pool.closeIdle()
 		c.daemon.Group.Stop()
 	})
-	return &Unattached{server: c, Listen: l.Addr().String()}
+	return &Standalone{server: c, Listen: l.Addr().String()}
 }
 
-// SetEngines replaces the engines by others that have never failed.
-func (u *Unattached) SetEngines(engines ...*placement.Engine) {
+// SetEngines replaces the engines by ones without a record of failures.
+func (u *Standalone) SetEngines(engines ...*placement.Engine) {
 	u.server.mu.Lock()
 	defer u.server.mu.Unlock()
 	u.server.picker = u.server.newPicker()
-	u.server.pool.forgetLosses()
+	u.server.pool.resetIdleLimits()
 	u.server.picker.SetFleet(engines, nil)
 }
 
-// SetRetries replaces what the proxy may spend on further attempts.
-func (u *Unattached) SetRetries(ratio, allowance float64) {
+// SetRetries replaces the retry budget.
+func (u *Standalone) SetRetries(ratio, allowance float64) {
 	u.server.mu.Lock()
 	defer u.server.mu.Unlock()
 	u.server.retryAllowance = allowance
@@ -73,20 +72,20 @@
 	u.server.retryWindows = map[string]*attempt.RetryWindow{}
 }
 
-// NewView takes the configuration away, or gives one.
-func (u *Unattached) NewView(table *route.Table) {
+// SetTable replaces the configuration; nil removes it.
+func (u *Standalone) SetTable(table *route.Table) {
 	v := *u.server.view.Load()
 	v.table = table
 	u.server.view.Store(&v)
 }
 
-// SetVersionBound replaces the bound on new weights.
-func (u *Unattached) SetVersionBound(within time.Duration) {
+// SetVersionBound replaces the time within which new weights must be in use.
+func (u *Standalone) SetVersionBound(within time.Duration) {
 	u.server.settings.Bounds.VersionApplyUS = within.Microseconds()
 }
 
-// Announce replaces what is known of a model's versions: how long ago each was announced.
-func (u *Unattached) Announce(model string, ages map[uint64]time.Duration) {
+// Announce replaces the announced versions of a model, each with the time since its announcement.
+func (u *Standalone) Announce(model string, ages map[uint64]time.Duration) {
 	v := *u.server.view.Load()
 	v.announced = &route.Announcements{}
 	for version, age := range ages {
@@ -101,9 +100,9 @@
 	return d
 }
 
-// forgetLosses forgets which connections broke while they were idle: these engines are new.
-func (p *connPool) forgetLosses() {
+// resetIdleLimits forgets lost idle connections, for engines that are new.
+func (p *connPool) resetIdleLimits() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limits = map[string]*idleLimit{}
+	p.limits = map[string]*engineIdleLimit{}
 }
--- a/internal/app/proxy/faults_test.go
+++ b/internal/app/proxy/faults_test.go
@@ -14,7 +14,7 @@
 	"violetthread/internal/taskgroup"
 )
 
-// withHead is an answer of a known length under any head.
+// withHead returns a response with a Content-Length and the given status and headers.
 func withHead(status, id, text string, heads ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %s\r\n", status)
@@ -28,80 +28,80 @@
 	return b.String()
 }
 
-// TestStrayAnswerIsReadToItsEnd: what is left of a long answer to a former request is no
-// answer to the next one, whatever its bytes say.
-func TestStrayAnswerIsReadToItsEnd(t *testing.T) {
-	s := newStage(t, "stray")
-	s.alone(properly(repeatable))
-	if err := s.keep(); err != nil {
+// TestStaleResponseIsReadToItsEnd: the rest of a long response to an earlier request must not be
+// taken for the response to the next one, even if its bytes look like one.
+func TestStaleResponseIsReadToItsEnd(t *testing.T) {
+	s := newHarness(t, "stray")
+	s.beginSingle(completeResponses(repeatable))
+	if err := s.warmUp(); err != nil {
 		t.Fatal(err)
 	}
 	id := s.newID()
-	s.engines.follow(func(c *engineConn, _ int) {
+	s.engines.setScript(func(c *engineConn, _ int) {
 		if _, _, err := c.readRequest(); err != nil {
 			return
 		}
 		inside := withHead("200 OK", id, "not the answer", headerSeal+": forged")
-		c.say(withHead("200 OK", "one-before", strings.Repeat("x", 1<<20)+inside, headerSeal+": old"))
-		c.say(answerTo(onceOnly, c.engine, id, 0))
+		c.send(withHead("200 OK", "one-before", strings.Repeat("x", 1<<20)+inside, headerSeal+": old"))
+		c.send(responseTo(onceOnly, c.engine, id, 0))
 	})
 	a := s.call(onceOnly, id, body, longWaitMS)
-	if err := s.judge(onceOnly, id, a); err != nil {
+	if err := s.check(onceOnly, id, a); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestNotRunBodyIsReadToItsEnd: a connection on which a rejection's body still comes is not
-// used again.
+// TestNotRunBodyIsReadToItsEnd: a connection is not reused while the body of a rejection is still
+// arriving on it.
 func TestNotRunBodyIsReadToItsEnd(t *testing.T) {
-	s := newStage(t, "skip")
-	s.begin(properly(repeatable))
+	s := newHarness(t, "skip")
+	s.begin(completeResponses(repeatable))
 	var mu sync.Mutex
 	dirty := 0
-	s.engines.follow(func(c *engineConn, arrival int) {
+	s.engines.setScript(func(c *engineConn, arrival int) {
 		r, _, err := c.readRequest()
 		if err != nil {
 			return
 		}
 		id := r.Header.Get(headerAttempt)
 		if arrival > 0 {
-			c.say(answerTo(onceOnly, c.engine, id, 0))
+			c.send(responseTo(onceOnly, c.engine, id, 0))
 			return
 		}
-		c.say(fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: %d\r\n\r\n%s", headerAttempt, id, headerSkipped, 65<<10, strings.Repeat("x", 64<<10)))
-		if _, err := c.br.Peek(1); err == nil { // another request, before the body's end
+		c.send(fmt.Sprintf("HTTP/1.1 503 Full\r\n%s: %s\r\n%s: 1\r\nContent-Length: %d\r\n\r\n%s", headerAttempt, id, headerSkipped, 65<<10, strings.Repeat("x", 64<<10)))
+		if _, err := c.br.Peek(1); err == nil { // another request before the end of the body
 			mu.Lock()
 			dirty++
 			mu.Unlock()
 		}
-		c.over = true
+		c.stopped = true
 	})
 	for range 3 {
 		id := s.newID()
-		if a := s.call(onceOnly, id, body, longWaitMS); a.cut != nil || a.status != 200 && !promised(a.status) {
+		if a := s.call(onceOnly, id, body, longWaitMS); a.readErr != nil || a.status != 200 && !promisesNotRun(a.status) {
 			t.Errorf("%+v", a)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if dirty > 0 {
-		t.Error("a connection was used again with a part of a refusal still to come")
+		t.Error("a connection was reused before the end of a rejection's body")
 	}
 }
 
-// TestOneEnginesStreamStaysIntact: what one engine says goes out as it is, also where its
-// ids do not rise or begin below what the caller has.
+// TestOneEnginesStreamStaysIntact: the stream of a single engine is passed on unchanged, even if
+// its event ids do not increase or start below the caller's last event id.
 func TestOneEnginesStreamStaysIntact(t *testing.T) {
 	for _, after := range []string{"", "3"} {
 		for _, kind := range []string{onceStream, resumable} {
-			s := newStage(t, "ids-"+kind+after)
+			s := newHarness(t, "ids-"+kind+after)
 			events := "id: 2\ndata: a\n\nid: 2\ndata: b\n\nid: 1\ndata: c\n\nid: 9\ndata: d\n\n"
 			s.begin(func(c *engineConn, _ int) {
 				r, _, err := c.readRequest()
 				if err != nil {
 					return
 				}
-				c.say(withHead("200 OK", r.Header.Get(headerAttempt), events, headerSeal+": s", "Content-Type: text/event-stream"))
+				c.send(withHead("200 OK", r.Header.Get(headerAttempt), events, headerSeal+": s", "Content-Type: text/event-stream"))
 			})
 			id := s.newID()
 			c := s.dial()
@@ -110,7 +110,7 @@
 				q = strings.Replace(q, "Content-Length", headerLastEvent+": "+after+"\r\nContent-Length", 1)
 			}
 			_, _ = io.WriteString(c, q)
-			if a := c.read(); a.cut != nil || a.body != events {
+			if a := c.read(); a.readErr != nil || a.body != events {
 				t.Errorf("%s after %q: %+v", kind, after, a)
 			}
 			resetConn(c.Conn)
@@ -118,62 +118,62 @@
 	}
 }
 
-// TestOnlyRejectionsAreProof: the sign of a request that did not run counts on a status that
-// rejects, and nowhere else.
-func TestOnlyRejectionsAreProof(t *testing.T) {
+// TestNotRunMarkerNeedsRejectionStatus: the engine's not-run marker is accepted only with a
+// rejection status.
+func TestNotRunMarkerNeedsRejectionStatus(t *testing.T) {
 	for _, status := range []string{"200 OK", "201 Made", "302 There", "404 Gone", "500 Broken", "504 Late"} {
-		s := newStage(t, "proof-"+status[:3])
+		s := newHarness(t, "proof-"+status[:3])
 		s.begin(func(c *engineConn, _ int) {
 			r, _, err := c.readRequest()
 			if err != nil {
 				return
 			}
 			id := r.Header.Get(headerAttempt)
-			c.say(withHead(status, id, plainBody(id), headerSeal+": "+sealOf(c.engine, id), headerSkipped+": 1"))
+			c.send(withHead(status, id, plainBody(id), headerSeal+": "+sealOf(c.engine, id), headerSkipped+": 1"))
 		})
 		id := s.newID()
 		a := s.call(onceOnly, id, body, longWaitMS)
-		if err := s.judge(onceOnly, id, a); err != nil {
+		if err := s.check(onceOnly, id, a); err != nil {
 			t.Errorf("%s: %v", status, err)
 		}
 	}
 }
 
-// TestLengthBesideChunks: an answer that states its end in two ways is trusted in neither.
-func TestLengthBesideChunks(t *testing.T) {
+// TestContentLengthWithChunked: a response with both a Content-Length and chunked encoding is
+// rejected.
+func TestContentLengthWithChunked(t *testing.T) {
 	for _, kind := range kinds {
-		s := newStage(t, "both-"+kind)
+		s := newHarness(t, "both-"+kind)
 		script := func(c *engineConn, arrival int) {
 			if arrival > 0 {
-				c.answerProperly(kind)
+				c.respond(kind)
 				return
 			}
 			r, _, err := c.readRequest()
 			if err != nil {
 				return
 			}
-			c.say(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: two\r\nContent-Type: text/event-stream\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+			c.send(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: two\r\nContent-Type: text/event-stream\r\nContent-Length: 9\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
 				headerAttempt, r.Header.Get(headerAttempt), headerSeal))
 		}
 		s.begin(script)
 		id := s.newID()
 		a := s.call(kind, id, body, longWaitMS)
-		if err := s.judge(kind, id, a); err != nil {
+		if err := s.check(kind, id, a); err != nil {
 			t.Errorf("%s: %v", kind, err)
 		}
-		if mayRepeat(kind) && !a.whole(kind, id) {
-			t.Errorf("%s may be repeated, and got %+v", kind, a)
+		if mayRepeat(kind) && !a.complete(kind, id) {
+			t.Errorf("%s is repeatable, and got %+v", kind, a)
 		}
 	}
 }
 
-// TestRefusedBeforeItWasSentWhole: an engine that rejects a long request without reading it
-// is believed.
-func TestRefusedBeforeItWasSentWhole(t *testing.T) {
-	s := newStage(t, "early")
+// TestRejectedBeforeFullySent: a rejection by an engine that has not read the whole request counts.
+func TestRejectedBeforeFullySent(t *testing.T) {
+	s := newHarness(t, "early")
 	s.begin(func(c *engineConn, arrival int) {
 		if arrival > 0 {
-			c.answerProperly(onceOnly)
+			c.respond(onceOnly)
 			return
 		}
 		head, err := c.readHead()
@@ -181,40 +181,40 @@
 			return
 		}
 		id := head.Get(headerAttempt)
-		c.say(withHead("503 Full", id, "", headerSkipped+": 1", "Connection: close"))
-		c.strike(faultClose)
+		c.send(withHead("503 Full", id, "", headerSkipped+": 1", "Connection: close"))
+		c.inject(faultClose)
 	})
 	id := s.newID()
 	a := s.call(onceOnly, id, strings.Repeat("x", 8<<20), longWaitMS)
-	if !a.whole(onceOnly, id) {
-		t.Errorf("the second engine was free: %+v", a)
+	if !a.complete(onceOnly, id) {
+		t.Errorf("the second engine could have run it: %+v", a)
 	}
 }
 
-// TestCutAnswerToAnOldClient: without chunks nothing but a reset tells that an answer
-// broke off.
-func TestCutAnswerToAnOldClient(t *testing.T) {
-	s := newStage(t, "old")
-	s.begin(func(c *engineConn, _ int) { c.answerPart(onceStream, answerLength(onceStream)-20, faultClose) })
+// TestTruncatedResponseToHTTP10Client: without chunks only a reset shows that a response was cut
+// off.
+func TestTruncatedResponseToHTTP10Client(t *testing.T) {
+	s := newHarness(t, "old")
+	s.begin(func(c *engineConn, _ int) { c.respondPartially(onceStream, responseLength(onceStream)-20, faultClose) })
 	id := s.newID()
 	c := s.dial()
 	_, _ = io.WriteString(c, strings.Replace(request(onceStream, id, body, longWaitMS), "HTTP/1.1", "HTTP/1.0", 1))
-	if a := c.read(); a.cut == nil {
-		t.Errorf("the answer broke off, and looks whole: %+v", a)
+	if a := c.read(); a.readErr == nil {
+		t.Errorf("a truncated response looks complete: %+v", a)
 	}
 }
 
-// TestRetryBudgetIsSpentOnce: attempts that fail at one moment get no more retries than the
-// budget has.
+// TestRetryBudgetIsSpentOnce: attempts that fail at the same time get no more retries than the
+// budget allows.
 func TestRetryBudgetIsSpentOnce(t *testing.T) {
 	const callers = 64
-	s := newStage(t, "budget")
+	s := newHarness(t, "budget")
 	for round := range 6 {
 		s.proxy.SetRetries(0, 1)
 		all := make(chan struct{})
 		s.beginMany(2*callers, func(c *engineConn, arrival int) {
 			if arrival >= callers {
-				c.answerProperly(repeatable)
+				c.respond(repeatable)
 				return
 			}
 			if _, _, err := c.readRequest(); err != nil {
@@ -224,7 +224,7 @@
 				close(all)
 			}
 			await(all)
-			c.strike(faultReset)
+			c.inject(faultReset)
 		})
 		group := taskgroup.New(context.Background(), logr.Discard())
 		var done sync.WaitGroup
@@ -239,38 +239,38 @@
 		done.Wait()
 		group.Stop()
 		if n := s.engines.count(); n > callers+1 {
-			t.Fatalf("round %d: %d attempts beyond the first, one is allowed", round, n-callers)
+			t.Fatalf("round %d: %d retries, one is allowed", round, n-callers)
 		}
 	}
 }
 
-// TestCallerGoneIsNoFaultOfTheEngine: an engine that could not be reached because the
-// caller had left is not ejected.
-func TestCallerGoneIsNoFaultOfTheEngine(t *testing.T) {
-	s := newStage(t, "gone")
-	s.alone(properly(repeatable))
+// TestCallerGoneDoesNotEjectEngine: an engine is not ejected if connecting to it failed because the
+// caller had gone.
+func TestCallerGoneDoesNotEjectEngine(t *testing.T) {
+	s := newHarness(t, "gone")
+	s.beginSingle(completeResponses(repeatable))
 	for i := range 40 {
 		c := s.dial()
 		_, _ = io.WriteString(c, request(repeatable, s.newID(), body, longWaitMS))
 		resetConn(c.Conn)
 		id := s.newID()
-		if a := s.call(repeatable, id, body, longWaitMS); !a.whole(repeatable, id) {
-			t.Fatalf("after %d callers that left: %+v", i+1, a)
+		if a := s.call(repeatable, id, body, longWaitMS); !a.complete(repeatable, id) {
+			t.Fatalf("after %d callers had gone: %+v", i+1, a)
 		}
 	}
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// TestAmbiguityIsJudgedAnew: the head of each request on a connection is judged, also after
-// one that was answered before its body had been read.
-func TestAmbiguityIsJudgedAnew(t *testing.T) {
-	s := newStage(t, "heads")
+// TestFramingIsCheckedForEachRequest: the head of every request on a connection is checked, even
+// after a request that was answered before its body had been read.
+func TestFramingIsCheckedForEachRequest(t *testing.T) {
+	s := newHarness(t, "heads")
 	both := "POST /once/x HTTP/1.1\r\nHost: h.example\r\n" + headerAttempt + ": %s\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 	for name, before := range map[string]func(c *caller) error{
 		"no configuration yet": func(c *caller) error {
-			s.proxy.NewView(nil)
-			defer s.proxy.NewView(testTable())
+			s.proxy.SetTable(nil)
+			defer s.proxy.SetTable(testTable())
 			_, _ = io.WriteString(c, request(onceOnly, s.newID(), body, longWaitMS))
 			return expectStatus(c, 503)
 		},
@@ -283,7 +283,7 @@
 			return expectStatus(c, 200)
 		},
 	} {
-		s.begin(properly(onceOnly))
+		s.begin(completeResponses(onceOnly))
 		c := s.dial()
 		if err := before(c); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -292,10 +292,10 @@
 		ran := s.engines.count()
 		_, _ = fmt.Fprintf(c, both, s.newID())
 		if a := c.read(); a.status == 200 || s.engines.count() > ran {
-			t.Errorf("%s: a request that ends in two places was passed on: %+v", name, a)
+			t.Errorf("%s: a request with ambiguous framing was forwarded: %+v", name, a)
 		}
 		resetConn(c.Conn)
-		// And a proper one is not taken for anything else.
+		// A well-formed request must not be misread either.
 		c = s.dial()
 		if err := before(c); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -303,8 +303,8 @@
 		}
 		id := s.newID()
 		_, _ = io.WriteString(c, request(onceOnly, id, body, longWaitMS))
-		if a := c.read(); a.cut == nil && !a.whole(onceOnly, id) && !promised(a.status) {
-			t.Errorf("%s: a proper request got %+v", name, a)
+		if a := c.read(); a.readErr == nil && !a.complete(onceOnly, id) && !promisesNotRun(a.status) {
+			t.Errorf("%s: a well-formed request got %+v", name, a)
 		}
 		resetConn(c.Conn)
 	}
@@ -312,17 +312,17 @@
 
 func expectStatus(c *caller, status int) error {
 	a := c.read()
-	if a.cut != nil || a.status != status {
-		return fmt.Errorf("%w of %d: %+v", errNoAnswer, status, a)
+	if a.readErr != nil || a.status != status {
+		return fmt.Errorf("%w of %d: %+v", errNoResponse, status, a)
 	}
 	return nil
 }
 
-// TestPipelined: requests that come together are answered in order, each its own answer,
-// or told to come again; none is rejected for good, and none runs twice.
+// TestPipelined: pipelined requests get their own responses in order, or a status that allows a
+// retry. None is rejected permanently, and none runs twice.
 func TestPipelined(t *testing.T) {
-	s := newStage(t, "pipe")
-	s.begin(properly(onceOnly))
+	s := newHarness(t, "pipe")
+	s.begin(completeResponses(onceOnly))
 	c := s.dial()
 	defer resetConn(c.Conn)
 	var ids []string
@@ -335,14 +335,14 @@
 	_, _ = io.WriteString(c, all.String())
 	for i, id := range ids {
 		a := c.read()
-		if a.cut != nil {
+		if a.readErr != nil {
 			if i == 0 {
-				t.Errorf("not even the first was answered: %+v", a)
+				t.Errorf("the first request got no response: %+v", a)
 			}
 			break
 		}
-		if !a.whole(onceOnly, id) && !promised(a.status) {
-			t.Errorf("request %d of 4 at once got %+v", i+1, a)
+		if !a.complete(onceOnly, id) && !promisesNotRun(a.status) {
+			t.Errorf("request %d of 4 pipelined ones got %+v", i+1, a)
 		}
 	}
 	if n := s.engines.count(); n > len(ids) {
@@ -350,12 +350,12 @@
 	}
 }
 
-// TestAddressesOfOthers: where many addresses have become other engines', a request meets
-// one of them at most while an engine is known that answered lately, and each of them is
-// asked less and less often.
-func TestAddressesOfOthers(t *testing.T) {
+// TestMisdirectedAddresses: if many addresses now belong to other engines, a request reaches at
+// most one of them while an engine is known that responded recently, and each of them is tried less
+// and less often.
+func TestMisdirectedAddresses(t *testing.T) {
 	const engines, calls = 40, 200
-	s := newStage(t, "others")
+	s := newHarness(t, "others")
 	var mu sync.Mutex
 	met := map[string]int{}
 	good := ""
@@ -369,16 +369,16 @@
 		defer mu.Unlock()
 		if good == "" || good == target {
 			good = target
-			c.say(strings.Replace(answerTo(onceOnly, c.engine, id, 0), "\r\n", "\r\n"+headerLoad+": 8,9,8\r\n", 1))
+			c.send(strings.Replace(responseTo(onceOnly, c.engine, id, 0), "\r\n", "\r\n"+headerLoad+": 8,9,8\r\n", 1))
 			return
 		}
 		met[id]++
-		c.say(withHead("421 Other", id, "", headerSkipped+": 1"))
+		c.send(withHead("421 Other", id, "", headerSkipped+": 1"))
 	})
 	served := 0
 	for range calls {
 		id := s.newID()
-		if a := s.call(onceOnly, id, body, longWaitMS); a.whole(onceOnly, id) {
+		if a := s.call(onceOnly, id, body, longWaitMS); a.complete(onceOnly, id) {
 			served++
 		}
 	}
@@ -392,20 +392,20 @@
 		}
 	}
 	if twice > 0 || served < calls {
-		t.Errorf("%d of %d requests met two engines of others, %d were served", twice, calls, served)
+		t.Errorf("%d of %d requests reached two misdirected addresses, %d were served", twice, calls, served)
 	}
 	if all > 2*engines {
-		t.Errorf("%d engines of others were asked %d times", engines-1, all)
+		t.Errorf("%d misdirected addresses received %d requests", engines-1, all)
 	}
 }
 
-// TestClosingConnectionIsNotUsedAgain: an engine that said that it closes may not read what
-// comes after, also while its connection is still open.
+// TestClosingConnectionIsNotUsedAgain: an engine that sent Connection: close may not read further
+// requests, even while its connection is still open.
 func TestClosingConnectionIsNotUsedAgain(t *testing.T) {
-	s := newStage(t, "closing")
+	s := newHarness(t, "closing")
 	var mu sync.Mutex
 	again := 0
-	s.alone(func(c *engineConn, _ int) {
+	s.beginSingle(func(c *engineConn, _ int) {
 		r, _, err := c.readRequest()
 		if err != nil {
 			return
@@ -415,17 +415,17 @@
 			again++
 		}
 		mu.Unlock()
-		c.say(strings.Replace(answerTo(onceOnly, c.engine, r.Header.Get(headerAttempt), 0), "\r\n", "\r\nConnection: close\r\n", 1))
+		c.send(strings.Replace(responseTo(onceOnly, c.engine, r.Header.Get(headerAttempt), 0), "\r\n", "\r\nConnection: close\r\n", 1))
 	})
 	for range 5 {
 		id := s.newID()
-		if a := s.call(onceOnly, id, body, longWaitMS); !a.whole(onceOnly, id) {
+		if a := s.call(onceOnly, id, body, longWaitMS); !a.complete(onceOnly, id) {
 			t.Errorf("%+v", a)
 		}
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if again > 0 {
-		t.Errorf("%d requests came on connections that were to close", again)
+		t.Errorf("%d requests arrived on connections that the engine had announced to close", again)
 	}
 }
--- a/internal/app/proxy/fleet.go
+++ b/internal/app/proxy/fleet.go
@@ -12,11 +12,11 @@
 	"violetthread/schema/fb"
 )
 
-// failureUnits is how a failure is told to control nodes.
-const failureUnits = 100
+// failureScale is the number of units in which one failure is reported to control nodes.
+const failureScale = 100
 
-// loads reports what this proxy has in flight at each engine, and the sequence number of the
-// report.
+// loads returns the load that this proxy has in flight at each engine, and the sequence number of
+// the report.
 func (s *server) loads() (loads []*fb.EngineLoadT, sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,21 +26,22 @@
 			Active:        uint32(l.Requests),
 			PrefillTokens: uint32(l.PrefillTokens),
 			MemoryTokens:  uint32(l.MemoryTokens),
-			Failures:      uint32(l.Failures * failureUnits),
+			Failures:      uint32(l.Failures * failureScale),
 		})
 	}
 	s.loadsSequence++
 	return loads, s.loadsSequence
 }
 
-// loadsBatchUS is for how long changes of loads are gathered before control nodes are told.
+// loadsBatchUS is for how long changes of load are batched before they are reported.
 const loadsBatchUS = 4_000
 
-// loadChanged notes that something was sent to an engine, or that it has read a prompt.
+// loadChanged signals reportLoads that the in-flight load of an engine has changed.
 func (s *server) loadChanged() { taskgroup.TrySend(s.loadChanges, struct{}{}) }
 
-// reportLoads tells the control node that is followed what this proxy has in flight, soon
-// after it changes: whoever places requests by old loads sends them where others just did.
+// reportLoads reports this proxy's in-flight load to the followed control node soon after a change:
+// proxies that place requests by outdated loads would send them to the engine that others have just
+// chosen.
 func (s *server) reportLoads(ctx context.Context) {
 	for {
 		if _, ok := taskgroup.Receive(ctx, s.loadChanges); !ok || !taskgroup.Sleep(ctx, loadsBatchUS) {
@@ -51,13 +52,13 @@
 			continue
 		}
 		loads, sequence := s.loads()
-		report := &fb.ProxyLoadT{Name: s.settings.Name, Incarnation: s.incarnation, Loads: loads, Sequence: sequence, Updates: s.takeUnreportedReads()}
+		report := &fb.ProxyLoadT{Name: s.settings.Name, Incarnation: s.incarnation, Loads: loads, Sequence: sequence, Updates: s.takeCacheUpdates()}
 		s.controlNodes.Get(*followed).Send(&fb.FrameT{LoadUpdate: &fb.LoadUpdateT{Proxies: []*fb.ProxyLoadT{report}, Direct: true}})
 	}
 }
 
-// setOtherLoads takes in what the other proxies have in flight, as of at, and whether the
-// hints are complete.
+// setOtherLoads applies the in-flight loads of the other proxies, as of the time at, and whether
+// the hints are complete.
 func (s *server) setOtherLoads(state *fb.MapResponseT, at int64) {
 	others := map[uint64]placement.Load{}
 	for _, l := range state.Loads {
@@ -65,7 +66,7 @@
 			Requests:      int(l.Active),
 			PrefillTokens: int64(l.PrefillTokens),
 			MemoryTokens:  int64(l.MemoryTokens),
-			Failures:      float64(l.Failures) / failureUnits,
+			Failures:      float64(l.Failures) / failureScale,
 		}
 	}
 	s.mu.Lock()
@@ -74,7 +75,7 @@
 	s.mu.Unlock()
 }
 
-// applyUpdates takes in changes of the prefix-cache location hints.
+// applyUpdates applies changes of the prefix-cache location hints.
 func (s *server) applyUpdates(state *fb.MapResponseT) {
 	reading := s.applyHints(state)
 	if len(reading) == 0 {
@@ -88,11 +89,11 @@
 	}
 }
 
-// applyHints takes in which blocks are cached where, and returns the updates of those that are
-// being read.
+// applyHints updates the table of cached blocks, and returns the updates for blocks that an engine
+// is still computing (cacheindex.OpReading).
 func (s *server) applyHints(state *fb.MapResponseT) (reading []*fb.CacheUpdateT) {
-	s.hintMu.Lock()
-	defer s.hintMu.Unlock()
+	s.hintsMu.Lock()
+	defer s.hintsMu.Unlock()
 	if state.UpdatesReset {
 		s.hints.Clear()
 	}
@@ -109,42 +110,41 @@
 	return reading
 }
 
-// maxUnreportedReads bounds what is kept for control nodes of blocks that engines read.
-const maxUnreportedReads = 1000
+// maxPendingCacheUpdates bounds the cache updates that are kept for the next report.
+const maxPendingCacheUpdates = 1000
 
-// reportReads keeps what an engine reads, or has read, to be told to control nodes.
-// The caller holds s.mu.
-func (s *server) reportReads(op cacheindex.UpdateOp, engineID string, keys []cacheindex.Key) {
-	if !s.settings.Policy.Uses(placement.PromptHints) || len(s.unreportedReads)+len(keys) > maxUnreportedReads {
+// queueCacheUpdates queues updates for control nodes: these blocks are being computed by an engine
+// (cacheindex.OpReading) or are cached there now (cacheindex.OpAdd). The caller holds s.mu.
+func (s *server) queueCacheUpdates(op cacheindex.UpdateOp, engineID string, keys []cacheindex.Key) {
+	if !s.settings.Policy.Uses(placement.PromptHints) || len(s.pendingCacheUpdates)+len(keys) > maxPendingCacheUpdates {
 		return
 	}
 	holder := placement.EngineHolderID(engineID)
 	for _, key := range keys {
-		s.unreportedReads = append(s.unreportedReads, codec.PackUpdate(cacheindex.Update{Key: key, Node: holder, Op: op}))
+		s.pendingCacheUpdates = append(s.pendingCacheUpdates, codec.PackUpdate(cacheindex.Update{Key: key, Node: holder, Op: op}))
 	}
 }
 
-// takeUnreportedReads empties the list.
-func (s *server) takeUnreportedReads() []*fb.CacheUpdateT {
+// takeCacheUpdates returns the queued updates and empties the queue.
+func (s *server) takeCacheUpdates() []*fb.CacheUpdateT {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reads := s.unreportedReads
-	s.unreportedReads = nil
-	return reads
+	updates := s.pendingCacheUpdates
+	s.pendingCacheUpdates = nil
+	return updates
 }
 
-// setFleet gives the picker a new map of the fleet, and closes connections to engines that
-// are gone.
+// setFleet gives the picker a new fleet map, and closes idle connections to engines that are gone.
 func (s *server) setFleet(listed []*fb.MapEngineT, table *route.Table) {
 	engines, stores := fleetOf(listed, table)
 	if !s.settings.Policy.Uses(placement.LinkSpeed) {
-		forgetLinkSpeeds(engines)
+		clearLinkSpeeds(engines)
 	}
 	s.mu.Lock()
 	s.picker.SetFleet(engines, stores)
 	s.mu.Unlock()
 	if len(engines) > 0 {
-		s.seenEngines.Store(true)
+		s.enginesSeen.Store(true)
 	}
 	live := map[string]bool{}
 	for _, e := range engines {
@@ -153,7 +153,8 @@
 	s.pool.sweep(func(id string) bool { return live[id] })
 }
 
-// fleetOf splits a map into engines and stores. A nil table knows no pools.
+// fleetOf splits the entries of a fleet map into engines and stores. Without a table the settings
+// of pools and the links of stores are unknown.
 func fleetOf(listed []*fb.MapEngineT, table *route.Table) (engines []*placement.Engine, stores []placement.Store) {
 	for _, e := range listed {
 		if e.Store {
@@ -182,17 +183,17 @@
 	return engines, stores
 }
 
-// linkTokensPerMS is how many cached tokens the link of a pool's engine moves in a millisecond;
-// 0 if the configuration does not say.
+// linkTokensPerMS returns how many cached tokens the link of a pool's engine transfers per
+// millisecond; 0 if the configuration does not say.
 func linkTokensPerMS(pool *route.Pool) float64 {
 	if pool.BytesPerToken <= 0 {
 		return 0
 	}
-	const bitsPerMS = 1000 // of one Mbit/s
+	const bitsPerMS = 1000 // in 1 Mbit/s
 	return pool.LinkMbps * bitsPerMS / 8 / float64(pool.BytesPerToken)
 }
 
-// storeLinkMbps is the speed of a store's link; 0 if the configuration does not say.
+// storeLinkMbps returns the link speed of a store; 0 if the configuration does not say.
 func storeLinkMbps(table *route.Table, addr string) float64 {
 	if table == nil {
 		return 0
@@ -205,8 +206,8 @@
 	return 0
 }
 
-// forgetLinkSpeeds leaves placement to the speed that it assumes.
-func forgetLinkSpeeds(engines []*placement.Engine) {
+// clearLinkSpeeds makes placement use its assumed link speed.
+func clearLinkSpeeds(engines []*placement.Engine) {
 	for _, e := range engines {
 		e.LinkMbps, e.LinkTokensPerMS = 0, 0
 	}
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -12,34 +12,34 @@
 
 // Times of the follower, in microseconds.
 const (
-	followHoldUS    = 250_000 // how long a control node may hold a question until there is an update
-	followTimeoutUS = 450_000 // and how long its answer may take beyond
-	retryHoldUS     = 50_000  // how long a node that failed lately may hold one, while there is no other
-	followPauseUS   = 30_000  // between two questions when there is nobody else to ask
+	pollHoldUS       = 250_000 // how long a control node may hold a poll until there is an update
+	pollTimeoutUS    = 450_000 // how much longer than that its response may take
+	failedNodeHoldUS = 50_000  // longest hold by a node that failed lately, polled for lack of a better one
+	pollRetryDelayUS = 30_000  // before the next poll after a failure, unless another node can be tried
 
-	// staleListUS is the age beyond which a list of engines is old: other nodes are preferred
-	// to one that has such a list, for controlorder.AvoidStaleListUS.
+	// staleListUS is the age beyond which a node's list of engines is stale: other nodes are
+	// preferred to that node for controlorder.AvoidStaleListUS.
 	staleListUS = 4_000_000
 )
 
-// follower keeps the view fresh (long polling): it asks one control node after the other, the
-// one that controlorder puts first, and goes on to the next when one fails or is out of touch.
-// It belongs to its goroutine.
+// follower keeps the view up to date by long polling: it polls the control node that controlorder
+// ranks first, and moves on to the next one when that fails or is isolated. Only its own goroutine
+// uses it.
 type follower struct {
 	server  *server
 	nodes   map[string]*controlorder.Node // by transport address
-	current string                        // address of the node that is followed; empty for none
+	current string                        // address of the followed node; empty for none
 
-	// What this proxy has, as its next question says, so that only changes come back.
-	nodeIncarnation    uint64 // of the node that mapRevision is of
+	// The state that this proxy has, sent with each poll so that only changes are returned.
+	nodeIncarnation    uint64 // of the node that mapRevision is from
 	mapRevision        uint64
-	loadsRevision      uint64 // of that node
+	loadsRevision      uint64 // from the same node
 	configRevision     uint64
-	updatesIncarnation uint64 // of the node that updatesNext is of
+	updatesIncarnation uint64 // of the node that updatesNext is from
 	updatesNext        uint64 // sequence number of the next update of hints
 }
 
-// newFollower makes one that starts from the seeds.
+// newFollower returns a follower that knows only the seed nodes.
 func newFollower(s *server) *follower {
 	f := &follower{server: s, nodes: map[string]*controlorder.Node{}}
 	for _, addr := range s.settings.Seeds {
@@ -48,49 +48,49 @@
 	return f
 }
 
-// run follows until ctx ends.
+// run polls until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !f.ask(ctx) && !taskgroup.Sleep(ctx, followPauseUS) {
+		if !f.poll(ctx) && !taskgroup.Sleep(ctx, pollRetryDelayUS) {
 			return
 		}
 	}
 }
 
-// order lists the addresses of the nodes to ask, the best one first.
+// order returns the addresses of the control nodes, the preferred one first.
 func (f *follower) order(now int64) []string {
 	return controlorder.Preference{Name: f.server.settings.Name, Zone: f.server.settings.Zone, Current: f.current}.Sort(now, f.nodes)
 }
 
-// ask asks one control node, and reports whether the next question may go out at once.
-func (f *follower) ask(ctx context.Context) bool {
+// poll polls one control node, and reports whether the next poll may follow at once.
+func (f *follower) poll(ctx context.Context) bool {
 	now := clock.Now()
 	order := f.order(now)
 	if len(order) == 0 {
 		return false
 	}
 	addr := order[0]
-	question := f.question(now, addr)
-	answer, err := f.server.controlNodes.Get(addr).Call(ctx, &fb.FrameT{MapRequest: question}, question.Hold+followTimeoutUS)
+	request := f.request(now, addr)
+	response, err := f.server.controlNodes.Get(addr).Call(ctx, &fb.FrameT{MapRequest: request}, request.Hold+pollTimeoutUS)
 	if ctx.Err() != nil {
 		return false
 	}
-	if err != nil || answer.MapResponse == nil {
+	if err != nil || response.MapResponse == nil {
 		f.nodeFailed(addr)
 		return len(order) > 1
 	}
-	return f.answered(now, addr, answer.MapResponse)
+	return f.handleResponse(now, addr, response.MapResponse)
 }
 
-// question asks for what is new since this proxy's last answer. How long the node may hold it
-// until there is an update depends on what is known of the node.
-func (f *follower) question(now int64, addr string) *fb.MapRequestT {
-	hold := int64(followHoldUS)
+// request returns a poll for changes since the last response. How long the node may hold it until
+// there is an update depends on what is known of the node.
+func (f *follower) request(now int64, addr string) *fb.MapRequestT {
+	hold := int64(pollHoldUS)
 	switch {
 	case f.server.view.Load().table == nil || f.nodes[addr].Zone == "":
 		hold = 0
 	case f.nodes[addr].FailedLately(now):
-		hold = retryHoldUS
+		hold = failedNodeHoldUS
 	}
 	loads, sequence := f.server.loads()
 	return &fb.MapRequestT{
@@ -107,18 +107,18 @@
 	}
 }
 
-// answered takes in the answer to a question that was asked at the time now, and reports
-// whether the node is in touch.
-func (f *follower) answered(now int64, addr string, state *fb.MapResponseT) bool {
+// handleResponse applies the response to a poll that was sent at the time now, and reports whether
+// the node is not isolated.
+func (f *follower) handleResponse(now int64, addr string, state *fb.MapResponseT) bool {
 	node := f.nodes[addr]
 	node.Zone, node.FailedAt = state.Zone, 0
-	// The answer left the node no sooner than it had held the question.
+	// The node sent this state no sooner than it had finished holding the poll.
 	f.apply(state, now+state.Waited)
 	if state.ListAge > staleListUS && now-node.StaleListAt > controlorder.AvoidStaleListUS {
 		node.StaleListAt = clock.Now()
 	}
-	f.setNodes(state.Voters, !outOfTouch(state))
-	if outOfTouch(state) {
+	f.setNodes(state.Voters, !isIsolated(state))
+	if isIsolated(state) {
 		f.nodeFailed(addr)
 		return false
 	}
@@ -130,7 +130,7 @@
 	return true
 }
 
-// nodeFailed lets others be asked before a node that failed or is out of touch.
+// nodeFailed lowers the preference of a node that failed or is isolated.
 func (f *follower) nodeFailed(addr string) {
 	f.nodes[addr].FailedAt = clock.Now()
 	if f.current == addr {
@@ -140,9 +140,9 @@
 	}
 }
 
-// setNodes takes in which control nodes vote. Only a node that is in touch is believed that
-// others have gone: one that is cut off may know an old set of voters.
-func (f *follower) setNodes(voters []string, inTouch bool) {
+// setNodes updates the set of control nodes from a list of voters. Nodes are removed only if the
+// reporting node is up to date: an isolated one may know an old set of voters.
+func (f *follower) setNodes(voters []string, upToDate bool) {
 	if len(voters) == 0 {
 		return
 	}
@@ -152,13 +152,13 @@
 		}
 	}
 	for addr := range f.nodes {
-		if inTouch && !slices.Contains(voters, addr) && !slices.Contains(f.server.settings.Seeds, addr) {
+		if upToDate && !slices.Contains(voters, addr) && !slices.Contains(f.server.settings.Seeds, addr) {
 			delete(f.nodes, addr)
 		}
 	}
 }
 
-// apply publishes the state of the fleet as a node knows it, which left it no sooner than at.
+// apply publishes the fleet state that a node reported. The node sent it no sooner than at.
 func (f *follower) apply(state *fb.MapResponseT, at int64) {
 	s := f.server
 	v := *s.view.Load()
--- a/internal/app/proxy/forwarded.go
+++ b/internal/app/proxy/forwarded.go
@@ -14,33 +14,33 @@
 	"violetthread/route"
 )
 
-// forwardedRequest is one caller's request on its way. It belongs to the goroutine that serves
-// it.
+// forwardedRequest is a caller's request while it is being forwarded. Only the goroutine that
+// serves it uses it.
 type forwardedRequest struct {
 	server      *server
 	writer      http.ResponseWriter
 	request     *http.Request
 	info        RequestInfo
-	view        *view // in force when the request had arrived whole
+	view        *view // loaded when the whole request had been received
 	route       *route.Route
 	tenant      *route.Tenant // nil on a public route
 	body        []byte
 	deadline    int64 // monotonic microseconds
 	forward     attempt.Forward
 	placement   placement.Request
-	lastEventID string // id of the last event that went out
+	lastEventID string // id of the last event that was sent to the caller
 }
 
 const (
-	// dispatchMarginUS is the least time that must be left for another attempt.
+	// dispatchMarginUS is the least time that must be left for a further attempt.
 	dispatchMarginUS = 5_000
 
-	ejectFullUS        = 250_000 // an engine that rejected a request
-	ejectInterruptedUS = 400_000 // an engine that broke off; doubles with each failure
-	ejectMisdirectedUS = 300_000 // an address that is another engine's now, or has other weights; doubles
+	ejectFullUS        = 250_000 // the engine rejected a request
+	ejectInterruptedUS = 400_000 // the engine failed during a request; doubles with each failure
+	ejectMisdirectedUS = 300_000 // the address now belongs to another engine, or the engine has other weights; doubles
 )
 
-// run takes one step after the other until the request has ended.
+// run makes attempts as package attempt decides, until the request has ended.
 func (f *forwardedRequest) run() {
 	s := f.server
 	for {
@@ -48,7 +48,8 @@
 		decision := f.forward.Next(f.conditions(now))
 		switch decision.Action {
 		case attempt.ForwardSend:
-			// errRetryBudget needs nothing here: Next sees the spent budget, and ends the request.
+			// errRetryBudget needs no handling: the next decision sees the exhausted budget and
+			// ends the request.
 			if err := f.send(now, decision.SpendsRetry); errors.Is(err, errNoEngine) {
 				f.reject(reasonNoEngine)
 				return
@@ -62,25 +63,27 @@
 		case attempt.ForwardLost:
 			f.respondLost(decision.Reason)
 			return
-		default: // ForwardAbort; ForwardWait can't come, as no attempt is in flight here. What went out must not look complete.
+		default:
+			// ForwardAbort: a partial response must not look complete. ForwardWait can't occur,
+			// as no attempt is in flight here.
 			s.counts.aborted.Add(1)
 			f.abort()
 		}
 	}
 }
 
-// conditions are what the decision rests on beside the attempts.
+// conditions returns what the next decision depends on besides the attempts.
 func (f *forwardedRequest) conditions(now int64) attempt.Conditions {
 	f.server.mu.Lock()
 	defer f.server.mu.Unlock()
 	return attempt.Conditions{TimeLeft: now < f.deadline-dispatchMarginUS, RetryAllowed: f.server.retryWindow(f.placement.Pool).Allows(now)}
 }
 
-// respondLost says that the request may have run and has no answer.
+// respondLost responds that the request may have run and that its response was lost.
 func (f *forwardedRequest) respondLost(reason string) {
 	f.server.counts.lost.Add(1)
 	if f.request.Context().Err() != nil {
-		f.abort() // nobody is there to read it
+		f.abort() // nobody is left to respond to
 	}
 	status := http.StatusBadGateway
 	if reason == reasonDeadlinePassed {
@@ -89,8 +92,8 @@
 	f.server.respondError(f.writer, status, reason, 0)
 }
 
-// reject answers that the request has not run and will not. If an attempt may have run, and
-// no engine was left for another, it answers engine-lost instead.
+// reject responds that the request has not run and will not. If an earlier attempt may have run, it
+// responds with reasonEngineLost instead.
 func (f *forwardedRequest) reject(reason string) {
 	s := f.server
 	for _, a := range f.forward.Attempts {
@@ -111,8 +114,8 @@
 	s.respondError(f.writer, http.StatusServiceUnavailable, reason, backoff)
 }
 
-// abort ends the connection so that the answer can't look complete: chunks and lengths tell,
-// and where there may be neither, a reset does.
+// abort closes the connection so that the response can't look complete. Content-Length or chunked
+// framing shows that it was cut off; HTTP/1.0 may have neither, so there a TCP reset shows it.
 func (f *forwardedRequest) abort() {
 	if !f.request.ProtoAtLeast(1, 1) {
 		callerConnOf(f.request.Context()).resetOnClose()
@@ -122,11 +125,11 @@
 
 // Why no attempt was made.
 var (
-	errNoEngine    = trace.NotFound("no engine of the pool is in use; come back shortly")
-	errRetryBudget = trace.LimitExceeded("further attempts are bounded over the whole fleet; come back shortly")
+	errNoEngine    = trace.NotFound("no engine of the pool is available; retry shortly")
+	errRetryBudget = trace.LimitExceeded("the retry budget is exhausted; retry shortly")
 )
 
-// send selects an engine and makes one attempt at it.
+// send selects an engine and makes one attempt there.
 func (f *forwardedRequest) send(now int64, retry bool) error {
 	choice, err := f.pickEngine(now, retry)
 	if err != nil {
@@ -145,7 +148,7 @@
 	return nil
 }
 
-// pickEngine selects an engine, counts the request there, and spends the budget of a retry.
+// pickEngine selects an engine, adds the request to its load, and takes a retry from the budget.
 func (f *forwardedRequest) pickEngine(now int64, retry bool) (placement.Choice, error) {
 	s := f.server
 	s.mu.Lock()
@@ -154,14 +157,14 @@
 	if retry && !window.Allows(now) {
 		return placement.Choice{}, errRetryBudget
 	}
-	// A later attempt begins later: weights may have gone out of date since the first.
+	// A retry starts later than the first attempt, and weights may have become outdated since.
 	f.placement.MinVersion = s.minVersion(now, f.info.Model)
 	choice, ok := s.picker.Pick(now, &f.placement)
 	if !ok {
 		return choice, errNoEngine
 	}
 	s.picker.RequestSent(now, &choice)
-	s.reportReads(cacheindex.OpReading, choice.Engine.ID, choice.NewReads)
+	s.queueCacheUpdates(cacheindex.OpReading, choice.Engine.ID, choice.NewReads)
 	s.loadChanged()
 	if retry {
 		window.CountRetry(now)
@@ -170,14 +173,14 @@
 	return choice, nil
 }
 
-// release takes an attempt that has ended off its engine's load, and ejects an engine that
-// failed or rejected it.
+// release removes an ended attempt from its engine's load, and ejects an engine that failed or
+// rejected the request.
 func (f *forwardedRequest) release(a *engineAttempt, end outcome) {
 	now := clock.Now()
 	s, engine := f.server, a.choice.Engine.ID
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.picker.AttemptEnded(a.choice, a.began)
+	s.picker.AttemptEnded(a.choice, a.started)
 	s.loadChanged()
 	switch {
 	case end.state == attempt.NotStarted && end.cause == causeNotRun:
@@ -187,10 +190,10 @@
 		s.counts.notRun.Add(1)
 		s.picker.Eject(now, engine, ejectMisdirectedUS, true)
 		f.placement.Misdirected = true
-	case a.unreached:
+	case a.connectFailed:
 		s.picker.Eject(now, engine, ejectInterruptedUS, true)
 	case end.state == attempt.Interrupted && end.cause == reasonWeightsOutdated:
-		s.counts.withdrawn.Add(1) // the engine is not to blame
+		s.counts.withdrawn.Add(1) // not the engine's fault
 	case end.state == attempt.Interrupted && end.cause != reasonCallerGone && end.cause != reasonDeadlinePassed:
 		s.counts.interrupted.Add(1)
 		s.picker.Eject(now, engine, ejectInterruptedUS, true)
--- a/internal/app/proxy/framing.go
+++ b/internal/app/proxy/framing.go
@@ -7,11 +7,12 @@
 	"github.com/gravitational/trace"
 )
 
-// net/http reads leniently where one message might be taken for two: it drops a length
-// beside chunks and joins folded lines. What lies between callers and engines must not, so
-// each head is looked at as it came (RFC 9112 §6.3, §11.2).
+// net/http is lenient about ambiguous framing: it ignores a Content-Length beside chunked encoding,
+// and joins folded lines. A proxy must not be, or callers and engines might take one message for
+// two (request smuggling). So each message head is checked as it was received (RFC 9112 §6.3,
+// §11.2).
 
-// framing is how a message tells where its body ends.
+// framing is how the end of a message's body is found.
 type framing struct {
 	length  int64 // of the body in bytes, unless it is chunked
 	chunked bool
@@ -20,12 +21,12 @@
 // maxHeadBytes bounds the head of a caller's request, whatever the configuration allows.
 const maxHeadBytes = 1 << 20
 
-// ambiguous is the error of a message that others may end elsewhere.
+// ambiguous returns the error for a message whose end other parties may find elsewhere.
 func ambiguous(what string) error {
-	return trace.BadParameter("where the message ends is in doubt: %s; send one Content-Length or one Transfer-Encoding", what)
+	return trace.BadParameter("ambiguous message framing: %s; send exactly one Content-Length or Transfer-Encoding header", what)
 }
 
-// headEnd is the length of the head that b begins with, or 0 if its end has not come.
+// headEnd returns the length of the message head that b begins with, or 0 if it is incomplete.
 func headEnd(b []byte) int {
 	for from := 0; ; {
 		i := bytes.IndexByte(b[from:], '\n')
@@ -42,7 +43,8 @@
 	}
 }
 
-// framingOf reads a whole head's framing. An ambiguous one is an error.
+// framingOf returns the framing that a complete message head declares. Ambiguous framing is an
+// error.
 func framingOf(head []byte) (framing, error) {
 	var f framing
 	fields := 0
@@ -50,34 +52,34 @@
 	for i, line := range lines[:len(lines)-1] {
 		line, crlf := bytes.CutSuffix(line, []byte("\r"))
 		if !crlf || bytes.ContainsAny(line, "\r\x00") {
-			return f, ambiguous("a line that does not end in CR LF")
+			return f, ambiguous("a header line that does not end in CRLF")
 		}
 		if i == 0 || len(line) == 0 {
 			continue
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
-			return f, ambiguous("a folded line, or a name that is none")
+			return f, ambiguous("a folded line or an invalid header name")
 		}
 		value = bytes.Trim(value, " \t")
 		switch {
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			length, err := strconv.ParseUint(string(value), 10, 63)
 			if err != nil {
-				return f, ambiguous("a length that is no number")
+				return f, ambiguous("an invalid Content-Length")
 			}
 			f.length = int64(length)
 			fields++
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			if !bytes.EqualFold(value, []byte("chunked")) || !bytes.Contains(lines[0], []byte("HTTP/1.1")) {
-				return f, ambiguous("an encoding that is not known")
+				return f, ambiguous("an unsupported Transfer-Encoding")
 			}
 			f.chunked = true
 			fields++
 		}
 	}
 	if fields > 1 {
-		return f, ambiguous("it is told more than once")
+		return f, ambiguous("more than one Content-Length or Transfer-Encoding")
 	}
 	return f, nil
 }
--- a/internal/app/proxy/idle.go
+++ b/internal/app/proxy/idle.go
@@ -10,17 +10,17 @@
 	"violetthread/internal/clock"
 )
 
-// idleUnbounded is net/http's idle time-out. It is never reached: a callerConn ends its rest by
-// the limit in force.
+// idleUnbounded is net/http's idle time-out. It is never reached: a callerConn applies the idle
+// limit of the current configuration.
 const idleUnbounded = 24 * time.Hour
 
-// idleCheckInterval is the longest time between two looks at the idle limit.
+// idleCheckInterval is the longest time between two checks of the idle limit.
 const idleCheckInterval = time.Second
 
-// defaultIdleLimit is how long a connection may rest where the configuration says nothing.
+// defaultIdleLimit is how long a connection may stay idle if the configuration sets no limit.
 const defaultIdleLimit = 60 * time.Second
 
-// idleLimit is how long a caller's connection may rest under the configuration in force.
+// idleLimit returns how long a caller's connection may stay idle under the current configuration.
 func (s *server) idleLimit() time.Duration {
 	if table := s.view.Load().table; table != nil && table.Limits.IdleUS > 0 {
 		return clock.Duration(table.Limits.IdleUS)
@@ -28,15 +28,15 @@
 	return defaultIdleLimit
 }
 
-// idleState tells whether a caller's connection rests between two requests.
+// idleState says whether a caller's connection is idle between two requests.
 type idleState struct {
-	since time.Time            // zero while a request is under way
-	limit func() time.Duration // in force now, not when the rest began
+	since time.Time            // zero while a request is being served
+	limit func() time.Duration // returns the current limit, not the one when the idle time began
 }
 
-// deadline is when a resting connection is looked at next, and whether it has rested
-// for long enough.
-func (s idleState) deadline(now time.Time) (next time.Time, over bool) {
+// deadline returns when an idle connection must be checked next, and whether its idle time has
+// expired.
+func (s idleState) deadline(now time.Time) (next time.Time, expired bool) {
 	end := s.since.Add(s.limit())
 	if !now.Before(end) {
 		return now, true
@@ -48,8 +48,8 @@
 	return next, false
 }
 
-// trackConnState follows net/http's state of a connection: http.Server sets the deadline of
-// an idle connection right after it.
+// trackConnState records net/http's state of a connection. http.Server sets the read deadline of an
+// idle connection right after this call.
 func trackConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*callerConn)
 	if !ok {
@@ -70,8 +70,8 @@
 	return c.idle, !c.idle.since.IsZero()
 }
 
-// SetReadDeadline sets the time after which reads fail. While the connection rests, the
-// idle limit in force goes before the server's.
+// SetReadDeadline sets the time after which reads fail. While the connection is idle, the current
+// idle limit replaces the server's deadline.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	if idle, ok := c.isIdle(); ok {
 		t, _ = idle.deadline(time.Now())
@@ -79,9 +79,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// staysIdle reports whether a read that ran into its deadline goes on, because the
-// connection rests and may do so for longer.
-func (c *callerConn) staysIdle(err error) bool {
+// extendIdle reports whether a read that reached its deadline is to be repeated, because the
+// connection may stay idle for longer. If so, it has set the next deadline.
+func (c *callerConn) extendIdle(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
@@ -89,6 +89,6 @@
 	if !ok {
 		return false
 	}
-	next, over := idle.deadline(time.Now())
-	return !over && c.Conn.SetReadDeadline(next) == nil
+	next, expired := idle.deadline(time.Now())
+	return !expired && c.Conn.SetReadDeadline(next) == nil
 }
--- a/internal/app/proxy/idle_test.go
+++ b/internal/app/proxy/idle_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// deadlineConn is a connection whose far end says nothing: each read ends at its deadline
-// at once. beforeRead is called before each read.
+// deadlineConn is a connection on which nothing arrives: each read returns at once as if its
+// deadline had passed. beforeRead is called before each read.
 type deadlineConn struct {
 	net.Conn
 	deadlines  []time.Time
@@ -30,32 +30,32 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// TestIdleLimitInForce: a resting connection goes by the limit that is in force when its
-// time is up, not by the one of its start, nor by that of the proxy's first configuration.
+// TestIdleLimitInForce: an idle connection is closed by the limit that is in force when it expires,
+// not by the one at the start of the idle time or of the proxy's first configuration.
 func TestIdleLimitInForce(t *testing.T) {
 	limit := time.Hour
 	far := &deadlineConn{}
 	c := &callerConn{Conn: far, idle: idleState{limit: func() time.Duration { return limit }}}
 	far.beforeRead = func(reads int) {
-		if reads == 3 { // an operator lowers the limit below what was rested already
+		if reads == 3 { // an operator lowers the limit below the idle time so far
 			limit = 0
 		}
 	}
 	trackConnState(c, http.StateIdle)
 	_ = c.SetReadDeadline(time.Now().Add(idleUnbounded))
 	if d := time.Until(far.deadlines[0]); d > idleCheckInterval {
-		t.Errorf("the limit is looked at again only after %v, want %v at most", d, idleCheckInterval)
+		t.Errorf("the limit is checked again only after %v, want %v at most", d, idleCheckInterval)
 	}
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Fatal("the read of a connection that rested for too long did not end")
+		t.Fatal("the read of a connection that was idle for too long did not end")
 	}
 	if far.reads != 3 {
-		t.Errorf("ended after %d reads, want 3: it rests on while the limit allows it", far.reads)
+		t.Errorf("ended after %d reads, want 3: it may stay idle while the limit allows", far.reads)
 	}
 }
 
-// TestIdleLimitOnlyAtRest: a read within a request ends at its deadline.
-func TestIdleLimitOnlyAtRest(t *testing.T) {
+// TestIdleLimitOnlyWhileIdle: a read within a request ends at its deadline.
+func TestIdleLimitOnlyWhileIdle(t *testing.T) {
 	far := &deadlineConn{}
 	c := &callerConn{Conn: far, idle: idleState{limit: func() time.Duration { return time.Hour }}}
 	trackConnState(c, http.StateIdle)
@@ -63,7 +63,7 @@
 	want := time.Now().Add(time.Minute)
 	_ = c.SetReadDeadline(want)
 	if !far.deadlines[0].Equal(want) {
-		t.Errorf("the deadline within a request became %v", time.Until(far.deadlines[0]))
+		t.Errorf("the deadline within a request was changed to %v from now", time.Until(far.deadlines[0]))
 	}
 	if _, err := c.Read(make([]byte, 1)); err == nil || far.reads != 1 {
 		t.Errorf("%d reads, error %v; want one that ends at its deadline", far.reads, err)
--- a/internal/app/proxy/idlelimit.go
+++ b/internal/app/proxy/idlelimit.go
@@ -8,36 +8,38 @@
 
 // Idle times of connections to engines, in microseconds.
 const (
-	// shortIdleUS is for how long a connection may be idle where the engine says nothing.
+	// shortIdleUS is how long a connection may stay idle if the engine announces no time.
 	shortIdleUS      = 4_000_000
-	maxIdleUS        = 60_000_000 // whatever the engine says
-	minIdleUS        = 100_000    // however many were lost
-	keepAliveSlackUS = 400_000    // a connection is given up so long before its engine does
+	maxIdleUS        = 60_000_000 // upper bound, whatever the engine announces
+	minIdleUS        = 100_000    // lower bound, however many connections were lost
+	keepAliveSlackUS = 400_000    // margin by which the proxy stops using a connection before the engine closes it
 )
 
 const (
-	idleLossFactor = 0.5  // of the limit, that is left after a connection was lost
-	idleGainFactor = 1.05 // of the limit, after one proved good that was idle for over half of it
+	idleLossFactor = 0.5  // applied to the limit when an idle connection was lost
+	idleGainFactor = 1.05 // applied to the limit when a connection that was idle for at least half of it was still open
 )
 
-// idleLimit is for how long a pool's idle connections are believed to be open: engines may
-// forget them sooner than they say, and the request that is sent next is lost. It shrinks with
-// each such loss and recovers while old connections prove good (additive-increase would take
-// too long for a proxy that meets an engine once in seconds, so both steps are factors).
-type idleLimit struct {
-	us int64 // 0 as long as nothing was lost
+// engineIdleLimit bounds how long idle connections to a pool's engines are reused: engines may
+// close them sooner than they announce, and the next request sent on such a connection is lost. The
+// limit shrinks with each such loss and grows with each reuse after a long idle time. Both steps
+// are factors: additive increase would take too long for a proxy that sends to an engine only every
+// few seconds.
+type engineIdleLimit struct {
+	us int64 // 0 until a connection was lost
 }
 
-// apply bounds what an engine said of its idle connections.
-func (l *idleLimit) apply(keepUS int64) int64 {
+// apply caps the idle time that an engine announced.
+func (l *engineIdleLimit) apply(idleTimeoutUS int64) int64 {
 	if l.us == 0 {
-		return keepUS
+		return idleTimeoutUS
 	}
-	return min(keepUS, l.us)
+	return min(idleTimeoutUS, l.us)
 }
 
-// lost takes in that a connection which was idle for so long was closed without a word.
-func (l *idleLimit) lost(idleUS int64) {
+// recordLoss records that a connection that was idle for this long had been closed by the engine
+// without notice.
+func (l *engineIdleLimit) recordLoss(idleUS int64) {
 	limit := float64(idleUS)
 	if l.us > 0 {
 		limit = min(limit, float64(l.us))
@@ -45,8 +47,8 @@
 	l.us = max(int64(limit*idleLossFactor), minIdleUS)
 }
 
-// proved takes in that a connection which was idle for so long carried an answer.
-func (l *idleLimit) proved(idleUS int64) {
+// recordReuse records that a connection that was idle for this long carried a response.
+func (l *engineIdleLimit) recordReuse(idleUS int64) {
 	if l.us == 0 || idleUS*2 < l.us {
 		return
 	}
@@ -55,9 +57,9 @@
 	}
 }
 
-// keepAlive is for how long a connection may be idle, in microseconds, going by the engine's
-// Keep-Alive header.
-func keepAlive(header http.Header) int64 {
+// parseKeepAlive returns how long a connection may stay idle, in microseconds, according to the
+// engine's Keep-Alive header.
+func parseKeepAlive(header http.Header) int64 {
 	for _, directive := range strings.Split(header.Get("Keep-Alive"), ",") {
 		if seconds, ok := strings.CutPrefix(strings.TrimSpace(directive), "timeout="); ok {
 			if timeout, err := strconv.ParseInt(seconds, 10, 64); err == nil {
--- a/internal/app/proxy/idlelimit_test.go
+++ b/internal/app/proxy/idlelimit_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestKeepAlive: the engine's word counts, less a slack; nothing or nonsense counts as short.
+// TestKeepAlive: the time that an engine announces is used, less a margin; without a valid one the
+// short default is used.
 func TestKeepAlive(t *testing.T) {
 	for value, want := range map[string]int64{
 		"":                    shortIdleUS,
@@ -17,44 +18,44 @@
 	} {
 		header := http.Header{}
 		header.Set("Keep-Alive", value)
-		if got := keepAlive(header); got != want {
+		if got := parseKeepAlive(header); got != want {
 			t.Errorf("%q: %d, want %d", value, got, want)
 		}
 	}
 }
 
-// TestIdleLimit: a loss shortens what is believed of idle connections, good ones lengthen it
-// until the engine's word counts again; young ones prove nothing.
+// TestIdleLimit: a loss shortens the limit. Reuse after long idle times raises it again until only
+// the engine's time counts; reuse after short idle times does not.
 func TestIdleLimit(t *testing.T) {
-	var limit idleLimit
+	var limit engineIdleLimit
 	const keep = 10_000_000
 	if limit.apply(keep) != keep {
-		t.Error("without a loss the engine's word does not count")
+		t.Error("without a loss the engine's time is not used")
 	}
-	limit.lost(2_000_000)
+	limit.recordLoss(2_000_000)
 	if got := limit.apply(keep); got != 1_000_000 {
 		t.Errorf("after the loss of one that was idle for 2 s: %d", got)
 	}
-	limit.lost(5_000_000) // an old one, lost with the others
+	limit.recordLoss(5_000_000) // one that was idle for longer, lost as well
 	if got := limit.apply(keep); got != 500_000 {
 		t.Errorf("after another loss: %d", got)
 	}
 	for range 100 {
-		limit.proved(100_000)
+		limit.recordReuse(100_000)
 	}
 	if got := limit.apply(keep); got != 500_000 {
-		t.Errorf("young connections prove nothing: %d", got)
+		t.Errorf("after reuse of connections that were idle only briefly: %d", got)
 	}
 	for range 100 {
-		limit.proved(limit.apply(keep))
+		limit.recordReuse(limit.apply(keep))
 	}
 	if got := limit.apply(keep); got != keep {
-		t.Errorf("after many that proved good: %d", got)
+		t.Errorf("after many reuses: %d", got)
 	}
 	for range 50 {
-		limit.lost(10)
+		limit.recordLoss(10)
 	}
 	if got := limit.apply(keep); got != minIdleUS {
-		t.Errorf("however many are lost: %d", got)
+		t.Errorf("after many losses: %d", got)
 	}
 }
--- a/internal/app/proxy/metrics.go
+++ b/internal/app/proxy/metrics.go
@@ -10,17 +10,17 @@
 	"violetthread/placement"
 )
 
-// counts are counters since the start.
+// counts are counters since the start of the process.
 type counts struct {
 	arrived, done, rejected, lost, aborted      atomic.Int64 // requests of callers
 	sends, retries, notRun, interrupted         atomic.Int64 // attempts
 	resumed                                     atomic.Int64 // streams
-	withdrawn                                   atomic.Int64 // attempts that had not begun before the bound on newer weights
-	outdated                                    atomic.Int64 // answers that began on weights past their bound
+	withdrawn                                   atomic.Int64 // attempts that had not started shortly before the deadline for newer weights
+	outdated                                    atomic.Int64 // responses that started on weights past their deadline
 	prefillTokens, transferTokens, cachedTokens atomic.Int64
 }
 
-// registerMetrics registers the proxy's metrics. Dashboards go by their names.
+// registerMetrics registers the proxy's metrics. Dashboards depend on their names.
 func (s *server) registerMetrics() {
 	counter := func(name, help string, v *atomic.Int64) {
 		s.daemon.Counter(name, help, func() float64 { return float64(v.Load()) })
@@ -46,11 +46,11 @@
 	s.daemon.Gauge("hints", "entries in the hint table", func() float64 { return float64(s.hints.Len()) })
 }
 
-// decisionMetrics show how well placement decides: what it predicted for the engines that it
-// chose, and what came.
+// decisionMetrics measure the accuracy of placement: the predicted time to the first event at the
+// chosen engine, and the actual time.
 type decisionMetrics struct {
 	firstEvent prometheus.Histogram // seconds
-	prediction prometheus.Histogram // predicted time to the first event, in parts of the actual one
+	prediction prometheus.Histogram // predicted time to the first event, as a ratio of the actual time
 }
 
 func newDecisionMetrics() *decisionMetrics {
@@ -74,7 +74,7 @@
 	registry.MustRegister(m.firstEvent, m.prediction)
 }
 
-// observe takes in that the answer to a choice began at the time now.
+// observe records that the response of the chosen engine started at the time now.
 func (m *decisionMetrics) observe(now int64, c *placement.Choice) {
 	actual := now - c.SentAt()
 	if c.MemoryTokens == 0 || actual <= 0 {
--- a/internal/app/proxy/readiness.go
+++ b/internal/app/proxy/readiness.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	revocationSlackUS = 400_000 // kept back of the bound on revoked keys, for a request's own way
-	minConfigAgeUS    = 500_000 // however short that bound is
-	unboundedUS       = 1 << 49 // below unknownAgeUS: a configuration that is not known is too old all the same
+	revocationSlackUS = 400_000 // subtracted from the revocation bound, for the time that a request itself takes
+	minConfigAgeUS    = 500_000 // lower bound, however short the revocation bound is
+	unboundedUS       = 1 << 49 // less than unknownAgeUS, so that an unknown configuration is always too old
 )
 
-// maxConfigAgeUS is the age beyond which a configuration may not be acted on: a key that it
-// has may have been revoked, and that must be in force everywhere by then.
+// maxConfigAgeUS returns the age beyond which a configuration must not be used: a key in it may
+// have been revoked, and a revocation must be in force everywhere within the revocation bound.
 func (s *server) maxConfigAgeUS() int64 {
 	if !s.settings.Bounds.RevocationGlobal {
 		return unboundedUS
@@ -22,16 +22,16 @@
 	return max(s.settings.Bounds.RevocationUS-revocationSlackUS, minConfigAgeUS)
 }
 
-// updateReadiness says whether this proxy is ready, listens for callers once it is, and takes
-// its share of the retry allowance.
+// updateReadiness updates the readiness of this proxy, starts listening for callers once it is
+// ready, and updates its share of the retry allowance.
 func (s *server) updateReadiness(context.Context) {
 	v := s.view.Load()
 	now := clock.Now()
 	if v.table == nil || v.age(now) > s.maxConfigAgeUS() {
-		s.daemon.SetReady("the configuration is not known to be in force")
+		s.daemon.SetReady("the configuration is missing or too old")
 		return
 	}
-	if !s.seenEngines.Load() {
+	if !s.enginesSeen.Load() {
 		s.daemon.SetReady("no engine is known yet")
 		return
 	}
@@ -40,10 +40,10 @@
 		return
 	}
 	s.daemon.SetReady("")
-	s.shareRetryAllowance(v.proxies)
+	s.setRetryAllowance(v.proxies)
 }
 
-// listenOnce opens the port for callers, unless it is open or the proxy stops.
+// listenOnce opens the port for callers, unless it is already open or the proxy is stopping.
 func (s *server) listenOnce(limits route.Limits) error {
 	if s.httpServer.Load() != nil || s.daemon.Stopping() {
 		return nil
@@ -51,8 +51,9 @@
 	return s.listen(limits)
 }
 
-// shareRetryAllowance takes this proxy's share of the retry allowance, one of so many proxies.
-func (s *server) shareRetryAllowance(proxies int) {
+// setRetryAllowance sets this proxy's share of the retry allowance, which this many proxies divide
+// among them.
+func (s *server) setRetryAllowance(proxies int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryAllowance = float64(s.settings.Bounds.RetryAllowance) * retryShare / float64(proxies)
--- a/internal/app/proxy/reject.go
+++ b/internal/app/proxy/reject.go
@@ -8,8 +8,8 @@
 	"violetthread/internal/daemon"
 )
 
-// Why a request was rejected, lost or aborted. The reason is told to the caller together with
-// its remedy; the texts are part of the API.
+// Reasons why a request was rejected, lost or aborted. They are sent to the caller together with a
+// remedy and are part of the API.
 const (
 	reasonNoRoute         = "no-route"
 	reasonKeyUnknown      = "key-unknown"
@@ -26,8 +26,7 @@
 	reasonCallerGone      = "caller-gone"
 )
 
-// remedies says for each reason, those of the attempt package included, what the caller
-// can do.
+// remedies says what the caller can do about each reason, including those of package attempt.
 var remedies = map[string]string{
 	reasonNoRoute:             "check the host and the path, or have an operator add the route",
 	reasonKeyUnknown:          "send a key that the configuration holds",
@@ -47,7 +46,7 @@
 	reasonCallerGone:          "nobody is left to be told",
 }
 
-// How long a caller is asked to stay away after a rejection, in microseconds.
+// Back-off times that a caller is told after a rejection, in microseconds.
 const (
 	backoffConfigMissingUS  = 300_000
 	backoffConfigNotFreshUS = 400_000
@@ -55,8 +54,8 @@
 	backoffRefusedUS        = 150_000
 )
 
-// respondError answers a request that is not forwarded, or whose answer was lost. A backoffUS
-// above 0 is told as Retry-After.
+// respondError responds to a request that is not forwarded, or whose response was lost. A backoffUS
+// above 0 is sent as Retry-After.
 func (s *server) respondError(w http.ResponseWriter, status int, reason string, backoffUS int64) {
 	if backoffUS > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(backoffUS)/1e6, 'f', 3, 64))
--- a/internal/app/proxy/relay.go
+++ b/internal/app/proxy/relay.go
@@ -15,58 +15,58 @@
 )
 
 const (
-	// bufferedAnswerBytes is the size up to which an answer that is no stream is read to its
-	// end before any of it goes out.
-	bufferedAnswerBytes = 256 << 10
+	// bufferedResponseBytes is the size up to which a non-streaming response is read to its end
+	// before any of it is passed on.
+	bufferedResponseBytes = 256 << 10
 
-	// lateWriteUS is how much later than its deadline a caller may still read.
-	lateWriteUS = 2_000_000
+	// writeGraceUS is how long after its deadline a caller may still read the response.
+	writeGraceUS = 2_000_000
 )
 
-// relay passes an answer on.
-func (a *engineAttempt) relay(answer *http.Response) outcome {
-	stream := strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream") && answer.StatusCode == http.StatusOK
-	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0 || answer.StatusCode == http.StatusNoContent
+// relay passes a response on to the caller.
+func (a *engineAttempt) relay(response *http.Response) outcome {
+	stream := strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") && response.StatusCode == http.StatusOK
+	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || response.StatusCode == http.StatusNoContent
 	switch {
-	case !framed: // nothing would tell where it ends
+	case !framed: // without framing, a truncated response would look complete
 		return a.interrupted(reasonEngineMalformed)
 	case stream:
-		return a.relayStream(answer)
-	case a.forwarded.forward.HeadSent: // only a stream can go on with a stream
+		return a.relayStream(response)
+	case a.forwarded.forward.HeadSent: // only a stream can continue a stream
 		return a.interrupted(reasonEngineMalformed)
 	}
-	return a.relayPlain(answer)
+	return a.relayNonStream(response)
 }
 
-// relayPlain passes an answer on that is no stream.
-func (a *engineAttempt) relayPlain(answer *http.Response) outcome {
+// relayNonStream passes on a response that is not a stream.
+func (a *engineAttempt) relayNonStream(response *http.Response) outcome {
 	f := a.forwarded
-	a.setLimit(clock.Now(), a.answerLimit())
+	a.setConnDeadline(clock.Now(), a.responseDeadline())
 	var buffered bytes.Buffer
-	if _, err := io.Copy(&buffered, io.LimitReader(answer.Body, bufferedAnswerBytes)); err != nil {
+	if _, err := io.Copy(&buffered, io.LimitReader(response.Body, bufferedResponseBytes)); err != nil {
 		return a.interrupted(reasonEngineLost)
 	}
-	if answer.StatusCode >= 500 && a.mayRunElsewhere() {
+	if response.StatusCode >= 500 && a.mayRetryElsewhere() {
 		return a.interrupted(reasonEngineFailed)
 	}
-	complete := buffered.Len() < bufferedAnswerBytes
+	complete := buffered.Len() < bufferedResponseBytes
 	a.responseStarted()
-	a.setLength(answer, buffered.Len(), complete)
-	a.writeHead(answer)
+	a.setLength(response, buffered.Len(), complete)
+	a.writeHead(response)
 	if _, err := f.writer.Write(buffered.Bytes()); err != nil {
 		return a.interrupted(reasonCallerGone)
 	}
 	if !complete {
-		if _, err := io.Copy(f.writer, answer.Body); err != nil {
+		if _, err := io.Copy(f.writer, response.Body); err != nil {
 			return a.interrupted(reasonEngineLost)
 		}
 	}
 	return completed
 }
 
-// mayRunElsewhere reports whether the request would get another attempt if this one
-// counted as interrupted.
-func (a *engineAttempt) mayRunElsewhere() bool {
+// mayRetryElsewhere reports whether the request would get another attempt if this one counted as
+// interrupted.
+func (a *engineAttempt) mayRetryElsewhere() bool {
 	f, now := a.forwarded, clock.Now()
 	if !f.forward.Repeatable || now >= f.deadline {
 		return false
@@ -79,12 +79,12 @@
 	return trial.Next(conditions).Action == attempt.ForwardSend
 }
 
-// setLength tells the length of an answer that is no stream, if it is known.
-func (a *engineAttempt) setLength(answer *http.Response, read int, complete bool) {
+// setLength sets the Content-Length of a non-streaming response, if it is known.
+func (a *engineAttempt) setLength(response *http.Response, read int, complete bool) {
 	if a.forwarded.request.Method == http.MethodHead {
 		return
 	}
-	length := answer.ContentLength
+	length := response.ContentLength
 	if length < 0 && complete {
 		length = int64(read)
 	}
@@ -93,44 +93,44 @@
 	}
 }
 
-// writeHead sends the answer's status and headers on.
-func (a *engineAttempt) writeHead(answer *http.Response) {
+// writeHead passes on the response's status and headers.
+func (a *engineAttempt) writeHead(response *http.Response) {
 	f := a.forwarded
 	h := f.writer.Header()
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		if !hopByHop[name] {
 			h[name] = values
 		}
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // the library would guess
+		h["Content-Type"] = nil // otherwise net/http would guess one
 	}
 	if f.server.daemon.Stopping() {
 		h.Set("Connection", "close")
 	}
-	left := max(0, f.deadline-clock.Now()) + lateWriteUS
+	left := max(0, f.deadline-clock.Now()) + writeGraceUS
 	_ = http.NewResponseController(f.writer).SetWriteDeadline(time.Now().Add(clock.Duration(left)))
 	f.forward.HeadSent = true
-	f.writer.WriteHeader(answer.StatusCode)
+	f.writer.WriteHeader(response.StatusCode)
 }
 
-// responseStarted takes in that the engine answers with content: what it read of the prompt is
-// cached there now. The hints say so at once; the engine's own cache events come later
-// (docs/design.md §7).
+// responseStarted records that the engine has started the content of its response: the prompt's
+// blocks are cached there now. The hints are updated at once, since the engine's own cache events
+// arrive later (docs/design.md §7).
 func (a *engineAttempt) responseStarted() {
 	s := a.forwarded.server
-	a.began = true
+	a.started = true
 	now := clock.Now()
 	s.decisions.observe(now, a.choice)
 	a.checkVersionAge(now)
 	s.mu.Lock()
 	s.picker.ResponseStarted(now, a.choice)
-	s.reportReads(cacheindex.OpAdd, a.choice.Engine.ID, a.choice.NewReads)
+	s.queueCacheUpdates(cacheindex.OpAdd, a.choice.Engine.ID, a.choice.NewReads)
 	s.loadChanged()
 	s.mu.Unlock()
 	engine := placement.EngineHolderID(a.choice.Engine.ID)
-	s.hintMu.Lock()
-	defer s.hintMu.Unlock()
+	s.hintsMu.Lock()
+	defer s.hintsMu.Unlock()
 	for _, key := range a.choice.BlockKeys {
 		s.hints.Put(key, engine)
 	}
--- a/internal/app/proxy/server.go
+++ b/internal/app/proxy/server.go
@@ -28,67 +28,67 @@
 
 // Settings of a proxy.
 type Settings struct {
-	Name        string              // of this proxy in the fleet
-	Zone        string              // where it runs; nodes and engines there are preferred
-	HTTP        string              // IP:port of the daemon's own pages (readiness, metrics)
+	Name        string              // unique in the fleet
+	Zone        string              // where it runs; nodes and engines of the same zone are preferred
+	HTTP        string              // IP:port of the operational endpoints (readiness, metrics)
 	Listen      string              // IP:port for callers; opened once the proxy is ready
-	Seeds       []string            // transport addresses of up to three control nodes, at least one
-	Bounds      route.Bounds        // the operator's rules
-	HintEntries int                 // entries of the hint table; more hold more of the fleet's caches
-	Policy      placement.Policy    // mechanisms in use
-	Cost        placement.CostModel // by which engines are compared
+	Seeds       []string            // transport addresses of one to three control nodes
+	Bounds      route.Bounds        // operator-defined limits
+	HintEntries int                 // size of the hint table; a larger one covers more of the fleet's caches
+	Policy      placement.Policy    // enabled mechanisms
+	Cost        placement.CostModel // used to compare engines
 }
 
-// server is the proxy: what its parts share.
+// server is the state that the parts of the proxy share.
 type server struct {
 	settings     Settings
 	daemon       *daemon.Daemon
 	adapter      Adapter
 	controlNodes *transport.PeerPool
-	incarnation  uint64               // of this proxy, random
-	view         atomic.Pointer[view] // what is known of the fleet; never nil
+	incarnation  uint64               // random id of this run of the process
+	view         atomic.Pointer[view] // state of the fleet as last reported; never nil
 	pool         *connPool
 	hints        *cacheindex.HolderTable
-	hintMu       sync.Mutex // of writing hints
+	hintsMu      sync.Mutex // guards writes to hints
 	httpServer   atomic.Pointer[http.Server]
-	seenEngines  atomic.Bool // a map that shows engines was seen
+	enginesSeen  atomic.Bool // whether a fleet map with engines has been received
 	counts       counts
 	decisions    *decisionMetrics
-	followed     atomic.Pointer[string] // address of the control node that is followed; nil for none
+	followed     atomic.Pointer[string] // address of the followed control node; nil for none
 	loadChanges  chan struct{}          // wakes reportLoads
 
-	mu              sync.Mutex // of the fields below
-	picker          *placement.Picker
-	retryWindows    map[string]*attempt.RetryWindow // by pool
-	retryAllowance  float64                         // of each window
-	loadsSequence   uint64                          // of the last report of loads
-	unreportedReads []*fb.CacheUpdateT              // blocks that engines read, for the next report
+	mu                  sync.Mutex // guards the fields below
+	picker              *placement.Picker
+	retryWindows        map[string]*attempt.RetryWindow // by pool
+	retryAllowance      float64                         // of each window
+	loadsSequence       uint64                          // of the last report of loads
+	pendingCacheUpdates []*fb.CacheUpdateT              // queued for the next report of loads
 }
 
 const (
-	graceSlackUS = 700_000   // kept back of the time for a graceful stop
-	minGraceUS   = 1_000_000 // however short that is
+	graceSlackUS = 700_000   // subtracted from the time for a graceful stop
+	minGraceUS   = 1_000_000 // lower bound, however short that time is
 
 	readinessIntervalUS = 40_000
 	sweepIntervalUS     = 1_000_000
 
-	// stillArrivingUS is how long new connections may still come after this proxy said that
-	// it is not ready any more: the platform asks once a second and believes the second no.
-	stillArrivingUS = 2_700_000
+	// drainDelayUS is for how long new connections may still arrive after this proxy stops being
+	// ready: the platform checks readiness once a second and acts on the second failure.
+	drainDelayUS = 2_700_000
 
-	// retryShare is the part of the fleet's retry bounds that is used, so that the sum over
-	// proxies keeps the bounds while they disagree on their number.
+	// retryShare is the fraction of the fleet's retry limits that is used, so that all proxies
+	// together stay within the limits while they disagree on how many proxies there are.
 	retryShare = 0.7
 
-	defaultHeaderTimeout = 5 * time.Second // where the configuration sets no bound
+	defaultHeaderTimeout = 5 * time.Second // if the configuration sets none
 )
 
 var noDeadline = time.Time{}
 
-// New makes a proxy, ready to Run.
+// New creates a proxy; Run starts it.
 func New(settings Settings, adapter Adapter) (*daemon.Daemon, error) {
 	if settings.Listen == "" || len(settings.Seeds) == 0 {
-		return nil, trace.BadParameter("an address for callers and a control node are needed; set bind-addresses.frontend and seed-nodes in the settings file")
+		return nil, trace.BadParameter("the proxy needs a listen address for callers and at least one control node; set bind-addresses.frontend and seed-nodes in the settings file")
 	}
 	incarnation, err := process.NewIncarnation()
 	if err != nil {
@@ -130,19 +130,19 @@
 	return d, nil
 }
 
-// newPicker makes a picker that knows no engines.
+// newPicker returns a picker that knows no engines.
 func (s *server) newPicker() *placement.Picker {
 	picker := placement.New(s.settings.Zone, s.hints)
 	picker.Policy, picker.Cost, picker.Connected = s.settings.Policy, s.settings.Cost, s.pool.connected
 	return picker
 }
 
-// self is this proxy as control nodes list it.
+// self returns the description of this proxy that control nodes list.
 func (s *server) self() *fb.NodeT {
 	return &fb.NodeT{Name: s.settings.Name, Role: membership.RoleProxy, Zone: s.settings.Zone, Http: s.settings.HTTP, Incarnation: s.incarnation, Ready: s.daemon.Ready()}
 }
 
-// retryWindow is this proxy's share of the retries that a pool may get in all. The caller
+// retryWindow returns the window that holds this proxy's share of a pool's retries. The caller
 // holds s.mu.
 func (s *server) retryWindow(pool string) *attempt.RetryWindow {
 	window := s.retryWindows[pool]
@@ -154,7 +154,7 @@
 	return window
 }
 
-// listen opens the port for callers, within the limits that the configuration sets.
+// listen opens the port for callers, with the limits of the configuration.
 func (s *server) listen(limits route.Limits) error {
 	listener, err := net.Listen("tcp", s.settings.Listen)
 	if err != nil {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// serveCallers takes callers' requests from a listener.
+// serveCallers serves callers' requests from a listener.
 func (s *server) serveCallers(listener net.Listener, limits route.Limits) {
 	httpServer := &http.Server{
 		Handler:           http.HandlerFunc(s.serveRequest),
@@ -192,14 +192,14 @@
 	})
 }
 
-// drain lets what is in flight end. For a while new requests are still taken, since
-// they still come; each answer then asks its caller to connect anew elsewhere.
+// drain lets requests in flight finish. New requests are accepted for drainDelayUS, since they
+// still arrive; their responses ask the caller to close the connection.
 func (s *server) drain(ctx context.Context) {
 	httpServer := s.httpServer.Load()
 	if httpServer == nil {
 		return
 	}
-	taskgroup.Sleep(ctx, stillArrivingUS)
+	taskgroup.Sleep(ctx, drainDelayUS)
 	_ = httpServer.Shutdown(ctx)
 	s.pool.closeIdle()
 }
--- a/internal/app/proxy/splitter.go
+++ b/internal/app/proxy/splitter.go
@@ -5,16 +5,16 @@
 	"strconv"
 )
 
-// splitter finds the ends of the requests in what comes on a connection.
+// splitter finds the end of each request in the bytes received on a connection.
 type splitter struct {
 	part      part
-	head      []byte // so far, of the request whose head is coming
-	line      []byte // so far, of a chunk's line or a trailer
-	left      int64  // bytes of the body, or of the chunk, still to come
-	ambiguity error  // of the request whose head came last
+	head      []byte // partial head of the current request
+	line      []byte // partial chunk-size line or trailer line
+	remaining int64  // bytes left of the body or of the chunk
+	ambiguity error  // of the request whose head was received last
 }
 
-// part is which part of a request the next byte belongs to.
+// part is the part of a request that the next byte belongs to.
 type part uint8
 
 const (
@@ -24,29 +24,29 @@
 	partChunk
 	partChunkEnd
 	partTrailer
-	partUnknown // where the request ends is ambiguous
+	partUnknown // the end of the request is ambiguous
 )
 
-// take is how many of the first bytes of b belong to the request under way; at least one,
-// if there is one. What lies beyond its end is for a later call.
+// take returns how many of the leading bytes of b belong to the current request; at least one, if b
+// is not empty. Bytes beyond the end of the request are left for a later call.
 func (s *splitter) take(b []byte) (taken int) {
 	for taken < len(b) {
 		taken += s.step(b[taken:])
 		if s.part == partHead && len(s.head) == 0 {
-			return taken // it is complete
+			return taken // the request is complete
 		}
 	}
 	return taken
 }
 
-// step takes bytes of one part.
+// step consumes bytes of one part and returns how many.
 func (s *splitter) step(b []byte) int {
 	switch s.part {
 	case partHead:
 		return s.takeHead(b)
 	case partBody, partChunk:
-		n := min(s.left, int64(len(b)))
-		if s.left -= n; s.left == 0 {
+		n := min(s.remaining, int64(len(b)))
+		if s.remaining -= n; s.remaining == 0 {
 			s.bodyPartEnded()
 		}
 		return int(n)
@@ -56,14 +56,15 @@
 	return s.takeLine(b)
 }
 
-// takeHead takes bytes of a head, and learns from the whole head where the body ends.
+// takeHead consumes bytes of a head. Once the head is complete, it determines the framing of the
+// body.
 func (s *splitter) takeHead(b []byte) int {
 	before := len(s.head)
 	s.head = append(s.head, b...)
 	end := headEnd(s.head)
 	if end == 0 {
 		if len(s.head) > maxHeadBytes {
-			s.giveUp(ambiguous("its head does not end"))
+			s.setAmbiguous(ambiguous("no end of the request head within the size limit"))
 		}
 		return len(b)
 	}
@@ -72,16 +73,16 @@
 	s.ambiguity = err
 	switch {
 	case err != nil:
-		s.giveUp(err)
+		s.setAmbiguous(err)
 	case f.chunked:
 		s.part = partChunkLine
 	case f.length > 0:
-		s.part, s.left = partBody, f.length
+		s.part, s.remaining = partBody, f.length
 	}
 	return end - before
 }
 
-// bodyPartEnded goes on to what follows a body or a chunk.
+// bodyPartEnded moves on to the part that follows a body or a chunk.
 func (s *splitter) bodyPartEnded() {
 	if s.part == partChunk {
 		s.part = partChunkEnd
@@ -90,7 +91,7 @@
 	s.part = partHead
 }
 
-// takeLine takes bytes of a line between chunks or behind them.
+// takeLine consumes bytes of a chunk-size line, of the line end after a chunk, or of a trailer.
 func (s *splitter) takeLine(b []byte) int {
 	n := bytes.IndexByte(b, '\n') + 1
 	if n == 0 {
@@ -98,7 +99,7 @@
 	}
 	s.line = append(s.line, b[:n]...)
 	if len(s.line) > maxHeadBytes {
-		s.giveUp(ambiguous("a line of its chunks does not end"))
+		s.setAmbiguous(ambiguous("a chunk-size or trailer line over the size limit"))
 		return n
 	}
 	line, complete := bytes.CutSuffix(s.line, []byte("\n"))
@@ -107,7 +108,7 @@
 	}
 	line, crlf := bytes.CutSuffix(line, []byte("\r"))
 	if !crlf {
-		s.giveUp(ambiguous("a line of its chunks does not end in CR LF"))
+		s.setAmbiguous(ambiguous("a line of the chunked body that does not end in CRLF"))
 		return n
 	}
 	s.lineEnded(line)
@@ -115,7 +116,7 @@
 	return n
 }
 
-// lineEnded goes on to what follows a line between chunks or behind them.
+// lineEnded moves on to the part that follows a complete line.
 func (s *splitter) lineEnded(line []byte) {
 	switch s.part {
 	case partChunkLine:
@@ -123,16 +124,16 @@
 		size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 63)
 		switch {
 		case err != nil:
-			s.giveUp(ambiguous("a chunk without a length"))
+			s.setAmbiguous(ambiguous("an invalid chunk size"))
 		case size == 0:
 			s.part = partTrailer
 		default:
-			s.part, s.left = partChunk, int64(size)
+			s.part, s.remaining = partChunk, int64(size)
 		}
 	case partChunkEnd:
 		s.part = partChunkLine
 		if len(line) > 0 {
-			s.giveUp(ambiguous("a chunk longer than its length"))
+			s.setAmbiguous(ambiguous("chunk data longer than the chunk size"))
 		}
 	case partTrailer:
 		if len(line) == 0 {
@@ -141,7 +142,7 @@
 	}
 }
 
-// giveUp takes the rest of the connection for part of the request.
-func (s *splitter) giveUp(err error) {
+// setAmbiguous treats all further bytes of the connection as part of the current request.
+func (s *splitter) setAmbiguous(err error) {
 	s.part, s.head, s.line, s.ambiguity = partUnknown, nil, nil, err
 }
--- a/internal/app/proxy/standin_test.go
+++ b/internal/app/proxy/standin_test.go
@@ -33,11 +33,11 @@
 	headerLoad      = "X-Violetthread-Instance-Load"
 	headerTarget    = "X-Violetthread-Target-Instance"
 
-	connPool = "pool"
-	patience = 20 * time.Second
+	testPool    = "pool"
+	testTimeout = 20 * time.Second
 )
 
-// The kinds of route, named by what may be done again.
+// The kinds of route, by what may be repeated.
 const (
 	onceOnly   = "once"
 	onceStream = "stream"
@@ -51,40 +51,40 @@
 
 func isStream(kind string) bool { return kind == onceStream || kind == resumable }
 
-// testTable has a route of each kind.
+// testTable returns a configuration with a route of each kind.
 func testTable() *route.Table {
 	types := map[string]route.Semantics{onceOnly: route.AtMostOnce, onceStream: route.EventStream, repeatable: route.Idempotent, resumable: route.EventStream}
-	config := route.Config{Version: 1, Pools: []route.Pool{{Name: connPool}}}
+	config := route.Config{Version: 1, Pools: []route.Pool{{Name: testPool}}}
 	for _, kind := range kinds {
 		config.Routes = append(config.Routes, route.Route{Name: kind, Host: "h.example", Prefix: "/" + kind + "/", Semantics: types[kind], TimeoutUS: 9_000_000,
-			MaxEngines: 2, Public: true, Resumable: kind == resumable, Split: []route.WeightedPool{{Pool: connPool, Weight: 1}}})
+			MaxEngines: 2, Public: true, Resumable: kind == resumable, Split: []route.WeightedPool{{Pool: testPool, Weight: 1}}})
 	}
 	return route.Compile(config, 1)
 }
 
-// engines are two stand-in engines behind raw sockets, and what they saw.
+// engines are two fake engines on raw sockets, with a record of what they received.
 type engines struct {
 	t         testing.TB
 	group     *taskgroup.Group
 	mu        sync.Mutex
-	listeners []net.Listener // of this case; what comes to those of former ones is not counted
+	listeners []net.Listener // of the current case; connections to those of earlier cases are not counted
 	script    func(c *engineConn, arrival int)
 	arrivals  int
 	open      []net.Conn
 	cases     int
 }
 
-// engineConn is a connection of an engine.
+// engineConn is an engine's side of a connection.
 type engineConn struct {
 	net.Conn
-	br     *bufio.Reader
-	engine int
-	served int  // requests answered on it before
-	over   bool // nothing more is read
+	br      *bufio.Reader
+	engine  int
+	served  int  // requests served on it before
+	stopped bool // no further requests are read
 }
 
-// newEngines starts both. The script deals with each request from its first byte on; it
-// gets the number of requests before it.
+// newEngines returns fake engines; reset starts them. The script handles each request from its
+// first byte; its argument arrival is the number of requests before this one.
 func newEngines(t testing.TB) *engines {
 	t.Helper()
 	e := &engines{t: t, group: taskgroup.New(context.Background(), logr.Discard())}
@@ -92,38 +92,38 @@
 	return e
 }
 
-func (e *engines) accept(engine, of int, l net.Listener) {
+func (e *engines) accept(engine, caseNumber int, l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
 		e.mu.Lock()
-		former := of != e.cases
+		stale := caseNumber != e.cases
 		e.open = append(e.open, conn)
 		e.mu.Unlock()
-		if former {
+		if stale {
 			resetConn(conn)
 			return
 		}
 		c := &engineConn{Conn: conn, br: bufio.NewReaderSize(conn, 64<<10), engine: engine}
-		e.group.Go("connection", func(context.Context) { e.serve(of, c) })
+		e.group.Go("connection", func(context.Context) { e.serve(caseNumber, c) })
 	}
 }
 
-func (e *engines) serve(of int, c *engineConn) {
+func (e *engines) serve(caseNumber int, c *engineConn) {
 	defer c.Close()
-	for !c.over {
+	for !c.stopped {
 		if _, err := c.br.Peek(1); err != nil {
 			return
 		}
 		e.mu.Lock()
-		arrival, script, former := e.arrivals, e.script, of != e.cases
-		if !former {
+		arrival, script, stale := e.arrivals, e.script, caseNumber != e.cases
+		if !stale {
 			e.arrivals++
 		}
 		e.mu.Unlock()
-		if former {
+		if stale {
 			return
 		}
 		script(c, arrival)
@@ -131,7 +131,7 @@
 	}
 }
 
-// reset starts a case at addresses of its own: the connections of the one before end.
+// reset starts a case with new addresses, and closes the connections of the previous case.
 func (e *engines) reset(script func(c *engineConn, arrival int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -150,19 +150,19 @@
 			return
 		}
 		e.listeners = append(e.listeners, l)
-		of := e.cases
-		e.group.Go("engine", func(context.Context) { e.accept(i, of, l) })
+		caseNumber := e.cases
+		e.group.Go("engine", func(context.Context) { e.accept(i, caseNumber, l) })
 	}
 }
 
-// follow begins the count anew, with another script and the connections there are.
-func (e *engines) follow(script func(c *engineConn, arrival int)) {
+// setScript sets another script and restarts the count; connections stay open.
+func (e *engines) setScript(script func(c *engineConn, arrival int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.arrivals, e.script = 0, script
 }
 
-// count is how many requests arrived.
+// count returns how many requests have arrived.
 func (e *engines) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,7 +181,7 @@
 	e.group.Stop()
 }
 
-// resetConn closes a connection so that the far end sees a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -189,121 +189,121 @@
 	_ = c.Close()
 }
 
-// readRequest reads one request to its end.
+// readRequest reads one whole request.
 func (c *engineConn) readRequest() (*http.Request, string, error) {
 	r, err := http.ReadRequest(c.br)
 	if err != nil {
-		c.over = true
+		c.stopped = true
 		return nil, "", err
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		c.over = true
+		c.stopped = true
 	}
 	return r, string(body), err
 }
 
-// say writes what an engine answers.
-func (c *engineConn) say(answer string) { _, _ = io.WriteString(c, answer) }
+// send writes bytes of a response.
+func (c *engineConn) send(response string) { _, _ = io.WriteString(c, response) }
 
-const lastPiece = 4
+const lastEvent = 4
 
-// piece is one event of every stream.
-func piece(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %d of %s\n\n", n, n, id) }
+// event returns the n-th event of a stream.
+func event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %d of %s\n\n", n, n, id) }
 
-// sealOf is an engine's seal on its answer to a try.
+// sealOf returns the value of an engine's success marker on its response to an attempt.
 func sealOf(engine int, id string) string { return fmt.Sprintf("seal-%d-%s", engine, id) }
 
 func plainBody(id string) string { return "the answer to " + id }
 
-// streamBody are the events after one.
+// streamBody returns the events of a stream that follow the given one.
 func streamBody(id string, after int) string {
 	var b strings.Builder
-	for n := after + 1; n <= lastPiece; n++ {
-		b.WriteString(piece(id, n))
+	for n := after + 1; n <= lastEvent; n++ {
+		b.WriteString(event(id, n))
 	}
 	return b.String()
 }
 
-// answerTo is the whole answer that an engine gives to a try, to the byte.
-func answerTo(kind string, engine int, id string, after int) string {
+// responseTo returns the exact bytes of an engine's complete response to an attempt.
+func responseTo(kind string, engine int, id string, after int) string {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n", headerAttempt, id, headerSeal, sealOf(engine, id))
 	if !isStream(kind) {
 		return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", head, len(plainBody(id)), plainBody(id))
 	}
 	var b strings.Builder
 	b.WriteString(head + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
-	for n := after + 1; n <= lastPiece; n++ {
-		fmt.Fprintf(&b, "%x\r\n%s\r\n", len(piece(id, n)), piece(id, n))
+	for n := after + 1; n <= lastEvent; n++ {
+		fmt.Fprintf(&b, "%x\r\n%s\r\n", len(event(id, n)), event(id, n))
 	}
 	b.WriteString("0\r\n\r\n")
 	return b.String()
 }
 
-// answerProperly reads a request and answers it whole.
-func (c *engineConn) answerProperly(kind string) {
+// respond reads a request and sends its complete response.
+func (c *engineConn) respond(kind string) {
 	r, _, err := c.readRequest()
 	if err != nil {
 		return
 	}
 	after, _ := strconv.Atoi(r.Header.Get(headerLastEvent))
-	c.say(answerTo(kind, c.engine, r.Header.Get(headerAttempt), after))
+	c.send(responseTo(kind, c.engine, r.Header.Get(headerAttempt), after))
 }
 
-// stage is a proxy before two engines.
-type stage struct {
-	t       testing.TB
-	engines *engines
-	proxy   *proxy.Unattached
-	lives   int
-	tries   int
-	name    string
+// harness is a proxy with two fake engines.
+type harness struct {
+	t          testing.TB
+	engines    *engines
+	proxy      *proxy.Standalone
+	generation int
+	attempts   int
+	name       string
 }
 
-func newStage(t testing.TB, name string) *stage {
+func newHarness(t testing.TB, name string) *harness {
 	t.Helper()
-	return &stage{t: t, name: name, engines: newEngines(t), proxy: proxy.NewUnattached(t, platform.Adapter{}, testTable())}
+	return &harness{t: t, name: name, engines: newEngines(t), proxy: proxy.NewStandalone(t, platform.Adapter{}, testTable())}
 }
 
-// begin starts a case with engines that nobody has asked yet.
-func (s *stage) begin(script func(c *engineConn, arrival int)) { s.beginMany(2, script) }
+// begin starts a case with engines that have received nothing yet.
+func (s *harness) begin(script func(c *engineConn, arrival int)) { s.beginMany(2, script) }
 
-// beginMany starts a case with as many engines, which share two addresses.
-func (s *stage) beginMany(engines int, script func(c *engineConn, arrival int)) {
+// beginMany starts a case with this many engines, which share two addresses.
+func (s *harness) beginMany(engines int, script func(c *engineConn, arrival int)) {
 	s.engines.reset(script)
-	s.lives++
+	s.generation++
 	var es []*placement.Engine
 	for i := range engines {
 		addr := s.engines.listeners[i%2].Addr().String()
-		es = append(es, &placement.Engine{ID: fmt.Sprintf("%s-%06d-%03d", s.name, s.lives, i), Pool: connPool, Addr: addr, Zone: "here", Slots: 8})
+		es = append(es, &placement.Engine{ID: fmt.Sprintf("%s-%06d-%03d", s.name, s.generation, i), Pool: testPool, Addr: addr, Zone: "here", Slots: 8})
 	}
 	s.proxy.SetEngines(es...)
 }
 
-// alone starts a case with one engine.
-func (s *stage) alone(script func(c *engineConn, arrival int)) {
+// beginSingle starts a case with one engine.
+func (s *harness) beginSingle(script func(c *engineConn, arrival int)) {
 	s.engines.reset(script)
-	s.lives++
-	s.proxy.SetEngines(&placement.Engine{ID: fmt.Sprintf("%s-%06d", s.name, s.lives), Pool: connPool, Addr: s.engines.listeners[0].Addr().String(), Zone: "here", Slots: 8})
+	s.generation++
+	s.proxy.SetEngines(&placement.Engine{ID: fmt.Sprintf("%s-%06d", s.name, s.generation), Pool: testPool, Addr: s.engines.listeners[0].Addr().String(), Zone: "here", Slots: 8})
 }
 
-// newID names a try.
-func (s *stage) newID() string {
-	s.tries++
-	return fmt.Sprintf("%s-%06d", s.name, s.tries)
+// newID returns a new attempt id.
+func (s *harness) newID() string {
+	s.attempts++
+	return fmt.Sprintf("%s-%06d", s.name, s.attempts)
 }
 
-// request is a try as its caller writes it.
+// request returns an attempt in wire format, as its caller sends it.
 func request(kind, id, body string, remainingMS int) string {
 	return fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s", kind, headerAttempt, id, headerRemaining, remainingMS, len(body), body)
 }
 
-// reply is what a caller got.
+// reply is what a caller received.
 type reply struct {
-	status int
-	head   http.Header
-	body   string
-	cut    error // it does not look whole
+	status  int
+	head    http.Header
+	body    string
+	readErr error // set if the response is incomplete
 }
 
 // caller is a caller's connection.
@@ -312,7 +312,7 @@
 	br *bufio.Reader
 }
 
-func (s *stage) dial() *caller {
+func (s *harness) dial() *caller {
 	conn, err := net.Dial("tcp", s.proxy.Listen)
 	if err != nil {
 		s.t.Error(err)
@@ -323,22 +323,22 @@
 }
 
 func newCaller(conn net.Conn) *caller {
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	return &caller{conn, bufio.NewReader(conn)}
 }
 
-// read takes one answer.
+// read reads one response.
 func (c *caller) read() reply {
 	r, err := http.ReadResponse(c.br, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		return reply{cut: err}
+		return reply{readErr: err}
 	}
 	body, err := io.ReadAll(r.Body)
 	return reply{r.StatusCode, r.Header, string(body), err}
 }
 
-// call sends one try on a connection of its own.
-func (s *stage) call(kind, id, body string, remainingMS int) reply {
+// call sends one attempt on a new connection.
+func (s *harness) call(kind, id, body string, remainingMS int) reply {
 	c := s.dial()
 	defer resetConn(c.Conn)
 	_, _ = io.WriteString(c, request(kind, id, body, remainingMS))
@@ -347,70 +347,70 @@
 
 // await waits for a channel to be closed, and reports whether it was.
 func await(ch <-chan struct{}) bool {
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
 	_, _ = taskgroup.Receive(ctx, ch)
 	return ctx.Err() == nil
 }
 
-// promised reports whether a status says that the request never ran.
-func promised(status int) bool {
+// promisesNotRun reports whether a status tells the caller that the request never ran.
+func promisesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-// whole reports whether a reply is the whole answer of an engine to this try, under the
-// seal of the engine that began it.
-func (a reply) whole(kind, id string) bool {
+// complete reports whether a reply is an engine's complete response to this attempt, with the
+// marker of one of the two engines.
+func (a reply) complete(kind, id string) bool {
 	body := plainBody(id)
 	if isStream(kind) {
 		body = streamBody(id, 0)
 	}
 	seal := a.head.Get(headerSeal)
-	return a.cut == nil && a.status == 200 && a.body == body && a.head.Get(headerAttempt) == id && (seal == sealOf(0, id) || seal == sealOf(1, id))
+	return a.readErr == nil && a.status == 200 && a.body == body && a.head.Get(headerAttempt) == id && (seal == sealOf(0, id) || seal == sealOf(1, id))
 }
 
-// faithful fails if a reply holds anything that is not the answer to its try, or looks
-// whole without being so.
-func (a reply) faithful(kind, id string) error {
+// checkContent returns an error if a reply contains anything but the response to its attempt, or
+// looks complete without being so.
+func (a reply) checkContent(kind, id string) error {
 	switch {
-	case a.whole(kind, id):
+	case a.complete(kind, id):
 		return nil
 	case a.status == 0:
-		return nil // cut before it began
-	case a.status < 300 && a.cut == nil:
-		return fmt.Errorf("a success that is not the engine's answer: %+v", a)
+		return nil // closed before the response started
+	case a.status < 300 && a.readErr == nil:
+		return fmt.Errorf("a success that is not the engine's response: %+v", a)
 	case a.status < 300 && !strings.HasPrefix(plainBody(id), a.body) && !strings.HasPrefix(streamBody(id, 0), a.body):
-		return fmt.Errorf("a part of what no engine said: %+v", a)
+		return fmt.Errorf("a partial response that no engine sent: %+v", a)
 	case a.status >= 300 && a.head.Get(headerSeal) != "":
-		return fmt.Errorf("a failure of the proxy's own under an engine's seal: %+v", a)
+		return fmt.Errorf("an error response of the proxy with an engine's success marker: %+v", a)
 	}
 	return nil
 }
 
-// judge fails if an answer is not this try's, or promises what is not so, or if the try
-// was sent more often than its route allows.
-func (s *stage) judge(kind, id string, a reply) error {
+// check returns an error if a reply belongs to another attempt or wrongly says that the request did
+// not run, or if the attempt was sent more often than its route allows.
+func (s *harness) check(kind, id string, a reply) error {
 	n := s.engines.count()
-	switch err := a.faithful(kind, id); {
+	switch err := a.checkContent(kind, id); {
 	case err != nil:
 		return err
 	case n > 1 && !mayRepeat(kind):
-		return fmt.Errorf("sent %d times, though it may run once", n)
+		return fmt.Errorf("sent %d times, though it may run only once", n)
 	case n > 2:
 		return fmt.Errorf("sent %d times, two are allowed", n)
-	case n > 0 && promised(a.status):
-		return fmt.Errorf("sent %d times, and its caller is told %d", n, a.status)
+	case n > 0 && promisesNotRun(a.status):
+		return fmt.Errorf("sent %d times, and the caller got status %d", n, a.status)
 	}
 	return nil
 }
 
-// readSome reads n bytes of a request and no more.
+// readSome reads exactly n bytes of a request.
 func (c *engineConn) readSome(n int) error {
 	_, err := io.CopyN(io.Discard, c.br, int64(n))
 	return err
 }
 
-// requestLength reads a whole request and tells how long it was.
+// requestLength reads a whole request and returns its length.
 func (c *engineConn) requestLength() (int, error) {
 	var raw bytes.Buffer
 	br := bufio.NewReader(io.TeeReader(c.br, &raw))
@@ -422,12 +422,12 @@
 		return 0, err
 	}
 	if br.Buffered() > 0 {
-		return 0, errors.New("more came than one request")
+		return 0, errors.New("received more than one request")
 	}
 	return raw.Len(), nil
 }
 
-// readHead reads a request's head and leaves its body.
+// readHead reads a request's head but not its body.
 func (c *engineConn) readHead() (http.Header, error) {
 	r, err := http.ReadRequest(c.br)
 	if err != nil {
--- a/internal/app/proxy/stream.go
+++ b/internal/app/proxy/stream.go
@@ -11,8 +11,8 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// readEvent reads one event with the blank line that ends it, and its id. At the end of
-// the answer it returns what is left together with io.EOF.
+// readEvent reads one event, including the blank line that ends it, and returns its id. At the end
+// of the response it returns the remaining bytes together with io.EOF.
 func readEvent(br *bufio.Reader) (event []byte, id string, err error) {
 	for {
 		line, err := br.ReadSlice('\n')
@@ -36,21 +36,21 @@
 	}
 }
 
-// relayStream passes events on as they arrive. The head goes out with the first complete
-// event, so that an answer that breaks before it can still come from elsewhere.
-func (a *engineAttempt) relayStream(answer *http.Response) outcome {
-	if answer.ContentLength != 0 && !a.awaitBegin() {
+// relayStream passes events on as they arrive. The head is sent with the first complete event, so
+// that a stream that breaks before that can still be retried at another engine.
+func (a *engineAttempt) relayStream(response *http.Response) outcome {
+	if response.ContentLength != 0 && !a.awaitFirstByte() {
 		return a.interrupted(reasonEngineLost)
 	}
-	a.resumes = a.forwarded.forward.HeadSent
-	br := bufio.NewReaderSize(answer.Body, 4096)
+	a.resuming = a.forwarded.forward.HeadSent
+	br := bufio.NewReaderSize(response.Body, 4096)
 	for {
 		event, id, err := readEvent(br)
 		if err != nil && err != io.EOF {
 			return a.interrupted(reasonEngineLost)
 		}
-		if len(event) > 0 || !a.began {
-			a.startStream(answer)
+		if len(event) > 0 || !a.started {
+			a.startStream(response)
 		}
 		if len(event) > 0 && !a.relayEvent(event, id) {
 			return a.interrupted(reasonCallerGone)
@@ -61,21 +61,21 @@
 	}
 }
 
-// startStream sends the head, unless the stream goes on behind the head of another
-// engine. It does so once.
-func (a *engineAttempt) startStream(answer *http.Response) {
-	if a.began {
+// startStream sends the head, unless the stream continues that of another engine. Only the first
+// call has an effect.
+func (a *engineAttempt) startStream(response *http.Response) {
+	if a.started {
 		return
 	}
 	a.responseStarted()
-	if a.resumes {
+	if a.resuming {
 		a.forwarded.server.counts.resumed.Add(1)
 		return
 	}
-	a.writeHead(answer)
+	a.writeHead(response)
 }
 
-// relayEvent passes one event on, unless it went out before; false if the caller is gone.
+// relayEvent passes one event on, unless the caller already has it; false if the caller is gone.
 func (a *engineAttempt) relayEvent(event []byte, id string) bool {
 	f := a.forwarded
 	if !a.isNewEvent(id) {
@@ -89,15 +89,15 @@
 	case id != "":
 		f.lastEventID = id
 	case len(bytes.TrimSpace(event)) > 0 && event[0] != ':':
-		f.forward.Resumable = false // nothing tells where to go on
+		f.forward.Resumable = false // without an id there is no position to resume from
 	}
 	return true
 }
 
-// isNewEvent keeps an event from going out twice when a stream was resumed elsewhere. What the
-// first engine sends goes out as it is.
+// isNewEvent reports whether an event must be passed on: after a resumption it filters out events
+// that the caller already has. Events of the first engine are never filtered.
 func (a *engineAttempt) isNewEvent(id string) bool {
-	if !a.resumes || id == "" || a.forwarded.lastEventID == "" {
+	if !a.resuming || id == "" || a.forwarded.lastEventID == "" {
 		return true
 	}
 	this, err1 := strconv.ParseInt(id, 10, 64)
--- a/internal/app/proxy/versionlimit_test.go
+++ b/internal/app/proxy/versionlimit_test.go
@@ -15,11 +15,11 @@
 	"violetthread/route"
 )
 
-// attemptOnOldWeights is an attempt on version 1 of model m at an engine at the far end of the
-// returned connection. Version 2 was announced so long ago.
+// attemptOnOldWeights returns an attempt on version 1 of model m, and the engine's end of its
+// connection. Version 2 was announced this long ago, and the caller waits for the time left.
 func attemptOnOldWeights(t *testing.T, announced time.Duration, left time.Duration) (*engineAttempt, net.Conn) {
 	t.Helper()
-	u := NewUnattached(t, nil, route.Compile(route.Config{}, 1))
+	u := NewStandalone(t, nil, route.Compile(route.Config{}, 1))
 	u.Announce("m", map[uint64]time.Duration{2: announced})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,9 +46,9 @@
 	return &engineAttempt{forwarded: f, choice: choice, conn: &engineConn{Conn: near, br: bufio.NewReader(near)}}, far
 }
 
-// TestMayWaitOn: a wait that reached its limit goes on while the attempt may still begin, or if it
-// has begun meanwhile; near the bound it is withdrawn.
-func TestMayWaitOn(t *testing.T) {
+// TestMayKeepWaiting: an attempt that reached its wait deadline keeps waiting if it may still start
+// or has started meanwhile; shortly before the version deadline it is withdrawn.
+func TestMayKeepWaiting(t *testing.T) {
 	bound := clock.Duration(route.DefaultBounds().VersionApplyUS)
 	for _, c := range []struct {
 		name            string
@@ -57,10 +57,10 @@
 		answered        bool
 		want, withdrawn bool
 	}{
-		{"time enough", bound / 2, time.Hour, os.ErrDeadlineExceeded, false, true, false},
-		{"near the bound", bound - clock.Duration(withdrawSlackUS/2), time.Hour, os.ErrDeadlineExceeded, false, false, true},
-		{"it began before this process went on", 2 * bound, time.Hour, os.ErrDeadlineExceeded, true, true, false},
-		{"its caller waits no longer", bound / 2, -time.Hour, os.ErrDeadlineExceeded, false, false, false},
+		{"well before the deadline", bound / 2, time.Hour, os.ErrDeadlineExceeded, false, true, false},
+		{"shortly before the deadline", bound - clock.Duration(withdrawSlackUS/2), time.Hour, os.ErrDeadlineExceeded, false, false, true},
+		{"started while this process was stalled", 2 * bound, time.Hour, os.ErrDeadlineExceeded, true, true, false},
+		{"the caller's deadline has passed", bound / 2, -time.Hour, os.ErrDeadlineExceeded, false, false, false},
 		{"the connection broke", bound / 2, time.Hour, io.ErrUnexpectedEOF, false, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,23 +71,23 @@
 					t.Fatal(err)
 				}
 			}
-			if got := a.mayWaitOn(c.err); got != c.want || a.withdrawn != c.withdrawn {
-				t.Errorf("may wait on: %v, withdrawn %v", got, a.withdrawn)
+			if got := a.mayKeepWaiting(c.err); got != c.want || a.withdrawn != c.withdrawn {
+				t.Errorf("may keep waiting: %v, withdrawn: %v", got, a.withdrawn)
 			}
 		})
 	}
 }
 
-// TestNotWrittenPastTheLimit: a request whose connection took too long to come about is not sent
-// to an engine whose weights have gone out of date meanwhile.
-func TestNotWrittenPastTheLimit(t *testing.T) {
+// TestNotSentAfterStartDeadline: if connecting took so long that the engine's weights are outdated
+// by then, the request is not sent.
+func TestNotSentAfterStartDeadline(t *testing.T) {
 	bound := clock.Duration(route.DefaultBounds().VersionApplyUS)
 	a, engine := attemptOnOldWeights(t, bound, time.Hour)
-	if end, answer := a.exchange(); end != nothingSent || answer != nil {
+	if end, response := a.exchange(); end != nothingSent || response != nil {
 		t.Errorf("the attempt ended with %+v", end)
 	}
 	_ = a.conn.Close()
 	if sent, err := io.ReadAll(engine); len(sent) > 0 || err != nil {
-		t.Errorf("the engine got %d bytes, %v", len(sent), err)
+		t.Errorf("the engine received %d bytes, %v", len(sent), err)
 	}
 }
--- a/internal/app/proxy/versionwait_test.go
+++ b/internal/app/proxy/versionwait_test.go
@@ -16,34 +16,34 @@
 const (
 	testModel       = "m"
 	headerModel     = "X-Violetthread-Model-Name"
-	queueBound      = 5 * time.Second // on new weights
-	announcedBefore = 3 * time.Second // the newer version, as the test begins
+	versionDeadline = 5 * time.Second // deadline for new weights
+	announcedAge    = 3 * time.Second // age of the newer version's announcement when the test starts
 )
 
-// queueingEngine is an engine on outdated weights whose queue is long: a request begins there
-// only at a set time. It drops a request whose connection closes before that.
+// queueingEngine is an engine on outdated weights with a long queue: a request starts there only at
+// a set time. A request whose connection closes before that is dropped.
 type queueingEngine struct {
-	beginAt time.Time
+	startAt time.Time
 	mu      sync.Mutex
 	queued  int
-	began   int
+	started int
 }
 
-// serve queues one request, and begins it if its caller is still there at beginAt.
+// serve queues one request, and starts it if its caller is still there at startAt.
 func (e *queueingEngine) serve(c *engineConn, kind string) {
 	r, _, err := c.readRequest()
 	if err != nil {
 		return
 	}
 	e.count(&e.queued)
-	_ = c.SetReadDeadline(e.beginAt)
+	_ = c.SetReadDeadline(e.startAt)
 	if _, err := c.br.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.over = true
+		c.stopped = true
 		return // the caller has gone
 	}
 	_ = c.SetReadDeadline(time.Time{})
-	e.count(&e.began)
-	c.say(answerTo(kind, c.engine, r.Header.Get(headerAttempt), 0))
+	e.count(&e.started)
+	c.send(responseTo(kind, c.engine, r.Header.Get(headerAttempt), 0))
 }
 
 func (e *queueingEngine) count(counter *int) {
@@ -52,27 +52,27 @@
 	*counter++
 }
 
-func (e *queueingEngine) counts() (queued, began int) {
+func (e *queueingEngine) counts() (queued, started int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.queued, e.began
+	return e.queued, e.started
 }
 
-// modelRequest is an attempt on the test's model, as its caller writes it.
+// modelRequest returns an attempt on the test's model in wire format.
 func modelRequest(kind, id string) string {
 	return fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s: %d\r\n%s: %s\r\nContent-Length: 0\r\n\r\n",
-		kind, headerAttempt, id, headerRemaining, patience.Milliseconds(), headerModel, testModel)
+		kind, headerAttempt, id, headerRemaining, testTimeout.Milliseconds(), headerModel, testModel)
 }
 
-// onVersions gives a stage an engine on version 1 of the test's model and, if wanted, one on
-// version 2 further away. Version 2 was announced at a time.
-func (s *stage) onVersions(withCurrent bool, announcedAt time.Time) {
+// onVersions gives a harness an engine on version 1 of the test's model and, if wanted, one on
+// version 2 in another zone. Version 2 was announced at announcedAt.
+func (s *harness) onVersions(withCurrent bool, announcedAt time.Time) {
 	s.engines.reset(nil)
-	s.lives++
-	s.proxy.SetVersionBound(queueBound)
+	s.generation++
+	s.proxy.SetVersionBound(versionDeadline)
 	s.proxy.Announce(testModel, map[uint64]time.Duration{1: time.Hour, 2: time.Since(announcedAt)})
 	engine := func(i int, zone string) *placement.Engine {
-		return &placement.Engine{ID: fmt.Sprintf("%s-%d-%d", s.name, s.lives, i), Pool: connPool, Addr: s.engines.listeners[i].Addr().String(),
+		return &placement.Engine{ID: fmt.Sprintf("%s-%d-%d", s.name, s.generation, i), Pool: testPool, Addr: s.engines.listeners[i].Addr().String(),
 			Zone: zone, Slots: 8, Weights: map[string]uint64{testModel: uint64(i + 1)}}
 	}
 	engines := []*placement.Engine{engine(0, "here")}
@@ -83,51 +83,51 @@
 }
 
 // callModel sends one attempt on the test's model.
-func (s *stage) callModel(kind string) reply {
+func (s *harness) callModel(kind string) reply {
 	c := s.dial()
 	defer resetConn(c.Conn)
 	_, _ = io.WriteString(c, modelRequest(kind, s.newID()))
 	return c.read()
 }
 
-// TestQueuedRequestsDoNotBeginOnOutdatedWeights: a request that waits in an engine's queue, sent
-// there in time, does not begin there after the bound on newer weights. One that may run
-// again runs on the newer ones; any other is not promised never to have run.
+// TestQueuedRequestsDoNotBeginOnOutdatedWeights: a request that was sent in time and waits in an
+// engine's queue does not start there after the deadline for newer weights. A repeatable one runs
+// on the newer weights instead; the callers of the others are not told that it never ran.
 func TestQueuedRequestsDoNotBeginOnOutdatedWeights(t *testing.T) {
 	t.Parallel()
 	var cases []testCase
 	for _, kind := range kinds {
 		for _, withCurrent := range []bool{false, true} {
-			name := fmt.Sprintf("%s, another engine %v", kind, withCurrent)
-			cases = append(cases, testCase{name, func(s *stage) error { return s.queuedPastBound(kind, withCurrent) }})
+			name := fmt.Sprintf("%s, engine on newer weights: %v", kind, withCurrent)
+			cases = append(cases, testCase{name, func(s *harness) error { return s.queuedPastDeadline(kind, withCurrent) }})
 		}
 	}
 	runCases(t, len(cases), cases)
 }
 
-func (s *stage) queuedPastBound(kind string, withCurrent bool) error {
-	announcedAt := time.Now().Add(-announcedBefore)
+func (s *harness) queuedPastDeadline(kind string, withCurrent bool) error {
+	announcedAt := time.Now().Add(-announcedAge)
 	s.onVersions(withCurrent, announcedAt)
-	old := &queueingEngine{beginAt: announcedAt.Add(queueBound)}
-	s.engines.follow(func(c *engineConn, _ int) {
+	old := &queueingEngine{startAt: announcedAt.Add(versionDeadline)}
+	s.engines.setScript(func(c *engineConn, _ int) {
 		if c.engine == 0 {
 			old.serve(c, kind)
 			return
 		}
-		c.answerProperly(kind)
+		c.respond(kind)
 	})
 	a := s.callModel(kind)
-	queued, began := old.counts()
+	queued, started := old.counts()
 	runsElsewhere := mayRepeat(kind) && withCurrent
 	switch {
 	case queued == 0:
-		return fmt.Errorf("the engine on older weights was not asked: %+v", a)
-	case began > 0:
-		return fmt.Errorf("%d of %d requests began on version 1 when the bound on version 2 had passed", began, queued)
+		return fmt.Errorf("the engine on older weights got no request: %+v", a)
+	case started > 0:
+		return fmt.Errorf("%d of %d requests started on version 1 after the deadline for version 2", started, queued)
 	case runsElsewhere && a.status != http.StatusOK:
 		return fmt.Errorf("another engine runs version 2, and the caller got %+v", a)
 	case !runsElsewhere && a.status != http.StatusBadGateway:
-		return fmt.Errorf("the request may have run, and its caller is told %+v", a)
+		return fmt.Errorf("the request may have run, and the caller got %+v", a)
 	}
 	return nil
 }
@@ -135,55 +135,55 @@
 // TestSupersededWhileQueued: a version that is announced while a request is queued counts as well.
 func TestSupersededWhileQueued(t *testing.T) {
 	t.Parallel()
-	s := newStage(t, "meanwhile")
+	s := newHarness(t, "meanwhile")
 	s.onVersions(false, time.Now())
 	s.proxy.Announce(testModel, map[uint64]time.Duration{1: time.Hour})
-	engine := &queueingEngine{beginAt: time.Now().Add(queueBound)}
-	s.engines.follow(func(c *engineConn, _ int) {
-		s.proxy.Announce(testModel, map[uint64]time.Duration{1: time.Hour, 2: announcedBefore})
+	engine := &queueingEngine{startAt: time.Now().Add(versionDeadline)}
+	s.engines.setScript(func(c *engineConn, _ int) {
+		s.proxy.Announce(testModel, map[uint64]time.Duration{1: time.Hour, 2: announcedAge})
 		engine.serve(c, onceOnly)
 	})
 	a := s.callModel(onceOnly)
-	if _, began := engine.counts(); began > 0 || a.status != http.StatusBadGateway {
-		t.Errorf("%d requests began on version 1 after the bound on version 2; the caller got %+v", began, a)
+	if _, started := engine.counts(); started > 0 || a.status != http.StatusBadGateway {
+		t.Errorf("%d requests started on version 1 after the deadline for version 2; the caller got %+v", started, a)
 	}
 }
 
-// TestBeganInTimeGoesOn: what began before the bound goes on past it.
+// TestBeganInTimeGoesOn: a stream that started before the deadline continues past it.
 func TestBeganInTimeGoesOn(t *testing.T) {
 	t.Parallel()
-	s := newStage(t, "began")
-	announcedAt := time.Now().Add(-announcedBefore)
+	s := newHarness(t, "began")
+	announcedAt := time.Now().Add(-announcedAge)
 	s.onVersions(false, announcedAt)
-	s.engines.follow(func(c *engineConn, _ int) {
+	s.engines.setScript(func(c *engineConn, _ int) {
 		r, _, err := c.readRequest()
 		if err != nil {
 			return
 		}
-		answer := answerTo(onceStream, c.engine, r.Header.Get(headerAttempt), 0)
-		most := len(answer) * 3 / 4
-		c.say(answer[:most])
-		_ = c.SetReadDeadline(announcedAt.Add(queueBound + time.Second/2))
+		response := responseTo(onceStream, c.engine, r.Header.Get(headerAttempt), 0)
+		most := len(response) * 3 / 4
+		c.send(response[:most])
+		_ = c.SetReadDeadline(announcedAt.Add(versionDeadline + time.Second/2))
 		_, _ = c.br.Peek(1)
-		c.say(answer[most:])
-		c.over = true
+		c.send(response[most:])
+		c.stopped = true
 	})
-	if a := s.callModel(onceStream); a.status != http.StatusOK || a.cut != nil {
-		t.Errorf("a stream that began in time was broken off: %+v", a)
+	if a := s.callModel(onceStream); a.status != http.StatusOK || a.readErr != nil {
+		t.Errorf("a stream that started in time was cut off: %+v", a)
 	}
 }
 
-// TestQueuedOnTheNewestVersion: a request may be queued for longer than the bound at an engine
-// whose weights nothing has superseded.
+// TestQueuedOnTheNewestVersion: a request may be queued for longer than the version deadline at an
+// engine whose weights have not been superseded.
 func TestQueuedOnTheNewestVersion(t *testing.T) {
 	t.Parallel()
-	s := newStage(t, "newest")
+	s := newHarness(t, "newest")
 	s.onVersions(false, time.Now())
 	s.proxy.Announce(testModel, map[uint64]time.Duration{1: time.Hour})
 	s.proxy.SetVersionBound(time.Second)
-	engine := &queueingEngine{beginAt: time.Now().Add(5 * time.Second / 2)}
-	s.engines.follow(func(c *engineConn, _ int) { engine.serve(c, onceOnly) })
+	engine := &queueingEngine{startAt: time.Now().Add(5 * time.Second / 2)}
+	s.engines.setScript(func(c *engineConn, _ int) { engine.serve(c, onceOnly) })
 	if a := s.callModel(onceOnly); a.status != http.StatusOK {
-		t.Errorf("its engine runs the newest version, and the caller got %+v", a)
+		t.Errorf("the engine runs the newest version, and the caller got %+v", a)
 	}
 }
--- a/internal/app/proxy/view.go
+++ b/internal/app/proxy/view.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// staleRegisterUS is the age in microseconds beyond which a node's knowledge shows that it
-	// is cut off from the leader of a register; another one is asked then.
+	// staleRegisterUS is the age in microseconds of a node's register data beyond which the node
+	// counts as cut off from the register's leader; another node is polled then.
 	staleRegisterUS = 1_000_000
-	// pendingMapWaitUS is for how long a map whose list of engines is older than that of the
-	// map in use waits for its node to read a newer list: the platform may be down.
+	// pendingMapWaitUS is how long a map whose list of engines is older than the one in use waits
+	// for its node to read a newer list. After that it is used anyway: the platform may be down.
 	pendingMapWaitUS = 3_000_000
 	// unknownAgeUS is the age of a configuration that is not known.
 	unknownAgeUS = 1 << 50
 )
 
-// view is what the proxy knows of the fleet. It never changes once published. Times are
+// view is the state of the fleet as the proxy knows it. It is immutable once published. Times are
 // monotonic microseconds.
 type view struct {
 	table       *route.Table // nil until a configuration is known
-	revision    uint64       // of the configuration's register
+	revision    uint64       // of the configuration register
 	configAt    int64        // when the configuration was last known to be in force
 	configKnown bool
-	announced   *route.Announcements // of weights; nil until a node has said so
-	proxies     int                  // of the fleet, this one included
+	announced   *route.Announcements // of weights; nil until a node has reported them
+	proxies     int                  // number in the fleet, including this one
 
 	mapIncarnation uint64 // of the node whose map is in use
-	listedAt       int64  // when the list of engines in that map was read off the platform
+	listedAt       int64  // when the list of engines in that map was read from the platform
 	pending        *pendingMap
 }
 
-// pendingMap is a map of the fleet that is not used yet, since the list of engines in it is
-// older than the one in use.
+// pendingMap is a fleet map that is not used yet, since its list of engines is older than the one
+// in use.
 type pendingMap struct {
-	incarnation uint64 // of its node
+	incarnation uint64 // of the node that sent it
 	engines     []*fb.MapEngineT
 	receivedAt  int64
 }
 
-// age is how long ago the configuration was known to be in force, in microseconds.
+// age returns for how long the configuration has not been confirmed to be in force, in
+// microseconds.
 func (v *view) age(now int64) int64 {
 	if !v.configKnown {
 		return unknownAgeUS
@@ -48,7 +49,7 @@
 	return now - v.configAt
 }
 
-// minVersion is the oldest version of a model that an attempt may still begin on. 0 is any.
+// minVersion returns the oldest version of a model that an attempt may still start on. 0 means any.
 func (v *view) minVersion(now int64, model string, limits route.VersionLimits) uint64 {
 	if v.announced == nil {
 		return 0
@@ -56,7 +57,7 @@
 	return v.announced.OldestAllowed(now, model, limits)
 }
 
-// usableUntil is the time from which on nothing may begin on a version of a model, and whether
+// usableUntil returns the time from which no attempt may start on a version of a model, and whether
 // there is one.
 func (v *view) usableUntil(model string, version uint64, limits route.VersionLimits) (until int64, superseded bool) {
 	if v.announced == nil {
@@ -65,12 +66,12 @@
 	return v.announced.UsableUntil(model, version, limits)
 }
 
-// merge takes in the fleet's state as a node knows it, which left the node no sooner than at.
-// It returns the map to be used from now on, if that is another one.
+// merge applies the fleet state that a node reported; the node sent it no sooner than at. It
+// returns the engines to use from now on, if they are to be replaced.
 func (v *view) merge(state *fb.MapResponseT, at int64) (engines []*fb.MapEngineT, use bool) {
-	// A node that is cut off has lost sight of other proxies, and does not know that they are
-	// still there: what each may spend must not grow by that.
-	if proxies := max(1, int(state.Proxies)); !outOfTouch(state) || proxies > v.proxies {
+	// An isolated node loses sight of proxies that still exist. A lower count from such a node is
+	// ignored, since it would raise each proxy's share of the retry allowance.
+	if proxies := max(1, int(state.Proxies)); !isIsolated(state) || proxies > v.proxies {
 		v.proxies = proxies
 	}
 	if state.FullMap {
@@ -85,8 +86,8 @@
 	return v.mergeMap(state.Incarnation, at, state.ListAge)
 }
 
-// mergeConfig takes in the configuration that a node knows, and returns whether it is another
-// one. A revision never goes back within this proxy's incarnation; an age counts only for the
+// mergeConfig applies the configuration that a node reported, and returns whether it has changed.
+// The revision never decreases within this proxy's incarnation, and an age counts only for the
 // revision in use.
 func (v *view) mergeConfig(state *fb.MapResponseT, at int64, parse func(value []byte, revision uint64) *route.Table) (changed bool) {
 	if !state.Known || state.Revision < v.revision {
@@ -103,10 +104,11 @@
 	return changed
 }
 
-// mergeMap takes in how old the list of engines in a node's newest map is, and returns that
-// map if it is to be used from now on: at once if its list is not older than that of the map
-// in use, else once the node has read the platform's list again. A node that has just started
-// and read no list knows of no engines.
+// mergeMap applies the age of the list of engines in a node's latest map, and returns that map's
+// engines if they are to be used from now on: at once if the list is not older than the one in use,
+// or if the map in use is from the same node; otherwise once the node has read a newer list from
+// the platform, or after pendingMapWaitUS. A node that has just started and has not read a list yet
+// knows no engines, so its map is not used.
 func (v *view) mergeMap(incarnation uint64, at, listAge int64) (engines []*fb.MapEngineT, use bool) {
 	if listAge >= codec.AgeNeverRead {
 		return nil, false
@@ -120,15 +122,15 @@
 		}
 		return engines, use
 	}
-	v.pending = nil // another node is asked now
+	v.pending = nil // another node is polled now
 	if same {
 		v.listedAt = max(v.listedAt, listedAt)
 	}
 	return nil, false
 }
 
-// outOfTouch reports whether a node is cut off from the leader of a register. One that was
-// restarted while it is cut off knows no configuration at all.
-func outOfTouch(state *fb.MapResponseT) bool {
+// isIsolated reports whether a node is cut off from the leader of a register. A node that restarted
+// while cut off knows no configuration at all.
+func isIsolated(state *fb.MapResponseT) bool {
 	return !state.Known || state.Age > staleRegisterUS || state.AnnouncedAge > staleRegisterUS
 }
