--- a/internal/app/control/api.go
+++ b/internal/app/control/api.go
@@ -10,20 +10,20 @@
 	"violetthread/schema/fb"
 )
 
-// ErrorResponse is what an operator gets when nothing was done.
+// ErrorResponse is the body of every response that reports an error.
 type ErrorResponse struct {
-	Reason   string         `json:"reason"` // fixed, for programs
-	Remedy   string         `json:"remedy"` // what to do, for people
+	Reason   string         `json:"reason"` // fixed code, for programs
+	Remedy   string         `json:"remedy"` // what to do about it, for people
 	Findings []plan.Finding `json:"findings,omitempty"`
-	Revision uint64         `json:"rev,omitempty"` // in force, after a conflict
+	Revision uint64         `json:"rev,omitempty"` // current revision, after a conflict
 }
 
-// maxChangeBytes bounds the body of a change of the voter set.
+// maxChangeBytes limits the body of a request that changes the voter set.
 const maxChangeBytes = 4096
 
-// registerRoutes registers paths and metrics. /v1/plan, plan_* and era belong to the product's
-// own interface; under a deploy file nothing uses them, and refreshPlan reads a key that was
-// never put.
+// registerRoutes registers HTTP paths and metrics. /v1/plan, plan_* and era belong to the
+// product's own interface; nothing uses them in a deployment from a deploy file, where
+// refreshPlan reads a key that was never written.
 func (n *Node) registerRoutes() {
 	n.daemon.Handle("/v1/plan", n.servePlan)
 	n.daemon.Handle("/v1/fleet", n.serveFleet)
@@ -36,7 +36,7 @@
 	n.daemon.Gauge("plan_age_us", "microseconds since the plan was confirmed", func() float64 { return float64(n.plan.Load().Age(clock.Now())) })
 }
 
-// countLedSlots is the number of slots that this node leads.
+// countLedSlots returns the number of slots that this node leads.
 func (n *Node) countLedSlots() float64 {
 	count := 0
 	for _, slot := range n.status.Load().slots {
@@ -51,13 +51,13 @@
 	daemon.WriteJSON(w, status, ErrorResponse{Reason: reason, Remedy: remedy})
 }
 
-// writeUnchanged is writeError for a change that was provably not made.
+// writeUnchanged is writeError for a change that certainly had no effect.
 func writeUnchanged(w http.ResponseWriter, status int, reason, remedy string) {
 	writeError(w, status, reason, remedy+"; nothing was changed")
 }
 
-// writeNotCommitted tells an operator that an operation has no result, and whether it may
-// take effect all the same.
+// writeNotCommitted reports that an operation was not confirmed as committed, and whether it
+// may still take effect.
 func writeNotCommitted(w http.ResponseWriter, response *fb.OperationResponseT) {
 	w.Header().Set("Retry-After", "1")
 	switch quorum.Status(response.Status) {
--- a/internal/app/control/api_plan.go
+++ b/internal/app/control/api_plan.go
@@ -14,11 +14,11 @@
 	"violetthread/schema/fb"
 )
 
-// maxPlanAttempts bounds how often a change without a precondition is put on top of another
-// operator's.
+// maxPlanAttempts limits how often a change without a precondition is reapplied after a
+// conflict with another operator's change.
 const maxPlanAttempts = 50
 
-// PlanAccepted is what an operator gets for a plan in force.
+// PlanAccepted is the response to a plan change that was committed.
 type PlanAccepted struct {
 	Revision uint64 `json:"rev"`
 }
@@ -41,7 +41,7 @@
 	case quorum.Status(response.Status) != quorum.StatusDone:
 		writeNotCommitted(w, response)
 	case response.Revision == 0:
-		writeError(w, http.StatusNotFound, "no-plan", "send a whole plan first, with violetthread-ctl plan put")
+		writeError(w, http.StatusNotFound, "no-plan", "send a complete plan first, with violetthread-ctl plan put")
 	default:
 		w.Header().Set("ETag", etag(response.Revision))
 		w.Header().Set("Content-Type", "application/json")
@@ -50,20 +50,20 @@
 			writeError(w, http.StatusInternalServerError, "unreadable", err.Error())
 			return
 		}
-		_, _ = w.Write(raw) // to the byte what was sent
+		_, _ = w.Write(raw) // byte for byte as the operator sent it
 	}
 }
 
 func etag(revision uint64) string { return fmt.Sprintf("%q", strconv.FormatUint(revision, 10)) }
 
-// changePlan carries out a PUT or PATCH of the plan.
+// changePlan handles a PUT or PATCH of the plan.
 func (n *Node) changePlan(w http.ResponseWriter, r *http.Request) {
 	change, ok := readPlanChange(w, r)
 	if !ok {
 		return
 	}
 	for range maxPlanAttempts {
-		// What is in force is read first in any case: the seal follows from it.
+		// The current plan is always read first: the sealed form is derived from it.
 		current := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: planKey})
 		if quorum.Status(current.Status) != quorum.StatusDone {
 			writeNotCommitted(w, current)
@@ -76,26 +76,26 @@
 		}
 		response := n.Execute(r.Context(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: planKey, Value: sealed, ExpectedRevision: current.Revision})
 		if quorum.Status(response.Status) == quorum.StatusConflict && !change.Conditional {
-			continue // another operator's change came between; this one goes on top of it
+			continue // another operator's change was committed first; apply this one on top of it
 		}
 		n.writePlanResult(w, r, response)
 		return
 	}
-	writeError(w, http.StatusConflict, "too-busy", "many operators change the plan at once; send the patch again")
+	writeError(w, http.StatusConflict, "too-busy", "many operators are changing the plan at the same time; send the patch again")
 }
 
-// readPlanChange reads what an operator sent; false means that it was answered.
+// readPlanChange reads an operator's request. If ok is false, an error response was written.
 func readPlanChange(w http.ResponseWriter, r *http.Request) (change plan.Change, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, plan.MaxBytes+1))
 	if err != nil {
-		writeError(w, http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("keep a plan within %d bytes", plan.MaxBytes))
+		writeError(w, http.StatusRequestEntityTooLarge, "too-large", fmt.Sprintf("keep the plan within %d bytes", plan.MaxBytes))
 		return change, false
 	}
 	change = plan.Change{Body: body, Patch: r.Method == http.MethodPatch}
 	if match := strings.Trim(r.Header.Get("If-Match"), `"`); match != "" && match != "*" {
 		change.Conditional = true
 		if change.ExpectedRevision, err = strconv.ParseUint(match, 10, 64); err != nil {
-			writeError(w, http.StatusBadRequest, "bad-precondition", "give If-Match the revision that ETag showed")
+			writeError(w, http.StatusBadRequest, "bad-precondition", "set If-Match to the revision from the ETag of an earlier response")
 			return change, false
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// writeChangeError tells an operator why a change does not apply.
+// writeChangeError reports why a change can't be applied.
 func writeChangeError(w http.ResponseWriter, err error) {
 	var (
 		otherRevision plan.RevisionConflictError
@@ -140,7 +140,7 @@
 func writeRevisionConflict(w http.ResponseWriter, revision uint64) {
 	daemon.WriteJSON(w, http.StatusPreconditionFailed, ErrorResponse{
 		Reason:   "other-revision",
-		Remedy:   "read the plan again and decide anew; nothing was changed",
+		Remedy:   "read the plan again and decide whether the change still applies; nothing was changed",
 		Revision: revision,
 	})
 }
--- a/internal/app/control/api_status.go
+++ b/internal/app/control/api_status.go
@@ -8,36 +8,36 @@
 	"violetthread/internal/daemon"
 )
 
-// FleetStatus is what GET /v1/fleet tells.
+// FleetStatus is the response of GET /v1/fleet.
 type FleetStatus struct {
-	ControlNode string        `json:"registrar"` // the one that answers
+	ControlNode string        `json:"registrar"` // the node that serves this response
 	Plan        PlanStatus    `json:"plan"`
 	Slots       []SlotStatus  `json:"slots"`
 	Nodes       []NodeStatus  `json:"nodes"`
 	Voters      []VoterStatus `json:"voters"`
-	// VoterSetStep counts the voter set's changes; ChangeAllowed says that the next may be
-	// made.
+	// VoterSetStep counts the changes of the voter set; ChangeAllowed is true if the next
+	// change may be made now.
 	VoterSetStep  uint64 `json:"roster_step"`
 	ChangeAllowed bool   `json:"roster_firm"`
-	// Disk is this node's own.
+	// Disk is the disk of the node that serves this response.
 	Disk DiskStatus `json:"disk"`
 }
 
-// PlanStatus is the plan as this control node last had it confirmed by its leader.
+// PlanStatus is the plan as the leader of its key last confirmed it to this control node.
 type PlanStatus struct {
 	Revision uint64 `json:"rev"`
-	AgeUS    int64  `json:"age_us"` // since before the question that was answered
+	AgeUS    int64  `json:"age_us"` // since just before the request that the leader answered
 }
 
-// SlotStatus is a slot of the control state.
+// SlotStatus is one slot (shard) of the control state.
 type SlotStatus struct {
 	Slot   int    `json:"slot"`
-	Leader string `json:"owner"` // last heard of; it may be gone. slots_owned counts live leases
+	Leader string `json:"owner"` // last known leader, which may be down; slots_owned counts live leases
 	Term   uint64 `json:"epoch"`
 	Keys   int    `json:"keys"`
 }
 
-// NodeStatus is a node whose session has not ended.
+// NodeStatus is a node whose session has not expired.
 type NodeStatus struct {
 	Name           string   `json:"name"`
 	Role           string   `json:"role"`
@@ -45,8 +45,8 @@
 	HTTP           string   `json:"http"`
 	Addr           string   `json:"wire"`
 	Ready          bool     `json:"ready"`
-	ControlNode    string   `json:"via"`    // that keeps the session
-	AgeUS          int64    `json:"age_us"` // of the last heartbeat
+	ControlNode    string   `json:"via"`    // the control node that keeps the session
+	AgeUS          int64    `json:"age_us"` // age of the last heartbeat
 	SingletonRoles []string `json:"duties,omitempty"`
 }
 
--- a/internal/app/control/api_voter_set.go
+++ b/internal/app/control/api_voter_set.go
@@ -12,20 +12,20 @@
 	"violetthread/schema/fb"
 )
 
-// joiningTimeout is how long a joining control node may take to say who it is, in
+// joiningTimeout is how long a joining control node may take to identify itself, in
 // microseconds.
 const joiningTimeout = 1_000_000
 
 // VoterSetChange is the body of an operator's change of the voter set: the voter named
-// Leaving leaves, the empty control node that listens at JoiningAddr joins; either may be
-// left out. Step must be the voter set's.
+// Leaving is removed, the empty control node that listens at JoiningAddr is added; either may
+// be omitted. Step must equal the current step of the voter set.
 type VoterSetChange struct {
 	Leaving     string `json:"old,omitempty"`
 	JoiningAddr string `json:"addr,omitempty"`
 	Step        uint64 `json:"step"`
 }
 
-// VoterSetAccepted is what an operator gets for a voter set in force.
+// VoterSetAccepted is the response to a voter set change that was committed.
 type VoterSetAccepted struct {
 	Step   uint64         `json:"step"`
 	Voters []quorum.Voter `json:"voters"`
@@ -37,7 +37,7 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChangeBytes))
 	decoder.DisallowUnknownFields()
 	if r.Method != http.MethodPost || decoder.Decode(&change) != nil || change.Leaving == "" && change.JoiningAddr == "" {
-		writeError(w, http.StatusBadRequest, "malformed", "POST old, addr or both, and the step that GET /v1/fleet shows")
+		writeError(w, http.StatusBadRequest, "malformed", "send a POST with old, addr or both, and the step that GET /v1/fleet shows")
 		return
 	}
 	set := n.voterSet.Load()
@@ -47,7 +47,7 @@
 	}
 	current := codec.UnpackVoterSet(set)
 	if change.Step != current.Step() {
-		writeUnchanged(w, http.StatusPreconditionFailed, "other-step", fmt.Sprintf("the voter set is at step %d; look at it again", current.Step()))
+		writeUnchanged(w, http.StatusPreconditionFailed, "other-step", fmt.Sprintf("the voter set is at step %d; read GET /v1/fleet again", current.Step()))
 		return
 	}
 	var joining *quorum.Voter
@@ -64,8 +64,8 @@
 	n.commitVoterSet(r.Context(), w, change, next)
 }
 
-// identifyJoining asks a joining control node who it is, and that its disk is empty. Nil
-// means that the operator was answered.
+// identifyJoining asks a joining control node for its identity and checks that its disk is in
+// no voter set yet. If it returns nil, an error response was written.
 func (n *Node) identifyJoining(ctx context.Context, w http.ResponseWriter, addr string) *quorum.Voter {
 	request := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation()}
 	response, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: request}, joiningTimeout)
@@ -75,13 +75,13 @@
 	}
 	identity := response.JoinResponse
 	if identity.VoterSet != nil && len(identity.VoterSet.Voters) > 0 {
-		writeUnchanged(w, http.StatusConflict, "newcomer-not-empty", "its disk belongs to a voter set already; give it an empty data folder")
+		writeUnchanged(w, http.StatusConflict, "newcomer-not-empty", "its disk already belongs to a voter set; give it an empty data folder")
 		return nil
 	}
 	return &quorum.Voter{Name: identity.Name, Addr: addr, Incarnation: identity.Incarnation}
 }
 
-// commitVoterSet puts a changed voter set in force and answers the operator.
+// commitVoterSet commits a changed voter set and responds to the operator.
 func (n *Node) commitVoterSet(ctx context.Context, w http.ResponseWriter, change VoterSetChange, next quorum.VoterSet) {
 	current := n.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: quorum.VoterSetKey})
 	if quorum.Status(current.Status) != quorum.StatusDone {
--- a/internal/app/control/bootstrap_test.go
+++ b/internal/app/control/bootstrap_test.go
@@ -8,8 +8,8 @@
 	"violetthread/schema/fb"
 )
 
-// seedNode is a node that was never in a voter set, with these seeds.
-func seedNode(name string, bootstrap bool, addr string, seeds ...string) *Node {
+// newSeedNode returns a node that was never in a voter set, configured with these seeds.
+func newSeedNode(name string, bootstrap bool, addr string, seeds ...string) *Node {
 	n := &Node{}
 	n.settings.Name, n.settings.Bootstrap = name, bootstrap
 	n.settings.TransportAddr, n.settings.Seeds = addr, seeds
@@ -17,24 +17,24 @@
 	return n
 }
 
-// TestBootstrapWaits: a fleet is bootstrapped by its seeds alone, once all of them have
-// just replied and none knows a voter set.
-func TestBootstrapWaits(t *testing.T) {
+// TestBootstrapPreconditions: only seeds bootstrap a fleet, once all of them have responded
+// recently and none knows a voter set. Anything less could create a second fleet.
+func TestBootstrapPreconditions(t *testing.T) {
 	const now = 10_000_000
 	blank := func(name string) *fb.JoinResponseT { return &fb.JoinResponseT{Name: name, Incarnation: 9, Blank: true} }
 	for _, c := range []struct {
 		name      string
 		node      *Node
 		responses []peerResponse
-		want      string // in the reason
+		want      string // part of the reason
 	}{
-		{"not told to", seedNode("a", false, "a:1", "a:1", "b:1"), nil, "no bootstrapped fleet"},
-		{"not a seed", seedNode("c", true, "c:1", "a:1", "b:1"), nil, "waiting for the seeds"},
-		{"a seed never replied", seedNode("a", true, "a:1", "a:1", "b:1"), nil, "every seed"},
-		{"a seed did not answer", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, nil}}, "every seed"},
-		{"an old reply", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now - responseLifetime - 1, blank("b")}}, "every seed"},
-		{"a fleet is there", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, &fb.JoinResponseT{Name: "b", Incarnation: 9, VoterSet: &fb.VoterSetT{}}}}, "to be let into"},
-		{"one name twice", seedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, blank("a")}}, "two control nodes are named a"},
+		{"bootstrap not enabled", newSeedNode("a", false, "a:1", "a:1", "b:1"), nil, "no bootstrapped fleet"},
+		{"not a seed", newSeedNode("c", true, "c:1", "a:1", "b:1"), nil, "waiting for the seeds"},
+		{"a seed was never asked", newSeedNode("a", true, "a:1", "a:1", "b:1"), nil, "every seed"},
+		{"a seed did not respond", newSeedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, nil}}, "every seed"},
+		{"an expired response", newSeedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now - maxResponseAge - 1, blank("b")}}, "every seed"},
+		{"a fleet exists", newSeedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, &fb.JoinResponseT{Name: "b", Incarnation: 9, VoterSet: &fb.VoterSetT{}}}}, "to be admitted to"},
+		{"duplicate name", newSeedNode("a", true, "a:1", "a:1", "b:1"), []peerResponse{{"b:1", now, blank("a")}}, "two control nodes are named a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			responses := map[string]peerResponse{}
@@ -48,21 +48,22 @@
 			}
 		})
 	}
-	lost := seedNode("a", true, "a:1", "a:1", "b:1")
-	lost.removed.Store(true)
-	if set, err := lost.tryBootstrap(now, map[string]peerResponse{"b:1": {"b:1", now, blank("b")}}); set != nil || err == nil {
-		t.Errorf("a node that lost its seat bootstraps: %+v", set)
+	removed := newSeedNode("a", true, "a:1", "a:1", "b:1")
+	removed.removed.Store(true)
+	if set, err := removed.tryBootstrap(now, map[string]peerResponse{"b:1": {"b:1", now, blank("b")}}); set != nil || err == nil {
+		t.Errorf("a node that was removed from the voter set bootstraps: %+v", set)
 	}
 }
 
-// TestSeedsAgree: all seeds work out the same voter set.
-func TestSeedsAgree(t *testing.T) {
+// TestSeedsDeriveSameVoterSet: each seed builds the first voter set by itself, so that all of
+// them must derive the same one.
+func TestSeedsDeriveSameVoterSet(t *testing.T) {
 	const now = 10_000_000
-	a, b := seedNode("a", true, "a:1", "a:1", "b:1"), seedNode("bb", true, "b:1", "b:1", "a:1")
+	a, b := newSeedNode("a", true, "a:1", "a:1", "b:1"), newSeedNode("bb", true, "b:1", "b:1", "a:1")
 	identity := func(n *Node) *fb.JoinResponseT {
 		return &fb.JoinResponseT{Name: n.Name(), Incarnation: n.Incarnation()}
 	}
-	first, err := a.tryBootstrap(now, map[string]peerResponse{"b:1": {"b:1", now - responseLifetime, identity(b)}})
+	first, err := a.tryBootstrap(now, map[string]peerResponse{"b:1": {"b:1", now - maxResponseAge, identity(b)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,6 +80,6 @@
 		}
 	}
 	if !a.isVoter(first) || !b.isVoter(first) {
-		t.Error("a seed is not in its own voter set")
+		t.Error("a seed is not a voter in the set that it derived")
 	}
 }
--- a/internal/app/control/disk_image.go
+++ b/internal/app/control/disk_image.go
@@ -13,17 +13,17 @@
 	"violetthread/wal"
 )
 
-// diskImage is what the disk holds.
+// diskImage is the content of the write-ahead log when it was opened.
 type diskImage struct {
 	incarnation uint64
 	voterSet    *fb.VoterSetT // nil while this disk is in no voter set
-	knownAddrs  []string      // whom to ask then
+	knownAddrs  []string      // control nodes to ask for a voter set in that case
 	records     []quorum.Record
-	recordCount int // all that were read
+	recordCount int // number of all records read, identities included
 }
 
-// readDisk locks the folder, reads the log and makes sure that it can be written. What
-// the log holds may serve to find other nodes also when it can't.
+// readDisk locks the folder, reads the log and makes sure that it can be written. If it can't,
+// the addresses in the log are still used to find other nodes.
 func (n *Node) readDisk() (*diskImage, error) {
 	if err := n.lockFolder(); err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	if image.incarnation == 0 {
-		if err := n.drawIncarnation(image); err != nil {
+		if err := n.assignIncarnation(image); err != nil {
 			return nil, err
 		}
 	}
@@ -74,7 +74,7 @@
 	return raw, err
 }
 
-// decodeImage reads the records of a log.
+// decodeImage decodes the records of a log.
 func decodeImage(raw [][]byte) (*diskImage, error) {
 	image := &diskImage{recordCount: len(raw)}
 	for _, data := range raw {
@@ -91,7 +91,7 @@
 
 func (i *diskImage) add(record quorum.Record, identity *fb.VoterSetT) error {
 	switch {
-	case identity != nil && identity.Revision == 0: // of a disk in no voter set
+	case identity != nil && identity.Revision == 0: // the disk is in no voter set
 		i.incarnation, i.knownAddrs = identity.Incarnation, voterAddrs(identity)
 		return nil
 	case identity != nil:
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// adoptVoterSet takes in a voter set, which must be of the same fleet as those before.
+// adoptVoterSet records a voter set, which must belong to the same fleet as earlier ones.
 func (i *diskImage) adoptVoterSet(set *fb.VoterSetT) error {
 	if i.voterSet != nil {
 		before, fleet := codec.UnpackVoterSet(i.voterSet).Fleet(), codec.UnpackVoterSet(set).Fleet()
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// addresses lists whom to ask for a voter set.
+// addresses lists the control nodes to ask for a voter set.
 func (i *diskImage) addresses() []string {
 	if i.voterSet != nil {
 		return voterAddrs(i.voterSet)
@@ -125,9 +125,10 @@
 	return i.knownAddrs
 }
 
-// drawIncarnation numbers a disk that has no incarnation. The number is on the disk before
-// anyone hears of it: one number never stands for two states of this disk.
-func (n *Node) drawIncarnation(image *diskImage) error {
+// assignIncarnation gives a random incarnation to a disk that has none. It is synced before any
+// other node learns it, so that one incarnation never identifies two different states of this
+// disk.
+func (n *Node) assignIncarnation(image *diskImage) error {
 	incarnation, err := randomIncarnation()
 	if err != nil {
 		return err
@@ -136,7 +137,7 @@
 	return n.persistVoterSet(&fb.VoterSetT{Incarnation: incarnation})
 }
 
-// randomIncarnation draws a number that is not 0 and fits a signed one.
+// randomIncarnation returns a random number that is not 0 and fits into an int64.
 func randomIncarnation() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -153,11 +154,11 @@
 	return n.storage.log.Sync()
 }
 
-// checkpointIfFull restates the state if the log is full enough for that: a voter that
-// begins with a log without room would stop at its first record.
+// checkpointIfFull writes a checkpoint if the used part of the log exceeds the checkpoint
+// threshold: a voter that starts with a full log would stop at its first record.
 func (n *Node) checkpointIfFull(image *diskImage) error {
 	log := n.storage.log
-	if log.UsedPermille() <= checkpointAtPermille || image.voterSet == nil || !containsDisk(image.voterSet, n.settings.Name, image.incarnation) {
+	if log.UsedPermille() <= checkpointThresholdPermille || image.voterSet == nil || !containsDisk(image.voterSet, n.settings.Name, image.incarnation) {
 		return nil
 	}
 	voter := n.newVoter(image.voterSet, image.incarnation, image.records)
@@ -168,12 +169,12 @@
 		state = append(state, codec.PackRecord(record))
 	}
 	if err := log.Checkpoint(state); err != nil {
-		return fmt.Errorf("restating the state: %w", err)
+		return fmt.Errorf("writing a checkpoint at startup: %w", err)
 	}
 	return nil
 }
 
-// loadImage begins from what the disk holds.
+// loadImage initialises the node's state from the content of the disk.
 func (n *Node) loadImage(image *diskImage) {
 	n.incarnation.Store(image.incarnation)
 	n.voterSet.Store(image.voterSet)
--- a/internal/app/control/disk_image_test.go
+++ b/internal/app/control/disk_image_test.go
@@ -11,7 +11,7 @@
 	"violetthread/wal"
 )
 
-// newStoppedNode makes a node whose loops and disk were stopped.
+// newStoppedNode creates a node and stops its loops and its storage.
 func newStoppedNode(t *testing.T) *Node {
 	t.Helper()
 	settings := Defaults()
@@ -28,8 +28,8 @@
 	return node
 }
 
-// fillDuringCheckpoint begins a checkpoint in a node's log and appends records, as a voter
-// does meanwhile, until the log has no room. It returns how many were written.
+// fillDuringCheckpoint begins a checkpoint in a node's log and appends records until the log is
+// full, as a voter may do during a checkpoint. It returns the number of append attempts.
 func fillDuringCheckpoint(t *testing.T, node *Node, voterSet *fb.VoterSetT) int {
 	t.Helper()
 	config := wal.Config{SegmentCount: node.settings.LogSegments, SegmentBytes: node.settings.LogSegmentBytes}
@@ -59,10 +59,10 @@
 	return written
 }
 
-// TestRoomAtStart: a process that ended during a checkpoint, with the room that is kept
-// for it used up by what was appended meanwhile, starts all the same: it restates its
-// state before anything else is written, and has all of it.
-func TestRoomAtStart(t *testing.T) {
+// TestCheckpointOnStartWithFullLog: a process may end during a checkpoint after concurrent
+// appends have used up the space that is reserved for it. It must still start, write a checkpoint
+// before anything else, and lose no state.
+func TestCheckpointOnStartWithFullLog(t *testing.T) {
 	node := newStoppedNode(t)
 	voterSet := &fb.VoterSetT{Incarnation: 7, Revision: quorum.FirstRevision(9), Voters: []*fb.VoterT{{Name: "a", Addr: node.settings.TransportAddr, Incarnation: 7, Number: 1}}}
 	written := fillDuringCheckpoint(t, node, voterSet)
@@ -70,10 +70,10 @@
 	node.storage.log, node.storage.lock = nil, nil
 	image, err := node.readDisk()
 	if err != nil {
-		t.Fatalf("a log that is %d records full does not open: %v", written, err)
+		t.Fatalf("a log filled with %d records does not open: %v", written, err)
 	}
-	if used := node.storage.log.UsedPermille(); used > tightAtPermille {
-		t.Fatalf("%d thousandths are used after the start", used)
+	if used := node.storage.log.UsedPermille(); used > lowSpaceThresholdPermille {
+		t.Fatalf("%d thousandths of the log are used after the start", used)
 	}
 	if err := node.persistVoterSet(voterSet); err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 	before := node.newVoter(image.voterSet, image.incarnation, image.records).Status(0)
 	for i, slot := range node.newVoter(after.voterSet, after.incarnation, after.records).Status(0) {
 		if slot.Keys != before[i].Keys || slot.Last != before[i].Last {
-			t.Fatalf("slot %d has %+v, had %+v", i, slot, before[i])
+			t.Fatalf("slot %d is %+v after the checkpoint, was %+v", i, slot, before[i])
 		}
 	}
 }
--- a/internal/app/control/disk_status.go
+++ b/internal/app/control/disk_status.go
@@ -2,17 +2,17 @@
 
 import "violetthread/internal/clock"
 
-// causeStarting is the cause of a disk that was not used yet.
+// causeStarting is the cause shown before the disk was opened for the first time.
 const causeStarting = "starting"
 
-// DiskStatus is the disk as operators see it.
+// DiskStatus is the state of the disk as shown to operators.
 type DiskStatus struct {
 	Usable  bool   `json:"usable"`
 	Cause   string `json:"cause,omitempty"` // why it is not usable, with the remedy
-	sinceUS int64  // when it became so
+	sinceUS int64  // when it became usable or unusable
 }
 
-// DiskStatus is the state of this node's disk.
+// DiskStatus returns the state of this node's disk.
 func (n *Node) DiskStatus() DiskStatus { return *n.storage.status.Load() }
 
 func (n *Node) registerDiskMetrics() {
@@ -23,25 +23,25 @@
 		}
 		return 0
 	})
-	n.daemon.Counter("disk_troubles_total", "times that the disk stopped this node from voting", func() float64 { return float64(s.troubleCount.Load()) })
+	n.daemon.Counter("disk_troubles_total", "times that the disk stopped this node from voting", func() float64 { return float64(s.outageCount.Load()) })
 }
 
-// reportDiskUnusable tells operators that the disk can't be used; the log has one event for
-// each spell of it.
+// reportDiskUnusable updates status and readiness when the disk can't be used; it logs one event
+// for each outage.
 func (n *Node) reportDiskUnusable(err error) {
 	s := &n.storage
 	previous := s.status.Load()
 	status := &DiskStatus{Cause: err.Error(), sinceUS: previous.sinceUS}
 	if previous.Usable || previous.Cause == causeStarting {
 		status.sinceUS = clock.Now()
-		s.troubleCount.Add(1)
+		s.outageCount.Add(1)
 		n.logDiskUnusable(status.Cause)
 	}
 	s.status.Store(status)
 	n.daemon.SetReady("this node does not vote: " + status.Cause)
 }
 
-// reportDiskUsable tells operators that the disk takes writes.
+// reportDiskUsable updates the status, and after an outage readiness, when the disk accepts writes.
 func (n *Node) reportDiskUsable() {
 	s := &n.storage
 	previous := s.status.Load()
--- a/internal/app/control/errors.go
+++ b/internal/app/control/errors.go
@@ -6,26 +6,27 @@
 	"violetthread/wal"
 )
 
-// Reasons why the voter stops. What an operator may read names the remedy.
+// Reasons why the voter stops. Operators see these messages, so that each names the remedy.
 var (
-	// errStalled: one write and sync took longer than stallTicks, or an opening longer than
-	// diskTimeout.
+	// errStalled: one write and sync took longer than stallTicks, or an operation outside the
+	// writer, such as opening the log, took longer than diskTimeout.
 	errStalled = errors.New("the disk does not answer; check it, and what else uses it")
-	// errBacklog: maxPendingBatches batches of records wait for the disk.
-	errBacklog = errors.New("the disk is slower than the records that come; check it, and what else uses it")
-	// errRemoved is no fault of the disk: its seat was given to another one. The node
-	// discards its state and joins anew by itself.
-	errRemoved = errors.New("a newer voter set does not include this disk; the node joins anew as an empty one")
+	// errBacklog: maxPendingBatches batches of records are already waiting for the disk.
+	errBacklog = errors.New("the disk is too slow for the rate of new records; check it, and what else uses it")
+	// errRemoved is not a disk failure: the disk's seat was given to another one. The node
+	// discards its state and joins again without an operator's help.
+	errRemoved = errors.New("a newer voter set does not include this disk; the node joins again as an empty node")
 )
 
-// isTransient tells whether a failure may pass by itself, so that waiting is worth it.
+// isTransient reports whether a failure may end without intervention, so that it is worth
+// retrying.
 func isTransient(err error) bool {
 	return errors.Is(err, wal.ErrDisk) || errors.Is(err, errStalled) || errors.Is(err, errBacklog) || errors.Is(err, wal.ErrFull)
 }
 
-// joinError is why a node is in no voter set yet, as /readyz shows it.
+// joinError says why a node is in no voter set yet; /readyz shows it.
 type joinError struct {
-	Reason string // what is waited for or missing
+	Reason string // what the node is waiting for or what is missing
 	Remedy string // what an operator can do about it
 }
 
--- a/internal/app/control/frames.go
+++ b/internal/app/control/frames.go
@@ -10,11 +10,11 @@
 	"violetthread/schema/fb"
 )
 
-// frameTimeout bounds an operation that another process asked for, in microseconds.
+// frameTimeout limits an operation requested by another process, in microseconds.
 const frameTimeout = 5_000_000
 
-// AddHandler adds a handler that is asked before the node's own; nil from it means that
-// the frame is not for it.
+// AddHandler adds a handler that is called before the node's own. A handler returns nil for a
+// frame that it does not handle.
 func (n *Node) AddHandler(handler func(ctx context.Context, frame *fb.FrameT) *fb.FrameT) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -26,7 +26,7 @@
 	n.handlers.Store(&handlers)
 }
 
-// handleFrame answers frames from other processes.
+// handleFrame handles a frame from another process and returns the response, or nil for none.
 func (n *Node) handleFrame(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
 	if handlers := n.handlers.Load(); handlers != nil {
 		for _, handler := range *handlers {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// handleMessage hands another voter's message to the voter.
+// handleMessage passes another voter's message to the voter.
 func (n *Node) handleMessage(ctx context.Context, packed *fb.VoterMessageT) {
 	if !n.voting.Load() {
 		return
@@ -65,8 +65,8 @@
 	taskgroup.Send(ctx, n.commands, func(now int64) { n.processReady(n.voter.Receive(now, message)) })
 }
 
-// heartbeatResponse is what a node learns from its heartbeat: the live nodes, the voters,
-// and the plan if it is not the one that the node has.
+// heartbeatResponse returns the response to a node's heartbeat: the live nodes, the addresses of
+// the voters, and the plan if its revision differs from the node's.
 func (n *Node) heartbeatResponse(now int64, haveRevision uint64) *fb.HeartbeatResponseT {
 	cached := n.plan.Load()
 	response := &fb.HeartbeatResponseT{
--- a/internal/app/control/join.go
+++ b/internal/app/control/join.go
@@ -15,21 +15,21 @@
 
 // Microseconds.
 const (
-	askInterval = 50_000  // between two questions to one control node
-	askTimeout  = 500_000 // for its answer
+	joinRequestInterval = 50_000 // between a response and the next request to the same node
+	joinRequestTimeout  = 500_000
 )
 
 const (
 	maxKnownAddrs    = 32
-	maxPeerResponses = 64 // replies that wait for the loop of join
+	maxPeerResponses = 64 // responses queued for the loop of join
 )
 
-// isVoter tells whether the very disk of this node votes in a voter set.
+// isVoter reports whether this node's disk, in its current incarnation, is in a voter set.
 func (n *Node) isVoter(set *fb.VoterSetT) bool {
 	return containsDisk(set, n.settings.Name, n.Incarnation())
 }
 
-// containsDisk tells whether a disk votes in a voter set.
+// containsDisk reports whether a disk with this incarnation is in a voter set.
 func containsDisk(set *fb.VoterSetT, name string, incarnation uint64) bool {
 	return lo.ContainsBy(set.Voters, func(voter *fb.VoterT) bool { return voter.Name == name && voter.Incarnation == incarnation })
 }
@@ -38,7 +38,7 @@
 	return lo.Map(set.Voters, func(voter *fb.VoterT, _ int) string { return voter.Addr })
 }
 
-// addKnownAddrs keeps addresses of control nodes, the latest first.
+// addKnownAddrs remembers addresses of control nodes, the most recent first.
 func (n *Node) addKnownAddrs(addrs []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,21 +46,22 @@
 	n.knownAddrs = known[:min(len(known), maxKnownAddrs)]
 }
 
-// candidateAddrs lists whom this node may ask: what it learned and its seeds, never itself.
+// candidateAddrs lists the control nodes that this node may ask: those it has learned of and its
+// seeds, without itself.
 func (n *Node) candidateAddrs() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return lo.Without(lo.Uniq(append(slices.Clone(n.knownAddrs), n.settings.Seeds...)), n.settings.TransportAddr, "")
 }
 
-// peerResponse is what a control node answered to requestJoin.
+// peerResponse is a control node's response to requestJoin.
 type peerResponse struct {
 	addr     string
-	askedAt  int64
-	response *fb.JoinResponseT // nil: no answer
+	sentAt   int64
+	response *fb.JoinResponseT // nil: no usable response
 }
 
-// voterSet is the voter set that a response bears, or nil.
+// voterSet returns the voter set in a response, or nil.
 func (r peerResponse) voterSet() *fb.VoterSetT {
 	if r.response == nil || r.response.VoterSet == nil || r.response.VoterSet.Revision == 0 {
 		return nil
@@ -68,23 +69,23 @@
 	return r.response.VoterSet
 }
 
-// join asks whoever may know a voter set, each on its own so that a dead one holds nobody
-// up, until one includes this disk or this node bootstrapped one with the seeds. False
-// means that the node ends.
+// join requests the voter set from all known control nodes until one includes this disk or this
+// node has bootstrapped one with the seeds. Each node is asked in a loop of its own, so that one
+// that is down does not delay the others. It returns false when the node stops.
 func (n *Node) join(ctx context.Context) (*fb.VoterSetT, bool) {
 	group := taskgroup.New(ctx, n.daemon.Log)
 	defer group.Stop()
 	responses := make(chan peerResponse, maxPeerResponses)
-	asked, latest := map[string]bool{}, map[string]peerResponse{}
+	requested, latest := map[string]bool{}, map[string]peerResponse{}
 	for {
-		n.askCandidates(group, asked, responses)
+		n.startJoinRequests(group, requested, responses)
 		if set, err := n.tryBootstrap(clock.Now(), latest); set != nil {
 			return set, true
 		} else if err != nil {
 			n.daemon.SetReady(err.Error())
 		}
-		if len(asked) == 0 { // nobody to ask but those who find this node
-			if !taskgroup.Sleep(ctx, askInterval) {
+		if len(requested) == 0 { // no address is known yet: wait for a request from another node
+			if !taskgroup.Sleep(ctx, joinRequestInterval) {
 				return nil, false
 			}
 			continue
@@ -103,18 +104,18 @@
 	}
 }
 
-// askCandidates starts a loop of questions to each address that has none yet.
-func (n *Node) askCandidates(group *taskgroup.Group, asked map[string]bool, responses chan peerResponse) {
+// startJoinRequests starts a loop of join requests to each candidate address that has none yet.
+func (n *Node) startJoinRequests(group *taskgroup.Group, requested map[string]bool, responses chan peerResponse) {
 	for _, addr := range n.candidateAddrs() {
-		if asked[addr] {
+		if requested[addr] {
 			continue
 		}
-		asked[addr] = true
+		requested[addr] = true
 		group.Go("ask", func(ctx context.Context) {
 			for ctx.Err() == nil {
-				askedAt := clock.Now()
-				peer := peerResponse{addr, askedAt, n.requestJoin(ctx, addr, true)}
-				if !taskgroup.Send(ctx, responses, peer) || !taskgroup.Sleep(ctx, askInterval) {
+				sentAt := clock.Now()
+				peer := peerResponse{addr, sentAt, n.requestJoin(ctx, addr, true)}
+				if !taskgroup.Send(ctx, responses, peer) || !taskgroup.Sleep(ctx, joinRequestInterval) {
 					return
 				}
 			}
@@ -122,19 +123,20 @@
 	}
 }
 
-// requestJoin asks one control node who it is and which voter set it follows. A blank one
-// asks to be admitted by that. Nil means that there was no answer.
+// requestJoin asks one control node for its identity and its voter set. With blank, the request
+// also asks for admission to the voter set. It returns nil without a usable response.
 func (n *Node) requestJoin(ctx context.Context, addr string, blank bool) *fb.JoinResponseT {
 	request := &fb.JoinRequestT{Name: n.settings.Name, Addr: n.settings.TransportAddr, Incarnation: n.Incarnation(), Blank: blank, InitialLaunch: n.mayBootstrap()}
-	response, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: request}, askTimeout)
+	response, err := n.peers.Get(addr).Call(ctx, &fb.FrameT{JoinRequest: request}, joinRequestTimeout)
 	if err != nil || response.JoinResponse == nil || response.JoinResponse.Incarnation == 0 {
-		return nil // who that is lies on a disk that was not read yet
+		return nil // an incarnation of 0: that node has not read its disk yet
 	}
 	return response.JoinResponse
 }
 
-// joinResponse answers who this is. A blank asker wants to be admitted; one that votes
-// may be the only way for a blank node here to find its fleet.
+// joinResponse returns this node's identity and voter set. A blank requester is proposed for
+// admission. If this node is in no voter set, it remembers the address of a requester that is
+// not blank: that may be its only way to find the fleet.
 func (n *Node) joinResponse(request *fb.JoinRequestT) *fb.JoinResponseT {
 	set := n.voterSet.Load()
 	_, err := netip.ParseAddrPort(request.Addr)
@@ -148,7 +150,7 @@
 	return &fb.JoinResponseT{Name: n.settings.Name, Incarnation: n.Incarnation(), Blank: set == nil, VoterSet: set}
 }
 
-// admit hands a blank node that asks for a seat to the voter.
+// admit passes a blank node's request for admission to the voter.
 func (n *Node) admit(joining quorum.Voter, initial bool) {
 	taskgroup.TrySend(n.commands, func(now int64) {
 		if initial {
--- a/internal/app/control/leave.go
+++ b/internal/app/control/leave.go
@@ -9,12 +9,13 @@
 
 // Microseconds.
 const (
-	leavePoll    = 100_000 // for the messages to go out, and between two looks
-	leaveTimeout = 900_000 // for the rest to drop the seat; they do so without this node as well
+	leavePoll    = 100_000 // between two checks; the first delay lets the messages go out
+	leaveTimeout = 900_000 // for the other voters to remove this node; they do so without it as well
 )
 
-// leave gives the slots up before a polite stop. A machine whose successor was admitted
-// before stays until the rest has dropped its seat, so that the stop costs no margin.
+// leave gives up leadership of all slots before a graceful stop. A node whose successor was
+// already admitted keeps running until the other voters have removed it, so that the stop does
+// not reduce the number of failures that the voter set tolerates.
 func (n *Node) leave(ctx context.Context) {
 	if !n.voting.Load() {
 		return
@@ -31,12 +32,13 @@
 	}
 }
 
-// awaitingRemoval asks the voter's loop whether this node's seat is about to be dropped.
+// awaitingRemoval asks the voter's loop whether this node is about to be removed from the voter
+// set.
 func (n *Node) awaitingRemoval(ctx context.Context) bool {
-	answer := make(chan bool, 1)
-	if !taskgroup.Send(ctx, n.commands, func(int64) { answer <- n.voter.RemovalPending() }) {
+	result := make(chan bool, 1)
+	if !taskgroup.Send(ctx, n.commands, func(int64) { result <- n.voter.RemovalPending() }) {
 		return false
 	}
-	awaiting, ok := taskgroup.Receive(ctx, answer)
-	return ok && awaiting
+	pending, ok := taskgroup.Receive(ctx, result)
+	return ok && pending
 }
--- a/internal/app/control/lifecycle.go
+++ b/internal/app/control/lifecycle.go
@@ -13,9 +13,9 @@
 	"violetthread/schema/fb"
 )
 
-// runLifecycle joins or bootstraps a voter set that includes this disk, votes while one
-// does, and begins anew when none does any more (design §4.6). It waits while the disk
-// can't be used, and begins anew from what is on it afterwards.
+// runLifecycle joins or bootstraps a voter set that includes this disk, votes while the voter set
+// includes it, and joins again after the disk was removed (design §4.6). While the disk can't be
+// used it waits, and then restarts from the state on disk.
 func (n *Node) runLifecycle(ctx context.Context) {
 	diskOpen := false
 	for ctx.Err() == nil {
@@ -32,14 +32,14 @@
 			return
 		}
 		n.reportDiskUnusable(err)
-		if !n.storage.retryAfterTrouble(ctx) {
+		if !n.storage.backOffUnlessStable(ctx) {
 			return
 		}
 	}
 }
 
-// joinAndVote votes in the voter set that includes this disk, after joining one if none
-// does. It returns why it ended: errRemoved, or what the disk did.
+// joinAndVote runs the voter, after joining a voter set if none includes this disk. It returns
+// why it ended: errRemoved, a disk error or the end of ctx.
 func (n *Node) joinAndVote(ctx context.Context) error {
 	if set := n.voterSet.Load(); set != nil && !n.isVoter(set) {
 		if err := n.discardState(ctx, set); err != nil {
@@ -72,9 +72,9 @@
 	return nil
 }
 
-// discardState drops the state of a disk that a newer voter set does not include, and its
-// incarnation with it. The log is restated as a checkpoint that holds nothing but the new
-// incarnation and whom to ask: until that is synced, the old state stays complete.
+// discardState discards the state and the incarnation of a disk that a newer voter set does not
+// include. It replaces the log with a checkpoint that holds only a new incarnation and the
+// addresses of the voters; until that checkpoint is synced, the old state stays complete.
 func (n *Node) discardState(ctx context.Context, set *fb.VoterSetT) error {
 	incarnation, err := randomIncarnation()
 	if err != nil {
@@ -98,12 +98,13 @@
 func (n *Node) runDiskStep(ctx context.Context, operation func() error) error {
 	_, err := n.runDiskOperation(ctx, func() (*diskImage, error) { return nil, operation() })
 	if err == nil {
-		n.reportDiskUsable() // it may have stalled meanwhile
+		n.reportDiskUsable() // it may have been reported as stalled during the operation
 	}
 	return err
 }
 
-// resetVoter forgets a voter that has stopped; the loops that used this have ended.
+// resetVoter clears the state of a voter that has stopped. The loops that use this state have
+// ended.
 func (n *Node) resetVoter() {
 	for id, result := range n.results {
 		delete(n.results, id)
@@ -113,7 +114,7 @@
 	drainChannel(n.commands)
 	drainChannel(n.stopReason)
 	drainChannel(n.storage.pending)
-	n.voter, n.records, n.logTight = nil, nil, false
+	n.voter, n.records, n.spaceLow = nil, nil, false
 	n.status.Store(&voterStatus{})
 	n.storage.resetWriter()
 }
@@ -124,5 +125,5 @@
 	}
 }
 
-// stopVoter has the voter stop; the first reason counts.
+// stopVoter requests that the voter stops. Only the first reason is kept.
 func (n *Node) stopVoter(reason error) { taskgroup.TrySend(n.stopReason, reason) }
--- a/internal/app/control/logging.go
+++ b/internal/app/control/logging.go
@@ -3,10 +3,10 @@
 import "violetthread/quorum"
 
 // Log events of a control node. Each is one line, event=NAME and the keys given here;
-// docs/logs.md says what they mean to an operator.
+// docs/logs.md describes them for operators.
 
-// logVoterEvents logs the voter's own events, which quorum.Event documents, but for those
-// that any peer may cause at will.
+// logVoterEvents logs the voter's events, which quorum.Event documents, except those that any
+// peer may trigger as often as it likes.
 func (n *Node) logVoterEvents(events []quorum.Event) {
 	for _, event := range events {
 		if !event.Type.Frequent() {
--- a/internal/app/control/operations_test.go
+++ b/internal/app/control/operations_test.go
@@ -8,46 +8,46 @@
 	"violetthread/schema/fb"
 )
 
-// TestVerdict: what may have taken effect is never reported as undone, and only what may
-// be done twice is tried again after a doubt.
-func TestVerdict(t *testing.T) {
-	const tryAgain, final = true, false
+// TestClassifyAttempt: an operation that may have taken effect is never reported as not done, and
+// only an idempotent one is retried when its outcome is unknown.
+func TestClassifyAttempt(t *testing.T) {
+	const retry, final = true, false
 	for _, c := range []struct {
 		name        string
 		kind        quorum.OperationType
 		status      quorum.Status
-		inDoubt     bool // after an attempt before
+		inDoubt     bool // after an earlier attempt
 		wantStatus  quorum.Status
 		wantInDoubt bool
-		wantAgain   bool
+		wantRetry   bool
 	}{
 		{"read done", quorum.OpGet, quorum.StatusDone, false, quorum.StatusDone, false, final},
-		{"read without a leader", quorum.OpGet, quorum.StatusNotLeader, false, quorum.StatusNotLeader, false, tryAgain},
-		{"read without an answer", quorum.OpGet, quorum.StatusUnknown, false, quorum.StatusUnknown, false, tryAgain},
-		{"write without a leader", quorum.OpPut, quorum.StatusNotLeader, false, quorum.StatusNotLeader, false, tryAgain},
-		{"write without an answer", quorum.OpPut, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
-		{"release without an answer", quorum.OpRelease, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
-		{"unclaim without an answer", quorum.OpUnclaim, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
-		{"claim without an answer", quorum.OpClaim, quorum.StatusUnknown, false, quorum.StatusUnknown, true, tryAgain},
-		{"claim in doubt, no leader", quorum.OpClaim, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, tryAgain},
-		{"claim in doubt, state full", quorum.OpClaim, quorum.StatusFull, true, quorum.StatusUnknown, true, tryAgain},
+		{"read without a leader", quorum.OpGet, quorum.StatusNotLeader, false, quorum.StatusNotLeader, false, retry},
+		{"read without a response", quorum.OpGet, quorum.StatusUnknown, false, quorum.StatusUnknown, false, retry},
+		{"write without a leader", quorum.OpPut, quorum.StatusNotLeader, false, quorum.StatusNotLeader, false, retry},
+		{"write without a response", quorum.OpPut, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
+		{"release without a response", quorum.OpRelease, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
+		{"unclaim without a response", quorum.OpUnclaim, quorum.StatusUnknown, false, quorum.StatusUnknown, true, final},
+		{"claim without a response", quorum.OpClaim, quorum.StatusUnknown, false, quorum.StatusUnknown, true, retry},
+		{"claim in doubt, no leader", quorum.OpClaim, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, retry},
+		{"claim in doubt, state full", quorum.OpClaim, quorum.StatusFull, true, quorum.StatusUnknown, true, retry},
 		{"claim, state full", quorum.OpClaim, quorum.StatusFull, false, quorum.StatusFull, false, final},
 		{"claim in doubt, done", quorum.OpClaim, quorum.StatusDone, true, quorum.StatusDone, true, final},
-		{"claim in doubt, another's", quorum.OpClaim, quorum.StatusConflict, true, quorum.StatusConflict, true, final},
-		{"lease without an answer", quorum.OpAcquire, quorum.StatusUnknown, false, quorum.StatusUnknown, true, tryAgain},
-		{"lease in doubt, no leader", quorum.OpAcquire, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, tryAgain},
+		{"claim in doubt, held by another", quorum.OpClaim, quorum.StatusConflict, true, quorum.StatusConflict, true, final},
+		{"lease without a response", quorum.OpAcquire, quorum.StatusUnknown, false, quorum.StatusUnknown, true, retry},
+		{"lease in doubt, no leader", quorum.OpAcquire, quorum.StatusNotLeader, true, quorum.StatusUnknown, true, retry},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			response, inDoubt, again := judgeAttempt(c.kind, &fb.OperationResponseT{Status: byte(c.status)}, c.inDoubt)
-			if quorum.Status(response.Status) != c.wantStatus || inDoubt != c.wantInDoubt || again != c.wantAgain {
-				t.Errorf("kind %d status %d: reported %d, doubt %v, again %v", c.kind, c.status, response.Status, inDoubt, again)
+			response, inDoubt, again := classifyAttempt(c.kind, &fb.OperationResponseT{Status: byte(c.status)}, c.inDoubt)
+			if quorum.Status(response.Status) != c.wantStatus || inDoubt != c.wantInDoubt || again != c.wantRetry {
+				t.Errorf("kind %d status %d: reported %d, in doubt %v, retry %v", c.kind, c.status, response.Status, inDoubt, again)
 			}
 		})
 	}
 }
 
-// TestHearsMajority: of an even number of voters, half is no majority.
-func TestHearsMajority(t *testing.T) {
+// TestIsMajorityHeard: half of an even number of voters is not a majority.
+func TestIsMajorityHeard(t *testing.T) {
 	for _, c := range []struct {
 		voters, silent int
 		want           bool
@@ -62,8 +62,8 @@
 				voters = append(voters, &fb.VoterT{Name: name})
 				silent[name] = i > 0 && i <= c.silent
 			}
-			if got := hearsMajority(voters, silent); got != c.want {
-				t.Errorf("hears a majority: %v", got)
+			if got := isMajorityHeard(voters, silent); got != c.want {
+				t.Errorf("isMajorityHeard returned %v", got)
 			}
 		})
 	}
--- a/internal/app/control/probe.go
+++ b/internal/app/control/probe.go
@@ -12,25 +12,25 @@
 
 // Microseconds.
 const (
-	probeInterval = 150_000 // between two looks for silent voters
-	silentAfter   = 250_000 // a voter not heard for so long is probed
+	probeInterval = 150_000 // between two checks for silent voters
+	silentAfter   = 250_000 // a voter not heard from for this long is probed
 )
 
-// contact is which other voters are silent, and whether the rest is a majority.
+// contact says which other voters are silent, and whether the remaining ones are a majority.
 type contact struct {
 	silent   []quorum.Voter
 	majority bool
 }
 
-// probeSilentVoters asks voters that are not heard. Without a majority this node may have
-// been left out of newer voter sets, and asks all that it knows for them; one that is blank
-// since learns from the question whom to ask.
+// probeSilentVoters sends a probe to each voter that is silent. Without contact with a majority
+// this node may have missed newer voter sets, and also probes all other known control nodes. A
+// probed node that has become blank learns this node's address from the probe.
 func (n *Node) probeSilentVoters(ctx context.Context) {
-	answer := make(chan contact, 1)
-	if !taskgroup.Send(ctx, n.commands, func(now int64) { answer <- n.contact(now) }) {
+	result := make(chan contact, 1)
+	if !taskgroup.Send(ctx, n.commands, func(now int64) { result <- n.contact(now) }) {
 		return
 	}
-	current, ok := taskgroup.Receive(ctx, answer)
+	current, ok := taskgroup.Receive(ctx, result)
 	if !ok || len(current.silent) == 0 {
 		return
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-// contact looks which voters are silent. Called from the voter's loop alone.
+// contact determines which voters are silent. Called only from the voter's loop.
 func (n *Node) contact(now int64) contact {
 	var current contact
 	set := n.voter.VoterSet()
@@ -56,7 +56,7 @@
 	return current
 }
 
-// probe asks one control node for its voter set, which the voter takes in.
+// probe asks one control node for its voter set and passes it to the voter.
 func (n *Node) probe(ctx context.Context, addr string) {
 	response := n.requestJoin(ctx, addr, false)
 	if response == nil || response.VoterSet == nil || response.VoterSet.Revision == 0 {
--- a/internal/app/control/ready.go
+++ b/internal/app/control/ready.go
@@ -9,8 +9,8 @@
 	"violetthread/schema/fb"
 )
 
-// processReady carries out the effects of one step of the voter: events to the log, records
-// to the disk, then the voter set, messages and results. Called from the voter's loop alone.
+// processReady applies the effects of one step of the voter: events to the log, records to the
+// disk, then the voter set, messages and results. Called only from the voter's loop.
 func (n *Node) processReady(ready quorum.Ready) {
 	n.logVoterEvents(ready.Events)
 	n.queueRecords(ready.Records)
@@ -28,8 +28,8 @@
 	}
 }
 
-// adoptVoterSet publishes a newer voter set, and stops the voter if it leaves this disk
-// out.
+// adoptVoterSet publishes a newer voter set, and stops the voter if the set does not include this
+// disk.
 func (n *Node) adoptVoterSet(newer quorum.VoterSet) {
 	set := codec.PackVoterSet(newer, n.Incarnation())
 	n.voterSet.Store(set)
@@ -38,8 +38,9 @@
 	}
 }
 
-// sendTo queues a frame for another voter, on a sender of its own so that a slow one
-// holds up nobody; a frame that finds no room is lost. Called from the voter's loop alone.
+// sendTo queues a frame for another voter. Each voter has its own sender, so that a slow one does
+// not delay the others; a frame that does not fit into the queue is dropped. Called only from the
+// voter's loop.
 func (n *Node) sendTo(name string, frame *fb.FrameT) {
 	if name == n.settings.Name {
 		return
@@ -48,7 +49,7 @@
 	if !ok {
 		return
 	}
-	queue := n.senders[voter.Addr] // a name may come back at another address
+	queue := n.senders[voter.Addr] // by address: a voter of the same name may return at another one
 	if queue == nil {
 		queue = n.startSender(voter.Addr)
 		n.senders[voter.Addr] = queue
@@ -56,7 +57,7 @@
 	taskgroup.TrySend(queue, frame)
 }
 
-// startSender starts the loop that sends what is queued for one address.
+// startSender starts the loop that sends the frames queued for one address.
 func (n *Node) startSender(addr string) chan *fb.FrameT {
 	queue := make(chan *fb.FrameT, maxPendingFrames)
 	peer := n.peers.Get(addr)
--- a/internal/app/control/stall.go
+++ b/internal/app/control/stall.go
@@ -1,17 +1,18 @@
 package control
 
-// stallTicks is how many ticks of the voter one write and sync may take: two seconds, at a
-// quarter of quorum's default heartbeat interval each (see startLoops).
+// stallTicks is how many ticks of the voter one write and sync may take. A tick is a quarter of
+// quorum's default heartbeat interval (see startLoops), which makes this two seconds.
 const stallTicks = 80
 
-// stallWatch counts ticks of the voter during one operation of the disk. It counts ticks
-// and not time: a frozen process does not wait for its disk.
+// stallWatch counts ticks of the voter during one disk operation. It counts ticks rather than
+// time, so that the time during which the whole process is suspended does not count as a disk
+// stall.
 type stallWatch struct {
 	operation int64
 	ticks     int
 }
 
-// stalled tells whether the operation under way has taken too long.
+// stalled is called on each tick and reports whether the current operation has taken too long.
 func (s *stallWatch) stalled(operation int64) bool {
 	if operation == 0 || operation != s.operation {
 		s.operation, s.ticks = operation, 0
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -13,18 +13,18 @@
 
 // Microseconds.
 const (
-	planInterval     = 150_000 // between two reads of the plan
-	sessionsInterval = 300_000 // between two announcements of sessions
-	stepDownGrace    = 100_000 // for the messages of a step-down to go out
+	planInterval       = 150_000 // between two reads of the plan
+	sessionsInterval   = 300_000 // between two broadcasts of sessions
+	stepDownFlushDelay = 100_000 // for the step-down messages to be sent
 )
 
-// stateShare bounds the voter's state at this part of the log: a checkpoint of all of it
-// and the changes that come meanwhile must fit beside the old state.
-const stateShare = 4
+// logToStateRatio is the size of the log divided by the maximum size of the voter's state: the old
+// state, a checkpoint of the whole state and the changes made meanwhile must all fit into the log.
+const logToStateRatio = 4
 
-// runVoter runs the voter until a newer voter set leaves this disk out, or the disk can't
-// be used: one loop for its state, one for its disk, one to each peer. It returns why it
-// stopped: errRemoved, or what the disk did.
+// runVoter runs the voter until a newer voter set excludes this disk or the disk can't be used. It
+// starts one loop for the voter's state, one for its disk and one for each peer. It returns why it
+// stopped: errRemoved, a disk error or the end of ctx.
 func (n *Node) runVoter(ctx context.Context) error {
 	n.voterGroup = taskgroup.New(ctx, n.daemon.Log)
 	n.voter = n.newVoter(n.voterSet.Load(), n.Incarnation(), n.records)
@@ -40,20 +40,20 @@
 		n.stepDown(ctx)
 	}
 	n.voterGroup.Stop()
-	taskgroup.Receive(ctx, n.storage.writerDone) // a stalled operation may still be under way
+	taskgroup.Receive(ctx, n.storage.writerDone) // unless ctx ends first: an operation may be stalled
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	return reason
 }
 
-// newVoter makes a voter from what a disk holds.
+// newVoter creates a voter from the records of a disk.
 func (n *Node) newVoter(set *fb.VoterSetT, incarnation uint64, records []quorum.Record) *quorum.Node {
 	config := quorum.DefaultConfig(n.settings.Name, incarnation)
 	config.GenerationDurationUS = n.settings.GenerationDurationUS
 	config.OpenGenerations = n.settings.OpenGenerations
 	config.LeaseDurationUS = n.settings.LeaseDurationUS
-	config.MaxStateBytes = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / stateShare)
+	config.MaxStateBytes = int(int64(n.settings.LogSegments) * n.settings.LogSegmentBytes / logToStateRatio)
 	return quorum.New(config, codec.UnpackVoterSet(set), clock.Now(), records)
 }
 
@@ -71,7 +71,7 @@
 	every("sessions", sessionsInterval, n.broadcastSessions)
 }
 
-// tickVoter runs a few times in each heartbeat interval, in the voter's loop.
+// tickVoter runs several times per heartbeat interval, in the voter's loop.
 func (n *Node) tickVoter() {
 	now := clock.Now()
 	if n.storage.stall.stalled(n.storage.activeOperation.Load()) {
@@ -97,19 +97,19 @@
 	})
 }
 
-// updateLogPressure has the voter refuse new changes while the log has little room.
+// updateLogPressure makes the voter reject new changes while the log is nearly full.
 func (n *Node) updateLogPressure() {
 	used := n.storage.usedPermille.Load()
-	tight := used > tightAtPermille
-	if tight == n.logTight {
+	low := used > lowSpaceThresholdPermille
+	if low == n.spaceLow {
 		return
 	}
-	n.logTight = tight
-	n.voter.SetDiskLow(tight)
-	n.logSpace(tight, used)
+	n.spaceLow = low
+	n.voter.SetDiskLow(low)
+	n.logSpace(low, used)
 }
 
-// broadcastSessions announces this node's sessions to the other voters.
+// broadcastSessions sends the sessions kept by this node to the other voters.
 func (n *Node) broadcastSessions(context.Context) {
 	frame := &fb.FrameT{SessionUpdate: n.sessions.Announcement(clock.Now())}
 	taskgroup.TrySend(n.commands, func(int64) {
@@ -119,8 +119,8 @@
 	})
 }
 
-// stepDown gives all slots up because of the disk, and lets the messages go out. Results
-// that wait for the disk are given up with them.
+// stepDown gives up leadership of all slots because of a disk failure, and waits for the messages
+// to be sent. Operations that wait for the disk are abandoned.
 func (n *Node) stepDown(ctx context.Context) {
 	done := make(chan struct{})
 	if taskgroup.Send(ctx, n.commands, func(now int64) {
@@ -128,12 +128,12 @@
 		close(done)
 	}) {
 		taskgroup.Receive(ctx, done)
-		taskgroup.Sleep(ctx, stepDownGrace)
+		taskgroup.Sleep(ctx, stepDownFlushDelay)
 	}
 }
 
-// propose starts an operation at this node's voter and waits for its result. False means
-// that the result is not known: the operation may take effect.
+// propose proposes an operation to this node's voter and waits for the result. It returns false if
+// the result is unknown: the operation may still take effect.
 func (n *Node) propose(ctx context.Context, operation quorum.Operation) (quorum.Result, bool) {
 	result := make(chan quorum.Result, 1)
 	if !taskgroup.Send(ctx, n.commands, func(now int64) {
--- a/internal/app/control/writer.go
+++ b/internal/app/control/writer.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// checkpointPartRecords is how much of a checkpoint is written between other changes.
+	// checkpointPartRecords is how many records of a checkpoint are written per sync, so that
+	// changes can be written between the parts.
 	checkpointPartRecords = 1024
-	// checkpointAtPermille is the part of the log in use from which on a checkpoint is due.
-	checkpointAtPermille = 350
-	// tightAtPermille is that from which on new changes are refused until a checkpoint made
-	// room.
-	tightAtPermille = 750
-	// maxBatchesPerSync bounds what one sync covers, and so how long it takes.
+	// checkpointThresholdPermille is the used part of the log above which a checkpoint is written.
+	checkpointThresholdPermille = 350
+	// lowSpaceThresholdPermille is the used part of the log above which new changes are rejected
+	// until a checkpoint has freed space.
+	lowSpaceThresholdPermille = 750
+	// maxBatchesPerSync limits how many batches one sync covers, and so how long it takes.
 	maxBatchesPerSync = 512
 )
 
-// batch is what the voter wants on disk.
+// batch is a unit of work for the writer: records to append, or a checkpoint to begin.
 type batch struct {
 	records    [][]byte
-	checkpoint []quorum.Record // or: the state at this point, to be restated
+	checkpoint []quorum.Record // if not nil: the whole state at this point, to be written as a checkpoint
 }
 
-// queueRecords queues records for the disk. The voter never waits for its disk: with
-// maxPendingBatches waiting it is stopped.
+// queueRecords queues records for the disk. The voter never blocks on its disk: if
+// maxPendingBatches are already queued, it is stopped.
 func (n *Node) queueRecords(records []quorum.Record) {
 	if len(records) == 0 || n.storage.recordsLost {
 		return
@@ -57,21 +58,20 @@
 	})
 }
 
-// writer appends the batches that have gathered, syncs once for all of them, and notifies
-// the voter. A checkpoint is written in parts between, so that it delays no change for
-// long.
+// writer appends the queued batches, syncs once for all of them (group commit), and notifies the
+// voter. A checkpoint is written in parts in between, so that it does not delay changes for long.
 type writer struct {
 	node          *Node
 	log           *wal.Log
-	remaining     []quorum.Record // still to be written
-	checkpointing bool            // a checkpoint has begun
-	operation     int64           // number of the last one; see storage.activeOperation
+	remaining     []quorum.Record // of the checkpoint, not yet written
+	checkpointing bool            // a checkpoint is in progress
+	operation     int64           // number of the last operation; see storage.activeOperation
 }
 
-// run writes until ctx ends, or the disk refuses.
+// run writes batches until ctx ends or the disk fails.
 func (w *writer) run(ctx context.Context) error {
 	for {
-		batches, ok := w.gather(ctx)
+		batches, ok := w.collectBatches(ctx)
 		if !ok {
 			return nil
 		}
@@ -85,8 +85,8 @@
 	}
 }
 
-// gather waits for batches, unless a checkpoint is to go on.
-func (w *writer) gather(ctx context.Context) ([]batch, bool) {
+// collectBatches returns the queued batches. It waits for one unless a checkpoint is in progress.
+func (w *writer) collectBatches(ctx context.Context) ([]batch, bool) {
 	var batches []batch
 	pending := w.node.storage.pending
 	if !w.checkpointing {
@@ -120,10 +120,10 @@
 	s := &w.node.storage
 	s.syncedRecords.Add(count)
 	s.usedPermille.Store(int64(w.log.UsedPermille()))
-	if w.log.UsedPermille() > checkpointAtPermille && !w.checkpointing {
+	if w.log.UsedPermille() > checkpointThresholdPermille && !w.checkpointing {
 		s.checkpointWanted.Store(true)
 	}
-	// A notification that finds no room is not missed: each tick looks as well.
+	// If the queue is full, the notification may be dropped: each tick checks as well.
 	taskgroup.TrySend(w.node.commands, w.node.recordsSynced)
 	return nil
 }
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// beginCheckpoint restates the state from here on. It begins with the voter set and the
-// disk's incarnation, which the voter's state does not hold.
+// beginCheckpoint begins a checkpoint of the state. Its first record holds the voter set and the
+// disk's incarnation, which are not part of the voter's state.
 func (w *writer) beginCheckpoint(state []quorum.Record) error {
 	set := *w.node.voterSet.Load()
 	set.Incarnation = w.node.Incarnation()
@@ -152,7 +152,7 @@
 	return w.log.AppendCheckpoint([][]byte{codec.PackIdentity(&set)})
 }
 
-// continueCheckpoint writes the next part of a checkpoint that has begun.
+// continueCheckpoint writes the next part of a checkpoint in progress.
 func (w *writer) continueCheckpoint() error {
 	if !w.checkpointing {
 		return nil
@@ -182,15 +182,15 @@
 	return nil
 }
 
-// recordsSynced tells the voter what is synced, and queues a checkpoint that is wanted.
+// recordsSynced notifies the voter of the synced records, and queues a checkpoint if one is due.
 func (n *Node) recordsSynced(now int64) {
 	s := &n.storage
 	if s.recordsLost {
-		return // what was dropped never reaches the disk, whatever is written after it
+		return // the count would include later records although a dropped one is missing
 	}
 	n.processReady(n.voter.RecordsSynced(now, s.syncedRecords.Load()))
 	if s.checkpointWanted.Load() && s.checkpointQueued.CompareAndSwap(false, true) {
-		// Behind all records that the state follows from.
+		// Queued behind all records that the state is derived from.
 		if !taskgroup.TrySend(s.pending, batch{checkpoint: n.voter.Checkpoint()}) {
 			s.checkpointQueued.Store(false)
 		}
