--- a/internal/app/directory/cache_events.go
+++ b/internal/app/directory/cache_events.go
@@ -10,31 +10,33 @@
 	"violetthread/schema/fb"
 )
 
-// maxEventsPerResponse bounds the cache events in one response: proxies' links are narrow,
-// and a response that takes too long is given up and asked of another node, who would begin anew.
+// maxEventsPerResponse limits the cache events in one response: the links to proxies have little
+// bandwidth, and a proxy that times out polls another node, which would have to start from the
+// beginning.
 const maxEventsPerResponse = 1500
 
 // Microseconds.
 const (
-	eventPollPause = 150_000 // between questions to one engine, so that events come in lots
-	// farEventPollPause is the pause for engines of other zones. Proxies report what engines
-	// read for them, so that news of far engines is seldom needed sooner.
-	farEventPollPause = 450_000
-	eventPollTimeout  = 900_000 // for which an engine may delay an answer
-	eventPollMargin   = 400_000 // beyond that, for the answer to come
+	eventPollInterval = 150_000 // between a response and the next poll of an engine, so that events are batched
+	// otherZonePollInterval is eventPollInterval for engines of other zones. Proxies report which
+	// blocks engines read for them, so that events from other zones are rarely needed sooner.
+	otherZonePollInterval = 450_000
+	eventPollTimeout      = 900_000 // longest time for which an engine may hold a long poll
+	eventPollMargin       = 400_000 // added to it, for the response to arrive
 )
 
-// failuresUntilDown is how many questions in a row fail before an engine counts as down.
-const failuresUntilDown = 2
+// unhealthyThreshold is the number of consecutive failed polls after which an engine or store
+// counts as unhealthy.
+const unhealthyThreshold = 2
 
-// eventSource is an engine or store whose cache events are followed.
+// eventSource is an engine or store whose cache events are polled.
 type eventSource struct {
 	addr, zone string
-	node       uint64 // that stands for it in cache events
+	node       uint64 // its id in cache updates
 }
 
-// eventSources lists, by id, what is to be followed. Engines of pools without models have no
-// reader, and so no health check. Called under the lock.
+// eventSources lists the engines and stores to poll, by id. Engines of pools without models are
+// not polled, and so have no health check. Called under the lock.
 func (d *Directory) eventSources() map[string]eventSource {
 	sources := map[string]eventSource{}
 	if d.table == nil {
@@ -51,15 +53,15 @@
 	return sources
 }
 
-// syncReaders makes sure that every source has a reader, and nobody else. Called under the
-// lock.
+// syncReaders starts a reader for each source that has none, and stops the readers of sources that
+// are gone. Called under the lock.
 func (d *Directory) syncReaders() {
 	sources := d.eventSources()
 	for id, reader := range d.readers {
 		if _, ok := sources[id]; !ok {
 			reader.stop()
 			delete(d.readers, id)
-			d.dropCached(reader.node)
+			d.removeCached(reader.node)
 		}
 	}
 	for id, source := range sources {
@@ -72,16 +74,16 @@
 	}
 }
 
-// dropCached records that a node keeps nothing any more. Called under the lock.
-func (d *Directory) dropCached(node uint64) {
+// removeCached records that a node no longer caches any blocks. Called under the lock.
+func (d *Directory) removeCached(node uint64) {
 	for key := range d.cachedBlocks[node] {
 		d.events.Append(cacheindex.Update{Key: key, Node: node, Op: cacheindex.OpRemove})
 	}
 	delete(d.cachedBlocks, node)
 }
 
-// cacheSnapshot lists all that is cached, for who can't follow the changes. Called under
-// the lock, by events.
+// cacheSnapshot lists all cached blocks, for proxies that are too far behind for incremental
+// updates. Called by events, under the lock.
 func (d *Directory) cacheSnapshot() []cacheindex.Update {
 	var snapshot []cacheindex.Update
 	for node, keys := range d.cachedBlocks {
@@ -92,25 +94,25 @@
 	return snapshot
 }
 
-// eventReader follows the cache events of one engine or store.
+// eventReader polls the cache events of one engine or store.
 type eventReader struct {
 	eventSource
 	directory *Directory
 	stop      context.CancelFunc
-	epoch     string // of the source, as it last answered
-	cursor    string // of the next question; of run alone, as epoch
-	failures  int    // questions in a row that failed
-	answered  bool   // has answered or failed at least once
+	epoch     string // of the source, from its last response
+	cursor    string // of the next poll; like epoch, used only by run
+	failures  int    // consecutive failed polls
+	polled    bool   // at least one poll has succeeded or failed
 }
 
 func (r *eventReader) run(ctx context.Context) {
-	pause := int64(eventPollPause)
+	pause := int64(eventPollInterval)
 	if r.zone != r.directory.settings.Zone {
-		pause = farEventPollPause
+		pause = otherZonePollInterval
 	}
 	for ctx.Err() == nil {
-		question, cancel := context.WithTimeout(ctx, clock.Duration(eventPollTimeout+eventPollMargin))
-		page, err := r.directory.platform.CacheEvents(question, r.addr, r.cursor, eventPollTimeout)
+		pollCtx, cancel := context.WithTimeout(ctx, clock.Duration(eventPollTimeout+eventPollMargin))
+		page, err := r.directory.platform.CacheEvents(pollCtx, r.addr, r.cursor, eventPollTimeout)
 		cancel()
 		if ctx.Err() != nil {
 			return
@@ -122,37 +124,37 @@
 	}
 }
 
-// handle takes in an answer, or that there was none.
+// handle processes a response, or the failure of a poll.
 func (r *eventReader) handle(page CacheEventPage, err error) {
 	d := r.directory
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	wasDown := r.down()
-	r.answered = true
+	wasUnhealthy := r.unhealthy()
+	r.polled = true
 	if err != nil {
 		r.failures++
 	} else {
 		r.failures = 0
 		r.apply(page)
 	}
-	if r.down() != wasDown {
+	if r.unhealthy() != wasUnhealthy {
 		d.mapRevision++
 		d.notify()
 	}
 }
 
-// down reports whether the source counts as down.
-func (r *eventReader) down() bool { return r.failures >= failuresUntilDown }
+// unhealthy reports whether the source counts as unhealthy.
+func (r *eventReader) unhealthy() bool { return r.failures >= unhealthyThreshold }
 
-// apply takes in a page of events. Called under the lock.
+// apply applies a page of events. Called under the lock.
 func (r *eventReader) apply(page CacheEventPage) {
 	d := r.directory
 	if page.Epoch != r.epoch {
 		if r.epoch != "" {
-			d.dropCached(r.node) // it started anew, with nothing cached
+			d.removeCached(r.node) // the source restarted with an empty cache
 		}
 		if r.epoch != "" && len(page.Events) == 0 && r.cursor != "" {
-			// Its cursors began anew: ask from the start.
+			// Cursors restart with the epoch: poll from the beginning.
 			r.epoch, r.cursor = page.Epoch, ""
 			return
 		}
@@ -180,30 +182,31 @@
 	}
 }
 
-// unsentEvents is the rest of a snapshot that a proxy gets in pages. Called under the lock.
+// unsentEvents returns the unsent part of a snapshot that a proxy receives in pages. Called under
+// the lock.
 func (d *Directory) unsentEvents(request *fb.MapRequestT) []cacheindex.Update {
-	if request.Node == nil || d.proxies[idOf(request.Node)] == nil {
+	if request.Node == nil || d.proxies[proxyIDOf(request.Node)] == nil {
 		return nil
 	}
-	return d.proxies[idOf(request.Node)].unsent
+	return d.proxies[proxyIDOf(request.Node)].unsentSnapshot
 }
 
-// nextEvents is the next page of cache events for a proxy. Called under the lock.
+// nextEvents returns the next page of cache events for a proxy. Called under the lock.
 func (d *Directory) nextEvents(request *fb.MapRequestT) cacheindex.UpdateBatch {
 	var proxy *proxyState
 	if request.Node != nil {
-		proxy = d.proxies[idOf(request.Node)]
+		proxy = d.proxies[proxyIDOf(request.Node)]
 	}
-	if proxy != nil && len(proxy.unsent) > 0 && request.UpdatesIncarnation == d.incarnation {
-		page := proxy.unsent[:min(maxEventsPerResponse, len(proxy.unsent))]
-		proxy.unsent = proxy.unsent[len(page):]
+	if proxy != nil && len(proxy.unsentSnapshot) > 0 && request.UpdatesIncarnation == d.incarnation {
+		page := proxy.unsentSnapshot[:min(maxEventsPerResponse, len(proxy.unsentSnapshot))]
+		proxy.unsentSnapshot = proxy.unsentSnapshot[len(page):]
 		return cacheindex.UpdateBatch{Incarnation: request.UpdatesIncarnation, Next: request.UpdatesSince, Updates: page}
 	}
 	batch := d.events.Since(request.UpdatesIncarnation, request.UpdatesSince, maxEventsPerResponse)
 	if proxy != nil {
-		proxy.unsent = nil
+		proxy.unsentSnapshot = nil
 		if batch.Reset && len(batch.Updates) > maxEventsPerResponse {
-			batch.Updates, proxy.unsent = batch.Updates[:maxEventsPerResponse], batch.Updates[maxEventsPerResponse:]
+			batch.Updates, proxy.unsentSnapshot = batch.Updates[:maxEventsPerResponse], batch.Updates[maxEventsPerResponse:]
 		}
 	}
 	return batch
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -17,76 +17,78 @@
 
 // Settings of a directory.
 type Settings struct {
-	Name string // of this core machine, unlike any other's
+	Name string // of this core machine, unique in the fleet
 	Zone string
-	// ControlAddr is where the control node beside it listens, as its voter set has it.
+	// ControlAddr is the address of the control node on this machine, as in the voter set.
 	ControlAddr string
-	// Bounds are those of the deployment that a rollout keeps.
+	// Bounds are the deployment's time bounds that a rollout must meet.
 	Bounds route.Bounds
-	// ListIntervalUS is how old the list of engines becomes before it is asked for anew, in
-	// microseconds. A longer one costs the platform fewer calls.
+	// ListIntervalUS is the age at which the list of engines is read again, in microseconds. A
+	// longer interval means fewer calls to the platform.
 	ListIntervalUS int64
-	// Parse compiles the value of register route/config; the table is nil if it can't be read.
+	// Parse compiles the value of register route/config; it returns nil if the value is invalid.
 	Parse func(value []byte, revision uint64) *route.Table
 }
 
 // Intervals of the loops, in microseconds.
 const (
 	refreshInterval      = 150_000
-	firstRefreshInterval = 50_000 // until the configuration is known
+	firstRefreshInterval = 50_000 // until the configuration has been read
 	listPollInterval     = 100_000
 	rolloutInterval      = 150_000
 )
 
-// maxLoggedEvents is how many cache events are kept for proxies that follow them; who is
-// further behind gets all that is cached.
+// maxLoggedEvents is how many cache events are kept for incremental updates; a proxy that is
+// further behind receives a snapshot of all cached blocks.
 const maxLoggedEvents = 1 << 13
 
-// Directory is one core machine's part. See the package comment for who may call it.
+// Directory tracks the engines on one core machine and serves proxies. The package comment says
+// which methods may be called from which goroutines.
 type Directory struct {
 	settings    Settings
 	log         logr.Logger
 	group       *taskgroup.Group
 	control     Control
 	platform    Platform
-	incarnation uint64 // of this directory, drawn at its start
+	incarnation uint64 // random number of this directory, new at each start
 	startedAt   int64
 	role        *weightsRole
 
-	mu          sync.Mutex    // guards what follows
-	changed     chan struct{} // closed when something urgent changed
-	mapRevision uint64        // rises with each change of what mapEngines shows
+	mu          sync.Mutex    // guards the fields below, up to unsentReads
+	changed     chan struct{} // closed on a change that waiting polls must see soon
+	mapRevision uint64        // increases with each change of the result of mapEngines
 
 	config         register
 	weights        register
 	roleRegister   register
 	rollout        register
 	refreshedAt    int64
-	table          *route.Table        // of config; nil until one could be read
+	table          *route.Table        // of config; nil until a valid one was read
 	newestVersions map[string]uint64   // of weights: the newest version of each model
 	rolloutState   rollout.State       // of rollout
 	announcements  route.Announcements // when each version was first known to be wanted
 
 	listedEngines []Engine
-	listReadAt    int64 // 0: never
+	listReadAt    int64 // 0 if never
 
-	readers      map[string]*eventReader            // by the engine's or store's id
-	cachedBlocks map[uint64]map[cacheindex.Key]bool // what each engine and store keeps
-	events       *cacheindex.UpdateLog              // changes of cachedBlocks
-	proxies      map[proxyID]*proxyState
-	loads        *loadTable         // what they have under way
-	proxiesHere  int                // that ask this node, as of the last broadcast
-	broadcast    loadBroadcast      // of loads
-	unsentReads  []*fb.CacheUpdateT // for the next broadcast
+	readers       map[string]*eventReader            // by the engine's or store's id
+	cachedBlocks  map[uint64]map[cacheindex.Key]bool // the blocks that each engine and store caches
+	events        *cacheindex.UpdateLog              // changes of cachedBlocks
+	proxies       map[proxyID]*proxyState
+	loads         *loadTable         // their requests in progress
+	directProxies int                // number of proxies that poll this node, as of the last broadcast
+	broadcast     loadBroadcast      // the last broadcast of loads
+	unsentReads   []*fb.CacheUpdateT // reads for the next broadcast
 
-	// Of the list's loop alone: which map of the list's source, the first node in line, this
-	// one's list equals, and when that node was asked.
+	// Used only by the list's loop. The list's source is the first node in the order of
+	// listPosition; these fields say which of its maps this node's list was copied from, and when
+	// it was last asked.
 	listSourceIncarnation uint64
 	listSourceRevision    uint64
 	listSourceAskedAt     int64
 }
 
-// New makes a directory and starts its loops on the group.
+// New creates a directory and starts its loops in the group.
 func New(group *taskgroup.Group, settings Settings, control Control, platform Platform) *Directory {
 	d := newDirectory(group, settings, control, platform)
 	every := func(name string, intervalUS int64, run func(context.Context)) {
@@ -99,11 +101,11 @@
 	return d
 }
 
-// newDirectory makes a directory without its loops.
+// newDirectory creates a directory without starting its loops.
 func newDirectory(group *taskgroup.Group, settings Settings, control Control, platform Platform) *Directory {
 	incarnation, err := process.NewIncarnation()
 	if err != nil {
-		panic(err) // no machine of ours is without random numbers
+		panic(err) // fails only if the system has no random number source
 	}
 	d := &Directory{
 		settings:     settings,
@@ -125,7 +127,7 @@
 	return d
 }
 
-// notify wakes all that wait for something urgent to change. Called under the lock.
+// notify wakes all long polls that wait for a change. Called under the lock.
 func (d *Directory) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
--- a/internal/app/directory/engine_list.go
+++ b/internal/app/directory/engine_list.go
@@ -13,20 +13,20 @@
 
 // Microseconds.
 const (
-	// listStagger is how much longer than the one before it in line a node goes without a
-	// list before it asks the platform itself.
+	// listStagger is how much longer each node waits for a list than the node before it in the
+	// order of listPosition, before it asks the platform itself.
 	listStagger       = 300_000
-	listTimeout       = 900_000 // for the platform's answer
-	listSourceTimeout = 400_000 // for that of the first node in line
+	listTimeout       = 900_000 // for the platform's response
+	listSourceTimeout = 400_000 // for the response of the first node
 )
 
-// refreshList brings the list of engines up to date. The first node in line asks the
-// platform, whose calls are expensive; the others ask that one, and the platform only if
-// it has nothing fresh. A list that was pushed would be taken for new by whoever thaws or
-// whose link heals (design §3), so it is asked for, and its age counts from then.
+// refreshList updates the list of engines. Calls to the platform are expensive, so that only the
+// first node calls it; the others ask the first node, and call the platform only if that has no
+// fresh list. The list is pulled because a node that resumes after a pause, or whose link recovers,
+// would take a pushed list for new (design §3); its age counts from the request.
 func (d *Directory) refreshList(ctx context.Context) {
 	now := clock.Now()
-	if now-d.listTime() < d.settings.ListIntervalUS {
+	if now-d.listReadTime() < d.settings.ListIntervalUS {
 		return
 	}
 	position, first := listPosition(d.control.VoterAddrs(), d.settings.ControlAddr)
@@ -35,7 +35,7 @@
 		d.copyListFrom(ctx, first)
 		now = clock.Now()
 	}
-	if now-d.listTime() < d.settings.ListIntervalUS+position*listStagger {
+	if now-d.listReadTime() < d.settings.ListIntervalUS+position*listStagger {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(listTimeout))
@@ -45,14 +45,15 @@
 	}
 }
 
-// listTime is when the list in force was asked for.
-func (d *Directory) listTime() int64 {
+// listReadTime returns when the current list was requested.
+func (d *Directory) listReadTime() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listReadAt
 }
 
-// listPosition is a node's position in line for asking the platform, and who is first.
+// listPosition returns a node's position among the voters in the order of their addresses, which
+// is the order in which they ask the platform, and the address of the first.
 func listPosition(voters []string, self string) (position int64, first string) {
 	if len(voters) == 0 {
 		return 0, ""
@@ -61,11 +62,11 @@
 	return int64(max(0, slices.Index(ordered, self))), ordered[0]
 }
 
-// copyListFrom takes over the list that another core machine has.
+// copyListFrom copies the list of another core machine.
 func (d *Directory) copyListFrom(ctx context.Context, addr string) {
 	askedAt := clock.Now()
-	// UpdatesIncarnation has no effect here: without Node no events come, and without Hold the
-	// response is not delayed.
+	// UpdatesIncarnation has no effect here: without Node the response holds no events, and without
+	// Hold it is not delayed.
 	request := &fb.MapRequestT{Incarnation: d.listSourceIncarnation, HaveMap: d.listSourceRevision, UpdatesIncarnation: 1}
 	response, err := d.control.Call(ctx, addr, &fb.FrameT{MapRequest: request}, listSourceTimeout)
 	if err != nil || response.MapResponse == nil {
@@ -75,7 +76,7 @@
 	d.mu.Lock()
 	d.announcements.Merge(codec.UnpackVersionAges(mapResponse, askedAt))
 	d.mu.Unlock()
-	if !mapResponse.FullMap { // the list is still the one that was taken over last
+	if !mapResponse.FullMap { // the list is unchanged since it was last copied
 		d.mu.Lock()
 		d.listReadAt = max(d.listReadAt, askedAt-mapResponse.ListAge)
 		d.mu.Unlock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// unpackEngines reads the engines of a map, without its stores.
+// unpackEngines returns the engines of a map, without its stores.
 func unpackEngines(packed []*fb.MapEngineT) (engines []Engine) {
 	for _, engine := range packed {
 		if engine.Store {
@@ -105,8 +106,8 @@
 	return engines
 }
 
-// adoptList puts a list in force that was asked for at a time; false if the one in force
-// is newer.
+// adoptList replaces the list of engines with one that was requested at askedAt. It returns false
+// if the current list is as recent or newer.
 func (d *Directory) adoptList(askedAt int64, engines []Engine) bool {
 	sort.Slice(engines, func(i, j int) bool { return engines[i].ID < engines[j].ID })
 	d.mu.Lock()
@@ -124,7 +125,8 @@
 	return true
 }
 
-// sameEngine reports whether two engines differ in nothing that proxies see change.
+// sameEngine reports whether two engines are equal in every field that can change and is visible
+// to proxies.
 func sameEngine(a, b Engine) bool {
 	return a.ID == b.ID && a.Addr == b.Addr && a.Pool == b.Pool && a.Draining == b.Draining && maps.Equal(a.Weights, b.Weights)
 }
--- a/internal/app/directory/loads.go
+++ b/internal/app/directory/loads.go
@@ -11,65 +11,64 @@
 
 // Microseconds.
 const (
-	loadsLifetime     = 1_500_000 // what a proxy had under way counts no longer than this
+	maxLoadAge        = 1_500_000 // the loads of a proxy not heard from for longer are dropped
 	loadsInterval     = 50_000    // between two broadcasts to the other control nodes
-	fullLoadsInterval = 1_000_000 // between two that say everything: a broadcast may be lost
-	minLoadDelay      = 20_000    // for which changes of loads gather, and go out together
-	loadDelayForProxy = 1_000     // of that, for each proxy that asks
+	fullLoadsInterval = 1_000_000 // between two full broadcasts, since a broadcast may be lost
+	minLoadDelay      = 20_000    // for which load changes are batched before a poll is answered
+	loadDelayPerProxy = 1_000     // batching delay per polling proxy, if that is more in total
 )
 
-// proxyState is what is known of a proxy, as it last told this node or another one.
+// proxyState is the state of a proxy, as it last reported to this node or another one.
 type proxyState struct {
-	heardAt int64
-	direct  bool                // it asks this node
-	unsent  []cacheindex.Update // of a snapshot that it gets in pages
+	lastSeenAt     int64
+	direct         bool                // it polls or reports to this node
+	unsentSnapshot []cacheindex.Update // unsent part of a snapshot that it receives in pages
 }
 
-// loadBroadcast is what the other control nodes were told last.
+// loadBroadcast describes the last broadcast to the other control nodes.
 type loadBroadcast struct {
-	revision uint64 // of the loads
-	fullAt   int64  // when everything was told
+	revision uint64 // of the loads in it
+	fullAt   int64  // time of the last full broadcast
 }
 
-// recordProxy takes in what a proxy tells of itself as it asks.
+// recordProxy records the state that a proxy reports with a poll.
 func (d *Directory) recordProxy(now int64, request *fb.MapRequestT) {
 	d.control.RecordHeartbeat(now, request.Node)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id := idOf(request.Node)
-	d.heardOf(now, id)
+	id := proxyIDOf(request.Node)
+	d.recordContact(now, id)
 	d.loads.set(id, request.LoadsSequence, request.Loads, false)
 }
 
-// idOf is the incarnation of a proxy that asks.
-func idOf(node *fb.NodeT) proxyID { return proxyID{node.Name, node.Incarnation} }
+// proxyIDOf returns the id of a proxy that polls.
+func proxyIDOf(node *fb.NodeT) proxyID { return proxyID{node.Name, node.Incarnation} }
 
-// heardOf notes that a proxy speaks to this node. Called under the lock.
-func (d *Directory) heardOf(now int64, id proxyID) {
-	proxy := &proxyState{heardAt: now, direct: true}
+// recordContact records that a proxy communicates with this node. Called under the lock.
+func (d *Directory) recordContact(now int64, id proxyID) {
+	proxy := &proxyState{lastSeenAt: now, direct: true}
 	known := d.proxies[id]
 	if known != nil && known.direct {
-		proxy.unsent = known.unsent
+		proxy.unsentSnapshot = known.unsentSnapshot
 	}
 	if known == nil {
-		d.forgetFormer(now, id)
+		d.dropPreviousIncarnations(now, id)
 	}
 	d.proxies[id] = proxy
 }
 
-// forgetFormer drops the incarnations of a proxy that were heard of before the time at which
-// this one was: it has started again. Called under the lock.
-func (d *Directory) forgetFormer(heardAt int64, id proxyID) {
+// dropPreviousIncarnations removes the incarnations of a restarted proxy that were last seen no
+// later than this one, which was last seen at lastSeenAt. Called under the lock.
+func (d *Directory) dropPreviousIncarnations(lastSeenAt int64, id proxyID) {
 	for other, proxy := range d.proxies {
-		if other.name == id.name && other != id && proxy.heardAt <= heardAt {
+		if other.name == id.name && other != id && proxy.lastSeenAt <= lastSeenAt {
 			delete(d.proxies, other)
-			d.loads.forget(other)
+			d.loads.remove(other)
 		}
 	}
 }
 
-// broadcastLoads tells the other core machines what the proxies that ask here have under
-// way.
+// broadcastLoads sends the loads of the proxies that poll this node to the other core machines.
 func (d *Directory) broadcastLoads(context.Context) {
 	now := clock.Now()
 	d.mu.Lock()
@@ -80,29 +79,29 @@
 	}
 }
 
-// nextBroadcast is what the other core machines are told now. Called under the lock.
+// nextBroadcast returns the next broadcast to the other core machines. Called under the lock.
 func (d *Directory) nextBroadcast(now int64) *fb.LoadUpdateT {
-	d.forgetSilentProxies(now)
+	d.expireProxies(now)
 	last := d.broadcast
 	if now-last.fullAt >= fullLoadsInterval {
 		last = loadBroadcast{fullAt: now}
 	}
 	d.broadcast = loadBroadcast{d.loads.revision, last.fullAt}
-	loads, changedOnly := d.loads.ofProxies(last.revision)
-	d.proxiesHere = 0
+	loads, changedOnly := d.loads.perProxy(last.revision)
+	d.directProxies = 0
 	update := &fb.LoadUpdateT{}
 	for id, proxy := range d.proxies {
 		if !proxy.direct {
 			continue
 		}
-		d.proxiesHere++
+		d.directProxies++
 		reads := d.unsentReads
-		d.unsentReads = nil // they go with the first proxy, whoever told them
+		d.unsentReads = nil // all are sent with the first proxy, whichever reported them
 		if !changedOnly || len(loads[id])+len(reads) > 0 {
 			update.Proxies = append(update.Proxies, &fb.ProxyLoadT{
 				Name:        id.name,
 				Incarnation: id.incarnation,
-				Age:         now - proxy.heardAt,
+				Age:         now - proxy.lastSeenAt,
 				Loads:       loads[id],
 				Sequence:    d.loads.sequences[id],
 				ChangedOnly: changedOnly,
@@ -113,67 +112,67 @@
 	return update
 }
 
-// loadDelay is how long a question waits for changes of loads to gather: longer the more
-// proxies ask, so that the answers cost no more than this node can bear. Called under the lock.
+// loadDelay returns how long a poll waits so that load changes are batched. It grows with the
+// number of polling proxies, to limit the cost of the responses to this node. Called under the lock.
 func (d *Directory) loadDelay() int64 {
-	return max(minLoadDelay, int64(d.proxiesHere)*loadDelayForProxy)
+	return max(minLoadDelay, int64(d.directProxies)*loadDelayPerProxy)
 }
 
-// forgetSilentProxies drops proxies that were not heard of lately. Called under the lock.
-func (d *Directory) forgetSilentProxies(now int64) {
+// expireProxies removes proxies that were not heard from within maxLoadAge. Called under the lock.
+func (d *Directory) expireProxies(now int64) {
 	for id, proxy := range d.proxies {
-		if now-proxy.heardAt > loadsLifetime {
+		if now-proxy.lastSeenAt > maxLoadAge {
 			delete(d.proxies, id)
-			d.loads.forget(id)
+			d.loads.remove(id)
 		}
 	}
 }
 
-// mergeLoads takes in what another core machine broadcast, or what a proxy tells of itself
-// between two questions; the newer one counts.
+// mergeLoads merges a broadcast of another core machine, or a report that a proxy sends between
+// two polls. Loads with a lower sequence number than the last known ones are ignored.
 func (d *Directory) mergeLoads(now int64, update *fb.LoadUpdateT) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, heard := range update.Proxies {
-		d.noteReads(heard.Updates, update.Direct)
-		id := proxyID{heard.Name, heard.Incarnation}
-		if heard.Age < 0 || !d.loads.set(id, heard.Sequence, heard.Loads, heard.ChangedOnly) {
+	for _, report := range update.Proxies {
+		d.recordReads(report.Updates, update.Direct)
+		id := proxyID{report.Name, report.Incarnation}
+		if report.Age < 0 || !d.loads.set(id, report.Sequence, report.Loads, report.ChangedOnly) {
 			continue
 		}
 		known := d.proxies[id]
 		if known == nil {
-			d.forgetFormer(now-heard.Age, id)
+			d.dropPreviousIncarnations(now-report.Age, id)
 		}
 		switch {
 		case update.Direct:
-			d.heardOf(now, id)
-		case known == nil || known.heardAt < now-heard.Age:
-			d.proxies[id] = &proxyState{heardAt: now - heard.Age}
+			d.recordContact(now, id)
+		case known == nil || known.lastSeenAt < now-report.Age:
+			d.proxies[id] = &proxyState{lastSeenAt: now - report.Age}
 		}
 	}
 }
 
-// maxUnsentReads bounds what is kept for the other core machines of blocks that engines read.
+// maxUnsentReads limits the reported reads that are queued for the next broadcast.
 const maxUnsentReads = 4000
 
-// noteReads takes in which blocks engines compute, or have computed, as proxies saw: their own
-// events come later, and some never. What a proxy told this node goes on to the other core
-// machines. Called under the lock.
-func (d *Directory) noteReads(updates []*fb.CacheUpdateT, direct bool) {
+// recordReads records which blocks engines are computing or have computed, as reported by proxies:
+// the engines' own events arrive later, and some never do. Reports that came from a proxy directly
+// are queued for the other core machines. Called under the lock.
+func (d *Directory) recordReads(updates []*fb.CacheUpdateT, direct bool) {
 	for _, update := range updates {
-		d.noteRead(update)
+		d.recordRead(update)
 	}
 	if direct && len(d.unsentReads) < maxUnsentReads {
 		d.unsentReads = append(d.unsentReads, updates...)
 	}
 }
 
-// noteRead takes in one block that an engine computes or has computed. Called under the lock.
-func (d *Directory) noteRead(packed *fb.CacheUpdateT) {
+// recordRead records one block that an engine is computing or has computed. Called under the lock.
+func (d *Directory) recordRead(packed *fb.CacheUpdateT) {
 	update := codec.UnpackUpdate(packed)
 	cached, followed := d.cachedBlocks[update.Node]
 	if !followed {
-		return // gone, or not known yet
+		return // the engine is gone or not known yet
 	}
 	switch {
 	case cached[update.Key]:
--- a/internal/app/directory/loadtable.go
+++ b/internal/app/directory/loadtable.go
@@ -6,7 +6,7 @@
 	"violetthread/schema/fb"
 )
 
-// load is what is under way at an engine.
+// load is the load of the requests in progress at an engine.
 type load struct {
 	active, prefillTokens, memoryTokens, failures uint32
 }
@@ -27,39 +27,39 @@
 	return load{l.active - other.active, l.prefillTokens - other.prefillTokens, l.memoryTokens - other.memoryTokens, l.failures - other.failures}
 }
 
-// proxyID is one incarnation of a proxy. A proxy that starts again counts its reports from the
-// beginning, and has nothing under way of what its former incarnation had.
+// proxyID identifies one incarnation of a proxy. A restarted proxy starts its sequence numbers
+// again, and has none of the requests of its previous incarnation.
 type proxyID struct {
 	name        string
 	incarnation uint64
 }
 
-// loadChange is a change of what a proxy has under way at an engine.
+// loadChange says that a proxy's load at an engine changed.
 type loadChange struct {
 	proxy  proxyID
 	engine uint64
 }
 
-// maxLoadChanges is how many changes are remembered; who knows an older revision is told
-// everything.
+// maxLoadChanges is how many changes are kept when older ones are trimmed, which happens at twice
+// that number. A reader with an older revision receives all loads.
 const maxLoadChanges = 1 << 12
 
-// loadTable sums what the proxies have under way at each engine, and tells what changed since
-// a revision. Only what is not zero is kept. It is not safe for concurrent use.
+// loadTable holds the sum of the proxies' loads at each engine, and the changes since earlier
+// revisions. Loads of zero are not stored. It is not safe for concurrent use.
 type loadTable struct {
-	revision  uint64                      // rises by one with each change, from 1; 0 stands for knowing nothing
-	byProxy   map[proxyID]map[uint64]load // by the proxy and the engine
-	sequences map[proxyID]uint64          // of what each proxy told last
+	revision  uint64                      // starts at 1 and increases by one with each change; readers without any state use 0
+	byProxy   map[proxyID]map[uint64]load // by proxy and engine
+	sequences map[proxyID]uint64          // sequence number of each proxy's last report
 	sums      map[uint64]load             // by engine
-	changes   []loadChange                // the last ones; the very last led to revision
+	changes   []loadChange                // the most recent changes; the last one led to revision
 }
 
 func newLoadTable() *loadTable {
 	return &loadTable{revision: 1, byProxy: map[proxyID]map[uint64]load{}, sequences: map[proxyID]uint64{}, sums: map[uint64]load{}}
 }
 
-// set takes in what a proxy has under way; false if something newer is known. With changedOnly,
-// engines that are not named stay as they are.
+// set stores the loads that a proxy reports. It returns false if a newer report is known. With
+// changedOnly, the loads at engines that are not in the report stay unchanged.
 func (t *loadTable) set(proxy proxyID, sequence uint64, packed []*fb.EngineLoadT, changedOnly bool) bool {
 	if sequence < t.sequences[proxy] {
 		return false
@@ -84,14 +84,14 @@
 	return true
 }
 
-// change puts what a proxy has at an engine, and corrects the sum.
+// change sets a proxy's load at an engine and updates the sum.
 func (t *loadTable) change(proxy proxyID, engine uint64, now load) {
 	known := t.byProxy[proxy][engine]
 	if known == now {
 		return
 	}
-	putLoad(t.byProxy[proxy], engine, now)
-	putLoad(t.sums, engine, t.sums[engine].minus(known).plus(now))
+	setLoad(t.byProxy[proxy], engine, now)
+	setLoad(t.sums, engine, t.sums[engine].minus(known).plus(now))
 	t.revision++
 	t.changes = append(t.changes, loadChange{proxy, engine})
 	if len(t.changes) > 2*maxLoadChanges {
@@ -99,8 +99,8 @@
 	}
 }
 
-// putLoad keeps a load unless it is zero.
-func putLoad(loads map[uint64]load, engine uint64, now load) {
+// setLoad stores a load, or deletes it if it is zero.
+func setLoad(loads map[uint64]load, engine uint64, now load) {
 	if now == (load{}) {
 		delete(loads, engine)
 		return
@@ -108,8 +108,8 @@
 	loads[engine] = now
 }
 
-// forget drops a proxy that is not heard of any more.
-func (t *loadTable) forget(proxy proxyID) {
+// remove deletes a proxy and its loads.
+func (t *loadTable) remove(proxy proxyID) {
 	for engine := range t.byProxy[proxy] {
 		t.change(proxy, engine, load{})
 	}
@@ -117,7 +117,7 @@
 	delete(t.sequences, proxy)
 }
 
-// changesSince lists the changes after a revision; false if they are not remembered.
+// changesSince returns the changes after a revision, or false if they are no longer kept.
 func (t *loadTable) changesSince(revision uint64) ([]loadChange, bool) {
 	if revision == 0 || revision > t.revision || t.revision-revision > uint64(len(t.changes)) {
 		return nil, false
@@ -125,9 +125,9 @@
 	return t.changes[uint64(len(t.changes))-(t.revision-revision):], true
 }
 
-// others lists what all proxies but one have under way: at the engines where that changed after
-// a revision, or everywhere if that is not remembered.
-func (t *loadTable) others(except proxyID, since uint64) (out []*fb.EngineLoadT, changedOnly bool) {
+// totalsExcept returns the sums over all proxies but one: of the engines where they changed after
+// a revision, or of all engines if those changes are no longer kept.
+func (t *loadTable) totalsExcept(except proxyID, since uint64) (out []*fb.EngineLoadT, changedOnly bool) {
 	own := t.byProxy[except]
 	changes, remembered := t.changesSince(since)
 	if !remembered {
@@ -148,9 +148,9 @@
 	return out, true
 }
 
-// ofProxies lists what each proxy has under way: at the engines where that changed after a
-// revision, or everywhere if that is not remembered.
-func (t *loadTable) ofProxies(since uint64) (out map[proxyID][]*fb.EngineLoadT, changedOnly bool) {
+// perProxy returns the loads of each proxy: at the engines where they changed after a revision, or
+// at all engines if those changes are no longer kept.
+func (t *loadTable) perProxy(since uint64) (out map[proxyID][]*fb.EngineLoadT, changedOnly bool) {
 	out = map[proxyID][]*fb.EngineLoadT{}
 	changes, remembered := t.changesSince(since)
 	if !remembered {
--- a/internal/app/directory/loadtable_test.go
+++ b/internal/app/directory/loadtable_test.go
@@ -8,15 +8,15 @@
 	"violetthread/schema/fb"
 )
 
-// followedLoads is a proxy that applies what the table tells it.
-type followedLoads struct {
+// loadFollower is a proxy that applies the incremental updates of a table.
+type loadFollower struct {
 	name  proxyID
 	since uint64
 	loads map[uint64]load
 }
 
-func (f *followedLoads) ask(table *loadTable) {
-	changed, changedOnly := table.others(f.name, f.since)
+func (f *loadFollower) poll(table *loadTable) {
+	changed, changedOnly := table.totalsExcept(f.name, f.since)
 	if !changedOnly {
 		f.loads = map[uint64]load{}
 	}
@@ -26,22 +26,22 @@
 	f.since = table.revision
 }
 
-// TestLoadTableFollowed: whatever proxies report, in full or only what changed, and whoever
-// vanishes, a follower that is told only changes has the sum over all proxies but itself.
-func TestLoadTableFollowed(t *testing.T) {
+// TestLoadTableIncrementalFollower: after any sequence of full reports, incremental reports and
+// removed proxies, a follower that receives only changes has the sum over all other proxies.
+func TestLoadTableIncrementalFollower(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		rnd := rand.New(rand.NewSource(seed))
 		table, want := newLoadTable(), map[proxyID]map[uint64]load{}
-		follower := &followedLoads{name: proxyID{name: "p0"}}
+		follower := &loadFollower{name: proxyID{name: "p0"}}
 		sequences := map[proxyID]uint64{}
 		for range 300 {
 			proxy := proxyID{name: fmt.Sprint("p", rnd.Intn(4))}
 			switch rnd.Intn(8) {
 			case 0:
-				table.forget(proxy)
+				table.remove(proxy)
 				delete(want, proxy)
 			case 1:
-				table.changes = table.changes[:0] // they are too many
+				table.changes = table.changes[:0] // as if they were too old to be kept
 			case 2:
 				follower.since = 0
 			default:
@@ -58,10 +58,10 @@
 				}
 				sequences[proxy]++
 				if !table.set(proxy, sequences[proxy], packed, changedOnly) {
-					t.Fatalf("seed %d: a newer report is not taken", seed)
+					t.Fatalf("seed %d: a newer report is rejected", seed)
 				}
 			}
-			follower.ask(table)
+			follower.poll(table)
 			for engine := uint64(1); engine <= 5; engine++ {
 				sum := load{}
 				for name, loads := range want {
@@ -70,33 +70,33 @@
 					}
 				}
 				if follower.loads[engine] != sum {
-					t.Fatalf("seed %d: engine %d has %+v, the follower knows %+v", seed, engine, sum, follower.loads[engine])
+					t.Fatalf("seed %d: engine %d has load %+v, the follower has %+v", seed, engine, sum, follower.loads[engine])
 				}
 			}
 		}
 	}
 }
 
-// TestLoadTableOlderReport: a report that was overtaken by a newer one changes nothing, until
-// the proxy was forgotten: then it may have started anew.
+// TestLoadTableOlderReport: a report that arrives after a newer one changes nothing, unless the
+// proxy was removed in between: it may have restarted.
 func TestLoadTableOlderReport(t *testing.T) {
 	table := newLoadTable()
 	report := func(sequence uint64, active uint32) bool {
 		return table.set(proxyID{name: "p"}, sequence, []*fb.EngineLoadT{{Node: 1, Active: active}}, false)
 	}
 	if !report(5, 1) || report(4, 9) || !report(5, 2) {
-		t.Error("an older report was taken, or one of the same age was not")
+		t.Error("an older report was accepted, or one with the same sequence number was rejected")
 	}
-	if got, _ := table.others(proxyID{}, 0); len(got) != 1 || got[0].Active != 2 {
+	if got, _ := table.totalsExcept(proxyID{}, 0); len(got) != 1 || got[0].Active != 2 {
 		t.Errorf("%+v", got)
 	}
-	table.forget(proxyID{name: "p"})
+	table.remove(proxyID{name: "p"})
 	if !report(1, 3) {
-		t.Error("a proxy that started anew is not believed")
+		t.Error("the first report of a restarted proxy is rejected")
 	}
 }
 
-// TestLoadTableBounded: neither engines that are gone nor old changes are kept.
+// TestLoadTableBounded: loads that have become zero and old changes are not kept.
 func TestLoadTableBounded(t *testing.T) {
 	table := newLoadTable()
 	for engine := uint64(1); engine <= 5*maxLoadChanges; engine++ {
@@ -105,7 +105,7 @@
 	if len(table.sums) != 1 || len(table.byProxy[proxyID{name: "p"}]) != 1 || len(table.changes) > 2*maxLoadChanges {
 		t.Errorf("%d sums, %d loads and %d changes are left", len(table.sums), len(table.byProxy[proxyID{name: "p"}]), len(table.changes))
 	}
-	if _, changedOnly := table.others(proxyID{}, 1); changedOnly {
-		t.Error("the first changes are still told")
+	if _, changedOnly := table.totalsExcept(proxyID{}, 1); changedOnly {
+		t.Error("the first changes are still kept")
 	}
 }
--- a/internal/app/directory/logging.go
+++ b/internal/app/directory/logging.go
@@ -3,7 +3,7 @@
 import "violetthread/rollout"
 
 // Log events of a directory. Each is one line, event=NAME and the keys given here;
-// docs/logs.md says what they mean to an operator.
+// docs/logs.md describes them for operators.
 
 func (d *Directory) logLeaseAcquired(fencingToken uint64) {
 	d.log.Info("rollout_lease_acquired", "key", WeightsRoleKey, "fencing_token", fencingToken)
--- a/internal/app/directory/map_response.go
+++ b/internal/app/directory/map_response.go
@@ -15,11 +15,12 @@
 
 // Microseconds.
 const (
-	maxResponseDelay = 400_000 // by which a response is delayed at the most
-	mapBatchDelay    = 60_000  // changes of the map come in lots, and go out together
+	maxResponseDelay = 400_000 // longest time for which a long poll is held
+	mapBatchDelay    = 60_000  // for which changes of the map are batched, since several often come together
 )
 
-// Handle answers proxies and other nodes; nil if the frame is not for a directory.
+// Handle handles frames from proxies and other nodes. It returns nil if there is no response, or
+// if the frame is not for a directory.
 func (d *Directory) Handle(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
 	now := clock.Now()
 	switch {
@@ -38,26 +39,26 @@
 	return &fb.FrameT{MapResponse: d.respond(frame.MapRequest, now)}
 }
 
-// awaitChange delays the response to a question that came at a time until something urgent
-// changed, or it was delayed for long enough. It returns false if whoever asked is gone.
-func (d *Directory) awaitChange(ctx context.Context, askedAt int64, request *fb.MapRequestT) bool {
-	end := askedAt + min(max(request.Hold, 0), maxResponseDelay)
+// awaitChange holds a poll that arrived at receivedAt until there is an urgent change or it was
+// held for long enough. It returns false if the requester is gone.
+func (d *Directory) awaitChange(ctx context.Context, receivedAt int64, request *fb.MapRequestT) bool {
+	end := receivedAt + min(max(request.Hold, 0), maxResponseDelay)
 	for {
 		d.mu.Lock()
-		changed, urgent := d.changed, d.hasUrgentChange(request, askedAt)
+		changed, urgent := d.changed, d.hasUrgentChange(request, receivedAt)
 		if request.HaveMap != d.mapRevision {
-			end = min(end, askedAt+mapBatchDelay)
+			end = min(end, receivedAt+mapBatchDelay)
 		}
 		now := clock.Now()
 		loadDelay := d.loadDelay()
-		if request.Node != nil && request.LoadsSince != d.loads.revision && now-askedAt >= loadDelay {
+		if request.Node != nil && request.LoadsSince != d.loads.revision && now-receivedAt >= loadDelay {
 			end = now
 		}
 		d.mu.Unlock()
 		if urgent || now >= end {
 			return true
 		}
-		// Loads change all the time: they wake nobody, but are looked at again.
+		// Loads change too often to wake polls for each change: they are checked again after loadDelay.
 		wait, cancel := context.WithTimeout(ctx, clock.Duration(min(end-now, loadDelay)))
 		taskgroup.Receive(wait, changed)
 		cancel()
@@ -67,19 +68,19 @@
 	}
 }
 
-// hasUrgentChange reports whether a question is answered at once. Called under the lock.
-func (d *Directory) hasUrgentChange(request *fb.MapRequestT, askedAt int64) bool {
+// hasUrgentChange reports whether a poll must be answered at once. Called under the lock.
+func (d *Directory) hasUrgentChange(request *fb.MapRequestT, receivedAt int64) bool {
 	switch {
 	case d.config.known && request.HaveRevision != d.config.revision:
 		return true
 	case request.Incarnation != d.incarnation || request.UpdatesIncarnation != d.incarnation || len(d.unsentEvents(request)) > 0:
 		return true
 	}
-	return request.HaveMap != d.mapRevision && clock.Now()-askedAt >= mapBatchDelay
+	return request.HaveMap != d.mapRevision && clock.Now()-receivedAt >= mapBatchDelay
 }
 
-// respond answers a question that came at a time.
-func (d *Directory) respond(request *fb.MapRequestT, askedAt int64) *fb.MapResponseT {
+// respond returns the response to a poll that arrived at receivedAt.
+func (d *Directory) respond(request *fb.MapRequestT, receivedAt int64) *fb.MapResponseT {
 	voters, live := d.control.VoterAddrs(), d.control.LiveNodes(clock.Now())
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,7 +88,7 @@
 	response := &fb.MapResponseT{
 		Incarnation:  d.incarnation,
 		Zone:         d.settings.Zone,
-		Waited:       now - askedAt,
+		Waited:       now - receivedAt,
 		Known:        d.config.known,
 		Revision:     d.config.revision,
 		Age:          now - d.config.readAt,
@@ -112,20 +113,20 @@
 		response.Announced = d.announcedVersions(now)
 		response.AnnouncedTerm = d.announcements.Term()
 	}
-	if request.Node != nil { // another core machine follows the engines itself
+	if request.Node != nil { // a proxy; other core machines poll the engines themselves
 		d.addLoads(response, request)
 		d.addEvents(response, request)
 	}
 	return response
 }
 
-// addLoads adds what the other proxies have under way. Called under the lock.
+// addLoads adds the loads of the other proxies. Called under the lock.
 func (d *Directory) addLoads(response *fb.MapResponseT, request *fb.MapRequestT) {
 	since := request.LoadsSince
 	if request.Incarnation != d.incarnation {
 		since = 0
 	}
-	response.Loads, response.LoadsChangedOnly = d.loads.others(idOf(request.Node), since)
+	response.Loads, response.LoadsChangedOnly = d.loads.totalsExcept(proxyIDOf(request.Node), since)
 	response.LoadsRevision = d.loads.revision
 }
 
@@ -134,7 +135,7 @@
 	batch := d.nextEvents(request)
 	response.Complete = len(d.readers) > 0 && len(d.unsentEvents(request)) == 0
 	for _, reader := range d.readers {
-		response.Complete = response.Complete && reader.answered
+		response.Complete = response.Complete && reader.polled
 	}
 	response.UpdatesIncarnation, response.UpdatesNext, response.UpdatesReset = batch.Incarnation, batch.Next, batch.Reset
 	for _, event := range batch.Updates {
@@ -142,7 +143,7 @@
 	}
 }
 
-// ageSince is the age of what was read at a time, or codec.AgeNeverRead.
+// ageSince returns the age of data read at readAt, or codec.AgeNeverRead if readAt is 0.
 func ageSince(now, readAt int64) int64 {
 	if readAt == 0 {
 		return codec.AgeNeverRead
@@ -150,9 +151,9 @@
 	return now - readAt
 }
 
-// mapEngines is the map as proxies see it, stores included. Called under the lock.
+// mapEngines returns the map as proxies see it, including stores. Called under the lock.
 func (d *Directory) mapEngines() (out []*fb.MapEngineT) {
-	down := func(id string) bool { reader := d.readers[id]; return reader != nil && reader.down() }
+	unhealthy := func(id string) bool { reader := d.readers[id]; return reader != nil && reader.unhealthy() }
 	for _, engine := range d.listedEngines {
 		shown := &fb.MapEngineT{
 			Id:        engine.ID,
@@ -161,7 +162,7 @@
 			Zone:      engine.Zone,
 			Draining:  engine.Draining,
 			Slots:     uint32(engine.Slots),
-			Unhealthy: down(engine.ID),
+			Unhealthy: unhealthy(engine.ID),
 		}
 		for _, model := range slices.Sorted(maps.Keys(engine.Weights)) {
 			version := d.rolloutState.Version(engine.ID, model, engine.Weights[model])
@@ -173,13 +174,13 @@
 	if d.table != nil {
 		for _, pool := range d.table.Stores() {
 			id := placement.StoreID(pool.StoreAddr)
-			out = append(out, &fb.MapEngineT{Id: id, Addr: pool.StoreAddr, Zone: pool.Zone, Store: true, Unhealthy: down(id)})
+			out = append(out, &fb.MapEngineT{Id: id, Addr: pool.StoreAddr, Zone: pool.Zone, Store: true, Unhealthy: unhealthy(id)})
 		}
 	}
 	return out
 }
 
-// announcedVersions lists how long ago each version of weights was announced. Called under
+// announcedVersions returns how long ago each version of the weights was announced. Called under
 // the lock.
 func (d *Directory) announcedVersions(now int64) (out []*fb.AnnouncedVersionT) {
 	d.announcements.Each(func(model string, version uint64, at, first int64) {
--- a/internal/app/directory/overdue.go
+++ b/internal/app/directory/overdue.go
@@ -7,24 +7,24 @@
 	"violetthread/rollout"
 )
 
-// reportOverdue logs once for each announced version that engines still run something older
-// after the bound on it has passed.
+// reportOverdue logs, once per announced version, that engines still run an older version after
+// the time bound for applying the newer one has passed.
 func (d *Directory) reportOverdue(now int64, engines map[string]rollout.Engine) {
-	late := d.overdueEngines(now, engines)
-	for _, model := range slices.Sorted(maps.Keys(late)) {
-		if version := d.newestVersion(model); d.role.overdue[model] < version {
-			d.role.overdue[model] = version
-			d.logRolloutOverdue(model, version, late[model])
+	overdue := d.overdueEngines(now, engines)
+	for _, model := range slices.Sorted(maps.Keys(overdue)) {
+		if version := d.newestVersion(model); d.role.loggedOverdue[model] < version {
+			d.role.loggedOverdue[model] = version
+			d.logRolloutOverdue(model, version, overdue[model])
 		}
 	}
 }
 
-// overdueEngines counts, for each model, the engines that are to stay and whose weights had to
-// be replaced by the time now.
+// overdueEngines counts, for each model, the engines that are not draining and whose weights
+// should have been replaced before now.
 func (d *Directory) overdueEngines(now int64, engines map[string]rollout.Engine) map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	late := map[string]int{}
+	overdue := map[string]int{}
 	for id, engine := range engines {
 		if engine.Draining {
 			continue
@@ -33,14 +33,14 @@
 			version := d.role.scheduler.State.Version(id, model, reported)
 			until, superseded := d.announcements.UsableUntil(model, version, d.settings.Bounds.VersionLimits())
 			if superseded && now > until {
-				late[model]++
+				overdue[model]++
 			}
 		}
 	}
-	return late
+	return overdue
 }
 
-// newestVersion is the newest announced version of a model.
+// newestVersion returns the newest announced version of a model.
 func (d *Directory) newestVersion(model string) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/app/directory/overdue_test.go
+++ b/internal/app/directory/overdue_test.go
@@ -7,8 +7,8 @@
 	"violetthread/rollout"
 )
 
-// TestOverdueEngines: an engine that is to stay is overdue by the earliest version that is newer
-// than its own, whatever was announced since.
+// TestOverdueEngines: the time bound of an engine that is not draining counts from the earliest
+// version newer than its own; later announcements must not extend it.
 func TestOverdueEngines(t *testing.T) {
 	d, _, _ := newTestDirectory(t)
 	bound := d.settings.Bounds.VersionApplyUS
@@ -28,7 +28,7 @@
 		5_001 + bound: {"m": 2},
 	} {
 		if got := d.overdueEngines(now, engines); !maps.Equal(got, want) {
-			t.Errorf("at %d: %v, want %v", now, got, want)
+			t.Errorf("at %d: got %v, want %v", now, got, want)
 		}
 	}
 }
--- a/internal/app/directory/registers.go
+++ b/internal/app/directory/registers.go
@@ -10,18 +10,19 @@
 	"violetthread/schema/fb"
 )
 
-// readTimeout is how long the read of one register may take, in microseconds.
+// readTimeout is the timeout for reading one register, in microseconds.
 const readTimeout = 700_000
 
-// register is a key of the control state as its leader last confirmed it.
+// register is the value of a control key as its leader last confirmed it.
 type register struct {
 	known    bool // it was read since this directory started
 	revision uint64
 	value    []byte
-	readAt   int64 // before the question
+	readAt   int64 // when the value was last confirmed; for a read, when the request was sent
 }
 
-// refreshDue refreshes when it is time to; after a start that is sooner.
+// refreshDue calls Refresh when refreshInterval has passed, and at every call until the
+// configuration is known.
 func (d *Directory) refreshDue(ctx context.Context) {
 	d.mu.Lock()
 	due := !d.config.known || clock.Now()-d.refreshedAt >= refreshInterval-firstRefreshInterval/2
@@ -31,7 +32,7 @@
 	}
 }
 
-// Refresh reads the registers anew; ages count from before the question.
+// Refresh reads all registers. Ages count from before the request was sent.
 func (d *Directory) Refresh(ctx context.Context) {
 	d.mu.Lock()
 	d.refreshedAt = clock.Now()
@@ -50,8 +51,8 @@
 	})
 }
 
-// applyWeights takes in a new value of the register of weights, which it has had since the
-// given time at the earliest. Called under the lock.
+// applyWeights applies a new value of the weights register. since is the earliest time at which it
+// can have been written. Called under the lock.
 func (d *Directory) applyWeights(value []byte, _ uint64, since int64) {
 	doc, err := route.DecodeWeights(value)
 	if err != nil {
@@ -67,29 +68,30 @@
 	}
 }
 
-// applyRoleChange takes in that another directory leads the rollout. Called under the lock.
+// applyRoleChange starts a new announcement term when the lease of the rollout has changed hands.
+// Called under the lock.
 func (d *Directory) applyRoleChange(_ []byte, revision uint64, since int64) {
-	if revision > 1 { // the first leader followed nobody
+	if revision > 1 { // the first leader has no predecessor
 		d.announcements.StartTerm(revision, since-takeoverWindow)
 	}
 }
 
-// changedSince is the earliest time at which a register may have changed that was read
-// unchanged at lastRead. It is at most takeoverWindow ago: whoever could not read for longer
-// was cut off, or the core had no majority, and bounds on weights count anew after that.
+// changedSince returns the earliest time at which a register may have changed that was last read
+// unchanged at lastRead. It is at most takeoverWindow ago: a node that could not read for longer
+// was disconnected or the core had no majority, and the time bounds on weights restart after that.
 func changedSince(lastRead, now int64) int64 {
 	return max(lastRead, now-takeoverWindow)
 }
 
-// readRegister reads one register, and hands a new value to apply, with the earliest time
-// at which it can have come there. Apply is called under the lock.
+// readRegister reads one register and calls apply for a new value, with the earliest time at which
+// it can have been written. apply is called under the lock.
 func (d *Directory) readRegister(ctx context.Context, key string, r *register, apply func(value []byte, revision uint64, since int64)) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(readTimeout))
 	defer cancel()
 	d.mu.Lock()
 	have := r.revision
 	d.mu.Unlock()
-	askedAt := clock.Now()
+	sentAt := clock.Now()
 	response := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key, HaveRevision: have})
 	if quorum.Status(response.Status) != quorum.StatusDone {
 		return
@@ -101,13 +103,13 @@
 	}
 	changed := response.Revision != r.revision
 	if changed && len(response.Value) == 0 {
-		return // its value did not come along
+		return // the response does not include the value
 	}
 	lastRead := r.readAt
 	if !r.known {
 		lastRead = d.startedAt
 	}
-	r.known, r.revision, r.readAt = true, response.Revision, max(r.readAt, askedAt)
+	r.known, r.revision, r.readAt = true, response.Revision, max(r.readAt, sentAt)
 	if changed {
 		r.value = response.Value
 		apply(response.Value, response.Revision, changedSince(lastRead, clock.Now()))
@@ -116,7 +118,7 @@
 	}
 }
 
-// newestOf is the newest announced version of each model.
+// newestOf returns the newest announced version of each model.
 func newestOf(doc *route.WeightVersions) map[string]uint64 {
 	newest := map[string]uint64{}
 	for _, model := range doc.Models {
--- a/internal/app/directory/rollout.go
+++ b/internal/app/directory/rollout.go
@@ -11,13 +11,14 @@
 	"violetthread/schema/fb"
 )
 
-// RolloutKey is the register that holds which engines are changing their weights.
+// RolloutKey is the register that holds the state of the rollout, such as which engines are
+// changing their weights.
 const RolloutKey = "route/rollout"
 
 // Microseconds.
 const (
-	// inspectInterval is how often an engine that is changing its weights is asked itself,
-	// which costs a request on the engine.
+	// inspectInterval is the minimum time between two inspections of an engine that is changing
+	// its weights. Each costs a request on the engine.
 	inspectInterval = 300_000
 	inspectTimeout  = 500_000
 )
@@ -36,7 +37,7 @@
 		return
 	}
 	now = clock.Now()
-	lease := *role.lease.Load() // what is decided goes out under the lease that it was decided under
+	lease := *role.lease.Load() // requests are sent only under the lease that they were decided under
 	if now >= lease.ExpiresAt {
 		return
 	}
@@ -44,12 +45,12 @@
 		return
 	}
 	if !d.listKnown() {
-		return // without it every engine would look gone, and earlier requests be forgotten
+		return // without the list all engines would seem gone, and earlier requests would be dropped from the state
 	}
 	d.stepRollout(ctx, now, lease)
 }
 
-// stepRollout carries one step of the scheduler out: the state first, then the requests.
+// stepRollout executes one step of the scheduler: it writes the state, then sends the requests.
 func (d *Directory) stepRollout(ctx context.Context, now int64, lease rollout.Lease) {
 	role := d.role
 	engines := d.engineStates()
@@ -70,7 +71,7 @@
 	}
 }
 
-// newScheduler makes a scheduler that goes on where the last leader left off.
+// newScheduler creates a scheduler that continues from the state that the last leader saved.
 func (d *Directory) newScheduler(ctx context.Context, now int64) bool {
 	response := d.control.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: RolloutKey})
 	if quorum.Status(response.Status) != quorum.StatusDone {
@@ -82,7 +83,7 @@
 	}
 	config := rollout.DefaultConfig(d.settings.Bounds.VersionApplyUS, d.settings.Bounds.LeaseUS)
 	role := d.role
-	role.scheduler, role.stateRevision = rollout.New(config, now, role.countFrom, state), response.Revision
+	role.scheduler, role.stateRevision = rollout.New(config, now, role.announcedNotBefore, state), response.Revision
 	if role.startedAt == 0 {
 		role.startedAt = now
 	} else {
@@ -91,8 +92,8 @@
 	return true
 }
 
-// engineStates is what the scheduler has to know of each engine, by id. It announces the
-// versions that are wanted to the scheduler on the way.
+// engineStates announces the newest versions to the scheduler and returns the state of each engine
+// for it, by id.
 func (d *Directory) engineStates() map[string]rollout.Engine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,19 +115,20 @@
 	return engines
 }
 
-// listKnown reports whether the platform's list was read since this directory started.
+// listKnown reports whether the list of engines has been read since this directory started.
 func (d *Directory) listKnown() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listReadAt > 0
 }
 
-// saveState writes the rollout's state before anybody acts on it.
+// saveState writes the rollout's state to its register, before any request that depends on it is
+// sent.
 func (d *Directory) saveState(ctx context.Context, role *weightsRole) bool {
 	value := role.scheduler.State.Marshal()
 	response := d.control.Execute(ctx, &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: RolloutKey, Value: value, ExpectedRevision: role.stateRevision})
 	if quorum.Status(response.Status) != quorum.StatusDone {
-		role.scheduler = nil // the next one reads what is in the register
+		role.scheduler = nil // the next one starts from the register's content
 		return false
 	}
 	role.stateRevision = response.Revision
@@ -134,11 +136,11 @@
 	return true
 }
 
-// publishState shows proxies the state that was just written.
+// publishState makes the state that was just written visible to proxies.
 func (d *Directory) publishState(value []byte, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	state, err := rollout.UnmarshalState(value) // a copy: the scheduler goes on changing its own
+	state, err := rollout.UnmarshalState(value) // a copy, since the scheduler keeps changing its own
 	if err != nil || d.rollout.revision >= revision {
 		return
 	}
@@ -148,7 +150,8 @@
 	d.notify()
 }
 
-// sendUpdates sends requests that were decided under the lease with this fencing token.
+// sendUpdates sends requests that were decided under the lease with this fencing token, each in a
+// goroutine of its own.
 func (d *Directory) sendUpdates(requests []rollout.UpdateRequest, fencingToken uint64) {
 	for _, request := range requests {
 		d.role.inFlight.Add(1)
@@ -159,7 +162,7 @@
 	}
 }
 
-// sendUpdate sends one request, if the lease still permits it.
+// sendUpdate sends one request if the lease is still valid.
 func (d *Directory) sendUpdate(ctx context.Context, request rollout.UpdateRequest, fencingToken uint64) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(rollout.RequestTimeoutUS))
 	defer cancel()
@@ -188,8 +191,8 @@
 	})
 }
 
-// inspect asks an engine that is changing its weights itself: the platform's list comes
-// late.
+// inspect asks an engine that is changing its weights which ones it runs, since the platform's
+// list lags behind.
 func (d *Directory) inspect(ctx context.Context, engine rollout.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(inspectTimeout))
 	defer cancel()
@@ -204,7 +207,7 @@
 	})
 }
 
-// withScheduler hands the scheduler what an engine said, if there still is one.
+// withScheduler calls observe with the scheduler, if there still is one.
 func (d *Directory) withScheduler(observe func(scheduler *rollout.Scheduler, now int64)) {
 	d.role.mu.Lock()
 	defer d.role.mu.Unlock()
--- a/internal/app/directory/rollout_test.go
+++ b/internal/app/directory/rollout_test.go
@@ -16,15 +16,15 @@
 	"violetthread/schema/fb"
 )
 
-// fakeControl is a control node whose registers lie in memory.
+// fakeControl is a control node that keeps its registers in memory.
 type fakeControl struct {
-	mu         sync.Mutex
-	values     map[string][]byte
-	revisions  map[string]uint64
-	unreadable bool // no register can be read
-	onRelease  func()
-	firstReply *fb.MapResponseT // what the first node in line answers
-	voters     []string
+	mu            sync.Mutex
+	values        map[string][]byte
+	revisions     map[string]uint64
+	unreadable    bool // no register can be read
+	onRelease     func()
+	firstResponse *fb.MapResponseT // response of the first node in the list order
+	voters        []string
 }
 
 func newFakeControl() *fakeControl {
@@ -71,10 +71,10 @@
 func (c *fakeControl) RecordHeartbeat(int64, *fb.NodeT) {}
 func (c *fakeControl) Broadcast(*fb.FrameT)             {}
 func (c *fakeControl) Call(context.Context, string, *fb.FrameT, int64) (*fb.FrameT, error) {
-	return &fb.FrameT{MapResponse: c.firstReply}, nil
+	return &fb.FrameT{MapResponse: c.firstResponse}, nil
 }
 
-// fakePlatform counts update requests, and answers each once release says so.
+// fakePlatform counts update requests, and responds to each once release returns true.
 type fakePlatform struct {
 	requests    atomic.Int64
 	lastRequest atomic.Pointer[UpdateRequest]
@@ -101,7 +101,7 @@
 	return CacheEventPage{}, nil
 }
 
-// newTestDirectory makes a directory whose loops do not run.
+// newTestDirectory creates a directory without its loops.
 func newTestDirectory(t *testing.T) (*Directory, *fakeControl, *fakePlatform) {
 	t.Helper()
 	control, platform := newFakeControl(), &fakePlatform{release: func() bool { return true }}
@@ -111,9 +111,9 @@
 	return newDirectory(group, settings, control, platform), control, platform
 }
 
-// A node that has not read the platform's list yet must not take every engine for gone:
-// what the last leader may have asked of them would be forgotten.
-func TestConductWaitsForTheList(t *testing.T) {
+// A node that has not read the platform's list yet must not treat every engine as gone: that would
+// drop the update requests that the last leader may have sent.
+func TestRolloutWaitsForEngineList(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	saved := rollout.State{Updates: map[string]rollout.Update{"i-1": {Model: "m", Version: 2, Phase: rollout.PhaseRequested}},
 		Applied: map[string]map[string]uint64{"i-2": {"m": 2}}}
@@ -121,33 +121,33 @@
 	d.runRollout(t.Context())
 	state, err := rollout.UnmarshalState(control.values[RolloutKey])
 	if err != nil || len(state.Updates) != 1 || len(state.Applied) != 1 {
-		t.Fatalf("%+v, %v is left of %+v", state, err, saved)
+		t.Fatalf("got %+v, error %v; saved was %+v", state, err, saved)
 	}
 	d.adoptList(clock.Now(), []Engine{{ID: "i-1", Weights: map[string]uint64{"m": 1}}})
 	d.runRollout(t.Context())
 	if state, err = rollout.UnmarshalState(control.values[RolloutKey]); err != nil || len(state.Updates) != 1 || len(state.Applied) != 0 {
-		t.Fatalf("%+v, %v once the list is known", state, err)
+		t.Fatalf("got %+v, error %v after the list was read", state, err)
 	}
 }
 
-// A request that was decided under one lease must not go out under a later one: another
-// node may have led, and sent requests, in between.
-func TestOrderUnderAnEarlierHold(t *testing.T) {
+// An update request that was decided under one lease must not be sent under a later one: another
+// node may have been leader in between and sent requests of its own.
+func TestUpdateDecidedUnderEarlierLeaseIsNotSent(t *testing.T) {
 	d, _, platform := newTestDirectory(t)
 	d.role.lease.Store(&rollout.Lease{FencingToken: 9, ExpiresAt: clock.Now() + 60_000_000})
 	d.sendUpdate(t.Context(), rollout.UpdateRequest{Engine: "i-1"}, 7)
 	if n := platform.requests.Load(); n != 0 {
-		t.Fatalf("%d requests went out", n)
+		t.Fatalf("%d requests were sent under a later lease", n)
 	}
 	d.sendUpdate(t.Context(), rollout.UpdateRequest{Engine: "i-1"}, 9)
 	if n := platform.requests.Load(); n != 1 {
-		t.Fatalf("%d requests went out under the lease in force", n)
+		t.Fatalf("%d requests were sent under the current lease", n)
 	}
 }
 
-// A request bears the fencing token and the leader of the lease that it was decided under,
-// and its permit ends with that lease.
-func TestRequestBearsTheToken(t *testing.T) {
+// An update request carries the fencing token and the leader of the lease that it was decided
+// under, and Permit fails once that lease has ended.
+func TestUpdateRequestCarriesFencingToken(t *testing.T) {
 	d, _, platform := newTestDirectory(t)
 	d.role.lease.Store(&rollout.Lease{FencingToken: 9, ExpiresAt: clock.Now() + 60_000_000})
 	d.sendUpdate(t.Context(), rollout.UpdateRequest{Engine: "i-1", Addr: "e:1", Model: "m", Version: 2}, 9)
@@ -163,18 +163,19 @@
 	}
 	d.role.lease.Store(&rollout.Lease{FencingToken: 10, ExpiresAt: clock.Now() + 60_000_000})
 	if sent.Permit() == nil {
-		t.Error("permitted under a later lease")
+		t.Error("Permit allows the request under a later lease")
 	}
 }
 
-// A polite stop releases the lease once no request is under way, and never takes it again.
-func TestLeaveWaitsForOrders(t *testing.T) {
+// A graceful stop releases the lease only when no request is in flight, and never acquires it
+// again.
+func TestLeaveWaitsForUpdatesInFlight(t *testing.T) {
 	d, control, platform := newTestDirectory(t)
 	released := false
 	control.onRelease = func() {
 		released = true
 		if n := platform.inFlight.Load(); n != 0 {
-			t.Errorf("the lease was released with %d requests under way", n)
+			t.Errorf("the lease was released with %d requests in flight", n)
 		}
 	}
 	leaving := func() bool { return d.role.lease.Load().ExpiresAt == 0 }
@@ -190,6 +191,6 @@
 	}
 	d.runRollout(t.Context())
 	if !leaving() {
-		t.Fatal("the lease was taken again by a node that leaves")
+		t.Fatal("a node that is leaving acquired the lease again")
 	}
 }
--- a/internal/app/directory/weights_role.go
+++ b/internal/app/directory/weights_role.go
@@ -12,50 +12,50 @@
 	"violetthread/schema/fb"
 )
 
-// WeightsRoleKey is the lease of the rollout leader, who brings engines to new weights. Its
-// register's revision is the fencing token of every update request (design §15).
+// WeightsRoleKey is the lease of the rollout leader, which rolls out new weights to the engines.
+// The revision of its register is the fencing token of every update request (design §15).
 const WeightsRoleKey = "duty/weights"
 
 // Microseconds.
 const (
-	// takeoverWindow is how long before a change of leader is seen the core may have worked
-	// again already. Ages of announcements count from there.
+	// takeoverWindow is the longest time that the core may already have been working again when a
+	// node notices a change of leader. Ages of announcements count from that much earlier.
 	takeoverWindow = 4_000_000
-	// leaseSlack is how long before its lease expires the leader stops.
+	// leaseSlack is how long before the lease expires the leader stops using it.
 	leaseSlack   = 300_000
 	renewTimeout = 800_000
 )
 
-// weightsRole is this node's part in the rollout of weights: its lease, and the scheduler
-// while it leads.
+// weightsRole is this node's state in the rollout of weights: its lease, and the scheduler while
+// it is leader.
 type weightsRole struct {
-	leaderID string                        // of this directory, unlike any other's
-	lease    atomic.Pointer[rollout.Lease] // read where runRollout may hold the lock for long
-	inFlight sync.WaitGroup                // requests under way
+	leaderID string                        // unique to this directory
+	lease    atomic.Pointer[rollout.Lease] // atomic, since runRollout may hold the lock for long
+	inFlight sync.WaitGroup                // update requests in flight
 
-	mu            sync.Mutex // guards what follows
-	leaving       bool       // the lease was released and is not asked for again
-	countFrom     int64      // announcements count from here at the earliest: takeoverWindow before this node came to lead
-	startedAt     int64      // when it first made a scheduler under this lease
-	sentAt        map[string]int64
-	inspectedAt   map[string]int64
-	overdue       map[string]uint64  // version of each model that was logged as overdue last
-	scheduler     *rollout.Scheduler // nil: it is to be made from the register
-	stateRevision uint64             // of the rollout's register as written here
+	mu                 sync.Mutex         // guards the fields below
+	leaving            bool               // the lease was released and is not acquired again
+	announcedNotBefore int64              // announcements count from here at the earliest: takeoverWindow before this node became leader
+	startedAt          int64              // when the first scheduler under this lease was created
+	sentAt             map[string]int64   // time of the last update request under this lease, by engine
+	inspectedAt        map[string]int64   // time of the last inspection, by engine
+	loggedOverdue      map[string]uint64  // newest version that was logged as overdue, by model
+	scheduler          *rollout.Scheduler // nil: the next step creates one from the register
+	stateRevision      uint64             // revision of the rollout's register as last read or written by this node
 }
 
 func newWeightsRole(name string, incarnation uint64) *weightsRole {
 	role := &weightsRole{
-		leaderID:    fmt.Sprintf("%s#%x", name, incarnation),
-		inspectedAt: map[string]int64{},
-		sentAt:      map[string]int64{},
-		overdue:     map[string]uint64{},
+		leaderID:      fmt.Sprintf("%s#%x", name, incarnation),
+		inspectedAt:   map[string]int64{},
+		sentAt:        map[string]int64{},
+		loggedOverdue: map[string]uint64{},
 	}
 	role.lease.Store(&rollout.Lease{})
 	return role
 }
 
-// renewLease asks for the lease of the rollout, or for more of it.
+// renewLease acquires or renews the lease of the rollout, and reports whether this node holds it.
 func (d *Directory) renewLease(ctx context.Context, now int64) bool {
 	role := d.role
 	lease := *role.lease.Load()
@@ -70,7 +70,7 @@
 		return now < lease.ExpiresAt
 	}
 	if response.Revision != lease.FencingToken {
-		role.scheduler, role.countFrom = nil, now-takeoverWindow
+		role.scheduler, role.announcedNotBefore = nil, now-takeoverWindow
 		role.startedAt, role.sentAt = 0, map[string]int64{}
 		d.logLeaseAcquired(response.Revision)
 	}
@@ -78,8 +78,8 @@
 	return true
 }
 
-// Leave releases the lease, so that another node need not wait for it to expire. It waits
-// for requests that are under way: the next leader's must not come close behind them.
+// Leave releases the lease, so that another node need not wait for it to expire. Before that, it
+// waits for requests in flight: the next leader's requests must not follow too closely.
 func (d *Directory) Leave(ctx context.Context) {
 	role := d.role
 	role.mu.Lock()
