--- a/internal/controlorder/controlorder_test.go
+++ b/internal/controlorder/controlorder_test.go
@@ -7,7 +7,7 @@
 
 const second = 1_000_000
 
-// TestSort: one rule decides in each case, in the order of the package's comment.
+// TestSort: each case checks one rule, in the order of the package comment.
 func TestSort(t *testing.T) {
 	const now = 100 * second
 	for _, c := range []struct {
@@ -17,21 +17,21 @@
 		want    []string
 	}{
 		{"nobody", "", nil, nil},
-		{"one that failed lately comes last", "near", map[string]*Node{
+		{"a node that failed recently comes last", "near", map[string]*Node{
 			"near": {Zone: "north", FailedAt: now - second}, "far": {Zone: "south"}}, []string{"far", "near"}},
-		{"a failure is forgotten", "", map[string]*Node{
+		{"a failure expires", "", map[string]*Node{
 			"near": {Zone: "north", FailedAt: now - AvoidUS}, "far": {Zone: "south"}}, []string{"near", "far"}},
-		{"of those that failed, the one tried longest ago", "near", map[string]*Node{
+		{"of the failed nodes, the oldest failure first", "near", map[string]*Node{
 			"near": {Zone: "north", FailedAt: now - 100}, "far": {Zone: "south", FailedAt: now - second}}, []string{"far", "near"}},
-		{"an old list goes behind a fresh one", "near", map[string]*Node{
+		{"a stale list ranks after a fresh one", "near", map[string]*Node{
 			"near": {Zone: "north", StaleListAt: now - second}, "far": {Zone: "south"}}, []string{"far", "near"}},
-		{"an old list is tried again", "", map[string]*Node{
+		{"a stale list expires", "", map[string]*Node{
 			"near": {Zone: "north", StaleListAt: now - AvoidStaleListUS}, "far": {Zone: "south"}}, []string{"near", "far"}},
 		{"own zone, unknown, other zone", "", map[string]*Node{
 			"near": {Zone: "north"}, "new": {}, "far": {Zone: "south"}}, []string{"near", "new", "far"}},
-		{"the current one within a zone", "b", map[string]*Node{
+		{"the current node within a zone", "b", map[string]*Node{
 			"a": {Zone: "north"}, "b": {Zone: "north"}, "c": {Zone: "north"}}, []string{"b", "a", "c"}},
-		{"the current one of another zone goes level with an unknown one", "far", map[string]*Node{
+		{"the current node in another zone ranks level with an unknown zone", "far", map[string]*Node{
 			"near": {Zone: "north"}, "far": {Zone: "south"}}, []string{"near", "far"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestFollowersSpread: followers without a preference don't all ask the same node first.
+// TestFollowersSpread: followers without a preference are spread over the nodes, so that not all
+// of them poll the same node first.
 func TestFollowersSpread(t *testing.T) {
 	nodes := map[string]*Node{"a": {}, "b": {}, "c": {}}
 	first := map[string]int{}
