--- a/internal/app/control/probe.go
+++ b/internal/app/control/probe.go
@@ -48,7 +48,7 @@
 	var current contact
 	set := n.voter.VoterSet()
 	for _, voter := range set.Voters {
-		if voter.Name != n.settings.Name && n.voter.Silence(now, voter.Name) > silentAfter {
+		if voter.Name != n.settings.Name && n.voter.TimeSinceHeard(now, voter.Name) > silentAfter {
 			current.silent = append(current.silent, voter)
 		}
 	}
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -87,7 +87,7 @@
 func (n *Node) publishStatus(now int64) {
 	silent := map[string]bool{}
 	for _, peer := range n.voter.VoterSet().Voters {
-		silent[peer.Name] = n.voter.Silence(now, peer.Name) > contactTimeout
+		silent[peer.Name] = n.voter.TimeSinceHeard(now, peer.Name) > contactTimeout
 	}
 	n.status.Store(&voterStatus{
 		slots:         n.voter.Status(now),
--- a/internal/codec/voters.go
+++ b/internal/codec/voters.go
@@ -62,7 +62,7 @@
 		Fleet:       set.Fleet(),
 		Incarnation: incarnation,
 		Revision:    set.Revision,
-		Seats:       set.Seats,
+		Seats:       set.TargetSize,
 		Voters: lo.Map(set.Voters, func(v quorum.Voter, _ int) *fb.VoterT {
 			return &fb.VoterT{Name: v.Name, Addr: v.Addr, Incarnation: v.Incarnation, Number: v.Number}
 		}),
@@ -72,8 +72,8 @@
 // UnpackVoterSet unpacks a voter set.
 func UnpackVoterSet(t *fb.VoterSetT) quorum.VoterSet {
 	return quorum.VoterSet{
-		Revision: t.Revision,
-		Seats:    t.Seats,
+		Revision:   t.Revision,
+		TargetSize: t.Seats,
 		Voters: lo.Map(t.Voters, func(v *fb.VoterT, _ int) quorum.Voter {
 			return quorum.Voter{Name: v.Name, Addr: v.Addr, Incarnation: v.Incarnation, Number: v.Number}
 		}),
--- a/quorum/admission.go
+++ b/quorum/admission.go
@@ -66,7 +66,7 @@
 	}
 	for _, joins := range []*Voter{&newcomer, nil} {
 		if next, err := set.Next(leaves, joins); err == nil {
-			next.Seats = set.Seats // a replacement, whoever goes for it
+			next.TargetSize = set.TargetSize // a replacement, whoever goes for it
 			return next, true
 		}
 	}
@@ -91,7 +91,7 @@
 // An even set tolerates no more failures than the odd set below it, so its surplus voter is
 // removed; in an odd set a failed surplus voter costs nothing.
 func (set VoterSet) hasSurplus() bool {
-	return set.Seats > 0 && len(set.Voters) > int(set.Seats) && len(set.Voters)%2 == 0
+	return set.TargetSize > 0 && len(set.Voters) > int(set.TargetSize) && len(set.Voters)%2 == 0
 }
 
 // RemoveSurplus is the step that takes the seat of a voter whose successor was let in before,
@@ -114,6 +114,6 @@
 	if err != nil || seen.heard < next.Majority() {
 		return set, false
 	}
-	next.Seats = set.Seats
+	next.TargetSize = set.TargetSize
 	return next, true
 }
--- a/quorum/admission_test.go
+++ b/quorum/admission_test.go
@@ -119,7 +119,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			silence, leaving := readSilences(t, test.gone)
 			set := newAddressedSet(test.voters)
-			set.Seats = test.seats
+			set.TargetSize = test.seats
 			next, ok := set.RemoveSurplus(leaving, silence)
 			got := ""
 			if ok {
@@ -128,8 +128,8 @@
 			if got != test.want {
 				t.Errorf("got %q", got)
 			}
-			if ok && (haveDisjointMajorities(set, next) || next.Seats != test.seats || next.Majority() >= set.Majority()) {
-				t.Errorf("%d seats, majority %d after %d", next.Seats, next.Majority(), set.Majority())
+			if ok && (haveDisjointMajorities(set, next) || next.TargetSize != test.seats || next.Majority() >= set.Majority()) {
+				t.Errorf("%d seats, majority %d after %d", next.TargetSize, next.Majority(), set.Majority())
 			}
 		})
 	}
--- a/quorum/change.go
+++ b/quorum/change.go
@@ -26,8 +26,8 @@
 	if !ok {
 		return ready
 	}
-	if initial && next.Seats > 0 {
-		next.Seats = max(next.Seats, uint16(len(next.Voters)))
+	if initial && next.TargetSize > 0 {
+		next.TargetSize = max(next.TargetSize, uint16(len(next.Voters)))
 	}
 	event := Event{Type: EventVoterAdmitted, Peer: newcomer.Name, Incarnation: newcomer.Incarnation}
 	n.proposeVoterSet(now, next, event, &ready)
@@ -50,7 +50,7 @@
 
 // silenceAt is Silence at one instant, as the rules of a voter set want it.
 func (n *Node) silenceAt(now int64) func(name string) int64 {
-	return func(name string) int64 { return n.Silence(now, name) }
+	return func(name string) int64 { return n.TimeSinceHeard(now, name) }
 }
 
 // RemovalPending reports whether this node leaves and its seat is about to be removed. It
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -44,7 +44,7 @@
 		if name == n.config.Name {
 			return rank
 		}
-		if n.Silence(now, name) < SuspectAfterUS {
+		if n.TimeSinceHeard(now, name) < SuspectAfterUS {
 			rank++
 		}
 	}
--- a/quorum/explore_actions_test.go
+++ b/quorum/explore_actions_test.go
@@ -242,7 +242,7 @@
 		return
 	}
 	set := w.machines[i].node.VoterSet()
-	next := VoterSet{Revision: set.Revision + 1, Seats: set.Seats}
+	next := VoterSet{Revision: set.Revision + 1, TargetSize: set.TargetSize}
 	for _, voter := range set.Voters {
 		if which>>w.index(voter.Name)&1 == 0 {
 			next.Voters = append(next.Voters, voter)
--- a/quorum/explore_world_test.go
+++ b/quorum/explore_world_test.go
@@ -70,7 +70,7 @@
 func newWorld(size worldConfig, states *cache) *world {
 	w := &world{worldConfig: size, cache: states, now: tickInterval, inputs: new(int)}
 	w.checker.init(size)
-	set := VoterSet{Revision: FirstRevision(9), Seats: size.seats}
+	set := VoterSet{Revision: FirstRevision(9), TargetSize: size.seats}
 	for i := range size.machines {
 		w.machines[i] = machine{name: string(rune('a' + i)), incarnation: uint64(firstIncarnation + i)}
 		if i < size.voters {
@@ -219,7 +219,7 @@
 	}
 	silent := false
 	for _, voter := range node.VoterSet().Voters {
-		silent = silent || node.Silence(w.now, voter.Name) > 2*tickInterval
+		silent = silent || node.TimeSinceHeard(w.now, voter.Name) > 2*tickInterval
 	}
 	if !silent {
 		return
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -81,15 +81,15 @@
 		}
 	}
 	now -= testTick
-	if b, c, a := node.Silence(now, "b"), node.Silence(now, "c"), node.Silence(now, "a"); b != 1_000_000 || c != 1_975_000 || a != 0 {
+	if b, c, a := node.TimeSinceHeard(now, "b"), node.TimeSinceHeard(now, "c"), node.TimeSinceHeard(now, "a"); b != 1_000_000 || c != 1_975_000 || a != 0 {
 		t.Fatalf("b is silent for %d, c (another incarnation speaks) for %d, the node itself for %d", b, c, a)
 	}
 	now += 5_000_000 // suspended: before the first tick after, and from it on
-	if b := node.Silence(now, "b"); b != 0 {
+	if b := node.TimeSinceHeard(now, "b"); b != 0 {
 		t.Fatalf("after a pause b counts as silent for %d", b)
 	}
 	node.Tick(now)
-	if b := node.Silence(now+100_000, "b"); b != 100_000 {
+	if b := node.TimeSinceHeard(now+100_000, "b"); b != 100_000 {
 		t.Fatalf("after a pause b counts as silent for %d", b)
 	}
 }
--- a/quorum/status.go
+++ b/quorum/status.go
@@ -35,10 +35,10 @@
 // StateBytes is the size of the live state, as it counts against Config.MaxStateBytes.
 func (n *Node) StateBytes() int { return n.stateBytes }
 
-// Silence is how long, in microseconds, a voter has not been heard. It counts from the
+// TimeSinceHeard is how long, in microseconds, a voter has not been heard. It counts from the
 // start, from the step that let the voter in, and from the end of a pause of this process:
 // what this node could not hear proves nothing.
-func (n *Node) Silence(now int64, name string) int64 {
+func (n *Node) TimeSinceHeard(now int64, name string) int64 {
 	if name == n.config.Name || now-n.lastTickAt > maxTickGap {
 		return 0
 	}
--- a/quorum/stored_test.go
+++ b/quorum/stored_test.go
@@ -59,7 +59,7 @@
 // TestStoredValues: values of registers are byte for byte what earlier versions stored.
 func TestStoredValues(t *testing.T) {
 	set := newAddressedSet(2)
-	set.Seats = 3
+	set.TargetSize = 3
 	for _, test := range []struct {
 		name, got, want string
 	}{
--- a/quorum/voterset.go
+++ b/quorum/voterset.go
@@ -21,10 +21,10 @@
 type VoterSet struct {
 	Revision uint64  `json:"rev,string"`
 	Voters   []Voter `json:"voters"`
-	// Seats is how many voters the fleet keeps. With more, one was let in before the one
+	// TargetSize is how many voters the fleet keeps. With more, one was let in before the one
 	// that it replaces had gone (RemoveSurplus). 0, in a set of a version that knows no such
 	// count, never removes any.
-	Seats uint16 `json:"seats,omitempty"`
+	TargetSize uint16 `json:"seats,omitempty"`
 }
 
 const (
@@ -60,7 +60,7 @@
 // (unless nil), and the fleet keeps as many seats fewer or more. It fails unless every
 // majority of one shares a voter with every majority of the other.
 func (set VoterSet) Next(leaves string, joins *Voter) (VoterSet, error) {
-	next := VoterSet{Revision: set.Revision + 1, Voters: slices.Clone(set.Voters), Seats: set.Seats}
+	next := VoterSet{Revision: set.Revision + 1, Voters: slices.Clone(set.Voters), TargetSize: set.TargetSize}
 	if leaves != "" {
 		at := slices.IndexFunc(next.Voters, func(voter Voter) bool { return voter.Name == leaves })
 		if at < 0 {
@@ -76,8 +76,8 @@
 		added.Number = uint16(firstAddedNumber + next.Step())
 		next.Voters = append(next.Voters, added)
 	}
-	if set.Seats > 0 {
-		next.Seats = uint16(max(1, int(set.Seats)+len(next.Voters)-len(set.Voters)))
+	if set.TargetSize > 0 {
+		next.TargetSize = uint16(max(1, int(set.TargetSize)+len(next.Voters)-len(set.Voters)))
 	}
 	return next, checkStep(set, next)
 }
--- a/quorum/voterset_test.go
+++ b/quorum/voterset_test.go
@@ -102,22 +102,22 @@
 func TestSeatsFollowTheFleet(t *testing.T) {
 	heard := func(string) int64 { return 0 }
 	set := newAddressedSet(3)
-	set.Seats = 3
+	set.TargetSize = 3
 	newcomer := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
-	if next, ok := set.Admit(newcomer, AddAfterUS, heard, MaxVoters); !ok || next.Seats != 3 {
-		t.Errorf("a newcomer beside all others: %v %d", ok, next.Seats)
+	if next, ok := set.Admit(newcomer, AddAfterUS, heard, MaxVoters); !ok || next.TargetSize != 3 {
+		t.Errorf("a newcomer beside all others: %v %d", ok, next.TargetSize)
 	}
-	if next, ok := set.Admit(Voter{Name: "b", Addr: "at-b", Incarnation: 99}, 0, heard, MaxVoters); !ok || len(next.Voters) != 2 || next.Seats != 3 {
+	if next, ok := set.Admit(Voter{Name: "b", Addr: "at-b", Incarnation: 99}, 0, heard, MaxVoters); !ok || len(next.Voters) != 2 || next.TargetSize != 3 {
 		t.Errorf("the seat of a lost disk is kept for its next incarnation: %v %+v", ok, next)
 	}
-	if next, err := set.Next("", &newcomer); err != nil || next.Seats != 4 {
-		t.Errorf("an operator adds one: %v %d", err, next.Seats)
+	if next, err := set.Next("", &newcomer); err != nil || next.TargetSize != 4 {
+		t.Errorf("an operator adds one: %v %d", err, next.TargetSize)
 	}
-	if next, err := set.Next("a", nil); err != nil || next.Seats != 2 {
-		t.Errorf("an operator removes one: %v %d", err, next.Seats)
+	if next, err := set.Next("a", nil); err != nil || next.TargetSize != 2 {
+		t.Errorf("an operator removes one: %v %d", err, next.TargetSize)
 	}
-	if back, err := ParseVoterSet(set.Bytes()); err != nil || back.Seats != 3 {
-		t.Errorf("read back: %v %d", err, back.Seats)
+	if back, err := ParseVoterSet(set.Bytes()); err != nil || back.TargetSize != 3 {
+		t.Errorf("read back: %v %d", err, back.TargetSize)
 	}
 }
 
--- a/sim/control_node.go
+++ b/sim/control_node.go
@@ -214,7 +214,7 @@
 
 // isSilent reports whether a voter was not heard here for a while.
 func (n *ControlNode) isSilent(name string) bool {
-	return n.node != nil && n.node.Silence(n.Clock(), name) > silenceLimit
+	return n.node != nil && n.node.TimeSinceHeard(n.Clock(), name) > silenceLimit
 }
 
 // serve takes an operation from a client.
--- a/sim/control_node_membership.go
+++ b/sim/control_node_membership.go
@@ -98,7 +98,7 @@
 // hearsSilence reports whether any voter was not heard for a quarter of a second.
 func (n *ControlNode) hearsSilence() bool {
 	return slices.ContainsFunc(n.node.VoterSet().Voters, func(voter quorum.Voter) bool {
-		return n.node.Silence(n.Clock(), voter.Name) >= 250_000
+		return n.node.TimeSinceHeard(n.Clock(), voter.Name) >= 250_000
 	})
 }
 
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -51,7 +51,7 @@
 	world := NewWorld(seed)
 	cluster := NewCluster(world, size.machines)
 	cluster.selfHealing = true
-	cluster.voterSet.Seats = uint16(size.machines)
+	cluster.voterSet.TargetSize = uint16(size.machines)
 	for _, node := range cluster.Nodes {
 		node.voterSet = cluster.voterSet
 	}
--- a/sim/order_forward.go
+++ b/sim/order_forward.go
@@ -27,7 +27,7 @@
 // passToLeader hands an operation on to the leader of its key.
 func (n *ControlNode) passToLeader(op quorum.Operation, hops int, leaderName string, end func(quorum.Result)) {
 	receiver := n.cluster.nodeNamed(leaderName)
-	if receiver == nil || n.node == nil || n.node.Silence(n.Clock(), leaderName) > passSilenceLimit {
+	if receiver == nil || n.node == nil || n.node.TimeSinceHeard(n.Clock(), leaderName) > passSilenceLimit {
 		end(quorum.Result{Status: quorum.StatusNotLeader})
 		return
 	}
@@ -59,7 +59,7 @@
 	voters := n.node.VoterSet().Voters
 	heard := 0
 	for _, voter := range voters {
-		if n.node.Silence(n.Clock(), voter.Name) <= passSilenceLimit {
+		if n.node.TimeSinceHeard(n.Clock(), voter.Name) <= passSilenceLimit {
 			heard++
 		}
 	}
--- a/sim/second_loss_day.go
+++ b/sim/second_loss_day.go
@@ -163,7 +163,7 @@
 
 // keepSeats has the voter set count the seats that the fleet keeps, as at a founding.
 func (c *Cluster) keepSeats() {
-	c.voterSet.Seats = uint16(len(c.voterSet.Voters))
+	c.voterSet.TargetSize = uint16(len(c.voterSet.Voters))
 	for _, node := range c.Nodes {
 		node.voterSet = c.voterSet
 	}
