--- a/quorum/admission.go
+++ b/quorum/admission.go
@@ -5,68 +5,70 @@
 	"slices"
 )
 
-// MaxVoters bounds a voter set that grows by itself.
+// MaxVoters is the size up to which voters are added automatically.
 const MaxVoters = 9
 
-// Silences, in microseconds, after which a voter's place may be taken, and from which on
-// nobody is added beside it: it may be about to be replaced. A newcomer waits AddAfterUS before
-// it is added, since it may have come in the place of one that has just gone (design §4.6).
+// A voter that has not been heard for FailedAfterUS may be replaced. From SuspectAfterUS on it
+// is suspect, and no other voter is added, because the suspect may be about to be replaced. A
+// joining node is added only after it has asked for AddAfterUS, since it may be the replacement
+// of a voter that has just stopped (design §4.6). All are in microseconds.
 const (
 	FailedAfterUS  = 1_500_000
 	SuspectAfterUS = 500_000
 	AddAfterUS     = 600_000
 )
 
-// contacts is which voters of a set are heard.
-type contacts struct {
-	heard   int    // voters that are not suspect
-	suspect bool   // whether any is
-	failed  string // the one silent longest of those that count as failed, "" for none
+// voterActivity summarizes which voters of a set were heard recently.
+type voterActivity struct {
+	active     int    // voters that are not suspect
+	anySuspect bool   // whether some voter is suspect
+	failed     string // the failed voter that was heard least recently, "" for none
 }
 
-func (set VoterSet) contacts(silence func(name string) int64) contacts {
-	var seen contacts
+func (set VoterSet) voterActivity(timeSinceHeard func(name string) int64) voterActivity {
+	var activity voterActivity
 	var longest int64
 	for _, voter := range set.Voters {
-		silent := silence(voter.Name)
-		if silent < SuspectAfterUS {
-			seen.heard++
+		idle := timeSinceHeard(voter.Name)
+		if idle < SuspectAfterUS {
+			activity.active++
 		} else {
-			seen.suspect = true
+			activity.anySuspect = true
 		}
-		if silent >= FailedAfterUS && silent > longest {
-			seen.failed, longest = voter.Name, silent
+		if idle >= FailedAfterUS && idle > longest {
+			activity.failed, longest = voter.Name, idle
 		}
 	}
-	return seen
+	return activity
 }
 
-// Admit is the step that lets newcomer in, if one may be taken now. askedFor is how long it
-// has been asking, silence how long a voter was not heard, both in microseconds. Voters go
-// only to make place:
-//   - one whose name or address the newcomer has, with another incarnation: that disk is lost;
-//   - else the one that is silent longest, once it counts as failed;
+// Admit returns the next voter set that lets joiner in, and whether a change can be made now.
+// requestAge is how long the joiner has been asking, timeSinceHeard how long ago a voter was
+// last heard, both in microseconds. A voter is removed only to make room for the joiner:
+//   - the voter with the joiner's name or address but another incarnation, whose disk is lost;
+//   - otherwise the failed voter that was heard least recently.
 //
-// else the newcomer is added, up to limit voters. An odd set loses the voter first and gains
-// the newcomer by the step after. Nothing is done when no majority is heard.
-func (set VoterSet) Admit(newcomer Voter, askedFor int64, silence func(name string) int64, limit int) (VoterSet, bool) {
-	seen := set.contacts(silence)
-	if seen.heard < set.Majority() {
+// If neither exists, the joiner is added, up to limit voters. In an odd set, a replacement
+// takes two steps: this one removes the old voter, and the next one adds the joiner. Nothing
+// changes unless a majority was heard recently.
+func (set VoterSet) Admit(joiner Voter, requestAge int64, timeSinceHeard func(name string) int64, limit int) (VoterSet, bool) {
+	activity := set.voterActivity(timeSinceHeard)
+	if activity.active < set.Majority() {
 		return set, false
 	}
-	if set.hasIncarnation(newcomer.Incarnation) {
-		return set, false // in already, or it makes itself out to be another
+	if set.hasIncarnation(joiner.Incarnation) {
+		return set, false // already a voter, or it claims the incarnation of another one
 	}
-	leaves := seen.failed
-	if former := set.formerSelf(newcomer); former != "" {
-		leaves = former
+	removed := activity.failed
+	if former := set.previousIncarnation(joiner); former != "" {
+		removed = former
 	}
-	if leaves == "" && (seen.suspect || askedFor < AddAfterUS || len(set.Voters) >= limit) {
+	if removed == "" && (activity.anySuspect || requestAge < AddAfterUS || len(set.Voters) >= limit) {
 		return set, false
 	}
-	for _, joins := range []*Voter{&newcomer, nil} {
-		if next, err := set.Next(leaves, joins); err == nil {
-			next.TargetSize = set.TargetSize // a replacement, whoever goes for it
+	for _, added := range []*Voter{&joiner, nil} {
+		if next, err := set.Next(removed, added); err == nil {
+			next.TargetSize = set.TargetSize // the joiner is a replacement, even if no voter is removed now
 			return next, true
 		}
 	}
@@ -77,41 +79,42 @@
 	return slices.ContainsFunc(set.Voters, func(voter Voter) bool { return voter.Incarnation == incarnation })
 }
 
-// formerSelf names the voter that has the newcomer's name or address, or "".
-func (set VoterSet) formerSelf(newcomer Voter) string {
+// previousIncarnation returns the name of the voter with the joiner's name or address, or "".
+func (set VoterSet) previousIncarnation(joiner Voter) string {
 	for _, voter := range set.Voters {
-		if voter.Name == newcomer.Name || voter.Addr == newcomer.Addr && voter.Addr != "" {
+		if voter.Name == joiner.Name || voter.Addr == joiner.Addr && voter.Addr != "" {
 			return voter.Name
 		}
 	}
 	return ""
 }
 
-// hasSurplus reports whether the set has more voters than seats, and an even number of them.
-// An even set tolerates no more failures than the odd set below it, so its surplus voter is
-// removed; in an odd set a failed surplus voter costs nothing.
-func (set VoterSet) hasSurplus() bool {
+// hasSurplusVoter reports whether the set is larger than its target size and even. An even set
+// tolerates no more failures than the odd set below it, so the surplus voter is removed; in an
+// odd set a failed surplus voter does no harm.
+func (set VoterSet) hasSurplusVoter() bool {
 	return set.TargetSize > 0 && len(set.Voters) > int(set.TargetSize) && len(set.Voters)%2 == 0
 }
 
-// RemoveSurplus is the step that takes the seat of a voter whose successor was let in before,
-// if there is one to take now: of one that is leaving, else of the one silent longest once it
-// counts as failed. Enough must be heard that the rest decides without it.
-func (set VoterSet) RemoveSurplus(leaving func(name string) bool, silence func(name string) int64) (VoterSet, bool) {
-	if !set.hasSurplus() {
+// RemoveSurplus returns the next voter set without a voter whose replacement has already been
+// added, and whether there is one to remove now: a voter that is leaving, otherwise the failed
+// voter that was heard least recently. A majority of the remaining set must have been heard
+// recently.
+func (set VoterSet) RemoveSurplus(leaving func(name string) bool, timeSinceHeard func(name string) int64) (VoterSet, bool) {
+	if !set.hasSurplusVoter() {
 		return set, false
 	}
-	seen := set.contacts(func(name string) int64 {
+	activity := set.voterActivity(func(name string) int64 {
 		if leaving(name) {
 			return math.MaxInt64
 		}
-		return silence(name)
+		return timeSinceHeard(name)
 	})
-	if seen.failed == "" {
+	if activity.failed == "" {
 		return set, false
 	}
-	next, err := set.Next(seen.failed, nil)
-	if err != nil || seen.heard < next.Majority() {
+	next, err := set.Next(activity.failed, nil)
+	if err != nil || activity.active < next.Majority() {
 		return set, false
 	}
 	next.TargetSize = set.TargetSize
--- a/quorum/admission_test.go
+++ b/quorum/admission_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// readSilences reads fields of the form name=milliseconds of silence, or name=leaving.
-func readSilences(t *testing.T, text string) (silence func(string) int64, leaving func(string) bool) {
+// parseActivity parses fields of the form name=milliseconds since heard, or name=leaving.
+func parseActivity(t *testing.T, text string) (timeSinceHeard func(string) int64, leaving func(string) bool) {
 	t.Helper()
-	silent, leaves := map[string]int64{}, map[string]bool{}
+	silent, leavers := map[string]int64{}, map[string]bool{}
 	for _, field := range strings.Fields(text) {
 		name, how, _ := strings.Cut(field, "=")
 		if how == "leaving" {
-			leaves[name] = true
+			leavers[name] = true
 			continue
 		}
 		milliseconds, err := strconv.ParseInt(how, 10, 64)
@@ -22,7 +22,7 @@
 		}
 		silent[name] = milliseconds * 1000
 	}
-	return func(name string) int64 { return silent[name] }, func(name string) bool { return leaves[name] }
+	return func(name string) int64 { return silent[name] }, func(name string) bool { return leavers[name] }
 }
 
 func namesOf(set VoterSet) string {
@@ -33,57 +33,57 @@
 	return names
 }
 
-// TestAdmit: a newcomer takes the place of a voter that is lost or failed, or a new one, and
-// only when that is safe.
+// TestAdmit: a joining node replaces a voter that failed or lost its disk, or is added, and
+// only if the change is safe.
 func TestAdmit(t *testing.T) {
-	newcomer := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
+	joiner := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
 	for _, test := range []struct {
 		name   string
 		voters int
 		voter  Voter
 		silent string // name=milliseconds
-		want   string // names after the step, "" for none
+		want   string // names after the change, "" for none
 		joins  bool
 	}{
-		{"a fourth is added to three", 3, newcomer, "", "abcz", true},
-		{"a fifth is added to four", 4, newcomer, "", "abcdz", true},
-		{"nine are enough", 9, newcomer, "", "", false},
-		{"a disk lost, even", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
-		{"a disk lost, odd: it goes first", 3, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "ac", false},
-		{"then it comes", 2, Voter{Name: "c", Addr: "at-c", Incarnation: 99}, "", "abc", true},
-		{"another name at a voter's address", 4, Voter{Name: "z", Addr: "at-b", Incarnation: 99}, "", "acdz", true},
-		{"another address under a voter's name", 4, Voter{Name: "b", Addr: "at-z", Incarnation: 99}, "", "acdb", true},
-		{"a lost disk goes before a silent voter", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "d=9000", "acdb", true},
-		{"a lost disk among nine", 9, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdefghi", false},
-		{"in already", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 2}, "", "", false},
-		{"another's incarnation", 4, Voter{Name: "z", Addr: "at-z", Incarnation: 2}, "d=9000", "", false},
-		{"a voter gone, even", 4, newcomer, "c=1500", "abdz", true},
-		{"a voter gone, odd", 3, newcomer, "c=1600", "ab", false},
-		{"the one longest gone", 6, newcomer, "c=1600 e=1700", "abcdfz", true},
-		{"a gone one among nine", 9, newcomer, "c=1600", "abdefghi", false},
-		{"none is added beside a suspect", 4, newcomer, "c=900", "", false},
-		{"a heartbeat late is no reason to suspect", 4, newcomer, "c=400", "abcdz", true},
-		{"just come, it may be in the place of one not yet missed", 4, newcomer, "", "", false},
-		{"just come, a voter gone", 4, newcomer, "c=1500", "abdz", true},
-		{"just come, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
-		{"no majority heard", 4, newcomer, "b=9000 c=9000", "", false},
-		{"no majority heard, a disk lost", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "b=9000 c=9000", "", false},
-		{"one of two gone: no majority is left", 2, newcomer, "b=9000", "", false},
+		{"fourth voter added to three", 3, joiner, "", "abcz", true},
+		{"fifth voter added to four", 4, joiner, "", "abcdz", true},
+		{"none added to nine", 9, joiner, "", "", false},
+		{"lost disk, even set", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
+		{"lost disk, odd set: removed first", 3, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "ac", false},
+		{"lost disk, odd set: added afterwards", 2, Voter{Name: "c", Addr: "at-c", Incarnation: 99}, "", "abc", true},
+		{"voter's address with another name", 4, Voter{Name: "z", Addr: "at-b", Incarnation: 99}, "", "acdz", true},
+		{"voter's name with another address", 4, Voter{Name: "b", Addr: "at-z", Incarnation: 99}, "", "acdb", true},
+		{"lost disk removed before a failed voter", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "d=9000", "acdb", true},
+		{"lost disk in a set of nine", 9, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdefghi", false},
+		{"already a voter", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 2}, "", "", false},
+		{"incarnation of another voter", 4, Voter{Name: "z", Addr: "at-z", Incarnation: 2}, "d=9000", "", false},
+		{"failed voter, even set", 4, joiner, "c=1500", "abdz", true},
+		{"failed voter, odd set", 3, joiner, "c=1600", "ab", false},
+		{"two failed voters: the longer one removed", 6, joiner, "c=1600 e=1700", "abcdfz", true},
+		{"failed voter in a set of nine", 9, joiner, "c=1600", "abdefghi", false},
+		{"none added while a voter is suspect", 4, joiner, "c=900", "", false},
+		{"a late heartbeat does not make a voter suspect", 4, joiner, "c=400", "abcdz", true},
+		{"recent request: may replace a voter that has just stopped", 4, joiner, "", "", false},
+		{"recent request, failed voter", 4, joiner, "c=1500", "abdz", true},
+		{"recent request, lost disk", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "", "acdb", true},
+		{"majority not heard", 4, joiner, "b=9000 c=9000", "", false},
+		{"majority not heard, lost disk", 4, Voter{Name: "b", Addr: "at-b", Incarnation: 99}, "b=9000 c=9000", "", false},
+		{"one of two failed: no majority left", 2, joiner, "b=9000", "", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			silence, _ := readSilences(t, test.silent)
-			set := newAddressedSet(test.voters)
+			timeSinceHeard, _ := parseActivity(t, test.silent)
+			set := newVoterSetWithAddrs(test.voters)
 			asked := int64(AddAfterUS)
-			if strings.HasPrefix(test.name, "just come") {
+			if strings.HasPrefix(test.name, "recent request") {
 				asked--
 			}
-			next, ok := set.Admit(test.voter, asked, silence, MaxVoters)
+			next, ok := set.Admit(test.voter, asked, timeSinceHeard, MaxVoters)
 			got, joined := "", ok && next.hasIncarnation(test.voter.Incarnation)
 			if ok {
 				got = namesOf(next)
 			}
 			if got != test.want || ok && joined != test.joins {
-				t.Errorf("got %q, newcomer in: %v", got, joined)
+				t.Errorf("got %q, joiner added: %v", got, joined)
 			}
 			if ok && (haveDisjointMajorities(set, next) || checkStep(set, next) != nil) {
 				t.Error("two majorities without a common voter")
@@ -92,35 +92,35 @@
 	}
 }
 
-// TestRemoveSurplus: the seat of a voter whose successor came first is dropped when that gives the
-// rest a smaller majority, and only when enough of the rest is heard.
+// TestRemoveSurplus: a voter whose replacement was added is removed if that makes the majority
+// smaller, and only if enough of the remaining voters were heard recently.
 func TestRemoveSurplus(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		voters int
-		seats  uint16
-		gone   string // name=milliseconds of silence, name=leaving
-		want   string // names after the step, "" for none
+		name       string
+		voters     int
+		targetSize uint16
+		gone       string // name=milliseconds since heard, name=leaving
+		want       string // names after the change, "" for none
 	}{
-		{"one leaves, its successor is in", 6, 5, "b=leaving", "acdef"},
-		{"one is gone, its successor is in", 6, 5, "b=1500", "acdef"},
-		{"one leaves before one that is gone", 6, 5, "b=leaving e=9000", "acdef"},
-		{"the one gone longest", 6, 5, "b=1600 e=1700", "abcdf"},
-		{"silent for a moment", 6, 5, "b=1499", ""},
-		{"nobody goes", 6, 5, "", ""},
-		{"no successor is in", 6, 6, "b=leaving", ""},
-		{"a seat short", 4, 5, "b=leaving", ""},
-		{"an odd set has the same majority with one fewer", 5, 4, "b=leaving", ""},
-		{"a set that knows no count", 6, 0, "b=leaving", ""},
-		{"too few are heard", 6, 5, "b=leaving c=600 d=600 e=600", ""},
-		{"just enough are heard", 6, 5, "b=leaving c=600 d=600", "acdef"},
-		{"the smallest", 4, 3, "d=2000", "abc"},
+		{"voter leaving, replacement added", 6, 5, "b=leaving", "acdef"},
+		{"voter failed, replacement added", 6, 5, "b=1500", "acdef"},
+		{"leaving voter removed before a failed one", 6, 5, "b=leaving e=9000", "acdef"},
+		{"two failed voters: the longer one removed", 6, 5, "b=1600 e=1700", "abcdf"},
+		{"not silent long enough", 6, 5, "b=1499", ""},
+		{"no voter leaving or failed", 6, 5, "", ""},
+		{"no replacement added", 6, 6, "b=leaving", ""},
+		{"below the target size", 4, 5, "b=leaving", ""},
+		{"odd set: one voter fewer has the same majority", 5, 4, "b=leaving", ""},
+		{"no target size", 6, 0, "b=leaving", ""},
+		{"too few voters heard", 6, 5, "b=leaving c=600 d=600 e=600", ""},
+		{"just enough voters heard", 6, 5, "b=leaving c=600 d=600", "acdef"},
+		{"smallest set", 4, 3, "d=2000", "abc"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			silence, leaving := readSilences(t, test.gone)
-			set := newAddressedSet(test.voters)
-			set.TargetSize = test.seats
-			next, ok := set.RemoveSurplus(leaving, silence)
+			timeSinceHeard, leaving := parseActivity(t, test.gone)
+			set := newVoterSetWithAddrs(test.voters)
+			set.TargetSize = test.targetSize
+			next, ok := set.RemoveSurplus(leaving, timeSinceHeard)
 			got := ""
 			if ok {
 				got = namesOf(next)
@@ -128,8 +128,8 @@
 			if got != test.want {
 				t.Errorf("got %q", got)
 			}
-			if ok && (haveDisjointMajorities(set, next) || next.TargetSize != test.seats || next.Majority() >= set.Majority()) {
-				t.Errorf("%d seats, majority %d after %d", next.TargetSize, next.Majority(), set.Majority())
+			if ok && (haveDisjointMajorities(set, next) || next.TargetSize != test.targetSize || next.Majority() >= set.Majority()) {
+				t.Errorf("target size %d, majority %d after %d", next.TargetSize, next.Majority(), set.Majority())
 			}
 		})
 	}
--- a/quorum/change.go
+++ b/quorum/change.go
@@ -2,40 +2,40 @@
 
 import "fmt"
 
-// maxJoinRequests bounds the memory for newcomers that ask to be let in.
+// maxJoinRequests bounds the memory used for nodes that ask to join.
 const maxJoinRequests = 64
 
-// AdmitVoter takes the step that lets a newcomer in, if this node leads the voter set's slot
-// and may take one now; else the newcomer asks again. It replaces another, which may have
-// gone already or is about to.
-func (n *Node) AdmitVoter(now int64, newcomer Voter) Ready { return n.admit(now, newcomer, false) }
+// AdmitVoter proposes a voter set that lets joiner in, if this node leads the voter set's slot
+// and a change can be made now; otherwise the joiner asks again. The joiner replaces another
+// voter, which has stopped already or is about to.
+func (n *Node) AdmitVoter(now int64, joiner Voter) Ready { return n.admit(now, joiner, false) }
 
-// AdmitInitialVoter lets a newcomer in as AdmitVoter does, into a seat of its own: it belongs
-// to a fleet that starts for the first time and has not all its voters yet.
-func (n *Node) AdmitInitialVoter(now int64, newcomer Voter) Ready {
-	return n.admit(now, newcomer, true)
+// AdmitInitialVoter lets a node in as AdmitVoter does, and raises the target size if needed:
+// the node belongs to a new fleet that does not have all its voters yet.
+func (n *Node) AdmitInitialVoter(now int64, joiner Voter) Ready {
+	return n.admit(now, joiner, true)
 }
 
-func (n *Node) admit(now int64, newcomer Voter, initial bool) Ready {
+func (n *Node) admit(now int64, joiner Voter, initial bool) Ready {
 	var ready Ready
-	asked := n.askingFor(now, newcomer.Incarnation)
+	requestAge := n.joinRequestAge(now, joiner.Incarnation)
 	if !n.mayChangeVoterSet(now) {
 		return ready
 	}
-	next, ok := n.voterSet.Admit(newcomer, asked, n.silenceAt(now), MaxVoters)
+	next, ok := n.voterSet.Admit(joiner, requestAge, n.timeSinceHeardAt(now), MaxVoters)
 	if !ok {
 		return ready
 	}
 	if initial && next.TargetSize > 0 {
 		next.TargetSize = max(next.TargetSize, uint16(len(next.Voters)))
 	}
-	event := Event{Type: EventVoterAdmitted, Peer: newcomer.Name, Incarnation: newcomer.Incarnation}
+	event := Event{Type: EventVoterAdmitted, Peer: joiner.Name, Incarnation: joiner.Incarnation}
 	n.proposeVoterSet(now, next, event, &ready)
 	return ready
 }
 
-// askingFor is for how long a newcomer has been asking to be let in.
-func (n *Node) askingFor(now int64, incarnation uint64) int64 {
+// joinRequestAge returns how long a node has been asking to join, and records the request.
+func (n *Node) joinRequestAge(now int64, incarnation uint64) int64 {
 	request, ok := n.joinRequests[incarnation]
 	if !ok || now-request.last > FailedAfterUS {
 		request.first = now
@@ -48,19 +48,21 @@
 	return now - request.first
 }
 
-// silenceAt is Silence at one instant, as the rules of a voter set want it.
-func (n *Node) silenceAt(now int64) func(name string) int64 {
+// timeSinceHeardAt returns TimeSinceHeard at a fixed time, in the form that Admit and
+// RemoveSurplus take.
+func (n *Node) timeSinceHeardAt(now int64) func(name string) int64 {
 	return func(name string) int64 { return n.TimeSinceHeard(now, name) }
 }
 
-// RemovalPending reports whether this node leaves and its seat is about to be removed. It
-// votes until then, and may go without waiting: the rest takes the step all the same.
+// RemovalPending reports whether this node is leaving and is about to be removed from the voter
+// set as surplus. It still votes until then, and may stop without waiting: the other voters can
+// complete the change without it.
 func (n *Node) RemovalPending() bool {
-	return n.leaving && n.isVoter() && n.voterSet.hasSurplus()
+	return n.leaving && n.isVoter() && n.voterSet.hasSurplusVoter()
 }
 
-// tickVoterSet is the part of the leader of the voter set's slot: it puts a committed set in
-// force, and takes the step that removes a surplus voter.
+// tickVoterSet runs at the leader of the voter set's slot: it installs a committed voter set,
+// and proposes the removal of a surplus voter.
 func (n *Node) tickVoterSet(now int64, replica *slotReplica, ready *Ready) {
 	if replica != n.slotOf(VoterSetKey) {
 		return
@@ -73,29 +75,29 @@
 	n.removeSurplus(now, ready)
 }
 
-// removeSurplus takes the step that drops a voter whose successor was let in before it went.
+// removeSurplus proposes the removal of a voter whose replacement was added before it stopped.
 func (n *Node) removeSurplus(now int64, ready *Ready) {
-	if !n.voterSet.hasSurplus() || !n.mayChangeVoterSet(now) {
+	if !n.voterSet.hasSurplusVoter() || !n.mayChangeVoterSet(now) {
 		return
 	}
 	leaving := func(name string) bool {
-		at, said := n.leavingSince[name]
-		return said && now-at < n.config.LeaseDurationUS
+		at, announced := n.leavingSince[name]
+		return announced && now-at < n.config.LeaseDurationUS
 	}
-	if next, ok := n.voterSet.RemoveSurplus(leaving, n.silenceAt(now)); ok {
+	if next, ok := n.voterSet.RemoveSurplus(leaving, n.timeSinceHeardAt(now)); ok {
 		n.proposeVoterSet(now, next, Event{Type: EventSurplusRemoved}, ready)
 	}
 }
 
-// mayChangeVoterSet reports whether this node leads the voter set's slot and no step is
-// pending.
+// mayChangeVoterSet reports whether this node leads the voter set's slot, is not leaving, and
+// no change is pending.
 func (n *Node) mayChangeVoterSet(now int64) bool {
 	replica := n.slotOf(VoterSetKey)
 	_, pending := replica.pendingByKey[VoterSetKey]
 	return !pending && replica.serves(now) && !n.leaving
 }
 
-// proposeVoterSet starts a step, unless some slot was not recovered since the one before.
+// proposeVoterSet proposes a voter set, unless checkVoterSetChange refuses it.
 func (n *Node) proposeVoterSet(now int64, next VoterSet, event Event, ready *Ready) {
 	replica := n.slotOf(VoterSetKey)
 	current, _ := replica.committedEntry(VoterSetKey)
@@ -107,9 +109,9 @@
 	n.apply(now, replica, Operation{Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: current.Revision}, ready)
 }
 
-// checkVoterSetChange says whether a change of the voter set's register, which holds current,
-// may be proposed. A step that is committed and not in force here yet must come into force
-// first: two sets of one revision would be two fleets.
+// checkVoterSetChange returns an error unless the change of the voter set's register, which now
+// holds current, may be proposed. A committed voter set must be in force at this node before
+// the next change: otherwise two different sets with the same revision could split the fleet.
 func (n *Node) checkVoterSetChange(current Entry, encoded []byte) error {
 	next, err := ParseVoterSet(encoded)
 	if err != nil {
@@ -117,14 +119,14 @@
 	}
 	if len(current.Value) > 0 {
 		if committed, err := ParseVoterSet(current.Value); err != nil || committed.Revision > n.voterSet.Revision {
-			return fmt.Errorf("%w: it is committed and about to come into force; read the voter set again", ErrStepPending)
+			return fmt.Errorf("%w: it is committed but not yet in force; read the voter set again", ErrStepPending)
 		}
 	}
 	if err := checkStep(n.voterSet, next); err != nil {
 		return err
 	}
 	if !n.AllSlotsRecovered() {
-		return fmt.Errorf("%w under the present voter set yet; try again in a second", ErrNotRecovered)
+		return fmt.Errorf("%w under the current voter set yet; try again in a second", ErrNotRecovered)
 	}
 	return nil
 }
--- a/quorum/claims.go
+++ b/quorum/claims.go
@@ -6,34 +6,33 @@
 	"strings"
 )
 
-// Claims belong to generations (design §4.8). The register of GenerationKey counts the
-// generations opened: its revision is the newest. Each slot has a floor of its own, a register
-// committed like any other, below which its claims are closed: refused for good, and
-// forgotten.
+// Claims belong to generations (design §4.8). The revision of the GenerationKey register is the
+// newest generation. Each slot has a claim floor, a register that is committed like any other:
+// claims of generations below it are closed, that is refused for good and deleted.
 
-// GenerationKey is the register whose revision is the newest generation that is open. It is
+// GenerationKey is the register whose revision is the newest open generation. The key is
 // stored.
 const GenerationKey = "era"
 
-// Prefixes of keys, as they are stored.
+// Key prefixes. They are stored.
 const (
 	claimPrefix = "claim/"
 	floorPrefix = "floor/"
 )
 
-// ClaimKey names a claim of a generation.
+// ClaimKey returns the key of a claim in a generation.
 func ClaimKey(generation uint64, name string) string {
 	return claimPrefix + strconv.FormatUint(generation, 10) + "/" + name
 }
 
 func isClaim(key string) bool { return strings.HasPrefix(key, claimPrefix) }
 
-// isInternalKey reports whether only the node itself changes a key.
+// isInternalKey reports whether a key may be changed only by the node itself.
 func isInternalKey(key string) bool {
 	return key == GenerationKey || strings.HasPrefix(key, floorPrefix)
 }
 
-// claimGeneration is the generation that a claim's key names, 0 for none.
+// claimGeneration returns the generation in a claim's key, 0 if there is none.
 func claimGeneration(key string) uint64 {
 	number, _, ok := strings.Cut(strings.TrimPrefix(key, claimPrefix), "/")
 	generation, err := strconv.ParseUint(number, 10, 64)
@@ -45,21 +44,21 @@
 
 func floorKey(slot uint16) string { return floorPrefix + strconv.Itoa(int(slot)) }
 
-// floorValue reads a floor out of its register, 0 if there is none.
+// floorValue decodes the register of a claim floor, 0 if there is none.
 func floorValue(entry Entry) uint64 {
 	generation, _ := strconv.ParseUint(string(entry.Value), 10, 64)
 	return generation
 }
 
-// ObserveGeneration takes in the newest generation that is known to be open. Voters tell each
-// other with every message, since a node may be cut off from the one that opens them alone.
+// ObserveGeneration takes note of an open generation. Every message between voters carries the
+// newest one, because a node may be partitioned from the single node that opens them.
 func (n *Node) ObserveGeneration(generation uint64) { n.generation = max(n.generation, generation) }
 
-// Generation is the newest generation of claims heard of.
+// Generation returns the newest claim generation that this node knows of.
 func (n *Node) Generation() uint64 { return n.generation }
 
-// applyClaim grants a claim once. The very same claim, asked for again by its maker, is
-// granted again.
+// applyClaim grants a claim once. A repeated request with the same value, that is by the owner,
+// succeeds again.
 func (n *Node) applyClaim(c *call) {
 	operation := c.operation
 	generation := claimGeneration(operation.Key)
@@ -80,7 +79,7 @@
 	}
 }
 
-// applyUnclaim gives a claim back for its maker.
+// applyUnclaim releases a claim at the request of its owner.
 func (n *Node) applyUnclaim(c *call) {
 	operation := c.operation
 	own := len(operation.Value) > 0 && bytes.Equal(c.current.Value, operation.Value)
@@ -91,8 +90,8 @@
 	n.change(c, c.next(nil))
 }
 
-// claimFloor is the oldest generation whose claims the slot still takes: by what is committed,
-// pending, or due by the newest generation.
+// claimFloor returns the oldest generation whose claims the slot still accepts, according to
+// the committed or pending floor and the newest generation.
 func (n *Node) claimFloor(replica *slotReplica) uint64 {
 	floor := floorValue(replica.entries[floorKey(replica.id)])
 	if open := uint64(n.config.OpenGenerations); open > 0 && n.generation > open {
@@ -101,35 +100,37 @@
 	return floor
 }
 
-// tickGenerations is the leader's part: it opens generations, and raises its slot's floor.
+// tickGenerations runs at the leader: it opens generations and raises the claim floor of its
+// slot.
 func (n *Node) tickGenerations(now int64, replica *slotReplica, ready *Ready) {
 	if n.config.GenerationDurationUS <= 0 {
 		return
 	}
 	if replica.id == SlotOf(GenerationKey, n.config.Slots) {
-		n.tickNewest(now, replica, ready)
+		n.tickGenerationCounter(now, replica, ready)
 	}
 	n.raiseFloor(now, replica, ready)
 }
 
-// tickNewest opens the next generation once the newest has lasted long enough.
-func (n *Node) tickNewest(now int64, replica *slotReplica, ready *Ready) {
+// tickGenerationCounter opens the next generation once the newest has lasted long enough.
+func (n *Node) tickGenerationCounter(now int64, replica *slotReplica, ready *Ready) {
 	newest, _ := replica.committedEntry(GenerationKey)
 	n.ObserveGeneration(newest.Revision)
 	if _, pending := replica.pendingByKey[GenerationKey]; pending {
 		return
 	}
 	age := now - replica.generationSince
-	if newest.Revision == 0 || age > n.config.GenerationDurationUS || n.claimsCrowded(age) {
+	if newest.Revision == 0 || age > n.config.GenerationDurationUS || n.claimsNearLimit(age) {
 		replica.generationSince = now
 		n.replicate(now, replica, Entry{Key: GenerationKey, Revision: newest.Revision + 1, Value: []byte{1}}, Operation{}, ready)
 	}
 }
 
-// claimsCrowded reports whether claims fill seven eighths of their room. A generation is short
-// then, but lasts an eighth of its time: refusing all claims would be worse. Its length is
-// nobody's safety.
-func (n *Node) claimsCrowded(age int64) bool {
+// claimsNearLimit reports whether the state fills seven eighths of the claim limit and the
+// newest generation has lasted an eighth of its duration. The next generation is then opened
+// early: short generations are better than refusing all claims, and no safety property depends
+// on their length.
+func (n *Node) claimsNearLimit(age int64) bool {
 	return n.stateBytes > n.maxClaimBytes()/8*7 && age > n.config.GenerationDurationUS/8
 }
 
@@ -145,22 +146,23 @@
 	}
 }
 
-// forgetClosedClaims drops the claims below a floor that is beyond doubt. Every voter does so
-// by itself and without a record: nobody may ever grant them again, whoever still has them.
-func (n *Node) forgetClosedClaims(replica *slotReplica) {
+// dropClosedClaims deletes the claims below a committed floor. Every voter does this on its own
+// and without a record: these claims can never be granted again, whichever voters still have
+// them.
+func (n *Node) dropClosedClaims(replica *slotReplica) {
 	entry, ok := replica.entries[floorKey(replica.id)]
-	if !ok || replica.certain().Before(entry.Position) || floorValue(entry) <= replica.closedBelow {
+	if !ok || replica.knownCommitted().Before(entry.Position) || floorValue(entry) <= replica.claimsClosedBelow {
 		return
 	}
-	replica.closedBelow = floorValue(entry)
+	replica.claimsClosedBelow = floorValue(entry)
 	for key := range replica.entries {
-		if isClaim(key) && claimGeneration(key) < replica.closedBelow {
+		if isClaim(key) && claimGeneration(key) < replica.claimsClosedBelow {
 			n.remove(replica, key)
 		}
 	}
 	replica.byPosition = replica.changedAfter(Position{})
 }
 
-// maxClaimBytes is the live state beyond which claims are refused: configurations, role leases
-// and the voter set keep their room.
+// maxClaimBytes is the size of the live state from which on claims are refused; the rest is
+// reserved for configurations, role leases and the voter set.
 func (n *Node) maxClaimBytes() int { return n.config.MaxStateBytes / 4 * 3 }
--- a/quorum/claims_test.go
+++ b/quorum/claims_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestClaimsOfAGeneration: a claim stands while its generation is open; then it is granted
-// to nobody any more, however late it is asked for, and takes no room.
-func TestClaimsOfAGeneration(t *testing.T) {
+// TestClaimGenerations: a claim is kept while its generation is open. Afterwards it is never
+// granted again, however late the request, and takes no space.
+func TestClaimGenerations(t *testing.T) {
 	s := newSingleNode(t, 10_000_000)
 	empty := s.node.StateBytes()
 	claim := func(kind OperationType, generation uint64, value string) Operation {
@@ -20,34 +20,34 @@
 		value      string
 		want       Status
 	}{
-		{"a free claim", OpClaim, 1, "x", StatusDone},
-		{"the very same claim again", OpClaim, 1, "x", StatusDone},
-		{"another's claim", OpClaim, 1, "y", StatusConflict},
-		{"another's claim given back", OpUnclaim, 1, "y", StatusConflict},
-		{"a claim given back", OpUnclaim, 1, "x", StatusDone},
-		{"a claim that was given back", OpClaim, 1, "y", StatusDone},
-		{"no generation", OpClaim, 0, "y", StatusConflict},
-		{"a generation that is not open yet", OpClaim, 9, "y", StatusGenerationNotOpen},
+		{"free claim", OpClaim, 1, "x", StatusDone},
+		{"same claim repeated", OpClaim, 1, "x", StatusDone},
+		{"claim of another owner", OpClaim, 1, "y", StatusConflict},
+		{"claim of another owner released", OpUnclaim, 1, "y", StatusConflict},
+		{"claim released", OpUnclaim, 1, "x", StatusDone},
+		{"released claim", OpClaim, 1, "y", StatusDone},
+		{"no generation in the key", OpClaim, 0, "y", StatusConflict},
+		{"generation not open yet", OpClaim, 9, "y", StatusGenerationNotOpen},
 	} {
 		s.expect(test.name, claim(test.kind, test.generation, test.value), test.want)
 	}
 	s.runUntil(25_000_000)
-	s.expect("while its generation is open", claim(OpClaim, 1, "z"), StatusConflict)
+	s.expect("claim while its generation is open", claim(OpClaim, 1, "z"), StatusConflict)
 	s.runUntil(40_000_000)
-	s.expect("in a closed generation", claim(OpClaim, 1, "z"), StatusGenerationClosed)
+	s.expect("claim in a closed generation", claim(OpClaim, 1, "z"), StatusGenerationClosed)
 	if result := s.propose(claim(OpUnclaim, 1, "y")); result.Status == StatusDone {
-		t.Fatal("given back in a closed generation")
+		t.Fatal("a claim of a closed generation was released")
 	}
-	// What is left are the floors of the slots.
+	// Only the claim floors of the slots are left.
 	if left := s.node.StateBytes() - empty; left > 16*300 {
-		t.Fatalf("%d bytes are left", left)
+		t.Fatalf("%d bytes left over", left)
 	}
-	s.expect("anybody opens generations", Operation{Type: OpPut, Key: GenerationKey, Value: []byte("x"), ExpectedRevision: AnyRevision}, StatusConflict)
+	s.expect("client opens a generation", Operation{Type: OpPut, Key: GenerationKey, Value: []byte("x"), ExpectedRevision: AnyRevision}, StatusConflict)
 }
 
-// TestClaimsLeaveRoom: claims that fill their part of the room leave configurations and role
-// leases theirs, and a role lease that finds none is not blocked afterwards.
-func TestClaimsLeaveRoom(t *testing.T) {
+// TestClaimsReserveSpace: claims up to their limit leave space for configurations and role
+// leases, and a role lease that was refused for lack of space can be acquired later.
+func TestClaimsReserveSpace(t *testing.T) {
 	s := newSingleNode(t, 0)
 	s.node.config.MaxStateBytes = s.node.StateBytes() + 6000
 	full := false
@@ -55,14 +55,14 @@
 		full = s.propose(Operation{Type: OpClaim, Key: ClaimKey(1, fmt.Sprint("g/", i)), Value: []byte("x")}).Status == StatusFull
 	}
 	if !full {
-		t.Fatal("claims took all the room")
+		t.Fatal("no claim was refused for lack of space")
 	}
-	s.acquire("there is room for a role lease", "p", StatusDone)
+	s.acquire("role lease, space reserved", "p", StatusDone)
 	s.node.config.MaxStateBytes = s.node.StateBytes()
 	s.now += 2_000_000
-	// The node's own lease would have expired by now, since nobody ticked it.
+	// Without ticks, the node's own lease would have expired by now.
 	s.node.slotOf(testRole).leaseUntil = s.now + 500_000
-	s.acquire("there is no room", "q", StatusFull)
+	s.acquire("role lease, no space", "q", StatusFull)
 	s.node.config.MaxStateBytes += 1000
-	s.acquire("after one that found no room", "r", StatusDone)
+	s.acquire("role lease after one refused for lack of space", "r", StatusDone)
 }
--- a/quorum/config.go
+++ b/quorum/config.go
@@ -1,37 +1,38 @@
 package quorum
 
-// Config sets a node's identity, sizes and times. Durations are in microseconds. All voters
-// of a fleet must agree on Slots and LeaseDurationUS, and should agree on all else but the name
-// and the incarnation.
+// Config sets a node's identity, sizes and durations (in microseconds). Slots and
+// LeaseDurationUS must be the same at all voters of a fleet; everything else except Name and
+// Incarnation should be.
 type Config struct {
-	// Name is this voter's name in the voter set.
+	// Name identifies this voter in the voter set.
 	Name string
 	// Incarnation is the number drawn when this node's disk was first used.
 	Incarnation uint64
-	// Slots is how many logs the keys are spread over; 16 by default, never changed later.
+	// Slots is the number of logs that the keys are spread over; 16 by default. It can't be
+	// changed later.
 	Slots int
-	// HeartbeatIntervalUS is the time between a leader's heartbeats; 0.1 s by default. Longer
-	// ones save messages and make failures be noticed later.
+	// HeartbeatIntervalUS is the time between a leader's heartbeats; 0.1 s by default. A longer
+	// interval sends fewer messages and detects failures later.
 	HeartbeatIntervalUS int64
 	// LeaseDurationUS is how long a leader's lease lasts; 1 s by default. It bounds how long a
-	// slot stays without a leader after a failure.
+	// slot is without a leader after a failure.
 	LeaseDurationUS int64
-	// LeaseMarginUS is how long before its lease ends a leader stops; 0.15 s by default. It
-	// covers the drift between clocks.
+	// LeaseMarginUS is how long before the lease ends its leader stops using it; 0.15 s by
+	// default. It allows for clock drift between nodes.
 	LeaseMarginUS int64
-	// ChunkBytes bounds the entries of one chunk of a snapshot; 256 KiB by default.
+	// ChunkBytes limits the entries in one snapshot chunk; 256 KiB by default.
 	ChunkBytes int
-	// MaxStateBytes is the live state beyond which changes are refused with StatusFull;
-	// 96 MiB by default. Claims are refused from three quarters of it.
+	// MaxStateBytes limits the live state; changes beyond it are refused with StatusFull. 96
+	// MiB by default. Claims are refused from three quarters of it.
 	MaxStateBytes int
-	// GenerationDurationUS is how long a generation of claims is the newest; 120 s by default.
-	// With 0 there are no generations, and claims stay for ever.
+	// GenerationDurationUS is how long a claim generation is the newest before the next one
+	// opens; 120 s by default. With 0 there are no generations, and claims never expire.
 	GenerationDurationUS int64
-	// OpenGenerations is how many generations take claims at a time; 5 by default.
+	// OpenGenerations is how many generations accept claims at a time; 5 by default.
 	OpenGenerations int
 }
 
-// DefaultConfig returns the values that the daemons start from.
+// DefaultConfig returns the default settings of the daemons.
 func DefaultConfig(name string, incarnation uint64) Config {
 	return Config{
 		Name:                 name,
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -3,17 +3,18 @@
 import "sort"
 
 const (
-	// termCounterShift makes room for the candidate's number in a term, so that no two
-	// candidates choose the same one.
+	// termCounterShift leaves the lowest 16 bits of a term for the candidate's number, so that
+	// no two candidates choose the same term.
 	termCounterShift = 16
-	// higherTermPatience is how many heartbeats a leader waits for a voter that promised a
-	// higher term to follow all the same, before it campaigns anew above that term.
-	higherTermPatience = 3
+	// higherTermWaitHeartbeats is how many heartbeats a leader waits for a voter that promised
+	// a higher term to follow it after all. Then it campaigns again, above that term.
+	higherTermWaitHeartbeats = 3
 )
 
-// hearsMajority reports whether a majority was heard lately. Without one a slot can't be won,
-// and the promise that a campaign takes would only keep this node from following its leader.
-func (n *Node) hearsMajority(now int64) bool {
+// majorityActive reports whether a majority was heard recently. Without one an election can't
+// be won, and the term that the candidate promises to itself would only keep this node from
+// following its leader.
+func (n *Node) majorityActive(now int64) bool {
 	count := 0
 	for _, voter := range n.voterSet.Voters {
 		at, heard := n.lastHeard[voter.Name]
@@ -24,11 +25,11 @@
 	return count >= n.voterSet.Majority()
 }
 
-// campaignRank is this node's place among those that may campaign for a slot, so that
-// candidates do not split the votes; it stands for the random timeouts of Raft. It goes by
-// round robin, so that every voter starts with its fair part of the slots; who is silent is
-// passed over, and who does not follow the slot's log comes last, since it would have to be
-// sent all of it.
+// campaignRank is this node's place in the order in which voters campaign for a slot; it takes
+// the place of Raft's random timeouts in avoiding split votes. The order is round robin by
+// slot, so that leaders start evenly spread over the voters. Voters that are not heard are
+// skipped. A voter that does not have the slot's log comes last, since all of it would have to
+// be sent to it.
 func (n *Node) campaignRank(now int64, replica *slotReplica) int64 {
 	names := make([]string, 0, len(n.voterSet.Voters))
 	for _, voter := range n.voterSet.Voters {
@@ -52,13 +53,13 @@
 }
 
 func (n *Node) tickFollower(now int64, replica *slotReplica, ready *Ready) {
-	if n.leaving || now < replica.nextCampaignAt || !n.hearsMajority(now) {
+	if n.leaving || now < replica.nextCampaignAt || !n.majorityActive(now) {
 		return
 	}
-	free := max(replica.noVoteUntil, replica.noCampaignUntil, n.noCampaignBefore)
-	turn := free + n.campaignRank(now, replica)*2*n.config.HeartbeatIntervalUS
-	if replica.campaignAtOnce || now >= turn {
-		replica.campaignAtOnce = false
+	earliest := max(replica.noVoteUntil, replica.noCampaignUntil, n.noCampaignBefore)
+	campaignAt := earliest + n.campaignRank(now, replica)*2*n.config.HeartbeatIntervalUS
+	if replica.campaignImmediately || now >= campaignAt {
+		replica.campaignImmediately = false
 		n.campaign(now, replica, ready)
 	}
 }
@@ -69,13 +70,13 @@
 	}
 }
 
-// endCampaign gives a campaign up, and lets those before this node in rank go first.
+// endCampaign ends a campaign without success, and lets voters of a lower rank campaign first.
 func (n *Node) endCampaign(now int64, replica *slotReplica, ready *Ready) {
 	n.becomeFollower(now, replica, ready)
 	replica.nextCampaignAt = now + n.config.HeartbeatIntervalUS*(1+n.campaignRank(now, replica))
 }
 
-// campaign asks for votes for a term above all that this voter promised.
+// campaign requests votes for a term above every term that this voter promised.
 func (n *Node) campaign(now int64, replica *slotReplica, ready *Ready) {
 	term := (replica.promised>>termCounterShift+1)<<termCounterShift | uint64(n.self.Number)
 	replica.state, replica.term, replica.campaignStartedAt = stateCandidate, term, now
@@ -88,9 +89,9 @@
 			n.countVotes(now, replica, ready)
 		}
 	})
-	// It goes out once the promise is on disk: else, after a loss of power, an answer to this
-	// incarnation's request could be taken for one to the next, of the same term.
-	request := Message{Type: MsgVoteRequest, Slot: replica.id, Term: term, Last: replica.certain(), Keys: replica.uncertainKeys()}
+	// The request is sent once the promise is on disk. Otherwise, after a power loss, the next
+	// campaign could use the same term and take an answer to this request for one to its own.
+	request := Message{Type: MsgVoteRequest, Slot: replica.id, Term: term, Last: replica.knownCommitted(), Keys: replica.uncommittedKeys()}
 	n.afterSync(now, ready, func(_ int64, ready *Ready) {
 		if campaigning() {
 			n.broadcast(ready, request)
@@ -98,17 +99,17 @@
 	})
 }
 
-// promise records that this voter follows and votes for no term below from now on.
+// promise records that this voter neither follows nor votes for any term below this one.
 func (n *Node) promise(replica *slotReplica, term uint64, ready *Ready) {
 	replica.promised = term
 	n.appendRecord(ready, Record{Type: RecordPromise, Slot: replica.id, Term: term})
 }
 
-// handleVoteRequest grants a vote unless a live leader may hold a lease that this voter
-// answered for, also before it restarted.
+// handleVoteRequest grants a vote unless this voter promised as high a term, or a live leader
+// may hold a lease that this voter acknowledged, possibly before a restart.
 func (n *Node) handleVoteRequest(now int64, replica *slotReplica, message Message, ready *Ready) {
 	holdOff := max(replica.noVoteUntil, n.noVoteBefore) - now
-	// The live leader itself may win its slot anew: its lease guards nobody else.
+	// The leader itself may be re-elected during its lease, which protects only against others.
 	if message.Term <= replica.promised || holdOff > 0 && message.From != replica.leader {
 		n.send(ready, message.From, Message{Type: MsgVoteRejected, Slot: message.Slot, Term: message.Term,
 			Promised: replica.promised, Time: max(0, holdOff)})
@@ -128,9 +129,9 @@
 	}
 }
 
-// handleVoteRejected gives the campaign up once no majority can grant any more, or a voter
-// promised more than this node knew of. What the voter holds off is its own matter: this node
-// only waits.
+// handleVoteRejected ends the campaign if a majority can no longer be won, or if a voter
+// promised a higher term. The time for which the other voter grants no votes only delays this
+// node's next campaign; it does not restrict this node's own votes.
 func (n *Node) handleVoteRejected(now int64, replica *slotReplica, message Message, ready *Ready) {
 	if replica.state != stateCandidate || replica.term != message.Term {
 		return
@@ -147,8 +148,8 @@
 	}
 }
 
-// followHigherTerm promises a term if it is new, and steps back where this node campaigned
-// for or led a lower one.
+// followHigherTerm promises a term if it is higher than the last, and steps down if this node
+// is a candidate or leader of a lower one.
 func (n *Node) followHigherTerm(now int64, replica *slotReplica, term uint64, ready *Ready) {
 	if replica.state != stateFollower && replica.term < term {
 		n.becomeFollower(now, replica, ready)
@@ -158,8 +159,8 @@
 	}
 }
 
-// becomeFollower gives the slot up. Changes that are pending end with StatusUnknown: they may
-// still be committed by the next leader.
+// becomeFollower gives up the slot. Pending changes end with StatusUnknown, because the next
+// leader may still commit them.
 func (n *Node) becomeFollower(now int64, replica *slotReplica, ready *Ready) {
 	for _, change := range replica.pendingOrder {
 		if change.operation.ID != 0 {
--- a/quorum/entry_test.go
+++ b/quorum/entry_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestPositionOrder: terms go before indexes.
+// TestPositionOrder: positions are ordered by term, then by index.
 func TestPositionOrder(t *testing.T) {
 	ordered := []Position{{}, {0, 7}, {1, 0}, {1, 2}, {2, 0}, {2, 1}}
 	for i, a := range ordered {
--- a/quorum/event.go
+++ b/quorum/event.go
@@ -5,27 +5,32 @@
 	"strings"
 )
 
-// EventType names an occurrence that operators may want to see.
+// EventType is the type of an event that may be of interest to operators.
 type EventType uint8
 
 const (
-	// EventLeaderElected means: this node won Slot for Term and took Recovered entries over.
+	// EventLeaderElected means that this node won the election of Slot for Term and took over
+	// Recovered uncommitted entries.
 	EventLeaderElected EventType = iota + 1
-	// EventLeaderReady means: a majority has the new log; this node serves Slot in Term.
+	// EventLeaderReady means that a majority has the new log; this node serves Slot in Term.
 	EventLeaderReady
-	// EventLeaseExpired means: this node lost touch with a majority and gave Slot up.
+	// EventLeaseExpired means that this node lost contact with a majority and stepped down from
+	// Slot.
 	EventLeaseExpired
-	// EventVoterAdmitted means: a step that lets Peer in is proposed.
+	// EventVoterAdmitted means that a voter set that adds Peer, or makes room for it, is proposed.
 	EventVoterAdmitted
-	// EventSurplusRemoved means: a step that removes a voter whose successor is in is proposed.
+	// EventSurplusRemoved means that the removal of a voter whose replacement was added is
+	// proposed.
 	EventSurplusRemoved
-	// EventVoterSetInstalled means: a voter set is in force; Voting says whether this node is in it.
+	// EventVoterSetInstalled means that a voter set is in force; Voting is whether this node is
+	// in it.
 	EventVoterSetInstalled
-	// EventVoterSetRefused means: a proposed voter set was refused for Err.
+	// EventVoterSetRefused means that a proposed voter set was refused with Err.
 	EventVoterSetRefused
-	// EventUnknownSender means: a message of no voter of the set was ignored. Frequent.
+	// EventUnknownSender means that a message was ignored because its sender is no voter.
+	// Frequent.
 	EventUnknownSender
-	// EventUnknownSlot means: a message about a slot that does not exist was ignored. Frequent.
+	// EventUnknownSlot means that a message was ignored because its slot does not exist. Frequent.
 	EventUnknownSlot
 )
 
@@ -43,30 +48,30 @@
 
 func (t EventType) String() string { return enumName(eventTypeNames[:], uint8(t)) }
 
-// Frequent reports whether any peer may cause events of the type at will, so that logs
-// should leave them out.
+// Frequent reports whether a peer can cause events of this type at any rate, so that they
+// should not be logged.
 func (t EventType) Frequent() bool { return t == EventUnknownSender || t == EventUnknownSlot }
 
-// Event is an occurrence with what its type says of it; other fields are zero.
+// Event is something that happened at a node; fields that its type does not use are zero.
 type Event struct {
 	Type EventType
 	Slot uint16
 	Term uint64
-	// Recovered counts the entries that were in doubt and taken over by a new leader.
+	// Recovered counts the uncommitted entries that a new leader took over.
 	Recovered int
-	// Step and Voters are the number and the size of a voter set.
+	// Step and Voters are the change number and the size of a voter set.
 	Step   uint64
 	Voters int
-	// Voting says that this node is a voter of the set.
+	// Voting is whether this node is a voter of the set.
 	Voting bool
-	// Peer and Incarnation name another node, VoterSetRevision the set that it goes by.
+	// Peer and Incarnation identify another node, VoterSetRevision the voter set that it uses.
 	Peer             string
 	Incarnation      uint64
 	VoterSetRevision uint64
 	Err              error
 }
 
-// KeysAndValues lists the fields that the event's type uses, in the form of logr.
+// KeysAndValues returns the fields that the event's type uses, in the form of logr.
 func (e Event) KeysAndValues() []any {
 	switch e.Type {
 	case EventLeaderElected:
@@ -90,7 +95,7 @@
 	}
 }
 
-// String is the event as one line of key=value pairs.
+// String formats the event as one line of key=value pairs.
 func (e Event) String() string {
 	var text strings.Builder
 	text.WriteString("event=" + e.Type.String())
--- a/quorum/event_test.go
+++ b/quorum/event_test.go
@@ -5,40 +5,41 @@
 	"testing"
 )
 
-// TestEventString: an event is one line of key=value pairs, with the fields of its type alone.
+// TestEventString: an event is formatted as one line of key=value pairs with the fields of its
+// type only.
 func TestEventString(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		event Event
 		want  string
 	}{
-		{"an election", Event{Type: EventLeaderElected, Slot: 4, Term: 196609}, "event=leader_elected slot=4 term=196609 recovered=0"},
-		{"a leader", Event{Type: EventLeaderReady, Slot: 4, Term: 196609}, "event=leader_ready slot=4 term=196609"},
-		{"a lease", Event{Type: EventLeaseExpired, Slot: 4, Term: 196609}, "event=lease_expired slot=4 term=196609"},
-		{"a newcomer", Event{Type: EventVoterAdmitted, Peer: "d", Incarnation: 7, Step: 2, Voters: 4},
+		{"leader elected", Event{Type: EventLeaderElected, Slot: 4, Term: 196609}, "event=leader_elected slot=4 term=196609 recovered=0"},
+		{"leader ready", Event{Type: EventLeaderReady, Slot: 4, Term: 196609}, "event=leader_ready slot=4 term=196609"},
+		{"lease expired", Event{Type: EventLeaseExpired, Slot: 4, Term: 196609}, "event=lease_expired slot=4 term=196609"},
+		{"voter admitted", Event{Type: EventVoterAdmitted, Peer: "d", Incarnation: 7, Step: 2, Voters: 4},
 			"event=voter_admitted peer=d incarnation=7 step=2 voters=4"},
-		{"a surplus voter", Event{Type: EventSurplusRemoved, Step: 3, Voters: 3}, "event=surplus_voter_removed step=3 voters=3"},
-		{"a voter set", Event{Type: EventVoterSetInstalled, Step: 3, Voters: 3, Voting: true},
+		{"surplus voter removed", Event{Type: EventSurplusRemoved, Step: 3, Voters: 3}, "event=surplus_voter_removed step=3 voters=3"},
+		{"voter set installed", Event{Type: EventVoterSetInstalled, Step: 3, Voters: 3, Voting: true},
 			"event=voter_set_installed step=3 voters=3 voting=true"},
-		{"a refusal", Event{Type: EventVoterSetRefused, Err: errors.New("why")}, "event=voter_set_refused error=why"},
-		{"a stranger", Event{Type: EventUnknownSender, Peer: "z", Incarnation: 9, VoterSetRevision: 1},
+		{"voter set refused", Event{Type: EventVoterSetRefused, Err: errors.New("why")}, "event=voter_set_refused error=why"},
+		{"unknown sender", Event{Type: EventUnknownSender, Peer: "z", Incarnation: 9, VoterSetRevision: 1},
 			"event=message_from_unknown_sender peer=z incarnation=9 voter_set_revision=1"},
-		{"a slot", Event{Type: EventUnknownSlot, Peer: "b", Slot: 99}, "event=message_for_unknown_slot peer=b slot=99"},
-		{"no type", Event{Type: 77}, "event=77"},
+		{"unknown slot", Event{Type: EventUnknownSlot, Peer: "b", Slot: 99}, "event=message_for_unknown_slot peer=b slot=99"},
+		{"unknown type", Event{Type: 77}, "event=77"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.event.String(); got != test.want {
 				t.Errorf("got %q, want %q", got, test.want)
 			}
 			if pairs := test.event.KeysAndValues(); len(pairs)%2 != 0 {
-				t.Errorf("a key without a value: %v", pairs)
+				t.Errorf("key without a value: %v", pairs)
 			}
 		})
 	}
 }
 
-// TestNames: each value of an enumeration has a name of its own.
-func TestNames(t *testing.T) {
+// TestEnumNames: each enum value has a unique name.
+func TestEnumNames(t *testing.T) {
 	for _, enum := range []struct {
 		name        string
 		first, last uint8
@@ -64,7 +65,7 @@
 				seen[text] = value
 			}
 			if text := enum.text(200); text != "200" {
-				t.Errorf("a value that does not exist is %q", text)
+				t.Errorf("unknown value is named %q", text)
 			}
 		})
 	}
--- a/quorum/example_test.go
+++ b/quorum/example_test.go
@@ -6,7 +6,7 @@
 	"violetthread/quorum"
 )
 
-// cluster is three voters in one process: the caller owns time, network and disk, and this
+// cluster runs three voters in one process. The caller controls time, network and disk; this
 // one loses nothing.
 type cluster struct {
 	nodes   map[string]*quorum.Node
@@ -29,9 +29,9 @@
 	return c
 }
 
-// carryOut carries out the effects of an input, and all that follow from them.
+// carryOut carries out the effects of an input, and all effects that follow.
 func (c *cluster) carryOut(name string, ready quorum.Ready) {
-	if count := len(ready.Records); count > 0 { // append and sync them, then say so
+	if count := len(ready.Records); count > 0 { // append and sync the records, then report it
 		c.synced[name] += uint64(count)
 		c.carryOut(name, c.nodes[name].RecordsSynced(c.now, c.synced[name]))
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-// runFor lets time pass.
+// runFor advances time.
 func (c *cluster) runFor(duration int64) {
 	for end := c.now + duration; c.now < end; c.now += 25_000 {
 		for _, name := range names {
@@ -52,7 +52,7 @@
 	}
 }
 
-// propose starts an operation at the leader of its key.
+// propose starts an operation at the leader of its key's slot.
 func (c *cluster) propose(operation quorum.Operation) quorum.Result {
 	leader := c.nodes["a"].Leader(operation.Key)
 	c.carryOut(leader, c.nodes[leader].Propose(c.now, operation))
--- a/quorum/explore_actions_test.go
+++ b/quorum/explore_actions_test.go
@@ -7,47 +7,47 @@
 	"strings"
 )
 
-// action is one choice of the explorer. A trace of actions replays alike; an action that
-// does not apply where it stands does nothing, so that a trace may be shortened freely.
+// action is one step of an explored run. A trace of actions is reproducible. An action that
+// does not apply in the current state does nothing, so that a trace can be shortened freely.
 type action struct {
 	verb verb
 	a, b int // machines, a register, or a count
 }
 
-// verb names an action; the words are those of a kept trace.
+// verb is the name of an action, as traces have it.
 type verb string
 
 const (
-	doTick       verb = "tick"       // all that is due, then a tick of every node; A times
-	doStep       verb = "step"       // the one thing that is due next; A times
-	doPut        verb = "put"        // a client changes register B at A
+	doTick       verb = "tick"       // deliver everything due, then tick every node; A times
+	doStep       verb = "step"       // do the one thing that is due next; A times
+	doPut        verb = "put"        // a client writes register B at A
 	doGet        verb = "get"        // a client reads register B at A
-	doClaim      verb = "claim"      // a client claims for generation B at A
-	doAcquire    verb = "acquire"    // client B asks A for the role
+	doClaim      verb = "claim"      // a client makes a claim in generation B at A
+	doAcquire    verb = "acquire"    // client B requests the role at A
 	doKill       verb = "kill"       // A's process ends; its records reach the disk
-	doPower      verb = "power"      // A's machine loses its power, and the records not synced but B
-	doStart      verb = "start"      // A boots
+	doPower      verb = "power"      // A loses power; of the unsynced records only B reach the disk
+	doStart      verb = "start"      // A's process starts
 	doWipe       verb = "wipe"       // A's disk is lost
-	doCheckpoint verb = "checkpoint" // A's disk is restated by a checkpoint
-	doFreeze     verb = "freeze"     // A stands still
-	doThaw       verb = "thaw"       // A goes on
-	doStall      verb = "stall"      // A's disk syncs nothing
+	doCheckpoint verb = "checkpoint" // A's disk is rewritten from a checkpoint
+	doFreeze     verb = "freeze"     // A's process is suspended
+	doThaw       verb = "thaw"       // A's process is resumed
+	doStall      verb = "stall"      // A's disk stops syncing
 	doFlow       verb = "flow"       // A's disk syncs again
-	doCut        verb = "cut"        // what A sends to B is lost
-	doHold       verb = "hold"       // what A sends to B stays on its way
+	doCut        verb = "cut"        // messages from A to B are lost
+	doHold       verb = "hold"       // messages from A to B are held back
 	doHeal       verb = "heal"       // the link from A to B works again
-	doIsolate    verb = "isolate"    // A is cut off both ways
+	doIsolate    verb = "isolate"    // all links of A are cut, in both directions
 	doHealAll    verb = "heal-all"   // all links work again
-	doDrop       verb = "drop"       // the message due next is lost
-	doRepeat     verb = "repeat"     // the message due next comes again later
-	doPostpone   verb = "postpone"   // the message due next comes after all others
-	doLate       verb = "late"       // the message due next is put aside
-	doRelease    verb = "release"    // the message put aside as number A comes now
-	doLeave      verb = "leave"      // A leaves politely
-	doVoterSet   verb = "voterset"   // an operator asks A for change B of the voter set
+	doDrop       verb = "drop"       // the next message is lost
+	doRepeat     verb = "repeat"     // the next message is duplicated; the copy arrives later
+	doPostpone   verb = "postpone"   // the next message arrives after all others
+	doLate       verb = "late"       // the next message is put aside
+	doRelease    verb = "release"    // message A of those put aside arrives now
+	doLeave      verb = "leave"      // A leaves in an orderly way
+	doVoterSet   verb = "voterset"   // an operator requests change B of the voter set at A
 )
 
-// operands says what an action's numbers name: m a machine, n a number.
+// operands gives the kinds of an action's operands: m is a machine, n a number.
 var operands = map[verb]string{
 	doTick: "n", doStep: "n", doPut: "mn", doGet: "mn", doClaim: "mn", doAcquire: "mn", doKill: "m", doPower: "mn",
 	doStart: "m", doWipe: "m", doCheckpoint: "m", doFreeze: "m", doThaw: "m", doStall: "m", doFlow: "m",
@@ -71,7 +71,7 @@
 	return text
 }
 
-// trace is a run of the world from its start.
+// trace is a run of the cluster from its start.
 type trace []action
 
 func (t trace) String() string {
@@ -82,8 +82,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// readTrace reads a kept trace.
-func readTrace(text string) trace {
+// parseTrace parses the text form of a trace.
+func parseTrace(text string) trace {
 	var parsed trace
 	for _, part := range strings.Split(text, ";") {
 		fields := strings.Fields(part)
@@ -115,70 +115,70 @@
 	return parsed
 }
 
-// play runs a trace from the start of a world until something is wrong.
-func play(size worldConfig, actions trace) *world {
-	w := newWorld(size, nil)
-	w.play(actions)
-	return w
+// play runs a trace from the start of a cluster until an invariant is violated.
+func play(size clusterConfig, actions trace) *cluster {
+	cl := newCluster(size, nil)
+	cl.play(actions)
+	return cl
 }
 
-func (w *world) play(actions trace) {
+func (cl *cluster) play(actions trace) {
 	for _, next := range actions {
-		w.apply(next)
-		if w.checker.violation != "" {
+		cl.apply(next)
+		if cl.checker.violation != "" {
 			return
 		}
 	}
 }
 
-// apply does one action and checks every state on the way.
-func (w *world) apply(action action) {
+// apply performs one action and checks every state that it passes through.
+func (cl *cluster) apply(action action) {
 	switch action.verb {
 	case doTick:
 		for range action.a {
-			w.runUntilIdle()
-			w.tick()
-			w.checker.check(w)
+			cl.runUntilIdle()
+			cl.tick()
+			cl.checker.check(cl)
 		}
 	case doStep:
 		for range action.a {
-			if w.checker.violation == "" && w.step() {
-				w.checker.check(w)
+			if cl.checker.violation == "" && cl.step() {
+				cl.checker.check(cl)
 			}
 		}
 	case doRelease:
-		if action.a < len(w.setAside) {
-			late := w.setAside[action.a]
-			w.setAside = slices.Delete(w.setAside, action.a, action.a+1)
-			w.receive(late)
+		if action.a < len(cl.setAside) {
+			late := cl.setAside[action.a]
+			cl.setAside = slices.Delete(cl.setAside, action.a, action.a+1)
+			cl.receive(late)
 		}
 	default:
-		w.disturb(action)
+		cl.disturb(action)
 	}
-	w.checker.check(w)
+	cl.checker.check(cl)
 }
 
-func (w *world) disturb(action action) {
-	host := &w.machines[action.a]
+func (cl *cluster) disturb(action action) {
+	host := &cl.machines[action.a]
 	switch action.verb {
 	case doPut:
-		w.propose(action.a, Operation{Type: OpPut, Key: w.checker.registers[action.b].key, ExpectedRevision: AnyRevision})
+		cl.propose(action.a, Operation{Type: OpPut, Key: cl.checker.registers[action.b].key, ExpectedRevision: AnyRevision})
 	case doGet:
-		w.propose(action.a, Operation{Type: OpGet, Key: w.checker.registers[action.b].key})
+		cl.propose(action.a, Operation{Type: OpGet, Key: cl.checker.registers[action.b].key})
 	case doClaim:
-		w.propose(action.a, Operation{Type: OpClaim, Key: ClaimKey(uint64(action.b), "c")})
+		cl.propose(action.a, Operation{Type: OpClaim, Key: ClaimKey(uint64(action.b), "c")})
 	case doAcquire:
-		w.propose(action.a, Operation{Type: OpAcquire, Key: exploreRoleKey, Holder: strconv.Itoa(action.b), LeaseDurationUS: exploreRoleDuration})
+		cl.propose(action.a, Operation{Type: OpAcquire, Key: exploreRoleKey, Holder: strconv.Itoa(action.b), LeaseDurationUS: exploreRoleDuration})
 	case doKill:
-		w.kill(action.a, len(host.unsynced))
+		cl.kill(action.a, len(host.unsynced))
 	case doPower:
-		w.kill(action.a, action.b)
+		cl.kill(action.a, action.b)
 	case doStart:
-		w.start(action.a)
+		cl.start(action.a)
 	case doWipe:
-		w.wipe(action.a)
+		cl.wipe(action.a)
 	case doCheckpoint:
-		w.checkpoint(action.a)
+		cl.checkpoint(action.a)
 	case doFreeze:
 		host.frozen = host.up
 	case doThaw:
@@ -188,79 +188,80 @@
 	case doFlow:
 		host.stalled = false
 	case doLeave:
-		if w.running(action.a) {
-			w.input(action.a, input{kind: inLeave})
+		if cl.running(action.a) {
+			cl.input(action.a, input{kind: inLeave})
 		}
 	case doVoterSet:
-		w.proposeVoterSet(action.a, action.b)
+		cl.proposeVoterSet(action.a, action.b)
 	default:
-		w.disturbNetwork(action)
+		cl.disturbNetwork(action)
 	}
 }
 
-func (w *world) disturbNetwork(action action) {
+func (cl *cluster) disturbNetwork(action action) {
 	switch action.verb {
 	case doCut:
-		w.links[action.a][action.b] = linkCut
+		cl.links[action.a][action.b] = linkCut
 	case doHold:
-		w.links[action.a][action.b] = linkHeld
+		cl.links[action.a][action.b] = linkHeld
 	case doHeal:
-		w.links[action.a][action.b] = linkUp
+		cl.links[action.a][action.b] = linkUp
 	case doIsolate:
-		for i := range w.worldConfig.machines {
-			w.links[action.a][i], w.links[i][action.a] = linkCut, linkCut
+		for i := range cl.clusterConfig.machines {
+			cl.links[action.a][i], cl.links[i][action.a] = linkCut, linkCut
 		}
 	case doHealAll:
-		w.links = [maxMachines][maxMachines]link{}
+		cl.links = [maxMachines][maxMachines]link{}
 	case doDrop:
-		if due := w.next(); due >= 0 {
-			w.inFlight = append(w.inFlight[:due:due], w.inFlight[due+1:]...)
+		if due := cl.next(); due >= 0 {
+			cl.inFlight = append(cl.inFlight[:due:due], cl.inFlight[due+1:]...)
 		}
 	case doRepeat:
-		if due := w.next(); due >= 0 {
-			w.inFlight = append(w.inFlight, w.inFlight[due])
+		if due := cl.next(); due >= 0 {
+			cl.inFlight = append(cl.inFlight, cl.inFlight[due])
 		}
 	case doLate:
-		if due := w.next(); due >= 0 {
-			w.setAside = append(w.setAside, w.inFlight[due])
-			w.inFlight = slices.Delete(w.inFlight, due, due+1)
+		if due := cl.next(); due >= 0 {
+			cl.setAside = append(cl.setAside, cl.inFlight[due])
+			cl.inFlight = slices.Delete(cl.inFlight, due, due+1)
 		}
 	case doPostpone:
-		if due := w.next(); due >= 0 {
-			late := w.inFlight[due]
-			w.inFlight = append(append(w.inFlight[:due:due], w.inFlight[due+1:]...), late)
+		if due := cl.next(); due >= 0 {
+			late := cl.inFlight[due]
+			cl.inFlight = append(append(cl.inFlight[:due:due], cl.inFlight[due+1:]...), late)
 		}
 	default:
 		panic(fmt.Sprintf("no such action: %+v", action))
 	}
 }
 
-// proposeVoterSet has an operator ask for a change of the voter set: the bits of which name the
-// voters that go, and then the machines that come. Most of them are no steps at all.
-func (w *world) proposeVoterSet(i, which int) {
-	if !w.running(i) {
+// proposeVoterSet has an operator request a change of the voter set. The low bits of which
+// select the voters to remove, the higher ones the machines to add. Most such changes are not
+// valid steps.
+func (cl *cluster) proposeVoterSet(i, which int) {
+	if !cl.running(i) {
 		return
 	}
-	set := w.machines[i].node.VoterSet()
+	set := cl.machines[i].node.VoterSet()
 	next := VoterSet{Revision: set.Revision + 1, TargetSize: set.TargetSize}
 	for _, voter := range set.Voters {
-		if which>>w.index(voter.Name)&1 == 0 {
+		if which>>cl.index(voter.Name)&1 == 0 {
 			next.Voters = append(next.Voters, voter)
 		}
 	}
-	for k := range w.worldConfig.machines {
-		host := &w.machines[k]
+	for k := range cl.clusterConfig.machines {
+		host := &cl.machines[k]
 		if _, known := set.Find(host.name); known || which>>(maxMachines+k)&1 == 0 {
 			continue
 		}
 		next.Voters = append(next.Voters, Voter{Name: host.name, Incarnation: host.incarnation, Number: uint16(16 + int(next.Step())*maxMachines + k)})
 	}
-	w.propose(i, Operation{Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: AnyRevision})
+	cl.propose(i, Operation{Type: OpPut, Key: VoterSetKey, Value: next.Bytes(), ExpectedRevision: AnyRevision})
 }
 
-// shorten looks for the shortest trace that still ends in a finding of that kind: parts
-// of it are left out, and counts are made smaller, as long as something can be.
-func shorten(size worldConfig, actions trace, kind string) trace {
+// shorten returns a shorter trace that still violates the same invariant: it leaves out parts
+// and decreases counts as long as possible.
+func shorten(size clusterConfig, actions trace, kind string) trace {
 	same := func(actions trace) bool { return kindOf(play(size, actions).checker.violation) == kind }
 	for changed := true; changed; {
 		changed = false
@@ -287,7 +288,7 @@
 	return actions
 }
 
-func kindOf(wrong string) string {
-	kind, _, _ := strings.Cut(wrong, ":")
+func kindOf(violation string) string {
+	kind, _, _ := strings.Cut(violation, ":")
 	return kind
 }
--- a/quorum/explore_cache_test.go
+++ b/quorum/explore_cache_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// inputKind names an input of a node.
+// inputKind is the kind of a node's input.
 type inputKind uint8
 
 const (
@@ -15,7 +15,7 @@
 	inObserve
 )
 
-// input is one event that a node takes.
+// input is one input of a node.
 type input struct {
 	kind       inputKind
 	now        int64
@@ -64,9 +64,9 @@
 	return sum(encoded)
 }
 
-// nodeState is one state of a running node. It never changes. A state that waits for a sync
-// holds closures, which can't be copied: it is made again from the last that did not
-// wait, by the inputs since.
+// nodeState is one state of a running node, and immutable. A state that waits for a sync holds
+// closures, which can't be copied: it is rebuilt from the last state that did not wait, by the
+// inputs since.
 type nodeState struct {
 	sum    digest
 	node   *Node
@@ -82,7 +82,7 @@
 	return s.sum[:]
 }
 
-// transition is what one input does to one state.
+// transition is the effect of one input on one state.
 type transition struct {
 	to          *nodeState
 	ready       Ready
@@ -90,11 +90,11 @@
 	messageSums []digest
 }
 
-// cache has every state of a node that was met and what each input did to it: a node
-// decides by its own state and inputs alone, so most of a search is looking up.
+// cache holds every state of a node that was reached and the effect of each input on it. A
+// node's behaviour depends only on its state and inputs, so most of a search is look-ups.
 type cache struct {
 	states    map[digest]*nodeState
-	inputsRun int // inputs that were not looked up
+	inputsRun int // inputs that were not in the cache
 }
 
 func newCache() *cache { return &cache{states: map[digest]*nodeState{}} }
@@ -109,7 +109,7 @@
 	return state
 }
 
-// rebuild makes a node in this state that may be changed.
+// rebuild returns a mutable node in this state.
 func (s *nodeState) rebuild() *Node {
 	if s.from == nil {
 		return copyNode(s.node)
@@ -144,7 +144,8 @@
 	return result
 }
 
-// waiting is the state of node, which state became by an input and which waits for a sync.
+// waiting returns the state for node, which state became by an input and which waits for a
+// sync.
 func (c *cache) waiting(state *nodeState, in input, inputKey digest, node *Node) *nodeState {
 	key := sum(append(append([]byte("waits"), state.sum[:]...), inputKey[:]...))
 	if waiting, ok := c.states[key]; ok {
--- a/quorum/explore_checker_test.go
+++ b/quorum/explore_checker_test.go
@@ -7,52 +7,53 @@
 	"slices"
 )
 
-// register is what clients saw of one key.
+// register is what clients have observed of one key.
 type register struct {
 	key    string
-	newest uint64   // newest revision that anybody saw, or could have read
+	newest uint64   // newest revision that was observed or could have been read
 	values []string // by revision
 }
 
-// openOperation is an operation without a result yet.
+// openOperation is an operation without a result so far.
 type openOperation struct {
 	machine    int
 	operation  Operation
-	seenBefore uint64 // newest revision known to anybody when it began
+	seenBefore uint64 // newest revision observed by anyone when the operation started
 	calledAt   int64
-	trueTime   int64 // true time
+	trueTime   int64 // when the operation started, in simulated time
 }
 
-// The role that clients contend for. A client counts its lease from when it asked.
+// The role that clients contend for. A client counts its lease from when it sent the request.
 const (
 	exploreRoleKey      = rolePrefix + "d"
 	exploreRoleDuration = 6 * tickInterval
 )
 
-// completedOperation is an operation as its client saw it, for the linearizability checker.
+// completedOperation is an operation as observed by its client, for the linearizability
+// checker.
 type completedOperation struct {
 	openOperation
 	returnedAt int64
-	tookEffect bool // whether it took effect
+	tookEffect bool // whether it is known to have taken effect
 	revision   uint64
 	value      string
 }
 
-// checker checks the world against the invariants of every state. It reads the nodes'
-// state but never what they conclude from it.
+// checker checks the invariants in every state of the cluster. It reads the nodes' state, but
+// relies on none of their conclusions.
 type checker struct {
 	registers []register
-	voterSets []VoterSet // in force anywhere, by step
+	voterSets []VoterSet // in force at any node so far
 	claims    map[string]string
-	roleUntil map[string]int64 // until when each client has the role
-	floors    []uint64         // of claims, committed on a majority, by slot
+	roleUntil map[string]int64 // when the lease of each client ends
+	floors    []uint64         // claim floors known to be committed, by slot
 	pending   []openOperation
 	history   []completedOperation
-	clock     int64 // counts calls and answers
+	clock     int64 // counts calls and results
 	violation string
 }
 
-func (c *checker) init(size worldConfig) {
+func (c *checker) init(size clusterConfig) {
 	for i := range size.slots {
 		c.registers = append(c.registers, register{key: keyInSlot(i, size.slots, 0)}, register{key: keyInSlot(i, size.slots, 1)})
 	}
@@ -61,7 +62,7 @@
 	c.roleUntil = map[string]int64{}
 }
 
-// keyInSlot is the nth plain key of a slot.
+// keyInSlot returns the nth plain key that maps to a slot.
 func keyInSlot(slot, slots, nth int) string {
 	for i := 0; ; i++ {
 		key := fmt.Sprint("k", i)
@@ -75,7 +76,7 @@
 	}
 }
 
-func (c *checker) copied() checker {
+func (c *checker) clone() checker {
 	duplicate := *c
 	duplicate.registers = slices.Clone(c.registers)
 	for i := range duplicate.registers {
@@ -111,7 +112,7 @@
 	return append(encoded, byte(len(c.voterSets)))
 }
 
-// violated records the first violation; kind names the invariant.
+// violated records the first violation; kind is the name of the invariant.
 func (c *checker) violated(kind, format string, args ...any) {
 	if c.violation == "" {
 		c.violation = kind + ": " + fmt.Sprintf(format, args...)
@@ -136,7 +137,7 @@
 	c.pending = append(c.pending, call)
 }
 
-// processDied ends the operations of a dead process: nobody will answer them.
+// processDied ends the open operations of a process that ended: they get no result.
 func (c *checker) processDied(machine int) {
 	for k := len(c.pending) - 1; k >= 0; k-- {
 		if c.pending[k].machine == machine {
@@ -146,11 +147,11 @@
 	}
 }
 
-// addToHistory keeps an operation for the linearizability checker.
+// addToHistory records an operation for the linearizability checker.
 func (c *checker) addToHistory(call openOperation, result Result) {
 	c.clock++
 	if result.Status != StatusDone && (result.Status != StatusUnknown || call.operation.Type != OpPut) {
-		return // nothing changed and nothing was learnt
+		return // nothing changed and nothing was read
 	}
 	c.history = append(c.history, completedOperation{openOperation: call, returnedAt: c.clock, tookEffect: result.Status == StatusDone, revision: result.Revision, value: string(result.Value)})
 }
@@ -169,92 +170,92 @@
 	switch register := c.register(call.operation.Key); {
 	case call.operation.Type == OpClaim:
 		if holder := c.claims[call.operation.Key]; holder != "" && holder != string(call.operation.Value) {
-			c.violated("claimed twice", "%s by %s and %s", call.operation.Key, holder, call.operation.Value)
+			c.violated("claim granted twice", "%s by %s and %s", call.operation.Key, holder, call.operation.Value)
 		}
 		c.claims[call.operation.Key] = string(call.operation.Value)
 	case call.operation.Type == OpAcquire:
 		c.roleUntil[call.operation.Holder] = max(c.roleUntil[call.operation.Holder], call.trueTime+exploreRoleDuration)
 	case register == nil:
 	case call.operation.Type == OpPut && result.Revision <= call.seenBefore:
-		c.violated("went back", "a change of %s was confirmed as revision %d after %d was seen", register.key, result.Revision, call.seenBefore)
+		c.violated("revision went back", "change of %s confirmed as revision %d after %d was observed", register.key, result.Revision, call.seenBefore)
 	case result.Revision < call.seenBefore:
-		c.violated("went back", "%s was read at revision %d after %d", register.key, result.Revision, call.seenBefore)
+		c.violated("revision went back", "%s read at revision %d after %d was observed", register.key, result.Revision, call.seenBefore)
 	default:
 		c.revisionSeen(register, result.Revision, string(result.Value))
 	}
 }
 
-// revisionSeen takes note of a revision that somebody saw.
-func (c *checker) revisionSeen(register *register, rev uint64, val string) {
-	for uint64(len(register.values)) <= rev {
+// revisionSeen records a revision that was observed.
+func (c *checker) revisionSeen(register *register, revision uint64, value string) {
+	for uint64(len(register.values)) <= revision {
 		register.values = append(register.values, "")
 	}
-	if was := register.values[rev]; was != "" && was != val {
-		c.violated("two values", "revision %d of %s was %s and %s", rev, register.key, was, val)
+	if previous := register.values[revision]; previous != "" && previous != value {
+		c.violated("two values of a revision", "revision %d of %s is %s and %s", revision, register.key, previous, value)
 	}
-	if register.values[rev] == "" && val != "" {
+	if register.values[revision] == "" && value != "" {
 		register.values = slices.Clone(register.values)
-		register.values[rev] = val
+		register.values[revision] = value
 	}
-	register.newest = max(register.newest, rev)
+	register.newest = max(register.newest, revision)
 }
 
-// voterSetInForce takes note of a voter set that some machine goes by.
+// voterSetInForce records a voter set in force at some machine.
 func (c *checker) voterSetInForce(set VoterSet) {
 	for _, known := range c.voterSets {
 		switch {
 		case known.Revision == set.Revision && !slices.Equal(known.Voters, set.Voters):
-			c.violated("two voter sets", "of number %d: %v and %v", set.Step(), known.Voters, set.Voters)
+			c.violated("two voter sets", "with step %d: %v and %v", set.Step(), known.Voters, set.Voters)
 		case known.Revision == set.Revision:
 			return
 		case known.Revision+1 == set.Revision && haveDisjointMajorities(known, set), set.Revision+1 == known.Revision && haveDisjointMajorities(set, known):
-			c.violated("apart", "majorities of %v and of %v need not share a voter", known.Voters, set.Voters)
+			c.violated("apart", "majorities of %v and %v need not share a voter", known.Voters, set.Voters)
 		}
 	}
 	c.voterSets = append(c.voterSets, set)
 }
 
-// check checks the present state.
-func (c *checker) check(w *world) {
+// check checks the current state.
+func (c *checker) check(cl *cluster) {
 	for i := range c.registers {
-		c.checkOneLease(w, &c.registers[i])
+		c.checkOneLease(cl, &c.registers[i])
 	}
-	c.checkOneHolder(w.now)
-	for slot := range w.slots {
-		c.learnFloor(w, slot)
-		for a := range w.worldConfig.machines {
+	c.checkOneHolder(cl.now)
+	for slot := range cl.slots {
+		c.learnFloor(cl, slot)
+		for a := range cl.clusterConfig.machines {
 			for b := range a {
-				c.checkPair(w, slot, a, b)
+				c.checkPair(cl, slot, a, b)
 			}
 		}
 	}
 }
 
-// checkOneLease: one node at most can answer for a key, and it knows of all that anybody
-// ever saw of it.
-func (c *checker) checkOneLease(w *world, register *register) {
+// checkOneLease: at most one node can serve a key, and it has every revision of the key that
+// was observed.
+func (c *checker) checkOneLease(cl *cluster, register *register) {
 	owner := ""
-	for i := range w.worldConfig.machines {
-		if !w.running(i) {
+	for i := range cl.clusterConfig.machines {
+		if !cl.running(i) {
 			continue
 		}
-		entry, ok := w.machines[i].node.ReadUnderLease(w.now, register.key)
+		entry, ok := cl.machines[i].node.ReadUnderLease(cl.now, register.key)
 		if !ok {
 			continue
 		}
 		if owner != "" {
-			c.violated("two live leases", "of the slot of %s: %s and %s", register.key, owner, w.machines[i].name)
+			c.violated("two live leases", "of the slot of %s: %s and %s", register.key, owner, cl.machines[i].name)
 		}
-		owner = w.machines[i].name
+		owner = cl.machines[i].name
 		if entry.Revision < register.newest {
-			c.violated("went back", "%s answers %s at revision %d, and %d was seen", owner, register.key, entry.Revision, register.newest)
+			c.violated("revision went back", "%s serves %s at revision %d after %d was observed", owner, register.key, entry.Revision, register.newest)
 			continue
 		}
 		c.revisionSeen(register, entry.Revision, string(entry.Value))
 	}
 }
 
-// checkOneHolder: one client at most has the role.
+// checkOneHolder: at most one client holds the role.
 func (c *checker) checkOneHolder(now int64) {
 	holders := 0
 	for _, until := range c.roleUntil {
@@ -267,41 +268,41 @@
 	}
 }
 
-// learnFloor learns below which generation a slot's claims may have been forgotten.
-func (c *checker) learnFloor(w *world, slot int) {
-	for i := range w.worldConfig.machines {
-		node := w.machines[i].node
+// learnFloor learns the generations of a slot whose claims may have been deleted.
+func (c *checker) learnFloor(cl *cluster, slot int) {
+	for i := range cl.clusterConfig.machines {
+		node := cl.machines[i].node
 		if node == nil {
 			continue
 		}
 		replica := node.slots[slot]
-		if entry, ok := replica.entries[floorKey(uint16(slot))]; ok && !replica.certain().Before(entry.Position) {
+		if entry, ok := replica.entries[floorKey(uint16(slot))]; ok && !replica.knownCommitted().Before(entry.Position) {
 			c.floors[slot] = max(c.floors[slot], floorValue(entry))
 		}
 	}
 }
 
-// checkPair: no term has two leaders, and what two machines have of one log is the same up
-// to where both have all of it.
-func (c *checker) checkPair(w *world, slot, a, b int) {
-	nodeA, nodeB := w.machines[a].node, w.machines[b].node
+// checkPair: no term has two leaders, and the copies of a log at two machines are the same up
+// to where both are complete.
+func (c *checker) checkPair(cl *cluster, slot, a, b int) {
+	nodeA, nodeB := cl.machines[a].node, cl.machines[b].node
 	if nodeA == nil || nodeB == nil {
 		return
 	}
 	replicaA, replicaB := nodeA.slots[slot], nodeB.slots[slot]
 	if replicaA.state >= stateRecovering && replicaB.state >= stateRecovering && replicaA.term == replicaB.term {
-		c.violated("two leaders of a term", "%d: %s and %s", replicaA.term, w.machines[a].name, w.machines[b].name)
+		c.violated("two leaders of a term", "%d: %s and %s", replicaA.term, cl.machines[a].name, cl.machines[b].name)
 	}
 	if replicaA.logTerm == 0 || replicaA.logTerm != replicaB.logTerm {
 		return
 	}
-	c.checkContains(w, slot, a, b)
-	c.checkContains(w, slot, b, a)
+	c.checkContains(cl, slot, a, b)
+	c.checkContains(cl, slot, b, a)
 }
 
-// checkContains: b has what a has, up to b's last position.
-func (c *checker) checkContains(w *world, slot, a, b int) {
-	replicaA, replicaB := w.machines[a].node.slots[slot], w.machines[b].node.slots[slot]
+// checkContains: b has everything that a has, up to b's last position.
+func (c *checker) checkContains(cl *cluster, slot, a, b int) {
+	replicaA, replicaB := cl.machines[a].node.slots[slot], cl.machines[b].node.slots[slot]
 	for key, entry := range replicaA.entries {
 		if replicaB.last.Before(entry.Position) || isClaim(key) && claimGeneration(key) < c.floors[slot] {
 			continue
@@ -309,7 +310,7 @@
 		other, ok := replicaB.entries[key]
 		if !ok || other.Position != entry.Position && !replicaA.last.Before(other.Position) {
 			c.violated("logs differ", "of term %d: %s has %s of %v, %s has it of %v (%v) and has all up to %v",
-				replicaA.logTerm, w.machines[a].name, key, entry.Position, w.machines[b].name, other.Position, ok, replicaB.last)
+				replicaA.logTerm, cl.machines[a].name, key, entry.Position, cl.machines[b].name, other.Position, ok, replicaB.last)
 		}
 	}
 }
--- a/quorum/explore_digest_test.go
+++ b/quorum/explore_digest_test.go
@@ -9,11 +9,11 @@
 	"unsafe"
 )
 
-// digest tells values apart by their canonical encoding.
+// digest identifies a value by a hash of its canonical encoding.
 type digest [16]byte
 
-// digestOf hashes the canonical encoding of the value that p points to: maps in the
-// order of their encoded keys, pointers by what they point to.
+// digestOf hashes the canonical encoding of the value that p points to: maps in the order of
+// their encoded keys, pointers by what they point to.
 func digestOf[T any](p *T) digest {
 	return sum(encode(nil, reflect.ValueOf(p).Elem()))
 }
@@ -24,12 +24,12 @@
 	return digest(h.Sum(nil))
 }
 
-// open gives access to a field whatever its name.
+// fieldValue gives access to a field whether or not it is exported.
 func fieldValue(v reflect.Value) reflect.Value {
 	return reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem()
 }
 
-// addressable returns v itself or a copy that fields can be read from.
+// addressable returns v itself, or a copy whose fields can be read.
 func addressable(v reflect.Value) reflect.Value {
 	if v.CanAddr() {
 		return v
@@ -92,18 +92,18 @@
 	return b
 }
 
-// copier makes deep copies. Pointers that are one in the original are one in the copy.
+// copier makes deep copies. Equal pointers in the original are equal in the copy.
 type copier map[unsafe.Pointer]reflect.Value
 
-// copyNode copies a node that waits for no sync: what is to happen then is a closure,
-// which can't be copied.
+// copyNode copies a node that is not waiting for a sync: pending effects are closures, which
+// can't be copied.
 func copyNode(n *Node) *Node {
 	c := new(Node)
 	copier{}.copy(reflect.ValueOf(c).Elem(), reflect.ValueOf(n).Elem())
 	return c
 }
 
-// flat types hold nothing that is shared with a plain copy, or only what never changes.
+// flat caches which types share nothing with a plain copy, or only immutable data.
 var flat = map[reflect.Type]bool{}
 
 func isFlat(t reflect.Type) bool {
--- a/quorum/explore_linearizable_test.go
+++ b/quorum/explore_linearizable_test.go
@@ -2,7 +2,7 @@
 
 import "violetthread/internal/lincheck"
 
-// operations are what clients saw of one register.
+// operations returns the history of one register as its clients observed it.
 func (c *checker) operations(key string) []lincheck.Operation {
 	var ops []lincheck.Operation
 	add := func(call openOperation, operation lincheck.Operation) {
--- a/quorum/explore_machine_test.go
+++ b/quorum/explore_machine_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// diskLog is what a disk holds, newest record first; it is never changed, only extended.
+// diskLog is the contents of a disk, newest record first. It is never modified, only extended.
 type diskLog struct {
 	previous *diskLog
 	record   Record
@@ -35,67 +35,67 @@
 	return d.sum
 }
 
-// machine is a control machine: its disk and the process that runs on it, if any.
+// machine is a control machine: its disk and the process running on it, if any.
 type machine struct {
 	name        string
 	incarnation uint64
-	up          bool // the process runs; without a node it asks to be let in
+	up          bool // the process runs; without a node it asks to join
 	node        *Node
-	state       *nodeState // node's state in the cache, when searching
+	state       *nodeState // state of node in the cache, when searching
 	frozen      bool
-	stalled     bool // its disk syncs nothing
+	stalled     bool // the disk does not sync
 	synced      *diskLog
 	unsynced    []Record
 	sums        []digest // of unsynced, when searching
 	issued      uint64
-	voterSet    VoterSet // that the process starts from
+	voterSet    VoterSet // initial voter set of the process
 }
 
-func (w *world) running(i int) bool {
-	host := &w.machines[i]
+func (cl *cluster) running(i int) bool {
+	host := &cl.machines[i]
 	return host.up && host.node != nil && !host.frozen
 }
 
-// start boots a machine's process from what its disk holds.
-func (w *world) start(i int) {
-	host := &w.machines[i]
+// start starts a machine's process from the contents of its disk.
+func (cl *cluster) start(i int) {
+	host := &cl.machines[i]
 	if host.up {
 		return
 	}
 	host.up, host.frozen, host.stalled, host.issued = true, false, false, 0
 	if len(host.voterSet.Voters) > 0 {
-		w.boot(i)
+		cl.boot(i)
 	}
 }
 
-func (w *world) boot(i int) {
-	host := &w.machines[i]
+func (cl *cluster) boot(i int) {
+	host := &cl.machines[i]
 	host.issued, host.unsynced, host.sums = 0, nil, nil
-	host.node = New(exploreConfig(host.name, host.incarnation, w.worldConfig), host.voterSet, w.now, host.synced.records())
-	if w.cache != nil {
-		host.state = w.cache.intern(host.node)
+	host.node = New(exploreConfig(host.name, host.incarnation, cl.clusterConfig), host.voterSet, cl.now, host.synced.records())
+	if cl.cache != nil {
+		host.state = cl.cache.intern(host.node)
 		host.node = host.state.node
 	}
 }
 
-// kill ends a machine's process; kept of the records not synced yet are on its disk
-// all the same. What is on its way to it may still arrive, at its next process.
-func (w *world) kill(i, kept int) {
-	host := &w.machines[i]
+// kill ends a machine's process. The first kept unsynced records reach the disk all the same.
+// Messages on their way may still arrive, at the machine's next process.
+func (cl *cluster) kill(i, kept int) {
+	host := &cl.machines[i]
 	if !host.up {
 		return
 	}
-	w.flush(host, min(kept, len(host.unsynced)))
+	cl.flush(host, min(kept, len(host.unsynced)))
 	host.up, host.node, host.state, host.unsynced, host.sums = false, nil, nil, nil, nil
 	host.frozen, host.stalled = false, false
-	w.checker.processDied(i)
+	cl.checker.processDied(i)
 }
 
-// flush puts the first n records not synced yet on the disk.
-func (w *world) flush(host *machine, count int) {
+// flush writes the first count unsynced records to the disk.
+func (cl *cluster) flush(host *machine, count int) {
 	for j, record := range host.unsynced[:count] {
 		var recordSum digest
-		if w.cache != nil {
+		if cl.cache != nil {
 			recordSum = host.sums[j]
 		}
 		host.synced = host.synced.add(record, recordSum)
@@ -104,23 +104,23 @@
 		}
 	}
 	host.unsynced = host.unsynced[count:]
-	if w.cache != nil {
+	if cl.cache != nil {
 		host.sums = host.sums[count:]
 	}
 }
 
-// wipe takes a machine's disk away; it asks to be let in under a new incarnation.
-func (w *world) wipe(i int) {
-	w.kill(i, 0)
-	host := &w.machines[i]
-	w.wipes++
-	host.synced, host.voterSet, host.incarnation = nil, VoterSet{}, firstWipedIncarnation+w.wipes
+// wipe empties a machine's disk; the machine asks to join with a new incarnation.
+func (cl *cluster) wipe(i int) {
+	cl.kill(i, 0)
+	host := &cl.machines[i]
+	cl.wipes++
+	host.synced, host.voterSet, host.incarnation = nil, VoterSet{}, firstWipedIncarnation+cl.wipes
 }
 
-// checkpoint restates a disk by its node's checkpoint.
-func (w *world) checkpoint(i int) {
-	host := &w.machines[i]
-	if !w.running(i) || len(host.unsynced) > 0 {
+// checkpoint rewrites a disk from its node's checkpoint.
+func (cl *cluster) checkpoint(i int) {
+	host := &cl.machines[i]
+	if !cl.running(i) || len(host.unsynced) > 0 {
 		return
 	}
 	host.synced = nil
@@ -129,9 +129,9 @@
 	}
 }
 
-// sync puts everything issued on the disk and tells the node.
-func (w *world) sync(i int) {
-	host := &w.machines[i]
-	w.flush(host, len(host.unsynced))
-	w.input(i, input{kind: inSynced, count: host.issued})
+// sync writes all unsynced records to the disk and notifies the node.
+func (cl *cluster) sync(i int) {
+	host := &cl.machines[i]
+	cl.flush(host, len(host.unsynced))
+	cl.input(i, input{kind: inSynced, count: host.issued})
 }
--- a/quorum/explore_search_test.go
+++ b/quorum/explore_search_test.go
@@ -2,36 +2,37 @@
 
 import "fmt"
 
-// search visits every run of a world that deviates from the ordinary one at most so
-// many times (delay-bounded scheduling): between any two events something may go wrong
-// once more, as long as the budget lasts. Clients change a register before every tick,
-// and whatever is broken may be repaired for nothing, all at once.
+// search visits every run of a cluster with at most the given number of deviations from the
+// fault-free run (delay-bounded scheduling): between any two events, one more thing may go
+// wrong while the budget lasts. Clients write a register before every tick. Everything that is
+// broken may be repaired at once, which costs nothing.
 type search struct {
-	worldConfig
+	clusterConfig
 	cache   *cache
-	seen    map[digest]int8 // most deviations left with which a state was met
+	seen    map[digest]int8 // most deviations left with which a state was visited
 	path    trace
 	found   string
-	trace   trace // that led to what was found
+	trace   trace // the trace that led to found
 	steps   int
 	deepest int // most events in one run
 }
 
-func newSearch(size worldConfig) *search {
-	return &search{worldConfig: size, cache: newCache(), seen: map[digest]int8{}}
+func newSearch(size clusterConfig) *search {
+	return &search{clusterConfig: size, cache: newCache(), seen: map[digest]int8{}}
 }
 
-// run explores from the end of a prefix, for so many ticks.
+// run searches from the end of a prefix, for the given number of ticks.
 func (s *search) run(prefix trace, ticks, deviations int) {
-	w := newWorld(s.worldConfig, s.cache)
-	w.play(prefix)
+	cl := newCluster(s.clusterConfig, s.cache)
+	cl.play(prefix)
 	s.path = append(trace{}, prefix...)
-	s.visit(w, ticks, deviations, 0)
+	s.visit(cl, ticks, deviations, 0)
 }
 
-// visited reports whether the world was met with as many deviations left, and notes it.
-func (s *search) visited(w *world, ticks, deviationsLeft int) bool {
-	key := w.key()
+// visited reports whether the state was visited with at least as many deviations left, and
+// records the visit.
+func (s *search) visited(cl *cluster, ticks, deviationsLeft int) bool {
+	key := cl.key()
 	key[0] ^= byte(ticks)
 	if was, ok := s.seen[key]; ok && int(was) >= deviationsLeft {
 		return true
@@ -40,23 +41,23 @@
 	return false
 }
 
-// visit goes on from w in every way; w is its to change.
-func (s *search) visit(w *world, ticks, deviationsLeft, depth int) {
-	mark := len(s.path)
-	defer func() { s.path = s.path[:mark] }()
+// visit continues from cl in every way; it may modify cl.
+func (s *search) visit(cl *cluster, ticks, deviationsLeft, depth int) {
+	pathLength := len(s.path)
+	defer func() { s.path = s.path[:pathLength] }()
 	for ; s.found == ""; depth++ {
-		if s.violates(w) || s.visited(w, ticks, deviationsLeft) {
+		if s.violates(cl) || s.visited(cl, ticks, deviationsLeft) {
 			return
 		}
 		s.deepest = max(s.deepest, depth)
-		quiet := w.idle()
+		idle := cl.idle()
 		if deviationsLeft > 0 {
-			for _, action := range deviations(w, quiet) {
-				s.deviate(w, action, ticks, deviationsLeft-1, depth)
+			for _, action := range deviations(cl, idle) {
+				s.deviate(cl, action, ticks, deviationsLeft-1, depth)
 			}
 		}
-		if !quiet {
-			w.step()
+		if !idle {
+			cl.step()
 			s.record(action{verb: doStep, a: 1})
 			continue
 		}
@@ -64,42 +65,42 @@
 			return
 		}
 		ticks--
-		if w.needsRepair() {
-			s.visitRepaired(w, ticks, deviationsLeft, depth)
+		if cl.needsRepair() {
+			s.visitRepaired(cl, ticks, deviationsLeft, depth)
 		}
-		s.nextTick(w)
+		s.nextTick(cl)
 	}
 }
 
-// nextTick is what happens in every run between two ticks.
-func (s *search) nextTick(w *world) {
-	if action, ok := clientTurn(w); ok {
-		w.disturb(action)
+// nextTick is what every run does between two ticks.
+func (s *search) nextTick(cl *cluster) {
+	if action, ok := clientTurn(cl); ok {
+		cl.disturb(action)
 		s.record(action)
 	}
-	w.tick()
+	cl.tick()
 	s.record(action{verb: doTick, a: 1})
 }
 
-func (s *search) deviate(w *world, action action, ticks, deviationsLeft, depth int) {
-	copied := w.copied()
-	copied.disturb(action)
+func (s *search) deviate(cl *cluster, action action, ticks, deviationsLeft, depth int) {
+	clone := cl.clone()
+	clone.disturb(action)
 	s.record(action)
-	s.visit(copied, ticks, deviationsLeft, depth+1)
+	s.visit(clone, ticks, deviationsLeft, depth+1)
 	s.path = s.path[:len(s.path)-1]
 }
 
-// visitRepaired goes on with everything repaired before the next tick.
-func (s *search) visitRepaired(w *world, ticks, deviationsLeft, depth int) {
-	mark := len(s.path)
-	copied := w.copied()
-	for _, action := range repairs(copied) {
-		copied.disturb(action)
+// visitRepaired continues with everything repaired before the next tick.
+func (s *search) visitRepaired(cl *cluster, ticks, deviationsLeft, depth int) {
+	pathLength := len(s.path)
+	clone := cl.clone()
+	for _, action := range repairs(clone) {
+		clone.disturb(action)
 		s.record(action)
 	}
-	s.nextTick(copied)
-	s.visit(copied, ticks, deviationsLeft, depth+1)
-	s.path = s.path[:mark]
+	s.nextTick(clone)
+	s.visit(clone, ticks, deviationsLeft, depth+1)
+	s.path = s.path[:pathLength]
 }
 
 func (s *search) record(action action) {
@@ -107,33 +108,33 @@
 	s.path = append(s.path, action)
 }
 
-func (s *search) violates(w *world) bool {
-	w.checker.check(w)
-	if w.checker.violation == "" {
+func (s *search) violates(cl *cluster) bool {
+	cl.checker.check(cl)
+	if cl.checker.violation == "" {
 		return false
 	}
-	s.found = w.checker.violation
+	s.found = cl.checker.violation
 	s.trace = append(trace{}, s.path...)
 	return true
 }
 
 // idle reports whether nothing is left to do before the next tick.
-func (w *world) idle() bool {
-	for i := range w.worldConfig.machines {
-		if host := &w.machines[i]; w.running(i) && !host.stalled && len(host.unsynced) > 0 {
+func (cl *cluster) idle() bool {
+	for i := range cl.clusterConfig.machines {
+		if host := &cl.machines[i]; cl.running(i) && !host.stalled && len(host.unsynced) > 0 {
 			return false
 		}
 	}
-	return w.next() < 0
+	return cl.next() < 0
 }
 
-func (w *world) needsRepair() bool { return len(repairs(w)) > 0 }
+func (cl *cluster) needsRepair() bool { return len(repairs(cl)) > 0 }
 
-// repairs are the actions that repair all that is broken.
-func repairs(w *world) trace {
+// repairs returns the actions that repair everything that is broken.
+func repairs(cl *cluster) trace {
 	var actions trace
-	for i := range w.worldConfig.voters {
-		switch host := &w.machines[i]; {
+	for i := range cl.clusterConfig.voters {
+		switch host := &cl.machines[i]; {
 		case !host.up:
 			actions = append(actions, action{verb: doStart, a: i})
 		case host.frozen:
@@ -142,39 +143,39 @@
 			actions = append(actions, action{verb: doFlow, a: i})
 		}
 	}
-	if w.links != [maxMachines][maxMachines]link{} {
+	if cl.links != [maxMachines][maxMachines]link{} {
 		actions = append(actions, action{verb: doHealAll})
 	}
 	return actions
 }
 
-// deviations are all that may go wrong now: something with the message due next, a loss
-// of power before a sync, and between ticks whatever befalls a machine or a link.
-func deviations(w *world, quiet bool) trace {
+// deviations returns everything that may go wrong now: the next message, a power loss before a
+// sync, and between ticks faults of machines and links.
+func deviations(cl *cluster, idle bool) trace {
 	var actions trace
-	if w.next() >= 0 {
+	if cl.next() >= 0 {
 		actions = append(actions, action{verb: doDrop}, action{verb: doRepeat}, action{verb: doPostpone})
 	}
-	for i := range w.worldConfig.machines {
-		if unsynced := len(w.machines[i].unsynced); unsynced > 0 {
+	for i := range cl.clusterConfig.machines {
+		if unsynced := len(cl.machines[i].unsynced); unsynced > 0 {
 			actions = append(actions, action{doPower, i, 0})
 			if unsynced > 1 {
 				actions = append(actions, action{doPower, i, unsynced - 1})
 			}
 		}
 	}
-	if !quiet {
+	if !idle {
 		return actions
 	}
-	for i := range w.worldConfig.machines {
-		if !w.running(i) {
+	for i := range cl.clusterConfig.machines {
+		if !cl.running(i) {
 			continue
 		}
 		for _, verb := range []verb{doKill, doFreeze, doStall, doLeave, doIsolate} {
 			actions = append(actions, action{verb: verb, a: i})
 		}
-		for j := range w.worldConfig.machines {
-			if i != j && w.links[i][j] == linkUp && w.machines[j].up {
+		for j := range cl.clusterConfig.machines {
+			if i != j && cl.links[i][j] == linkUp && cl.machines[j].up {
 				actions = append(actions, action{doCut, i, j}, action{doHold, i, j})
 			}
 		}
@@ -182,14 +183,15 @@
 	return actions
 }
 
-// clientTurn is a change of a register at the node that answers for it, each in turn.
-func clientTurn(w *world) (action, bool) {
-	register := int(w.now/tickInterval) % len(w.checker.registers)
-	for i := range w.worldConfig.machines {
-		if !w.running(i) {
+// clientTurn returns a write of a register at the node that serves it; the registers take
+// turns.
+func clientTurn(cl *cluster) (action, bool) {
+	register := int(cl.now/tickInterval) % len(cl.checker.registers)
+	for i := range cl.clusterConfig.machines {
+		if !cl.running(i) {
 			continue
 		}
-		if _, ok := w.machines[i].node.ReadUnderLease(w.now, w.checker.registers[register].key); ok {
+		if _, ok := cl.machines[i].node.ReadUnderLease(cl.now, cl.checker.registers[register].key); ok {
 			return action{doPut, i, register}, true
 		}
 	}
--- a/quorum/explore_test.go
+++ b/quorum/explore_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// The worlds that are explored.
+// The explored clusters.
 var (
-	three            = worldConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 1 << 20}
-	twoSlots         = worldConfig{voters: 3, machines: 3, slots: 2, chunkBytes: 1 << 20}
-	withGenerations  = worldConfig{voters: 3, machines: 3, slots: 2, chunkBytes: 1 << 20, generationDuration: 3 * tickInterval}
-	withLateMessages = worldConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 1 << 20, lateMessages: true}
-	inChunks         = worldConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 300}
-	threeOfFive      = worldConfig{voters: 3, machines: 5, slots: 2, chunkBytes: 1 << 20}
-	withSeats        = worldConfig{voters: 3, machines: 5, slots: 2, chunkBytes: 1 << 20, seats: 3}
-	fourOfFive       = worldConfig{voters: 4, machines: 5, slots: 1, chunkBytes: 1 << 20}
-	five             = worldConfig{voters: 5, machines: 5, slots: 1, chunkBytes: 1 << 20}
+	three            = clusterConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 1 << 20}
+	twoSlots         = clusterConfig{voters: 3, machines: 3, slots: 2, chunkBytes: 1 << 20}
+	withGenerations  = clusterConfig{voters: 3, machines: 3, slots: 2, chunkBytes: 1 << 20, generationDuration: 3 * tickInterval}
+	withLateMessages = clusterConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 1 << 20, lateMessages: true}
+	inChunks         = clusterConfig{voters: 3, machines: 3, slots: 1, chunkBytes: 300}
+	threeOfFive      = clusterConfig{voters: 3, machines: 5, slots: 2, chunkBytes: 1 << 20}
+	withTargetSize   = clusterConfig{voters: 3, machines: 5, slots: 2, chunkBytes: 1 << 20, targetSize: 3}
+	fourOfFive       = clusterConfig{voters: 4, machines: 5, slots: 1, chunkBytes: 1 << 20}
+	five             = clusterConfig{voters: 5, machines: 5, slots: 1, chunkBytes: 1 << 20}
 )
 
-// level says how far the explorer goes: VT_EXPLORE, or 1 as in CI.
+// level is how far to explore: VT_EXPLORE, or 1 as in CI.
 func level() int {
 	n, err := strconv.Atoi(os.Getenv("VT_EXPLORE"))
 	if err != nil || n < 1 {
@@ -29,20 +29,20 @@
 	return n
 }
 
-// report fails the test with the shortest trace that still breaks the rule, in the
-// form that TestKeptTraces takes.
-func report(t *testing.T, size worldConfig, actions trace, wrong string) {
+// report fails the test with the shortest trace that still violates the invariant, in the form
+// that TestKeptTraces takes.
+func report(t *testing.T, size clusterConfig, actions trace, violation string) {
 	t.Helper()
-	short := shorten(size, actions, kindOf(wrong))
-	t.Fatalf("%s\nthe shortest trace, in %+v:\n%q\n%s", wrong, size, short, play(size, short).checker.violation)
+	short := shorten(size, actions, kindOf(violation))
+	t.Fatalf("%s\nshortest trace, in %+v:\n%q\n%s", violation, size, short, play(size, short).checker.violation)
 }
 
-// TestWalks draws random runs of every world, the same ones every time; as many
-// times more as VT_EXPLORE says.
+// TestWalks runs random walks in every cluster, the same ones every time. VT_EXPLORE multiplies
+// their number.
 func TestWalks(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		config worldConfig
+		config clusterConfig
 		walks  int
 	}{
 		{"three", three, 400},
@@ -51,7 +51,7 @@
 		{"late messages", withLateMessages, 150},
 		{"in chunks", inChunks, 250},
 		{"voter set", threeOfFive, 80},
-		{"seats", withSeats, 80},
+		{"seats", withTargetSize, 80},
 		{"four", fourOfFive, 70},
 		{"five", five, 50},
 	} {
@@ -59,21 +59,21 @@
 	}
 }
 
-func walks(t *testing.T, size worldConfig, count int) {
+func walks(t *testing.T, size clusterConfig, count int) {
 	begin := time.Now()
 	inputs, changes, setChanges := 0, 0, 0
 	for seed := int64(1); seed <= int64(count); seed++ {
-		actions, w := walk(size, seed, 80)
-		if w.checker.violation != "" {
+		actions, cl := walk(size, seed, 80)
+		if cl.checker.violation != "" {
 			t.Logf("seed %d", seed)
-			report(t, size, actions, w.checker.violation)
+			report(t, size, actions, cl.checker.violation)
 		}
-		if err := w.checker.linearizable(); err != nil {
+		if err := cl.checker.linearizable(); err != nil {
 			t.Fatalf("seed %d: %v\n%q", seed, err, actions)
 		}
-		inputs += *w.inputs
-		setChanges += len(w.checker.voterSets) - 1
-		for _, operation := range w.checker.history {
+		inputs += *cl.inputs
+		setChanges += len(cl.checker.voterSets) - 1
+		for _, operation := range cl.checker.history {
 			if operation.tookEffect && operation.operation.Type == OpPut {
 				changes++
 			}
@@ -81,40 +81,40 @@
 	}
 	t.Logf("%d walks, %d inputs, %d changes confirmed, %d changes of the voter set, %.1f s", count, inputs, changes, setChanges, time.Since(begin).Seconds())
 	if changes < 2*count {
-		t.Fatalf("%d changes confirmed: too little to prove anything", changes)
+		t.Fatalf("only %d changes confirmed: the walks exercise too little", changes)
 	}
 }
 
-// Prefixes that searches start from.
+// Prefixes from which searches start.
 const (
-	calm       = "tick 5"
-	changeTorn = "tick 4; cut b a; cut b c; put b 0; step 1; kill b; heal-all"
-	oneBehind  = "tick 5; put b 0; tick 1; isolate c; put b 0; tick 1; put b 1; tick 1; heal-all"
-	oneAhead   = "tick 5; put b 0; tick 1; isolate a; hold c b; put b 0; tick 1; heal-all"
+	steadyState       = "tick 5"
+	partialCommit     = "tick 4; cut b a; cut b c; put b 0; step 1; kill b; heal-all"
+	oneFollowerBehind = "tick 5; put b 0; tick 1; isolate c; put b 0; tick 1; put b 1; tick 1; heal-all"
+	oneFollowerAhead  = "tick 5; put b 0; tick 1; isolate a; hold c b; put b 0; tick 1; heal-all"
 )
 
-// TestSearch visits every run that deviates from the ordinary one at most so many
-// times; VT_EXPLORE adds ticks.
+// TestSearch visits every run with at most the given number of deviations from the fault-free
+// run; VT_EXPLORE adds ticks.
 func TestSearch(t *testing.T) {
 	for _, test := range []struct {
 		name              string
-		config            worldConfig
+		config            clusterConfig
 		prefix            string
 		ticks, deviations int
 	}{
-		{"three", three, calm, 4, 1},
-		{"three, two deviations", three, calm, 1, 2},
-		{"a change torn", three, changeTorn, 4, 1},
-		{"one behind", three, oneBehind, 3, 1},
-		{"one ahead", three, oneAhead, 3, 1},
-		{"two slots", twoSlots, calm, 3, 1},
-		{"four", fourOfFive, calm, 2, 1},
-		{"five", five, calm, 1, 1},
+		{"three", three, steadyState, 4, 1},
+		{"three voters, two deviations", three, steadyState, 1, 2},
+		{"partly replicated change", three, partialCommit, 4, 1},
+		{"one follower behind", three, oneFollowerBehind, 3, 1},
+		{"one follower ahead", three, oneFollowerAhead, 3, 1},
+		{"two slots", twoSlots, steadyState, 3, 1},
+		{"four", fourOfFive, steadyState, 2, 1},
+		{"five", five, steadyState, 1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			begin := time.Now()
 			s := newSearch(test.config)
-			s.run(readTrace(test.prefix), test.ticks+level()-1, test.deviations)
+			s.run(parseTrace(test.prefix), test.ticks+level()-1, test.deviations)
 			if s.found != "" {
 				report(t, test.config, s.trace, s.found)
 			}
--- a/quorum/explore_traces_test.go
+++ b/quorum/explore_traces_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-// TestKeptTraces plays the shortest runs that break a rule once a safeguard is taken
-// out. All were found by the explorer, or written down for what it rarely draws.
+// TestKeptTraces plays the shortest traces that violate an invariant once a safeguard is
+// removed. They were found by the explorer, or written by hand where it rarely reaches such a
+// case.
 func TestKeptTraces(t *testing.T) {
 	for _, test := range []struct {
-		safeguard string // as scripts/weaken names it
-		config    worldConfig
+		safeguard string // its name in scripts/weaken
+		config    clusterConfig
 		trace     string
 	}{
 		{"acknowledged before the sync", three,
@@ -40,35 +41,35 @@
 			"tick 10; claim b 2; tick 4; power b 0; start b; tick 1"},
 	} {
 		t.Run(test.safeguard, func(t *testing.T) {
-			if w := play(test.config, readTrace(test.trace)); w.checker.violation != "" {
-				t.Fatal(w.checker.violation)
+			if cl := play(test.config, parseTrace(test.trace)); cl.checker.violation != "" {
+				t.Fatal(cl.checker.violation)
 			}
 		})
 	}
 }
 
-// TestCatchUpInParts: a key that changes again while a voter catches up in parts is not
-// left out of what the voter then claims to hold.
+// TestCatchUpInParts: a key that changes again while a voter catches up in chunks is not
+// missing from what the voter then claims to have.
 func TestCatchUpInParts(t *testing.T) {
-	for _, course := range []string{
+	for _, actions := range []string{
 		"tick 4; power a 2; put b 1; isolate c; start a; put b 0; acquire b 0; put b 1; heal-all; tick 1; isolate b; tick 5",
 		"tick 3; power b 1; start b; tick 5; cut a c; put a 1; power b 1; put a 0; start b; put a 1; heal-all; tick 1",
 	} {
-		if w := play(inChunks, readTrace(course)); w.checker.violation != "" {
-			t.Errorf("%s: %s", course, w.checker.violation)
+		if cl := play(inChunks, parseTrace(actions)); cl.checker.violation != "" {
+			t.Errorf("%s: %s", actions, cl.checker.violation)
 		}
 	}
 }
 
-// TestLateMessages: an answer to a voter's former process, which comes when its next one
-// has lost what was not synced, is not taken for one to that.
+// TestLateMessages: an answer to a voter's previous process may arrive after a restart that
+// lost unsynced records. It is not taken for an answer to the new process.
 func TestLateMessages(t *testing.T) {
 	for _, test := range []struct{ name, trace string }{
 		{"a snapshot chunk", "tick 5; step 60; stall a; put b 1; step 60; cut b a; put b 0; step 60; heal b a; put b 0; step 2; hold b a; step 60; power a 0; start a; tick 1; step 60; heal b a; postpone; step 60"},
 		{"a vote", "tick 5; step 60; stall a; put b 1; step 60; tick 1; step 60; kill b; tick 3; step 5; late; step 60; power a 0; start a; tick 3; release 0; step 60; tick 14"},
 	} {
-		if w := play(three, readTrace(test.trace)); w.checker.violation != "" {
-			t.Errorf("%s: %s", test.name, w.checker.violation)
+		if cl := play(three, parseTrace(test.trace)); cl.checker.violation != "" {
+			t.Errorf("%s: %s", test.name, cl.checker.violation)
 		}
 	}
 }
--- a/quorum/explore_walk_test.go
+++ b/quorum/explore_walk_test.go
@@ -2,34 +2,34 @@
 
 import "math/rand"
 
-// walk draws one random run of a world: mostly what happens by itself, with now and
-// then a disturbance, and repairs so that there is something left to disturb.
-func walk(size worldConfig, seed int64, actions int) (trace, *world) {
-	walker := &walker{Rand: rand.New(rand.NewSource(seed)), w: newWorld(size, nil)}
+// walk runs one random walk of a cluster: mostly normal progress, with occasional faults, and
+// repairs so that there is something left to break.
+func walk(size clusterConfig, seed int64, length int) (trace, *cluster) {
+	walker := &walker{Rand: rand.New(rand.NewSource(seed)), cl: newCluster(size, nil)}
 	walker.betweenMessages = walker.Intn(2) == 0
-	course := trace{{verb: doTick, a: 4}}
-	walker.w.apply(course[0])
-	for len(course) < actions && walker.w.checker.violation == "" {
+	actions := trace{{verb: doTick, a: 4}}
+	walker.cl.apply(actions[0])
+	for len(actions) < length && walker.cl.checker.violation == "" {
 		action := walker.draw()
-		course = append(course, action)
-		walker.w.apply(action)
+		actions = append(actions, action)
+		walker.cl.apply(action)
 	}
-	return course, walker.w
+	return actions, walker.cl
 }
 
 type walker struct {
 	*rand.Rand
-	w               *world
-	betweenMessages bool // disturbs between messages as well, not only between ticks
+	cl              *cluster
+	betweenMessages bool // cause faults between messages as well, not only between ticks
 }
 
-func (g *walker) machine() int { return g.Intn(g.w.worldConfig.machines) }
+func (g *walker) machine() int { return g.Intn(g.cl.clusterConfig.machines) }
 
-// leader is a machine that answers for a register, or any if none does.
+// leader returns a machine that serves a register, or a random one if none does.
 func (g *walker) leader(register int) int {
-	for i := range g.w.worldConfig.machines {
-		if g.w.running(i) {
-			if _, ok := g.w.machines[i].node.ReadUnderLease(g.w.now, g.w.checker.registers[register].key); ok {
+	for i := range g.cl.clusterConfig.machines {
+		if g.cl.running(i) {
+			if _, ok := g.cl.machines[i].node.ReadUnderLease(g.cl.now, g.cl.checker.registers[register].key); ok {
 				return i
 			}
 		}
@@ -55,12 +55,12 @@
 }
 
 func (g *walker) client() action {
-	register := g.Intn(len(g.w.checker.registers))
+	register := g.Intn(len(g.cl.checker.registers))
 	at := g.leader(register)
 	if g.Intn(6) == 0 {
 		at = g.machine()
 	}
-	if g.w.worldConfig.machines > g.w.worldConfig.voters && g.Intn(5) == 0 {
+	if g.cl.clusterConfig.machines > g.cl.clusterConfig.voters && g.Intn(5) == 0 {
 		return g.operator()
 	}
 	switch p := g.Intn(20); {
@@ -75,14 +75,14 @@
 	}
 }
 
-// operator asks for a change of the voter set, now and then for one that is no step.
+// operator requests a change of the voter set, sometimes one that is not a valid step.
 func (g *walker) operator() action {
 	at := g.leader(0)
 	if g.Intn(4) == 0 {
 		return action{doVoterSet, at, g.Intn(1 << (2 * maxMachines))}
 	}
-	come, gone := 1<<(maxMachines+g.machine()), 1<<g.machine()
-	return action{doVoterSet, at, []int{come, gone, come | gone}[g.Intn(3)]}
+	added, removed := 1<<(maxMachines+g.machine()), 1<<g.machine()
+	return action{doVoterSet, at, []int{added, removed, added | removed}[g.Intn(3)]}
 }
 
 func (g *walker) fault() action {
@@ -101,16 +101,16 @@
 	case 8:
 		return action{verb: doCheckpoint, a: i}
 	case 9:
-		if g.w.worldConfig.machines > g.w.worldConfig.voters {
+		if g.cl.clusterConfig.machines > g.cl.clusterConfig.voters {
 			return action{verb: doWipe, a: i}
 		}
 	}
-	return action{doPower, g.leader(g.Intn(len(g.w.checker.registers))), g.Intn(3)}
+	return action{doPower, g.leader(g.Intn(len(g.cl.checker.registers))), g.Intn(3)}
 }
 
 func (g *walker) networkFault() action {
 	a, b := g.machine(), g.machine()
-	if g.w.lateMessages && g.Intn(2) == 0 {
+	if g.cl.lateMessages && g.Intn(2) == 0 {
 		return action{verb: doLate}
 	}
 	switch g.Intn(8) {
@@ -128,13 +128,13 @@
 	return action{verb: doPostpone}
 }
 
-// repair repairs one thing that is broken, if any is.
+// repair repairs one broken thing, if there is any.
 func (g *walker) repair() action {
-	if late := len(g.w.setAside); late > 0 && g.Intn(3) == 0 {
+	if late := len(g.cl.setAside); late > 0 && g.Intn(3) == 0 {
 		return action{verb: doRelease, a: g.Intn(late)}
 	}
-	for _, i := range g.Perm(g.w.worldConfig.machines) {
-		switch host := &g.w.machines[i]; {
+	for _, i := range g.Perm(g.cl.clusterConfig.machines) {
+		switch host := &g.cl.machines[i]; {
 		case !host.up:
 			return action{verb: doStart, a: i}
 		case host.frozen:
@@ -142,8 +142,8 @@
 		case host.stalled:
 			return action{verb: doFlow, a: i}
 		}
-		for j := range g.w.worldConfig.machines {
-			if g.w.links[i][j] == linkUp {
+		for j := range g.cl.clusterConfig.machines {
+			if g.cl.links[i][j] == linkUp {
 				continue
 			}
 			if g.Intn(3) == 0 {
--- a/quorum/golden_digest_test.go
+++ b/quorum/golden_digest_test.go
@@ -6,26 +6,26 @@
 	"violetthread/internal/goldendigest"
 )
 
-// TestGoldenDigest walks through every explored world and sums up what was drawn, which
-// depends on what the nodes had done, and what disks hold and wires carry at the end.
+// TestGoldenDigest runs random walks in every explored cluster. The digest covers the actions,
+// which depend on what the nodes did, and the final contents of disks and messages.
 func TestGoldenDigest(t *testing.T) {
 	digest := goldendigest.New()
-	for _, size := range []worldConfig{three, twoSlots, withGenerations, withLateMessages, inChunks, threeOfFive, withSeats, fourOfFive, five} {
+	for _, size := range []clusterConfig{three, twoSlots, withGenerations, withLateMessages, inChunks, threeOfFive, withTargetSize, fourOfFive, five} {
 		for seed := int64(10_001); seed <= 10_008; seed++ {
-			course, w := walk(size, seed, 80)
-			if w.checker.violation != "" {
-				t.Fatalf("seed %d: %s", seed, w.checker.violation)
+			actions, cl := walk(size, seed, 80)
+			if cl.checker.violation != "" {
+				t.Fatalf("seed %d: %s", seed, cl.checker.violation)
 			}
-			for _, action := range course {
+			for _, action := range actions {
 				digest.Number(int64(action.a))
 				digest.Number(int64(action.b))
 			}
-			digest.Number(w.now)
-			digest.Number(int64(*w.inputs))
+			digest.Number(cl.now)
+			digest.Number(int64(*cl.inputs))
 			for i := range size.machines {
-				addMachine(digest, &w.machines[i])
+				addMachine(digest, &cl.machines[i])
 			}
-			for _, packet := range append(w.inFlight, w.setAside...) {
+			for _, packet := range append(cl.inFlight, cl.setAside...) {
 				digest.Number(int64(packet.to))
 				addMessage(digest, packet.message)
 			}
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// broadcastHeartbeat renews the leases of the slots that this node leads.
+// broadcastHeartbeat sends heartbeats for the slots that this node leads.
 func (n *Node) broadcastHeartbeat(now int64, ready *Ready) {
 	var progress []SlotProgress
 	for _, replica := range n.slots {
@@ -25,8 +25,8 @@
 	}
 }
 
-// renewLease works out the leader's lease: it runs from the sending of the newest heartbeat
-// that a majority answered.
+// renewLease extends the leader's lease, which counts from when the newest heartbeat that a
+// majority acknowledged was sent.
 func (n *Node) renewLease(now int64, replica *slotReplica) {
 	if len(replica.heartbeatAcked) < n.voterSet.Majority() {
 		return
@@ -41,8 +41,8 @@
 	replica.noVoteUntil = max(replica.noVoteUntil, now+n.config.LeaseDurationUS)
 }
 
-// handleHeartbeat follows the leaders of the slots that are listed, and answers how far this
-// voter has them.
+// handleHeartbeat follows the leader of each listed slot and acknowledges how much of its log
+// this voter has.
 func (n *Node) handleHeartbeat(now int64, message Message, ready *Ready) {
 	var progress []SlotProgress
 	for _, slot := range message.Progress {
@@ -50,14 +50,14 @@
 			progress = append(progress, n.followHeartbeat(now, message.From, slot, ready))
 		}
 	}
-	// The promise to hold off others must itself be on disk when it names a new term, or a
-	// power loss could let two leaders in.
+	// The acknowledgement is also a promise to vote for nobody else. If it is for a new term,
+	// the promise must be on disk first, or a power loss could lead to two leaders.
 	ack := Message{Type: MsgHeartbeatAck, Time: message.Time, Progress: progress}
 	n.afterSync(now, ready, func(_ int64, ready *Ready) { n.send(ready, message.From, ack) })
 }
 
-// followHeartbeat follows the leader of one slot. The answer has a higher term if this voter
-// promised that, and can't follow.
+// followHeartbeat follows the leader of one slot. If this voter promised a higher term and
+// can't follow, the answer carries that term.
 func (n *Node) followHeartbeat(now int64, from string, slot SlotProgress, ready *Ready) SlotProgress {
 	replica := n.slots[slot.Slot]
 	if slot.Term < replica.promised {
@@ -76,7 +76,7 @@
 	n.catchUp(now, replica, slot.Last, ready)
 	answer := SlotProgress{Slot: slot.Slot, Term: slot.Term}
 	if replica.logTerm == slot.Term {
-		// Repeated at every heartbeat: a lost MsgAppendAck must not hold a change up.
+		// Repeated with every heartbeat, so that a lost MsgAppendAck does not delay a commit.
 		answer.Last = replica.last
 	}
 	return answer
@@ -92,7 +92,7 @@
 			continue
 		}
 		if slot.Term > replica.term {
-			replica.noteHigherTerm(now, slot.Term)
+			replica.recordHigherTerm(now, slot.Term)
 		}
 		if slot.Term == replica.term && message.Time <= now {
 			replica.heartbeatAcked[message.From] = max(replica.heartbeatAcked[message.From], message.Time)
@@ -104,24 +104,25 @@
 	}
 }
 
-// noteHigherTerm remembers that a voter promised a higher term than this leader's, and since
+// recordHigherTerm records that a voter promised a higher term than this leader's, and since
 // when that is known.
-func (r *slotReplica) noteHigherTerm(now int64, term uint64) {
+func (r *slotReplica) recordHigherTerm(now int64, term uint64) {
 	if r.higherTerm <= r.term {
 		r.higherTermSeenAt = now
 	}
 	r.higherTerm = max(r.higherTerm, term)
 }
 
-// tickElected ends a lease that ran out, and does what only a leader does.
+// tickElected steps down when the lease has expired, and otherwise does the leader's periodic
+// work.
 func (n *Node) tickElected(now int64, replica *slotReplica, ready *Ready) {
 	switch {
 	case n.leaseExpired(now, replica):
 		n.becomeFollower(now, replica, ready)
 		ready.event(Event{Type: EventLeaseExpired, Slot: replica.id, Term: replica.term})
-	case n.mustCampaignAnew(now, replica):
-		// A candidate that failed keeps its promise to itself and would never follow: the
-		// slot is won anew above it, while the lease keeps others off.
+	case n.mustCampaignAgain(now, replica):
+		// A candidate that lost has promised its own term and can never follow a lower one.
+		// Campaign again above that term; the lease still blocks other candidates.
 		replica.promised = max(replica.promised, replica.higherTerm)
 		n.becomeFollower(now, replica, ready)
 		n.campaign(now, replica, ready)
@@ -131,7 +132,8 @@
 	}
 }
 
-// leaseExpired reports whether the lease ran out, or did not begin in its whole duration.
+// leaseExpired reports whether the lease has ended, or did not start within LeaseDurationUS of
+// the campaign.
 func (n *Node) leaseExpired(now int64, replica *slotReplica) bool {
 	if replica.leaseUntil == 0 {
 		return now-replica.campaignStartedAt > n.config.LeaseDurationUS
@@ -139,15 +141,15 @@
 	return now >= replica.leaseUntil
 }
 
-// mustCampaignAnew reports whether a voter promised a higher term and does not give it up.
-func (n *Node) mustCampaignAnew(now int64, replica *slotReplica) bool {
+// mustCampaignAgain reports whether a voter promised a higher term and still does not follow.
+func (n *Node) mustCampaignAgain(now int64, replica *slotReplica) bool {
 	waited := now - replica.higherTermSeenAt
 	return replica.higherTerm > replica.term && len(replica.pendingOrder) == 0 &&
-		waited > higherTermPatience*n.config.HeartbeatIntervalUS
+		waited > higherTermWaitHeartbeats*n.config.HeartbeatIntervalUS
 }
 
 // ReadUnderLease returns the committed register of a key if this node leads its slot under a
-// live lease; a key that does not exist has revision 0.
+// live lease. A key that does not exist has revision 0.
 func (n *Node) ReadUnderLease(now int64, key string) (Entry, bool) {
 	replica := n.slotOf(key)
 	if !replica.serves(now) {
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -7,14 +7,14 @@
 	"sort"
 )
 
-// positionKey is an entry of the index by position.
-type positionKey struct {
+// indexEntry is an entry of the index by position.
+type indexEntry struct {
 	position Position
 	key      string
 }
 
 // The index is rebuilt when it has more than minIndexSlack entries and more than
-// indexSlackFactor times as many as there are registers.
+// indexSlackFactor times as many entries as there are registers.
 const (
 	minIndexSlack    = 64
 	indexSlackFactor = 2
@@ -30,24 +30,24 @@
 	replica.index(entry)
 }
 
-// index adds a register to the index by position; most come in order.
+// index adds a register to the index by position; most are added at the end.
 func (r *slotReplica) index(entry Entry) {
 	at := len(r.byPosition)
 	if at > 0 && !r.byPosition[at-1].position.Before(entry.Position) {
 		at = r.firstAfter(entry.Position)
 	}
-	r.byPosition = slices.Insert(r.byPosition, at, positionKey{entry.Position, entry.Key})
+	r.byPosition = slices.Insert(r.byPosition, at, indexEntry{entry.Position, entry.Key})
 	if len(r.byPosition) > minIndexSlack && len(r.byPosition) > indexSlackFactor*len(r.entries) {
 		r.byPosition = r.changedAfter(Position{})
 	}
 }
 
-// firstAfter is the place in the index of the first change after a position.
+// firstAfter returns the place in the index of the first change after a position.
 func (r *slotReplica) firstAfter(position Position) int {
 	return sort.Search(len(r.byPosition), func(i int) bool { return position.Before(r.byPosition[i].position) })
 }
 
-// remove takes a register out of the replica's state, if it is there.
+// remove deletes a register from the replica's state, if it exists.
 func (n *Node) remove(replica *slotReplica, key string) {
 	if old, ok := replica.entries[key]; ok {
 		n.stateBytes -= entryBytes(old)
@@ -56,12 +56,12 @@
 }
 
 // changedAfter lists the registers whose newest change is after a position, oldest first.
-func (r *slotReplica) changedAfter(position Position) []positionKey {
-	var live []positionKey
+func (r *slotReplica) changedAfter(position Position) []indexEntry {
+	var live []indexEntry
 	for _, change := range r.byPosition[r.firstAfter(position):] {
 		entry, ok := r.entries[change.key]
 		if !ok || entry.Position != change.position {
-			continue // replaced or removed since
+			continue // changed again or deleted since
 		}
 		if count := len(live); count == 0 || live[count-1] != change {
 			live = append(live, change)
@@ -70,28 +70,30 @@
 	return live
 }
 
-// certain is the position up to which this replica's entries are beyond doubt.
-func (r *slotReplica) certain() Position {
+// knownCommitted is the position up to which the replica has all changes and knows that they
+// are committed.
+func (r *slotReplica) knownCommitted() Position {
 	if r.last.Before(r.committed) {
 		return r.last
 	}
 	return r.committed
 }
 
-// uncertainKeys are the keys whose newest change here may never be committed.
-func (r *slotReplica) uncertainKeys() []string {
+// uncommittedKeys lists the keys whose newest change here may never be committed.
+func (r *slotReplica) uncommittedKeys() []string {
 	var keys []string
-	for _, change := range r.changedAfter(r.certain()) {
+	for _, change := range r.changedAfter(r.knownCommitted()) {
 		keys = append(keys, change.key)
 	}
 	return keys
 }
 
-// changesSince lists what a node must learn that is certain up to a position and doubts some
-// keys; absent are the doubted keys that do not exist here.
-func (r *slotReplica) changesSince(position Position, doubted []string) (entries []Entry, absent []string) {
+// changesSince lists the entries needed by a node that has everything up to a position, and
+// whose changes of the uncommitted keys may never be committed; absent lists the uncommitted
+// keys that do not exist here.
+func (r *slotReplica) changesSince(position Position, uncommitted []string) (entries []Entry, absent []string) {
 	listed := map[string]bool{}
-	for _, key := range doubted {
+	for _, key := range uncommitted {
 		if listed[key] {
 			continue
 		}
@@ -110,19 +112,21 @@
 	return entries, absent
 }
 
-// byOrder lists registers by position. Keys break ties, so that a seed replays alike.
-func byOrder(entries map[string]Entry) []Entry {
+// sortedByPosition sorts registers by position. Ties are broken by key, so that runs are
+// reproducible.
+func sortedByPosition(entries map[string]Entry) []Entry {
 	return slices.SortedFunc(maps.Values(entries), func(a, b Entry) int {
 		return cmp.Or(a.Position.Compare(b.Position), cmp.Compare(a.Key, b.Key))
 	})
 }
 
-// stageEntry takes a register of a newer log over before that log is followed: until
-// recordLogState is on disk the old log stands, with nothing beyond certain beyond doubt.
-func (n *Node) stageEntry(replica *slotReplica, entry Entry, certain Position, ready *Ready) {
+// stageEntry stores a register of a newer log before the replica switches to that log. Until
+// recordLogState is on disk the old log stays current, and nothing in it after knownCommitted
+// counts as committed.
+func (n *Node) stageEntry(replica *slotReplica, entry Entry, knownCommitted Position, ready *Ready) {
 	n.store(replica, entry)
 	n.appendRecord(ready, Record{Type: RecordEntry, Slot: replica.id, Term: replica.logTerm,
-		Last: certain, Committed: certain, Entry: entry})
+		Last: knownCommitted, Committed: knownCommitted, Entry: entry})
 }
 
 // recordEntry records a change of the log that the replica follows.
@@ -131,13 +135,14 @@
 		Last: last, Committed: replica.committed, Entry: entry})
 }
 
-// deleteEntry takes a register out, and records that.
+// deleteEntry deletes a register and records the deletion.
 func (n *Node) deleteEntry(replica *slotReplica, key string, ready *Ready) {
 	n.remove(replica, key)
 	n.appendRecord(ready, Record{Type: RecordDelete, Slot: replica.id, Entry: Entry{Key: key}})
 }
 
-// recordLogState records which log the replica follows from now on, and how far it has it.
+// recordLogState records which log the replica follows from now on, and how much of it the
+// replica has.
 func (n *Node) recordLogState(replica *slotReplica, ready *Ready) {
 	n.appendRecord(ready, replica.logState())
 }
--- a/quorum/main_test.go
+++ b/quorum/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the property tests as many draws as CI has time for, and the same ones
-// each time; -rapid.checks and -rapid.seed on the command line go before.
+// TestMain sets the number of draws of the property tests to what CI has time for, and a fixed
+// seed; -rapid.checks and -rapid.seed on the command line take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.checks": "100", "rapid.seed": "20261202", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/quorum/node.go
+++ b/quorum/node.go
@@ -1,16 +1,16 @@
 package quorum
 
-// maxTickGap is the time without a tick, in microseconds, after which this process counts
-// as having been suspended itself, so that it can't tell who was silent meanwhile.
-const maxTickGap = 300_000
+// maxTickGapUS is the time between ticks, in microseconds, above which this process counts as
+// having been suspended. It can't tell then which voters were silent meanwhile.
+const maxTickGapUS = 300_000
 
-// syncCallback is an effect that waits until so many records are synced.
+// syncCallback is an effect that waits until the given number of records is synced.
 type syncCallback struct {
 	records uint64
 	run     func(now int64, ready *Ready)
 }
 
-// joinRequest is when a newcomer first and last asked to be let in.
+// joinRequest records when a node first and last asked to join.
 type joinRequest struct{ first, last int64 }
 
 // Node is one voter. It is not safe for concurrent use. Times are in microseconds.
@@ -19,39 +19,38 @@
 	voterSet         VoterSet
 	leaving          bool
 	diskLow          bool
-	pendingVoterSet  uint64 // revision being put on disk
+	pendingVoterSet  uint64 // revision that is being written to disk
 	self             Voter
 	slots            []*slotReplica
-	noVoteBefore     int64 // a lease granted before the restart may run until then
+	noVoteBefore     int64 // a lease acknowledged before the restart may last until then
 	noCampaignBefore int64
 	heartbeatSentAt  int64
 	recordsIssued    uint64
 	recordsSynced    uint64
-	generation       uint64                 // the newest generation of claims heard of
+	generation       uint64                 // the newest claim generation known
 	lastHeard        map[string]int64       // by voter
-	admittedAt       map[string]int64       // by voter let in while this process runs
-	leavingSince     map[string]int64       // by voter that stops, when it last said so
+	installedAt      map[string]int64       // when this process installed the voter, by name
+	leavingSince     map[string]int64       // when the voter last announced that it stops, by name
 	joinRequests     map[uint64]joinRequest // by incarnation
-	listeningSince   int64                  // since when this process runs without a pause
+	runningSince     int64                  // when this process started or was last resumed
 	lastTickAt       int64
 	syncCallbacks    []syncCallback
 	stateBytes       int
 }
 
-// New makes a node at time now from the records that its disk held, in their order. The
-// voter set is that of the fleet's bootstrap or any later one; a newer one among the records
-// goes before it.
+// New creates a node at time now from the records on its disk, in their order. set is the voter
+// set of the fleet's bootstrap or any later one; a newer one in the records takes precedence.
 func New(config Config, set VoterSet, now int64, records []Record) *Node {
 	n := &Node{
-		config:         config,
-		voterSet:       set,
-		noVoteBefore:   now + config.LeaseDurationUS,
-		lastHeard:      map[string]int64{},
-		admittedAt:     map[string]int64{},
-		leavingSince:   map[string]int64{},
-		joinRequests:   map[uint64]joinRequest{},
-		listeningSince: now,
-		lastTickAt:     now,
+		config:       config,
+		voterSet:     set,
+		noVoteBefore: now + config.LeaseDurationUS,
+		lastHeard:    map[string]int64{},
+		installedAt:  map[string]int64{},
+		leavingSince: map[string]int64{},
+		joinRequests: map[uint64]joinRequest{},
+		runningSince: now,
+		lastTickAt:   now,
 	}
 	for id := range config.Slots {
 		n.slots = append(n.slots, &slotReplica{id: uint16(id), entries: map[string]Entry{}})
@@ -64,9 +63,9 @@
 	n.pendingVoterSet = n.voterSet.Revision
 	n.noCampaignBefore = now + config.LeaseDurationUS
 	if !n.promisedAny() {
-		// A disk that promised nothing has no lease to wait out and may vote at once. In a
-		// fleet that works already it campaigns only after a lease: its promise to itself
-		// would keep it from following the live leaders.
+		// A disk without a promise has acknowledged no lease and may vote at once. In a running
+		// fleet it campaigns only after a lease duration: the term that it would promise to
+		// itself would keep it from following the live leaders.
 		n.noVoteBefore = now
 		if set.Step() == 1 {
 			n.noCampaignBefore = now
@@ -75,7 +74,7 @@
 	return n
 }
 
-// promisedAny reports whether this disk ever promised to follow a term.
+// promisedAny reports whether this disk holds a promise to follow any term.
 func (n *Node) promisedAny() bool {
 	for _, replica := range n.slots {
 		if replica.promised > 0 {
@@ -85,12 +84,12 @@
 	return false
 }
 
-// Tick lets time pass: heartbeats, elections and the ends of leases depend on it. It must be
-// called a few times per HeartbeatIntervalUS.
+// Tick advances time, which drives heartbeats, elections and lease expiry. It must be called
+// several times per HeartbeatIntervalUS.
 func (n *Node) Tick(now int64) Ready {
 	var ready Ready
-	if now-n.lastTickAt > maxTickGap {
-		n.listeningSince = now
+	if now-n.lastTickAt > maxTickGapUS {
+		n.runningSince = now
 	}
 	n.lastTickAt = now
 	if !n.isVoter() {
@@ -107,7 +106,7 @@
 }
 
 func (n *Node) tickSlot(now int64, replica *slotReplica, ready *Ready) {
-	n.forgetClosedClaims(replica)
+	n.dropClosedClaims(replica)
 	switch replica.state {
 	case stateFollower:
 		n.tickFollower(now, replica, ready)
@@ -118,8 +117,8 @@
 	}
 }
 
-// RecordsSynced says that the first count records that this node ever emitted are on disk,
-// and returns the effects that waited for that.
+// RecordsSynced reports that the first count records that this node ever emitted are on disk,
+// and returns the effects that waited for them.
 func (n *Node) RecordsSynced(now int64, count uint64) Ready {
 	var ready Ready
 	n.recordsSynced = max(n.recordsSynced, count)
@@ -131,8 +130,8 @@
 	return ready
 }
 
-// SetDiskLow makes the node refuse new changes of the slots that it leads while its disk has
-// little room; it still follows other leaders, so that their changes can be committed.
+// SetDiskLow makes the node refuse new changes for the slots that it leads while its disk is
+// low on space. It still follows other leaders, so that their changes can be committed.
 func (n *Node) SetDiskLow(low bool) { n.diskLow = low }
 
 func (n *Node) appendRecord(ready *Ready, record Record) {
@@ -140,7 +139,8 @@
 	n.recordsIssued++
 }
 
-// afterSync runs an effect once everything recorded so far is synced; at once if it is.
+// afterSync runs an effect once everything recorded so far is synced, or at once if it is
+// already.
 func (n *Node) afterSync(now int64, ready *Ready, run func(int64, *Ready)) {
 	if n.recordsSynced >= n.recordsIssued {
 		run(now, ready)
--- a/quorum/node_test.go
+++ b/quorum/node_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// testTick is the interval of tests that tick a node themselves, as its callers do.
+// testTick is the tick interval of tests that tick a node themselves, as its callers do.
 const testTick = 25_000
 
-// singleNode is a voter set of one, which commits everything by itself once synced.
+// singleNode is the only voter of its set, which commits everything by itself once synced.
 type singleNode struct {
 	t       *testing.T
 	node    *Node
 	now     int64
-	lastID  uint64 // of an operation
+	lastID  uint64 // of the newest operation
 	records uint64
 	results []Result
 }
 
-// newSingleNode runs a node until it leads all slots, with three open generations of claims.
+// newSingleNode runs a node until it leads all slots, with three open claim generations.
 func newSingleNode(t *testing.T, generationDuration int64) *singleNode {
 	t.Helper()
 	config := DefaultConfig("a", 1)
@@ -36,14 +36,14 @@
 	}
 }
 
-// runUntil ticks the node until a time is reached.
+// runUntil ticks the node until a given time.
 func (s *singleNode) runUntil(end int64) {
 	for ; s.now < end; s.now += testTick {
 		s.carryOut(s.node.Tick(s.now))
 	}
 }
 
-// propose gives an operation the next ID and returns its result.
+// propose proposes an operation under the next ID and returns its result.
 func (s *singleNode) propose(operation Operation) Result {
 	s.t.Helper()
 	s.lastID++
@@ -59,7 +59,7 @@
 	return Result{}
 }
 
-// expect proposes an operation that must end with a status.
+// expect proposes an operation that must end with the given status.
 func (s *singleNode) expect(what string, operation Operation, want Status) Result {
 	s.t.Helper()
 	result := s.propose(operation)
@@ -69,9 +69,9 @@
 	return result
 }
 
-// TestSilence counts from what this node could hear, never from before.
-func TestSilence(t *testing.T) {
-	node := New(DefaultConfig("a", 1), newAddressedSet(3), 10_000_000, nil)
+// TestTimeSinceHeard: a time in which this node could not receive does not count.
+func TestTimeSinceHeard(t *testing.T) {
+	node := New(DefaultConfig("a", 1), newVoterSetWithAddrs(3), 10_000_000, nil)
 	now := int64(10_000_000)
 	for ; now < 12_000_000; now += testTick {
 		node.Tick(now)
@@ -82,32 +82,32 @@
 	}
 	now -= testTick
 	if b, c, a := node.TimeSinceHeard(now, "b"), node.TimeSinceHeard(now, "c"), node.TimeSinceHeard(now, "a"); b != 1_000_000 || c != 1_975_000 || a != 0 {
-		t.Fatalf("b is silent for %d, c (another incarnation speaks) for %d, the node itself for %d", b, c, a)
+		t.Fatalf("time since heard: b %d, c (another incarnation was heard) %d, the node itself %d", b, c, a)
 	}
-	now += 5_000_000 // suspended: before the first tick after, and from it on
+	now += 5_000_000 // suspended: checked before the first tick afterwards, and after it
 	if b := node.TimeSinceHeard(now, "b"); b != 0 {
-		t.Fatalf("after a pause b counts as silent for %d", b)
+		t.Fatalf("time since b was heard, after a suspension: %d", b)
 	}
 	node.Tick(now)
 	if b := node.TimeSinceHeard(now+100_000, "b"); b != 100_000 {
-		t.Fatalf("after a pause b counts as silent for %d", b)
+		t.Fatalf("time since b was heard, after a suspension: %d", b)
 	}
 }
 
-// TestNoVoteAfterRestart: a disk that may have granted something waits a lease after a start; one
-// that never did has nothing to wait for.
+// TestNoVoteAfterRestart: a voter that may have acknowledged a lease waits one lease duration
+// after a restart; a voter without a promise on disk votes at once.
 func TestNoVoteAfterRestart(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		records []Record
 		want    MessageType
 	}{
-		{"an empty disk", nil, MsgVoteGranted},
-		{"no promise", []Record{{Type: RecordPromise, Slot: 3, Term: 0}}, MsgVoteGranted},
-		{"a promise, also for another slot", []Record{{Type: RecordPromise, Slot: 3, Term: 1 << 16}}, MsgVoteRejected},
+		{"empty disk", nil, MsgVoteGranted},
+		{"disk without a promise", []Record{{Type: RecordPromise, Slot: 3, Term: 0}}, MsgVoteGranted},
+		{"promise, even for another slot", []Record{{Type: RecordPromise, Slot: 3, Term: 1 << 16}}, MsgVoteRejected},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			node := New(DefaultConfig("a", 1), newAddressedSet(3), 5_000_000, test.records)
+			node := New(DefaultConfig("a", 1), newVoterSetWithAddrs(3), 5_000_000, test.records)
 			ready := node.Receive(5_000_100, Message{Type: MsgVoteRequest, From: "b", Incarnation: 2,
 				VoterSetRevision: node.VoterSet().Revision, Slot: 5, Term: 1<<16 | 2})
 			if len(ready.Messages) == 0 {
--- a/quorum/operation.go
+++ b/quorum/operation.go
@@ -1,6 +1,6 @@
 package quorum
 
-// OperationType names what a caller asks of a key. The numbers are sent.
+// OperationType is what a caller requests for a key. The numbers are sent.
 type OperationType uint8
 
 const (
@@ -14,7 +14,7 @@
 	OpRelease
 	// OpClaim claims a key of a generation, once.
 	OpClaim
-	// OpUnclaim gives a claim back.
+	// OpUnclaim releases a claim.
 	OpUnclaim
 )
 
@@ -29,42 +29,43 @@
 
 func (t OperationType) String() string { return enumName(operationTypeNames[:], uint8(t)) }
 
-// AnyRevision as Operation.ExpectedRevision accepts whatever revision the key has.
+// AnyRevision as Operation.ExpectedRevision matches every revision.
 const AnyRevision = ^uint64(0)
 
-// Operation is what a caller asks of a key.
+// Operation is a caller's request for a key.
 type Operation struct {
-	// ID names the operation in its Result; the caller never repeats one. With 0 there is no
-	// result when a change is committed.
+	// ID identifies the operation in its Result and must be unique per caller. With 0, a
+	// committed change has no result.
 	ID    uint64
 	Type  OperationType
 	Key   string
 	Value []byte
-	// ExpectedRevision is, for OpPut, the revision that the key must have (0: absent), and
-	// for OpRelease the revision of the lease.
+	// ExpectedRevision is the revision that the key must have for OpPut (0: absent), and the
+	// revision of the lease for OpRelease.
 	ExpectedRevision uint64
 	// Holder and LeaseDurationUS (microseconds) describe a role lease (design §4.5).
 	Holder          string
 	LeaseDurationUS int64
 }
 
-// Status is how an operation ended. The numbers are sent.
+// Status is the outcome of an operation. The numbers are sent.
 type Status uint8
 
 const (
-	// StatusDone means: the change is on a majority of disks, or the value was read.
+	// StatusDone means that the change is on a majority of disks, or the value was read.
 	StatusDone Status = iota + 1
-	// StatusConflict means: nothing changed; the result holds the register as it is.
+	// StatusConflict means that nothing changed; the result holds the current register.
 	StatusConflict
-	// StatusNotLeader means: nothing changed; ask Result.Leader.
+	// StatusNotLeader means that nothing changed; ask Result.Leader.
 	StatusNotLeader
-	// StatusUnknown means: the change may still take effect, until the key is next changed.
+	// StatusUnknown means that the change may still take effect, until the key is next changed.
 	StatusUnknown
-	// StatusFull means: nothing changed, for want of room.
+	// StatusFull means that nothing changed, because there is no space left.
 	StatusFull
-	// StatusGenerationClosed means: the claim's generation is over; it is granted to nobody any more.
+	// StatusGenerationClosed means that the claim's generation is closed; the claim is never
+	// granted again.
 	StatusGenerationClosed
-	// StatusGenerationNotOpen means: the claim's generation is not open yet.
+	// StatusGenerationNotOpen means that the claim's generation is not open yet.
 	StatusGenerationNotOpen
 )
 
@@ -80,13 +81,13 @@
 
 func (s Status) String() string { return enumName(statusNames[:], uint8(s)) }
 
-// Result ends an operation.
+// Result is the outcome of an operation.
 type Result struct {
 	ID       uint64
 	Status   Status
 	Revision uint64
 	Value    []byte
-	// Leader names the slot's leader as far as this node knows, or "".
+	// Leader is the name of the slot's leader as far as this node knows, or "".
 	Leader string
 }
 
@@ -99,27 +100,27 @@
 	ready     *Ready
 }
 
-// finish ends the operation; entry is what the caller is told of the register.
+// finish ends the operation; entry is the register as reported to the caller.
 func (c *call) finish(status Status, entry Entry) {
 	c.ready.Results = append(c.ready.Results, Result{ID: c.operation.ID, Status: status,
 		Revision: entry.Revision, Value: entry.Value, Leader: c.replica.leader})
 }
 
-// next is the register after a change of its value.
+// next returns the register with a new value and the next revision.
 func (c *call) next(value []byte) Entry {
 	return Entry{Key: c.operation.Key, Revision: c.current.Revision + 1, Value: value}
 }
 
-// Propose starts an operation. Its Result comes with this Ready or a later one, or never if
-// the process ends.
+// Propose starts an operation. Its Result comes with this Ready or a later one, or never if the
+// process ends.
 func (n *Node) Propose(now int64, operation Operation) Ready {
 	var ready Ready
 	n.apply(now, n.slotOf(operation.Key), operation, &ready)
 	return ready
 }
 
-// apply runs an operation at the slot's leader. One on a key with a pending change waits for
-// that to be committed.
+// apply executes an operation if this node leads the slot. A change of a key that has a pending
+// change is queued until that one is committed.
 func (n *Node) apply(now int64, replica *slotReplica, operation Operation, ready *Ready) {
 	c := &call{now: now, replica: replica, operation: operation, ready: ready}
 	if !replica.serves(now) {
@@ -169,7 +170,7 @@
 	n.change(c, c.next(operation.Value))
 }
 
-// change replicates a new value of the register, if there is room for it.
+// change replicates a new value of the register, if there is space for it.
 func (n *Node) change(c *call, entry Entry) {
 	limit := n.config.MaxStateBytes
 	if isClaim(entry.Key) {
--- a/quorum/receive.go
+++ b/quorum/receive.go
@@ -1,17 +1,17 @@
 package quorum
 
-// Receive takes a message from another voter. Messages of a sender that the voter set does
-// not know under that incarnation are ignored (design §4.6).
+// Receive handles a message from another voter. It is ignored if the voter set does not have
+// its sender with that incarnation (design §4.6).
 func (n *Node) Receive(now int64, message Message) Ready {
 	var ready Ready
-	if n.knows(message) {
+	if n.isFromVoter(message) {
 		n.lastHeard[message.From] = now
 	}
 	if message.VoterSetRevision != n.voterSet.Revision && message.From != n.config.Name {
-		n.handleOtherVoterSet(now, message, &ready)
+		n.handleVoterSetMismatch(now, message, &ready)
 		return ready
 	}
-	if !n.knows(message) || message.From == n.config.Name || !n.isVoter() {
+	if !n.isFromVoter(message) || message.From == n.config.Name || !n.isVoter() {
 		ready.event(Event{Type: EventUnknownSender, Peer: message.From, Incarnation: message.Incarnation,
 			VoterSetRevision: message.VoterSetRevision})
 		return ready
@@ -29,8 +29,8 @@
 	return ready
 }
 
-// knows reports whether the sender is a voter under the incarnation that it gives.
-func (n *Node) knows(message Message) bool {
+// isFromVoter reports whether the sender is a voter with the incarnation in the message.
+func (n *Node) isFromVoter(message Message) bool {
 	voter, ok := n.voterSet.Find(message.From)
 	return ok && voter.Incarnation == message.Incarnation
 }
--- a/quorum/record.go
+++ b/quorum/record.go
@@ -1,6 +1,6 @@
 package quorum
 
-// RecordType names a record on disk (design §4.4). The numbers are stored.
+// RecordType is the type of a record on disk (design §4.4). The numbers are stored.
 type RecordType uint8
 
 const (
@@ -8,10 +8,10 @@
 	RecordPromise RecordType = iota + 1
 	// RecordEntry holds a register, and the state of the log that it belongs to.
 	RecordEntry
-	// RecordDelete takes a register out.
+	// RecordDelete deletes a register.
 	RecordDelete
-	// RecordLogState holds which log a replica follows, and how far it has it. It ends a
-	// batch of entries of a newer log: until it is on disk the older log stands.
+	// RecordLogState holds which log a replica follows, and how much of it the replica has. It
+	// ends a batch of entries of a newer log: until it is on disk, the older log stays current.
 	RecordLogState
 	// RecordVoterSet holds a voter set in force.
 	RecordVoterSet
@@ -27,11 +27,11 @@
 
 func (t RecordType) String() string { return enumName(recordTypeNames[:], uint8(t)) }
 
-// Record is a record on disk; fields that its type does not use stay zero.
+// Record is a record on disk; fields that its type does not use are zero.
 type Record struct {
 	Type RecordType
 	Slot uint16
-	// Term is the one promised, or that of the log.
+	// Term is the promised term, or the term of the log.
 	Term uint64
 	// Last and Committed are the state of the log once the record is on disk.
 	Last      Position
@@ -40,8 +40,8 @@
 	VoterSet  *VoterSet
 }
 
-// replayRecord takes over a record that the disk held. Records of slots that this
-// configuration does not have are passed over.
+// replayRecord applies a record read from disk. Records of slots that this configuration does
+// not have are skipped.
 func (n *Node) replayRecord(record Record) {
 	if record.Type == RecordVoterSet {
 		if record.VoterSet != nil && record.VoterSet.Revision > n.voterSet.Revision {
@@ -70,8 +70,8 @@
 	r.logTerm, r.last, r.committed = record.Term, record.Last, record.Committed
 }
 
-// Checkpoint returns records that stand for the whole state, so that the caller can drop
-// all records emitted before.
+// Checkpoint returns records that represent the whole state, so that the caller can drop all
+// records emitted before.
 func (n *Node) Checkpoint() []Record {
 	set := n.voterSet
 	records := []Record{{Type: RecordVoterSet, VoterSet: &set}}
--- a/quorum/recovery.go
+++ b/quorum/recovery.go
@@ -1,7 +1,7 @@
 package quorum
 
-// countVotes makes this node the leader once a majority granted its vote: it takes over what
-// they hold, and has a majority copy that before it serves (design §4.3).
+// countVotes makes this node the leader once a majority granted its vote: it takes over their
+// uncommitted entries, and serves only after a majority has copied these (design §4.3).
 func (n *Node) countVotes(now int64, replica *slotReplica, ready *Ready) {
 	_, promised := replica.votes[n.config.Name] // this voter's own promise is on disk
 	if !promised || len(replica.votes) < n.voterSet.Majority() {
@@ -10,18 +10,18 @@
 	committed, recovered := n.recoverLog(replica, ready)
 	n.becomeRecovering(now, replica, committed, ready)
 	ready.event(Event{Type: EventLeaderElected, Slot: replica.id, Term: replica.term, Recovered: recovered})
-	n.heartbeatSentAt = 0 // a heartbeat goes out at the next tick, so that the lease begins at once
+	n.heartbeatSentAt = 0 // send a heartbeat at the next tick, so that the lease starts at once
 }
 
-// recoverLog replaces what is in doubt here by what the newest log among the votes has. It
-// returns the committed position of that log, and how many registers were in doubt.
+// recoverLog replaces this replica's uncommitted entries by those of the newest log among the
+// votes. It returns the committed position of that log, and how many registers it took over.
 func (n *Node) recoverLog(replica *slotReplica, ready *Ready) (committed Position, recovered int) {
-	certain, uncertain := replica.certain(), replica.uncertainKeys()
-	committed, found := n.mergeVotes(replica, uncertain)
-	for _, entry := range byOrder(found) {
-		n.stageEntry(replica, entry, certain, ready)
+	knownCommitted, uncommitted := replica.knownCommitted(), replica.uncommittedKeys()
+	committed, found := n.mergeVotes(replica, uncommitted)
+	for _, entry := range sortedByPosition(found) {
+		n.stageEntry(replica, entry, knownCommitted, ready)
 	}
-	for _, key := range uncertain {
+	for _, key := range uncommitted {
 		if _, ok := found[key]; !ok {
 			n.deleteEntry(replica, key, ready)
 		}
@@ -29,10 +29,10 @@
 	return committed, len(found)
 }
 
-// mergeVotes gathers the newest change of each key that a majority reported. Only the newest
-// log counts: what an older one has beyond its committed position was either carried into the
-// newer one or never committed.
-func (n *Node) mergeVotes(replica *slotReplica, uncertain []string) (committed Position, found map[string]Entry) {
+// mergeVotes collects the newest change of each key that a majority reported. Only the newest
+// log counts: what an older log has after its committed position was either copied into the
+// newer log or never committed.
+func (n *Node) mergeVotes(replica *slotReplica, uncommitted []string) (committed Position, found map[string]Entry) {
 	var newest uint64
 	for _, vote := range replica.votes {
 		newest = max(newest, vote.LogTerm)
@@ -40,7 +40,7 @@
 	found = map[string]Entry{}
 	if replica.logTerm == newest {
 		committed = replica.committed
-		for _, key := range uncertain {
+		for _, key := range uncommitted {
 			found[key] = replica.entries[key]
 		}
 	}
@@ -60,8 +60,8 @@
 	return committed, found
 }
 
-// becomeRecovering starts the log of a term that this node won. The slot is served once a
-// majority has the log's beginning on disk, and with it all that was recovered.
+// becomeRecovering starts the log of the term that this node won. The slot is served once a
+// majority has the start of the log on disk, and with it everything recovered.
 func (n *Node) becomeRecovering(now int64, replica *slotReplica, committed Position, ready *Ready) {
 	term, start := replica.term, Position{replica.term, 0}
 	replica.state = stateRecovering
@@ -73,18 +73,18 @@
 	replica.pendingByKey, replica.pendingOrder = map[string]*pendingChange{}, nil
 	replica.roleLeaseUntil = map[string]int64{}
 	n.recordLogState(replica, ready)
-	n.acknowledgeOwn(now, replica, start, ready)
+	n.acknowledgeLocal(now, replica, start, ready)
 }
 
-// becomeLeader begins to serve a slot that is recovered.
+// becomeLeader starts to serve a recovered slot.
 func (n *Node) becomeLeader(now int64, replica *slotReplica, ready *Ready) {
 	replica.state = stateLeader
 	replica.recoveredUnder = n.voterSet.Revision
 	replica.generationSince = now
-	// In the order of their changes, so that a seed replays alike.
+	// In the order of their changes, so that runs are reproducible.
 	for _, change := range replica.changedAfter(Position{}) {
 		if isRole(change.key) {
-			// The former leader may have renewed until it stopped (design §4.5).
+			// The previous leader may have renewed the lease until it stopped (design §4.5).
 			replica.roleLeaseUntil[change.key] = now + parseRoleLease(replica.entries[change.key].Value).Duration
 		}
 	}
--- a/quorum/replication.go
+++ b/quorum/replication.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// replicate gives a change its position and starts it towards a majority. An operation
-// without an ID is the node's own, and has no result.
+// replicate assigns a position to a change and sends it to the other voters. An operation
+// without an ID is the node's own and has no result.
 func (n *Node) replicate(now int64, replica *slotReplica, entry Entry, operation Operation, ready *Ready) {
 	before := Position{replica.term, replica.lastIndex}
 	replica.lastIndex++
@@ -15,13 +15,13 @@
 	n.store(replica, entry)
 	replica.last = entry.Position
 	n.recordEntry(replica, entry, replica.last, ready)
-	n.acknowledgeOwn(now, replica, entry.Position, ready)
+	n.acknowledgeLocal(now, replica, entry.Position, ready)
 	n.broadcast(ready, Message{Type: MsgAppend, Slot: replica.id, Term: replica.term, Previous: before,
 		Entries: []Entry{entry}, Committed: replica.committed})
 }
 
-// acknowledgeOwn counts this leader's own disk once what it recorded so far is synced.
-func (n *Node) acknowledgeOwn(now int64, replica *slotReplica, position Position, ready *Ready) {
+// acknowledgeLocal counts this leader's own disk once everything recorded so far is synced.
+func (n *Node) acknowledgeLocal(now int64, replica *slotReplica, position Position, ready *Ready) {
 	n.afterSync(now, ready, func(now int64, ready *Ready) {
 		if replica.term == position.Term && replica.state.elected() {
 			n.acknowledge(now, replica, n.config.Name, position, ready)
@@ -29,7 +29,7 @@
 	})
 }
 
-// acknowledge counts a voter's synced position, and commits what a majority now has.
+// acknowledge records a voter's synced position, and commits what a majority has now.
 func (n *Node) acknowledge(now int64, replica *slotReplica, voter string, position Position, ready *Ready) {
 	if known, ok := replica.acknowledged[voter]; !ok || known.Before(position) {
 		replica.acknowledged[voter] = position
@@ -37,8 +37,8 @@
 	if len(replica.acknowledged) < n.voterSet.Majority() {
 		return
 	}
-	if common := n.acknowledgedByMajority(replica); replica.committed.Before(common) {
-		replica.committed = common
+	if majorityPosition := n.acknowledgedByMajority(replica); replica.committed.Before(majorityPosition) {
+		replica.committed = majorityPosition
 	}
 	n.finishCommitted(now, replica, ready)
 	started := !replica.committed.Before(Position{replica.term, 0})
@@ -47,7 +47,7 @@
 	}
 }
 
-// acknowledgedByMajority is the highest position that a majority has on disk.
+// acknowledgedByMajority returns the highest position that a majority has on disk.
 func (n *Node) acknowledgedByMajority(replica *slotReplica) Position {
 	var positions []Position
 	for _, position := range replica.acknowledged {
@@ -57,8 +57,8 @@
 	return positions[n.voterSet.Majority()-1]
 }
 
-// finishCommitted ends the operations whose changes are committed, and applies those that
-// waited for them.
+// finishCommitted completes the operations whose changes are committed, and applies those that
+// were queued behind them.
 func (n *Node) finishCommitted(now int64, replica *slotReplica, ready *Ready) {
 	for len(replica.pendingOrder) > 0 && !replica.committed.Before(replica.pendingOrder[0].position) {
 		change := replica.pendingOrder[0]
@@ -97,8 +97,8 @@
 	if replica.committed.Before(committed) {
 		replica.committed = committed
 	}
-	// The last position moves with the last record only, lest a torn batch claim more than it
-	// holds.
+	// The last position advances only with the last record, so that a partly written batch does
+	// not claim more than it holds.
 	recorded := replica.last
 	for k, entry := range entries {
 		if k == len(entries)-1 && replica.last.Before(last) {
@@ -116,7 +116,7 @@
 	n.sendAppendAck(now, replica, ready)
 }
 
-// sendAppendAck tells the leader how far this voter has its log, once that is synced.
+// sendAppendAck acknowledges this voter's last position to the leader, once it is synced.
 func (n *Node) sendAppendAck(now int64, replica *slotReplica, ready *Ready) {
 	leader := replica.leader
 	ack := Message{Type: MsgAppendAck, Slot: replica.id, Term: replica.logTerm, Last: replica.last}
--- a/quorum/role.go
+++ b/quorum/role.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// A role is a task that one node at a time has for the fleet; its register holds the lease
-// (design §4.5).
-// The register's revision rises with each grant and is the holder's fencing token. Grants are
-// written; renewals are not: the slot's leader keeps them in memory under its own lease, and
-// a later leader waits a whole LeaseDurationUS before it grants the role to another.
+// A role is a task that one node at a time performs for the fleet; its register holds the lease
+// (design §4.5). The register's revision rises with each grant and is the holder's fencing
+// token. Grants are written. Renewals are not: the slot's leader keeps them in memory under its
+// own lease, and a later leader waits for the whole duration of the role lease before it grants
+// the role to another node.
 
-// rolePrefix begins the keys of roles. It is stored.
+// rolePrefix is the prefix of role keys. It is stored.
 const rolePrefix = "duty/"
 
 func isRole(key string) bool { return strings.HasPrefix(key, rolePrefix) }
@@ -22,7 +22,7 @@
 	Duration int64 // microseconds
 }
 
-// encode is the lease as its register holds it: the duration in eight bytes, then the holder.
+// encode returns the stored form of the lease: the duration in eight bytes, then the holder.
 func (l roleLease) encode() []byte {
 	return append(binary.LittleEndian.AppendUint64(nil, uint64(l.Duration)), l.Holder...)
 }
@@ -34,8 +34,8 @@
 	return roleLease{string(value[8:]), int64(binary.LittleEndian.Uint64(value))}
 }
 
-// RoleHolder reads the holder out of a role's register, "" if the role is free. It does not
-// say whether the lease is still live: the slot's leader alone knows that.
+// RoleHolder returns the holder in the value of a role's register, "" if the role is free.
+// Whether the lease is still live is known only to the slot's leader.
 func RoleHolder(value []byte) string { return parseRoleLease(value).Holder }
 
 // applyAcquire grants or renews a role lease.
@@ -46,18 +46,19 @@
 	case !isRole(operation.Key) || operation.Holder == "" || operation.LeaseDurationUS <= 0:
 		c.finish(StatusConflict, c.current)
 	case live && lease.Holder == operation.Holder:
-		// Also for one whose grant was lost, or whose request comes late: a second grant to
-		// the same incarnation would make its own fencing token stale.
+		// A renewal, also if the answer to the grant was lost or the request is late: a second
+		// grant to the same holder, which is one incarnation of a node, would make its own
+		// fencing token stale.
 		c.replica.roleLeaseUntil[operation.Key] = c.now + lease.Duration
 		c.finish(StatusDone, c.current)
 	case live:
 		c.finish(StatusConflict, c.current)
-	default: // free, or expired
+	default: // free or expired
 		n.change(c, c.next(roleLease{operation.Holder, operation.LeaseDurationUS}.encode()))
 	}
 }
 
-// applyRelease frees a role for its holder.
+// applyRelease frees a role at the request of its holder.
 func (n *Node) applyRelease(c *call) {
 	operation := c.operation
 	holds := parseRoleLease(c.current.Value).Holder == operation.Holder && c.current.Revision == operation.ExpectedRevision
--- a/quorum/slot_test.go
+++ b/quorum/slot_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSlotOf: keys on disks that exist stay in their slots.
+// TestSlotOf: the slots of stored keys never change.
 func TestSlotOf(t *testing.T) {
 	for _, test := range []struct {
 		key   string
--- a/quorum/snapshot.go
+++ b/quorum/snapshot.go
@@ -2,69 +2,70 @@
 
 import "math"
 
-// snapshot is what a voter gathers of a log in chunks, be it one that it is about to follow or
-// the one that it follows and lags behind in. Nothing of it is part of the replica's state
-// before the last chunk has come: until then a register that changed again meanwhile is
-// missing, and the voter must not claim to have what came before that change (design §4.9).
+// snapshot collects a log in chunks, either one that the voter is about to follow or the one
+// that it follows and lags behind in. It becomes part of the replica's state only with the last
+// chunk: a register that changes again during the transfer is missing until then, and the voter
+// must not claim to have the changes before that one (design §4.9).
 type snapshot struct {
 	logTerm uint64
-	certain Position // what the voter was certain of, or had of the same log, when it began
-	upTo    Position // all that was changed after certain and up to here has come
+	base    Position // known to be committed, or last of the same log, when the transfer started
+	upTo    Position // all changes after base and up to here were received
 	entries map[string]Entry
-	absent  []string // doubted keys that the log does not have
+	absent  []string // uncommitted keys that the log does not have
 }
 
-// chunkPatience is how many heartbeats a chunk is waited for before it is asked for again.
-const chunkPatience = 3
+// chunkTimeoutHeartbeats is how many heartbeats to wait for a chunk before requesting it again.
+const chunkTimeoutHeartbeats = 3
 
 // lacksLog reports whether this voter does not follow the newest log that it knows of.
 func (r *slotReplica) lacksLog() bool {
 	return r.logTerm == 0 || r.snapshot != nil && r.snapshot.logTerm != r.logTerm
 }
 
-// catchUp asks the leader for what this voter lacks of the log up to a position, unless it
-// asked lately.
+// catchUp requests what this voter lacks of the leader's log up to a position, unless it did so
+// recently.
 func (n *Node) catchUp(now int64, replica *slotReplica, last Position, ready *Ready) {
-	patience := n.config.HeartbeatIntervalUS
+	timeout := n.config.HeartbeatIntervalUS
 	if replica.snapshot != nil && replica.snapshot.logTerm == replica.leaderTerm {
-		patience *= chunkPatience
+		timeout *= chunkTimeoutHeartbeats
 	}
 	complete := replica.logTerm == replica.leaderTerm && !replica.last.Before(last)
-	if complete || now-replica.snapshotAskedAt < patience {
+	if complete || now-replica.snapshotRequestedAt < timeout {
 		return
 	}
 	n.requestChunk(now, replica, ready)
 }
 
-// requestChunk asks for the next chunk. The request goes out once all that it says is on
-// disk: an answer to it may still come after a loss of power, and must not leave a gap then.
+// requestChunk requests the next chunk. The request is sent once everything that it states is
+// on disk: it may be answered after a power loss, and must not leave a gap then.
 func (n *Node) requestChunk(now int64, replica *slotReplica, ready *Ready) {
-	replica.snapshotAskedAt = now
-	under := replica.currentSnapshot()
-	request := Message{Type: MsgSnapshotRequest, Slot: replica.id, Term: replica.leaderTerm, Last: under.certain,
-		Previous: under.upTo, Joining: replica.logTerm != replica.leaderTerm, More: true}
-	if request.Joining && under.upTo == (Position{}) {
-		request.Keys = replica.uncertainKeys()
+	replica.snapshotRequestedAt = now
+	current := replica.currentSnapshot()
+	request := Message{Type: MsgSnapshotRequest, Slot: replica.id, Term: replica.leaderTerm, Last: current.base,
+		Previous: current.upTo, Joining: replica.logTerm != replica.leaderTerm, More: true}
+	if request.Joining && current.upTo == (Position{}) {
+		request.Keys = replica.uncommittedKeys()
 	}
 	leader := replica.leader
 	n.afterSync(now, ready, func(_ int64, ready *Ready) { n.send(ready, leader, request) })
 }
 
-// currentSnapshot is the snapshot of the leader's log that is under way, or a new one.
+// currentSnapshot returns the transfer of the leader's log that is in progress, or starts one.
 func (r *slotReplica) currentSnapshot() *snapshot {
 	if r.snapshot != nil && r.snapshot.logTerm == r.leaderTerm {
 		return r.snapshot
 	}
 	from := r.last
 	if r.logTerm != r.leaderTerm {
-		from = r.certain()
+		from = r.knownCommitted()
 	}
-	r.snapshot = &snapshot{logTerm: r.leaderTerm, certain: from, entries: map[string]Entry{}}
+	r.snapshot = &snapshot{logTerm: r.leaderTerm, base: from, entries: map[string]Entry{}}
 	return r.snapshot
 }
 
-// handleSnapshotRequest answers with the changes after what the voter has, oldest first, as
-// many as one message takes. What changes meanwhile comes again at the end of that order.
+// handleSnapshotRequest sends the changes that the requester lacks, oldest first, as many as
+// fit into one message. A register that changes during the transfer is sent again in a later
+// chunk.
 func (n *Node) handleSnapshotRequest(replica *slotReplica, message Message, ready *Ready) {
 	if !replica.state.elected() || replica.term != message.Term {
 		return
@@ -75,10 +76,10 @@
 	}
 	chunk := Message{Type: MsgSnapshotChunk, Slot: replica.id, Term: replica.term, Joining: message.Joining,
 		Previous: message.Previous, Last: Position{replica.term, replica.lastIndex}, Committed: replica.committed}
-	chunk.Entries, chunk.Keys = replica.replacements(after, message.Keys)
+	chunk.Entries, chunk.Keys = replica.currentVersions(after, message.Keys)
 	limit := n.config.ChunkBytes
 	if message.Joining && !message.More {
-		limit = math.MaxInt // a voter of a version that takes a snapshot in one message
+		limit = math.MaxInt // the version of the requester takes a snapshot in one message
 	}
 	changes, more := replica.chunkAfter(after, limit)
 	chunk.Entries = append(chunk.Entries, changes...)
@@ -90,7 +91,7 @@
 }
 
 // chunkAfter lists the registers changed after a position, oldest change first, at least one
-// and as many as fit into limit bytes, and whether there are more.
+// and as many as fit into limit bytes, and reports whether there are more.
 func (r *slotReplica) chunkAfter(after Position, limit int) (entries []Entry, more bool) {
 	size := 0
 	for _, change := range r.changedAfter(after) {
@@ -104,10 +105,11 @@
 	return entries, false
 }
 
-// replacements lists what stands here in the place of doubted changes: registers not changed
-// after a position, and keys that do not exist. All later changes come in their order.
-func (r *slotReplica) replacements(position Position, doubted []string) (entries []Entry, absent []string) {
-	for _, key := range doubted {
+// currentVersions returns what this replica has for keys whose newest change at the requester
+// may never be committed: registers not changed after a position, and keys that do not exist.
+// Later changes are sent in the order of their positions.
+func (r *slotReplica) currentVersions(position Position, uncommitted []string) (entries []Entry, absent []string) {
+	for _, key := range uncommitted {
 		entry, ok := r.entries[key]
 		switch {
 		case !ok:
@@ -127,44 +129,44 @@
 	if message.Joining != (replica.logTerm != message.Term) || !replica.addChunk(message) {
 		return
 	}
-	replica.snapshotAskedAt = 0
+	replica.snapshotRequestedAt = 0
 	switch {
 	case message.More:
-		n.requestChunk(now, replica, ready) // at once, so that it outruns the changes that come
+		n.requestChunk(now, replica, ready) // at once, to keep ahead of new changes
 	case message.Joining:
 		n.installSnapshot(now, replica, message, ready)
 	default:
-		entries := byOrder(replica.snapshot.entries)
+		entries := sortedByPosition(replica.snapshot.entries)
 		replica.snapshot = nil
 		n.appendFromLeader(now, replica, entries, message.Last, message.Committed, ready)
 	}
 }
 
-// addChunk adds a chunk to the snapshot under way, if it is the one that was asked for: a
-// repeated older one would put old registers in the place of newer ones.
+// addChunk adds a chunk to the snapshot in progress, if it is the one that was requested: a
+// repeated older chunk would overwrite newer registers.
 func (r *slotReplica) addChunk(message Message) bool {
-	under := r.snapshot
-	if under == nil || under.logTerm != message.Term || under.upTo != message.Previous {
+	current := r.snapshot
+	if current == nil || current.logTerm != message.Term || current.upTo != message.Previous {
 		return false
 	}
 	if message.Previous == (Position{}) {
-		under.absent = message.Keys
+		current.absent = message.Keys
 	}
 	for _, entry := range message.Entries {
-		under.entries[entry.Key] = entry
+		current.entries[entry.Key] = entry
 	}
-	under.upTo = message.Last
+	current.upTo = message.Last
 	return true
 }
 
-// installSnapshot takes a complete snapshot over, and follows the leader's log from then on.
-// What was in doubt is replaced by what that log says. Deletions come after the entries: a
+// installSnapshot installs a complete snapshot and switches to the leader's log. Uncommitted
+// changes are replaced by the state of that log. Deletions come after the entries, so that a
 // crash between them loses nothing that was committed.
 func (n *Node) installSnapshot(now int64, replica *slotReplica, lastChunk Message, ready *Ready) {
 	complete := replica.snapshot
 	replica.snapshot = nil
-	for _, entry := range byOrder(complete.entries) {
-		n.stageEntry(replica, entry, complete.certain, ready)
+	for _, entry := range sortedByPosition(complete.entries) {
+		n.stageEntry(replica, entry, complete.base, ready)
 	}
 	for _, key := range complete.absent {
 		if _, later := complete.entries[key]; !later {
--- a/quorum/stepdown.go
+++ b/quorum/stepdown.go
@@ -1,10 +1,10 @@
 package quorum
 
-// distantFuture is a time that does not come.
+// distantFuture is a time that is never reached.
 const distantFuture = int64(1) << 62
 
-// Leave gives all slots up ahead of an orderly stop and tells the voters, so that others need
-// not wait for the leases to end. The node campaigns for nothing any more, and votes on.
+// Leave steps down from all slots before an orderly stop and notifies the voters, so that they
+// need not wait for the leases to expire. The node never campaigns again, but still votes.
 func (n *Node) Leave(now int64) Ready {
 	var ready Ready
 	n.leaving = true
@@ -13,9 +13,9 @@
 	return ready
 }
 
-// StepDown gives all slots up and tells the voters, as Leave does, but stays a voter for
-// good. It is for a node whose records can't be kept: it is thrown away next, and another
-// begins from what the disk holds. Until then it campaigns for nothing.
+// StepDown steps down from all slots and notifies the voters as Leave does, but the node stays
+// in the voter set. It is for a node whose records can't be written: it will be discarded, and
+// another one is created from what is on disk. Until then it never campaigns.
 func (n *Node) StepDown(now int64) Ready {
 	var ready Ready
 	n.noCampaignBefore = distantFuture
@@ -23,7 +23,7 @@
 	return ready
 }
 
-// stepDownFromAll gives all slots up and tells the voters.
+// stepDownFromAll steps down from all slots and notifies the voters.
 func (n *Node) stepDownFromAll(now int64, ready *Ready) {
 	var progress []SlotProgress
 	for _, replica := range n.slots {
@@ -31,7 +31,7 @@
 			continue
 		}
 		progress = append(progress, SlotProgress{Slot: replica.id, Term: replica.term})
-		n.becomeFollower(now, replica, ready) // stopped here first; only then is it said
+		n.becomeFollower(now, replica, ready) // step down here before it is announced
 		replica.noVoteUntil = now
 	}
 	if len(progress) > 0 {
@@ -39,7 +39,8 @@
 	}
 }
 
-// handleStepDown frees the slots that their leader has given up.
+// handleStepDown clears the leader of the slots that it has given up, so that an election can
+// start.
 func (n *Node) handleStepDown(now int64, message Message) {
 	for _, slot := range message.Progress {
 		if int(slot.Slot) >= len(n.slots) {
--- a/quorum/stored_test.go
+++ b/quorum/stored_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestStoredNumbers: numbers and keys that are stored or sent keep their meaning, whatever
-// their names are.
+// TestStoredNumbers: numbers and keys that are stored or sent never change, whatever their Go
+// names are.
 func TestStoredNumbers(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -56,19 +56,19 @@
 	}
 }
 
-// TestStoredValues: values of registers are byte for byte what earlier versions stored.
+// TestStoredValues: values of registers are byte for byte as earlier versions stored them.
 func TestStoredValues(t *testing.T) {
-	set := newAddressedSet(2)
+	set := newVoterSetWithAddrs(2)
 	set.TargetSize = 3
 	for _, test := range []struct {
 		name, got, want string
 	}{
-		{"a voter set", string(set.Bytes()),
+		{"voter set", string(set.Bytes()),
 			`{"rev":"9437185","voters":[{"name":"a","addr":"at-a","inc":"1","num":1},{"name":"b","addr":"at-b","inc":"2","num":2}],"seats":3}`},
-		{"a voter set without seats", string(newVoterSet(1).Bytes()),
+		{"voter set without target size", string(newVoterSet(1).Bytes()),
 			`{"rev":"9437185","voters":[{"name":"a","addr":"","inc":"1","num":1}]}`},
-		{"a role lease", string(roleLease{"p", 0x0102}.encode()), "\x02\x01\x00\x00\x00\x00\x00\x00p"},
-		{"a free role", string(roleLease{}.encode()), "\x00\x00\x00\x00\x00\x00\x00\x00"},
+		{"role lease", string(roleLease{"p", 0x0102}.encode()), "\x02\x01\x00\x00\x00\x00\x00\x00p"},
+		{"free role", string(roleLease{}.encode()), "\x00\x00\x00\x00\x00\x00\x00\x00"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.got != test.want {
--- a/quorum/voterset_property_test.go
+++ b/quorum/voterset_property_test.go
@@ -7,29 +7,29 @@
 	"pgregory.net/rapid"
 )
 
-// drawVoterSetStep draws a step of a voter set: somebody goes, somebody comes, or both.
-func drawVoterSetStep(t *rapid.T, set VoterSet, inc uint64) (VoterSet, error) {
-	old := ""
+// drawVoterSetStep draws a change of a voter set: a removal, an addition, or both.
+func drawVoterSetStep(t *rapid.T, set VoterSet, incarnation uint64) (VoterSet, error) {
+	removed := ""
 	if len(set.Voters) > 0 && rapid.Bool().Draw(t, "goes") {
-		old = rapid.SampledFrom(set.Voters).Draw(t, "old").Name
+		removed = rapid.SampledFrom(set.Voters).Draw(t, "old").Name
 	}
-	if old != "" && rapid.Bool().Draw(t, "nobody comes") {
-		return set.Next(old, nil)
+	if removed != "" && rapid.Bool().Draw(t, "no addition") {
+		return set.Next(removed, nil)
 	}
-	return set.Next(old, &Voter{Name: fmt.Sprint("n", inc), Incarnation: inc})
+	return set.Next(removed, &Voter{Name: fmt.Sprint("n", incarnation), Incarnation: incarnation})
 }
 
-// TestAnySteps: however a voter set changes, every majority of one shares a voter with every
-// majority of the next, numbers rise by one, and no voter's number is given twice.
-func TestAnySteps(t *testing.T) {
+// TestRandomMembershipChanges: over any series of changes, every majority of one set shares a
+// voter with every majority of the next, revisions rise by one, and no voter number is reused.
+func TestRandomMembershipChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := newVoterSet(rapid.IntRange(1, 7).Draw(t, "voters"))
-		given := map[uint16]uint64{}
+		assigned := map[uint16]uint64{}
 		for _, voter := range set.Voters {
-			given[voter.Number] = voter.Incarnation
+			assigned[voter.Number] = voter.Incarnation
 		}
-		for inc := uint64(100); inc < 130; inc++ {
-			next, err := drawVoterSetStep(t, set, inc)
+		for incarnation := uint64(100); incarnation < 130; incarnation++ {
+			next, err := drawVoterSetStep(t, set, incarnation)
 			if err != nil || len(next.Voters) > MaxVoters {
 				continue
 			}
@@ -37,22 +37,22 @@
 				t.Fatalf("%v follows %v", next, set)
 			}
 			for _, voter := range next.Voters {
-				if was, ok := given[voter.Number]; ok && was != voter.Incarnation {
-					t.Fatalf("number %d was given to %d and %d", voter.Number, was, voter.Incarnation)
+				if was, ok := assigned[voter.Number]; ok && was != voter.Incarnation {
+					t.Fatalf("number %d assigned to %d and %d", voter.Number, was, voter.Incarnation)
 				}
-				given[voter.Number] = voter.Incarnation
+				assigned[voter.Number] = voter.Incarnation
 			}
 			set = next
 		}
 	})
 }
 
-// TestAdmitAnySilence: whoever is silent for however long, letting a newcomer in takes one
-// step at a time, takes none without a majority that is heard, and takes a place only from
-// a disk that is lost or a voter that is gone.
-func TestAdmitAnySilence(t *testing.T) {
+// TestAdmitWithRandomFailures: whichever voters are silent and for however long, admission
+// makes one step at a time and none unless a majority was heard, and it removes only a voter
+// that failed or lost its disk.
+func TestAdmitWithRandomFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := newAddressedSet(rapid.IntRange(1, MaxVoters).Draw(t, "voters"))
+		set := newVoterSetWithAddrs(rapid.IntRange(1, MaxVoters).Draw(t, "voters"))
 		silent, heard := map[string]int64{}, 0
 		for _, voter := range set.Voters {
 			silent[voter.Name] = rapid.SampledFrom([]int64{0, SuspectAfterUS - 1, SuspectAfterUS, FailedAfterUS - 1, FailedAfterUS, 9 * FailedAfterUS}).Draw(t, voter.Name)
@@ -60,12 +60,12 @@
 				heard++
 			}
 		}
-		come := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
-		if rapid.Bool().Draw(t, "a disk lost") {
-			come.Name = rapid.SampledFrom(set.Voters).Draw(t, "whose").Name
+		joiner := Voter{Name: "z", Addr: "at-z", Incarnation: 99}
+		if rapid.Bool().Draw(t, "lost disk") {
+			joiner.Name = rapid.SampledFrom(set.Voters).Draw(t, "whose").Name
 		}
 		asked := rapid.SampledFrom([]int64{0, AddAfterUS - 1, AddAfterUS}).Draw(t, "asked")
-		next, ok := set.Admit(come, asked, func(name string) int64 { return silent[name] }, MaxVoters)
+		next, ok := set.Admit(joiner, asked, func(name string) int64 { return silent[name] }, MaxVoters)
 		if !ok {
 			return
 		}
@@ -73,8 +73,8 @@
 			t.Fatalf("%v follows %v with %d heard", next, set, heard)
 		}
 		for _, voter := range set.Voters {
-			if kept, in := next.Find(voter.Name); (!in || kept != voter) && voter.Name != come.Name && silent[voter.Name] < FailedAfterUS {
-				t.Fatalf("%s goes after a silence of %d", voter.Name, silent[voter.Name])
+			if kept, in := next.Find(voter.Name); (!in || kept != voter) && voter.Name != joiner.Name && silent[voter.Name] < FailedAfterUS {
+				t.Fatalf("%s removed after a silence of %d", voter.Name, silent[voter.Name])
 			}
 		}
 	})
