--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -4,7 +4,7 @@
 	"violetthread/quorum"
 )
 
-// The way of an operator's order through a control node, as platform.Operator and
+// The way of an operator's order through a control node, as platform.OperatorAPI and
 // control.Node take it. Both wait in goroutines by real time, so that the simulator
 // can't run them; what they decide by (quorum, route.Change, route.WeightsDoc) is
 // the very code. TestEditIsThePlatforms holds the constants to theirs.
--- a/sim/register_edit_test.go
+++ b/sim/register_edit_test.go
@@ -23,10 +23,10 @@
 		have int64
 		from map[string]int64
 	}{
-		{"patienceUS", orderTimeoutUS, operator},
+		{"callTimeoutUS", orderTimeoutUS, operator},
 		{"maxReadAgeUS", maxReadAgeUS, operator},
-		{"retryUS", retryWithoutLeader, operator},
-		{"conflictUS", retryAfterConflict, operator},
+		{"retryIntervalUS", retryWithoutLeader, operator},
+		{"conflictRetryUS", retryAfterConflict, operator},
 		{"contactInterval", contactCheckInterval, node},
 		{"maxHops", maxHops, node},
 		{"contactTimeout", passSilenceLimit, node},
@@ -35,7 +35,7 @@
 		{"AvoidUS", directoryPause, order},
 		{"leavePoll", leavePollUS, node},
 		{"leaveTimeout", leaveTimeoutUS, node},
-		{"slotLease", platformLeaseUS, operator},
+		{"slotLeaseUS", platformLeaseUS, operator},
 	} {
 		if want, ok := c.from[c.name]; !ok || want != c.have {
 			t.Errorf("%s is %d there (known: %v), %d here", c.name, want, ok, c.have)
