--- a/cmd/violetthread/main.go
+++ b/cmd/violetthread/main.go
@@ -1,5 +1,5 @@
-// Command violetthread runs a node of a violetthread fleet on a platform that gives it all
-// it needs to know in a settings file (docs/platform.md).
+// Command violetthread runs a node of a violetthread fleet on a platform that provides a settings
+// file (docs/platform.md).
 package main
 
 import (
@@ -16,10 +16,10 @@
 
 const program = "violetthread"
 
-// command is a subcommand and what it does with the settings file.
+// command is a subcommand that runs with the settings file.
 type command struct {
-	name, about string
-	run         func(platform.Boot) error
+	name, description string
+	run               func(platform.Boot) error
 }
 
 func main() {
@@ -32,39 +32,39 @@
 	path := platform.BootPath()
 	var options platform.ProxyOptions
 	commands := []command{
-		{"proxy", "take callers' requests and pass them through to engines", func(b platform.Boot) error {
+		{"proxy", "accept requests from callers and forward them to engines", func(b platform.Boot) error {
 			return platform.Proxy(b, options)
 		}},
-		{"control", "keep the control state, follow the engines, answer operators", platform.Control},
-		{"check", "read the settings file, list every mistake and end", func(b platform.Boot) error {
-			fmt.Printf("%s is in order: node=%s class=%s\n", path, b.Node, b.Class)
+		{"control", "store the control state, track the engines and serve operators", platform.Control},
+		{"check", "validate the settings file, list every problem and exit", func(b platform.Boot) error {
+			fmt.Printf("%s is valid: node=%s class=%s\n", path, b.Node, b.Class)
 			return nil
 		}},
 	}
-	p := flaggy.NewParser(program)
-	p.Description, p.Version, p.ShowCompletion = "A node of a violetthread fleet on a platform with a settings file of its own.", daemon.Version, false
-	p.String(&path, "b", "boot", "settings file that the platform wrote")
+	parser := flaggy.NewParser(program)
+	parser.Description, parser.Version, parser.ShowCompletion = "A node of a violetthread fleet on a platform that provides a settings file.", daemon.Version, false
+	parser.String(&path, "b", "boot", "path of the settings file written by the platform")
 	subcommands := make([]*flaggy.Subcommand, len(commands))
-	for i, c := range commands {
-		subcommands[i] = flaggy.NewSubcommand(c.name)
-		subcommands[i].Description = c.about
-		p.AttachSubcommand(subcommands[i], 1)
+	for i, command := range commands {
+		subcommands[i] = flaggy.NewSubcommand(command.name)
+		subcommands[i].Description = command.description
+		parser.AttachSubcommand(subcommands[i], 1)
 	}
 	proxy := subcommands[0]
-	proxy.String(&options.PolicyOff, "", "policy-off", "mechanisms of the policy to switch off, split by commas: "+placement.MechanismNames())
-	proxy.String(&options.Cost, "", "cost", "figures of the cost model to change, as name=value, split by commas")
-	if err := p.ParseArgs(args); err != nil {
+	proxy.String(&options.PolicyOff, "", "policy-off", "policy mechanisms to disable, separated by commas: "+placement.MechanismNames())
+	proxy.String(&options.Cost, "", "cost", "cost model parameters to override, as name=value, separated by commas")
+	if err := parser.ParseArgs(args); err != nil {
 		return trace.BadParameter("flags: %v; see --help", err)
 	}
 	boot, err := platform.ReadBoot(path)
 	if err != nil {
 		return err
 	}
-	for i, c := range commands {
+	for i, command := range commands {
 		if subcommands[i].Used {
-			return c.run(boot)
+			return command.run(boot)
 		}
 	}
-	p.ShowHelp()
+	parser.ShowHelp()
 	return nil
 }
