--- a/wal/checkpoint.go
+++ b/wal/checkpoint.go
@@ -1,10 +1,10 @@
 package wal
 
-// BeginCheckpoint begins a checkpoint: the records that AppendCheckpoint then adds
-// restate everything before it. Other records may be appended and synced meanwhile; only
-// one checkpoint may be under way. It fails as Append does.
+// BeginCheckpoint begins a checkpoint: the records that AppendCheckpoint then adds must
+// contain the state of all records before it. Other records may be appended and synced in
+// the meantime; only one checkpoint may be in progress. It returns the same errors as Append.
 func (l *Log) BeginCheckpoint() error {
-	if err := l.put(typeCheckpointBegin, nil, 0); err != nil {
+	if err := l.appendRecord(typeCheckpointBegin, nil, 0); err != nil {
 		return err
 	}
 	l.checkpointSequence, l.checkpointing = l.sequence, true
@@ -14,17 +14,17 @@
 // AppendCheckpoint adds records to the checkpoint.
 func (l *Log) AppendCheckpoint(records [][]byte) error {
 	for _, data := range records {
-		if err := l.put(typeCheckpointData, data, 0); err != nil {
+		if err := l.appendRecord(typeCheckpointData, data, 0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// EndCheckpoint ends the checkpoint, syncs, and frees the segments before the one in
-// which it began.
+// EndCheckpoint completes the checkpoint, syncs, and frees the segments before the one in
+// which the checkpoint begins.
 func (l *Log) EndCheckpoint() error {
-	if err := l.put(typeCheckpointEnd, nil, 0); err != nil {
+	if err := l.appendRecord(typeCheckpointEnd, nil, 0); err != nil {
 		return err
 	}
 	if err := l.Sync(); err != nil {
--- a/wal/damage_test.go
+++ b/wal/damage_test.go
@@ -14,7 +14,7 @@
 	"violetthread/wal"
 )
 
-// tryOpen is open for a log that may be refused.
+// tryOpen opens a log and returns the error, if any, instead of failing the test.
 func tryOpen(fs wal.FS, config wal.Config) ([]string, error) {
 	_, raw, err := wal.Open(fs, config)
 	var out []string
@@ -24,11 +24,12 @@
 	return out, err
 }
 
-// smallest is the smallest log.
+// smallestConfig is the smallest valid configuration.
 var smallestConfig = wal.Config{SegmentCount: 3, SegmentBytes: 4096}
 
-// written is a log that holds so many synced records, and those that must be read back.
-func written(t *testing.T, config wal.Config, n int) (*faultyFS, []string) {
+// newSyncedLog writes a log of n synced records, and returns its files and the records to
+// expect.
+func newSyncedLog(t *testing.T, config wal.Config, n int) (*faultyFS, []string) {
 	t.Helper()
 	fs := newFaultyFS(1)
 	log, _ := open(t, fs, config)
@@ -46,11 +47,11 @@
 	return fs, want
 }
 
-// TestFlippedByte: whichever byte of any file flips, the log opens with all that was
-// synced or says that it can't; only the very last synced batch may be taken for a torn
+// TestFlippedByte damages each byte of each file in turn: the log must open with all synced
+// records or return a typed error. Only the very last synced batch may be taken for a torn
 // tail (design §5).
 func TestFlippedByte(t *testing.T) {
-	full, want := written(t, smallestConfig, 30) // two of its files
+	full, want := newSyncedLog(t, smallestConfig, 30) // fills two of the files
 	last := len(want) - 1
 	for name := range full.files {
 		for i := 0; i < int(smallestConfig.SegmentBytes); i++ {
@@ -61,62 +62,63 @@
 			case err != nil && !isTyped(err):
 				t.Fatalf("%s byte %d: %v", name, i, err)
 			case err == nil && !slices.Equal(got, want) && !slices.Equal(got, want[:last]):
-				t.Fatalf("%s byte %d: %d of %d records came back without a word", name, i, len(got), len(want))
+				t.Fatalf("%s byte %d: %d of %d records replayed without an error", name, i, len(got), len(want))
 			}
 		}
 	}
 }
 
-// TestCutFile: a file that was cut at any byte, or is gone, is never taken for one whose
-// end was not written yet.
+// TestCutFile checks that a file that was truncated at any byte, or is missing, is never taken
+// for one whose end was not written yet.
 func TestCutFile(t *testing.T) {
-	full, _ := written(t, smallestConfig, 30)
+	full, _ := newSyncedLog(t, smallestConfig, 30)
 	for name := range full.files {
 		for i := 0; i < int(smallestConfig.SegmentBytes); i++ {
 			fs := full.snapshot()
 			f := fs.files[name]
 			f.cache, f.durable = f.cache[:i], f.durable[:i]
 			if _, err := tryOpen(fs, smallestConfig); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "start again as an empty node") {
-				t.Fatalf("%s cut at %d: %v", name, i, err)
+				t.Fatalf("%s truncated at %d: %v", name, i, err)
 			}
 			if len(fs.files[name].cache) != i {
-				t.Fatalf("%s cut at %d was changed", name, i)
+				t.Fatalf("%s truncated at %d was changed", name, i)
 			}
 		}
 		fs := full.snapshot()
 		delete(fs.files, name)
 		if _, err := tryOpen(fs, smallestConfig); !errors.Is(err, wal.ErrLayout) {
-			t.Fatalf("%s is gone: %v", name, err)
+			t.Fatalf("%s missing: %v", name, err)
 		}
 	}
 }
 
-// TestCutWhileMade: a log whose files were being made when the process ended opens empty.
-func TestCutWhileMade(t *testing.T) {
-	for made := 0; made < testConfig.SegmentCount; made++ {
-		for _, part := range []int64{0, 1, 31, 32, 33, testConfig.SegmentBytes - 1} {
+// TestInterruptedCreation checks that a log opens empty if the process exited while creating
+// the files.
+func TestInterruptedCreation(t *testing.T) {
+	for complete := 0; complete < testConfig.SegmentCount; complete++ {
+		for _, partBytes := range []int64{0, 1, 31, 32, 33, testConfig.SegmentBytes - 1} {
 			fs := newFaultyFS(1)
-			for i := 0; i < made; i++ {
+			for i := 0; i < complete; i++ {
 				_, _ = fs.Open(fmt.Sprintf("ring-%03d", i), testConfig.SegmentBytes)
 			}
-			_, _ = fs.Open(fmt.Sprintf("ring-%03d", made), part)
+			_, _ = fs.Open(fmt.Sprintf("ring-%03d", complete), partBytes)
 			if got, err := tryOpen(fs, testConfig); err != nil || len(got) != 0 {
-				t.Fatalf("%d files and %d bytes made: %v", made, part, err)
+				t.Fatalf("%d files and %d bytes created: %v", complete, partBytes, err)
 			}
 		}
 	}
 }
 
-// TestTornHeader: a file whose header was cut off at any byte while it was being started
-// is written anew; nothing is lost and nothing is refused.
+// TestTornHeader checks that a segment whose header was torn at any byte while the segment was
+// begun is written again: the log still opens.
 func TestTornHeader(t *testing.T) {
 	for torn := 0; torn <= 40; torn++ {
-		for turn := 0; turn < 2; turn++ { // a new file, and one that is used again
+		for reuse := 0; reuse < 2; reuse++ { // 0: a new file, 1: a reused file
 			fs := newFaultyFS(1)
 			log, _ := open(t, fs, testConfig)
-			if turn == 1 {
+			if reuse == 1 {
 				for i := 0; i < 3; i++ {
-					fillFiles(t, log, 2)
+					fillSegments(t, log, 2)
 					if err := log.Checkpoint([][]byte{[]byte("state")}); err != nil {
 						t.Fatal(err)
 					}
@@ -127,24 +129,24 @@
 			for n := 0; err == nil; n++ {
 				if err = log.Append(make([]byte, 500)); err == nil {
 					if log.UsedPermille()*testConfig.SegmentCount%1000 > 850 {
-						fs.broken = true // the next is the start of a file
+						fs.broken = true // the next append begins a segment
 					}
 				}
 				if n > 100 {
-					t.Fatal("no file was started")
+					t.Fatal("no segment was begun")
 				}
 			}
 			fs.broken = false
 			if _, err := tryOpen(fs, testConfig); err != nil {
-				t.Fatalf("header torn at %d, turn %d: %v", torn, turn, err)
+				t.Fatalf("header torn at %d, reuse %d: %v", torn, reuse, err)
 			}
 		}
 	}
 }
 
-func fillFiles(t *testing.T, log *wal.Log, files int) {
+func fillSegments(t *testing.T, log *wal.Log, segments int) {
 	t.Helper()
-	for i := 0; i < files*7; i++ {
+	for i := 0; i < segments*7; i++ {
 		if err := log.Append(make([]byte, 500)); err != nil {
 			t.Fatal(err)
 		}
@@ -154,9 +156,9 @@
 	}
 }
 
-// TestNewerFormat: files of another version are left as they are.
+// TestNewerFormat checks that files of another format version are rejected and not changed.
 func TestNewerFormat(t *testing.T) {
-	fs, _ := written(t, testConfig, 3)
+	fs, _ := newSyncedLog(t, testConfig, 3)
 	b := fs.files["ring-001"].cache
 	copy(b, "VTRING02")
 	binary.LittleEndian.PutUint32(b[24:], crc32.Checksum(b[:24], crc32.MakeTable(crc32.Castagnoli)))
@@ -169,11 +171,12 @@
 	}
 }
 
-// TestOtherSizes: a log in use is not opened with other sizes, and opens with its own.
+// TestOtherSizes checks that a log in use is rejected with other sizes, and still opens with its
+// own sizes afterwards.
 func TestOtherSizes(t *testing.T) {
 	for _, other := range []wal.Config{{SegmentCount: 6, SegmentBytes: 4096}, {SegmentCount: 4, SegmentBytes: 4096}, {SegmentCount: 5, SegmentBytes: 8192}, {SegmentCount: 10, SegmentBytes: 8192}} {
-		fs, want := written(t, testConfig, 30)
-		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "start with the sizes that the log was made with (ring_files, ring_bytes; fixed under a deploy file)") {
+		fs, want := newSyncedLog(t, testConfig, 30)
+		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "start with the sizes that the log was created with (ring_files, ring_bytes; fixed under a deploy file)") {
 			t.Fatalf("%+v: %v", other, err)
 		}
 		if got, err := tryOpen(fs, testConfig); err != nil || !slices.Equal(got, want) {
@@ -182,11 +185,11 @@
 	}
 }
 
-// TestCheckpointCutShort: a checkpoint that is cut at any of its writes, and at any byte
-// of it, leaves the state before it and all that was appended between its parts. The
-// process is killed there, the power is lost, or the disk refuses once.
+// TestCheckpointCutShort interrupts a checkpoint at each of its writes and at different bytes of
+// the write, by killing the process, by a power loss or by a single disk error. The state from
+// before the checkpoint and the records synced during it must be replayed.
 func TestCheckpointCutShort(t *testing.T) {
-	ends := map[string]func(*faultyFS, *wal.Log) ([][]byte, error){
+	interruptions := map[string]func(*faultyFS, *wal.Log) ([][]byte, error){
 		"killed": func(fs *faultyFS, _ *wal.Log) ([][]byte, error) { _, r, err := wal.Open(fs, testConfig); return r, err },
 		"power": func(fs *faultyFS, _ *wal.Log) ([][]byte, error) {
 			fs.powerLoss()
@@ -195,8 +198,8 @@
 		},
 		"refused": func(_ *faultyFS, log *wal.Log) ([][]byte, error) { return log.Reopen() },
 	}
-	for how, end := range ends {
-		t.Run(how, func(t *testing.T) {
+	for name, reopenAfter := range interruptions {
+		t.Run(name, func(t *testing.T) {
 			complete := false
 			for at := 1; !complete; at++ {
 				for torn := 0; torn < 64; torn += 3 {
@@ -211,18 +214,18 @@
 						t.Fatal(err)
 					}
 					fs.failAt, fs.tornBytes = fs.operations+at, torn
-					between, err := checkpointWithAppend(log)
+					appended, err := checkpointWithAppend(log)
 					if err == nil {
 						complete = true
 						break
 					}
-					raw, err := end(fs, log)
+					raw, err := reopenAfter(fs, log)
 					if err != nil {
-						t.Fatalf("cut at write %d after %d bytes: %v", at, torn, err)
+						t.Fatalf("interrupted at write %d after %d bytes: %v", at, torn, err)
 					}
 					got := state(raw)
-					if got["a"] != "2" || got["b"] != "1" || between && got["c"] != "1" {
-						t.Fatalf("cut at write %d after %d bytes: %v", at, torn, got)
+					if got["a"] != "2" || got["b"] != "1" || appended && got["c"] != "1" {
+						t.Fatalf("interrupted at write %d after %d bytes: %v", at, torn, got)
 					}
 				}
 			}
@@ -230,7 +233,8 @@
 	}
 }
 
-// checkpointWithAppend restates a=2 b=1 with c=1 appended and synced between its parts.
+// checkpointWithAppend writes a checkpoint of a=2 and b=1, and appends and syncs c=1 between
+// its records.
 func checkpointWithAppend(log *wal.Log) (appended bool, err error) {
 	steps := []func() error{
 		log.BeginCheckpoint,
@@ -257,9 +261,9 @@
 	return out
 }
 
-// TestReopen: after an operation that failed, at any place of a long run, the log is
-// read anew with all that was synced; whatever it returns lasts from then on, also when
-// the power goes at once, and the run goes on as if nothing had been.
+// TestReopen injects disk errors at random points of a long run. Reopen must return everything
+// that was synced; what it returns must be durable, even if a power loss follows at once, and
+// the log must be usable again.
 func TestReopen(t *testing.T) {
 	for seed := int64(1); seed <= 80; seed++ {
 		rng := rand.New(rand.NewSource(seed))
@@ -282,7 +286,7 @@
 				if err = log.Checkpoint(raw); err == nil {
 					live, synced = slices.Clone(kept), len(kept)
 				} else if got, reErr := reopen(log); reErr == nil && slices.Equal(got, kept) {
-					// The checkpoint was whole on the disk though its sync failed.
+					// The checkpoint is complete on the disk although its sync failed.
 					live, synced, err = slices.Clone(kept), len(kept), nil
 				} else if reErr == nil {
 					live, synced, err = checkPrefix(t, seed, got, live, synced), len(got), nil
@@ -290,7 +294,7 @@
 			case k < 6:
 				next++
 				rec := fmt.Sprintf("%d-%s", next, make([]byte, rng.Intn(200)))
-				live = append(live, rec) // also one that failed may be on the disk
+				live = append(live, rec) // may be on the disk even if Append fails
 				err = log.Append([]byte(rec))
 			default:
 				if err = log.Sync(); err == nil {
@@ -304,7 +308,7 @@
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 			if again := log.Sync(); !errors.Is(again, wal.ErrDisk) {
-				t.Fatalf("seed %d: a sync after a failure ended in %v", seed, again)
+				t.Fatalf("seed %d: a sync after a failure returned %v", seed, again)
 			}
 			got, err := reopen(log)
 			for errors.Is(err, wal.ErrDisk) {
@@ -324,7 +328,7 @@
 			}
 		}
 		if reopened == 0 {
-			t.Fatalf("seed %d: nothing failed", seed)
+			t.Fatalf("seed %d: no operation failed", seed)
 		}
 	}
 }
@@ -341,13 +345,13 @@
 func checkPrefix(t *testing.T, seed int64, got, live []string, synced int) []string {
 	t.Helper()
 	if len(got) < synced || len(got) > len(live) || !slices.Equal(got, live[:len(got)]) {
-		t.Fatalf("seed %d: %d records, %d synced of %d", seed, len(got), synced, len(live))
+		t.Fatalf("seed %d: replayed %d records, %d synced of %d", seed, len(got), synced, len(live))
 	}
 	return slices.Clone(got)
 }
 
-// TestReopenNotRetried: a sync that failed is not covered by one that succeeds later.
-// What was appended before it lasts only once the log was read and written anew.
+// TestReopenNotRetried checks that a failed sync is not retried: a later sync that succeeds
+// would not cover it. Earlier records are durable only once Reopen has rewritten the log.
 func TestReopenNotRetried(t *testing.T) {
 	fs := newFaultyFS(1)
 	log, _ := open(t, fs, testConfig)
@@ -360,7 +364,7 @@
 			t.Fatal(err)
 		}
 	}
-	// The cache still shows the record, and the medium may have any part of it.
+	// The cache still contains the record, and the medium may contain any part of it.
 	raw, err := log.Reopen()
 	if err != nil {
 		t.Fatal(err)
@@ -371,8 +375,8 @@
 	}
 }
 
-// TestOpenAfterFailedSync: what a new process reads behind a failed sync of the one
-// before lasts once Open has returned.
+// TestOpenAfterFailedSync checks that records which a new process reads from the page cache,
+// after a failed sync of the previous process, are durable once Open has returned.
 func TestOpenAfterFailedSync(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		fs := newFaultyFS(seed)
@@ -392,7 +396,7 @@
 	}
 }
 
-// TestLostSync: a disk that came back without what it had synced is not trusted again.
+// TestLostSync checks that Reopen reports corruption if a disk has lost data that it had synced.
 func TestLostSync(t *testing.T) {
 	fs := newFaultyFS(1)
 	log, _ := open(t, fs, testConfig)
@@ -418,22 +422,22 @@
 	}
 }
 
-// TestFullDisk: a full disk is told apart, names its remedy, gives the records back that
-// are there, and opens once there is room.
+// TestFullDisk checks that a full disk is reported with its own remedy, that the records are
+// returned nevertheless, and that the log opens once there is space.
 func TestFullDisk(t *testing.T) {
-	fs, want := written(t, testConfig, 5)
+	fs, want := newSyncedLog(t, testConfig, 5)
 	fs.full = true
 	got, err := tryOpen(fs, testConfig)
 	if !errors.Is(err, wal.ErrDisk) || !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), "free space where the data folder lies") {
 		t.Fatal(err)
 	}
 	if !slices.Equal(got, want) {
-		t.Fatalf("%d of %d records were shown", len(got), len(want))
+		t.Fatalf("%d of %d records were returned", len(got), len(want))
 	}
 	fs.full = false
 	log, got := open(t, fs, testConfig)
 	if !slices.Equal(got, want) {
-		t.Fatalf("%d of %d records came back", len(got), len(want))
+		t.Fatalf("%d of %d records were replayed", len(got), len(want))
 	}
 	fs.full = true
 	if err := log.Append([]byte("refused")); !errors.Is(err, syscall.ENOSPC) {
@@ -441,12 +445,12 @@
 	}
 	fs.full = false
 	if got, err = reopen(log); err != nil || !slices.Equal(got, want) {
-		t.Fatalf("%d of %d records after there was room: %v", len(got), len(want), err)
+		t.Fatalf("%d of %d records once there was space: %v", len(got), len(want), err)
 	}
 	empty := newFaultyFS(1)
 	empty.full = true
 	if _, err := tryOpen(empty, testConfig); !errors.Is(err, syscall.ENOSPC) {
-		t.Fatalf("no file could be made: %v", err)
+		t.Fatalf("files could not be created: %v", err)
 	}
 	empty.full = false
 	if _, err := tryOpen(empty, testConfig); err != nil {
@@ -454,8 +458,8 @@
 	}
 }
 
-// FuzzRecovery: whatever the files hold, opening ends in records or a typed error, nothing
-// is taken that was not written whole, and a log that opens can be written and reopened.
+// FuzzRecovery checks that opening files with arbitrary content returns records or a typed
+// error, and that a log that opens can be appended to and reopened.
 func FuzzRecovery(f *testing.F) {
 	fs := newFaultyFS(1)
 	log, _, err := wal.Open(fs, smallestConfig)
@@ -478,10 +482,10 @@
 	f.Add(whole, uint32(4096+8), byte(1))
 	f.Add(whole, uint32(2*4096+36), byte(255))
 	f.Add(whole[:6000], uint32(40), byte(7))
-	// The first file is gone, and the header of the second is damaged (found by fuzzing).
-	firstGone := slices.Clone(whole)
-	clear(firstGone[smallestConfig.SegmentBytes : 2*smallestConfig.SegmentBytes])
-	f.Add(firstGone, uint32(2*smallestConfig.SegmentBytes+8), byte(1))
+	// The first segment is erased, and the header of the second is damaged (found by fuzzing).
+	firstErased := slices.Clone(whole)
+	clear(firstErased[smallestConfig.SegmentBytes : 2*smallestConfig.SegmentBytes])
+	f.Add(firstErased, uint32(2*smallestConfig.SegmentBytes+8), byte(1))
 	f.Add([]byte("VTRING02"), uint32(0), byte(0))
 	f.Fuzz(func(t *testing.T, content []byte, at uint32, flip byte) {
 		fs := newFaultyFS(1)
--- a/wal/errors_test.go
+++ b/wal/errors_test.go
@@ -10,8 +10,8 @@
 	"violetthread/wal"
 )
 
-// TestTypedErrors: each kind of failure gives its details by errors.As, and matches its
-// sentinel alone.
+// TestTypedErrors checks that each kind of error exposes its details to errors.As and matches
+// only its own sentinel.
 func TestTypedErrors(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -49,7 +49,7 @@
 			}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			fs, _ := written(t, testConfig, 3)
+			fs, _ := newSyncedLog(t, testConfig, 3)
 			test.damage(fs)
 			_, err := tryOpen(fs, testConfig)
 			if !test.details(err) {
@@ -57,14 +57,14 @@
 			}
 			for _, sentinel := range []error{wal.ErrCorrupt, wal.ErrVersion, wal.ErrLayout, wal.ErrDisk, wal.ErrFull} {
 				if errors.Is(err, sentinel) != (sentinel == test.sentinel) {
-					t.Errorf("%v matches %v: %v", err, sentinel, errors.Is(err, sentinel))
+					t.Errorf("%v matches %v: got %v", err, sentinel, errors.Is(err, sentinel))
 				}
 			}
 		})
 	}
 }
 
-// TestFullError: a record that finds no room says what to do.
+// TestFullError checks the remedy for a record that is larger than a segment.
 func TestFullError(t *testing.T) {
 	log, _ := open(t, newFaultyFS(1), testConfig)
 	err := log.Append(make([]byte, testConfig.SegmentBytes))
--- a/wal/example_test.go
+++ b/wal/example_test.go
@@ -8,7 +8,7 @@
 	"violetthread/wal/osdisk"
 )
 
-// Records last once Sync has returned; a checkpoint stands for all before it.
+// Records are durable once Sync has returned; a checkpoint replaces all records before it.
 func Example() {
 	dir, _ := os.MkdirTemp("", "ring")
 	defer os.RemoveAll(dir)
--- a/wal/faulty_fs_test.go
+++ b/wal/faulty_fs_test.go
@@ -9,17 +9,17 @@
 	"violetthread/wal"
 )
 
-// faultyFS keeps files in memory and fails as disks do: a write may reach the cache in
-// part, and a sync that fails leaves the cache as it is, marks it clean, and has put any
-// part of it on the medium.
+// faultyFS stores files in memory and fails like a disk behind a page cache: a failed write
+// may reach the cache in part, and a failed sync may write any part of the cache to the
+// medium, but leaves the cache unchanged and marks it clean.
 type faultyFS struct {
 	rng        *rand.Rand
 	files      map[string]*faultyFile
 	full       bool
-	operations int // writes and syncs so far
-	failAt     int // that one fails; 0: none
-	tornBytes  int // bytes that a failing write leaves
-	broken     bool
+	operations int  // number of writes and syncs so far
+	failAt     int  // number of the operation that fails; 0 for none
+	tornBytes  int  // bytes that a failed write leaves in the cache
+	broken     bool // all operations fail
 }
 
 type faultyFile struct {
@@ -56,7 +56,7 @@
 	return f, nil
 }
 
-// next tells whether the operation that begins fails.
+// nextOperation counts a write or sync, and returns an error if it is to fail.
 func (fs *faultyFS) nextOperation() error {
 	fs.operations++
 	switch {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// powerLoss keeps what was synced, and of the rest each byte by chance.
+// powerLoss keeps what was synced, and each other byte with a probability of 1/2.
 func (fs *faultyFS) powerLoss() {
 	for _, f := range fs.files {
 		f.writeBack(2)
@@ -76,7 +76,8 @@
 	}
 }
 
-// settle puts one in so many of the dirty bytes on the medium and calls all of them clean.
+// writeBack writes each dirty byte to the medium with a probability of 1/oneIn, and marks all
+// of them clean.
 func (f *faultyFile) writeBack(oneIn int) {
 	for _, r := range f.dirty {
 		for i := r[0]; i < r[1]; i++ {
@@ -117,7 +118,7 @@
 
 func (f *faultyFile) Close() error { return nil }
 
-// snapshot copies the files as they are.
+// snapshot copies the files with the content of their caches.
 func (fs *faultyFS) snapshot() *faultyFS {
 	out := newFaultyFS(1)
 	for name, f := range fs.files {
--- a/wal/format_test.go
+++ b/wal/format_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestStoredBytes: the bytes of the files are those of format VTRING01, which logs in use
-// have. The start of the first segment is given here byte by byte, and all files as a sum.
+// TestStoredBytes checks that the file format is unchanged: logs in use have format VTRING01
+// and must stay readable. The start of the first segment is compared byte by byte, and all
+// files by checksum.
 func TestStoredBytes(t *testing.T) {
 	fs := newFaultyFS(1)
 	log, _ := open(t, fs, testConfig)
@@ -28,21 +29,21 @@
 		}
 	}
 	const firstSegment = "" +
-		// header: format, sequence number, end of the segment before, checksum
+		// header: format, sequence number, end of the preceding segment, checksum
 		"565452494e473031" + "0100000000000000" + "0000000000000000" + "f7fe5c8c" + "00000000" +
 		// data record "a=1": length, checksum, synced position, type, data
 		"03000000" + "ca20250f" + "2010000000000000" + "01000000" + "613d3100" +
-		// padding, then the beginning of a checkpoint
+		// padding, then a checkpoint begin record
 		"00000000" + "f404eabb" + "3810000000000000" + "02000000" + "00000000" +
 		// checkpoint data "a=1"
 		"03000000" + "1e943156" + "3810000000000000" + "03000000" + "613d3100" +
-		// data record "b=1", appended meanwhile
+		// data record "b=1", appended during the checkpoint
 		"03000000" + "b18a0481" + "3810000000000000" + "01000000" + "623d3100" +
-		// the end of the checkpoint, then what was never written
+		// checkpoint end record, then unused space
 		"00000000" + "a32d740e" + "3810000000000000" + "04000000" + "00000000" +
 		"0000000000000000" + "0000000000000000" + "0000000000000000"
 	if got := hex.EncodeToString(fs.files["ring-001"].cache[:len(firstSegment)/2]); got != firstSegment {
-		t.Errorf("the first segment begins with\n%s, not\n%s", got, firstSegment)
+		t.Errorf("the first segment begins with\n%s, want\n%s", got, firstSegment)
 	}
 	for index, want := range []string{
 		"ad7facb2586fc6e966c004d7d1d16b024f5805ff7cb47c7a85dabd8b48892ca7", // never used
@@ -53,7 +54,7 @@
 	} {
 		name := fmt.Sprintf("ring-%03d", index)
 		if got := fmt.Sprintf("%x", sha256.Sum256(fs.files[name].cache)); got != want {
-			t.Errorf("%s has sum %s, not %s", name, got, want)
+			t.Errorf("%s has checksum %s, want %s", name, got, want)
 		}
 	}
 }
--- a/wal/osdisk/osdisk.go
+++ b/wal/osdisk/osdisk.go
@@ -1,5 +1,4 @@
-// Package osdisk keeps the files of a write-ahead log in a directory of the operating
-// system. It implements wal.FS.
+// Package osdisk implements wal.FS on a directory of the operating system's file system.
 package osdisk
 
 import (
@@ -13,16 +12,16 @@
 	"violetthread/wal"
 )
 
-// zerosBytes is how much of a new file is written at a time.
-const zerosBytes = 1 << 20
+// zeroFillBytes is the size of the writes that fill a new file with zeros.
+const zeroFillBytes = 1 << 20
 
-// Directory keeps log files in the directory of that path, which is made on demand.
-// Its methods may be called from any goroutine.
+// Directory stores log files in the directory at Path, which is created when needed. Its
+// methods may be called from any goroutine.
 type Directory struct{ Path string }
 
 var _ wal.FS = Directory{}
 
-// Size returns the bytes of a file, 0 if it is missing.
+// Size returns the length of a file in bytes, 0 if the file does not exist.
 func (d Directory) Size(name string) (int64, error) {
 	info, err := os.Stat(filepath.Join(d.Path, name))
 	if os.IsNotExist(err) {
@@ -34,11 +33,11 @@
 	return info.Size(), nil
 }
 
-// Open makes a missing file, fills it with zeros, and syncs it and its directory entry.
-// The directory is synced for a file that is there already as well: the process that made
-// it may have ended before it got that far.
+// Open opens a file, creating it if it is missing. A file shorter than size is filled up
+// with zeros and synced. The directory is synced even if the file exists already: the
+// process that created the file may have exited before it synced the directory.
 func (d Directory) Open(name string, size int64) (wal.File, error) {
-	if err := makeDirectory(d.Path); err != nil {
+	if err := createDirectory(d.Path); err != nil {
 		return nil, err
 	}
 	file, err := os.OpenFile(filepath.Join(d.Path, name), os.O_RDWR|os.O_CREATE, 0o600)
@@ -56,26 +55,26 @@
 	return file, nil
 }
 
-// extend fills a file up to size bytes with zeros, and syncs it if it was shorter.
+// extend fills a file with zeros up to size bytes and syncs it, if it is shorter.
 func extend(file *os.File, size int64) error {
 	info, err := file.Stat()
 	if err != nil || info.Size() >= size {
 		return err
 	}
-	zeros := make([]byte, zerosBytes)
-	for offset := info.Size(); offset < size; offset += zerosBytes {
-		if _, err := file.WriteAt(zeros[:min(zerosBytes, size-offset)], offset); err != nil {
+	zeros := make([]byte, zeroFillBytes)
+	for offset := info.Size(); offset < size; offset += zeroFillBytes {
+		if _, err := file.WriteAt(zeros[:min(zeroFillBytes, size-offset)], offset); err != nil {
 			return err
 		}
 	}
 	return file.Sync()
 }
 
-// Lock makes sure that one process alone uses the directory, until the result is closed
-// or the process ends: two processes with one log could vote twice in a term. It fails
-// with trace.AlreadyExists if another process has the lock.
+// Lock takes an exclusive lock on the directory, until the result is closed or the process
+// exits: two processes that share a log could vote twice in a term. It fails with
+// trace.AlreadyExists if another process holds the lock.
 func (d Directory) Lock() (io.Closer, error) {
-	if err := makeDirectory(d.Path); err != nil {
+	if err := createDirectory(d.Path); err != nil {
 		return nil, err
 	}
 	file, err := os.OpenFile(filepath.Join(d.Path, "lock"), os.O_RDWR|os.O_CREATE, 0o600)
@@ -89,12 +88,13 @@
 	return file, nil
 }
 
-// makeDirectory makes a directory and those above it. An entry lasts once the directory
-// it lies in is synced; so the one above is, also when the directory is there already.
-func makeDirectory(path string) error {
+// createDirectory creates a directory and its missing parents. A directory entry is durable
+// once the directory that contains it is synced, so the parent is synced even if the
+// directory exists already: an earlier process may have exited before syncing it.
+func createDirectory(path string) error {
 	parent := filepath.Dir(path)
 	if _, err := os.Stat(parent); os.IsNotExist(err) && parent != path {
-		if err := makeDirectory(parent); err != nil {
+		if err := createDirectory(parent); err != nil {
 			return err
 		}
 	}
--- a/wal/record.go
+++ b/wal/record.go
@@ -5,10 +5,10 @@
 	"hash/crc32"
 )
 
-// The layout of headers and records; doc.go gives it byte by byte.
+// The layout of headers and records; doc.go describes it byte by byte.
 const (
 	magic       = "VTRING01"
-	magicPrefix = "VTRING" // of every version
+	magicPrefix = "VTRING" // common to all versions of the format
 
 	headerBytes       = 32
 	headerSequence    = 8
@@ -22,7 +22,7 @@
 	recordAlignment   = 8
 )
 
-// recordType is stored: its numbers must not change.
+// recordType is stored on disk: its values must not change.
 type recordType byte
 
 const (
@@ -34,7 +34,7 @@
 
 func (t recordType) valid() bool { return typeData <= t && t <= typeCheckpointEnd }
 
-// String names the type, for debugging.
+// String returns the name of the type, for debugging.
 func (t recordType) String() string {
 	if !t.valid() {
 		return "invalid"
@@ -44,20 +44,21 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one record as found.
+// record is one decoded record.
 type record struct {
 	recordType recordType
-	sequence   uint64 // of the segment that it is in
-	synced     uint64 // position up to which everything was synced when it was written
+	sequence   uint64 // of the segment that contains it
+	synced     uint64 // position up to which the log was synced when the record was written
 	data       []byte
 }
 
-// recordBytes is what a record with so many bytes of data takes in a segment.
+// recordBytes is the size in a segment of a record with the given number of data bytes,
+// including header and padding.
 func recordBytes(dataBytes int) int64 {
 	return (int64(recordHeaderBytes+dataBytes) + recordAlignment - 1) &^ (recordAlignment - 1)
 }
 
-// encodeRecord lays a record out as it stands at an offset of a segment.
+// encodeRecord encodes a record for an offset of a segment; the checksum depends on it.
 func encodeRecord(rec record, offset int64) []byte {
 	out := make([]byte, recordBytes(len(rec.data)))
 	binary.LittleEndian.PutUint32(out, uint32(len(rec.data)))
@@ -69,16 +70,16 @@
 	return out
 }
 
-// decodeRecord reads the record at an offset of a segment; its data is a copy. It returns
-// false if there is no record with a right checksum.
+// decodeRecord decodes the record at an offset of a segment; its data is a copy. It returns
+// false if there is no record with a valid checksum.
 func decodeRecord(segment []byte, sequence uint64, offset int64) (record, bool) {
 	if offset+recordHeaderBytes > int64(len(segment)) {
 		return record{}, false
 	}
 	header := segment[offset : offset+recordHeaderBytes]
 	end := offset + recordHeaderBytes + int64(binary.LittleEndian.Uint32(header))
-	found := recordType(header[recordTypeOffset])
-	if !found.valid() || end > int64(len(segment)) {
+	storedType := recordType(header[recordTypeOffset])
+	if !storedType.valid() || end > int64(len(segment)) {
 		return record{}, false
 	}
 	data := segment[offset+recordHeaderBytes : end]
@@ -86,16 +87,16 @@
 		return record{}, false
 	}
 	synced := binary.LittleEndian.Uint64(header[recordSynced:])
-	return record{found, sequence, synced, append([]byte(nil), data...)}, true
+	return record{storedType, sequence, synced, append([]byte(nil), data...)}, true
 }
 
-// checksum covers a record's place as well as its content, so that one of an earlier
-// segment in the same file never passes for one of this.
+// checksum covers a record's location as well as its content, so that a record of an earlier
+// segment in the same file is never taken for one of this segment.
 func checksum(sequence uint64, offset int64, header, data []byte) uint32 {
-	var place [16]byte
-	binary.LittleEndian.PutUint64(place[:], sequence)
-	binary.LittleEndian.PutUint64(place[8:], uint64(offset))
-	sum := crc32.Update(0, castagnoli, place[:])
+	var location [16]byte
+	binary.LittleEndian.PutUint64(location[:], sequence)
+	binary.LittleEndian.PutUint64(location[8:], uint64(offset))
+	sum := crc32.Update(0, castagnoli, location[:])
 	sum = crc32.Update(sum, castagnoli, header[:recordChecksum])
 	sum = crc32.Update(sum, castagnoli, header[recordSynced:])
 	return crc32.Update(sum, castagnoli, data)
@@ -110,7 +111,7 @@
 	return out
 }
 
-// decodeHeader reads a segment's header; ok is false for a blank or damaged one.
+// decodeHeader decodes a segment's header; ok is false if the header is blank or damaged.
 func decodeHeader(segment []byte) (sequence uint64, previousEnd int64, ok bool) {
 	sequence = binary.LittleEndian.Uint64(segment[headerSequence:])
 	previousEnd = int64(binary.LittleEndian.Uint64(segment[headerPreviousEnd:]))
@@ -118,8 +119,8 @@
 	return sequence, previousEnd, ok
 }
 
-// isOtherVersion reports whether a header with a right checksum is of another version of
-// this format.
+// isOtherVersion reports whether the segment has a header of another version of this format
+// with a valid checksum.
 func isOtherVersion(segment []byte) bool {
 	if string(segment[:len(magicPrefix)]) != magicPrefix || string(segment[:len(magic)]) == magic {
 		return false
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -6,24 +6,24 @@
 	"io"
 )
 
-// foundSegment is one segment as found.
-type foundSegment struct {
+// scannedSegment is the result of scanning one segment.
+type scannedSegment struct {
 	records      []record
-	end          int64  // where reading its records stopped
-	previousEnd  int64  // where the segment before it ended, as its header says
-	syncedBeyond uint64 // highest synced position that a record behind end names, 0 for none
+	end          int64  // offset after the last valid record
+	previousEnd  int64  // end of the preceding segment according to this one's header
+	syncedBeyond uint64 // highest synced position in valid records after end, 0 for none
 }
 
-// foundSegments is all files as found.
-type foundSegments struct {
-	bySequence map[uint64]foundSegment
-	oldest     uint64 // sequence number, 0 if no file has a header
+// scanResult is the result of scanning all files.
+type scanResult struct {
+	bySequence map[uint64]scannedSegment
+	oldest     uint64 // sequence number, 0 if no file has a valid header
 	newest     uint64
-	tail       []byte // the bytes of the newest segment up to its end
+	tail       []byte // content of the newest segment up to its end
 }
 
-// recover reads the files and returns the records from the newest complete checkpoint on.
-// Nothing is written.
+// recover reads the files and returns the records to replay, starting with the newest
+// complete checkpoint. It writes nothing.
 func (l *Log) recover() ([][]byte, error) {
 	found, err := l.readSegments()
 	if err != nil {
@@ -41,7 +41,7 @@
 	if begin >= 0 {
 		l.oldestNeeded = records[begin].sequence
 	} else if found.oldest > 1 {
-		return nil, &CorruptionError{l.fileIndex(found.oldest), headerBytes, "lacks the checkpoint that it follows"}
+		return nil, &CorruptionError{l.fileIndex(found.oldest), headerBytes, "has no preceding segment and no checkpoint that replaces it"}
 	}
 	if err := l.checkContinuity(found); err != nil {
 		return nil, err
@@ -50,26 +50,27 @@
 	return replayOrder(records, begin, end), nil
 }
 
-// checkContinuity proves that nothing synced is gone from the needed segments. A later
-// record that names a synced position past the place where reading stopped proves that
-// something is; without one it is a torn tail. A segment with a successor was synced whole.
-func (l *Log) checkContinuity(found foundSegments) error {
+// checkContinuity checks that no synced data is missing from the needed segments. Data is
+// missing if a later record in the segment has a synced position past the last valid record;
+// otherwise the segment ends in a torn tail. A segment that has a successor was synced in
+// full, so its valid records must end where the successor's header says.
+func (l *Log) checkContinuity(found scanResult) error {
 	for sequence := l.oldestNeeded; sequence <= found.newest; sequence++ {
 		segment, ok := found.bySequence[sequence]
 		if !ok {
-			return &CorruptionError{l.fileIndex(sequence), 0, "lacks its header"}
+			return &CorruptionError{l.fileIndex(sequence), 0, "has no valid header"}
 		}
 		next, hasNext := found.bySequence[sequence+1]
 		if segment.syncedBeyond > l.position(sequence, segment.end) || hasNext && next.previousEnd != segment.end {
-			return &CorruptionError{l.fileIndex(sequence), segment.end, "holds synced data that fails its checksum"}
+			return &CorruptionError{l.fileIndex(sequence), segment.end, "contains synced data that fails its checksum"}
 		}
 	}
 	return nil
 }
 
-// readSegments reads all files. Those without a valid header are left out.
-func (l *Log) readSegments() (foundSegments, error) {
-	found := foundSegments{bySequence: map[uint64]foundSegment{}}
+// readSegments scans all files, leaving out those without a valid header.
+func (l *Log) readSegments() (scanResult, error) {
+	found := scanResult{bySequence: map[uint64]scannedSegment{}}
 	content := make([]byte, l.config.SegmentBytes)
 	for index, file := range l.files {
 		if err := readFull(file, content); err != nil {
@@ -83,44 +84,45 @@
 			continue
 		}
 		if l.fileIndex(sequence) != index {
-			return found, &LayoutError{index, "is one of a write-ahead log with another count of files"}
+			return found, &LayoutError{index, "belongs to a write-ahead log with another number of files"}
 		}
 		segment := scanSegment(content, sequence)
 		segment.previousEnd = previousEnd
 		found.add(sequence, segment, content)
 	}
-	return found, l.checkUnbegun(found.newest, content)
+	return found, l.checkOrphanRecords(found.newest, content)
 }
 
-func (f *foundSegments) add(sequence uint64, segment foundSegment, content []byte) {
-	f.bySequence[sequence] = segment
-	if sequence > f.newest {
-		f.newest = sequence
-		f.tail = append(f.tail[:0], content[:segment.end]...)
+func (r *scanResult) add(sequence uint64, segment scannedSegment, content []byte) {
+	r.bySequence[sequence] = segment
+	if sequence > r.newest {
+		r.newest = sequence
+		r.tail = append(r.tail[:0], content[:segment.end]...)
 	}
-	if f.oldest == 0 || sequence < f.oldest {
-		f.oldest = sequence
+	if r.oldest == 0 || sequence < r.oldest {
+		r.oldest = sequence
 	}
 }
 
-// checkUnbegun looks for records of segments that were not begun yet, as far as the
-// headers tell. A header that was cut off in the midst of being written has none behind
-// it; where there is one, the header of a segment that was synced is damaged.
-func (l *Log) checkUnbegun(newest uint64, buffer []byte) error {
+// checkOrphanRecords looks for records of segments that are newer than the newest valid
+// header. A torn header is followed by no record, because a segment is synced before its
+// first record is written; a record there means that the header of a synced segment is
+// damaged.
+func (l *Log) checkOrphanRecords(newest uint64, buffer []byte) error {
 	for sequence := newest + 1; sequence <= newest+uint64(l.config.SegmentCount); sequence++ {
 		index := l.fileIndex(sequence)
 		if err := readFirstRecord(l.files[index], buffer); err != nil {
 			return err
 		}
 		if _, ok := decodeRecord(buffer, sequence, headerBytes); ok {
-			return &CorruptionError{index, 0, "holds records behind a damaged header"}
+			return &CorruptionError{index, 0, "contains records after a damaged header"}
 		}
 	}
 	return nil
 }
 
-// readFirstRecord reads as much of a file as its first record takes, if it has one. What
-// follows in the buffer is of another file.
+// readFirstRecord reads a file's header and its first record, if there is one, into the
+// buffer. The rest of the buffer keeps its previous content.
 func readFirstRecord(file File, buffer []byte) error {
 	if err := readFull(file, buffer[:headerBytes+recordHeaderBytes]); err != nil {
 		return err
@@ -140,10 +142,10 @@
 	return nil
 }
 
-// scanSegment takes the records up to the first that fails its checksum, and looks for
-// any behind that one.
-func scanSegment(content []byte, sequence uint64) foundSegment {
-	segment := foundSegment{end: headerBytes}
+// scanSegment decodes the records up to the first that fails its checksum, and looks for
+// valid records after it.
+func scanSegment(content []byte, sequence uint64) scannedSegment {
+	segment := scannedSegment{end: headerBytes}
 	for {
 		rec, ok := decodeRecord(content, sequence, segment.end)
 		if !ok {
@@ -161,7 +163,8 @@
 	return segment
 }
 
-// newestCheckpoint is where the newest complete checkpoint begins and ends, -1 for none.
+// newestCheckpoint returns the indexes of the begin and end records of the newest complete
+// checkpoint, or -1 for both.
 func newestCheckpoint(records []record) (begin, end int) {
 	end = -1
 	for i := len(records) - 1; i >= 0; i-- {
@@ -175,8 +178,9 @@
 	return -1, -1
 }
 
-// replayOrder lists the records to apply. A checkpoint stands for the state at its
-// beginning: what was appended between its parts comes after all of it.
+// replayOrder returns the data of the records to replay, in order. A checkpoint contains the
+// state at its beginning, so all of its records precede the data records interleaved with
+// them.
 func replayOrder(records []record, begin, end int) [][]byte {
 	var out [][]byte
 	first := max(begin, 0)
--- a/wal/segment.go
+++ b/wal/segment.go
@@ -10,28 +10,30 @@
 type File interface {
 	io.ReaderAt
 	io.WriterAt
-	// Sync returns once everything that was written is on the medium.
+	// Sync returns once all previous writes are on the medium.
 	Sync() error
 	Close() error
 }
 
-// FS is how a log reaches the folder of its files: osdisk.Directory, or a simulated disk.
+// FS gives a log access to the directory of its files. osdisk.Directory implements it, and
+// so does the simulated disk.
 type FS interface {
-	// Size returns the bytes of the file of that name, 0 if it is missing.
+	// Size returns the length of a file in bytes, 0 if the file does not exist.
 	Size(name string) (int64, error)
-	// Open returns the file of that name with at least size bytes, made and synced
-	// if it is missing, and extended with zeros if it is shorter.
+	// Open opens a file and ensures that it has at least size bytes: a missing file is
+	// created and synced, and a shorter file is extended with zeros.
 	Open(name string, size int64) (File, error)
 }
 
 func fileName(index int) string { return fmt.Sprintf("ring-%03d", index) }
 
-// checkLayout refuses a log in use whose files are not those of the config: a file that
-// was cut would pass for one whose end was never written, and with other sizes records
-// lie elsewhere. Files that were being made when the process ended are in order.
+// checkLayout rejects a log in use whose files don't match the config: a truncated file
+// would be taken for one whose end was never written, and with other sizes the records are
+// at other offsets. Files that are incomplete because the process exited while creating them
+// are accepted, since none of them is in use yet.
 func checkLayout(fs FS, config Config) error {
-	sizes, wrong, err := fileSizes(fs, config)
-	if err != nil || wrong < 0 {
+	sizes, mismatch, err := fileSizes(fs, config)
+	if err != nil || mismatch < 0 {
 		return err
 	}
 	for index, size := range sizes {
@@ -40,31 +42,31 @@
 			return err
 		}
 		if used {
-			return &LayoutError{wrong, fmt.Sprintf("has %d bytes, not %d, and file %d is in use", sizes[wrong], config.fileSize(wrong), index)}
+			return &LayoutError{mismatch, fmt.Sprintf("has %d bytes instead of %d, and file %d is in use", sizes[mismatch], config.fileSize(mismatch), index)}
 		}
 	}
 	return nil
 }
 
-// fileSizes returns the bytes of all files and of the one that would follow the last, and
-// the index of the first that has another size than the config says, -1 for none.
-func fileSizes(fs FS, config Config) (sizes []int64, wrong int, err error) {
+// fileSizes returns the lengths of all files and of the one that would follow the last, and
+// the index of the first whose length differs from the config, or -1.
+func fileSizes(fs FS, config Config) (sizes []int64, mismatch int, err error) {
 	sizes = make([]int64, config.SegmentCount+1)
-	wrong = -1
+	mismatch = -1
 	for index := range sizes {
 		size, err := fs.Size(fileName(index))
 		if err != nil {
 			return nil, -1, &DiskError{"open", err}
 		}
 		sizes[index] = size
-		if size != config.fileSize(index) && wrong < 0 {
-			wrong = index
+		if size != config.fileSize(index) && mismatch < 0 {
+			mismatch = index
 		}
 	}
-	return sizes, wrong, nil
+	return sizes, mismatch, nil
 }
 
-// fileSize is the bytes of the file of an index: 0 behind the last.
+// fileSize is the expected length of the file with an index; 0 past the last file.
 func (c Config) fileSize(index int) int64 {
 	if index >= c.SegmentCount {
 		return 0
@@ -72,7 +74,7 @@
 	return c.SegmentBytes
 }
 
-// isUsed reports whether a file of so many bytes has anything in place of its header.
+// isUsed reports whether the header of a file with the given length is not all zeros.
 func isUsed(fs FS, index int, size int64) (bool, error) {
 	if size < headerBytes {
 		return false, nil
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -6,13 +6,13 @@
 	"github.com/gravitational/trace"
 )
 
-// Config is the size of a log. It can't change while the files are in use.
+// Config is the size of a log. It can't be changed once the log contains records.
 type Config struct {
-	// SegmentCount is the number of segment files, at least 3. A state of a given size
-	// needs more of them the longer a checkpoint takes; Append says how many stay free.
+	// SegmentCount is the number of segment files, at least 3. The longer a checkpoint
+	// takes, the more segments are needed; Append describes how many are reserved.
 	SegmentCount int
-	// SegmentBytes is the length of each file in bytes, at least 4096. No record may be
-	// larger than a segment without its header.
+	// SegmentBytes is the length of each file in bytes, at least 4096. A record must fit
+	// into a segment after its header.
 	SegmentBytes int64
 }
 
@@ -23,15 +23,15 @@
 
 func (c Config) check() error {
 	if c.SegmentCount < minSegmentCount || c.SegmentBytes < minSegmentBytes {
-		return trace.BadParameter("a write-ahead log needs at least %d files of %d bytes; raise ring_files or ring_bytes", minSegmentCount, minSegmentBytes)
+		return trace.BadParameter("a write-ahead log needs at least %d files of at least %d bytes; raise ring_files or ring_bytes", minSegmentCount, minSegmentBytes)
 	}
 	return nil
 }
 
 // Log is an open write-ahead log. It is not safe for concurrent use.
 //
-// After a write or sync that failed every call fails with the same error until Reopen
-// has read the files anew; the package comment says why.
+// After a failed write or sync, every call fails with the same error until Reopen has read
+// the files again; the package comment explains why.
 type Log struct {
 	fs     FS
 	config Config
@@ -39,24 +39,25 @@
 
 	sequence uint64 // of the segment being written
 	offset   int64  // in it, of the next record
-	synced   uint64 // position up to which everything is synced
-	unsynced bool   // the segment being written has bytes that no sync has covered
+	synced   uint64 // position up to which the log is synced
+	unsynced bool   // the segment being written has unsynced bytes
 	failure  error  // of the first write or sync that failed
 
 	oldestNeeded       uint64 // sequence number of the oldest segment that recovery needs
-	checkpointing      bool   // a checkpoint is under way
-	checkpointSequence uint64 // of the segment in which it began
+	checkpointing      bool   // a checkpoint is in progress
+	checkpointSequence uint64 // of the segment in which the checkpoint begins
 
-	tail []byte // after recovery: the bytes of the segment being written
+	tail []byte // content of the newest segment, between recovery and its rewrite
 }
 
-// Open reads the files, making those that are missing, and returns the records to apply,
-// in order: those from the newest complete checkpoint on (see Recovery above).
+// Open reads the files, creating those that are missing, and returns the records to replay,
+// in order, starting with the newest complete checkpoint (see Recovery in the package
+// comment).
 //
-// If the disk refuses to write the newest segment anew, the records are returned beside
-// an error that matches ErrDisk; there is no Log then, and Open may be tried again. Other
-// errors match ErrDisk, ErrCorrupt, ErrVersion or ErrLayout, or are a
-// trace.BadParameter for a Config out of bounds.
+// If rewriting the newest segment fails, Open returns the records with an error that matches
+// ErrDisk; the Log is nil then, and Open may be retried. Other errors match ErrDisk,
+// ErrCorrupt, ErrVersion or ErrLayout, or are a trace.BadParameter for a Config out of
+// bounds.
 func Open(fs FS, config Config) (*Log, [][]byte, error) {
 	if err := config.check(); err != nil {
 		return nil, nil, err
@@ -69,11 +70,11 @@
 	return l, records, nil
 }
 
-// Reopen reads the files anew after a failure, as Open does after a restart, with the
-// same errors. Everything that was synced must be found again, or it fails with
-// ErrCorrupt; what was not may be among the records or not, and is synced if it is.
+// Reopen reads the files again after a failure, as Open does after a restart, and returns
+// the same errors. If data that was synced is missing, it fails with ErrCorrupt. A record
+// that was not synced may or may not be returned; one that is returned is durable.
 func (l *Log) Reopen() ([][]byte, error) {
-	_ = closeFiles(l.files) // they failed already
+	_ = closeFiles(l.files) // the log has already failed, so close errors don't matter
 	next := &Log{fs: l.fs, config: l.config}
 	records, err := next.open(l.synced)
 	if err != nil {
@@ -84,8 +85,9 @@
 	return records, nil
 }
 
-// open reads the log, which must reach up to a position that is known to be synced.
-func (l *Log) open(known uint64) ([][]byte, error) {
+// open reads the log, which must extend to at least the position minEnd, up to which it is
+// known to be synced.
+func (l *Log) open(minEnd uint64) ([][]byte, error) {
 	if err := checkLayout(l.fs, l.config); err != nil {
 		return nil, err
 	}
@@ -95,8 +97,8 @@
 	}
 	l.files = files
 	records, err := l.recover()
-	if err == nil && l.position(l.sequence, l.offset) < known {
-		err = &CorruptionError{l.fileIndex(l.sequence), l.offset, "lacks what was synced behind it"}
+	if err == nil && l.position(l.sequence, l.offset) < minEnd {
+		err = &CorruptionError{l.fileIndex(l.sequence), l.offset, "is followed by no data although more was synced"}
 		records = nil
 	}
 	if err == nil {
@@ -110,8 +112,9 @@
 	return records, nil
 }
 
-// rewriteNewest writes the newest segment as it was read, with zeros behind it: remains
-// of a torn tail can't pass for later records then, and all that was read is synced.
+// rewriteNewest rewrites the newest segment with the content that was read, followed by
+// zeros, and syncs it. The remains of a torn tail can't be taken for later records then, and
+// everything that was read is durable.
 func (l *Log) rewriteNewest() error {
 	if l.sequence == 0 {
 		return l.beginSegment(1, 0)
@@ -122,7 +125,7 @@
 	return l.writeSegment(l.sequence, content)
 }
 
-// beginSegment writes an empty segment and makes it the one being written.
+// beginSegment writes an empty segment and makes it the current one.
 func (l *Log) beginSegment(sequence uint64, previousEnd int64) error {
 	content := make([]byte, l.config.SegmentBytes)
 	copy(content, encodeHeader(sequence, previousEnd))
@@ -136,7 +139,7 @@
 	return nil
 }
 
-// writeSegment writes and syncs a whole segment.
+// writeSegment writes and syncs the full content of a segment.
 func (l *Log) writeSegment(sequence uint64, content []byte) error {
 	if err := l.write(sequence, content, 0); err != nil {
 		return err
@@ -158,43 +161,43 @@
 	return l.failure
 }
 
-// fileIndex is the index of the file in which a segment lies.
+// fileIndex is the index of the file that stores a segment.
 func (l *Log) fileIndex(sequence uint64) int { return int(sequence % uint64(l.config.SegmentCount)) }
 
 func (l *Log) file(sequence uint64) File { return l.files[l.fileIndex(sequence)] }
 
-// position is a place in the whole log, in bytes from the start of segment 0.
+// position is an offset in the whole log, in bytes from the start of segment 0.
 func (l *Log) position(sequence uint64, offset int64) uint64 {
 	return sequence*uint64(l.config.SegmentBytes) + uint64(offset)
 }
 
-// Append writes a record; it lasts once Sync has returned. It fails with ErrFull if that
-// would take a segment that must stay free, and with ErrDisk.
+// Append writes a record, which is durable once Sync has returned. It fails with ErrFull if
+// the record would need one of the reserved segments, and with ErrDisk.
 //
-// Two fifths of the segments stay free until the next checkpoint begins. While one is
-// being written a quarter does, which is for its records, or for another that is begun
-// anew if the process ends in the midst of this one.
+// Two fifths of the segments are reserved until the next checkpoint begins. While one is
+// being written, a quarter is reserved: for the rest of that checkpoint, or for a new one if
+// the process exits before the checkpoint is complete.
 func (l *Log) Append(data []byte) error {
 	if l.checkpointing {
-		return l.put(typeData, data, max(1, l.config.SegmentCount/4))
+		return l.appendRecord(typeData, data, max(1, l.config.SegmentCount/4))
 	}
-	return l.put(typeData, data, max(1, l.config.SegmentCount*2/5))
+	return l.appendRecord(typeData, data, max(1, l.config.SegmentCount*2/5))
 }
 
-// put writes a record and leaves so many segments free.
-func (l *Log) put(recordType recordType, data []byte, keepFree int) error {
+// appendRecord writes a record and leaves at least the given number of segments free.
+func (l *Log) appendRecord(recordType recordType, data []byte, reserved int) error {
 	if l.failure != nil {
 		return l.failure
 	}
 	size := recordBytes(len(data))
 	if size > l.config.SegmentBytes-headerBytes {
 		return &FullError{
-			Detail: fmt.Sprintf("a record of %d bytes does not fit a file of %d", len(data), l.config.SegmentBytes),
+			Detail: fmt.Sprintf("a record of %d bytes does not fit into a file of %d bytes", len(data), l.config.SegmentBytes),
 			Remedy: "raise ring_bytes (fixed under a deploy file), with an empty data folder",
 		}
 	}
 	if l.offset+size > l.config.SegmentBytes {
-		if err := l.nextSegment(keepFree); err != nil {
+		if err := l.nextSegment(reserved); err != nil {
 			return err
 		}
 	}
@@ -207,11 +210,11 @@
 	return nil
 }
 
-// nextSegment goes on to the next segment, if that leaves so many free.
-func (l *Log) nextSegment(keepFree int) error {
-	if l.sequence+2-l.oldestNeeded > uint64(l.config.SegmentCount-keepFree) {
+// nextSegment begins the next segment if at least the given number stay free.
+func (l *Log) nextSegment(reserved int) error {
+	if l.sequence+2-l.oldestNeeded > uint64(l.config.SegmentCount-reserved) {
 		return &FullError{
-			Detail: "no file is free before the next checkpoint",
+			Detail: "no free segment file is left until the next checkpoint completes",
 			Remedy: "raise ring_files (fixed under a deploy file), with an empty data folder",
 		}
 	}
@@ -221,7 +224,7 @@
 	return l.beginSegment(l.sequence+1, l.offset)
 }
 
-// Sync makes everything appended last. It fails with ErrDisk.
+// Sync makes all appended records durable. It fails with ErrDisk.
 func (l *Log) Sync() error {
 	if l.failure != nil {
 		return l.failure
@@ -236,12 +239,12 @@
 	return nil
 }
 
-// UsedPermille is the part of the log that is taken, in thousandths: what was written
-// since the segment in which the newest checkpoint began.
+// UsedPermille is the part of the log that is in use, in thousandths: from the segment in
+// which the newest complete checkpoint begins up to the end.
 func (l *Log) UsedPermille() int {
 	used := (l.sequence-l.oldestNeeded)*uint64(l.config.SegmentBytes) + uint64(l.offset)
 	return int(used * 1000 / (uint64(l.config.SegmentCount) * uint64(l.config.SegmentBytes)))
 }
 
-// Close closes the files. What was not synced may be lost.
+// Close closes the files. Records that were not synced may be lost.
 func (l *Log) Close() error { return closeFiles(l.files) }
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -26,8 +26,8 @@
 
 var testConfig = wal.Config{SegmentCount: 5, SegmentBytes: 4096}
 
-// TestPowerLoss: whatever was synced is read back in order, however the power
-// goes, over many reuses of its segments.
+// TestPowerLoss checks that synced records are replayed in order after power losses at random
+// points, while segments are reused many times.
 func TestPowerLoss(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
 		r := newPowerLossRun(t, seed)
@@ -37,7 +37,7 @@
 	}
 }
 
-// powerLossRun is a log that is written, checkpointed and read back after losses of power.
+// powerLossRun writes and checkpoints a log, and opens it again after power losses.
 type powerLossRun struct {
 	t    *testing.T
 	seed int64
@@ -45,13 +45,13 @@
 	disk *sim.Disk
 	log  *wal.Log
 
-	live   []string // what must be found: since the last checkpoint, at least the synced
-	synced int      // of these
-	number int      // of the last record
+	live         []string // records since the last checkpoint
+	synced       int      // number of live records that are synced and must be replayed
+	recordNumber int      // of the last record
 
 	checkpointing  bool
-	checkpointFrom int      // where live will begin after the checkpoint under way
-	checkpointRest [][]byte // records that are still to come of it
+	checkpointFrom int      // index in live of the first record that the checkpoint keeps
+	checkpointRest [][]byte // records not yet written to the checkpoint
 }
 
 func newPowerLossRun(t *testing.T, seed int64) *powerLossRun {
@@ -70,7 +70,7 @@
 	case choice < 14:
 		r.append()
 	case choice < 18:
-		r.must(r.log.Sync())
+		r.requireNoError(r.log.Sync())
 		r.synced = len(r.live)
 	default:
 		r.losePower()
@@ -80,7 +80,7 @@
 	}
 }
 
-func (r *powerLossRun) must(err error) {
+func (r *powerLossRun) requireNoError(err error) {
 	r.t.Helper()
 	if err != nil {
 		r.t.Fatalf("seed %d: %v", r.seed, err)
@@ -89,9 +89,9 @@
 
 func (r *powerLossRun) append() {
 	r.t.Helper()
-	r.number++
-	text := fmt.Sprintf("%d-%s", r.number, make([]byte, r.rng.Intn(120)))
-	r.must(r.log.Append([]byte(text)))
+	r.recordNumber++
+	text := fmt.Sprintf("%d-%s", r.recordNumber, make([]byte, r.rng.Intn(120)))
+	r.requireNoError(r.log.Append([]byte(text)))
 	r.live = append(r.live, text)
 }
 
@@ -100,20 +100,20 @@
 	r.disk.PowerLoss()
 	var got []string
 	r.log, got = open(r.t, r.disk, testConfig)
-	r.checkpointing = false // what was written of a checkpoint counts for nothing
+	r.checkpointing = false // an incomplete checkpoint is ignored
 	if len(got) < r.synced || len(got) > len(r.live) {
-		r.t.Fatalf("seed %d: %d records, %d synced of %d", r.seed, len(got), r.synced, len(r.live))
+		r.t.Fatalf("seed %d: replayed %d records, %d synced of %d", r.seed, len(got), r.synced, len(r.live))
 	}
 	for i := range got {
 		if got[i] != r.live[i] {
-			r.t.Fatalf("seed %d: record %d is %q, not %q", r.seed, i, got[i], r.live[i])
+			r.t.Fatalf("seed %d: record %d is %q, want %q", r.seed, i, got[i], r.live[i])
 		}
 	}
 	r.live, r.synced = got, len(got)
 }
 
-// beginCheckpoint keeps the last few records, as a checkpoint would restate live state;
-// others are appended between its parts.
+// beginCheckpoint begins a checkpoint of the last few records. Other records are appended
+// while it is being written.
 func (r *powerLossRun) beginCheckpoint() {
 	r.t.Helper()
 	r.checkpointFrom = max(0, len(r.live)-4)
@@ -121,24 +121,24 @@
 	for _, text := range r.live[r.checkpointFrom:] {
 		r.checkpointRest = append(r.checkpointRest, []byte(text))
 	}
-	r.must(r.log.BeginCheckpoint())
+	r.requireNoError(r.log.BeginCheckpoint())
 	r.checkpointing = true
 }
 
 func (r *powerLossRun) advanceCheckpoint() {
 	r.t.Helper()
 	if len(r.checkpointRest) > 0 {
-		r.must(r.log.AppendCheckpoint(r.checkpointRest[:1]))
+		r.requireNoError(r.log.AppendCheckpoint(r.checkpointRest[:1]))
 		r.checkpointRest = r.checkpointRest[1:]
 		return
 	}
-	r.must(r.log.EndCheckpoint())
+	r.requireNoError(r.log.EndCheckpoint())
 	r.live, r.checkpointing = r.live[r.checkpointFrom:], false
 	r.synced = len(r.live)
 }
 
-// TestFlippedBit: a bit that flips in synced data is found, never passed on and
-// never taken for a torn tail, as long as something was synced after it.
+// TestFlippedBit checks that a flipped bit in synced data is detected: the damaged record must
+// not be returned or taken for a torn tail, as long as a later record was synced.
 func TestFlippedBit(t *testing.T) {
 	world := sim.NewWorld(1)
 	rng := rand.New(rand.NewSource(7))
@@ -156,7 +156,7 @@
 		}
 		file, _ := disk.Open("ring-001", testConfig.SegmentBytes)
 		buffer := make([]byte, 1)
-		offset := int64(32 + rng.Intn(39*32)) // not in the last record
+		offset := int64(32 + rng.Intn(39*32)) // not in the last record, which can't be told from a torn tail
 		_, _ = file.ReadAt(buffer, offset)
 		buffer[0] ^= 1 << rng.Intn(8)
 		_, _ = file.WriteAt(buffer, offset)
@@ -167,24 +167,24 @@
 		case err != nil:
 			t.Fatal(err)
 		default:
-			// Only padding may flip unnoticed.
+			// Only a flip in the padding may go undetected.
 			for j, text := range raw {
 				if string(text) != want[j] {
-					t.Fatalf("bit at %d: record %d came back as %q", offset, j, text)
+					t.Fatalf("bit flipped at %d: record %d replayed as %q", offset, j, text)
 				}
 			}
 			if len(raw) != len(want) {
-				t.Fatalf("bit at %d: %d of %d records came back without a word", offset, len(raw), len(want))
+				t.Fatalf("bit flipped at %d: %d of %d records replayed without an error", offset, len(raw), len(want))
 			}
 		}
 	}
 	if found < 200 {
-		t.Fatalf("found only %d of 300", found)
+		t.Fatalf("detected only %d of 300 flipped bits", found)
 	}
 }
 
-// TestFull: a log without room refuses and keeps what it has; a checkpoint
-// still fits, and makes room again.
+// TestFull checks that a full log rejects a record and keeps the earlier ones, and that a
+// checkpoint still fits and frees space.
 func TestFull(t *testing.T) {
 	disk := sim.NewDisk(sim.NewWorld(1))
 	log, _ := open(t, disk, testConfig)
@@ -194,7 +194,7 @@
 		err = log.Append(make([]byte, 500))
 	}
 	if !errors.Is(err, wal.ErrFull) || count < 15 {
-		t.Fatalf("after %d: %v", count, err)
+		t.Fatalf("after %d records: %v", count, err)
 	}
 	if err := log.Checkpoint([][]byte{[]byte("all")}); err != nil {
 		t.Fatal(err)
@@ -206,11 +206,11 @@
 		t.Fatal(err)
 	}
 	if _, got := open(t, disk, testConfig); fmt.Sprint(got) != "[all more]" {
-		t.Fatalf("read back %q", got)
+		t.Fatalf("replayed %q", got)
 	}
 }
 
-// TestFailedSync: after one failed sync nothing of this log is trusted again.
+// TestFailedSync checks that after a failed sync every call fails, even if the disk works again.
 func TestFailedSync(t *testing.T) {
 	disk := sim.NewDisk(sim.NewWorld(1))
 	log, _ := open(t, disk, testConfig)
@@ -228,7 +228,7 @@
 	}
 }
 
-// TestFolder: the same on a real folder.
+// TestDirectory tests osdisk: records are durable, and the lock excludes a second process.
 func TestDirectory(t *testing.T) {
 	directory := osdisk.Directory{Path: t.TempDir() + "/ring"}
 	log, _ := open(t, directory, testConfig)
@@ -242,15 +242,15 @@
 		t.Fatal(err)
 	}
 	if _, err := directory.Lock(); err == nil {
-		t.Fatal("two processes may use one folder")
+		t.Fatal("the lock was taken twice")
 	}
 	_ = lock.Close()
 	if _, got := open(t, directory, testConfig); fmt.Sprint(got) != "[kept]" {
-		t.Fatalf("read back %q", got)
+		t.Fatalf("replayed %q", got)
 	}
 }
 
-// FuzzOpen: whatever a disk holds, opening it ends in records or an error.
+// FuzzOpen checks that opening files with arbitrary content returns records or an error.
 func FuzzOpen(f *testing.F) {
 	disk := sim.NewDisk(sim.NewWorld(1))
 	log, _, _ := wal.Open(disk, testConfig)
