--- a/plan/change.go
+++ b/plan/change.go
@@ -2,19 +2,19 @@
 
 import "github.com/gravitational/trace"
 
-// Change is what an operator sends: a whole plan, or a merge patch of the one in force, on
-// a condition or on none (docs/design.md §2).
+// Change is an operator's request to replace the plan, or to patch the one in force, with or
+// without a condition (docs/design.md §2).
 type Change struct {
 	Body  []byte
 	Patch bool // Body is a merge patch
-	// Conditional: the change applies to the plan of ExpectedRevision alone, 0 for none
-	// yet. Otherwise it applies to whatever plan is in force.
+	// Conditional limits the change to the plan of ExpectedRevision, 0 if there is no plan
+	// yet. Otherwise it applies to any plan that is in force.
 	Conditional      bool
 	ExpectedRevision uint64
 }
 
-// RevisionConflictError says that the plan in force is not the one that a conditional
-// change is meant for.
+// RevisionConflictError means that the plan in force does not have the revision that a
+// conditional change expects.
 type RevisionConflictError struct {
 	Revision uint64 // of the plan in force
 }
@@ -23,12 +23,12 @@
 	return "read the plan again and decide anew; nothing was changed"
 }
 
-// NoPlanError says that there is no plan yet that a patch could change.
+// NoPlanError means that a patch was sent before the first plan.
 type NoPlanError struct{}
 
 func (NoPlanError) Error() string { return "send a whole plan first, with violetthread-ctl plan put" }
 
-// PatchError says that a patch can't be read or applied. Its message is that of Err.
+// PatchError means that a patch can't be decoded or applied. Its message is that of Err.
 type PatchError struct{ Err error }
 
 func (e PatchError) Error() string { return e.Err.Error() }
@@ -36,26 +36,26 @@
 // Unwrap returns the cause.
 func (e PatchError) Unwrap() error { return e.Err }
 
-// InvalidPlanError lists everything that is wrong with the plan that would be in force.
+// InvalidPlanError contains all findings on the plan that the change would put in force.
 type InvalidPlanError struct{ Findings []Finding }
 
 func (InvalidPlanError) Error() string {
 	return "mend every finding and send again; nothing was changed"
 }
 
-// Apply applies the change to the register's value of a revision (0 and nil while there is
-// no plan). It returns the register's next value, which must be written on the condition
-// that the register still has that revision, and the text that operators will read back.
+// Apply applies the change to the register's value at a revision (0 and nil if there is no
+// plan yet). It returns the register's next value, which must be written only if the register
+// still has that revision, and the plan's text as operators will read it.
 //
 // Errors are RevisionConflictError, NoPlanError, PatchError, InvalidPlanError, and others
-// for a register that can't be read.
+// for a register that can't be decoded.
 func (c Change) Apply(revision uint64, value []byte) (next, raw []byte, err error) {
 	if c.Conditional && c.ExpectedRevision != revision {
 		return nil, nil, RevisionConflictError{Revision: revision}
 	}
 	raw = c.Body
 	if c.Patch {
-		if raw, err = c.patched(revision, value); err != nil {
+		if raw, err = c.applyPatch(revision, value); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -66,8 +66,8 @@
 	return next, raw, trace.Wrap(err)
 }
 
-// patched applies the merge patch to the text of the plan in force.
-func (c Change) patched(revision uint64, value []byte) ([]byte, error) {
+// applyPatch applies the merge patch to the text of the plan in force.
+func (c Change) applyPatch(revision uint64, value []byte) ([]byte, error) {
 	if revision == 0 {
 		return nil, NoPlanError{}
 	}
--- a/plan/compiled.go
+++ b/plan/compiled.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// Compiled is a plan made ready for the path of a request. It never changes.
+// Compiled is a plan prepared for use while requests are handled. It is immutable.
 type Compiled struct {
 	Plan
 	Revision      uint64 // of the register that the plan was read from
-	Limits        Limits // with defaults
+	Limits        Limits // with defaults filled in
 	groupByDigest map[string]string
-	seal          Seal
+	domainHistory DomainHistory
 }
 
-// Compile makes a plan ready. Its cache domains begin with this very revision; Load has
-// those that its register names.
+// Compile prepares a plan without a domain history, so that its cache domains are valid for
+// this revision alone. Load takes the history from the register's value.
 func Compile(p *Plan, revision uint64) *Compiled {
 	c := &Compiled{Plan: *p, Revision: revision, Limits: p.Limits.WithDefaults(), groupByDigest: map[string]string{}}
 	for name, group := range p.Groups {
@@ -27,9 +27,10 @@
 	return c
 }
 
-// Load reads the value of a register: a plan that was accepted before, with its seal.
+// Load decodes the value of a register: a plan that was accepted earlier, with its domain
+// history.
 func Load(value []byte, revision uint64) (*Compiled, error) {
-	seal, raw, err := Decode(value)
+	history, raw, err := Decode(value)
 	if err != nil {
 		return nil, err
 	}
@@ -38,11 +39,11 @@
 		return nil, err
 	}
 	c := Compile(&p, revision)
-	c.seal = seal
+	c.domainHistory = history
 	return c, nil
 }
 
-// GroupOf finds the group of the key with that digest, in lower case.
+// GroupOf returns the group of the key with the given digest, which must be in lower case.
 func (c *Compiled) GroupOf(digest string) (group string, found bool) {
 	group, found = c.groupByDigest[digest]
 	return group, found
@@ -54,7 +55,8 @@
 	return len(kinds) == 0 || slices.Contains(kinds, kind)
 }
 
-// RouteFor finds the route with the longest path that the path of a call is or lies below.
+// RouteFor returns the route with the longest path that equals the path of a call or is a
+// parent of it.
 func (c *Compiled) RouteFor(path string) (route Route, found bool) {
 	for _, candidate := range c.Routes {
 		prefix := strings.TrimSuffix(candidate.Path, "/")
--- a/plan/doc.go
+++ b/plan/doc.go
@@ -1,17 +1,17 @@
-// Package plan is what operators configure of the product's own interface: groups of
-// callers with their shares, kinds of request, routes to application back ends, the
-// engines' weights, and limits (docs/design.md §2).
+// Package plan is the configuration that operators write for the product's own interface:
+// groups of callers with their shares, kinds of request, routes to application back ends,
+// the engines' weights, and limits (docs/design.md §2).
 //
-// A plan is a JSON object. Parse checks it and lists all findings at once; a Change, which
-// is a whole plan or an RFC 7396 merge patch, is applied to the plan in force; Compile
-// makes it ready for the path of a request. The register of the control state contains the
-// operator's text to the byte, after a Seal that says since which revision each cache
-// domain exists (docs/design.md §2.1).
+// A plan is a JSON object. Parse validates it and returns all findings at once; a Change,
+// which is a whole plan or an RFC 7396 merge patch, is applied to the plan in force; Compile
+// prepares it for use while requests are handled. The register of the control state contains
+// the operator's text byte for byte, preceded by a DomainHistory that records the revision
+// at which each cache domain began (docs/design.md §2.1).
 //
-// Nodes that are not voters have the plan as a Cached value, which knows how old its last
-// confirmation is: every hop adds its own delay to the age, and no wall clock takes part
+// Nodes that are not voters hold the plan as a Cached value, which tracks the age of its
+// last confirmation: every hop adds its own delay to the age, and no wall clock is used
 // (docs/design.md §3).
 //
-// The package is pure. Compiled never changes after it is made and may be read from any
+// The package does no I/O and reads no clock. Compiled is immutable and may be read from any
 // goroutine; the other types are values.
 package plan
--- a/plan/mergepatch.go
+++ b/plan/mergepatch.go
@@ -7,9 +7,10 @@
 	"github.com/gravitational/trace"
 )
 
-// MergePatch applies an RFC 7396 merge patch to a text. What the patch does not name stays
-// as it was, numbers to the letter and members in their order; new members follow in the
-// patch's order. No library is used, since those at hand put members in a chance order.
+// MergePatch applies an RFC 7396 merge patch to a text. Members that the patch does not name
+// are unchanged: numbers keep their exact digits and members their order; new members follow
+// in the order of the patch. The available libraries write members in an unpredictable
+// order, so none is used.
 func MergePatch(base, patch []byte) ([]byte, error) {
 	if len(patch) > MaxBytes {
 		return nil, trace.LimitExceeded("the patch has %d bytes; keep it within %d", len(patch), MaxBytes)
--- a/plan/parse.go
+++ b/plan/parse.go
@@ -15,17 +15,17 @@
 	"github.com/samber/lo"
 )
 
-// MaxBytes bounds the text of a plan.
+// MaxBytes is the largest length of a plan's text.
 const MaxBytes = 1 << 20
 
-// Finding is one thing wrong with a plan and what to do about it.
+// Finding is one problem of a plan, with its remedy.
 type Finding struct {
 	Path   string `json:"path"` // of the field, "" for the plan as a whole
 	Text   string `json:"text"`
 	Remedy string `json:"remedy"`
 }
 
-// String is the finding in one line, as command lines print it.
+// String formats the finding as one line, as command-line tools print it.
 func (f Finding) String() string {
 	if f.Path == "" {
 		return "the plan " + f.Text + "; " + f.Remedy
@@ -33,8 +33,8 @@
 	return f.Path + ": " + f.Text + "; " + f.Remedy
 }
 
-// Parse reads a plan and lists everything that is wrong with it, by path. The plan is for
-// use only without findings, and is nil when it can't be read at all.
+// Parse decodes and validates a plan, and returns all findings sorted by path. The plan must
+// not be used if there are findings; it is nil if the text can't be decoded.
 func Parse(raw []byte) (*Plan, []Finding) {
 	if len(raw) > MaxBytes {
 		return nil, []Finding{{"", fmt.Sprintf("has %d bytes", len(raw)), fmt.Sprintf("keep it within %d", MaxBytes)}}
@@ -74,7 +74,7 @@
 	register := func(rule string, ok func(string) bool) {
 		check := func(field validator.FieldLevel) bool { return ok(field.Field().String()) }
 		if err := v.RegisterValidation(rule, check); err != nil {
-			panic(err) // a name that the library refuses, whatever the input
+			panic(err) // a rule name that the library rejects; it does not depend on input
 		}
 	}
 	register("name", namePattern.MatchString)
@@ -130,7 +130,8 @@
 	}
 }
 
-// checkReferences finds what no single field shows.
+// checkReferences checks rules that involve more than one field: unique keys and paths, and
+// kinds that must exist.
 func checkReferences(p *Plan) []Finding {
 	return append(checkGroups(p), checkRoutes(p.Routes)...)
 }
--- a/plan/parse_test.go
+++ b/plan/parse_test.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestCheck runs testdata/check: a plan and every finding, or a text and a merge patch and
-// what comes of them.
+// TestCheck runs testdata/check: a plan and its findings, or a text, a merge patch and the
+// result.
 func TestCheck(t *testing.T) {
 	datadriven.RunTest(t, "testdata/check", func(_ *testing.T, d *datadriven.TestData) string {
 		switch d.Cmd {
@@ -47,7 +47,8 @@
 	return raw
 }
 
-// TestExamples: the examples are in order, and each key opens its own group.
+// TestExamples checks that the example plans have no findings, and that each key belongs to its
+// own group.
 func TestExamples(t *testing.T) {
 	for _, name := range exampleNames {
 		t.Run(name, func(t *testing.T) {
@@ -58,14 +59,15 @@
 			compiled := Compile(p, 1)
 			for group, callers := range p.Groups {
 				if got, found := compiled.GroupOf(callers.Keys[0]); !found || got != group {
-					t.Fatalf("the key of %s opens %q", group, got)
+					t.Fatalf("the key of %s belongs to %q", group, got)
 				}
 			}
 		})
 	}
 }
 
-// FuzzParse: whatever is sent ends in a plan or in findings with remedies.
+// FuzzParse checks that any text results in a plan that Load accepts, or in findings with
+// remedies.
 func FuzzParse(f *testing.F) {
 	for _, name := range exampleNames {
 		f.Add(readExample(f, name))
@@ -80,7 +82,7 @@
 		}
 		if len(findings) == 0 {
 			if _, err := Load(raw, 1); err != nil {
-				t.Fatalf("accepted and unreadable: %v", err)
+				t.Fatalf("accepted but can't be loaded: %v", err)
 			}
 			_ = Compile(p, 1)
 		}
--- a/plan/shape.go
+++ b/plan/shape.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// checkShape finds unknown and repeated fields and values of the wrong JSON type, all of
-// them, where the JSON decoder would stop at the first or say nothing.
+// checkShape finds all unknown and repeated fields and all values of the wrong JSON type. The
+// JSON decoder reports only the first wrong type, and accepts repeated and unknown fields.
 func checkShape(value any, want reflect.Type, path string, findings *[]Finding) {
 	switch want.Kind() {
 	case reflect.Struct, reflect.Map:
@@ -67,8 +67,8 @@
 	}
 }
 
-// checkScalar reports whether a value is of a kind, and what that kind is called in
-// findings. Kinds that plans do not use are not checked.
+// checkScalar reports whether a value has a kind, and returns the name of the kind for
+// findings. Kinds that plans don't use are not checked.
 func checkScalar(value any, want reflect.Kind) (name string, ok bool) {
 	switch want {
 	case reflect.String:
--- a/plan/tree.go
+++ b/plan/tree.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// maxDepth bounds how deep a plan's values are nested.
+// maxDepth is the deepest nesting of values in a plan.
 const maxDepth = 32
 
-// objectMember is one member of a JSON object. Objects are slices of members, in their
-// order and with repeated names; arrays are []any, numbers json.Number.
+// objectMember is one member of a JSON object. An object is decoded to a slice of members,
+// which preserves their order and repeated names; arrays are []any, numbers json.Number.
 type objectMember struct {
 	key   string
 	value any
 }
 
-// decodeTree reads one JSON value.
+// decodeTree decodes a text that contains exactly one JSON value.
 func decodeTree(raw []byte) (any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -27,14 +27,14 @@
 		return nil, err
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, errors.New("something follows the value")
+		return nil, errors.New("unexpected data after the value")
 	}
 	return value, nil
 }
 
 func decodeValue(decoder *json.Decoder, depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, errors.New("nested too deep")
+		return nil, errors.New("nested too deeply")
 	}
 	token, err := decoder.Token()
 	if err != nil {
@@ -79,7 +79,7 @@
 	return values, err
 }
 
-// encodeTree writes a value without blanks.
+// encodeTree writes a value as JSON without whitespace.
 func encodeTree(out *bytes.Buffer, value any) error {
 	switch v := value.(type) {
 	case []objectMember:
@@ -128,11 +128,11 @@
 	return nil
 }
 
-// memberPath is the path of a member of the object at path, which is "" at the top.
+// memberPath is the path of a member of the object at path, which is "" for the top level.
 func memberPath(path, key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 
-// findDuplicate returns the path of a member that is given twice, in value or in the
-// objects that are members of objects below it.
+// findDuplicate returns the path of a member that occurs twice in an object: value itself, or
+// an object nested in it by members. Arrays are not searched.
 func findDuplicate(value any, path string) (duplicate string, found bool) {
 	members, _ := value.([]objectMember)
 	seen := map[string]bool{}
