--- a/plancheck/check.go
+++ b/plancheck/check.go
@@ -9,16 +9,16 @@
 	"violetthread/plan"
 )
 
-// Severity says how much a finding matters. The values are part of the output in JSON.
+// Severity is the severity of a finding. The values are part of the JSON output.
 type Severity string
 
 // The severities.
 const (
-	SeverityError   Severity = "error"   // the plan will not do what it says
-	SeverityWarning Severity = "warning" // look twice
+	SeverityError   Severity = "error"   // the plan can't have its intended effect
+	SeverityWarning Severity = "warning" // the plan may have an unintended effect
 )
 
-// Finding is one thing that an operator should know before putting a plan in force.
+// Finding is one problem that an operator should consider before putting a plan in force.
 type Finding struct {
 	Severity Severity `json:"weight"`
 	Path     string   `json:"path"` // of the plan's field
@@ -26,37 +26,37 @@
 	Remedy   string   `json:"remedy"`
 }
 
-// String is the finding in one line, as the command line prints it.
+// String formats the finding as one line, as violetthread-validate prints it.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: %s: %s; %s", f.Severity, f.Path, f.Text, f.Remedy)
 }
 
-// Engine is an engine as its owner and the platform see it.
+// Engine is the state of an engine, as reported by its owner and the platform.
 type Engine struct {
 	Name, Zone, Weights string
 	Leaving             bool
-	Owned               bool // by an index node
-	Capacity            int  // runs at a time
+	Owned               bool // an index node owns the engine
+	Capacity            int  // maximum number of concurrent runs
 }
 
-// Fleet is the fleet as it is.
+// Fleet is the current state of the fleet.
 type Fleet struct {
 	Engines []Engine
 	Proxies []string // live ones
 	Voters  []string
-	Up      map[string]bool // voters that answer
-	// VotersRecovered: the last change of the voter set is finished.
+	Up      map[string]bool // by voter: whether it accepts connections
+	// VotersRecovered means that the last change of the voter set is complete.
 	VotersRecovered bool
-	// BackEnds says for each route's back end whether something listens there; those left
-	// out were not asked.
+	// BackEnds tells by address whether a route's back end accepts connections; back ends
+	// that are not in the map were not checked.
 	BackEnds map[string]bool
 	// Current is the plan in force, nil for none.
 	Current *plan.Plan
-	// WithoutVoter names a voter that is about to be taken away, "" for none.
+	// WithoutVoter is the name of a voter that is about to be removed, "" for none.
 	WithoutVoter string
 }
 
-// Check lists findings, errors first, then by path.
+// Check returns the findings, errors first, then sorted by path.
 func Check(p *plan.Plan, fleet Fleet) []Finding {
 	c := &checker{plan: p, fleet: fleet, limits: p.Limits.WithDefaults()}
 	c.checkEngines()
@@ -72,11 +72,11 @@
 	return c.findings
 }
 
-// checker gathers findings.
+// checker collects the findings on one plan.
 type checker struct {
 	plan     *plan.Plan
 	fleet    Fleet
-	limits   plan.Limits // with defaults
+	limits   plan.Limits // with defaults filled in
 	findings []Finding
 }
 
@@ -92,7 +92,7 @@
 	c.findings = append(c.findings, Finding{Severity: severity, Path: path, Text: fmt.Sprintf(text, args...), Remedy: remedy})
 }
 
-// usableEngines are the engines that may get new work.
+// usableEngines returns the engines that may be assigned new work.
 func (c *checker) usableEngines() (usable []Engine) {
 	for _, engine := range c.fleet.Engines {
 		if !engine.Leaving && engine.Owned {
@@ -102,7 +102,7 @@
 	return usable
 }
 
-// capacity is that of all usable engines together under the plan.
+// capacity is the total capacity of the usable engines under the plan's limit.
 func (c *checker) capacity() (capacity int) {
 	for _, engine := range c.usableEngines() {
 		capacity += min(engine.Capacity, c.limits.CapacityPerEngine)
@@ -134,7 +134,8 @@
 	}
 }
 
-// checkCapacityPerEngine compares the plan's limit with the engines and the proxies.
+// checkCapacityPerEngine compares the plan's limit with the engines' capacities and the number
+// of proxies.
 func (c *checker) checkCapacityPerEngine() {
 	const path = "limits.room_per_engine"
 	usable := c.usableEngines()
@@ -168,39 +169,39 @@
 		if capacity == 0 {
 			continue
 		}
-		promised := group.Share / shares * float64(capacity)
-		if promised < 1 {
-			c.fail(path+".share", "raise its share, or add engines", "when all groups are busy its share is %.2f of one place", promised)
+		guaranteed := group.Share / shares * float64(capacity)
+		if guaranteed < 1 {
+			c.fail(path+".share", "raise its share, or add engines", "when all groups are busy its share is %.2f of one place", guaranteed)
 		}
 		allowed := float64(group.CeilingPermille) / 1000 * float64(capacity)
-		if group.CeilingPermille > 0 && allowed < promised {
+		if group.CeilingPermille > 0 && allowed < guaranteed {
 			c.fail(path+".ceiling", "raise the ceiling or lower the share",
-				"the ceiling allows %.1f places and the share promises %.1f", allowed, promised)
+				"the ceiling allows %.1f places and the share promises %.1f", allowed, guaranteed)
 		}
-		if current, there := c.currentGroup(name); there && current.Isolated && !group.Isolated {
+		if current, exists := c.currentGroup(name); exists && current.Isolated && !group.Isolated {
 			c.warn(path+".wall", "make sure that this is meant",
 				"a wall that stands now would fall: its prompts would be kept together with others' from then on")
 		}
 	}
 }
 
-// currentGroup is a group of the plan in force.
-func (c *checker) currentGroup(name string) (group plan.Group, there bool) {
+// currentGroup returns a group of the plan in force.
+func (c *checker) currentGroup(name string) (group plan.Group, exists bool) {
 	if c.fleet.Current == nil {
 		return plan.Group{}, false
 	}
-	group, there = c.fleet.Current.Groups[name]
-	return group, there
+	group, exists = c.fleet.Current.Groups[name]
+	return group, exists
 }
 
-// checkRemovals compares the groups and keys with those in force.
+// checkRemovals finds groups and keys in force that the plan would remove.
 func (c *checker) checkRemovals() {
 	if c.fleet.Current == nil {
 		return
 	}
 	for name, current := range c.fleet.Current.Groups {
-		group, there := c.plan.Groups[name]
-		if !there {
+		group, exists := c.plan.Groups[name]
+		if !exists {
 			c.warn("groups["+name+"]", "make sure that its callers are gone",
 				"the group is in force now and would go, with %d keys", len(current.Keys))
 			continue
@@ -230,14 +231,14 @@
 		if c.fleet.Current == nil {
 			continue
 		}
-		if current, there := c.fleet.Current.Kinds[name]; there && current.Once && !kind.Once {
+		if current, exists := c.fleet.Current.Kinds[name]; exists && current.Once && !kind.Once {
 			c.warn(path+".once", "make sure that running twice does no harm",
 				"tickets of this kind run at most once now and might run twice")
 		}
 	}
 }
 
-// sendable reports whether a group may send a kind.
+// sendable reports whether any group may send a kind.
 func (c *checker) sendable(kind string) bool {
 	for _, group := range c.plan.Groups {
 		if len(group.Kinds) == 0 || containsFold(group.Kinds, kind) {
@@ -250,7 +251,7 @@
 func (c *checker) checkRoutes() {
 	for i, route := range c.plan.Routes {
 		path := fmt.Sprintf("entries[%d]", i)
-		if up, asked := c.fleet.BackEnds[route.Backend]; asked && !up {
+		if up, checked := c.fleet.BackEnds[route.Backend]; checked && !up {
 			c.fail(path+".to", "start the back end, or mend the address", "nothing listens at %s", route.Backend)
 		}
 		for j, earlier := range c.plan.Routes[:i] {
@@ -261,15 +262,15 @@
 	}
 }
 
-// checkVoters checks whether a majority of the voters is up, also without WithoutVoter.
+// checkVoters checks that a majority of the voters is up, not counting WithoutVoter.
 func (c *checker) checkVoters() {
 	const path = "roster"
-	leaving := c.fleet.WithoutVoter
+	removed := c.fleet.WithoutVoter
 	up := 0
 	var down []string
 	for _, voter := range c.fleet.Voters {
 		switch {
-		case voter == leaving:
+		case voter == removed:
 		case c.fleet.Up[voter]:
 			up++
 		default:
@@ -279,22 +280,22 @@
 	voters, majority := len(c.fleet.Voters), len(c.fleet.Voters)/2+1
 	switch {
 	case voters == 0:
-	case up < majority && leaving != "":
+	case up < majority && removed != "":
 		c.fail(path, "bring "+strings.Join(down, ", ")+" back first",
-			"without %s only %d of %d voters are up and %d are needed: nothing could be changed", leaving, up, voters, majority)
+			"without %s only %d of %d voters are up and %d are needed: nothing could be changed", removed, up, voters, majority)
 	case up < majority:
 		c.fail(path, "bring "+strings.Join(down, ", ")+" back", "only %d of %d voters are up, %d are needed", up, voters, majority)
 	case up == majority:
-		if leaving != "" {
-			down = append(down, leaving)
+		if removed != "" {
+			down = append(down, removed)
 		}
 		c.warn(path, "bring back or replace "+strings.Join(down, ", ")+" soon", "one more voter down and nothing can be changed")
 	}
-	if leaving == "" {
+	if removed == "" {
 		return
 	}
-	if !containsFold(c.fleet.Voters, leaving) {
-		c.fail(path, "name one of "+strings.Join(c.fleet.Voters, ", "), "no voter is named %s", leaving)
+	if !containsFold(c.fleet.Voters, removed) {
+		c.fail(path, "name one of "+strings.Join(c.fleet.Voters, ", "), "no voter is named %s", removed)
 	}
 	if !c.fleet.VotersRecovered {
 		c.warn(path, "wait a second and check again", "the last change of the roster is not finished yet")
--- a/plancheck/check_test.go
+++ b/plancheck/check_test.go
@@ -11,7 +11,7 @@
 
 const testBackend = "127.0.0.1:1"
 
-// testCase is a plan and a fleet, sound until changed.
+// testCase is a proposed plan and a fleet. A new one has no findings.
 type testCase struct {
 	plan  *plan.Plan
 	fleet Fleet
@@ -44,7 +44,7 @@
 	return c
 }
 
-// changeGroup changes a group of the proposed plan and leaves the one in force.
+// changeGroup changes a group of the proposed plan, but not of the plan in force.
 func (c *testCase) changeGroup(name string, change func(*plan.Group)) {
 	groups := map[string]plan.Group{}
 	for other, group := range c.plan.Groups {
@@ -56,7 +56,8 @@
 	c.plan.Groups = groups
 }
 
-// changes are the arguments of a check in testdata/check.
+// changes are the changes to a test case, by the argument of the check command in
+// testdata/check.
 var changes = map[string]func(c *testCase, values []string){
 	"leaving": func(c *testCase, values []string) {
 		for i := range c.fleet.Engines {
@@ -107,21 +108,22 @@
 	"room":    func(c *testCase, _ []string) { c.plan.Limits.CapacityPerEngine = 1 },
 }
 
-// TestCheck runs testdata/check: changes to a sound plan and fleet, and what is found then.
+// TestCheck runs testdata/check: changes to a test case without findings, and the resulting
+// findings.
 func TestCheck(t *testing.T) {
 	datadriven.RunTest(t, "testdata/check", func(t *testing.T, d *datadriven.TestData) string {
 		c := newTestCase()
 		for _, arg := range d.CmdArgs {
 			change, known := changes[arg.Key]
 			if !known {
-				d.Fatalf(t, "no change %s", arg.Key)
+				d.Fatalf(t, "unknown change %s", arg.Key)
 			}
 			change(c, arg.Vals)
 		}
 		var out []string
 		for _, finding := range Check(c.plan, c.fleet) {
 			if finding.Remedy == "" {
-				t.Errorf("no remedy: %v", finding)
+				t.Errorf("finding without a remedy: %v", finding)
 			}
 			out = append(out, finding.String())
 		}
--- a/plancheck/doc.go
+++ b/plancheck/doc.go
@@ -1,6 +1,6 @@
-// Package plancheck checks a plan against the fleet as it is, before an operator puts it in
-// force: program violetthread-validate gathers the fleet and prints the findings
-// (docs/operating.md). What is wrong with a plan by itself, package plan finds.
+// Package plancheck checks a plan against the current state of the fleet, before an operator
+// puts it in force: the program violetthread-validate reads the state and prints the findings
+// (docs/operating.md). Package plan validates a plan by itself.
 //
-// The package is pure, and may be used from any goroutine.
+// The package does no I/O, and may be used from any goroutine.
 package plancheck
