--- a/cmd/violetthread-ctl/main.go
+++ b/cmd/violetthread-ctl/main.go
@@ -1,7 +1,8 @@
 // Command violetthread-ctl is the operators' tool: it reads and changes the plan and the
-// voter set, shows what the fleet does, and plays recordings again.
+// voter set, shows the state of the fleet, and replays recordings.
 //
-// Exit code 0: done; 1: findings in a plan; 2: an error, which names the remedy.
+// The exit code is 0 on success, 1 if a plan has findings, and 2 on an error; the error
+// message contains the remedy.
 package main
 
 import (
--- a/cmd/violetthread-ctl/nodes.go
+++ b/cmd/violetthread-ctl/nodes.go
@@ -15,24 +15,24 @@
 const (
 	fleetPath     = "/v1/fleet"
 	readyPath     = "/readyz"
-	readyTimeout  = time.Second           // of one question
-	readyInterval = 50 * time.Millisecond // between two questions
+	readyTimeout  = time.Second           // for one request
+	readyInterval = 50 * time.Millisecond // between two requests
 )
 
-// fleetCommand declares what prints the members.
+// fleetCommand declares the command that prints the fleet's status.
 func (t *tool) fleetCommand() *flaggy.Subcommand {
 	return t.add("fleet", "print leaders, terms and members", func(ctx context.Context) error { return t.print(ctx, fleetPath) })
 }
 
-// waitCommand declares what waits until nodes are ready.
+// waitCommand declares the command that waits until nodes are ready.
 func (t *tool) waitCommand() *flaggy.Subcommand {
 	var nodes string
 	seconds := 60
-	c := t.add("wait", "wait until every node given is ready", func(ctx context.Context) error {
+	c := t.add("wait", "wait until all given nodes are ready", func(ctx context.Context) error {
 		return t.waitReady(ctx, strings.Split(nodes, ","), time.Duration(seconds)*time.Second)
 	})
-	c.AddPositionalValue(&nodes, "NODES", 1, true, "IP:port of HTTP sides, with commas")
-	c.Int(&seconds, "t", "seconds", "give up after this long")
+	c.AddPositionalValue(&nodes, "NODES", 1, true, "IP:port of the nodes' HTTP sides, separated by commas")
+	c.Int(&seconds, "t", "seconds", "timeout in seconds")
 	return c
 }
 
@@ -42,11 +42,11 @@
 	client := &http.Client{Timeout: readyTimeout}
 	for _, node := range nodes {
 		for {
-			reason := notReady(client, node)
+			reason := notReadyReason(client, node)
 			if reason == "" {
 				break
 			}
-			if !pause(ctx, readyInterval) {
+			if !sleep(ctx, readyInterval) {
 				return trace.LimitExceeded("%s is not ready: %s; look at its log", node, reason)
 			}
 		}
@@ -55,22 +55,22 @@
 	return nil
 }
 
-// notReady is why a node is not ready, empty if it is.
-func notReady(client *http.Client, node string) string {
-	answer, err := client.Get("http://" + node + readyPath)
+// notReadyReason returns the reason why a node is not ready, "" if it is ready.
+func notReadyReason(client *http.Client, node string) string {
+	response, err := client.Get("http://" + node + readyPath)
 	if err != nil {
 		return "it does not answer"
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode == http.StatusOK {
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusOK {
 		return ""
 	}
-	reason, _ := io.ReadAll(answer.Body)
+	reason, _ := io.ReadAll(response.Body)
 	return strings.TrimSpace(string(reason))
 }
 
-// pause waits, and reports false once ctx has ended.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d or until ctx ends, and returns false if ctx has ended.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/cmd/violetthread-ctl/plan.go
+++ b/cmd/violetthread-ctl/plan.go
@@ -18,18 +18,18 @@
 
 const planPath = "/v1/plan"
 
-// planCommand declares what reads and changes the plan.
+// planCommand declares the commands that read and change the plan.
 func (t *tool) planCommand() *flaggy.Subcommand {
 	var file, revision string
 	change := func(method string) func(context.Context) error {
 		return func(ctx context.Context) error { return t.changePlan(ctx, method, file, revision) }
 	}
-	get := t.add("get", "print the plan in force, to the byte; its revision goes to stderr", t.getPlan)
-	put := t.add("put", "put a whole plan in force", change(http.MethodPut))
-	patch := t.add("patch", "merge a partial plan (RFC 7396) into the one in force", change(http.MethodPatch))
-	check := t.add("check", "list what is wrong with a plan file, without a fleet", func(context.Context) error { return t.checkPlan(file) })
+	get := t.add("get", "print the plan in force byte for byte; its revision goes to stderr", t.getPlan)
+	put := t.add("put", "replace the plan with the one in FILE", change(http.MethodPut))
+	patch := t.add("patch", "apply a merge patch (RFC 7396) to the plan in force", change(http.MethodPatch))
+	check := t.add("check", "validate a plan file without contacting a fleet", func(context.Context) error { return t.checkPlan(file) })
 	for _, c := range []*flaggy.Subcommand{put, patch, check} {
-		c.AddPositionalValue(&file, "FILE", 1, true, "the plan as JSON; /dev/stdin for standard input")
+		c.AddPositionalValue(&file, "FILE", 1, true, "the plan or patch as JSON; /dev/stdin for standard input")
 	}
 	for _, c := range []*flaggy.Subcommand{put, patch} {
 		c.String(&revision, "r", "if-rev", "change only if the plan has this revision")
@@ -43,7 +43,7 @@
 
 func (t *tool) getPlan(ctx context.Context) error { return t.print(ctx, planPath) }
 
-// print writes an answer of a control node as it came, and its revision beside it.
+// print writes the unchanged response of a control node, and its revision to stderr.
 func (t *tool) print(ctx context.Context, path string) error {
 	response, err := t.control().Get(ctx, path)
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	_, _ = t.out.Write(response.Body)
 	if response.ETag != "" {
-		fmt.Fprintln(t.notes, "rev", response.ETag)
+		fmt.Fprintln(t.stderr, "rev", response.ETag)
 	}
 	return nil
 }
@@ -65,13 +65,13 @@
 	if err != nil {
 		return err
 	}
-	var answer struct {
+	var changed struct {
 		Revision uint64 `json:"rev"`
 	}
-	if err := json.Unmarshal(response.Body, &answer); err != nil {
+	if err := json.Unmarshal(response.Body, &changed); err != nil {
 		return &controlclient.StatusError{Status: http.StatusOK, Body: string(response.Body)}
 	}
-	fmt.Fprintln(t.out, "rev", answer.Revision)
+	fmt.Fprintln(t.out, "rev", changed.Revision)
 	return nil
 }
 
@@ -92,9 +92,9 @@
 	return nil
 }
 
-// digestCommand declares what names a key as plans do.
+// digestCommand declares the command that prints the digest of a key.
 func (t *tool) digestCommand() *flaggy.Subcommand {
-	return t.add("digest", "print how a plan names a key; the key is read from standard input", func(context.Context) error {
+	return t.add("digest", "print the digest by which a plan identifies a key; the key is read from standard input", func(context.Context) error {
 		key, _ := bufio.NewReader(os.Stdin).ReadString('\n')
 		fmt.Fprintln(t.out, plan.KeyDigest(strings.TrimRight(key, "\r\n")))
 		return nil
--- a/cmd/violetthread-ctl/recording.go
+++ b/cmd/violetthread-ctl/recording.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	maxRecordedLine = 1 << 20 // bytes read ahead
+	readBufferBytes = 1 << 20
 	followInterval  = 200 * time.Millisecond
 	recordingFile   = "a file that a gateway or index node wrote with --recording"
 )
 
-// recordingCommands declares what plays recordings again and prints them.
+// recordingCommands declares the commands that replay and print recordings.
 func (t *tool) recordingCommands() []*flaggy.Subcommand {
 	var file string
 	var printer recordingPrinter
-	replayed := t.add("replay", "feed a recording to the same code; fails at the first decision that differs", func(context.Context) error { return t.replay(file) })
+	replayed := t.add("replay", "replay a recording with the current code; fails at the first decision that differs", func(context.Context) error { return t.replay(file) })
 	run := func(ctx context.Context) error {
 		printer.out = t.out
 		return printer.print(ctx, file)
 	}
-	printed := t.add("recording", "print a recording's decisions for people", run)
-	former := t.addFormer("tape", "recording", run)
-	for _, c := range []*flaggy.Subcommand{replayed, printed, former} {
+	printed := t.add("recording", "print a recording's decisions in readable form", run)
+	deprecated := t.addDeprecated("tape", "recording", run)
+	for _, c := range []*flaggy.Subcommand{replayed, printed, deprecated} {
 		c.AddPositionalValue(&file, "FILE", 1, true, recordingFile)
 	}
-	for _, c := range []*flaggy.Subcommand{printed, former} {
-		c.Bool(&printer.follow, "f", "follow", "go on with what is appended")
-		c.Bool(&printer.all, "A", "all", "also events that nothing was decided on")
+	for _, c := range []*flaggy.Subcommand{printed, deprecated} {
+		c.Bool(&printer.follow, "f", "follow", "keep printing events as they are appended")
+		c.Bool(&printer.all, "A", "all", "also print events without a decision")
 	}
-	return []*flaggy.Subcommand{replayed, printed, former}
+	return []*flaggy.Subcommand{replayed, printed, deprecated}
 }
 
 func (t *tool) replay(path string) error {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%d events, every decision alike\n", events)
+	fmt.Fprintf(t.out, "%d events replayed, all decisions identical\n", events)
 	return nil
 }
 
@@ -66,11 +66,11 @@
 	return file, nil
 }
 
-// recordingPrinter prints events for people, with times since the first one.
+// recordingPrinter prints events in readable form, with times relative to the first one.
 type recordingPrinter struct {
 	out     io.Writer
-	follow  bool // go on with what is appended
-	all     bool // also events without a decision
+	follow  bool // keep printing events as they are appended
+	all     bool // also print events without a decision
 	line    int
 	firstUS int64
 }
@@ -81,7 +81,7 @@
 		return err
 	}
 	defer file.Close()
-	reader := bufio.NewReaderSize(file, maxRecordedLine)
+	reader := bufio.NewReaderSize(file, readBufferBytes)
 	for {
 		line, err := reader.ReadBytes('\n')
 		switch {
@@ -98,19 +98,20 @@
 	}
 }
 
-// waitForMore goes back to the beginning of an incomplete line and waits.
+// waitForMore seeks back to the beginning of an incomplete line and waits for more data.
 func waitForMore(ctx context.Context, file io.ReadSeeker, reader *bufio.Reader, incomplete int) error {
 	if _, err := file.Seek(-int64(incomplete), io.SeekCurrent); err != nil {
 		return err
 	}
 	reader.Reset(file)
-	if !pause(ctx, followInterval) {
+	if !sleep(ctx, followInterval) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// printLine prints the header as it is, and each event that something was decided on.
+// printLine prints the header unchanged, and each event that has a decision; with --all, every
+// event.
 func (p *recordingPrinter) printLine(line []byte) error {
 	if p.line++; p.line == 1 {
 		_, _ = p.out.Write(line)
@@ -118,7 +119,7 @@
 	}
 	var event recording.Event
 	if err := json.Unmarshal(line, &event); err != nil {
-		return trace.BadParameter("line %d is broken: %v; the recording was changed or its disk is failing", p.line, err)
+		return trace.BadParameter("line %d is malformed: %v; the recording was changed or its disk is failing", p.line, err)
 	}
 	if p.firstUS == 0 {
 		p.firstUS = event.TimeUS
--- a/cmd/violetthread-ctl/tool.go
+++ b/cmd/violetthread-ctl/tool.go
@@ -14,31 +14,31 @@
 
 const (
 	program        = "violetthread-ctl"
-	requestTimeout = 8 * time.Second // of one request to one node
+	requestTimeout = 8 * time.Second // for one request to one node
 )
 
-// command is a subcommand and what it does.
+// command is a subcommand and the function that runs it.
 type command struct {
 	sub *flaggy.Subcommand
 	run func(ctx context.Context) error
 }
 
-// tool is one call of the program.
+// tool is one invocation of the program.
 type tool struct {
-	addresses string // control nodes, with commas
+	addresses string // of control nodes, comma-separated
 	commands  []command
 	out       io.Writer // results
-	notes     io.Writer // what is said beside a result
-	exitCode  int       // when there was no error
+	stderr    io.Writer // additional information about a result
+	exitCode  int       // if there is no error
 }
 
-func newTool(out, notes io.Writer) *tool { return &tool{out: out, notes: notes} }
+func newTool(out, stderr io.Writer) *tool { return &tool{out: out, stderr: stderr} }
 
-// run parses args and runs the command that they name.
+// run parses args and runs the selected command.
 func (t *tool) run(ctx context.Context, args []string) error {
 	p := flaggy.NewParser(program)
 	p.Description, p.Version, p.ShowCompletion = "The operators' tool of violetthread.", daemon.Version, false
-	p.String(&t.addresses, "a", "at", "IP:port of any control node's HTTP side; with commas to try several")
+	p.String(&t.addresses, "a", "at", "IP:port of the HTTP side of any control node, or several separated by commas")
 	p.AttachSubcommand(t.planCommand(), 1)
 	for _, c := range t.voterCommands() {
 		p.AttachSubcommand(c, 1)
@@ -60,30 +60,30 @@
 			return c.run(ctx)
 		}
 	}
-	p.ShowHelpAndExit("name one of the commands below")
+	p.ShowHelpAndExit("specify one of the commands below")
 	return nil
 }
 
 // add declares a subcommand.
-func (t *tool) add(name, about string, run func(ctx context.Context) error) *flaggy.Subcommand {
+func (t *tool) add(name, description string, run func(ctx context.Context) error) *flaggy.Subcommand {
 	sub := flaggy.NewSubcommand(name)
-	sub.Description = about
+	sub.Description = description
 	if run != nil {
 		t.commands = append(t.commands, command{sub, run})
 	}
 	return sub
 }
 
-// addFormer declares the name that a subcommand had in earlier versions. It does the same,
-// after a warning.
-func (t *tool) addFormer(former, current string, run func(ctx context.Context) error) *flaggy.Subcommand {
-	return t.add(former, "deprecated, use "+current, func(ctx context.Context) error {
-		daemon.NewLogger(program, "-").Info("deprecated_command", "command", former, "use", current)
+// addDeprecated declares a subcommand under the name that it had in earlier versions. It logs a
+// deprecation notice and runs the same function.
+func (t *tool) addDeprecated(deprecated, current string, run func(ctx context.Context) error) *flaggy.Subcommand {
+	return t.add(deprecated, "deprecated, use "+current, func(ctx context.Context) error {
+		daemon.NewLogger(program, "-").Info("deprecated_command", "command", deprecated, "use", current)
 		return run(ctx)
 	})
 }
 
-// control is a client of the control nodes that --at names.
+// control returns a client for the control nodes given by --at.
 func (t *tool) control() *controlclient.Client {
 	return controlclient.New(splitAddresses(t.addresses), requestTimeout)
 }
--- a/cmd/violetthread-ctl/tool_test.go
+++ b/cmd/violetthread-ctl/tool_test.go
@@ -12,18 +12,18 @@
 	"testing"
 )
 
-// call runs the tool once against a server that plays every node.
-func call(t *testing.T, handler http.HandlerFunc, args ...string) (out, notes string, exitCode int, err error) {
+// runTool runs the tool once against a server that handles the requests to all nodes.
+func runTool(t *testing.T, handler http.HandlerFunc, args ...string) (out, stderr string, exitCode int, err error) {
 	t.Helper()
-	var o, n bytes.Buffer
-	tool := newTool(&o, &n)
+	var o, e bytes.Buffer
+	tool := newTool(&o, &e)
 	if handler != nil {
 		s := httptest.NewServer(handler)
 		t.Cleanup(s.Close)
 		args = append([]string{"--at", s.Listener.Addr().String()}, args...)
 	}
 	err = tool.run(context.Background(), args)
-	return o.String(), n.String(), tool.exitCode, err
+	return o.String(), e.String(), tool.exitCode, err
 }
 
 func writeFile(t *testing.T, text string) string {
@@ -46,7 +46,7 @@
 	}
 	file := writeFile(t, `{"groups":{}}`)
 	for _, c := range []struct {
-		name, out, notes    string
+		name, out, stderr   string
 		method, match, body string
 		args                []string
 	}{
@@ -55,39 +55,39 @@
 		{"patch", "rev 5\n", "", "PATCH", "", `{"groups":{}}`, []string{"plan", "patch", file}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, notes, code, err := call(t, node, c.args...)
-			if err != nil || code != 0 || out != c.out || notes != c.notes {
-				t.Errorf("%q %q %d %v", out, notes, code, err)
+			out, stderr, code, err := runTool(t, node, c.args...)
+			if err != nil || code != 0 || out != c.out || stderr != c.stderr {
+				t.Errorf("%q %q %d %v", out, stderr, code, err)
 			}
 			if got.method != c.method || got.path != "/v1/plan" || got.match != c.match || got.body != c.body {
-				t.Errorf("the node was asked %+v", got)
+				t.Errorf("the node received %+v", got)
 			}
 		})
 	}
 }
 
 func TestPlanCheck(t *testing.T) {
-	whole, err := os.ReadFile("../../examples/plans/selat.json")
+	example, err := os.ReadFile("../../examples/plans/selat.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out, _, code, err := call(t, nil, "plan", "check", writeFile(t, string(whole))); out != "no findings\n" || code != 0 || err != nil {
+	if out, _, code, err := runTool(t, nil, "plan", "check", writeFile(t, string(example))); out != "no findings\n" || code != 0 || err != nil {
 		t.Errorf("%q %d %v", out, code, err)
 	}
-	if out, _, code, err := call(t, nil, "plan", "check", writeFile(t, `{"groups":{}}`)); out == "" || code != 1 || err != nil {
+	if out, _, code, err := runTool(t, nil, "plan", "check", writeFile(t, `{"groups":{}}`)); out == "" || code != 1 || err != nil {
 		t.Errorf("%q %d %v", out, code, err)
 	}
-	if _, _, _, err := call(t, nil, "plan", "check", "/no/such/file"); err == nil || !strings.Contains(err.Error(), "give an existing file") {
+	if _, _, _, err := runTool(t, nil, "plan", "check", "/no/such/file"); err == nil || !strings.Contains(err.Error(), "give an existing file") {
 		t.Errorf("%v", err)
 	}
 }
 
-// TestVoters: the command and its former name send the same change.
+// TestVoters checks that the command and its deprecated name send the same change.
 func TestVoters(t *testing.T) {
 	for _, name := range []string{"voters", "roster"} {
 		t.Run(name, func(t *testing.T) {
 			var change map[string]any
-			_, _, _, err := call(t, func(_ http.ResponseWriter, q *http.Request) {
+			_, _, _, err := runTool(t, func(_ http.ResponseWriter, q *http.Request) {
 				if q.Method != http.MethodPost || q.URL.Path != "/v1/roster" || json.NewDecoder(q.Body).Decode(&change) != nil {
 					t.Errorf("%s %s", q.Method, q.URL.Path)
 				}
@@ -97,31 +97,31 @@
 			}
 		})
 	}
-	if _, _, _, err := call(t, nil, "voters", "--old", "control1"); err == nil || !strings.Contains(err.Error(), "--if-step") {
+	if _, _, _, err := runTool(t, nil, "voters", "--old", "control1"); err == nil || !strings.Contains(err.Error(), "--if-step") {
 		t.Errorf("without a step: %v", err)
 	}
 }
 
 func TestWait(t *testing.T) {
-	questions := 0
+	requests := 0
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if questions++; questions < 3 {
+		if requests++; requests < 3 {
 			http.Error(w, "starting", http.StatusServiceUnavailable)
 		}
 	}))
 	t.Cleanup(s.Close)
 	addr := s.Listener.Addr().String()
-	if out, _, _, err := call(t, nil, "wait", addr); out != "ready\n" || err != nil {
+	if out, _, _, err := runTool(t, nil, "wait", addr); out != "ready\n" || err != nil {
 		t.Errorf("%q %v", out, err)
 	}
-	questions = -1 << 30
-	if _, _, _, err := call(t, nil, "wait", "--seconds", "0", addr); err == nil || !strings.Contains(err.Error(), "is not ready: starting") {
+	requests = -1 << 30
+	if _, _, _, err := runTool(t, nil, "wait", "--seconds", "0", addr); err == nil || !strings.Contains(err.Error(), "is not ready: starting") {
 		t.Errorf("%v", err)
 	}
 }
 
-// TestRecording: the command and its former name print the events that something was
-// decided on, or all.
+// TestRecording checks that the command and its deprecated name print the events that have a
+// decision, or all events.
 func TestRecording(t *testing.T) {
 	file := writeFile(t, `{"tape":2,"part":"desk"}
 {"at":1000000,"kind":"tick"}
@@ -134,10 +134,10 @@
 	}{
 		{"decisions", []string{"recording", file}, []string{`{"tape":2`, "1.500s admit", `-> {"start":"e1"}`}},
 		{"all", []string{"recording", "--all", file}, []string{"0.000s tick", "1.500s admit"}},
-		{"former name", []string{"tape", file}, []string{"1.500s admit"}},
+		{"deprecated name", []string{"tape", file}, []string{"1.500s admit"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, _, _, err := call(t, nil, c.args...)
+			out, _, _, err := runTool(t, nil, c.args...)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -151,13 +151,14 @@
 			}
 		})
 	}
-	if _, _, _, err := call(t, nil, "recording", writeFile(t, "{}\nno JSON\n")); err == nil || !strings.Contains(err.Error(), "line 2 is broken") {
+	if _, _, _, err := runTool(t, nil, "recording", writeFile(t, "{}\nno JSON\n")); err == nil || !strings.Contains(err.Error(), "line 2 is malformed") {
 		t.Errorf("%v", err)
 	}
 }
 
-// views is a fleet of one index node and one gateway, which the same server plays.
-func views(w http.ResponseWriter, q *http.Request) {
+// serveFleet handles the requests to the nodes of a fleet: a control node, an index node, a
+// gateway, and a second gateway that does not answer.
+func serveFleet(w http.ResponseWriter, q *http.Request) {
 	switch q.URL.Path {
 	case "/v1/fleet":
 		_, _ = w.Write([]byte(strings.ReplaceAll(`{"nodes":[
@@ -184,7 +185,7 @@
 		{"rollout", []string{"w1       false   2        e1 e2", "w2       true    0"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, _, _, err := call(t, views, c.name)
+			out, _, _, err := runTool(t, serveFleet, c.name)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -193,7 +194,7 @@
 					t.Errorf("%q is not in\n%s", want, out)
 				}
 			}
-			out, _, _, err = call(t, views, c.name, "--json")
+			out, _, _, err = runTool(t, serveFleet, c.name, "--json")
 			var rows []map[string]any
 			if err != nil || json.Unmarshal([]byte(out), &rows) != nil || len(rows) == 0 {
 				t.Errorf("%v\n%s", err, out)
@@ -203,7 +204,7 @@
 }
 
 func TestRolloutWithoutPlan(t *testing.T) {
-	_, _, _, err := call(t, func(w http.ResponseWriter, _ *http.Request) {
+	_, _, _, err := runTool(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusNotFound)
 		_, _ = w.Write([]byte(`{"reason":"no-plan","remedy":"send one"}`))
 	}, "rollout")
--- a/cmd/violetthread-ctl/view.go
+++ b/cmd/violetthread-ctl/view.go
@@ -14,56 +14,57 @@
 	"violetthread/internal/app/control"
 )
 
-const maxPage = 8 << 20 // bytes read of one node's page
+const maxPageBytes = 8 << 20 // of one node's response
 
-// row is one line of a view, by the names of its columns. Programs get it as it is.
+// row is one line of a view, by column name. The JSON output contains it unchanged, including
+// values that are not columns.
 type row map[string]any
 
-// view is a table: what is shown for people, and its rows for programs.
+// view is a table. columns are the columns of the text output.
 type view struct {
 	columns []string
 	rows    []row
 }
 
-// viewCommands declares the views.
+// viewCommands declares the commands that print views.
 func (t *tool) viewCommands() []*flaggy.Subcommand {
 	var asJSON bool
-	declare := func(name, about string, read func(context.Context) (view, error)) *flaggy.Subcommand {
-		c := t.add(name, about, func(ctx context.Context) error {
+	declare := func(name, description string, read func(context.Context) (view, error)) *flaggy.Subcommand {
+		c := t.add(name, description, func(ctx context.Context) error {
 			v, err := read(ctx)
 			if err != nil {
 				return err
 			}
 			return v.write(t.out, asJSON)
 		})
-		c.Bool(&asJSON, "j", "json", "print JSON for programs")
+		c.Bool(&asJSON, "j", "json", "print JSON")
 		return c
 	}
 	return []*flaggy.Subcommand{
-		declare("engines", "list engines: owner, fencing token, weights, capacity, what was learnt of transfers", t.engines),
-		declare("shards", "list which index node holds each shard", t.shards),
-		declare("proxies", "list proxies: how fresh their plan is, and their counts", t.proxies),
-		declare("rollout", "tell how far the weights that the plan names have come", t.rollout),
+		declare("engines", "list engines: owner, fencing token, weights, capacity, transfer scores", t.engines),
+		declare("shards", "list the shards and the index nodes that own them", t.shards),
+		declare("proxies", "list proxies: age of their plan, and their counters", t.proxies),
+		declare("rollout", "show how many engines run the weights that the plan requires", t.rollout),
 	}
 }
 
-// fleet reads the members.
+// fleet reads the fleet's status from a control node.
 func (t *tool) fleet(ctx context.Context) (fleet control.FleetStatus, err error) {
 	return fleet, t.control().GetJSON(ctx, fleetPath, &fleet)
 }
 
-// page reads a page of one node.
+// page reads an HTTP page of one node.
 func (t *tool) page(addr, path string) ([]byte, error) {
 	client := &http.Client{Timeout: requestTimeout}
-	answer, err := client.Get("http://" + addr + path)
+	response, err := client.Get("http://" + addr + path)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	return io.ReadAll(io.LimitReader(answer.Body, maxPage))
+	defer response.Body.Close()
+	return io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 }
 
-// write prints a table for people or one JSON array for programs.
+// write prints the view as a text table or as one JSON array.
 func (v view) write(out io.Writer, asJSON bool) error {
 	if asJSON {
 		e := json.NewEncoder(out)
@@ -78,7 +79,7 @@
 	return w.Flush()
 }
 
-// cells is the row as text; a problem stands behind the columns.
+// cells returns the row as text; a problem follows the columns.
 func (r row) cells(columns []string) []string {
 	var cells []string
 	for _, c := range columns {
@@ -94,7 +95,7 @@
 	return cells
 }
 
-// by orders rows by the text of a column.
-func by(column string) func(a, b row) int {
+// compareBy returns a function that compares rows by the text of a column.
+func compareBy(column string) func(a, b row) int {
 	return func(a, b row) int { return strings.Compare(fmt.Sprint(a[column]), fmt.Sprint(b[column])) }
 }
--- a/cmd/violetthread-ctl/view_index.go
+++ b/cmd/violetthread-ctl/view_index.go
@@ -16,10 +16,10 @@
 	"violetthread/membership"
 )
 
-// unusedBelow is the transfer score, in thousandths, below which a link is not used.
-const unusedBelow = 450
+// minUsedScore is the lowest transfer score, in thousandths, at which a link is used.
+const minUsedScore = 450
 
-// engines lists every engine as the index node that leads it sees it.
+// engines lists every engine as reported by the index node that owns it.
 func (t *tool) engines(ctx context.Context) (view, error) {
 	v := view{columns: []string{"engine", "site", "owner", "epoch", "weights", "room", "running", "queue", "kept", "leaving", "report_age_us", "links"}}
 	fleet, err := t.fleet(ctx)
@@ -31,7 +31,7 @@
 			v.rows = append(v.rows, t.enginesOf(n.Name, n.HTTP)...)
 		}
 	}
-	slices.SortFunc(v.rows, by("engine"))
+	slices.SortFunc(v.rows, compareBy("engine"))
 	return v, nil
 }
 
@@ -53,7 +53,7 @@
 func engineRow(indexNode string, e index.EngineStatus) row {
 	unused := 0
 	for _, score := range e.TransferScores {
-		if score < unusedBelow {
+		if score < minUsedScore {
 			unused++
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-// shards lists which index node holds each shard of the index.
+// shards lists each shard of the index with the index node that owns it.
 func (t *tool) shards(ctx context.Context) (view, error) {
 	v := view{columns: []string{"shard", "owner", "site"}}
 	fleet, err := t.fleet(ctx)
@@ -84,10 +84,11 @@
 	return v, nil
 }
 
-// rollout tells how far the weights that the plan names have come.
+// rollout lists the engines by the weights that they run, and the weights that the plan
+// requires.
 func (t *tool) rollout(ctx context.Context) (view, error) {
 	v := view{columns: []string{"weights", "wanted", "engines", "names"}}
-	wanted, err := t.plannedWeights(ctx)
+	planned, err := t.plannedWeights(ctx)
 	if err != nil {
 		return v, err
 	}
@@ -95,16 +96,16 @@
 	if err != nil {
 		return v, err
 	}
-	running := map[string][]string{wanted: {}}
+	running := map[string][]string{planned: {}}
 	for _, e := range engines.rows {
 		if weights, ok := e["weights"].(string); ok && weights != "" && e["store"] != true {
 			running[weights] = append(running[weights], fmt.Sprint(e["engine"]))
 		}
 	}
 	for weights, names := range running {
-		v.rows = append(v.rows, row{"weights": weights, "wanted": weights == wanted, "engines": len(names), "names": strings.Join(names, " ")})
+		v.rows = append(v.rows, row{"weights": weights, "wanted": weights == planned, "engines": len(names), "names": strings.Join(names, " ")})
 	}
-	slices.SortFunc(v.rows, by("weights"))
+	slices.SortFunc(v.rows, compareBy("weights"))
 	return v, nil
 }
 
--- a/cmd/violetthread-ctl/view_proxies.go
+++ b/cmd/violetthread-ctl/view_proxies.go
@@ -8,8 +8,8 @@
 	"violetthread/membership"
 )
 
-// proxies lists how fresh each gateway's plan is and what it does. The columns from
-// plan_rev on are its metrics.
+// proxies lists the gateways with the age of their plan and their counters. The columns from
+// plan_rev on are metrics of the gateway.
 func (t *tool) proxies(ctx context.Context) (view, error) {
 	v := view{columns: []string{"proxy", "site", "ready", "plan_rev", "plan_age_us", "running", "hints", "tickets_total", "refused_total", "unknown_total", "retries_total"}}
 	fleet, err := t.fleet(ctx)
@@ -31,7 +31,7 @@
 	return v, nil
 }
 
-// addMetrics takes the metrics that are columns, each once.
+// addMetrics sets the columns that have the name of a metric, to its first value on the page.
 func (r row) addMetrics(page string, columns []string) {
 	for _, line := range strings.Split(page, "\n") {
 		name, value, ok := strings.Cut(strings.TrimPrefix(line, "violetthread_"), " ")
--- a/cmd/violetthread-ctl/voters.go
+++ b/cmd/violetthread-ctl/voters.go
@@ -12,23 +12,24 @@
 
 const voterSetPath = "/v1/roster"
 
-// voterChange is one change of the voter set: a control node goes, comes, or both.
+// voterChange is one change of the voter set: a voter is removed, added or replaced.
 type voterChange struct {
-	Old  string `json:"old"`  // name of the voter that goes
-	Addr string `json:"addr"` // wire IP:port of the empty control node that comes
-	Step uint64 `json:"step"` // of the voter set that is changed
+	Old  string `json:"old"`  // name of the voter to remove
+	Addr string `json:"addr"` // wire IP:port of the empty control node to add
+	Step uint64 `json:"step"` // of the voter set to which the change applies
 }
 
-// voterCommands declares the change of the voter set, and its former name.
+// voterCommands declares the command that changes the voter set, also under its deprecated
+// name.
 func (t *tool) voterCommands() []*flaggy.Subcommand {
 	var change voterChange
 	var step string
 	run := func(ctx context.Context) error { return t.changeVoters(ctx, change, step) }
-	const about = "change which control nodes vote, one step at a time"
-	commands := []*flaggy.Subcommand{t.add("voters", about, run), t.addFormer("roster", "voters", run)}
+	const description = "change which control nodes vote, one step at a time"
+	commands := []*flaggy.Subcommand{t.add("voters", description, run), t.addDeprecated("roster", "voters", run)}
 	for _, c := range commands {
-		c.String(&change.Old, "o", "old", "name of the voter that goes")
-		c.String(&change.Addr, "n", "new", "wire IP:port of an empty control node that comes")
+		c.String(&change.Old, "o", "old", "name of the voter to remove")
+		c.String(&change.Addr, "n", "new", "wire IP:port of an empty control node to add")
 		c.String(&step, "r", "if-step", "the voter set's step, as violetthread-ctl fleet shows it")
 	}
 	return commands
