--- a/cmd/violetthread-validate/check.go
+++ b/cmd/violetthread-validate/check.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	timeoutUS = 2_000_000 // of one question, in microseconds
+	timeoutUS = 2_000_000 // for one request, in microseconds
 	timeout   = timeoutUS * time.Microsecond
 )
 
-// checker reads the fleet and checks a plan against it.
+// checker reads the state of the fleet and checks a plan against it.
 type checker struct {
 	nodes    []*controlclient.Client // one for each control node
-	pages    *engineapi.Client       // of index nodes and the platform
+	pages    *engineapi.Client       // for index nodes and the platform
 	platform string
 }
 
@@ -35,29 +35,29 @@
 	return c
 }
 
-// read reads a path from the first control node that answers it with 200.
+// read reads a path from the first control node that responds with status 200.
 func (c *checker) read(ctx context.Context, path string, out any) error {
-	var last error
+	var lastErr error
 	for _, node := range c.nodes {
-		if last = node.GetJSON(ctx, path, out); last == nil {
+		if lastErr = node.GetJSON(ctx, path, out); lastErr == nil {
 			return nil
 		}
 	}
-	return trace.Wrap(last, "no control node answered; give --at the HTTP side of one that runs")
+	return trace.Wrap(lastErr, "no control node answered; give --at the HTTP side of one that runs")
 }
 
-// check returns the findings; the error says why it could not check.
+// check returns the findings, or an error if the check could not be completed.
 func (c *checker) check(ctx context.Context, o options) ([]plancheck.Finding, error) {
 	text, current, err := c.plans(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	proposed, wrong := plan.Parse(text)
+	proposed, planFindings := plan.Parse(text)
 	findings := []plancheck.Finding{}
-	for _, f := range wrong {
+	for _, f := range planFindings {
 		findings = append(findings, plancheck.Finding{Severity: "error", Path: f.Path, Text: f.Text, Remedy: f.Remedy})
 	}
-	if len(wrong) > 0 || o.offline {
+	if len(planFindings) > 0 || o.offline {
 		return findings, nil
 	}
 	fleet, err := c.fleet(ctx, proposed)
@@ -68,7 +68,8 @@
 	return append(findings, plancheck.Check(proposed, fleet)...), nil
 }
 
-// plans returns the text of the plan to check, and of the plan in force if it was read.
+// plans returns the text of the plan to check and the text of the plan in force, which is nil
+// if there is none or the check is offline.
 func (c *checker) plans(ctx context.Context, o options) (text []byte, current json.RawMessage, err error) {
 	if o.file == "" && o.offline {
 		return nil, nil, trace.BadParameter("give the plan's file with --offline")
@@ -81,7 +82,7 @@
 	if o.offline {
 		return text, nil, nil
 	}
-	// A fleet without a plan yet is still checked against the file.
+	// A file can be checked against a fleet that has no plan yet.
 	if err := c.read(ctx, "/v1/plan", &current); err != nil && (o.file == "" || !isNoPlan(err)) {
 		return nil, nil, err
 	}
@@ -96,7 +97,7 @@
 	return errors.As(err, &status) && status.Reason == controlclient.ReasonNoPlan
 }
 
-// decodePlan is nil without a plan.
+// decodePlan decodes a plan. It returns nil if the text is empty or can't be decoded.
 func decodePlan(text json.RawMessage) *plan.Plan {
 	var p plan.Plan
 	if len(text) == 0 || json.Unmarshal(text, &p) != nil {
--- a/cmd/violetthread-validate/check_test.go
+++ b/cmd/violetthread-validate/check_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// fleetServer plays a control node, an index node and the platform; without a plan it has
-// none in force.
+// fleetServer starts a server that acts as a control node, an index node and the platform. If
+// planText is empty, no plan is in force.
 func fleetServer(t *testing.T, planText string) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -37,7 +37,8 @@
 	return s.Listener.Addr().String()
 }
 
-func refusing(t *testing.T) string {
+// closedAddress returns an address that refuses connections.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,9 +54,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	without, with := fleetServer(t, ""), fleetServer(t, string(text))
-	broken := filepath.Join(t.TempDir(), "broken.json")
-	if err := os.WriteFile(broken, []byte(`{"groups":{}}`), 0o600); err != nil {
+	withoutPlan, withPlan := fleetServer(t, ""), fleetServer(t, string(text))
+	invalid := filepath.Join(t.TempDir(), "broken.json")
+	if err := os.WriteFile(invalid, []byte(`{"groups":{}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -65,17 +66,17 @@
 		findings bool
 		err      string
 	}{
-		{"offline, in order", "", options{file: example, offline: true}, false, ""},
-		{"offline, broken", "", options{file: broken, offline: true}, true, ""},
+		{"offline, valid", "", options{file: example, offline: true}, false, ""},
+		{"offline, invalid", "", options{file: invalid, offline: true}, true, ""},
 		{"offline, no file", "", options{offline: true}, false, "give the plan's file"},
-		{"no such file", without, options{file: "/no/such/file"}, false, "give an existing file"},
-		{"file before the first plan", without, options{file: example, platform: without}, true, ""},
-		{"first node refuses", refusing(t) + "," + without, options{file: example, platform: without}, true, ""},
-		{"no plan in force", without, options{platform: without}, false, "no-plan"},
-		{"plan in force", with, options{platform: with}, true, ""},
-		{"nobody answers", refusing(t), options{file: example}, false, "no control node answered"},
-		{"no platform", with, options{}, false, "give --platform"},
-		{"platform refuses", with, options{platform: refusing(t)}, false, "check --platform"},
+		{"no such file", withoutPlan, options{file: "/no/such/file"}, false, "give an existing file"},
+		{"file before the first plan", withoutPlan, options{file: example, platform: withoutPlan}, true, ""},
+		{"first node refuses connections", closedAddress(t) + "," + withoutPlan, options{file: example, platform: withoutPlan}, true, ""},
+		{"no plan in force", withoutPlan, options{platform: withoutPlan}, false, "no-plan"},
+		{"plan in force", withPlan, options{platform: withPlan}, true, ""},
+		{"no node answers", closedAddress(t), options{file: example}, false, "no control node answered"},
+		{"no platform", withPlan, options{}, false, "give --platform"},
+		{"platform refuses connections", withPlan, options{platform: closedAddress(t)}, false, "check --platform"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			findings, err := newChecker(strings.Split(c.at, ","), c.options.platform).check(context.Background(), c.options)
--- a/cmd/violetthread-validate/fleet.go
+++ b/cmd/violetthread-validate/fleet.go
@@ -16,14 +16,14 @@
 
 const dialTimeout = time.Second
 
-// ownedEngine is what an index node says of an engine that it leads.
+// ownedEngine is an index node's status of an engine that it owns.
 type ownedEngine struct {
 	Name     string
 	Weights  string
 	Capacity int `json:"room"`
 }
 
-// fleet describes the fleet as far as the checks need it.
+// fleet reads the state of the fleet that the checks need.
 func (c *checker) fleet(ctx context.Context, p *plan.Plan) (fleet plancheck.Fleet, err error) {
 	fleet.Up, fleet.BackEnds = map[string]bool{}, map[string]bool{}
 	var status control.FleetStatus
@@ -33,7 +33,7 @@
 	fleet.VotersRecovered = status.ChangeAllowed
 	for _, v := range status.Voters {
 		fleet.Voters = append(fleet.Voters, v.Name)
-		fleet.Up[v.Name] = listens(v.Addr)
+		fleet.Up[v.Name] = acceptsConnections(v.Addr)
 	}
 	for _, n := range status.Nodes {
 		if n.Role == membership.RoleGateway {
@@ -44,12 +44,13 @@
 		return fleet, err
 	}
 	for _, route := range p.Routes {
-		fleet.BackEnds[route.Backend] = listens(route.Backend)
+		fleet.BackEnds[route.Backend] = acceptsConnections(route.Backend)
 	}
 	return fleet, nil
 }
 
-// ownedEngines asks the index nodes; one that does not answer owns none.
+// ownedEngines reads the engines of all index nodes, by name. An index node that does not
+// answer is treated as owning none.
 func (c *checker) ownedEngines(ctx context.Context, nodes []control.NodeStatus) map[string]ownedEngine {
 	owned := map[string]ownedEngine{}
 	for _, n := range nodes {
@@ -66,7 +67,7 @@
 	return owned
 }
 
-// engines are those of the platform's list, without stores.
+// engines returns the engines on the platform's list, without stores.
 func (c *checker) engines(ctx context.Context, owned map[string]ownedEngine) (engines []plancheck.Engine, err error) {
 	if c.platform == "" {
 		return nil, trace.BadParameter("give --platform the IP:port of the platform's list")
@@ -85,8 +86,8 @@
 	return engines, nil
 }
 
-// listens tells whether something takes connections at an IP:port.
-func listens(addr string) bool {
+// acceptsConnections reports whether a TCP connection to an IP:port can be opened.
+func acceptsConnections(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return false
--- a/cmd/violetthread-validate/main.go
+++ b/cmd/violetthread-validate/main.go
@@ -1,6 +1,6 @@
-// Command violetthread-validate checks a plan against the fleet as it is.
+// Command violetthread-validate checks a plan against the current state of the fleet.
 //
-// Exit code 0: no findings; 1: findings; 2: it could not check.
+// The exit code is 0 if there are no findings, 1 if there are, and 2 if the check failed.
 package main
 
 import (
@@ -19,12 +19,12 @@
 
 const program = "violetthread-validate"
 
-// options are what the command line says.
+// options are the options on the command line.
 type options struct {
-	at       string // control nodes, with commas
-	platform string // the platform's list of engines
+	at       string // addresses of control nodes, comma-separated
+	platform string // address of the platform's list of engines
 	file     string // of the plan; empty for the plan in force
-	without  string // voter to leave out
+	without  string // name of a voter to check as removed
 	json     bool
 	offline  bool
 }
@@ -32,13 +32,13 @@
 func parse(args []string) (options, error) {
 	var o options
 	p := flaggy.NewParser(program)
-	p.Description = "Checks a plan against the fleet as it is. Exit code 0: no findings, 1: findings, 2: could not check."
+	p.Description = "Checks a plan against the current state of the fleet. Exit code 0: no findings, 1: findings, 2: the check failed."
 	p.Version, p.ShowCompletion = daemon.Version, false
-	p.String(&o.at, "a", "at", "IP:port of control nodes' HTTP sides, with commas")
+	p.String(&o.at, "a", "at", "IP:port of control nodes' HTTP sides, separated by commas")
 	p.String(&o.platform, "p", "platform", "IP:port of the platform's list of engines")
-	p.String(&o.without, "w", "without", "check as if this voter were taken away")
+	p.String(&o.without, "w", "without", "check as if this voter were removed")
 	p.Bool(&o.json, "j", "json", "print findings as JSON")
-	p.Bool(&o.offline, "o", "offline", "check the structure only, without a fleet")
+	p.Bool(&o.offline, "o", "offline", "validate the plan only, without contacting a fleet")
 	p.AddPositionalValue(&o.file, "FILE", 1, false, "the plan as JSON; without it the plan in force is checked")
 	return o, p.ParseArgs(args)
 }
