--- a/cmd/violetthread-agent/main.go
+++ b/cmd/violetthread-agent/main.go
@@ -1,4 +1,4 @@
-// Command violetthread-agent runs the agent beside a gateway of a violetthread fleet.
+// Command violetthread-agent runs the agent of a gateway in a violetthread fleet.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 func main() {
 	s := agent.Defaults()
-	if err := daemon.LoadSettings(program, "The agent beside a gateway: keeps its session with the control nodes.", &s, os.Args[1:]); err != nil {
+	if err := daemon.LoadSettings(program, "The agent of a gateway: maintains its session with the control nodes.", &s, os.Args[1:]); err != nil {
 		daemon.Exit(program, err)
 	}
 	if err := agent.Run(s); err != nil {
--- a/cmd/violetthread-control/main.go
+++ b/cmd/violetthread-control/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	s := control.Defaults()
-	if err := daemon.LoadSettings(program, "A control node of violetthread: keeps plans, claims and leases on a majority of disks.", &s, os.Args[1:]); err != nil {
+	if err := daemon.LoadSettings(program, "A control node of violetthread: replicates plans, claims and leases to a majority of the voters' disks.", &s, os.Args[1:]); err != nil {
 		daemon.Exit(program, err)
 	}
 	if err := control.Run(s); err != nil {
--- a/cmd/violetthread-gateway/main.go
+++ b/cmd/violetthread-gateway/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	s := gateway.Defaults()
-	if err := daemon.LoadSettings(program, "The gateway of violetthread: takes callers' requests and forwards them to engines.", &s, os.Args[1:]); err != nil {
+	if err := daemon.LoadSettings(program, "The gateway of violetthread: accepts callers' requests and forwards them to engines.", &s, os.Args[1:]); err != nil {
 		daemon.Exit(program, err)
 	}
 	if err := gateway.Run(s); err != nil {
--- a/cmd/violetthread-standin/main.go
+++ b/cmd/violetthread-standin/main.go
@@ -1,5 +1,6 @@
-// Command violetthread-standin plays everything around a fleet for trials on one machine:
-// engines, store, platform, back end and callers; it also measures what a proxy adds.
+// Command violetthread-standin simulates the environment of a fleet for trials on one machine:
+// engines, store, platform, back end and callers. It also measures the latency that a proxy
+// adds.
 package main
 
 import (
@@ -14,24 +15,24 @@
 )
 
 func main() {
-	daemon.RunCommands("violetthread-standin", "Stand-ins for everything around a violetthread fleet.", commands())
+	daemon.RunCommands("violetthread-standin", "Stand-ins for the environment of a violetthread fleet: engines, store, platform, back end and callers.", commands())
 }
 
 func commands() []daemon.Command {
 	engines, list, backends, calls := engine.Defaults(), platform.Defaults(), backend.Defaults(), callers.Defaults()
 	latency, rollout, cpu := probe.LatencyDefaults(), probe.RolloutDefaults(), probe.CPUProbe{}
 	return []daemon.Command{
-		{Name: "latency", About: "measure what a proxy and a claim add, in pairs against an engine asked directly", Settings: &latency, Run: func() error { return latency.Run(os.Stdout) }},
-		{Name: "rollout", About: "measure how long an acknowledged plan takes to be in force everywhere", Settings: &rollout, Run: func() error { return rollout.Run(os.Stdout) }},
-		{Name: "cpu", About: "print the processor time that processes have used, in microseconds", Settings: &cpu, Run: func() error { return cpu.Run(os.Stdout) }},
-		{Name: "engine", About: "a stand-in model engine, or with --store true the store", Settings: &engines, Run: func() error { return serve(engine.NewDaemon(engines)) }},
-		{Name: "platform", About: "a stand-in platform that lists engines", Settings: &list, Run: func() error { return serve(platform.NewDaemon(list)) }},
-		{Name: "backend", About: "a stand-in app back end", Settings: &backends, Run: func() error { return serve(backend.NewDaemon(backends)) }},
-		{Name: "callers", About: "callers of one deployment; exit code 1 when a rule was broken", Settings: &calls, Run: func() error { return play(calls) }},
+		{Name: "latency", About: "measure the latency that a proxy and a claim add, in pairs with direct requests to an engine", Settings: &latency, Run: func() error { return latency.Run(os.Stdout) }},
+		{Name: "rollout", About: "measure the time until an acknowledged plan is in force on all nodes", Settings: &rollout, Run: func() error { return rollout.Run(os.Stdout) }},
+		{Name: "cpu", About: "print the processor time used by processes, in microseconds", Settings: &cpu, Run: func() error { return cpu.Run(os.Stdout) }},
+		{Name: "engine", About: "run a stand-in model engine, or the store with --store true", Settings: &engines, Run: func() error { return serve(engine.NewDaemon(engines)) }},
+		{Name: "platform", About: "run a stand-in platform that lists engines", Settings: &list, Run: func() error { return serve(platform.NewDaemon(list)) }},
+		{Name: "backend", About: "run a stand-in application back end", Settings: &backends, Run: func() error { return serve(backend.NewDaemon(backends)) }},
+		{Name: "callers", About: "run the callers of one deployment; the exit code is 1 if a rule was violated", Settings: &calls, Run: func() error { return runCallers(calls) }},
 	}
 }
 
-// serve runs a stand-in, if it could be made, until the process is stopped.
+// serve runs a stand-in until the process is stopped. It returns err if that is not nil.
 func serve(d *daemon.Daemon, err error) error {
 	if err != nil {
 		return err
@@ -39,8 +40,8 @@
 	return d.Run()
 }
 
-// play plays callers and ends the process with exit code 1 when a rule was broken.
-func play(s callers.Settings) error {
+// runCallers runs the callers, and exits the process with code 1 if a rule was violated.
+func runCallers(s callers.Settings) error {
 	report, err := callers.Run(s)
 	if err != nil {
 		return err
