--- a/cacheindex/updatelog.go
+++ b/cacheindex/updatelog.go
@@ -10,13 +10,13 @@
 
 // The operations of updates.
 const (
-	OpAdd      UpdateOp = iota + 1 // Node is now the nearest node, or one of the nodes, that has the block
-	OpRemove                       // Node has it no more
-	OpPrefetch                     // the block is worth fetching from Node ahead of need
-	OpReading                      // Node computes it now, and has it soon
+	OpAdd       UpdateOp = iota + 1 // Node is now the nearest node, or one of the nodes, that has the block
+	OpRemove                        // Node has it no more
+	OpPrefetch                      // the block is worth fetching from Node ahead of need
+	OpComputing                     // Node computes it now, and has it soon
 )
 
-var opNames = map[UpdateOp]string{OpAdd: "add", OpRemove: "remove", OpPrefetch: "prefetch", OpReading: "reading"}
+var opNames = map[UpdateOp]string{OpAdd: "add", OpRemove: "remove", OpPrefetch: "prefetch", OpComputing: "reading"}
 
 // String is the operation's name in logs and test output.
 func (o UpdateOp) String() string {
--- a/dispatch/action.go
+++ b/dispatch/action.go
@@ -56,7 +56,7 @@
 	Weights        string
 	Kind           string
 	Prompt         string
-	Chain          []cacheindex.Key // of the prompt's blocks, shortest prefix first
+	PrefixKeys     []cacheindex.Key // of the prompt's blocks, shortest prefix first
 	TransferBlock  int              // last block to fetch from TransferNode, -1 for none
 	TransferNode   uint64
 	TransferAddr   string
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -72,7 +72,7 @@
 	action := d.attemptAction(engine, request, id)
 	if engine.Weights != request.Weights || request.domainChanged {
 		action.Domain = d.plan.CacheDomain(request.Group, engine.Weights)
-		action.Chain = cacheindex.PrefixKeys(action.Domain, engine.Weights, request.Prompt)
+		action.PrefixKeys = cacheindex.PrefixKeys(action.Domain, engine.Weights, request.Prompt)
 	} else {
 		d.addTransfer(engine, request, &action)
 	}
@@ -118,7 +118,7 @@
 		Weights:        engine.Weights,
 		Kind:           request.Kind,
 		Prompt:         request.Prompt,
-		Chain:          request.Chain,
+		PrefixKeys:     request.PrefixKeys,
 		TransferBlock:  none,
 		Deadline:       request.Deadline,
 		TransferWaitUS: d.plan.Limits.TransferWaitUS,
@@ -142,8 +142,8 @@
 		AttemptID:   action.AttemptID,
 		Engine:      engine.Engine,
 		FromNode:    node,
-		TotalBlocks: len(request.Chain),
-		Blocks:      request.Chain[:block+1],
+		TotalBlocks: len(request.PrefixKeys),
+		Blocks:      request.PrefixKeys[:block+1],
 	})
 }
 
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -98,7 +98,7 @@
 		engine.SlowUS/4 + int64(engine.failuresInRow)*costPerFailure
 	local := localPrefix(engine, request)
 	transferable, _, _ := d.transferSource(engine, request)
-	cost += int64(len(request.Chain)-max(local, transferable)-1) * recomputeCostPerBlock
+	cost += int64(len(request.PrefixKeys)-max(local, transferable)-1) * recomputeCostPerBlock
 	if transferable > local {
 		cost += transferCostFixed + int64(transferable-local)*transferCostPerBlock
 	}
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -21,7 +21,7 @@
 	KeyDigest    string            `json:"Digest"` // of the key that it came with
 	Deadline     int64             `json:"Due"`
 	Prompt       string            `json:"Prompt"`
-	Chain        []cacheindex.Key  `json:"Chain"` // under Weights and Domain
+	PrefixKeys   []cacheindex.Key  `json:"Chain"` // under Weights and Domain
 	Hints        []cacheindex.Hint `json:"Hints"` // into Chain, the longest prefix first
 	Weights      string            `json:"Weights"`
 	Domain       string            `json:"Domain"` // cache domain of the group
--- a/internal/app/directory/loads.go
+++ b/internal/app/directory/loads.go
@@ -177,7 +177,7 @@
 	}
 	switch {
 	case cached[update.Key]:
-	case update.Op == cacheindex.OpReading:
+	case update.Op == cacheindex.OpComputing:
 		d.events.Append(update)
 	case update.Op == cacheindex.OpAdd:
 		cached[update.Key] = true
--- a/internal/app/directory/loads_test.go
+++ b/internal/app/directory/loads_test.go
@@ -78,17 +78,17 @@
 		return &fb.CacheUpdateT{Hi: 1, Lo: 2, Check: 3, Holder: holder, Op: byte(op)}
 	}
 	for i, update := range []*fb.CacheUpdateT{
-		read(cacheindex.OpReading, engine),
-		read(cacheindex.OpReading, engine+1), // not followed
+		read(cacheindex.OpComputing, engine),
+		read(cacheindex.OpComputing, engine+1), // not followed
 		read(cacheindex.OpAdd, engine),
 		read(cacheindex.OpAdd, engine),
-		read(cacheindex.OpReading, engine), // late
-		read(cacheindex.OpRemove, engine),  // only its own events say that
+		read(cacheindex.OpComputing, engine), // late
+		read(cacheindex.OpRemove, engine),    // only its own events say that
 	} {
 		d.Handle(t.Context(), tellLoads("p1", uint64(i+1), nil, update))
 	}
 	batch := d.events.Since(d.incarnation, 1, 100)
-	want := []cacheindex.UpdateOp{cacheindex.OpReading, cacheindex.OpAdd}
+	want := []cacheindex.UpdateOp{cacheindex.OpComputing, cacheindex.OpAdd}
 	if len(batch.Updates) != len(want) {
 		t.Fatalf("%+v", batch.Updates)
 	}
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -106,7 +106,7 @@
 		FencingToken: action.Grant.FencingToken,
 		NodeID:       action.Grant.NodeID,
 		Prompt:       action.Prompt,
-		Blocks:       engineapi.FormatKeys(action.Chain),
+		Blocks:       engineapi.FormatKeys(action.PrefixKeys),
 		DueUS:        action.Deadline - clock.Now(),
 	}
 	if action.TransferBlock >= 0 {
--- a/internal/app/gateway/requests.go
+++ b/internal/app/gateway/requests.go
@@ -109,9 +109,9 @@
 		Weights:      from.plan.Weights,
 		Domain:       from.plan.CacheDomain(from.group, from.plan.Weights),
 	}
-	request.Chain = cacheindex.PrefixKeys(request.Domain, request.Weights, request.Prompt)
+	request.PrefixKeys = cacheindex.PrefixKeys(request.Domain, request.Weights, request.Prompt)
 	if g.settings.Index {
-		request.Hints = g.table.Hints(request.Chain, dispatch.MaxHints)
+		request.Hints = g.table.Hints(request.PrefixKeys, dispatch.MaxHints)
 	}
 	return request
 }
--- a/internal/app/proxy/fleet.go
+++ b/internal/app/proxy/fleet.go
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, update := range reading {
-		s.picker.ReadingStarted(now, codec.UnpackUpdate(update).Key, update.Holder)
+		s.picker.BlockPrefillStarted(now, codec.UnpackUpdate(update).Key, update.Holder)
 	}
 }
 
@@ -100,7 +100,7 @@
 		switch cacheindex.UpdateOp(update.Op) {
 		case cacheindex.OpAdd:
 			s.hints.Put(codec.UnpackUpdate(update).Key, update.Holder)
-		case cacheindex.OpReading:
+		case cacheindex.OpComputing:
 			reading = append(reading, update)
 		default:
 			s.hints.Remove(codec.UnpackUpdate(update).Key, update.Holder)
--- a/internal/app/proxy/forwarded.go
+++ b/internal/app/proxy/forwarded.go
@@ -161,7 +161,7 @@
 		return choice, errNoEngine
 	}
 	s.picker.RequestSent(now, &choice)
-	s.reportReads(cacheindex.OpReading, choice.Engine.ID, choice.NewReads)
+	s.reportReads(cacheindex.OpComputing, choice.Engine.ID, choice.NewBlocks)
 	s.loadChanged()
 	if retry {
 		window.CountRetry(now)
--- a/internal/app/proxy/relay.go
+++ b/internal/app/proxy/relay.go
@@ -125,7 +125,7 @@
 	a.checkVersionAge(now)
 	s.mu.Lock()
 	s.picker.ResponseStarted(now, a.choice)
-	s.reportReads(cacheindex.OpAdd, a.choice.Engine.ID, a.choice.NewReads)
+	s.reportReads(cacheindex.OpAdd, a.choice.Engine.ID, a.choice.NewBlocks)
 	s.loadChanged()
 	s.mu.Unlock()
 	engine := placement.EngineHolderID(a.choice.Engine.ID)
--- a/internal/app/proxy/server.go
+++ b/internal/app/proxy/server.go
@@ -124,7 +124,7 @@
 	}
 	d.OnDrain(s.drain)
 	s.registerMetrics()
-	if off := settings.Policy.Off(); off != "" {
+	if off := settings.Policy.Disabled(); off != "" {
 		d.Log.Info("policy_reduced", "off", off)
 	}
 	return d, nil
--- a/placement/costmodel.go
+++ b/placement/costmodel.go
@@ -3,43 +3,43 @@
 // CostModel are the figures by which engines are compared. Fields that end in US are
 // microseconds of estimated delay; raising one avoids more of what it is for.
 type CostModel struct {
-	PrefillTokensPerMS  float64 // prompt tokens that an engine reads in a millisecond, until answers have shown it
-	TransferTokensPerMS float64 // tokens that a link moves in a millisecond within a zone, where the configuration does not say
-	TransferSetupUS     int64   // for each transfer
-	TransferPenaltyUS   int64   // what a transfer costs beyond its time
-	AffinityPenaltyUS   int64   // for each rank away from a block's home, where nobody has it cached
-	OtherZoneShare      float64 // of the request's latency target, for an engine in another zone than the proxy
-	NewConnectionShare  float64 // of the request's latency target, for an engine without an idle connection
-	RunningPenaltyUS    int64   // for each request running at an engine
-	WaitingPenaltyUS    int64   // for each request that an engine reported as waiting
-	ReadTwiceFactor     float64 // of the time to compute what another engine computes now, beyond that time itself
-	FailureUS           int64   // for each attempt that failed lately at an engine
-	OtherFailures       float64 // part of a failure that counts, if another proxy saw it
-	MemoryPressureFrom  float64 // part of an engine's memory that requests may take freely, 0 to 1
-	MemoryPressureUS    int64   // for a whole memory beyond that
-	MinPrefillLeft      float64 // part of the prompts that an engine was sent and has not answered that counts at least, 0 to 1
-	LoadMaxAgeUS        int64   // an engine's report of its load counts no longer than this
+	PrefillTokensPerMS      float64 // prompt tokens that an engine reads in a millisecond, until answers have shown it
+	TransferTokensPerMS     float64 // tokens that a link moves in a millisecond within a zone, where the configuration does not say
+	TransferSetupUS         int64   // for each transfer
+	TransferPenaltyUS       int64   // what a transfer costs beyond its time
+	AffinityPenaltyUS       int64   // for each rank away from a block's home, where nobody has it cached
+	OtherZoneShare          float64 // of the request's latency target, for an engine in another zone than the proxy
+	NewConnectionShare      float64 // of the request's latency target, for an engine without an idle connection
+	RunningPenaltyUS        int64   // for each request running at an engine
+	WaitingPenaltyUS        int64   // for each request that an engine reported as waiting
+	DuplicatePrefillFactor  float64 // of the time to compute what another engine computes now, beyond that time itself
+	FailurePenaltyUS        int64   // for each attempt that failed lately at an engine
+	OtherFailureWeight      float64 // part of a failure that counts, if another proxy saw it
+	MemoryPressureThreshold float64 // part of an engine's memory that requests may take freely, 0 to 1
+	MemoryPressurePenaltyUS int64   // for a whole memory beyond that
+	MinPrefillRemaining     float64 // part of the prompts that an engine was sent and has not answered that counts at least, 0 to 1
+	LoadMaxAgeUS            int64   // an engine's report of its load counts no longer than this
 }
 
 // DefaultCostModel is where the daemons start from.
 func DefaultCostModel() CostModel {
 	return CostModel{
-		PrefillTokensPerMS:  110,
-		TransferTokensPerMS: 2500,
-		TransferSetupUS:     6_000,
-		TransferPenaltyUS:   20_000,
-		AffinityPenaltyUS:   50_000,
-		OtherZoneShare:      0.2,
-		NewConnectionShare:  0.1,
-		RunningPenaltyUS:    700,
-		WaitingPenaltyUS:    15_000,
-		ReadTwiceFactor:     1,
-		FailureUS:           150_000,
-		OtherFailures:       0.5,
-		MemoryPressureFrom:  0.5,
-		MemoryPressureUS:    600_000,
-		MinPrefillLeft:      0.4,
-		LoadMaxAgeUS:        1_000_000,
+		PrefillTokensPerMS:      110,
+		TransferTokensPerMS:     2500,
+		TransferSetupUS:         6_000,
+		TransferPenaltyUS:       20_000,
+		AffinityPenaltyUS:       50_000,
+		OtherZoneShare:          0.2,
+		NewConnectionShare:      0.1,
+		RunningPenaltyUS:        700,
+		WaitingPenaltyUS:        15_000,
+		DuplicatePrefillFactor:  1,
+		FailurePenaltyUS:        150_000,
+		OtherFailureWeight:      0.5,
+		MemoryPressureThreshold: 0.5,
+		MemoryPressurePenaltyUS: 600_000,
+		MinPrefillRemaining:     0.4,
+		LoadMaxAgeUS:            1_000_000,
 	}
 }
 
@@ -121,17 +121,17 @@
 func (p *Picker) suspicionUS(now int64, s *engineState) int64 {
 	score := s.failures.at(now)
 	if p.Policy.Uses(SharedFailures) {
-		score += s.others.Failures * p.Cost.OtherFailures
+		score += s.others.Failures * p.Cost.OtherFailureWeight
 	}
-	return int64(min(score, maxFailureScore) * float64(p.Cost.FailureUS))
+	return int64(min(score, maxFailureScore) * float64(p.Cost.FailurePenaltyUS))
 }
 
 // memoryPressureUS is what the fill of an engine's memory costs. Requests share it with cached
 // blocks; when it runs out some requests are preempted and their prompts read anew.
 func (p *Picker) memoryPressureUS(s *engineState, e *Engine, r *Request) int64 {
 	fill := float64(s.own.MemoryTokens+s.others.MemoryTokens+int64(r.PromptTokens+r.MaxOutputTokens)) / float64(e.CacheTokens)
-	if fill <= p.Cost.MemoryPressureFrom {
+	if fill <= p.Cost.MemoryPressureThreshold {
 		return 0
 	}
-	return int64((fill - p.Cost.MemoryPressureFrom) * float64(p.Cost.MemoryPressureUS))
+	return int64((fill - p.Cost.MemoryPressureThreshold) * float64(p.Cost.MemoryPressurePenaltyUS))
 }
--- a/placement/costoverride.go
+++ b/placement/costoverride.go
@@ -21,12 +21,12 @@
 		"new-connection-share":   &m.NewConnectionShare,
 		"running-penalty-us":     &m.RunningPenaltyUS,
 		"waiting-penalty-us":     &m.WaitingPenaltyUS,
-		"read-twice-factor":      &m.ReadTwiceFactor,
-		"failure-us":             &m.FailureUS,
-		"other-failures":         &m.OtherFailures,
-		"memory-pressure-from":   &m.MemoryPressureFrom,
-		"memory-pressure-us":     &m.MemoryPressureUS,
-		"min-prefill-left":       &m.MinPrefillLeft,
+		"read-twice-factor":      &m.DuplicatePrefillFactor,
+		"failure-us":             &m.FailurePenaltyUS,
+		"other-failures":         &m.OtherFailureWeight,
+		"memory-pressure-from":   &m.MemoryPressureThreshold,
+		"memory-pressure-us":     &m.MemoryPressurePenaltyUS,
+		"min-prefill-left":       &m.MinPrefillRemaining,
 		"load-max-age-us":        &m.LoadMaxAgeUS,
 	}
 }
--- a/placement/load.go
+++ b/placement/load.go
@@ -46,8 +46,8 @@
 // RequestSent counts a request that goes to the chosen engine.
 func (p *Picker) RequestSent(now int64, c *Choice) {
 	c.sentAt = now
-	for _, key := range c.NewReads {
-		p.ReadingStarted(now, key, EngineHolderID(c.Engine.ID))
+	for _, key := range c.NewBlocks {
+		p.BlockPrefillStarted(now, key, EngineHolderID(c.Engine.ID))
 	}
 	if s := p.states[c.Engine.ID]; s != nil {
 		if s.own.PrefillTokens+s.others.PrefillTokens == 0 {
--- a/placement/pendingreads.go
+++ b/placement/pendingreads.go
@@ -16,9 +16,9 @@
 	maxPendingReads = 4096
 )
 
-// ReadingStarted takes in that an engine, by EngineHolderID, computes a block from about now on.
+// BlockPrefillStarted takes in that an engine, by EngineHolderID, computes a block from about now on.
 // Until its hint comes, others that need the block are better off there than computing it too.
-func (p *Picker) ReadingStarted(now int64, key cacheindex.Key, holder uint64) {
+func (p *Picker) BlockPrefillStarted(now int64, key cacheindex.Key, holder uint64) {
 	if !p.Policy.Uses(PendingReads) {
 		return
 	}
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -35,7 +35,7 @@
 		// a block again a hundred times as much.
 		best.Source = store.Addr
 	}
-	best.NewReads = byVersion[best.Version].newReads(r, &best)
+	best.NewBlocks = byVersion[best.Version].newReads(r, &best)
 	best.Destination = p.destination(r, store, &best, byVersion[best.Version].holders)
 	return best, true
 }
@@ -59,14 +59,14 @@
 	}
 	model := p.prefillModelOf(e.Pool)
 	c.PrefillWork = prefillWork(r.PromptTokens, c.PrefillTokens)
-	c.queuedTokens = p.states[e.ID].queuedTokens(now, model.usPerToken, p.Cost.MinPrefillLeft)
+	c.queuedTokens = p.states[e.ID].queuedTokens(now, model.usPerToken, p.Cost.MinPrefillRemaining)
 	c.transferUS = fetch.us
 	c.PredictedUS = int64(model.predictUS(c.queuedTokens+float64(c.PrefillWork))) + fetch.us
 	us := c.PredictedUS + p.loadUS(now, e, r)
 	if c.TransferTokens > 0 {
 		us += p.Cost.TransferPenaltyUS
 	}
-	us += int64(float64(blocks.readTwiceTokens(r, own, cached+fetch.tokens)) * model.usPerToken * p.Cost.ReadTwiceFactor)
+	us += int64(float64(blocks.readTwiceTokens(r, own, cached+fetch.tokens)) * model.usPerToken * p.Cost.DuplicatePrefillFactor)
 	if cached == 0 {
 		us += affinityUS
 	}
--- a/placement/policy.go
+++ b/placement/policy.go
@@ -74,8 +74,8 @@
 // Uses reports whether a mechanism is in use.
 func (p Policy) Uses(mechanism Mechanism) bool { return !slices.Contains(p.off, mechanism) }
 
-// Off lists the mechanisms that are switched off, split by commas.
-func (p Policy) Off() string {
+// Disabled lists the mechanisms that are switched off, split by commas.
+func (p Policy) Disabled() string {
 	var names []string
 	for _, mechanism := range p.off {
 		names = append(names, string(mechanism))
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -9,11 +9,11 @@
 // list of those that there are.
 func TestParsePolicy(t *testing.T) {
 	policy, err := ParsePolicy(" affinity, ,ejection")
-	if err != nil || policy.Uses(Affinity) || policy.Uses(Ejection) || !policy.Uses(PeerTransfer) || policy.Off() != "affinity,ejection" {
+	if err != nil || policy.Uses(Affinity) || policy.Uses(Ejection) || !policy.Uses(PeerTransfer) || policy.Disabled() != "affinity,ejection" {
 		t.Errorf("%v %+v", err, policy)
 	}
-	if policy, err = ParsePolicy(""); err != nil || policy.Off() != "" {
-		t.Errorf("nothing is off: %v %q", err, policy.Off())
+	if policy, err = ParsePolicy(""); err != nil || policy.Disabled() != "" {
+		t.Errorf("nothing is off: %v %q", err, policy.Disabled())
 	}
 	if _, err = ParsePolicy("affinity,magic"); err == nil || !strings.Contains(err.Error(), `"magic"`) || !strings.Contains(err.Error(), string(StoreFill)) {
 		t.Errorf("unknown name: %v", err)
@@ -81,7 +81,7 @@
 			func(on, off Choice) bool { return on.Engine.ID == "i-1" && off.Engine.ID == "i-0" }},
 		{PendingReads, func(f *testFleet) {
 			for _, key := range BlockKeys(request("a"), CacheSalt("c1", 1)) {
-				f.ReadingStarted(now, key, EngineHolderID(f.engines[1].ID))
+				f.BlockPrefillStarted(now, key, EngineHolderID(f.engines[1].ID))
 			}
 			f.engines[1].Zone = "north"
 			f.SetOtherLoads(now, f.loadsAt(1, Load{Requests: 5}), false)
--- a/placement/request.go
+++ b/placement/request.go
@@ -53,7 +53,7 @@
 	CachedTokens   int              // hinted to be there already
 	MemoryTokens   int              // that its memory holds for the request
 	BlockKeys      []cacheindex.Key // of the request's blocks under Salt
-	NewReads       []cacheindex.Key // shared blocks that nobody else is known to have or to compute
+	NewBlocks      []cacheindex.Key // shared blocks that nobody else is known to have or to compute
 
 	sentAt       int64   // monotonic microseconds
 	transferUS   int64   // estimated
--- a/recording/replay/dispatcher.go
+++ b/recording/replay/dispatcher.go
@@ -61,7 +61,7 @@
 		a.Engine = decided.Grant.Engine
 		a.FencingToken = decided.Grant.FencingToken
 		a.Weights = decided.Weights
-		a.Blocks = len(decided.Chain)
+		a.Blocks = len(decided.PrefixKeys)
 		a.TransferBlock = decided.TransferBlock + 1
 		a.TransferNode = decided.TransferNode
 	}
@@ -124,8 +124,8 @@
 	}
 	output := newOutput(actions)
 	output.Rejection = rejection
-	input := requestInput{Request: request, Blocks: len(request.Chain)}
-	input.Chain = nil
+	input := requestInput{Request: request, Blocks: len(request.PrefixKeys)}
+	input.PrefixKeys = nil
 	d.Writer.Record(now, eventAdmit, input, output)
 	return actions, rejection
 }
@@ -202,7 +202,7 @@
 	if err != nil {
 		return dispatcherOutput{}, err
 	}
-	input.Chain = make([]cacheindex.Key, input.Blocks)
+	input.PrefixKeys = make([]cacheindex.Key, input.Blocks)
 	actions, rejection := d.Admit(event.TimeUS, input.Request)
 	output := newOutput(actions)
 	output.Rejection = rejection
--- a/sim/engine_run.go
+++ b/sim/engine_run.go
@@ -133,7 +133,7 @@
 	local := e.localPrefix(run, fresh)
 	reused, waitedUS := e.transferPrefix(run, local)
 	tally := &e.fleet.Tally
-	tally.Blocks += len(action.Chain)
+	tally.Blocks += len(action.PrefixKeys)
 	tally.Reused += reused.blocks
 	tally.Transferred += reused.blocks - local.blocks
 	run.reply(400, func() {
@@ -141,14 +141,14 @@
 			run.gateway.progress(action, attempt.Started, "")
 		}
 	})
-	durationUS := waitedUS + int64(len(action.Chain)-reused.blocks)*4_000
+	durationUS := waitedUS + int64(len(action.PrefixKeys)-reused.blocks)*4_000
 	tally.FirstUS += durationUS
 	e.After(durationUS+1000, func() { e.promptComputed(run, reused, fresh) })
 }
 
 // localPrefix is the longest prefix of a run's prompt that the engine holds.
 func (e *Engine) localPrefix(run *engineRun, fresh blockOrigin) prefix {
-	chain := run.action.Chain
+	chain := run.action.PrefixKeys
 	for i := len(chain) - 1; i >= 0; i-- {
 		if origin, ok := e.holdings[chain[i]]; ok {
 			e.fleet.checker.blockReused(origin, run)
@@ -173,7 +173,7 @@
 	if peer == nil || !e.canTransferFrom(peer) {
 		return local, 0
 	}
-	origin, ok := peer.holdings[action.Chain[action.TransferBlock]]
+	origin, ok := peer.holdings[action.PrefixKeys[action.TransferBlock]]
 	if !ok {
 		return local, 0
 	}
@@ -190,7 +190,7 @@
 	if run.ended || run.engineProcess != e.process {
 		return
 	}
-	chain := run.action.Chain
+	chain := run.action.PrefixKeys
 	for i, key := range chain {
 		if i < reused.blocks {
 			e.addBlock(key, reused.origin)
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -136,8 +136,8 @@
 		Weights:      compiled.Weights,
 		Domain:       compiled.CacheDomain(sent.group, compiled.Weights),
 	}
-	request.Chain = cacheindex.PrefixKeys(request.Domain, request.Weights, prompt)
-	request.Hints = g.lookupHints(request.Chain)
+	request.PrefixKeys = cacheindex.PrefixKeys(request.Domain, request.Weights, prompt)
+	request.Hints = g.lookupHints(request.PrefixKeys)
 	sent.planRevision, sent.runs = compiled.Revision, map[string]*engineRun{}
 	g.requests[request.Ref] = sent
 	actions, rejection := g.dispatcher.Admit(now, request)
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -464,7 +464,7 @@
 	for _, s := range []string{action.Domain, action.Weights, action.Kind, action.Prompt} {
 		e.text(s)
 	}
-	e.parts(action.Chain)
+	e.parts(action.PrefixKeys)
 	e.number(int64(action.TransferBlock))
 	e.unsigned(action.TransferNode)
 	e.text(action.TransferAddr)
