--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -8,11 +8,12 @@
 	"violetthread/internal/rendezvous"
 )
 
-// affinity is the weight of a candidate for a block: the block's home is the candidate with
-// the highest, which every proxy finds without talking to others.
+// affinity returns the rendezvous-hashing weight of a candidate for a block. The candidate with
+// the highest weight is the block's home; all proxies compute the same home without coordination.
 func affinity(block, candidate string) uint64 { return rendezvous.Weight(block, "\x00", candidate) }
 
-// sortByAffinity returns engines in the order of their affinity to a block, its home first.
+// sortByAffinity sorts engines in place by descending affinity to a block, the block's home
+// first, and returns them.
 func sortByAffinity(engines []*Engine, block string) []*Engine {
 	weights := make(map[*Engine]uint64, len(engines))
 	for _, e := range engines {
@@ -22,8 +23,8 @@
 	return engines
 }
 
-// homeStore is the store where everybody would look for a block, of those that are healthy;
-// nil if there is none.
+// homeStore returns the healthy store with the highest affinity to a block, which is the one
+// that all proxies use for it; nil if no store is healthy.
 func (p *Picker) homeStore(block string) (home *Store) {
 	for i := range p.stores {
 		s := &p.stores[i]
@@ -34,8 +35,8 @@
 	return home
 }
 
-// CacheSalt names a cache scope and a version of a model's weights together: blocks are shared
-// only under the same salt.
+// CacheSalt combines a cache scope and a version of a model's weights. Cached blocks are shared
+// only between requests with the same salt.
 func CacheSalt(scope string, version uint64) string {
 	salt := make([]byte, 0, len(scope)+12)
 	salt = append(salt, scope...)
--- a/placement/costmodel.go
+++ b/placement/costmodel.go
@@ -1,27 +1,28 @@
 package placement
 
-// CostModel are the figures by which engines are compared. Fields that end in US are
-// microseconds of estimated delay; raising one avoids more of what it is for.
+// CostModel holds the parameters of the cost estimate by which engines are compared. Fields that
+// end in US are in microseconds of estimated delay; a higher penalty makes the picker avoid what
+// it applies to more strongly.
 type CostModel struct {
-	PrefillTokensPerMS      float64 // prompt tokens that an engine reads in a millisecond, until answers have shown it
-	TransferTokensPerMS     float64 // tokens that a link moves in a millisecond within a zone, where the configuration does not say
-	TransferSetupUS         int64   // for each transfer
-	TransferPenaltyUS       int64   // what a transfer costs beyond its time
-	AffinityPenaltyUS       int64   // for each rank away from a block's home, where nobody has it cached
-	OtherZoneShare          float64 // of the request's latency target, for an engine in another zone than the proxy
-	NewConnectionShare      float64 // of the request's latency target, for an engine without an idle connection
-	RunningPenaltyUS        int64   // for each request running at an engine
-	WaitingPenaltyUS        int64   // for each request that an engine reported as waiting
-	DuplicatePrefillFactor  float64 // of the time to compute what another engine computes now, beyond that time itself
-	FailurePenaltyUS        int64   // for each attempt that failed lately at an engine
-	OtherFailureWeight      float64 // part of a failure that counts, if another proxy saw it
-	MemoryPressureThreshold float64 // part of an engine's memory that requests may take freely, 0 to 1
-	MemoryPressurePenaltyUS int64   // for a whole memory beyond that
-	MinPrefillRemaining     float64 // part of the prompts that an engine was sent and has not answered that counts at least, 0 to 1
-	LoadMaxAgeUS            int64   // an engine's report of its load counts no longer than this
+	PrefillTokensPerMS      float64 // initial prefill speed of an engine, until it has been learned from responses
+	TransferTokensPerMS     float64 // transfer speed within a zone, where the configuration gives no link speed
+	TransferSetupUS         int64   // fixed duration of each transfer
+	TransferPenaltyUS       int64   // penalty for a transfer in addition to its duration
+	AffinityPenaltyUS       int64   // per affinity rank below the home, for engines without cached blocks of the prompt
+	OtherZoneShare          float64 // penalty for an engine in another zone than the proxy, as a fraction of the request's latency target
+	NewConnectionShare      float64 // penalty for an engine without an idle connection, as a fraction of the request's latency target
+	RunningPenaltyUS        int64   // per request running at the engine
+	WaitingPenaltyUS        int64   // per request that the engine last reported as waiting
+	DuplicatePrefillFactor  float64 // penalty for computing blocks that another engine is computing, as a multiple of their prefill time
+	FailurePenaltyUS        int64   // per recent failed attempt at the engine
+	OtherFailureWeight      float64 // weight of a failure reported by another proxy, relative to one seen by this proxy
+	MemoryPressureThreshold float64 // fraction of an engine's memory, 0 to 1, up to which memory use has no penalty
+	MemoryPressurePenaltyUS int64   // penalty for memory use beyond the threshold, per full memory
+	MinPrefillRemaining     float64 // lower bound of the estimated prefill backlog, as a fraction, 0 to 1, of the unanswered prefill tokens sent
+	LoadMaxAgeUS            int64   // maximum age at which an engine's load report is used
 }
 
-// DefaultCostModel is where the daemons start from.
+// DefaultCostModel returns the parameters that the daemons start with.
 func DefaultCostModel() CostModel {
 	return CostModel{
 		PrefillTokensPerMS:      110,
@@ -44,18 +45,20 @@
 }
 
 const (
-	// defaultTargetUS stands for the latency target of a request that has none.
-	defaultTargetUS = 500_000
-	// maxAffinityRank is the rank from which on engines are equally far from a block's home.
+	// defaultLatencyTargetUS is used for requests without a latency target.
+	defaultLatencyTargetUS = 500_000
+	// maxAffinityRank is the highest rank that increases the affinity penalty.
 	maxAffinityRank = 6
-	// unhealthyUS keeps requests from an engine that looks unhealthy while there is another.
-	// It is not excluded: whoever checks it may be the one who is cut off.
-	unhealthyUS = 400_000
-	// noSlotUS is for each request beyond an engine's slots.
-	noSlotUS = 50_000
+	// unhealthyPenaltyUS diverts requests from an engine that fails its health checks as long as
+	// there is another. The engine is not excluded, since the checker may be the one that is
+	// partitioned from the network.
+	unhealthyPenaltyUS = 400_000
+	// excessRequestPenaltyUS applies to each request in excess of an engine's slots.
+	excessRequestPenaltyUS = 50_000
 )
 
-// transferUS is how long a transfer of tokens takes over a link of a speed, as estimated.
+// transferUS estimates the duration of a transfer of cached tokens over a link of the given
+// speed. A speed of 0 stands for the default, and a transfer between zones takes twice as long.
 func (m *CostModel) transferUS(sameZone bool, tokens int, tokensPerMS float64) int64 {
 	if tokensPerMS <= 0 {
 		tokensPerMS = m.TransferTokensPerMS
@@ -67,13 +70,13 @@
 	return us + m.TransferSetupUS
 }
 
-// awayUS is the penalty for an engine that costs the fleet more than others: a connection to
-// make, bytes between zones. It is a part of the time that the request has: one that must be
-// fast goes where it is fast.
-func (p *Picker) awayUS(e *Engine, r *Request) int64 {
+// localityPenaltyUS returns the penalty for an engine in another zone, which causes traffic
+// between zones, or without an idle connection. It is proportional to the request's latency
+// target, so that requests with a short target are sent to the fastest engine.
+func (p *Picker) localityPenaltyUS(e *Engine, r *Request) int64 {
 	target := float64(r.LatencyTargetUS)
 	if target <= 0 {
-		target = defaultTargetUS
+		target = defaultLatencyTargetUS
 	}
 	us := 0.0
 	if e.Zone != p.zone && p.Policy.Uses(ZonePreference) {
@@ -85,8 +88,8 @@
 	return int64(us)
 }
 
-// prefillModelOf is what is known of the speed of a pool's engines.
-func (p *Picker) prefillModelOf(pool string) *prefillModel {
+// prefillModelFor returns the learned prefill model of a pool, creating it on first use.
+func (p *Picker) prefillModelFor(pool string) *prefillModel {
 	model := p.prefillModels[pool]
 	if model == nil {
 		model = newPrefillModel(p.Cost.PrefillTokensPerMS)
@@ -95,8 +98,9 @@
 	return model
 }
 
-// loadUS is what else is under way at an engine costs a new request there.
-func (p *Picker) loadUS(now int64, e *Engine, r *Request) int64 {
+// loadPenaltyUS returns the cost to a new request of an engine's current load: its running and
+// waiting requests, memory use, health and recent failures.
+func (p *Picker) loadPenaltyUS(now int64, e *Engine, r *Request) int64 {
 	s := p.states[e.ID]
 	running, waiting := s.own.Requests+s.others.Requests, 0
 	if s.reportedAt > 0 && now-s.reportedAt < p.Cost.LoadMaxAgeUS {
@@ -104,21 +108,22 @@
 	}
 	us := int64(running)*p.Cost.RunningPenaltyUS + int64(waiting)*p.Cost.WaitingPenaltyUS
 	if e.Slots > 0 && running >= e.Slots {
-		us += int64(running-e.Slots+1) * noSlotUS
+		us += int64(running-e.Slots+1) * excessRequestPenaltyUS
 	}
 	if e.CacheTokens > 0 && p.Policy.Uses(MemoryPressure) {
-		us += p.memoryPressureUS(s, e, r)
+		us += p.memoryPressurePenaltyUS(s, e, r)
 	}
 	if e.Unhealthy {
-		us += unhealthyUS
+		us += unhealthyPenaltyUS
 	}
-	return us + p.suspicionUS(now, s)
+	return us + p.failurePenaltyUS(now, s)
 }
 
-// suspicionUS is what lately failed attempts at an engine cost it. Those of other proxies count
-// too: at a large fleet each proxy meets an engine too seldom to find a failing one out by itself.
-// No engine is excluded by it, since the network between may be at fault.
-func (p *Picker) suspicionUS(now int64, s *engineState) int64 {
+// failurePenaltyUS returns the penalty for recent failed attempts at an engine. Failures seen by
+// other proxies count too, since in a large fleet each proxy uses an engine too rarely to detect
+// by itself that it fails. The penalty is bounded and excludes no engine, since the cause may be
+// the network path.
+func (p *Picker) failurePenaltyUS(now int64, s *engineState) int64 {
 	score := s.failures.at(now)
 	if p.Policy.Uses(SharedFailures) {
 		score += s.others.Failures * p.Cost.OtherFailureWeight
@@ -126,9 +131,10 @@
 	return int64(min(score, maxFailureScore) * float64(p.Cost.FailurePenaltyUS))
 }
 
-// memoryPressureUS is what the fill of an engine's memory costs. Requests share it with cached
-// blocks; when it runs out some requests are preempted and their prompts read anew.
-func (p *Picker) memoryPressureUS(s *engineState, e *Engine, r *Request) int64 {
+// memoryPressurePenaltyUS returns the penalty for an engine's memory use including the new
+// request. Requests share the memory with cached blocks; when it runs out, the engine preempts
+// requests and recomputes their prompts.
+func (p *Picker) memoryPressurePenaltyUS(s *engineState, e *Engine, r *Request) int64 {
 	fill := float64(s.own.MemoryTokens+s.others.MemoryTokens+int64(r.PromptTokens+r.MaxOutputTokens)) / float64(e.CacheTokens)
 	if fill <= p.Cost.MemoryPressureThreshold {
 		return 0
--- a/placement/costoverride.go
+++ b/placement/costoverride.go
@@ -9,8 +9,8 @@
 	"github.com/gravitational/trace"
 )
 
-// figures lists the figures of a cost model by the names that operators use.
-func (m *CostModel) figures() map[string]any {
+// parameters maps the names that operators use to the parameters of the cost model.
+func (m *CostModel) parameters() map[string]any {
 	return map[string]any{
 		"prefill-tokens-per-ms":  &m.PrefillTokensPerMS,
 		"transfer-tokens-per-ms": &m.TransferTokensPerMS,
@@ -31,38 +31,39 @@
 	}
 }
 
-// Override sets the figures that text names, as in "other-zone-share=0.1,transfer-setup-us=0".
-// An error names what can't be read; the model is then left as it was.
+// Override sets parameters from a comma-separated list, as in
+// "other-zone-share=0.1,transfer-setup-us=0". On error the model is unchanged; the error names
+// the parameter that is unknown or has an invalid value.
 func (m *CostModel) Override(text string) error {
 	changed := *m
-	figures := changed.figures()
+	parameters := changed.parameters()
 	for _, item := range strings.Split(text, ",") {
 		if strings.TrimSpace(item) == "" {
 			continue
 		}
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
-		if figures[name] == nil {
-			return trace.BadParameter("no figure of the cost model is called %q; use any of %s", name, strings.Join(slices.Sorted(maps.Keys(figures)), ","))
+		if parameters[name] == nil {
+			return trace.BadParameter("unknown cost model parameter %q; valid parameters are %s", name, strings.Join(slices.Sorted(maps.Keys(parameters)), ","))
 		}
-		if err := setFigure(figures[name], value); err != nil {
-			return trace.BadParameter("%s: %q is no number above or equal to 0", name, value)
+		if err := setParameter(parameters[name], value); err != nil {
+			return trace.BadParameter("%s: %q is not a non-negative number below 2^50", name, value)
 		}
 	}
 	*m = changed
 	return nil
 }
 
-// setFigure sets a figure, which is a *float64 or a *int64.
-func setFigure(figure any, text string) error {
+// setParameter parses text into a parameter, which is a *float64 or an *int64.
+func setParameter(parameter any, text string) error {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(value >= 0 && value < 1<<50) {
-		return trace.BadParameter("no such figure")
+		return trace.BadParameter("invalid parameter value")
 	}
-	switch figure := figure.(type) {
+	switch parameter := parameter.(type) {
 	case *float64:
-		*figure = value
+		*parameter = value
 	case *int64:
-		*figure = int64(value)
+		*parameter = int64(value)
 	}
 	return nil
 }
--- a/placement/coverage.go
+++ b/placement/coverage.go
@@ -2,15 +2,15 @@
 
 import "violetthread/cacheindex"
 
-// cachedBlocks is what the hints say of a request's blocks under one version of its model.
-type cachedBlocks struct {
-	salt    string
-	keys    []cacheindex.Key
-	holders []map[uint64]bool // by block; nil if nobody is known to have it
-	readers []uint64          // by block: the engine that computes it now, 0 for none
+// blockLocations holds the hinted locations of a request's blocks under one version of its model.
+type blockLocations struct {
+	salt      string
+	keys      []cacheindex.Key
+	holders   []map[uint64]bool // by block: the holders hinted to have it cached, nil for none
+	computing []uint64          // by block: the holder ID of the engine that is computing it, 0 for none
 }
 
-// BlockKeys are the hint keys of a request's blocks under a salt.
+// BlockKeys returns the keys of a request's blocks in the hint table under a salt.
 func BlockKeys(r *Request, salt string) []cacheindex.Key {
 	keys := make([]cacheindex.Key, 0, len(r.Blocks))
 	for _, block := range r.Blocks {
@@ -19,17 +19,17 @@
 	return keys
 }
 
-// cachedBlocksOf looks a request's blocks up in the hints.
-func (p *Picker) cachedBlocksOf(now int64, r *Request, version uint64) *cachedBlocks {
-	b := &cachedBlocks{salt: CacheSalt(r.CacheScope, version)}
+// locateBlocks looks up a request's blocks in the hints and the pending prefills.
+func (p *Picker) locateBlocks(now int64, r *Request, version uint64) *blockLocations {
+	b := &blockLocations{salt: CacheSalt(r.CacheScope, version)}
 	b.keys = BlockKeys(r, b.salt)
-	b.holders = p.holdersOf(b.keys)
-	b.readers = p.readersOf(now, b.keys)
+	b.holders = p.hintedHolders(b.keys)
+	b.computing = p.computingEngines(now, b.keys)
 	return b
 }
 
-// holdersOf tells for each key which holders are hinted to have its block.
-func (p *Picker) holdersOf(keys []cacheindex.Key) []map[uint64]bool {
+// hintedHolders returns for each key the set of holders hinted to have its block.
+func (p *Picker) hintedHolders(keys []cacheindex.Key) []map[uint64]bool {
 	holders := make([]map[uint64]bool, len(keys))
 	for i, key := range keys {
 		p.holderBuf = p.hints.Get(key, p.holderBuf[:0])
@@ -43,13 +43,14 @@
 	return holders
 }
 
-// coverage walks a prompt from its start for as long as one of two holders has each block:
-// cached counts the tokens that own has, or will have read by the time that the request's turn
-// comes, fetched those that only source has. A source of 0 is none.
-func (b *cachedBlocks) coverage(r *Request, own, source uint64) (cached, fetched int) {
+// coverage walks a prompt from its start until the first block that neither own nor source has.
+// It returns the number of tokens that own has cached or is computing, and so will have cached
+// when it processes the request, and the number of tokens that only source has. A source of 0
+// means none.
+func (b *blockLocations) coverage(r *Request, own, source uint64) (cached, fetched int) {
 	for i, block := range r.Blocks {
 		switch {
-		case b.holders[i][own] || b.readers[i] == own:
+		case b.holders[i][own] || b.computing[i] == own:
 			cached += block.Tokens
 		case source != 0 && b.holders[i][source]:
 			fetched += block.Tokens
@@ -60,17 +61,18 @@
 	return cached, fetched
 }
 
-// transfer is what an engine would fetch, and from where.
+// transfer describes the blocks that an engine would fetch and their source.
 type transfer struct {
 	source string // address; empty for none
 	tokens int
 	us     int64 // estimated duration
-	cached int   // tokens that count as cached at the engine itself
+	cached int   // tokens of the covered prefix that the engine has cached itself
 }
 
-// bestSource finds the best holder of what the engine lacks: an engine or a store. Blocks that
-// the engine has behind a gap count as cached as soon as the source fills the gap.
-func (p *Picker) bestSource(r *Request, e *Engine, blocks *cachedBlocks, cached int) transfer {
+// bestSource selects the engine or store from which an engine should fetch the blocks that it
+// lacks. Blocks that the engine has cached after a missing one count as cached if the source has
+// the missing one.
+func (p *Picker) bestSource(r *Request, e *Engine, blocks *blockLocations, cached int) transfer {
 	own, longest, best := EngineHolderID(e.ID), cached, transfer{cached: cached}
 	consider := func(holder uint64, addr, zone string, tokensPerMS float64) {
 		cached, fetched := blocks.coverage(r, own, holder)
@@ -78,7 +80,7 @@
 			return
 		}
 		us := p.Cost.transferUS(zone == e.Zone, fetched, tokensPerMS)
-		// The longest prefix wins; among equals the cheapest transfer.
+		// Prefer the longest covered prefix, then the shortest transfer.
 		if cached+fetched > longest || us < best.us {
 			longest, best = cached+fetched, transfer{addr, fetched, us, cached}
 		}
@@ -92,8 +94,8 @@
 	return best
 }
 
-// storeTokensPerMS is how many cached tokens an engine gets from a store in a millisecond: the
-// slower link counts. 0 if not known.
+// storeTokensPerMS returns the transfer speed from a store to the engine in cached tokens per
+// millisecond, which the slower of their links determines; 0 if it is not known.
 func (e *Engine) storeTokensPerMS(s *Store) float64 {
 	if e.LinkMbps <= 0 || s.LinkMbps <= 0 {
 		return e.LinkTokensPerMS
@@ -101,20 +103,22 @@
 	return e.LinkTokensPerMS * min(1, s.LinkMbps/e.LinkMbps)
 }
 
-// eachPeer calls f for each healthy engine but own that has any of the blocks.
+// eachPeer calls f once for each healthy engine other than own that is hinted to have any of the
+// blocks.
 func (p *Picker) eachPeer(holders []map[uint64]bool, own uint64, f func(*Engine)) {
-	considered := map[uint64]bool{own: true}
+	visited := map[uint64]bool{own: true}
 	for _, blockHolders := range holders {
 		for holder := range blockHolders {
-			if other := p.byHolder[holder]; other != nil && !considered[holder] && !other.Unhealthy {
-				considered[holder] = true
+			if other := p.byHolder[holder]; other != nil && !visited[holder] && !other.Unhealthy {
+				visited[holder] = true
 				f(other)
 			}
 		}
 	}
 }
 
-// eachStore calls f for each healthy store: engines wait for a dead source.
+// eachStore calls f for each healthy store. Unhealthy ones are left out because an engine would
+// wait for a source that does not respond.
 func (p *Picker) eachStore(f func(*Store)) {
 	for i := range p.stores {
 		if !p.stores[i].Unhealthy {
@@ -123,9 +127,10 @@
 	}
 }
 
-// destination is the address of the store that should get the shared blocks, if the engine
-// has to read any that the store lacks. What is read of the request's own block goes there as
-// well, which evicts others: so no store is named for that alone.
+// destination returns the address of the store to which the engine should send the blocks that
+// it computes, or "" if it computes no shared block that the store lacks. The engine sends the
+// request's own block as well, which evicts other blocks from the store, so that the own block
+// alone is no reason to name a store.
 func (p *Picker) destination(r *Request, store *Store, c *Choice, holders []map[uint64]bool) string {
 	if store == nil || !p.HintsComplete || !p.Policy.Uses(StoreFill) {
 		return ""
--- a/placement/failurescore_test.go
+++ b/placement/failurescore_test.go
@@ -2,34 +2,35 @@
 
 import "testing"
 
-// TestFailureScore: failures add up to a bound, a success halves them, time forgets them.
+// TestFailureScore checks that failures accumulate up to a bound, that a success halves the score
+// and that it decays with time.
 func TestFailureScore(t *testing.T) {
 	var f failureScore
 	now := int64(5_000_000)
 	if f.at(now) != 0 {
-		t.Fatal("nothing failed")
+		t.Fatal("non-zero score without failures")
 	}
 	for range 20 {
-		f.failed(now)
+		f.recordFailure(now)
 	}
 	if got := f.at(now); got != maxFailureScore {
-		t.Errorf("after many failures: %v", got)
+		t.Errorf("score after 20 failures: %v", got)
 	}
-	f.succeeded(now)
+	f.recordSuccess(now)
 	if got := f.at(now); got != maxFailureScore/2 {
-		t.Errorf("after a success: %v", got)
+		t.Errorf("score after a success: %v", got)
 	}
 	if got := f.at(now + failureScoreHalfLife); got != maxFailureScore/4.0 {
-		t.Errorf("a half-life later: %v", got)
+		t.Errorf("score one half-life later: %v", got)
 	}
 	if got := f.at(now + 20*failureScoreHalfLife); got != 0 {
-		t.Errorf("long after: %v", got)
+		t.Errorf("score 20 half-lives later: %v", got)
 	}
 }
 
-// TestSharedFailures: an engine that fails for other proxies is left for another one at once,
-// used again once they report no failures any more, and used all the while if there is no
-// other or if all fail alike, since then the network may be at fault.
+// TestSharedFailures checks that an engine with failures reported by other proxies is avoided at
+// once and used again when they report none any more. If all engines have the same failures, the
+// choice does not change, since the cause may be the network.
 func TestSharedFailures(t *testing.T) {
 	now := int64(10_000_000)
 	f := newTestFleet(2)
@@ -37,7 +38,7 @@
 	pick := func() string {
 		c, ok := f.Pick(now, request("own"))
 		if !ok {
-			t.Fatal("no choice")
+			t.Fatal("no engine selected")
 		}
 		return c.Engine.ID
 	}
@@ -45,29 +46,29 @@
 	other := map[string]string{"i-0": "i-1", "i-1": "i-0"}[first]
 	f.SetOtherLoads(now, map[uint64]Load{EngineHolderID(first): {Failures: 6}}, false)
 	if got := pick(); got != other {
-		t.Errorf("%s fails for others and gets the request", got)
+		t.Errorf("%s selected although other proxies report failures there", got)
 	}
 	f.SetOtherLoads(now, map[uint64]Load{EngineHolderID(first): {Failures: 6}, EngineHolderID(other): {Failures: 6}}, false)
 	if got := pick(); got != first {
-		t.Errorf("all fail alike, and %s gets the request instead of %s", got, first)
+		t.Errorf("%s selected instead of %s, although both have the same failures", got, first)
 	}
 	f.SetOtherLoads(now, nil, false)
 	if got := pick(); got != first {
-		t.Errorf("nothing fails any more, and %s gets the request", got)
+		t.Errorf("%s selected after the reported failures ended", got)
 	}
 }
 
-// TestFailuresReported: an engine's failures are told to the others as long as they count, also
-// when nothing is under way there.
+// TestFailuresReported checks that an engine's failures are reported to other proxies until they
+// have decayed, even if no request is in flight there.
 func TestFailuresReported(t *testing.T) {
 	now := int64(10_000_000)
 	f := newTestFleet(2)
 	f.Eject(now, "i-1", 100_000, true)
 	loads := f.OwnLoads(now)
 	if len(loads) != 1 || loads[EngineHolderID("i-1")].Failures != 1 {
-		t.Errorf("%+v", loads)
+		t.Errorf("loads after a failure: %+v", loads)
 	}
 	if loads = f.OwnLoads(now + 10*failureScoreHalfLife); len(loads) != 0 {
-		t.Errorf("long after: %+v", loads)
+		t.Errorf("loads 10 half-lives later: %+v", loads)
 	}
 }
--- a/placement/fleet.go
+++ b/placement/fleet.go
@@ -2,23 +2,23 @@
 
 import "violetthread/cacheindex"
 
-// Engine is an engine as the map of the fleet shows it. It is not changed once in a map.
+// Engine is an engine in the map of the fleet. It is immutable once it is in a map.
 type Engine struct {
-	ID, Pool, Addr, Zone string            // ID stands for one incarnation
-	Draining             bool              // takes no new requests
+	ID, Pool, Addr, Zone string            // ID identifies one incarnation
+	Draining             bool              // accepts no new requests
 	UpdatingWeights      bool              // about to load other weights
-	Unhealthy            bool              // does not answer the fleet's health checks
-	Slots                int               // requests that it runs at one time, 0 if not known
-	CacheTokens          int64             // tokens that its memory holds, 0 if not known
+	Unhealthy            bool              // fails the fleet's health checks
+	Slots                int               // maximum number of concurrent requests, 0 if not known
+	CacheTokens          int64             // memory capacity in tokens, 0 if not known
 	LinkMbps             float64           // 0 if not known
-	LinkTokensPerMS      float64           // cached tokens that its link moves in a millisecond, 0 if not known
-	Weights              map[string]uint64 // version of each model it runs
+	LinkTokensPerMS      float64           // cached tokens per millisecond over its link, 0 if not known
+	Weights              map[string]uint64 // version of each model that it runs
 }
 
 // Store is a store of cached prompt blocks.
 type Store struct {
 	Addr, Zone string
-	Unhealthy  bool    // does not answer the fleet's health checks
+	Unhealthy  bool    // fails the fleet's health checks
 	LinkMbps   float64 // 0 if not known
 }
 
@@ -26,11 +26,12 @@
 type Picker struct {
 	Cost   CostModel // may be changed between calls
 	Policy Policy    // may be changed between calls
-	// Connected reports whether the proxy has an idle connection to an engine. Without it no
-	// engine is preferred for that.
+	// Connected reports whether the proxy has an idle connection to an engine. If it is nil,
+	// idle connections are not considered.
 	Connected func(engineID string) bool
-	// HintsComplete says that the hints are as complete as they get: until then no store is
-	// named as a Destination, since it may well have the blocks.
+	// HintsComplete reports whether the received hints are as complete as the directory can make
+	// them. While it is false no Choice has a Destination, since the store may already have the
+	// blocks.
 	HintsComplete bool
 
 	zone     string
@@ -38,21 +39,22 @@
 	byID     map[string]*Engine
 	byHolder map[uint64]*Engine
 	stores   []Store
-	states   map[string]*engineState // by engine id
+	states   map[string]*engineState // by engine ID
 	hints    *cacheindex.HolderTable
 
-	prefillModels map[string]*prefillModel // by pool
-	pendingReads  map[cacheindex.Key]pendingRead
-	holderBuf     []uint64 // of holdersOf
+	prefillModels   map[string]*prefillModel // by pool
+	pendingPrefills map[cacheindex.Key]pendingPrefill
+	holderBuf       []uint64 // scratch space of hintedHolders
 }
 
-// New makes a picker for a proxy in a zone; hints may be written meanwhile.
+// New creates a picker for a proxy in a zone. Another goroutine may write hints while the picker
+// reads them.
 func New(zone string, hints *cacheindex.HolderTable) *Picker {
-	return &Picker{Cost: DefaultCostModel(), zone: zone, hints: hints, states: map[string]*engineState{}, prefillModels: map[string]*prefillModel{}, pendingReads: map[cacheindex.Key]pendingRead{}}
+	return &Picker{Cost: DefaultCostModel(), zone: zone, hints: hints, states: map[string]*engineState{}, prefillModels: map[string]*prefillModel{}, pendingPrefills: map[cacheindex.Key]pendingPrefill{}}
 }
 
-// SetFleet takes in a new map of the fleet. What is known of engines that stay is kept, and
-// of those that are gone as long as attempts are in flight there.
+// SetFleet installs a new map of the fleet. It keeps the state of the engines in the new map, and
+// of removed engines that still have attempts in flight.
 func (p *Picker) SetFleet(engines []*Engine, stores []Store) {
 	p.stores = stores
 	p.byPool, p.byID, p.byHolder = map[string][]*Engine{}, map[string]*Engine{}, map[uint64]*Engine{}
@@ -71,11 +73,11 @@
 	}
 }
 
-// StoreID is the id of a store in the fleet's map, which directories and proxies agree on.
+// StoreID returns the ID of a store in the fleet's map. Directories and proxies use the same IDs.
 func StoreID(addr string) string { return "store " + addr }
 
-// StoreHolderID is the holder in the hint table that stands for a store.
+// StoreHolderID returns the ID of a store as a holder in the hint table.
 func StoreHolderID(addr string) uint64 { return cacheindex.NodeID(StoreID(addr), 0) }
 
-// EngineHolderID is the holder in the hint table that stands for one incarnation of an engine.
+// EngineHolderID returns the ID of one incarnation of an engine as a holder in the hint table.
 func EngineHolderID(id string) uint64 { return cacheindex.NodeID(id, 0) }
--- a/placement/golden_digest_test.go
+++ b/placement/golden_digest_test.go
@@ -11,9 +11,9 @@
 	"violetthread/placement"
 )
 
-// TestGoldenDigest places random requests on random fleets, with loads, failures and
-// hints. Which of several engines with the same blocks is a request's source is left to
-// chance by the package itself, so that its address is not in the digest.
+// TestGoldenDigest selects engines for random requests in random fleets, with loads, failures
+// and hints. The digest does not include the address of the source, since the choice between
+// several engines with the same blocks depends on map order.
 func TestGoldenDigest(t *testing.T) {
 	digest := goldendigest.New()
 	for seed := int64(1); seed <= 40; seed++ {
@@ -68,11 +68,11 @@
 		picker.RequestSent(now, &choice)
 		sent = append(sent, choice)
 		if k := rnd.Intn(len(sent)); rnd.Intn(2) == 0 {
-			began := rnd.Intn(4) > 0
-			if began {
+			started := rnd.Intn(4) > 0
+			if started {
 				picker.ResponseStarted(now, &sent[k])
 			}
-			picker.AttemptEnded(&sent[k], began)
+			picker.AttemptEnded(&sent[k], started)
 			sent = append(sent[:k], sent[k+1:]...)
 		}
 		engine := engines[rnd.Intn(len(engines))]
@@ -80,7 +80,7 @@
 		case 0:
 			picker.Eject(now, engine.ID, rnd.Int63n(600_000), rnd.Intn(2) == 0)
 		case 1:
-			rnd.Intn(8) // as many draws as when the digest was written
+			rnd.Intn(8) // keeps the number of draws the same as when the digest was recorded
 			picker.ReportLoad(now, engine.ID, rnd.Intn(4))
 		case 2:
 			picker.SetOtherLoads(now, map[uint64]placement.Load{placement.EngineHolderID(engine.ID): {Requests: rnd.Intn(9), PrefillTokens: rnd.Int63n(20_000), MemoryTokens: rnd.Int63n(90_000)}}, false)
--- a/placement/pendingreads.go
+++ b/placement/pendingreads.go
@@ -2,76 +2,79 @@
 
 import "violetthread/cacheindex"
 
-// pendingRead is a block that an engine computes now for some request.
-type pendingRead struct {
+// pendingPrefill records that an engine is computing a block for a request.
+type pendingPrefill struct {
 	holder uint64 // EngineHolderID
-	until  int64  // monotonic microseconds after which it is not believed any more
+	until  int64  // expiry, in monotonic microseconds
 }
 
 const (
-	// pendingReadUS is for how long a block counts as being read: longer than almost any prompt
-	// takes, and short enough that a failed request's blocks are soon read elsewhere.
-	pendingReadUS = 2_000_000
-	// maxPendingReads bounds the table; beyond it, what is over is dropped.
-	maxPendingReads = 4096
+	// pendingPrefillTTLUS is how long a block counts as being computed: longer than the prefill
+	// of almost any prompt, and short enough that the blocks of a failed request are soon
+	// computed by another engine.
+	pendingPrefillTTLUS = 2_000_000
+	// maxPendingPrefills bounds the number of entries.
+	maxPendingPrefills = 4096
 )
 
-// BlockPrefillStarted takes in that an engine, by EngineHolderID, computes a block from about now on.
-// Until its hint comes, others that need the block are better off there than computing it too.
+// BlockPrefillStarted records that an engine, given by its EngineHolderID, has started to compute
+// a block. Until the hint for the block arrives, sending other requests with the block to the
+// same engine avoids computing it twice.
 func (p *Picker) BlockPrefillStarted(now int64, key cacheindex.Key, holder uint64) {
 	if !p.Policy.Uses(PendingReads) {
 		return
 	}
-	if len(p.pendingReads) >= maxPendingReads {
-		p.dropPendingReads(now)
+	if len(p.pendingPrefills) >= maxPendingPrefills {
+		p.evictPendingPrefills(now)
 	}
-	p.pendingReads[key] = pendingRead{holder, now + pendingReadUS}
+	p.pendingPrefills[key] = pendingPrefill{holder, now + pendingPrefillTTLUS}
 }
 
-// dropPendingReads forgets those that are over, or all if none is.
-func (p *Picker) dropPendingReads(now int64) {
-	for key, pending := range p.pendingReads {
+// evictPendingPrefills removes expired entries, or all entries if none has expired.
+func (p *Picker) evictPendingPrefills(now int64) {
+	for key, pending := range p.pendingPrefills {
 		if now >= pending.until {
-			delete(p.pendingReads, key)
+			delete(p.pendingPrefills, key)
 		}
 	}
-	if len(p.pendingReads) >= maxPendingReads {
-		clear(p.pendingReads)
+	if len(p.pendingPrefills) >= maxPendingPrefills {
+		clear(p.pendingPrefills)
 	}
 }
 
-// readersOf tells for each key which engine computes its block now, 0 for none.
-func (p *Picker) readersOf(now int64, keys []cacheindex.Key) []uint64 {
-	readers := make([]uint64, len(keys))
+// computingEngines returns for each key the EngineHolderID of the engine that is computing its
+// block, 0 for none.
+func (p *Picker) computingEngines(now int64, keys []cacheindex.Key) []uint64 {
+	computing := make([]uint64, len(keys))
 	for i, key := range keys {
-		if pending, ok := p.pendingReads[key]; ok && now < pending.until {
-			readers[i] = pending.holder
+		if pending, ok := p.pendingPrefills[key]; ok && now < pending.until {
+			computing[i] = pending.holder
 		}
 	}
-	return readers
+	return computing
 }
 
-// newReads lists the shared blocks that the engine chosen has to compute and that nobody else
-// is known to have or to compute.
-func (b *cachedBlocks) newReads(r *Request, c *Choice) []cacheindex.Key {
+// blocksToCompute returns the keys of the shared blocks that the chosen engine has to compute and
+// that no node is known to have cached or to be computing.
+func (b *blockLocations) blocksToCompute(r *Request, c *Choice) []cacheindex.Key {
 	var keys []cacheindex.Key
 	present, sum := c.CachedTokens+c.TransferTokens, 0
 	for i, block := range r.Blocks[:r.sharedBlocks()] {
-		if sum += block.Tokens; sum > present && len(b.holders[i]) == 0 && b.readers[i] == 0 {
+		if sum += block.Tokens; sum > present && len(b.holders[i]) == 0 && b.computing[i] == 0 {
 			keys = append(keys, b.keys[i])
 		}
 	}
 	return keys
 }
 
-// readTwiceTokens counts the tokens of shared blocks that an engine would compute although
-// another one computes them now.
-func (b *cachedBlocks) readTwiceTokens(r *Request, own uint64, present int) int {
-	sum, twice := 0, 0
+// duplicatePrefillTokens returns the number of tokens in shared blocks that an engine would have
+// to compute although another engine is already computing them.
+func (b *blockLocations) duplicatePrefillTokens(r *Request, own uint64, present int) int {
+	sum, duplicate := 0, 0
 	for i, block := range r.Blocks[:r.sharedBlocks()] {
-		if sum += block.Tokens; sum > present && b.readers[i] != 0 && b.readers[i] != own {
-			twice += block.Tokens
+		if sum += block.Tokens; sum > present && b.computing[i] != 0 && b.computing[i] != own {
+			duplicate += block.Tokens
 		}
 	}
-	return twice
+	return duplicate
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -12,7 +12,7 @@
 
 const model = "m"
 
-// testFleet is a Picker with its hints and the fleet that it knows.
+// testFleet is a Picker with its hints and its fleet.
 type testFleet struct {
 	*Picker
 	hints   *cacheindex.HolderTable
@@ -29,15 +29,15 @@
 			CacheTokens: 100_000, Weights: map[string]uint64{model: 1}})
 	}
 	f.stores = []Store{{Addr: "10.9.9.9:80", Zone: "north"}}
-	f.remap()
+	f.updateFleet()
 	return f
 }
 
-// remap takes in the fleet anew.
-func (f *testFleet) remap() { f.SetFleet(f.engines, f.stores) }
+// updateFleet passes the current engines and stores to the Picker.
+func (f *testFleet) updateFleet() { f.SetFleet(f.engines, f.stores) }
 
-// hold hints that a node has blocks cached.
-func (f *testFleet) hold(node uint64, scope string, v uint64, ids ...string) {
+// putHints adds hints that a node has blocks cached.
+func (f *testFleet) putHints(node uint64, scope string, v uint64, ids ...string) {
 	for _, id := range ids {
 		f.hints.Put(cacheindex.BlockKey(CacheSalt(scope, v), model, id), node)
 	}
@@ -52,8 +52,9 @@
 	return r
 }
 
-// TestNeverPicked: an engine that drains, was tried, is ejected, is of another pool or runs
-// something too old gets nothing, whatever it has cached; none at all is no choice.
+// TestNeverPicked checks that an engine that is draining, ejected, already tried, of another pool
+// or running too old a version is never selected, whatever it has cached, and that Pick fails if
+// no engine is eligible.
 func TestNeverPicked(t *testing.T) {
 	for seed := int64(1); seed <= 300; seed++ {
 		rnd := rand.New(rand.NewSource(seed))
@@ -73,18 +74,18 @@
 				r.TriedEngines[e.ID] = true
 			}
 		}
-		f.remap()
+		f.updateFleet()
 		for _, e := range f.engines {
 			for v := uint64(1); v <= 3; v++ {
 				if rnd.Intn(2) == 0 {
-					f.hold(EngineHolderID(e.ID), r.CacheScope, v, "a", "b")
+					f.putHints(EngineHolderID(e.ID), r.CacheScope, v, "a", "b")
 				}
 			}
 			ejected := rnd.Intn(4) == 0
 			if ejected {
 				f.Eject(now, e.ID, 100_000, rnd.Intn(2) == 0)
 			} else if rnd.Intn(4) == 0 {
-				f.Eject(now-2_000_000, e.ID, 100_000, false) // over by now
+				f.Eject(now-2_000_000, e.ID, 100_000, false) // already over
 			}
 			if !e.Draining && !ejected && !r.TriedEngines[e.ID] && e.Pool == "p" && e.Weights[model] >= r.MinVersion {
 				ok[e.ID] = true
@@ -97,64 +98,65 @@
 		c, got := f.Pick(now, r)
 		switch {
 		case got != (usable > 0):
-			t.Fatalf("seed %d: a choice: %v, engines that may be used: %d", seed, got, usable)
+			t.Fatalf("seed %d: engine selected: %v, eligible engines: %d", seed, got, usable)
 		case got && !ok[c.Engine.ID]:
-			t.Fatalf("seed %d: %+v was chosen", seed, c.Engine)
+			t.Fatalf("seed %d: ineligible engine %+v selected", seed, c.Engine)
 		case got && c.Engine.UpdatingWeights && notUpdating > 0:
-			t.Fatalf("seed %d: %s is about to load other weights, %d are not", seed, c.Engine.ID, notUpdating)
+			t.Fatalf("seed %d: %s selected, which is about to load other weights; %d eligible engines are not", seed, c.Engine.ID, notUpdating)
 		case got && (c.Version != c.Engine.Weights[model] || c.Salt != CacheSalt(r.CacheScope, c.Version)):
-			t.Fatalf("seed %d: %+v at %+v", seed, c, c.Engine)
+			t.Fatalf("seed %d: version or salt of %+v does not match engine %+v", seed, c, c.Engine)
 		}
 		if got {
 			for i, k := range BlockKeys(r, c.Salt) {
 				if k != c.BlockKeys[i] {
-					t.Fatalf("seed %d: key %d is of another salt", seed, i)
+					t.Fatalf("seed %d: block key %d has another salt", seed, i)
 				}
 			}
 			if c.Source == c.Engine.Addr || c.Destination == c.Engine.Addr {
-				t.Fatalf("seed %d: %s is told to transfer to itself", seed, c.Engine.ID)
+				t.Fatalf("seed %d: %s is its own source or destination", seed, c.Engine.ID)
 			}
 		}
 	}
 }
 
-// TestSourceJoins: what a source has cached counts together with what the engine has, behind
-// the gap as well.
+// TestSourceJoins checks that the blocks of a source are combined with those of the engine,
+// including the engine's blocks after the ones that only the source has.
 func TestSourceJoins(t *testing.T) {
 	f := newTestFleet(2)
 	own, other := f.engines[0], f.engines[1]
 	other.Draining = true // so that it can only be a source
-	f.remap()
-	f.hold(EngineHolderID(own.ID), "c1", 1, "a", "c")
-	f.hold(EngineHolderID(other.ID), "c1", 1, "b")
+	f.updateFleet()
+	f.putHints(EngineHolderID(own.ID), "c1", 1, "a", "c")
+	f.putHints(EngineHolderID(other.ID), "c1", 1, "b")
 	f.stores = nil
-	f.remap()
+	f.updateFleet()
 	c, ok := f.Pick(1, request("a", "b", "c", "own"))
 	if !ok || c.Engine != own || c.Source != other.Addr || c.CachedTokens != 2000 || c.TransferTokens != 1000 || c.PrefillTokens != 1000 {
-		t.Fatalf("%v %+v", ok, c)
+		t.Fatalf("choice with a source for the missing block: %v %+v", ok, c)
 	}
-	// Without it the engine reads from the gap on.
+	// Without the source the engine computes everything from the missing block on.
 	other.Unhealthy = true
 	if c, _ = f.Pick(1, request("a", "b", "c", "own")); c.Source != "" || c.CachedTokens != 1000 || c.TransferTokens != 0 || c.PrefillTokens != 3000 {
-		t.Fatalf("a dead source is named or counted: %+v", c)
+		t.Fatalf("unhealthy source used: %+v", c)
 	}
 }
 
-// TestSourceOfAnotherScope: neither another tenant's blocks nor those of other weights count.
+// TestSourceOfAnotherScope checks that blocks of another cache scope or of other weights are not
+// used.
 func TestSourceOfAnotherScope(t *testing.T) {
 	f := newTestFleet(2)
 	f.stores = nil
 	f.engines[1].Draining = true
-	f.remap()
-	f.hold(EngineHolderID(f.engines[1].ID), "w2", 1, "a", "b")
-	f.hold(EngineHolderID(f.engines[1].ID), "c1", 2, "a", "b")
-	f.hold(EngineHolderID(f.engines[0].ID), "w2", 1, "a", "b")
+	f.updateFleet()
+	f.putHints(EngineHolderID(f.engines[1].ID), "w2", 1, "a", "b")
+	f.putHints(EngineHolderID(f.engines[1].ID), "c1", 2, "a", "b")
+	f.putHints(EngineHolderID(f.engines[0].ID), "w2", 1, "a", "b")
 	if c, _ := f.Pick(1, request("a", "b", "own")); c.Source != "" || c.CachedTokens+c.TransferTokens != 0 || c.PrefillTokens != 3000 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("blocks of another scope or version used: %+v", c)
 	}
 }
 
-// TestStore names the store as source and as destination only where it should be.
+// TestStore checks in which cases the store is named as source and as destination.
 func TestStore(t *testing.T) {
 	store := "10.9.9.9:80"
 	type c struct {
@@ -163,33 +165,33 @@
 		blocks       []string
 		source, dest string
 	}
-	engineHolds := func(f *testFleet, ids ...string) { f.hold(EngineHolderID("i-0"), "c1", 1, ids...) }
-	storeHolds := func(f *testFleet, ids ...string) { f.hold(StoreHolderID(store), "c1", 1, ids...) }
+	engineHolds := func(f *testFleet, ids ...string) { f.putHints(EngineHolderID("i-0"), "c1", 1, ids...) }
+	storeHolds := func(f *testFleet, ids ...string) { f.putHints(StoreHolderID(store), "c1", 1, ids...) }
 	for _, x := range []c{
-		{"nobody has it", func(*testFleet) {}, []string{"a", "b", "own"}, store, store},
-		{"not complete", func(f *testFleet) { f.HintsComplete = false }, []string{"a", "b", "own"}, store, ""},
-		{"store down", func(f *testFleet) { f.stores[0].Unhealthy = true }, []string{"a", "b", "own"}, "", ""},
-		{"store down that has it", func(f *testFleet) { f.stores[0].Unhealthy = true; storeHolds(f, "a", "b") }, []string{"a", "b", "own"}, "", ""},
+		{"no blocks cached", func(*testFleet) {}, []string{"a", "b", "own"}, store, store},
+		{"hints not complete", func(f *testFleet) { f.HintsComplete = false }, []string{"a", "b", "own"}, store, ""},
+		{"store unhealthy", func(f *testFleet) { f.stores[0].Unhealthy = true }, []string{"a", "b", "own"}, "", ""},
+		{"unhealthy store has the blocks", func(f *testFleet) { f.stores[0].Unhealthy = true; storeHolds(f, "a", "b") }, []string{"a", "b", "own"}, "", ""},
 		{"no store", func(f *testFleet) { f.stores = nil }, []string{"a", "b", "own"}, "", ""},
-		{"the store has all that is shared", func(f *testFleet) { storeHolds(f, "a", "b") }, []string{"a", "b", "own"}, store, ""},
-		{"the store has the first", func(f *testFleet) { storeHolds(f, "a") }, []string{"a", "b", "own"}, store, store},
-		{"the engine has all that is shared", func(f *testFleet) { engineHolds(f, "a", "b") }, []string{"a", "b", "own"}, store, ""},
-		{"the engine has the first, the store the second", func(f *testFleet) { engineHolds(f, "a"); storeHolds(f, "b") }, []string{"a", "b", "own"}, store, ""},
-		{"nothing is shared", func(*testFleet) {}, []string{"own"}, "", ""},
-		{"the store has it under other weights", func(f *testFleet) { f.hold(StoreHolderID(store), "c1", 2, "a", "b") }, []string{"a", "b", "own"}, store, store},
-		{"the store has it of another scope", func(f *testFleet) { f.hold(StoreHolderID(store), "w2", 1, "a", "b") }, []string{"a", "b", "own"}, store, store},
+		{"the store has all shared blocks", func(f *testFleet) { storeHolds(f, "a", "b") }, []string{"a", "b", "own"}, store, ""},
+		{"the store has the first block", func(f *testFleet) { storeHolds(f, "a") }, []string{"a", "b", "own"}, store, store},
+		{"the engine has all shared blocks", func(f *testFleet) { engineHolds(f, "a", "b") }, []string{"a", "b", "own"}, store, ""},
+		{"the engine has the first block, the store the second", func(f *testFleet) { engineHolds(f, "a"); storeHolds(f, "b") }, []string{"a", "b", "own"}, store, ""},
+		{"no shared blocks", func(*testFleet) {}, []string{"own"}, "", ""},
+		{"the store has blocks of other weights", func(f *testFleet) { f.putHints(StoreHolderID(store), "c1", 2, "a", "b") }, []string{"a", "b", "own"}, store, store},
+		{"the store has blocks of another scope", func(f *testFleet) { f.putHints(StoreHolderID(store), "w2", 1, "a", "b") }, []string{"a", "b", "own"}, store, store},
 	} {
 		f := newTestFleet(1)
 		x.set(f)
-		f.remap()
+		f.updateFleet()
 		g, ok := f.Pick(1, request(x.blocks...))
 		if !ok || g.Source != x.source || g.Destination != x.dest {
-			t.Errorf("%s: source %q, not %q; destination %q, not %q", x.name, g.Source, x.source, g.Destination, x.dest)
+			t.Errorf("%s: source %q, want %q; destination %q, want %q", x.name, g.Source, x.source, g.Destination, x.dest)
 		}
 	}
 }
 
-// TestSalts: a salt stands for one cache scope and one version.
+// TestSalts checks that different cache scopes and versions have different salts.
 func TestSalts(t *testing.T) {
 	table := route.Compile(route.Config{Tenants: []route.Tenant{{Name: "a", Isolated: true}, {Name: "b", Isolated: true}, {Name: "c"}, {Name: "d"}}}, 1)
 	seen := map[string]string{}
@@ -197,20 +199,21 @@
 		for _, v := range []uint64{0, 1, 2, 10, 11, 12, 1 << 60} {
 			s, who := CacheSalt(table.CacheScope(n), v), fmt.Sprint(n, "/", v)
 			if o, ok := seen[s]; ok {
-				t.Errorf("%s and %s share %s", o, who, s)
+				t.Errorf("%s and %s have the same salt %s", o, who, s)
 			}
 			seen[s] = who
 			if !strings.HasSuffix(s, fmt.Sprint(v)) {
-				t.Errorf("%s stands for version %d", s, v)
+				t.Errorf("salt %s of version %d does not end in the version", s, v)
 			}
 		}
 	}
 	if CacheSalt(table.CacheScope("c"), 1) != CacheSalt(table.CacheScope("d"), 1) {
-		t.Error("tenants that share everything have two salts")
+		t.Error("tenants without isolation have different salts")
 	}
 }
 
-// TestEjectionEnds: an engine comes back into use, and a success ends the doubling.
+// TestEjectionEnds checks that the ejection time doubles with repeated failures, and that an
+// ejected engine is used again within sixteen times the base duration.
 func TestEjectionEnds(t *testing.T) {
 	f := newTestFleet(1)
 	now := int64(1_000_000)
@@ -218,43 +221,43 @@
 		f.Eject(now, "i-0", 400_000, true)
 	}
 	if _, ok := f.Pick(now+400_000, request("own")); ok {
-		t.Fatal("an ejection that doubles did not")
+		t.Fatal("ejection was not extended after repeated failures")
 	}
 	if _, ok := f.Pick(now+16*400_000, request("own")); !ok {
-		t.Fatal("an engine that failed is out of use for good")
+		t.Fatal("engine still ejected after the longest ejection")
 	}
 }
 
-// TestLoadReturns: whatever happens to attempts and to the fleet, once all have ended
-// nothing is left under way.
+// TestLoadReturns checks that the counted load matches the attempts in flight through random
+// attempts and fleet changes, and is zero after all attempts have ended.
 func TestLoadReturns(t *testing.T) {
 	for seed := int64(1); seed <= 100; seed++ {
 		rnd := rand.New(rand.NewSource(seed))
 		f := newTestFleet(4)
 		all := f.engines
-		type on struct {
-			c     Choice
-			began bool
+		type inFlightAttempt struct {
+			c       Choice
+			started bool
 		}
-		var under []on
+		var inFlight []inFlightAttempt
 		now := int64(1_000_000)
-		for step := 0; step < 400 || len(under) > 0; step++ {
+		for step := 0; step < 400 || len(inFlight) > 0; step++ {
 			now += rnd.Int63n(50_000)
 			switch x := rnd.Intn(10); {
 			case x < 4 && step < 400:
 				if c, ok := f.Pick(now, request("a", fmt.Sprint("b", rnd.Intn(4)), "own")); ok {
 					f.RequestSent(now, &c)
-					under = append(under, on{c: c})
+					inFlight = append(inFlight, inFlightAttempt{c: c})
 				}
-			case x < 6 && len(under) > 0:
-				if u := &under[rnd.Intn(len(under))]; !u.began {
+			case x < 6 && len(inFlight) > 0:
+				if u := &inFlight[rnd.Intn(len(inFlight))]; !u.started {
 					f.ResponseStarted(now, &u.c)
-					u.began = true
+					u.started = true
 				}
-			case x < 9 && len(under) > 0:
-				i := rnd.Intn(len(under))
-				f.AttemptEnded(&under[i].c, under[i].began)
-				under = append(under[:i], under[i+1:]...)
+			case x < 9 && len(inFlight) > 0:
+				i := rnd.Intn(len(inFlight))
+				f.AttemptEnded(&inFlight[i].c, inFlight[i].started)
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 			default:
 				f.engines = nil
 				for _, e := range all {
@@ -262,45 +265,46 @@
 						f.engines = append(f.engines, e)
 					}
 				}
-				f.remap()
+				f.updateFleet()
 			}
 			n := 0
 			for _, l := range f.OwnLoads(now) {
 				n += l.Requests
 			}
-			if n != len(under) {
-				t.Fatalf("seed %d: %d are under way, %d are counted", seed, len(under), n)
+			if n != len(inFlight) {
+				t.Fatalf("seed %d: %d attempts in flight, %d counted", seed, len(inFlight), n)
 			}
 		}
 		for id, s := range f.states {
 			if s.own != (Load{}) {
-				t.Fatalf("seed %d: %s is left with %+v", seed, id, s.own)
+				t.Fatalf("seed %d: %s still has load %+v", seed, id, s.own)
 			}
 		}
 		if len(f.OwnLoads(now)) != 0 {
-			t.Fatalf("seed %d: %v is told", seed, f.OwnLoads(now))
+			t.Fatalf("seed %d: load %v reported without attempts", seed, f.OwnLoads(now))
 		}
 	}
 }
 
-// TestMisdirectedGoesWhereOneAnswered: once an address turned out to be another engine's,
-// the next attempt goes to an engine that answered lately, however idle others look.
+// TestMisdirectedGoesWhereOneAnswered checks that after an address turned out to belong to
+// another engine, the next attempt is sent to an engine with a recent load report, even if
+// others have less load.
 func TestMisdirectedGoesWhereOneAnswered(t *testing.T) {
 	f := newTestFleet(6)
 	now := int64(10_000_000)
 	reported := f.engines[4].ID
 	f.ReportLoad(now-500_000, reported, 4) // busy
-	f.ReportLoad(now-reportedLatelyUS, f.engines[5].ID, 0)
+	f.ReportLoad(now-recentReportUS, f.engines[5].ID, 0)
 	r := request("a", "own")
 	if c, ok := f.Pick(now, r); !ok || c.Engine.ID == reported {
-		t.Fatalf("the case shows nothing: %v, %+v", ok, c.Engine)
+		t.Fatalf("precondition failed, the engine is selected without Misdirected: %v, %+v", ok, c.Engine)
 	}
 	r.Misdirected = true
 	if c, ok := f.Pick(now, r); !ok || c.Engine.ID != reported {
-		t.Errorf("%v, %+v", ok, c.Engine)
+		t.Errorf("engine with the recent report not selected: %v, %+v", ok, c.Engine)
 	}
 	r.TriedEngines[reported] = true
 	if c, ok := f.Pick(now, r); !ok || c.Engine.ID == reported {
-		t.Errorf("no engine has answered lately, and any other will do: %v, %+v", ok, c.Engine)
+		t.Errorf("no untried engine has a recent report, but no other one was selected: %v, %+v", ok, c.Engine)
 	}
 }
--- a/placement/policy.go
+++ b/placement/policy.go
@@ -7,33 +7,33 @@
 	"github.com/gravitational/trace"
 )
 
-// Mechanism is a part of the policy that can be switched off, to measure what it is worth.
+// Mechanism is a part of the policy that can be disabled, in order to measure its benefit.
 type Mechanism string
 
 // The mechanisms.
 const (
-	Affinity         Mechanism = "affinity"          // a block that nobody has goes to its home
+	Affinity         Mechanism = "affinity"          // requests whose blocks are cached nowhere are sent to the blocks' home
 	PeerTransfer     Mechanism = "peer-transfer"     // engines fetch cached blocks from each other
 	StoreTransfer    Mechanism = "store-transfer"    // engines fetch cached blocks from stores
-	PendingReads     Mechanism = "pending-reads"     // blocks that an engine computes now draw requests there
-	PromptHints      Mechanism = "prompt-hints"      // proxies tell each other what engines have read for them
-	StoreFill        Mechanism = "store-fill"        // engines send what they computed to stores
-	MemoryPressure   Mechanism = "memory-pressure"   // full engines are avoided
-	OtherLoads       Mechanism = "other-loads"       // loads that other proxies reported count
+	PendingReads     Mechanism = "pending-reads"     // requests are sent to the engine that is computing their blocks
+	PromptHints      Mechanism = "prompt-hints"      // proxies notify each other of the blocks that engines have computed for them
+	StoreFill        Mechanism = "store-fill"        // engines send computed blocks to stores
+	MemoryPressure   Mechanism = "memory-pressure"   // engines with high memory use are avoided
+	OtherLoads       Mechanism = "other-loads"       // loads reported by other proxies are included
 	PromptLoads      Mechanism = "prompt-loads"      // loads are reported as they change
-	ReportedLoads    Mechanism = "reported-loads"    // queues that engines reported count
-	Ejection         Mechanism = "ejection"          // an engine that failed or rejected is left alone
-	SharedFailures   Mechanism = "shared-failures"   // failures that other proxies saw count
+	ReportedLoads    Mechanism = "reported-loads"    // queue lengths reported by engines are included
+	Ejection         Mechanism = "ejection"          // engines that failed or rejected a request are excluded for a time
+	SharedFailures   Mechanism = "shared-failures"   // failures seen by other proxies are included
 	ZonePreference   Mechanism = "zone-preference"   // engines in the proxy's zone are preferred
 	ConnectionReuse  Mechanism = "connection-reuse"  // engines with an idle connection are preferred
-	LearnedSpeed     Mechanism = "learned-speed"     // how fast engines are is learned from their answers
+	LearnedSpeed     Mechanism = "learned-speed"     // the prefill speed of engines is learned from their responses
 	LinkSpeed        Mechanism = "link-speed"        // transfers are estimated from the links' configured speeds
-	LongKeepAlive    Mechanism = "long-keep-alive"   // idle connections are kept as long as the engine says
-	RequestPriority  Mechanism = "request-priority"  // engines are told the priority of a request
-	StreamResumption Mechanism = "stream-resumption" // a broken stream goes on at another engine
+	LongKeepAlive    Mechanism = "long-keep-alive"   // idle connections are kept for the time that the engine advertises
+	RequestPriority  Mechanism = "request-priority"  // the priority of a request is passed to the engine
+	StreamResumption Mechanism = "stream-resumption" // an interrupted stream is resumed at another engine
 )
 
-// Mechanisms lists all of them.
+// Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		Affinity, PeerTransfer, StoreTransfer, PendingReads, PromptHints, StoreFill, MemoryPressure, OtherLoads, PromptLoads, ReportedLoads, Ejection,
@@ -41,12 +41,12 @@
 	}
 }
 
-// Policy says which mechanisms are in use. The zero value uses all of them.
+// Policy selects the mechanisms that are enabled. The zero value enables all of them.
 type Policy struct {
-	off []Mechanism
+	disabled []Mechanism
 }
 
-// ParsePolicy reads the names of the mechanisms that are switched off, split by commas.
+// ParsePolicy parses a comma-separated list of the mechanisms to disable.
 func ParsePolicy(off string) (Policy, error) {
 	var policy Policy
 	for _, name := range strings.Split(off, ",") {
@@ -55,14 +55,14 @@
 			continue
 		}
 		if !slices.Contains(Mechanisms(), mechanism) {
-			return Policy{}, trace.BadParameter("no mechanism is called %q; use any of %s", mechanism, MechanismNames())
+			return Policy{}, trace.BadParameter("unknown mechanism %q; valid mechanisms are %s", mechanism, MechanismNames())
 		}
-		policy.off = append(policy.off, mechanism)
+		policy.disabled = append(policy.disabled, mechanism)
 	}
 	return policy, nil
 }
 
-// MechanismNames lists the names of all mechanisms, split by commas.
+// MechanismNames returns the names of all mechanisms, separated by commas.
 func MechanismNames() string {
 	var names []string
 	for _, mechanism := range Mechanisms() {
@@ -71,13 +71,13 @@
 	return strings.Join(names, ",")
 }
 
-// Uses reports whether a mechanism is in use.
-func (p Policy) Uses(mechanism Mechanism) bool { return !slices.Contains(p.off, mechanism) }
+// Uses reports whether a mechanism is enabled.
+func (p Policy) Uses(mechanism Mechanism) bool { return !slices.Contains(p.disabled, mechanism) }
 
-// Disabled lists the mechanisms that are switched off, split by commas.
+// Disabled returns the names of the disabled mechanisms, separated by commas.
 func (p Policy) Disabled() string {
 	var names []string
-	for _, mechanism := range p.off {
+	for _, mechanism := range p.disabled {
 		names = append(names, string(mechanism))
 	}
 	return strings.Join(names, ",")
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -5,31 +5,32 @@
 	"testing"
 )
 
-// TestParsePolicy: names are read with spaces around them, unknown ones are rejected with the
-// list of those that there are.
+// TestParsePolicy checks that spaces around names are ignored, and that an unknown name is
+// rejected with a list of the valid ones.
 func TestParsePolicy(t *testing.T) {
 	policy, err := ParsePolicy(" affinity, ,ejection")
 	if err != nil || policy.Uses(Affinity) || policy.Uses(Ejection) || !policy.Uses(PeerTransfer) || policy.Disabled() != "affinity,ejection" {
-		t.Errorf("%v %+v", err, policy)
+		t.Errorf("two mechanisms disabled: %v %+v", err, policy)
 	}
 	if policy, err = ParsePolicy(""); err != nil || policy.Disabled() != "" {
-		t.Errorf("nothing is off: %v %q", err, policy.Disabled())
+		t.Errorf("empty list: %v %q", err, policy.Disabled())
 	}
 	if _, err = ParsePolicy("affinity,magic"); err == nil || !strings.Contains(err.Error(), `"magic"`) || !strings.Contains(err.Error(), string(StoreFill)) {
 		t.Errorf("unknown name: %v", err)
 	}
 	for _, mechanism := range Mechanisms() {
 		if policy, err = ParsePolicy(string(mechanism)); err != nil || policy.Uses(mechanism) {
-			t.Errorf("%s can't be switched off: %v", mechanism, err)
+			t.Errorf("%s can't be disabled: %v", mechanism, err)
 		}
 	}
 }
 
-// TestOverride: figures are set by name; a mistake changes nothing and says what is wrong.
+// TestOverride checks that parameters are set by name, and that an error names the parameter and
+// leaves the model unchanged.
 func TestOverride(t *testing.T) {
 	cost := DefaultCostModel()
 	if err := cost.Override("other-zone-share=0.5, transfer-setup-us=12"); err != nil || cost.OtherZoneShare != 0.5 || cost.TransferSetupUS != 12 {
-		t.Fatalf("%v %+v", err, cost)
+		t.Fatalf("two parameters set: %v %+v", err, cost)
 	}
 	before := cost
 	for text, want := range map[string]string{
@@ -42,12 +43,13 @@
 			t.Errorf("%s: %v", text, err)
 		}
 		if cost != before {
-			t.Errorf("%s: changed to %+v", text, cost)
+			t.Errorf("%s: failed, but changed the model to %+v", text, cost)
 		}
 	}
 }
 
-// TestMechanismsOff: each mechanism that is switched off stops having its effect on a choice.
+// TestMechanismsOff checks that each mechanism changes the Choice in its test case only while it
+// is enabled.
 func TestMechanismsOff(t *testing.T) {
 	now := int64(10_000_000)
 	for _, c := range []struct {
@@ -56,11 +58,11 @@
 		changed func(on, off Choice) bool
 	}{
 		{PeerTransfer, func(f *testFleet) {
-			f.hold(EngineHolderID(f.engines[1].ID), "c1", 1, "a")
+			f.putHints(EngineHolderID(f.engines[1].ID), "c1", 1, "a")
 			f.engines[1].Draining = true
 		},
 			func(on, off Choice) bool { return on.TransferTokens == 1000 && off.TransferTokens == 0 }},
-		{StoreTransfer, func(f *testFleet) { f.hold(StoreHolderID(f.stores[0].Addr), "c1", 1, "a") },
+		{StoreTransfer, func(f *testFleet) { f.putHints(StoreHolderID(f.stores[0].Addr), "c1", 1, "a") },
 			func(on, off Choice) bool { return on.TransferTokens == 1000 && off.Source == "" }},
 		{StoreFill, func(*testFleet) {},
 			func(on, off Choice) bool { return on.Destination != "" && off.Destination == "" }},
@@ -90,12 +92,12 @@
 		choose := func(policy Policy) Choice {
 			f := newTestFleet(2)
 			f.Policy = policy
-			f.Cost.AffinityPenaltyUS = 0 // the first engine in the list is not preferred by chance
+			f.Cost.AffinityPenaltyUS = 0 // so that affinity does not outweigh the mechanism
 			c.prepare(f)
-			f.remap()
+			f.updateFleet()
 			choice, ok := f.Pick(now, request("a", "own"))
 			if !ok {
-				t.Fatalf("%s: no choice", c.off)
+				t.Fatalf("%s: no engine selected", c.off)
 			}
 			return choice
 		}
@@ -104,12 +106,12 @@
 			t.Fatal(err)
 		}
 		if on, off := choose(Policy{}), choose(policy); !c.changed(on, off) {
-			t.Errorf("%s: in use %s %+v, off %s %+v", c.off, on.Engine.ID, on, off.Engine.ID, off)
+			t.Errorf("%s: enabled: %s %+v, disabled: %s %+v", c.off, on.Engine.ID, on, off.Engine.ID, off)
 		}
 	}
 }
 
-// loadsAt is a load at one engine.
+// loadsAt returns loads with a load at a single engine.
 func (f *testFleet) loadsAt(engine int, load Load) map[uint64]Load {
 	return map[uint64]Load{EngineHolderID(f.engines[engine].ID): load}
 }
--- a/placement/prefillmodel_test.go
+++ b/placement/prefillmodel_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// TestPrefillModelLearns: whatever the speed of engines, predictions come close to what answers
-// show, though some are late by far; a tenth of answers that come ten times as late moves them
-// by little.
+// TestPrefillModelLearns checks that predictions converge to the actual times for engines of
+// different speeds, also if a tenth of the responses take ten times as long.
 func TestPrefillModelLearns(t *testing.T) {
 	for _, c := range []struct{ fixedUS, usPerToken, outliers float64 }{
 		{120_000, 19, 0}, {30_000, 4, 0}, {40_000, 40, 0}, {120_000, 19, 0.1}, {20_000, 9, 0.1},
@@ -26,46 +25,48 @@
 		for _, tokens := range []float64{1000, 5000, 20_000} {
 			want := c.fixedUS + tokens*c.usPerToken
 			if got := model.predictUS(tokens); got < want*0.7 || got > want*1.4 {
-				t.Errorf("%+v: %.0f tokens are predicted to take %.0f µs, they take %.0f", c, tokens, got, want)
+				t.Errorf("%+v: %.0f tokens predicted to take %.0f µs, actual %.0f", c, tokens, got, want)
 			}
 		}
 	}
 }
 
-// TestPrefillModelBounded: what is learned stays within a range, however long nonsense comes.
+// TestPrefillModelBounded checks that learned parameters stay within their range under a long
+// series of implausible responses.
 func TestPrefillModelBounded(t *testing.T) {
 	for _, us := range []float64{0, 1e12} {
 		model := newPrefillModel(100)
 		for i := range 10_000 {
 			model.learn(float64(i%30_000), us, 100)
 		}
-		if ratio := model.usPerToken / 10; ratio < 1.0/maxLearnFactor-1e-9 || ratio > maxLearnFactor+1e-9 {
-			t.Errorf("answers after %.0f µs: %.3f µs a token", us, model.usPerToken)
+		if ratio := model.usPerToken / 10; ratio < 1.0/maxLearnedRatio-1e-9 || ratio > maxLearnedRatio+1e-9 {
+			t.Errorf("responses after %.0f µs: learned %.3f µs per token", us, model.usPerToken)
 		}
-		if ratio := model.fixedUS / startFixedUS; ratio < 1.0/maxLearnFactor-1e-9 || ratio > maxLearnFactor+1e-9 {
-			t.Errorf("answers after %.0f µs: %.0f µs fixed", us, model.fixedUS)
+		if ratio := model.fixedUS / initialFixedUS; ratio < 1.0/maxLearnedRatio-1e-9 || ratio > maxLearnedRatio+1e-9 {
+			t.Errorf("responses after %.0f µs: learned fixed time %.0f µs", us, model.fixedUS)
 		}
 	}
 }
 
-// TestPrefillWork: a token behind a long context counts for more, one without for itself.
+// TestPrefillWork checks that tokens with a long context have a higher weight, and tokens without
+// context a weight of one.
 func TestPrefillWork(t *testing.T) {
 	if got := prefillWork(100, 100); got < 100 || got > 101 {
-		t.Errorf("a short prompt: %d", got)
+		t.Errorf("work of a short prompt: %d", got)
 	}
-	if got := prefillWork(contextTokens, contextTokens); got != contextTokens*3/2 {
-		t.Errorf("a whole long prompt: %d", got)
+	if got := prefillWork(contextCostTokens, contextCostTokens); got != contextCostTokens*3/2 {
+		t.Errorf("work of an uncached long prompt: %d", got)
 	}
 	if got, whole := prefillWork(40_000, 1000), prefillWork(1000, 1000); got < whole*3/2 {
-		t.Errorf("the end of a long prompt counts %d, a short prompt %d", got, whole)
+		t.Errorf("work of the end of a long prompt: %d, of a short prompt: %d", got, whole)
 	}
 	if prefillWork(5000, 0) != 0 {
-		t.Error("nothing to read counts")
+		t.Error("non-zero work without tokens to compute")
 	}
 }
 
-// TestLearnsFromAnswers: the picker learns a pool's speed from answers, and not when that is
-// switched off.
+// TestLearnsFromAnswers checks that the picker learns a pool's speed from responses, unless
+// LearnedSpeed is disabled.
 func TestLearnsFromAnswers(t *testing.T) {
 	for _, off := range []string{"", string(LearnedSpeed)} {
 		f := newTestFleet(2)
@@ -81,31 +82,32 @@
 		c, _ := f.Pick(now, request("own"))
 		learned := c.PredictedUS > 250_000 && c.PredictedUS < 550_000
 		if learned != (off == "") {
-			t.Errorf("off %q: predicted %d µs after answers that took 400 ms", off, c.PredictedUS)
+			t.Errorf("disabled %q: predicted %d µs after responses that took 400 ms", off, c.PredictedUS)
 		}
 	}
 }
 
-// TestQueuedTokens: an engine goes on reading, but what it was sent never quite vanishes before
-// it answers; what others report counts, and the end of a prompt starts the next one.
+// TestQueuedTokens checks that the estimated backlog shrinks with time down to a minimum fraction
+// of the tokens sent, that it includes the load of other proxies, and that the end of one prefill
+// starts the next.
 func TestQueuedTokens(t *testing.T) {
 	const usPerToken = 10
 	state := &engineState{}
-	state.setOthers(1_000_000, Load{PrefillTokens: 10_000})
+	state.setOtherLoad(1_000_000, Load{PrefillTokens: 10_000})
 	for _, c := range []struct {
 		now  int64
 		want float64
 	}{{1_000_000, 10_000}, {1_020_000, 8000}, {1_080_000, 4000}, {9_000_000, 4000}} {
 		if got := state.queuedTokens(c.now, usPerToken, 0.4); got != c.want {
-			t.Errorf("at %d: %.0f tokens, want %.0f", c.now, got, c.want)
+			t.Errorf("at %d: %.0f queued tokens, want %.0f", c.now, got, c.want)
 		}
 	}
-	state.setOthers(9_000_000, Load{PrefillTokens: 6000}) // one was read, the next begins
+	state.setOtherLoad(9_000_000, Load{PrefillTokens: 6000}) // one prefill ended, the next one starts
 	if got := state.queuedTokens(9_010_000, usPerToken, 0.4); got != 5000 {
-		t.Errorf("after the first prompt: %.0f tokens", got)
+		t.Errorf("after the first prefill: %.0f queued tokens", got)
 	}
 	state.own.PrefillTokens = 2000
 	if got := state.queuedTokens(9_010_000, usPerToken, 0.4); got != 7000 {
-		t.Errorf("own and others': %.0f tokens", got)
+		t.Errorf("own and others' load: %.0f queued tokens", got)
 	}
 }
--- a/placement/request.go
+++ b/placement/request.go
@@ -2,33 +2,34 @@
 
 import "violetthread/cacheindex"
 
-// Block is a prefix block of a prompt, as its caller names it.
+// Block is a prefix block of a prompt, identified by the caller.
 type Block struct {
 	ID     string
 	Tokens int
 }
 
-// Request is what has to be placed.
+// Request is a request for which Pick selects an engine.
 type Request struct {
 	Pool            string
 	Model           string  // empty if the request names none
-	Blocks          []Block // in the prompt's order; the last one is the request's own
+	Blocks          []Block // in prompt order; the last one is not shared with other requests
 	PromptTokens    int
 	MaxOutputTokens int
-	LatencyTargetUS int64           // microseconds within which the first event is in time, 0 for none
-	CacheScope      string          // of the tenant, route.Table.CacheScope
-	TriedEngines    map[string]bool // ids of engines that it went to before
-	MinVersion      uint64          // of the model's weights, 0 for any
-	// Misdirected says that an address turned out to be another engine's. Many may have gone
-	// at once, so the next attempt goes to an engine that answered lately, if any.
+	LatencyTargetUS int64           // target for the time to the first event in microseconds, 0 for none
+	CacheScope      string          // of the tenant, from route.Table.CacheScope
+	TriedEngines    map[string]bool // IDs of the engines of earlier attempts
+	MinVersion      uint64          // lowest accepted version of the model's weights, 0 for any
+	// Misdirected reports that the address of an earlier attempt turned out to belong to another
+	// engine. Many engines may have disappeared at once, so the next attempt prefers engines that
+	// reported their load recently.
 	Misdirected bool
 }
 
-// sharedBlocks is how many leading blocks other requests may use as well.
+// sharedBlocks returns the number of leading blocks that other requests may share.
 func (r *Request) sharedBlocks() int { return max(0, len(r.Blocks)-1) }
 
-// homeBlock is what a request's affinity goes by: its last shared block or else its own, in
-// its cache scope; empty if it names no blocks.
+// homeBlock returns the block that determines a request's affinity, qualified by its cache scope:
+// the last shared block, or the only block if none is shared; empty without blocks.
 func (r *Request) homeBlock() string {
 	if n := r.sharedBlocks(); n > 0 {
 		return r.CacheScope + r.Blocks[n-1].ID
@@ -39,23 +40,24 @@
 	return ""
 }
 
-// Choice is where a request goes, and what its engine is told.
+// Choice is the engine selected for a request, the instructions for it, and the estimates that
+// led to the selection.
 type Choice struct {
 	Engine         *Engine
-	Version        uint64           // of the model's weights that the engine runs
-	Salt           string           // of the keys of its blocks, CacheSalt
-	Source         string           // address to fetch cached blocks from; empty for none
-	Destination    string           // address of the store to send computed blocks to; empty for none
-	PrefillTokens  int              // that the engine has to read
-	PrefillWork    int              // the same, those of a long prompt counted for more
-	PredictedUS    int64            // until the first event, microseconds
-	TransferTokens int              // that it is told to take from Source
-	CachedTokens   int              // hinted to be there already
-	MemoryTokens   int              // that its memory holds for the request
-	BlockKeys      []cacheindex.Key // of the request's blocks under Salt
-	NewBlocks      []cacheindex.Key // shared blocks that nobody else is known to have or to compute
+	Version        uint64           // version of the model's weights that the engine runs
+	Salt           string           // CacheSalt of the block keys
+	Source         string           // address from which to fetch cached blocks, empty for none
+	Destination    string           // address of the store to which to send computed blocks, empty for none
+	PrefillTokens  int              // prompt tokens that the engine has to compute
+	PrefillWork    int              // PrefillTokens weighted by their context length (prefillWork)
+	PredictedUS    int64            // predicted time to the first event in microseconds
+	TransferTokens int              // tokens hinted to be available from Source
+	CachedTokens   int              // tokens hinted to be cached at the engine
+	MemoryTokens   int              // tokens of engine memory that the request needs
+	BlockKeys      []cacheindex.Key // keys of the request's blocks under Salt
+	NewBlocks      []cacheindex.Key // shared blocks to compute that no node is known to have cached or to be computing
 
 	sentAt       int64   // monotonic microseconds
-	transferUS   int64   // estimated
-	queuedTokens float64 // that the engine has to read first
+	transferUS   int64   // estimated duration of the transfer
+	queuedTokens float64 // estimated prefill backlog of the engine
 }
