--- a/cacheindex/directory.go
+++ b/cacheindex/directory.go
@@ -5,33 +5,33 @@
 	"sort"
 )
 
-// Sizes of the logs of a zone, in updates.
+// Sizes of the update logs of each zone, in updates.
 const (
 	zoneLogSize     = 1 << 14
 	prefetchLogSize = 1 << 12
 )
 
-// Location is where a node that has blocks stands.
+// Location is the location of a node that caches blocks.
 type Location struct {
 	Zone  string
-	Store bool // the store, which is asked only when no engine has a block
+	Store bool // the node is a store, which is used only if no engine has a block
 }
 
-// Directory is what the owner of shards knows: all nodes that have each block of its
-// shards. It tells each zone only what changes the nearest of them.
+// Directory records all holders of each block in the shards of one owner. It sends each zone
+// only the changes to the holder nearest to that zone.
 type Directory struct {
 	locations    map[uint64]Location
-	holders      map[Key][]uint64 // in the order in which they came to have the block
+	holders      map[Key][]uint64 // in the order in which they were added
 	zoneLogs     map[string]*UpdateLog
 	prefetchLogs map[string]*UpdateLog
 	incarnation  uint64
 	maxBlocks    int
-	// Changes counts the updates applied that changed anything. Updates sent to every node
-	// would have been Changes times the number of nodes.
+	// Changes is the number of applied updates that had an effect. Multiplied by the number of
+	// nodes it is the number of updates that a broadcast to all nodes would have sent.
 	Changes uint64
 }
 
-// NewDirectory makes a directory of maxBlocks blocks at most; further ones are left out.
+// NewDirectory creates a directory of at most maxBlocks blocks; further blocks are ignored.
 func NewDirectory(incarnation uint64, maxBlocks int) *Directory {
 	return &Directory{
 		locations:    map[uint64]Location{},
@@ -43,8 +43,8 @@
 	}
 }
 
-// ZoneLog returns the log of the nearest holders as seen from a zone. It is made when it is
-// first asked for.
+// ZoneLog returns the log of changes to the nearest holders as seen from a zone, creating it on
+// first use.
 func (d *Directory) ZoneLog(zone string) *UpdateLog {
 	log := d.zoneLogs[zone]
 	if log == nil {
@@ -54,6 +54,7 @@
 	return log
 }
 
+// zoneSnapshot returns updates that add the nearest holder of each block as seen from a zone.
 func (d *Directory) zoneSnapshot(zone string) []Update {
 	var updates []Update
 	for key := range d.holders {
@@ -65,8 +66,8 @@
 	return updates
 }
 
-// PrefetchLog returns the log of the blocks that a zone may fetch ahead of need. It is made
-// when it is first asked for; what a follower missed is not said again.
+// PrefetchLog returns the log of blocks that a zone may prefetch, creating it on first use. Its
+// snapshot is empty, so that a follower does not receive suggestions that it missed.
 func (d *Directory) PrefetchLog(zone string) *UpdateLog {
 	log := d.prefetchLogs[zone]
 	if log == nil {
@@ -76,9 +77,9 @@
 	return log
 }
 
-// suggestPrefetch tells the zones that lack a block of it once a second zone has it, with
-// the node that got it last: what two subtrees fetched, others will want (the paper's "push
-// shared").
+// suggestPrefetch suggests a block to all zones without it when its second zone gets a copy, with
+// node, the newest holder, as the source: a block that two subtrees fetched is likely to be
+// requested in others (the paper's "push shared").
 func (d *Directory) suggestPrefetch(key Key, node uint64) {
 	zones := map[string]bool{}
 	for _, holder := range d.holders[key] {
@@ -96,13 +97,13 @@
 	}
 }
 
-// SetLocation sets where a node stands; without a location it is nobody's nearest.
+// SetLocation sets the location of a node. A node without a location is never the nearest holder.
 func (d *Directory) SetLocation(node uint64, location Location) { d.locations[node] = location }
 
-// Len counts blocks.
+// Len returns the number of blocks.
 func (d *Directory) Len() int { return len(d.holders) }
 
-// UpdatesSent counts the updates appended to the logs of all zones.
+// UpdatesSent returns the number of updates appended to the zone logs of all zones.
 func (d *Directory) UpdatesSent() uint64 {
 	var sent uint64
 	for _, log := range d.zoneLogs {
@@ -111,7 +112,7 @@
 	return sent
 }
 
-// Distances of a holder from a zone.
+// Distances of a holder from a zone, in ascending order.
 const (
 	sameZone = iota
 	otherZone
@@ -133,26 +134,28 @@
 	}
 }
 
-// nearest is the nearest holder of a block, the earliest one of several, or 0.
+// nearest returns the nearest holder of a block as seen from a zone, the one added first among
+// several, or 0 if there is none with a known location.
 func (d *Directory) nearest(key Key, zone string) uint64 {
 	var nearest uint64
-	least := unknownLocation
+	nearestDistance := unknownLocation
 	for _, holder := range d.holders[key] {
-		if distance := d.distance(holder, zone); distance < least {
-			nearest, least = holder, distance
+		if distance := d.distance(holder, zone); distance < nearestDistance {
+			nearest, nearestDistance = holder, distance
 		}
 	}
 	return nearest
 }
 
-// Apply takes an update in and passes on what changes the nearest holder of a zone.
+// Apply applies an update to the directory, and appends an update to the log of each zone whose
+// nearest holder changes.
 func (d *Directory) Apply(update Update) {
-	holders, there := d.holders[update.Key]
+	holders, present := d.holders[update.Key]
 	at := slices.Index(holders, update.Node)
 	switch {
 	case update.Op == OpAdd && at >= 0, update.Op == OpRemove && at < 0:
-		return // known already
-	case update.Op == OpAdd && !there && len(d.holders) >= d.maxBlocks:
+		return // no change
+	case update.Op == OpAdd && !present && len(d.holders) >= d.maxBlocks:
 		return // full
 	}
 	d.Changes++
@@ -166,8 +169,8 @@
 	} else {
 		d.removeHolder(update.Key, at)
 	}
-	for zone, was := range before {
-		d.logNearest(zone, update.Key, was)
+	for zone, previous := range before {
+		d.logNearest(zone, update.Key, previous)
 	}
 }
 
@@ -180,7 +183,7 @@
 	d.holders[key] = slices.Delete(holders, at, at+1)
 }
 
-// logNearest tells a zone of the nearest holder of a block if it is another than before.
+// logNearest appends the nearest holder of a block to a zone's log if it is another than before.
 func (d *Directory) logNearest(zone string, key Key, before uint64) {
 	switch nearest := d.nearest(key, zone); {
 	case nearest == before:
@@ -191,7 +194,7 @@
 	}
 }
 
-// RemoveIf removes the holders for which gone is true.
+// RemoveIf removes the holders for which gone returns true.
 func (d *Directory) RemoveIf(gone func(key Key, node uint64) bool) {
 	var updates []Update
 	for key, holders := range d.holders {
@@ -206,8 +209,8 @@
 	}
 }
 
-// RetainKeys drops the blocks that no longer belong here. No zone is told: the new owner of
-// their shard tells of them.
+// RetainKeys drops the blocks whose shard has another owner now. It appends no updates to the
+// zone logs, since the new owner of the shard announces the blocks.
 func (d *Directory) RetainKeys(keep func(Key) bool) {
 	for key := range d.holders {
 		if !keep(key) {
--- a/cacheindex/directory_test.go
+++ b/cacheindex/directory_test.go
@@ -8,8 +8,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestDirectory drives a shard's directory by testdata/directory: nodes e1 and e2 stand
-// north, e3 east, s is the store; the answer is the updates of each zone.
+// TestDirectory runs the commands of testdata/directory against a directory: engines e1 and e2
+// are in zone north, e3 is in zone east, and s is the store. The output of each command lists
+// the updates that it adds to the log of each zone.
 func TestDirectory(t *testing.T) {
 	const incarnation = 5
 	ids := map[string]uint64{"e1": 1, "e2": 2, "e3": 3, "s": 9}
--- a/cacheindex/example_test.go
+++ b/cacheindex/example_test.go
@@ -7,8 +7,7 @@
 	"violetthread/cacheindex"
 )
 
-// A proxy looks up the longest prefix of a prompt that is known to be cached before it
-// chooses an engine.
+// A proxy looks up the longest cached prefix of a prompt before it selects an engine.
 func ExampleTable() {
 	table := cacheindex.NewTable(1024)
 	engine := cacheindex.NodeID("engine-7", 1)
--- a/cacheindex/holdertable_test.go
+++ b/cacheindex/holdertable_test.go
@@ -14,8 +14,8 @@
 	return holders
 }
 
-// TestHolderTableBound: sixteen holders are kept of a block; another takes the place of one
-// of them.
+// TestHolderTableBound checks that a block keeps up to sixteen holders, and that a further one
+// replaces one of them.
 func TestHolderTableBound(t *testing.T) {
 	table := NewHolderTable(1 << 12)
 	key, other := BlockKey("s", "m", "1"), BlockKey("s", "m", "2")
@@ -24,38 +24,39 @@
 		table.Put(key, node)
 		table.Put(key, node)
 		if holders := sortedHolders(table, key); len(holders) != int(node) {
-			t.Fatalf("%d were put, %v are there", node, holders)
+			t.Fatalf("after adding %d holders: %v", node, holders)
 		}
 	}
 	table.Put(key, 500)
 	holders := sortedHolders(table, key)
 	if len(holders) != maxHolders || !slices.Contains(holders, 500) || slices.Contains(holders, 99) {
-		t.Fatalf("after one too many: %v", holders)
+		t.Fatalf("after adding a 17th holder: %v", holders)
 	}
 	table.Remove(key, 77)
 	if len(sortedHolders(table, key)) != maxHolders {
-		t.Fatal("the removal of a stranger removed another")
+		t.Fatal("removing a node that is not a holder removed a holder")
 	}
 	table.Remove(key, 500)
 	if holders := sortedHolders(table, key); len(holders) != maxHolders-1 || slices.Contains(holders, 500) {
-		t.Fatalf("after a removal: %v", holders)
+		t.Fatalf("after removing a holder: %v", holders)
 	}
 	if holders := sortedHolders(table, other); !slices.Equal(holders, []uint64{99}) {
-		t.Fatalf("the other block has %v", holders)
+		t.Fatalf("holders of the other block: %v", holders)
 	}
 	table.Put(other, holders[0])
 	if removed := table.RemoveNode(holders[0]); removed != 2 {
-		t.Fatalf("one holder was removed from %d blocks, not from 2", removed)
+		t.Fatalf("RemoveNode removed %d entries, want 2", removed)
 	}
 	if slices.Contains(sortedHolders(table, key), holders[0]) || slices.Contains(sortedHolders(table, other), holders[0]) {
-		t.Fatal("it still has something")
+		t.Fatal("removed node is still a holder")
 	}
 	if table.Clear(); table.Len() != 0 || len(sortedHolders(table, key))+len(sortedHolders(table, other)) != 0 {
-		t.Fatal("something is left")
+		t.Fatal("entries left after Clear")
 	}
 }
 
-// TestHolderTableAgainstSets: with enough entries the table says what sets would.
+// TestHolderTableAgainstSets compares a sufficiently large table with sets under random
+// operations.
 func TestHolderTableAgainstSets(t *testing.T) {
 	rng := rand.New(rand.NewSource(7))
 	table := NewHolderTable(1 << 14)
@@ -86,17 +87,17 @@
 			total += len(set)
 		}
 		if table.Len() != total {
-			t.Fatalf("step %d: %d entries, not %d", step, table.Len(), total)
+			t.Fatalf("step %d: %d entries, want %d", step, table.Len(), total)
 		}
 		want := lo.Keys(sets[key])
 		slices.Sort(want)
 		if got := sortedHolders(table, key); !slices.Equal(got, want) {
-			t.Fatalf("step %d: %v, not %v", step, got, want)
+			t.Fatalf("step %d: holders %v, want %v", step, got, want)
 		}
 	}
 	visited := 0
 	table.Each(func(Key, uint64) { visited++ })
 	if visited != table.Len() {
-		t.Fatalf("%d were visited, %d are there", visited, table.Len())
+		t.Fatalf("%d entries visited, want %d", visited, table.Len())
 	}
 }
--- a/cacheindex/table.go
+++ b/cacheindex/table.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	ways        = 4          // entries in a set
-	readRetries = 16         // of a set that is being written meanwhile
-	stampMask   = 0xffffffff // of a stamp, which has the upper half of meta
+	ways        = 4          // entries per set
+	readRetries = 16         // attempts to read a set that is being written
+	stampMask   = 0xffffffff // stamps occupy the upper 32 bits of meta
 )
 
-// Table is an array of fixed entries managed as a 4-way associative cache of hints. One
-// goroutine at a time may write it, and any may read it without a lock: each set has a
-// version that is odd while the set is written (a seqlock).
+// Table is a 4-way set-associative cache of hints with a fixed number of entries. One goroutine
+// at a time may write it, and any may read it without a lock: each set has a version that is odd
+// while the set is being written (a seqlock).
 type Table struct {
 	mask  uint64
 	sets  []cacheSet
-	clock atomic.Uint64 // stamps entries in the order in which they are written
+	clock atomic.Uint64 // source of stamps, which record the order in which entries are written
 	used  atomic.Int64
 }
 
@@ -26,16 +26,16 @@
 	entries [ways]cacheEntry
 }
 
-// cacheEntry has 32 bytes: the hash, the node (0: the entry is free), and in meta the stamp
-// above the check.
+// cacheEntry has 32 bytes: the hash of the key, the node (0 if the entry is free), and meta, with
+// the stamp in the upper and the check in the lower 32 bits.
 type cacheEntry struct {
 	hi, lo, node, meta atomic.Uint64
 }
 
-// names reports whether the entry is of a key, whatever its check.
-func (e *cacheEntry) names(key Key) bool { return e.hi.Load() == key.Hi && e.lo.Load() == key.Lo }
+// matches reports whether the entry has the hash of a key. It does not compare the check.
+func (e *cacheEntry) matches(key Key) bool { return e.hi.Load() == key.Hi && e.lo.Load() == key.Lo }
 
-// NewTable makes a table for at least n entries.
+// NewTable creates a table with at least n entries.
 func NewTable(n int) *Table {
 	sets := uint64(1)
 	for sets*ways < uint64(n) {
@@ -44,16 +44,16 @@
 	return &Table{mask: sets - 1, sets: make([]cacheSet, sets)}
 }
 
-// Len counts the entries in use.
+// Len returns the number of entries in use.
 func (t *Table) Len() int { return int(t.used.Load()) }
 
-// Cap counts all entries.
+// Cap returns the total number of entries.
 func (t *Table) Cap() int { return len(t.sets) * ways }
 
 func (t *Table) set(key Key) *cacheSet { return &t.sets[key.Lo&t.mask] }
 
-// Get returns the node that the hint for a key names. A set that is written all the time
-// counts as a miss.
+// Get returns the node of the hint for a key. It reports a miss if the set is still being written
+// after readRetries attempts.
 func (t *Table) Get(key Key) (node uint64, found bool) {
 	set := t.set(key)
 	for range readRetries {
@@ -72,30 +72,31 @@
 func (s *cacheSet) get(key Key) uint64 {
 	for i := range s.entries {
 		entry := &s.entries[i]
-		if entry.names(key) && uint32(entry.meta.Load()) == key.Check {
+		if entry.matches(key) && uint32(entry.meta.Load()) == key.Check {
 			return entry.node.Load()
 		}
 	}
 	return 0
 }
 
-// Put makes a node the hint for a key. In a full set the entry goes that was written first.
+// Put sets the hint for a key to a node. In a full set it replaces the entry written first.
 func (t *Table) Put(key Key, node uint64) {
 	set := t.set(key)
-	at := set.place(key)
+	at := set.entryFor(key)
 	if set.entries[at].node.Load() == 0 {
 		t.used.Add(1)
 	}
 	set.write(at, key, node, t.clock.Add(1)&stampMask)
 }
 
-// place is the entry to write a key to: its own, else the last free one, else the oldest.
-func (s *cacheSet) place(key Key) int {
+// entryFor returns the index of the entry to which to write a key: the entry of the key itself,
+// or else the last free entry, or else the oldest.
+func (s *cacheSet) entryFor(key Key) int {
 	oldest, at := ^uint64(0), 0
 	for i := range s.entries {
 		entry := &s.entries[i]
 		free := entry.node.Load() == 0
-		if free || entry.names(key) {
+		if free || entry.matches(key) {
 			at, oldest = i, 0
 			if !free {
 				break
@@ -107,13 +108,13 @@
 	return at
 }
 
-// Remove forgets the hint for a key if it names the node, and reports whether it did; node
-// 0 stands for any.
+// Remove removes the hint for a key if its node is the given one, and reports whether it did.
+// Node 0 matches any node.
 func (t *Table) Remove(key Key, node uint64) bool {
 	set := t.set(key)
 	for i := range set.entries {
 		entry := &set.entries[i]
-		if hinted := entry.node.Load(); hinted != 0 && entry.names(key) && (node == 0 || hinted == node) {
+		if hinted := entry.node.Load(); hinted != 0 && entry.matches(key) && (node == 0 || hinted == node) {
 			t.free(set, i)
 			return true
 		}
@@ -121,7 +122,7 @@
 	return false
 }
 
-// RemoveNode forgets every hint that names a node, and counts them.
+// RemoveNode removes all hints to a node, and returns their number.
 func (t *Table) RemoveNode(node uint64) int {
 	removed := 0
 	for j := range t.sets {
@@ -136,7 +137,7 @@
 	return removed
 }
 
-// Clear forgets everything.
+// Clear removes all hints.
 func (t *Table) Clear() {
 	for j := range t.sets {
 		set := &t.sets[j]
@@ -164,15 +165,15 @@
 	s.version.Add(1)
 }
 
-// Hint says that a node may have a prompt cached up to a block. Recordings contain it under
-// the names in the tags.
+// Hint says that a node may have a prompt cached up to and including a block. Recordings contain
+// it under the names in the tags.
 type Hint struct {
 	Block int    `json:"Part"` // index into the keys of the prompt's prefixes
 	Node  uint64 `json:"Node"`
 }
 
-// LongestPrefix returns the hint of the longest known prefix whose node accept accepts, and
-// whether there is one. keys are those of a prompt's prefixes, the shortest first.
+// LongestPrefix returns the hint for the longest prefix whose node satisfies accept, and whether
+// there is one. keys are the keys of a prompt's prefixes, the shortest first.
 func (t *Table) LongestPrefix(keys []Key, accept func(node uint64) bool) (hint Hint, found bool) {
 	for i := len(keys) - 1; i >= 0; i-- {
 		if node, known := t.Get(keys[i]); known && accept(node) {
@@ -182,8 +183,8 @@
 	return Hint{}, false
 }
 
-// Hints looks the keys of a prompt's prefixes up, and returns a hint of the longest prefix
-// for each node that is named, limit nodes at most, the longest first.
+// Hints looks up the keys of a prompt's prefixes, and returns for each node found the hint for
+// its longest prefix, for at most limit nodes, the longest prefix first.
 func (t *Table) Hints(keys []Key, limit int) []Hint {
 	var hints []Hint
 	for i := len(keys) - 1; i >= 0 && len(hints) < limit; i-- {
@@ -196,7 +197,7 @@
 	return hints
 }
 
-// Each calls visit for every hint. It is for the goroutine that writes.
+// Each calls visit for every hint. It must be called only from the writing goroutine.
 func (t *Table) Each(visit func(key Key, node uint64)) {
 	for j := range t.sets {
 		for i := range t.sets[j].entries {
--- a/cacheindex/table_test.go
+++ b/cacheindex/table_test.go
@@ -6,43 +6,43 @@
 	"testing"
 )
 
-// testKey makes keys that differ in hash and have one check.
+// testKey returns keys with different hashes and the same check.
 func testKey(i int) Key {
 	return Key{uint64(i) * 0x9e3779b97f4a7c15, uint64(i) * 0xbf58476d1ce4e5b9, 7}
 }
 
-// TestTable: a hint is found under its complete key only, the entry of a set that was
-// written first goes first, and a full table stays within its size.
+// TestTable checks that a hint is found only under its complete key, that a full set evicts the
+// entry written first, and that a full table stays within its capacity.
 func TestTable(t *testing.T) {
 	table := NewTable(64)
 	for i := 1; i <= 1000; i++ {
 		table.Put(testKey(i), uint64(i))
 		if node, found := table.Get(testKey(i)); !found || node != uint64(i) {
-			t.Fatalf("just written %d: %d %v", i, node, found)
+			t.Fatalf("key %d not found after Put: %d %v", i, node, found)
 		}
 	}
 	if table.Len() > table.Cap() || table.Cap() != 64 {
-		t.Fatalf("%d of %d entries", table.Len(), table.Cap())
+		t.Fatalf("%d entries in use, capacity %d", table.Len(), table.Cap())
 	}
 	key := testKey(1000)
 	for _, other := range []Key{{key.Hi + 1, key.Lo, key.Check}, {key.Hi, key.Lo + 1, key.Check}, {key.Hi, key.Lo, key.Check + 1}} {
 		if _, found := table.Get(other); found {
-			t.Fatalf("%v was found as %v", other, key)
+			t.Fatalf("%v found, although only %v was written", other, key)
 		}
 	}
 	if table.Remove(key, 1) || !table.Remove(key, 1000) {
-		t.Fatal("a removal must name the hinted node")
+		t.Fatal("Remove must succeed only for the node of the hint")
 	}
 	oneSet := NewTable(4)
 	for i := 1; i <= 5; i++ {
 		oneSet.Put(testKey(i), uint64(i))
 	}
 	if _, found := oneSet.Get(testKey(1)); found || oneSet.Len() != 4 {
-		t.Fatal("the oldest of a full set stayed")
+		t.Fatal("the oldest entry of a full set was not evicted")
 	}
 }
 
-// TestLongestPrefix: the longest known prefix is found whose node the caller accepts.
+// TestLongestPrefix checks that the longest known prefix with an accepted node is found.
 func TestLongestPrefix(t *testing.T) {
 	table := NewTable(64)
 	keys := []Key{testKey(1), testKey(2), testKey(3), testKey(4)}
@@ -66,14 +66,14 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if hint, found := table.LongestPrefix(test.keys, test.accept); hint != test.want || found != test.found {
-				t.Errorf("%+v %v, not %+v %v", hint, found, test.want, test.found)
+				t.Errorf("got %+v %v, want %+v %v", hint, found, test.want, test.found)
 			}
 		})
 	}
 }
 
-// TestTableRace reads while one goroutine writes: a reader sees a node that was written for
-// that very key, or none.
+// TestTableRace reads while one goroutine writes: a reader sees a node that was written for the
+// same key, or none.
 func TestTableRace(t *testing.T) {
 	const readers = 3
 	table := NewTable(256)
@@ -99,7 +99,8 @@
 	}
 }
 
-// readUntil reads keys at random, and returns the first wrong answer or "".
+// readUntil reads random keys until stop is closed, and describes the first wrong result, or
+// returns "" if there is none.
 func readUntil(stop chan struct{}, table *Table, seed int64) string {
 	rng := rand.New(rand.NewSource(seed))
 	for {
@@ -110,7 +111,7 @@
 		}
 		i := 1 + rng.Intn(600)
 		if node, found := table.Get(testKey(i)); found && node%1000 != uint64(i) {
-			return fmt.Sprintf("key %d names %d", i, node)
+			return fmt.Sprintf("Get of key %d returned node %d", i, node)
 		}
 	}
 }
--- a/cacheindex/transferscores.go
+++ b/cacheindex/transferscores.go
@@ -6,33 +6,33 @@
 	"github.com/samber/lo"
 )
 
-// TransferScores estimate, for each peer, how often a transfer of blocks from it succeeds,
-// in thousandths. Nothing says so at the time; it is learnt from what the taker reports
-// later.
+// TransferScores estimate, for each peer, the success rate of block transfers from it, in
+// thousandths. The result of a transfer is not known at the time of the transfer; the scores are
+// learned from later reports of the receiver.
 type TransferScores struct {
 	byPeer map[uint64]*transferScore
 }
 
 type transferScore struct {
 	permille      int64
-	probeAt       int64 // an unusable peer is tried again then
+	probeAt       int64 // time at which an unusable peer is tried again
 	probeInterval int64 // microseconds
 }
 
 const (
 	initialScore   = 800 // thousandths
 	minUsableScore = 450
-	// An unusable peer is probed sparingly; the pause doubles with each failure.
+	// An unusable peer is probed with exponential backoff.
 	minProbeInterval = 1_000_000 // microseconds
 	maxProbeInterval = 60_000_000
 )
 
-// NewTransferScores makes an empty estimate.
+// NewTransferScores creates scores without any peers.
 func NewTransferScores() *TransferScores {
 	return &TransferScores{byPeer: map[uint64]*transferScore{}}
 }
 
-// Record takes in how one transfer from a peer went.
+// Record updates the score of a peer with the result of one transfer.
 func (s *TransferScores) Record(now int64, peer uint64, succeeded bool) {
 	score := s.byPeer[peer]
 	if score == nil {
@@ -49,8 +49,8 @@
 	score.probeAt = now + score.probeInterval
 }
 
-// Score is the estimate for a peer in thousandths. An unusable peer that is due for a probe
-// counts as just usable, once for each probe.
+// Score returns the score of a peer in thousandths. For an unusable peer that is due for a probe
+// it returns the lowest usable score, once per probe interval.
 func (s *TransferScores) Score(now int64, peer uint64) int {
 	score := s.byPeer[peer]
 	switch {
@@ -63,12 +63,12 @@
 	return int(score.permille)
 }
 
-// Peers lists the peers with an estimate, in order.
+// Peers returns the peers with recorded transfers, sorted.
 func (s *TransferScores) Peers() []uint64 {
 	peers := lo.Keys(s.byPeer)
 	slices.Sort(peers)
 	return peers
 }
 
-// UsableScore reports whether a score justifies a transfer at all.
+// UsableScore reports whether a score is high enough to attempt a transfer.
 func UsableScore(score int) bool { return score >= minUsableScore }
--- a/cacheindex/transferscores_test.go
+++ b/cacheindex/transferscores_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// TestTransferScores: a peer from which transfers fail is left at once, probed sparingly,
-// and comes back.
+// TestTransferScores checks that a peer becomes unusable after two failures, is then probed
+// rarely, and becomes usable again after successes.
 func TestTransferScores(t *testing.T) {
 	const peer = 1
 	scores := NewTransferScores()
 	now := int64(0)
 	usable := func() bool { return UsableScore(scores.Score(now, peer)) }
 	if !usable() {
-		t.Fatal("an unknown peer must be tried")
+		t.Fatal("unknown peer is not usable")
 	}
 	scores.Record(now, peer, false)
 	scores.Record(now, peer, false)
 	if usable() {
-		t.Fatal("two failures in a row and still used")
+		t.Fatal("peer is still usable after two failures in a row")
 	}
 	probes := 0
 	for ; now < 120_000_000; now += 100_000 {
@@ -31,6 +31,6 @@
 		scores.Record(now, peer, true)
 	}
 	if !usable() {
-		t.Fatal("a mended peer stays unused")
+		t.Fatal("peer is unusable after four successes")
 	}
 }
