--- a/dispatch/action.go
+++ b/dispatch/action.go
@@ -7,18 +7,17 @@
 	"violetthread/cacheindex"
 )
 
-// ActionType says what an Action asks for. Its numbers are part of recordings and must not
-// change.
+// ActionType is the type of an Action. Its values are part of recordings and must not change.
 type ActionType uint8
 
 // The types of actions.
 const (
-	ActionClaim         ActionType = iota + 1 // ask for the claim, and call ClaimAnswered
-	ActionReleaseClaim                        // give the claim back
-	ActionStartAttempt                        // send an attempt to an engine, and call AttemptProgressed
-	ActionCancelAttempt                       // break the attempt off
-	ActionAccept                              // tell the caller that the request was taken in
-	ActionFinish                              // tell the caller the outcome
+	ActionClaim         ActionType = iota + 1 // request the claim, and call ClaimAnswered with the answer
+	ActionReleaseClaim                        // release the claim
+	ActionStartAttempt                        // send an attempt to an engine, and call AttemptProgressed on each change of its state
+	ActionCancelAttempt                       // cancel the attempt
+	ActionAccept                              // notify the caller that the request was admitted
+	ActionFinish                              // report the outcome to the caller
 )
 
 var actionNames = map[ActionType]string{
@@ -30,7 +29,7 @@
 	ActionFinish:        "finish",
 }
 
-// String is the type's name in logs and test output.
+// String returns the type's name in logs and test output.
 func (t ActionType) String() string {
 	if name, known := actionNames[t]; known {
 		return name
@@ -38,40 +37,40 @@
 	return "action-" + strconv.Itoa(int(t))
 }
 
-// Action is something that the caller of the Dispatcher must carry out.
+// Action is an instruction that the caller of the Dispatcher must carry out.
 type Action struct {
 	Type      ActionType
 	Ref       uint64
 	Group     string
 	RequestID string
 
-	// Of ActionClaim and ActionReleaseClaim.
-	ClaimNonce string // tells this request's claim from another's with the same key
+	// Fields of ActionClaim and ActionReleaseClaim.
+	ClaimNonce string // distinguishes this request's claim from others with the same key
 	ClaimKey   string // key in the control state
 
-	// Of ActionStartAttempt, and the first also of ActionCancelAttempt.
+	// Fields of ActionStartAttempt; AttemptID is also set for ActionCancelAttempt.
 	AttemptID      string
 	Grant          EngineGrant
 	Domain         string // cache domain of the attempt
 	Weights        string
 	Kind           string
 	Prompt         string
-	PrefixKeys     []cacheindex.Key // of the prompt's blocks, shortest prefix first
-	TransferBlock  int              // last block to fetch from TransferNode, -1 for none
+	PrefixKeys     []cacheindex.Key // keys of the prompt's blocks, shortest prefix first
+	TransferBlock  int              // index of the last block to fetch from TransferNode, -1 for none
 	TransferNode   uint64
 	TransferAddr   string
-	TransferWaitUS int64 // after which the engine recomputes the blocks
+	TransferWaitUS int64 // timeout of the transfer, after which the engine recomputes the blocks
 	Deadline       int64
-	StartBefore    int64 // past this time the attempt must not be sent any more
+	StartBefore    int64 // the attempt must not be sent after this time
 
-	// Of ActionFinish.
+	// Fields of ActionFinish.
 	Outcome      attempt.Outcome
 	Reason       string
-	RetryAfterUS int64 // when to send a rejected request again, from now
+	RetryAfterUS int64 // delay after which the caller may retry a rejected request
 }
 
-// Reasons of rejections and of the ends of requests. The texts are part of the API; those
-// of package attempt come beside them.
+// Reasons for which requests are rejected or ended. The texts are part of the API. Package
+// attempt defines further reasons.
 const (
 	ReasonPlanNotFresh      = "plan-not-fresh"
 	ReasonNoEngine          = "no-engine"
@@ -84,15 +83,15 @@
 	ReasonDomainChanged     = "wall-changed"
 )
 
-// Counters count since the start, for metrics.
+// Counters holds counts since the start of the process, for metrics.
 type Counters struct {
-	Arrived   uint64 // requests that passed the checks of key and form
+	Arrived   uint64 // requests with a valid key and format
 	Done      uint64
-	Refused   uint64 // rejected after they were taken in
+	Refused   uint64 // rejected after admission
 	Unknown   uint64
 	Attempts  uint64
-	Retries   uint64 // attempts after a request's first
-	Transfers uint64 // attempts with blocks to fetch from another engine
-	LocalHits uint64 // attempts at an engine that has a block of the prompt cached
+	Retries   uint64 // attempts after the first of a request
+	Transfers uint64 // attempts with blocks to fetch from another node
+	LocalHits uint64 // attempts at an engine that is hinted to have a prefix of the prompt cached
 	Claims    uint64
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -7,11 +7,11 @@
 	"violetthread/cacheindex"
 )
 
-// minAttemptUS is the time that must be left for an attempt.
+// minAttemptUS is the minimum time before the deadline for starting an attempt.
 const minAttemptUS = 1000
 
-// conditions are what the next step of a request depends on beside its history. One that
-// is still queued needs time for a whole run.
+// conditions returns the conditions, besides its history, that determine the next step of a
+// request. A request that is still queued must have time left for a complete run.
 func (d *Dispatcher) conditions(now int64, request *trackedRequest) attempt.Conditions {
 	needed := int64(minAttemptUS)
 	if request.queued {
@@ -32,7 +32,7 @@
 		if request.engine == nil {
 			return nil // still queued
 		}
-		history.Claim, request.claimAskedAt = attempt.ClaimRequested, now
+		history.Claim, request.claimRequestedAt = attempt.ClaimRequested, now
 		d.Counters.Claims++
 		return []Action{request.claimAction(ActionClaim)}
 	case attempt.Assign:
@@ -43,15 +43,15 @@
 	return nil
 }
 
-// startAttempt sends a request to its engine, or to another when its engine's grant is too
-// old by now. Without any engine it is queued again.
+// startAttempt sends a request to its engine, or to another one if the engine's grant is too old
+// by now. If no engine is usable, the request is queued again.
 func (d *Dispatcher) startAttempt(now int64, request *trackedRequest, decision attempt.Decision) []Action {
 	if request.engine == nil && !d.reserveEngine(now, request) {
 		return nil
 	}
 	engine := request.engine
-	// Checked again at the moment of dispatch: the grant may have aged, and the machine
-	// may have slept, while the claim was on its way.
+	// Check the ages again immediately before dispatch: while the answer to the claim was
+	// pending, the grant may have expired or the machine may have been suspended.
 	if now-engine.confirmedAt > MaxGrantAge || d.PlanAge(now) > MaxPlanAge {
 		releaseEngine(request)
 		if d.PlanAge(now) > MaxPlanAge {
@@ -79,8 +79,8 @@
 	return []Action{action}
 }
 
-// reserveEngine picks an engine for a request that has none, and reports whether there was
-// one. A request that was dequeued and finds none is queued again, by its deadline.
+// reserveEngine reserves an engine for a request without one, and reports whether it found one.
+// A dequeued request for which no engine is usable is queued again, ordered by its deadline.
 func (d *Dispatcher) reserveEngine(now int64, request *trackedRequest) bool {
 	if request.queued {
 		return false
@@ -98,7 +98,7 @@
 	return true
 }
 
-// releaseEngine ends the reservation of a request's engine.
+// releaseEngine releases the engine reserved for a request, if any.
 func releaseEngine(request *trackedRequest) {
 	if request.engine != nil {
 		request.engine.active--
@@ -106,6 +106,7 @@
 	}
 }
 
+// attemptAction returns the action that sends an attempt to an engine, without a transfer.
 func (d *Dispatcher) attemptAction(engine *engineState, request *trackedRequest, id string) Action {
 	return Action{
 		Type:           ActionStartAttempt,
@@ -119,17 +120,18 @@
 		Kind:           request.Kind,
 		Prompt:         request.Prompt,
 		PrefixKeys:     request.PrefixKeys,
-		TransferBlock:  none,
+		TransferBlock:  noBlock,
 		Deadline:       request.Deadline,
 		TransferWaitUS: d.plan.Limits.TransferWaitUS,
 		StartBefore:    min(engine.confirmedAt+MaxGrantAge, d.planConfirmedAt+MaxPlanAge, request.Deadline),
 	}
 }
 
-// addTransfer orders the blocks that another node has more of than the engine itself.
+// addTransfer adds a transfer to the action if another node has a longer cached prefix of the
+// prompt than the engine itself.
 func (d *Dispatcher) addTransfer(engine *engineState, request *trackedRequest, action *Action) {
 	local := localPrefix(engine, request)
-	if local != none {
+	if local != noBlock {
 		d.Counters.LocalHits++
 	}
 	block, node, addr := d.transferSource(engine, request)
@@ -147,8 +149,8 @@
 	})
 }
 
-// finish ends a request with an outcome. It is kept while the answer to its claim is out,
-// so that a claim that is granted late is given back.
+// finish ends a request with an outcome. The request is kept while the answer to its claim is
+// pending, so that a claim granted late can be released.
 func (d *Dispatcher) finish(now int64, request *trackedRequest, decision attempt.Decision) []Action {
 	request.history.Ended = true
 	var actions []Action
@@ -185,7 +187,7 @@
 	}
 }
 
-// ClaimAnswered takes in the answer to a claim.
+// ClaimAnswered processes the answer to a claim.
 func (d *Dispatcher) ClaimAnswered(now int64, ref uint64, claim attempt.ClaimState) []Action {
 	request := d.requests[ref]
 	if request == nil || request.history.Claim != attempt.ClaimRequested {
@@ -202,7 +204,8 @@
 	return nil
 }
 
-// AttemptProgressed takes in how far an attempt has come.
+// AttemptProgressed processes a change of the state of an attempt; cause is the cause of a
+// failure.
 func (d *Dispatcher) AttemptProgressed(now int64, ref uint64, attemptID string, state attempt.State, cause string) []Action {
 	request := d.requests[ref]
 	if request == nil || !request.history.Record(attemptID, state, cause) {
@@ -216,13 +219,13 @@
 	}
 	releaseEngine(request)
 	if state == attempt.Completed {
-		d.learnRunUS(request.Kind, now-request.startedAt)
+		d.updateTypicalRunUS(request.Kind, now-request.startedAt)
 	}
 	return append(d.advance(now, request), d.fillCapacity(now)...)
 }
 
-// AllowFirstByte is to be called before the first byte of an answer goes to the caller, and
-// reports whether it may go: the attempt must still be the one in flight.
+// AllowFirstByte must be called before the first byte of a response is sent to the caller, and
+// reports whether it may be sent: the attempt must still be the one in flight.
 func (d *Dispatcher) AllowFirstByte(ref uint64, attemptID string) bool {
 	request := d.requests[ref]
 	if request == nil || request.history.Ended {
@@ -235,7 +238,7 @@
 	return true
 }
 
-// Stop ends a request for a reason, at once if nothing is in flight.
+// Stop ends a request for a reason, immediately if no attempt is in flight.
 func (d *Dispatcher) Stop(now int64, ref uint64, reason string) []Action {
 	request := d.requests[ref]
 	if request == nil || request.history.Ended || request.history.StopReason != "" {
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -7,8 +7,9 @@
 	"violetthread/plan"
 )
 
-// TestSecondLookAtDispatch: what aged past its bound while the claim was on its way keeps a
-// request from being sent, though its engine was reserved before.
+// TestSecondLookAtDispatch checks that a request is not sent if its plan or its engine's grant
+// exceeded the maximum age while the answer to the claim was pending, although an engine was
+// reserved for it before.
 func TestSecondLookAtDispatch(t *testing.T) {
 	const start, ref = 10_000_000, 1
 	digest := plan.KeyDigest("key")
@@ -19,7 +20,7 @@
 	}, 1)
 	for _, c := range []struct {
 		name                   string
-		planAgain, grantAgain  bool // confirmed when the claim is answered
+		planAgain, grantAgain  bool // confirmed again before the claim is answered
 		answeredAfter          int64
 		wantStarts, wantFinish bool
 	}{
@@ -37,7 +38,7 @@
 				Deadline: start + 60_000_000, Weights: "w", Domain: compiled.CacheDomain("g", "w")}
 			actions, rejection := d.Admit(start, request)
 			if rejection != nil || len(actions) != 2 || actions[1].Type != ActionClaim {
-				t.Fatalf("%+v, %+v", actions, rejection)
+				t.Fatalf("Admit returned %+v, %+v", actions, rejection)
 			}
 			now := start + c.answeredAfter
 			if c.planAgain {
@@ -51,7 +52,7 @@
 				types[action.Type] = true
 			}
 			if types[ActionStartAttempt] != c.wantStarts || types[ActionFinish] != c.wantFinish {
-				t.Fatalf("the dispatcher wants %v", types)
+				t.Fatalf("unexpected action types %v", types)
 			}
 		})
 	}
--- a/dispatch/choose.go
+++ b/dispatch/choose.go
@@ -2,24 +2,25 @@
 
 import "violetthread/cacheindex"
 
-// Costs by which engines are compared, in microseconds until a run gets going.
+// Costs by which engines are compared, in microseconds of estimated delay until a run starts.
 const (
-	costPerActiveRun      = 3_000  // of this proxy's own
-	costPerQueuedRun      = 2_000  // at the engine
-	costPerFailure        = 20_000 // in a row
+	costPerActiveRun      = 3_000  // per run of this proxy at the engine
+	costPerQueuedRun      = 2_000  // per run in the engine's queue
+	costPerFailure        = 20_000 // per consecutive failure
 	recomputeCostPerBlock = 4_000
 	transferCostPerBlock  = 700
 	transferCostFixed     = 2_000
 	otherZoneCost         = 1_000
-	// An engine that this request was sent to before is chosen only when there is no
-	// other, rather than hold up all that wait behind it.
+	// An engine that was tried before for the request is chosen again only if no other is
+	// usable. It is not excluded, since the request would then block all requests queued behind
+	// it.
 	triedBeforeCost = 10_000_000
 )
 
-// none is the index of a block that there is not.
-const none = -1
+// noBlock is the block index that stands for no block.
+const noBlock = -1
 
-// fillCapacity gives free capacity to queued requests, group by group.
+// fillCapacity assigns free capacity to queued requests in the order of the fair queue.
 func (d *Dispatcher) fillCapacity(now int64) []Action {
 	var actions []Action
 	if d.plan == nil || d.PlanAge(now) > MaxPlanAge {
@@ -33,13 +34,13 @@
 		if !found {
 			break
 		}
-		request := d.requests[refOf(item.ID)]
+		request := d.requests[parseQueueID(item.ID)]
 		if request == nil {
 			d.queue.Remove(group, item.ID)
 			continue
 		}
-		// The engine is reserved while the claim is asked for, so that a granted claim
-		// finds its capacity.
+		// Reserve the engine before requesting the claim, so that capacity is available when
+		// the claim is granted.
 		engine := d.chooseEngine(now, request)
 		if engine == nil {
 			break
@@ -53,16 +54,17 @@
 	return actions
 }
 
-// belowCeiling reports whether a group with so many runs may have one more. Each group may
-// have one, however low its ceiling.
+// belowCeiling reports whether a group's ceiling allows one more run. Each group may have one run,
+// however low its ceiling.
 func (d *Dispatcher) belowCeiling(group string, running, capacity int) bool {
 	ceiling := d.plan.Groups[group].CeilingPermille
 	return ceiling == 0 || running*1000 < max(ceiling*capacity, 1000)
 }
 
+// usable reports whether a new run may be sent to an engine now.
 func (d *Dispatcher) usable(now int64, engine *engineState) bool {
 	fresh := now-engine.confirmedAt <= MaxGrantAge
-	return !engine.Store && fresh && engine.active < engine.Capacity && now >= engine.pausedUntil
+	return !engine.Store && fresh && engine.active < engine.Capacity && now >= engine.backoffUntil
 }
 
 func (d *Dispatcher) anyUsable(now int64) bool {
@@ -74,8 +76,8 @@
 	return false
 }
 
-// chooseEngine picks the usable engine with the lowest cost, nil if none is usable. Equal
-// costs go by name, so that a replay decides alike.
+// chooseEngine returns the usable engine with the lowest cost, nil if none is usable. Ties are
+// broken by name, so that a replay makes the same decisions.
 func (d *Dispatcher) chooseEngine(now int64, request *trackedRequest) *engineState {
 	var best *engineState
 	var lowest int64
@@ -91,8 +93,8 @@
 	return best
 }
 
-// startCost estimates when a run would get going at an engine: what lies before it there,
-// and what must be recomputed or transferred of its prompt.
+// startCost estimates the delay until a run would start at an engine, from the engine's load and
+// the blocks of the prompt that have to be recomputed or transferred, plus penalties.
 func (d *Dispatcher) startCost(engine *engineState, request *trackedRequest) int64 {
 	cost := int64(engine.active)*costPerActiveRun + int64(engine.QueueLength)*costPerQueuedRun +
 		engine.SlowUS/4 + int64(engine.failuresInRow)*costPerFailure
@@ -111,26 +113,26 @@
 	return cost
 }
 
-// localPrefix is the last block of the longest prefix that the engine is hinted to have
-// cached itself, or none.
+// localPrefix returns the index of the last block of the longest prefix that the engine is hinted
+// to have cached itself, or noBlock.
 func localPrefix(engine *engineState, request *trackedRequest) int {
 	if engine.Weights != request.Weights {
-		return none
+		return noBlock
 	}
 	for _, hint := range request.Hints { // longest first
 		if hint.Node == engine.NodeID {
 			return hint.Block
 		}
 	}
-	return none
+	return noBlock
 }
 
-// transferSource is the last block of the longest prefix that the engine may fetch from
-// another node, with that node and its address, or none. The node must be known here, run
-// the same weights, and its link to the engine must be worth a try.
+// transferSource returns the index of the last block of the longest prefix that the engine may
+// fetch from another node, with that node and its address, or noBlock. The node must be known to
+// this proxy, be a store or run the same weights, and have a usable transfer score if it has one.
 func (d *Dispatcher) transferSource(engine *engineState, request *trackedRequest) (block int, node uint64, addr string) {
 	if engine.Weights != request.Weights {
-		return none, 0, ""
+		return noBlock, 0, ""
 	}
 	for _, hint := range request.Hints { // longest first
 		peer := d.engineByNode[hint.Node]
@@ -142,5 +144,5 @@
 		}
 		return hint.Block, hint.Node, peer.Addr
 	}
-	return none, 0, ""
+	return noBlock, 0, ""
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -10,27 +10,27 @@
 	"violetthread/plan"
 )
 
-// Bounds on what a proxy may rely on, in microseconds (docs/bounds.md).
+// Maximum ages of the information that a proxy may rely on, in microseconds (docs/bounds.md).
 const (
-	MaxPlanAge       = 1_500_000 // of the plan: past this no request is taken in or sent
-	MaxStreamPlanAge = 4_000_000 // of the plan: past this running streams are ended
-	MaxGrantAge      = 1_800_000 // of a grant: past this the engine gets no new work
+	MaxPlanAge       = 1_500_000 // of the plan, for admitting and sending requests
+	MaxStreamPlanAge = 4_000_000 // of the plan, beyond which running streams are ended
+	MaxGrantAge      = 1_800_000 // of a grant, beyond which the engine gets no new work
 )
 
-// TickInterval is how often Tick is to be called, in microseconds.
+// TickInterval is the interval at which Tick must be called, in microseconds.
 const TickInterval = 20_000
 
 // Other times, in microseconds.
 const (
 	claimTimeout            = 2_000_000  // for the answer to a claim
-	lateClaimTimeout        = 30_000_000 // for an answer after the request's end, to give the claim back
+	lateClaimTimeout        = 30_000_000 // for an answer after the end of the request, to release a claim granted late
 	capacitySmoothing       = 1_000_000  // time constant of the smoothed capacity
 	infeasibleCheckInterval = 100_000
 	minRetryAfterUS         = 100_000
 	noPlanAge               = 1 << 50
 )
 
-// Dispatcher decides for one proxy. It is not safe for concurrent use.
+// Dispatcher makes the dispatch decisions of one proxy. It is not safe for concurrent use.
 type Dispatcher struct {
 	name             string
 	zone             string
@@ -38,21 +38,21 @@
 	plan             *plan.Compiled
 	planConfirmedAt  int64
 	engines          map[string]*engineState // by name
-	engineByNode     map[uint64]*engineState // by the id of the engine's incarnation
+	engineByNode     map[uint64]*engineState // by the ID of the engine's incarnation
 	requests         map[uint64]*trackedRequest
 	queue            *fairqueue.Queue
 	retryBudget      attempt.RetryBudget
-	typicalRunUS     map[string]int64 // by kind, as seen here
+	typicalRunUS     map[string]int64 // by kind, as measured by this proxy
 	claimSeq         uint64
 	Counters         Counters
 	transfers        []Transfer           // since the last report
 	outcomes         map[string]*Outcomes // by engine, since the last report
-	smoothedCapacity float64              // without what comes and goes
+	smoothedCapacity float64              // moving average of the capacity, 0 for none
 	ticks            int
 }
 
-// New makes the dispatcher of the proxy of that name, in a zone, with an incarnation that
-// no other process of that name has.
+// New creates the dispatcher of a proxy. The incarnation must be unique among all processes with
+// the proxy's name.
 func New(name, zone string, incarnation uint64) *Dispatcher {
 	return &Dispatcher{
 		name:         name,
@@ -67,11 +67,11 @@
 	}
 }
 
-// ApplyPlan takes in a plan that was known to be in force at time confirmedAt. Requests
-// that may not go on under a new one are stopped.
+// ApplyPlan installs a plan that was known to be in force at the time confirmedAt. It stops
+// requests that a new plan no longer allows.
 func (d *Dispatcher) ApplyPlan(now int64, p *plan.Compiled, confirmedAt int64) []Action {
 	if p == nil || d.plan != nil && p.Revision < d.plan.Revision {
-		return nil // never back to an older one
+		return nil // never go back to an older revision
 	}
 	isNew := d.plan == nil || p.Revision != d.plan.Revision
 	d.plan = p
@@ -86,7 +86,7 @@
 	return d.recheckRequests(now)
 }
 
-// recheckRequests stops the requests that may not go on under the plan in force.
+// recheckRequests stops the requests that the plan in force does not allow.
 func (d *Dispatcher) recheckRequests(now int64) []Action {
 	var actions []Action
 	for _, ref := range d.sortedRefs() {
@@ -94,7 +94,7 @@
 		if request == nil {
 			continue // ended with an earlier one
 		}
-		reason := d.blockedBy(request)
+		reason := d.planViolation(request)
 		if reason == "" {
 			reason = d.updateDomain(request)
 		}
@@ -106,18 +106,18 @@
 	return actions
 }
 
-// sortedRefs lists the requests in the order in which they came, so that a replay decides
-// alike.
+// sortedRefs returns the references of all requests in order of arrival, so that a replay makes
+// the same decisions.
 func (d *Dispatcher) sortedRefs() []uint64 {
 	refs := lo.Keys(d.requests)
 	slices.Sort(refs)
 	return refs
 }
 
-// CurrentPlan is the newest plan known here, nil for none.
+// CurrentPlan returns the newest plan known to the dispatcher, nil for none.
 func (d *Dispatcher) CurrentPlan() *plan.Compiled { return d.plan }
 
-// PlanRevision is the revision of the newest plan known here, 0 for none.
+// PlanRevision returns the revision of the newest plan known to the dispatcher, 0 for none.
 func (d *Dispatcher) PlanRevision() uint64 {
 	if d.plan == nil {
 		return 0
@@ -125,7 +125,7 @@
 	return d.plan.Revision
 }
 
-// PlanAge is how many microseconds ago the plan was known to be in force.
+// PlanAge returns the time since the plan was last known to be in force, in microseconds.
 func (d *Dispatcher) PlanAge(now int64) int64 {
 	if d.plan == nil {
 		return noPlanAge
@@ -133,11 +133,12 @@
 	return now - d.planConfirmedAt
 }
 
-// InFlight counts the requests that were taken in and have not ended.
+// InFlight returns the number of requests being tracked: those admitted and not ended, and those
+// ended whose claim is still pending.
 func (d *Dispatcher) InFlight() int { return len(d.requests) }
 
-// Tick ends what can't be done by its deadline any more and hands out free capacity. It is
-// to be called every TickInterval.
+// Tick stops requests that can't meet their deadline any more, applies timeouts, and assigns free
+// capacity to queued requests. It must be called every TickInterval.
 func (d *Dispatcher) Tick(now int64) []Action {
 	var actions []Action
 	planTooOld := d.PlanAge(now) > MaxStreamPlanAge
@@ -157,7 +158,7 @@
 func (d *Dispatcher) tickRequest(now int64, request *trackedRequest, planTooOld, infeasible bool) []Action {
 	claimAge := int64(0)
 	if request.history.Claim == attempt.ClaimRequested {
-		claimAge = now - request.claimAskedAt
+		claimAge = now - request.claimRequestedAt
 	}
 	switch {
 	case request.history.Ended:
@@ -170,11 +171,11 @@
 	case now >= request.Deadline:
 		return d.Stop(now, request.Ref, ReasonDeadlinePassed)
 	case request.queued && infeasible:
-		// Given up: answered now, not when its deadline is near (docs/design.md §8).
+		// Reject it now rather than when its deadline is near (docs/design.md §8).
 		return d.Stop(now, request.Ref, ReasonDeadline)
 	case claimAge > claimTimeout:
-		// The claim may yet be granted; this request will not use it, and it stays
-		// taken, which errs on the safe side.
+		// The claim may still be granted. This request will not use it and does not release
+		// it, which is safe: a claim that is held prevents a second run.
 		request.history.Claim = attempt.ClaimUnknown
 		return d.advance(now, request)
 	case request.queued:
@@ -183,8 +184,8 @@
 	return nil
 }
 
-// infeasibleRequests are the queued requests that can't be served by their deadlines, by
-// reference. They are looked for every infeasibleCheckInterval only.
+// infeasibleRequests returns the references of the queued requests that can't be served by their
+// deadlines. It computes them only once per infeasibleCheckInterval, and returns none otherwise.
 func (d *Dispatcher) infeasibleRequests(now int64) map[uint64]bool {
 	refs := map[uint64]bool{}
 	d.ticks++
@@ -192,13 +193,12 @@
 		return refs
 	}
 	for _, id := range d.queue.Infeasible(now, d.steadyCapacity(0)) {
-		refs[refOf(id)] = true
+		refs[parseQueueID(id)] = true
 	}
 	return refs
 }
 
-// smoothCapacity takes the capacity of this moment into its moving average. Without any
-// capacity, and after that, the average begins anew.
+// smoothCapacity updates the moving average of the capacity. A capacity of 0 resets the average.
 func (d *Dispatcher) smoothCapacity(now int64) {
 	capacity := float64(d.Capacity(now))
 	if d.smoothedCapacity == 0 || capacity == 0 {
@@ -208,9 +208,9 @@
 	d.smoothedCapacity += (capacity - d.smoothedCapacity) * TickInterval / capacitySmoothing
 }
 
-// steadyCapacity is the capacity to count on, or current while there is no average: a
-// moment's gap, such as when an engine changes its owner, is no reason to reject, and a
-// moment's surplus none to accept.
+// steadyCapacity returns the average capacity, or current while there is no average. With the
+// average, a brief loss of capacity, such as when the owner of an engine changes, does not cause
+// rejections, and a brief surplus does not admit too many requests.
 func (d *Dispatcher) steadyCapacity(current int) int {
 	if d.smoothedCapacity == 0 {
 		return current
--- a/dispatch/engines_test.go
+++ b/dispatch/engines_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestGrantsOfFormerOwner: a grant of a former owner of the engine that comes after one of
-// its successor changes nothing; the successor's next one does.
+// TestGrantsOfFormerOwner checks that a late grant from a former owner of an engine is ignored,
+// and that further grants of the current owner and of its successor are applied.
 func TestGrantsOfFormerOwner(t *testing.T) {
 	const now = 10_000_000
 	d := New("p", "north", 1)
@@ -22,10 +22,10 @@
 		engine := d.engines["e"]
 		age := now - engine.confirmedAt
 		if engine.FencingToken != step.wantToken || age != step.wantAge {
-			t.Errorf("%s: token %d, %d old", step.what, engine.FencingToken, age)
+			t.Errorf("%s: fencing token %d, age %d", step.what, engine.FencingToken, age)
 		}
 		if d.engineByNode[engine.NodeID] != engine || len(d.engineByNode) != 1 {
-			t.Errorf("%s: engines by their incarnation: %v", step.what, d.engineByNode)
+			t.Errorf("%s: unexpected engines by node: %v", step.what, d.engineByNode)
 		}
 	}
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -9,57 +9,57 @@
 	"violetthread/quorum"
 )
 
-// Request is a call that passed the checks of key and form. Recordings contain it under
-// the names in its tags.
+// Request is a caller's request with a valid key and format. Recordings contain it under the
+// names in its tags.
 type Request struct {
-	Ref          uint64            `json:"Ref"` // this proxy's own number for it
+	Ref          uint64            `json:"Ref"` // number assigned by this proxy
 	ID           string            `json:"ID"`
-	IDFromCaller bool              `json:"Own"`    // the caller chose the id, and may send it again
-	Generation   uint64            `json:"Era"`    // of claims, that the caller named with the id
+	IDFromCaller bool              `json:"Own"`    // the caller chose the ID, and may send the request again
+	Generation   uint64            `json:"Era"`    // generation of claims, given by the caller with the ID
 	Group        string            `json:"Group"`  // of the caller
-	Kind         string            `json:"Kind"`   // of the plan
-	KeyDigest    string            `json:"Digest"` // of the key that it came with
+	Kind         string            `json:"Kind"`   // kind in the plan
+	KeyDigest    string            `json:"Digest"` // digest of the caller's key
 	Deadline     int64             `json:"Due"`
 	Prompt       string            `json:"Prompt"`
-	PrefixKeys   []cacheindex.Key  `json:"Chain"` // under Weights and Domain
-	Hints        []cacheindex.Hint `json:"Hints"` // into Chain, the longest prefix first
+	PrefixKeys   []cacheindex.Key  `json:"Chain"` // keys of the prompt's blocks under Weights and Domain
+	Hints        []cacheindex.Hint `json:"Hints"` // refer to PrefixKeys, the longest prefix first
 	Weights      string            `json:"Weights"`
 	Domain       string            `json:"Domain"` // cache domain of the group
 }
 
-// Rejection is why a request was not taken in.
+// Rejection is the reason for which a request was not admitted.
 type Rejection struct {
 	Reason       string `json:"Reason"`
-	RetryAfterUS int64  `json:"Back"` // 0: sending it again does not help
+	RetryAfterUS int64  `json:"Back"` // 0 if a retry is pointless
 }
 
-// trackedRequest is a request that was taken in and has not ended.
+// trackedRequest is an admitted request that has not ended, or whose claim is still pending.
 type trackedRequest struct {
 	Request
-	history       attempt.History
-	claimNonce    string
-	engine        *engineState // that it is or will be sent to, nil for none
-	queued        bool
-	holdsSlot     bool // it was dequeued, and the queue counts it as running
-	claimAskedAt  int64
-	expectedUS    int64 // that its run takes
-	startedAt     int64 // when the last attempt was sent
-	triedEngines  map[string]bool
-	domainChanged bool // since it came: its chain is of the former domain
-}
-
-// MaxHints is how many nodes the hints of a request name at most.
+	history          attempt.History
+	claimNonce       string
+	engine           *engineState // engine reserved for the request or running it, nil for none
+	queued           bool
+	holdsSlot        bool // dequeued, and counted as running by the queue
+	claimRequestedAt int64
+	expectedUS       int64 // expected duration of its run
+	startedAt        int64 // time at which the last attempt was sent
+	triedEngines     map[string]bool
+	domainChanged    bool // the cache domain changed since arrival; PrefixKeys are of the former domain
+}
+
+// MaxHints is the maximum number of hints of a request.
 const MaxHints = 4
 
-// defaultRunUS is how long a run is expected to take of whose kind nothing is known.
+// defaultRunUS is the expected duration of a run whose kind has no known duration.
 const defaultRunUS = 500_000
 
-// ClaimKey names the claim of a once-only request in the control state.
+// ClaimKey returns the key of a once-only request's claim in the control state.
 func ClaimKey(generation uint64, group, id string) string {
 	return quorum.ClaimKey(generation, group+"/"+id)
 }
 
-// claimAction makes an action on the request's claim.
+// claimAction returns an action on the request's claim.
 func (r *trackedRequest) claimAction(actionType ActionType) Action {
 	return Action{
 		Type:       actionType,
@@ -71,30 +71,30 @@
 	}
 }
 
-// queueID names the request in the fair queue.
+// queueID returns the ID of the request in the fair queue.
 func (r *trackedRequest) queueID() string { return strconv.FormatUint(r.Ref, 10) }
 
-// refOf is the reference of the request with a queueID.
-func refOf(queueID string) uint64 {
+// parseQueueID returns the reference of the request with a queue ID.
+func parseQueueID(queueID string) uint64 {
 	ref, _ := strconv.ParseUint(queueID, 10, 64)
 	return ref
 }
 
-// Admit takes a request in, or rejects it at once.
+// Admit accepts a request for processing, or rejects it immediately.
 func (d *Dispatcher) Admit(now int64, incoming Request) ([]Action, *Rejection) {
 	d.Counters.Arrived++
 	if d.PlanAge(now) > MaxPlanAge {
 		return nil, &Rejection{ReasonPlanNotFresh, 1_000_000}
 	}
 	request := &trackedRequest{Request: incoming, triedEngines: map[string]bool{}}
-	if reason := d.blockedBy(request); reason != "" {
+	if reason := d.planViolation(request); reason != "" {
 		return nil, &Rejection{reason, 0}
 	}
 	request.expectedUS = d.expectedRunUS(incoming.Kind)
 	if d.plan.Kinds[incoming.Kind].Once {
-		request.requireOnce()
+		request.requireOnceOnly()
 	}
-	if rejection := d.overload(now, request); rejection != nil {
+	if rejection := d.checkOverload(now, request); rejection != nil {
 		return nil, rejection
 	}
 	d.retryBudget.CountRequest()
@@ -106,8 +106,8 @@
 	return append([]Action{accept}, d.fillCapacity(now)...), nil
 }
 
-// overload says why a request can't be served in time, nil if it can.
-func (d *Dispatcher) overload(now int64, request *trackedRequest) *Rejection {
+// checkOverload returns a rejection if a request can't be served by its deadline, nil if it can.
+func (d *Dispatcher) checkOverload(now int64, request *trackedRequest) *Rejection {
 	capacity := d.Capacity(now)
 	if capacity == 0 {
 		return &Rejection{ReasonNoEngine, 1_000_000}
@@ -116,8 +116,8 @@
 		return &Rejection{ReasonQueueFull, request.expectedUS}
 	}
 	wait := d.queue.EstimateWait(request.Group, request.Deadline, d.steadyCapacity(capacity))
-	// A quarter of the wait and one run are kept in reserve, for capacity that goes and
-	// runs that take longer. Without a wait, the run itself must fit.
+	// A quarter of the wait and the duration of one run are kept in reserve, for loss of
+	// capacity and longer runs. Without a wait, only the run itself has to fit.
 	late := now+wait*5/4+request.expectedUS*2 > request.Deadline
 	if late && (wait > 0 || now+request.expectedUS > request.Deadline) {
 		return &Rejection{ReasonDeadline, max(wait, minRetryAfterUS)}
@@ -125,8 +125,9 @@
 	return nil
 }
 
-// blockedBy says why a request may not go on under the plan in force, "" if it may.
-func (d *Dispatcher) blockedBy(request *trackedRequest) string {
+// planViolation returns the reason for which the plan in force does not allow a request to
+// continue, "" if it does. It also makes an unsent request once-only if its kind has become so.
+func (d *Dispatcher) planViolation(request *trackedRequest) string {
 	if group, known := d.plan.GroupOf(request.KeyDigest); !known || group != request.Group {
 		return ReasonKeyRevoked
 	}
@@ -135,27 +136,28 @@
 		return ReasonKindRevoked
 	}
 	if kind.Once && !request.history.OnceOnly && len(request.history.Attempts) == 0 {
-		request.requireOnce()
+		request.requireOnceOnly()
 		if request.IDFromCaller && request.Generation == 0 {
-			return ReasonGenerationMissing // its kind became a once-only one while it waited
+			return ReasonGenerationMissing // its kind became once-only while it was queued
 		}
 	}
 	return ""
 }
 
-// requireOnce makes a request run once at most. An id that this proxy made up can't come
-// again, so that it needs no claim: the history of its attempts is enough.
-func (r *trackedRequest) requireOnce() {
+// requireOnceOnly marks a request to be run at most once. A request whose ID was made by this
+// proxy can't arrive again, so that it needs no claim: the history of its attempts is sufficient.
+func (r *trackedRequest) requireOnceOnly() {
 	r.history.OnceOnly = true
 	if !r.IDFromCaller {
 		r.history.Claim = attempt.ClaimNotNeeded
 	}
 }
 
-// updateDomain gives a request the cache domain that its group has now, and says why it may
-// not go on, "" if it may. One that was sent and has not started is stopped: it must not
-// start on what was cached before the group was isolated or opened. One that has started
-// goes on; what it needed of the cache it has.
+// updateDomain sets a request's cache domain to the current one of its group, and returns the
+// reason for which the request may not continue, "" if it may. A request that was sent but has
+// not started is stopped, since it must not use blocks cached before the isolation of the group
+// changed. A request that has started continues, since it has already read what it needs from
+// the cache.
 func (d *Dispatcher) updateDomain(request *trackedRequest) string {
 	domain := d.plan.CacheDomain(request.Group, request.Weights)
 	if domain == request.Domain {
@@ -182,7 +184,7 @@
 	}
 }
 
-// releaseSlot gives the request's place in its group back.
+// releaseSlot stops counting the request as running in its group.
 func (d *Dispatcher) releaseSlot(request *trackedRequest) {
 	if request.holdsSlot {
 		d.queue.Release(request.Group)
@@ -190,8 +192,8 @@
 	}
 }
 
-// expectedRunUS is how long a run of a kind is expected to take: as those of late did here,
-// or as the plan says.
+// expectedRunUS returns the expected duration of a run of a kind: the running mean at this proxy,
+// or else the typical duration in the plan, or else defaultRunUS.
 func (d *Dispatcher) expectedRunUS(kind string) int64 {
 	if typical := d.typicalRunUS[kind]; typical > 0 {
 		return typical
@@ -202,8 +204,8 @@
 	return defaultRunUS
 }
 
-// learnRunUS takes a completed run into the running mean of its kind.
-func (d *Dispatcher) learnRunUS(kind string, runUS int64) {
+// updateTypicalRunUS adds a completed run to the running mean of its kind.
+func (d *Dispatcher) updateTypicalRunUS(kind string, runUS int64) {
 	if typical := d.typicalRunUS[kind]; typical > 0 {
 		runUS = typical + (runUS-typical)/8
 	}
