--- a/fairqueue/estimate.go
+++ b/fairqueue/estimate.go
@@ -1,10 +1,10 @@
 package fairqueue
 
-// noCapacityWaitUS is the wait that EstimateWait returns without any capacity.
+// noCapacityWaitUS is the wait that EstimateWait returns if there is no capacity.
 const noCapacityWaitUS = 1 << 40
 
-// EstimateWait estimates for how many microseconds an item with that deadline would wait
-// in its group, with capacity for so many runs at once in all groups.
+// EstimateWait estimates the time in microseconds for which a new item with the given deadline
+// would wait in a group. capacity is the number of concurrent runs of all groups.
 func (q *Queue) EstimateWait(groupName string, deadline int64, capacity int) int64 {
 	if capacity <= 0 {
 		return noCapacityWaitUS
@@ -22,6 +22,7 @@
 	return int64(float64(costAhead) / q.serviceRate(group, capacity))
 }
 
+// totalRunning returns the number of running items of all groups.
 func (q *Queue) totalRunning() (running int) {
 	for _, group := range q.groups {
 		running += group.running
@@ -29,10 +30,11 @@
 	return running
 }
 
-// serviceRate is the capacity that a group may count on: its share among the groups that
-// wait or run now, or, while no other group waits, what the others leave if that is more.
+// serviceRate returns the capacity that is available to a group: its share among the groups with
+// waiting or running items, or, if no other group has waiting items, the capacity not used by
+// other groups if that is more.
 func (q *Queue) serviceRate(group *groupQueue, capacity int) float64 {
-	shares, othersRunning, othersWait := group.share, 0, false
+	shares, othersRunning, othersWaiting := group.share, 0, false
 	for _, name := range q.names {
 		other := q.groups[name]
 		if other == group || len(other.items) == 0 && other.running == 0 {
@@ -40,17 +42,18 @@
 		}
 		shares += other.share
 		othersRunning += other.running
-		othersWait = othersWait || len(other.items) > 0
+		othersWaiting = othersWaiting || len(other.items) > 0
 	}
 	rate := float64(capacity) * group.share / shares
-	if !othersWait {
+	if !othersWaiting {
 		rate = max(rate, float64(capacity-othersRunning))
 	}
 	return rate
 }
 
-// Infeasible lists the waiting items that can't be served by their deadlines with capacity
-// for so many runs at once. An item waits only for the feasible ones before it.
+// Infeasible returns the IDs of the waiting items that can't be served by their deadlines.
+// capacity is the number of concurrent runs of all groups. Infeasible items do not add to the
+// estimated wait of the items behind them.
 func (q *Queue) Infeasible(now int64, capacity int) (ids []string) {
 	if capacity <= 0 {
 		return nil
--- a/fairqueue/golden_digest_test.go
+++ b/fairqueue/golden_digest_test.go
@@ -9,7 +9,8 @@
 	"violetthread/internal/goldendigest"
 )
 
-// TestGoldenDigest serves, removes and estimates random items, and splits random room.
+// TestGoldenDigest performs random operations on a queue, and splits random capacities between
+// random demands.
 func TestGoldenDigest(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	digest := goldendigest.New()
@@ -55,7 +56,7 @@
 		digest.Number(int64(queue.Waiting(group)))
 		digest.Number(int64(queue.Running(group)))
 	}
-	for turn := range 600 {
+	for round := range 600 {
 		shares := map[string]float64{}
 		var demands []fairqueue.Demand
 		for i, group := range groups {
@@ -68,7 +69,7 @@
 			}
 			demands = append(demands, fairqueue.Demand{Proxy: fmt.Sprint("p", i), ByGroup: want})
 		}
-		split := fairqueue.Split(rnd.Intn(30), shares, 1+rnd.Intn(8), demands, turn)
+		split := fairqueue.Split(rnd.Intn(30), shares, 1+rnd.Intn(8), demands, round)
 		for _, demand := range demands {
 			digest.Number(int64(split[demand.Proxy]))
 		}
--- a/fairqueue/queue.go
+++ b/fairqueue/queue.go
@@ -9,19 +9,20 @@
 type Item struct {
 	ID       string
 	Deadline int64 // monotonic, in microseconds
-	Cost     int64 // microseconds that its run is expected to take
+	Cost     int64 // expected duration of its run, in microseconds
 }
 
-// Queue is a start-time fair queue over groups: a group with twice the share has twice the
-// cost served while both wait, and a group that was idle has nothing saved up.
+// Queue is a start-time fair queue over groups. While two groups have waiting items, they are
+// served in proportion to their shares, measured by cost. A group accumulates no credit while it
+// is idle.
 type Queue struct {
 	groups      map[string]*groupQueue
-	names       []string // of groups, sorted: floating-point sums depend on the order
+	names       []string // of groups, sorted, since floating-point sums depend on the order
 	virtualTime float64
 	waiting     int // items in all groups
 }
 
-// groupQueue is the part of a Queue that belongs to one group.
+// groupQueue is the state of one group in a Queue.
 type groupQueue struct {
 	share        float64
 	virtualStart float64 // of the item served next
@@ -29,10 +30,10 @@
 	running      int     // dequeued and not released
 }
 
-// NewQueue makes an empty queue.
+// NewQueue creates an empty queue.
 func NewQueue() *Queue { return &Queue{groups: map[string]*groupQueue{}} }
 
-// group returns a group's part, which is made when the group is first named.
+// group returns the state of a group, creating it on first use.
 func (q *Queue) group(name string) *groupQueue {
 	if group := q.groups[name]; group != nil {
 		return group
@@ -44,25 +45,24 @@
 	return group
 }
 
-// SetShare sets a group's share; one that was never set is 1. A share that is not positive
-// is ignored.
+// SetShare sets a group's share, which is 1 by default. Shares that are not positive are ignored.
 func (q *Queue) SetShare(group string, share float64) {
 	if share > 0 {
 		q.group(group).share = share
 	}
 }
 
-// Len counts the waiting items of all groups.
+// Len returns the number of waiting items of all groups.
 func (q *Queue) Len() int { return q.waiting }
 
-// Waiting counts the waiting items of a group.
+// Waiting returns the number of waiting items of a group.
 func (q *Queue) Waiting(group string) int { return len(q.group(group).items) }
 
-// Running counts a group's items that were dequeued and not yet released.
+// Running returns the number of a group's items that were dequeued and not yet released.
 func (q *Queue) Running(group string) int { return q.group(group).running }
 
-// DemandByGroup counts what each group has waiting and running; groups with nothing are
-// left out.
+// DemandByGroup returns the number of waiting and running items of each group. Groups without any
+// are left out.
 func (q *Queue) DemandByGroup() map[string]int {
 	demand := map[string]int{}
 	for name, group := range q.groups {
@@ -73,19 +73,19 @@
 	return demand
 }
 
-// Push adds an item behind the items of its group whose deadlines are not later.
+// Push adds an item to its group, behind all items whose deadlines are not later.
 func (q *Queue) Push(groupName string, item Item) {
 	group := q.group(groupName)
 	if len(group.items) == 0 && group.virtualStart < q.virtualTime {
-		group.virtualStart = q.virtualTime // time spent idle is not made up for
+		group.virtualStart = q.virtualTime // no credit for idle time
 	}
 	at := sort.Search(len(group.items), func(i int) bool { return group.items[i].Deadline > item.Deadline })
 	group.items = slices.Insert(group.items, at, item)
 	q.waiting++
 }
 
-// Next returns the item to serve next, without taking it out, among the groups that
-// mayServe lets through; running is what Running returns for the group.
+// Next returns the item to serve next, without removing it, among the groups for which mayServe
+// returns true; running is the number of running items of the group.
 func (q *Queue) Next(mayServe func(group string, running int) bool) (groupName string, item Item, found bool) {
 	var next *groupQueue
 	for _, name := range q.names {
@@ -103,11 +103,11 @@
 	return groupName, next.items[0], true
 }
 
-// Dequeue takes an item out to be served, charges its cost to the group, and counts it as
-// running until Release. It reports whether the item was there.
+// Dequeue removes an item to be served, charges its cost to the group, and counts it as running
+// until Release. It reports whether the item was in the queue.
 func (q *Queue) Dequeue(groupName, id string) bool {
 	group := q.group(groupName)
-	item, found := q.take(group, id)
+	item, found := q.extract(group, id)
 	if !found {
 		return false
 	}
@@ -119,13 +119,14 @@
 	return true
 }
 
-// Remove takes an item out that is not to be served, and reports whether it was there.
+// Remove removes an item without serving it, and reports whether it was in the queue.
 func (q *Queue) Remove(groupName, id string) bool {
-	_, found := q.take(q.group(groupName), id)
+	_, found := q.extract(q.group(groupName), id)
 	return found
 }
 
-func (q *Queue) take(group *groupQueue, id string) (Item, bool) {
+// extract removes an item from its group and returns it.
+func (q *Queue) extract(group *groupQueue, id string) (Item, bool) {
 	at := slices.IndexFunc(group.items, func(item Item) bool { return item.ID == id })
 	if at < 0 {
 		return Item{}, false
@@ -136,7 +137,7 @@
 	return item, true
 }
 
-// Release ends what Dequeue counted as running.
+// Release stops counting one item that was dequeued as running.
 func (q *Queue) Release(groupName string) {
 	if group := q.group(groupName); group.running > 0 {
 		group.running--
--- a/fairqueue/queue_test.go
+++ b/fairqueue/queue_test.go
@@ -34,7 +34,8 @@
 	return command
 }
 
-// TestQueue drives a queue by testdata/queue: push, serve, ahead.
+// TestQueue runs the commands of testdata/queue against a queue: new, share, push, serve and
+// ahead, which estimates a wait.
 func TestQueue(t *testing.T) {
 	q := NewQueue()
 	datadriven.RunTest(t, "testdata/queue", func(t *testing.T, d *datadriven.TestData) string {
@@ -61,8 +62,8 @@
 	})
 }
 
-// serve takes items out, as the command says, and shows either their order or how many
-// each group had. Without a capacity no group is limited and every run ends at once.
+// serve dequeues as many items as the command says, and returns either their order or the number
+// of items of each group. With a capacity of 0 no group is limited, and every run ends at once.
 func serve(q *Queue, command queueCommand, showOrder bool) string {
 	served := map[string]int{}
 	var order []string
--- a/fairqueue/split.go
+++ b/fairqueue/split.go
@@ -6,92 +6,95 @@
 	"strings"
 )
 
-// epsilon is what a floating-point sum of places may be off by.
+// epsilon is the tolerance for rounding errors in floating-point sums of slots.
 const epsilon = 1e-9
 
 // Demand is what one proxy reports to the owner of an engine.
 type Demand struct {
 	Proxy   string
-	ByGroup map[string]float64 // requests waiting and running there of late, by group
+	ByGroup map[string]float64 // recent number of waiting and running requests at the proxy, by group
 }
 
-// Split shares the capacity of one engine between proxies, and returns the places of each.
-// First the groups of all proxies together get it by their shares (1 for a group without
-// one), none more than its demand, which is spread over so many engines. Each group's part
-// then goes where its demand is, so that a group that floods one proxy takes nothing from
-// the groups of other proxies. Every proxy gets one place while there are enough, and
-// places that nobody demands go to all alike.
+// Split divides the capacity of one engine between proxies, and returns the number of slots of
+// each proxy. First it divides the capacity between the groups of all proxies by their shares (1
+// for a group without one); no group gets more than its demand, which is assumed to be spread
+// evenly over the given number of engines. It then divides each group's allocation between the
+// proxies in proportion to the group's demand there, so that a group that floods one proxy takes
+// nothing from the groups of other proxies. Every proxy gets at least one slot if there are
+// enough, and capacity without demand is divided equally.
 //
-// Parts of a place go round: over successive rounds each proxy gets a place as often as
-// its part says. All owners that pass the same arguments get the same result.
+// Fractions of a slot rotate: over successive rounds each proxy gets an extra slot in proportion
+// to its fraction. The result is a deterministic function of the arguments, so that all owners
+// compute the same.
 func Split(capacity int, shares map[string]float64, engines int, demands []Demand, round int) map[string]int {
-	places := map[string]int{}
+	slots := map[string]int{}
 	if len(demands) == 0 || capacity <= 0 {
-		return places
+		return slots
 	}
 	demands = slices.Clone(demands)
 	slices.SortFunc(demands, func(a, b Demand) int { return strings.Compare(a.Proxy, b.Proxy) })
-	parts := fairParts(float64(capacity), shares, float64(max(1, engines)), demands)
-	left := capacity
+	allocations := fairAllocations(float64(capacity), shares, float64(max(1, engines)), demands)
+	remaining := capacity
 	if capacity >= len(demands) {
-		left -= len(demands)
+		remaining -= len(demands)
 		for i, demand := range demands {
-			places[demand.Proxy] = 1
-			parts[i] = max(0, parts[i]-1)
+			slots[demand.Proxy] = 1
+			allocations[i] = max(0, allocations[i]-1)
 		}
 	}
-	scaleTo(parts, left)
-	roundParts(places, parts, left, demands, round)
-	return places
+	scaleToSum(allocations, remaining)
+	roundToSlots(slots, allocations, remaining, demands, round)
+	return slots
 }
 
-// scaleTo makes parts sum up to total: what is missing is added to all alike, what is too
-// much is taken from each by its size.
-func scaleTo(parts []float64, total int) {
+// scaleToSum adjusts allocations so that their sum is total: a shortfall is added to all equally,
+// and an excess is removed by scaling all in proportion.
+func scaleToSum(allocations []float64, total int) {
 	sum := 0.0
-	for _, part := range parts {
-		sum += part
+	for _, allocation := range allocations {
+		sum += allocation
 	}
 	if missing := float64(total) - sum; missing > 0 {
-		for i := range parts {
-			parts[i] += missing / float64(len(parts))
+		for i := range allocations {
+			allocations[i] += missing / float64(len(allocations))
 		}
 		sum = float64(total)
 	}
 	if sum <= 0 {
 		return
 	}
-	for i := range parts {
-		parts[i] *= float64(total) / sum
+	for i := range allocations {
+		allocations[i] *= float64(total) / sum
 	}
 }
 
-// roundParts adds whole places, left in all, that follow from parts. The remainders are
-// laid end to end, and a proxy gets one place more where the next whole number, shifted by
-// the round, falls into its own. The shift is a multiple of the golden ratio, whose
-// fractions are spread evenly whatever the number of rounds.
-func roundParts(places map[string]int, parts []float64, left int, demands []Demand, round int) {
+// roundToSlots rounds allocations to whole slots, remaining in total, and adds them to slots. It
+// uses systematic sampling: the fractional parts are placed end to end on the number line, and a
+// proxy gets an extra slot if a whole number, shifted by an offset for the round, falls into its
+// fractional part. The offset is the fractional part of a multiple of the golden ratio; such
+// fractions are evenly distributed for any number of rounds.
+func roundToSlots(slots map[string]int, allocations []float64, remaining int, demands []Demand, round int) {
 	_, shift := math.Modf(float64(round) * math.Phi)
-	toNext := 1 - shift
-	given := 0
+	untilNextSlot := 1 - shift
+	assigned := 0
 	for i, demand := range demands {
-		whole := int(parts[i] + epsilon)
-		if toNext -= parts[i] - float64(whole); toNext <= epsilon {
-			toNext++
+		whole := int(allocations[i] + epsilon)
+		if untilNextSlot -= allocations[i] - float64(whole); untilNextSlot <= epsilon {
+			untilNextSlot++
 			whole++
 		}
-		whole = min(whole, left-given)
-		places[demand.Proxy] += whole
-		given += whole
+		whole = min(whole, remaining-assigned)
+		slots[demand.Proxy] += whole
+		assigned += whole
 	}
-	if given < left { // lost by rounding
-		places[demands[0].Proxy] += left - given
+	if assigned < remaining { // lost to rounding errors
+		slots[demands[0].Proxy] += remaining - assigned
 	}
 }
 
-// fairParts divides the capacity between groups, and returns for each demand the sum of
-// its parts of the groups that it names.
-func fairParts(capacity float64, shares map[string]float64, engines float64, demands []Demand) []float64 {
+// fairAllocations divides the capacity between groups, divides each group's allocation between
+// the proxies by their demand, and returns for each proxy the sum over all groups.
+func fairAllocations(capacity float64, shares map[string]float64, engines float64, demands []Demand) []float64 {
 	wanted := map[string]float64{}
 	for _, demand := range demands {
 		for group, n := range demand.ByGroup {
@@ -103,21 +106,22 @@
 		groups = append(groups, group)
 	}
 	slices.Sort(groups)
-	granted := fillByShare(capacity, shares, engines, groups, wanted)
-	parts := make([]float64, len(demands))
+	granted := progressiveFill(capacity, shares, engines, groups, wanted)
+	allocations := make([]float64, len(demands))
 	for i, demand := range demands {
 		for _, group := range groups {
 			if n := demand.ByGroup[group]; n > 0 {
-				parts[i] += granted[group] * n / wanted[group]
+				allocations[i] += granted[group] * n / wanted[group]
 			}
 		}
 	}
-	return parts
+	return allocations
 }
 
-// fillByShare gives each group capacity by its share until what it wants of one engine is
-// met. What the satisfied groups leave is shared anew between the others.
-func fillByShare(capacity float64, shares map[string]float64, engines float64, groups []string, wanted map[string]float64) map[string]float64 {
+// progressiveFill divides the capacity of one engine between groups by their shares, and limits
+// each group to its demand per engine. It divides the capacity left over by satisfied groups
+// between the others until no further group reaches its demand.
+func progressiveFill(capacity float64, shares map[string]float64, engines float64, groups []string, wanted map[string]float64) map[string]float64 {
 	granted := map[string]float64{}
 	for open := groups; capacity > epsilon && len(open) > 0; {
 		sum := 0.0
@@ -125,7 +129,7 @@
 			sum += shareOf(shares, group)
 		}
 		var unsatisfied []string
-		left := capacity
+		remaining := capacity
 		for _, group := range open {
 			need := wanted[group]/engines - granted[group]
 			if need > capacity*shareOf(shares, group)/sum {
@@ -133,7 +137,7 @@
 				continue
 			}
 			granted[group] += need
-			left -= need
+			remaining -= need
 		}
 		if len(unsatisfied) == len(open) {
 			for _, group := range open {
@@ -141,11 +145,12 @@
 			}
 			break
 		}
-		open, capacity = unsatisfied, left
+		open, capacity = unsatisfied, remaining
 	}
 	return granted
 }
 
+// shareOf returns the share of a group, 1 by default.
 func shareOf(shares map[string]float64, group string) float64 {
 	if share := shares[group]; share > 0 {
 		return share
--- a/fairqueue/split_test.go
+++ b/fairqueue/split_test.go
@@ -2,34 +2,36 @@
 
 import "testing"
 
-// oneGroup is the demand of a proxy at which only group g has anything.
+// oneGroup returns the demand of a proxy with requests of group g only.
 func oneGroup(n float64) map[string]float64 { return map[string]float64{"g": n} }
 
-// TestSplit: places never sum up to more than the capacity, no proxy goes without one that
-// can have it, more demand never means less, and what nobody demands goes to all alike.
+// TestSplit checks that the slots of all proxies do not exceed the capacity, and use all of it if
+// there are enough for all proxies; that each proxy then has at least one; and that a proxy with
+// more demand never gets fewer slots.
 func TestSplit(t *testing.T) {
 	for capacity := range 40 {
 		for round := range 5 {
 			demands := []Demand{{"a", oneGroup(0)}, {"b", oneGroup(3)}, {"c", oneGroup(30)}, {"d", oneGroup(3)}, {"e", oneGroup(1)}}
-			places := Split(capacity, nil, 1, demands, round)
+			slots := Split(capacity, nil, 1, demands, round)
 			sum := 0
 			for _, demand := range demands {
-				sum += places[demand.Proxy]
-				if capacity >= len(demands) && places[demand.Proxy] == 0 {
-					t.Fatalf("capacity %d: %s has none: %v", capacity, demand.Proxy, places)
+				sum += slots[demand.Proxy]
+				if capacity >= len(demands) && slots[demand.Proxy] == 0 {
+					t.Fatalf("capacity %d: no slot for proxy %s: %v", capacity, demand.Proxy, slots)
 				}
 			}
 			if sum > capacity || capacity >= len(demands) && sum != capacity {
-				t.Fatalf("capacity %d shared as %v", capacity, places)
+				t.Fatalf("capacity %d: wrong total of slots: %v", capacity, slots)
 			}
-			if places["c"] < places["b"] || places["b"] < places["a"] && capacity >= len(demands) {
-				t.Fatalf("capacity %d: more demand, fewer places: %v", capacity, places)
+			if slots["c"] < slots["b"] || slots["b"] < slots["a"] && capacity >= len(demands) {
+				t.Fatalf("capacity %d: fewer slots for a proxy with more demand: %v", capacity, slots)
 			}
 		}
 	}
 }
 
-// TestSplitGoesRound: a single place goes to three proxies with the same demand in turn.
+// TestSplitGoesRound checks that a single slot rotates evenly between three proxies with the same
+// demand.
 func TestSplitGoesRound(t *testing.T) {
 	got := map[string]int{}
 	for round := range 300 {
@@ -38,12 +40,12 @@
 		}
 	}
 	if got["a"] < 98 || got["b"] < 98 || got["c"] < 98 {
-		t.Fatalf("a single place goes round as %v", got)
+		t.Fatalf("uneven rotation of a single slot: %v", got)
 	}
 }
 
-// TestSplitByGroups: a group that floods one proxy takes no capacity from a group of
-// another proxy that stays within its share, and gets all that is left.
+// TestSplitByGroups checks that a group that floods one proxy takes no capacity from a group of
+// other proxies that stays within its share, and that it gets all remaining capacity.
 func TestSplitByGroups(t *testing.T) {
 	demands := []Demand{
 		{"a", map[string]float64{"flood": 500}},
@@ -52,12 +54,12 @@
 	}
 	shares := map[string]float64{"flood": 1, "orders": 4}
 	for round := range 4 {
-		if places := Split(24, shares, 1, demands, round); places["a"] != 6 || places["b"] != 12 || places["c"] != 6 {
-			t.Fatalf("one engine: %v", places)
+		if slots := Split(24, shares, 1, demands, round); slots["a"] != 6 || slots["b"] != 12 || slots["c"] != 6 {
+			t.Fatalf("one engine: %v", slots)
 		}
-		// The same demand goes to two engines: half of it is this one's.
-		if places := Split(24, shares, 2, demands, round); places["a"] != 15 || places["b"] != 6 || places["c"] != 3 {
-			t.Fatalf("two engines: %v", places)
+		// With two engines, half of the demand applies to each.
+		if slots := Split(24, shares, 2, demands, round); slots["a"] != 15 || slots["b"] != 6 || slots["c"] != 3 {
+			t.Fatalf("two engines: %v", slots)
 		}
 	}
 }
