--- a/placement/costmodel.go
+++ b/placement/costmodel.go
@@ -53,7 +53,8 @@
 	// there is another. The engine is not excluded, since the checker may be the one that is
 	// partitioned from the network.
 	unhealthyPenaltyUS = 400_000
-	// excessRequestPenaltyUS applies to each request in excess of an engine's slots.
+	// excessRequestPenaltyUS applies to each request in excess of an engine's slots, the new one
+	// included.
 	excessRequestPenaltyUS = 50_000
 )
 
