--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -27,19 +27,19 @@
 	v := &view{}
 	v.merge(fullState(1, 0, "e", 11*second, 5), 100*second)
 	v.merge(fullState(2, 0, "e", 1*second, 5), 102*second)
-	if least := v.minVersion(103*second, "m", route.VersionLimits{InTermUS: within}); least != 2 {
+	if least := v.minVersion(103*second, "m", route.VersionLimits{PerTermUS: within}); least != 2 {
 		t.Errorf("version %d may still be begun 14 s after 2 was announced", least)
 	}
 	before := *v
 	v.merge(fullState(2, 0, "e", 4*second, 6), 104*second) // the rollout role changed hands
-	if least := v.minVersion(105*second, "m", route.VersionLimits{InTermUS: within}); least != 0 {
+	if least := v.minVersion(105*second, "m", route.VersionLimits{PerTermUS: within}); least != 0 {
 		t.Errorf("%d must be begun though the bound counts anew", least)
 	}
-	if least := before.minVersion(105*second, "m", route.VersionLimits{InTermUS: within}); least != 2 {
+	if least := before.minVersion(105*second, "m", route.VersionLimits{PerTermUS: within}); least != 2 {
 		t.Error("a view that was published has changed")
 	}
 	v.merge(fullState(1, 0, "e", 90*second, 5), 106*second) // a node that has not noticed
-	if least := v.minVersion(107*second, "m", route.VersionLimits{InTermUS: within}); least != 0 {
+	if least := v.minVersion(107*second, "m", route.VersionLimits{PerTermUS: within}); least != 0 {
 		t.Errorf("%d must be begun as a node of an earlier term says", least)
 	}
 }
--- a/internal/app/proxy/versionwait.go
+++ b/internal/app/proxy/versionwait.go
@@ -27,13 +27,13 @@
 
 // minVersion is the oldest version of a model that an attempt may be sent to at the time now.
 func (s *server) minVersion(now int64, model string) uint64 {
-	return s.view.Load().minVersion(now, model, s.settings.Bounds.VersionLimits().Earlier(dispatchSlackUS))
+	return s.view.Load().minVersion(now, model, s.settings.Bounds.VersionLimits().ReducedBy(dispatchSlackUS))
 }
 
 // beginLimit is the time at which an attempt on a version of a model is withdrawn unless it has
 // begun.
 func (s *server) beginLimit(model string, version uint64) int64 {
-	limits := s.settings.Bounds.VersionLimits().Earlier(withdrawSlackUS)
+	limits := s.settings.Bounds.VersionLimits().ReducedBy(withdrawSlackUS)
 	until, superseded := s.view.Load().usableUntil(model, version, limits)
 	if !superseded {
 		return noBeginLimit
--- a/route/announcements.go
+++ b/route/announcements.go
@@ -124,33 +124,33 @@
 // VersionLimits bound for how long a request may still begin on a version after a newer one was
 // announced, in microseconds.
 type VersionLimits struct {
-	InTermUS int64 // within a term
-	InAllUS  int64 // over all terms; 0 for none
+	PerTermUS int64 // within a term
+	TotalUS   int64 // over all terms; 0 for none
 }
 
-// Earlier are the limits less a slack.
-func (l VersionLimits) Earlier(slackUS int64) VersionLimits {
-	l.InTermUS -= slackUS
-	if l.InAllUS > 0 {
-		l.InAllUS -= slackUS
+// ReducedBy are the limits less a slack.
+func (l VersionLimits) ReducedBy(slackUS int64) VersionLimits {
+	l.PerTermUS -= slackUS
+	if l.TotalUS > 0 {
+		l.TotalUS -= slackUS
 	}
 	return l
 }
 
 // Shortest is the shorter of the limits.
 func (l VersionLimits) Shortest() int64 {
-	if l.InAllUS == 0 {
-		return l.InTermUS
+	if l.TotalUS == 0 {
+		return l.PerTermUS
 	}
-	return min(l.InTermUS, l.InAllUS)
+	return min(l.PerTermUS, l.TotalUS)
 }
 
 // end is the time from which on a request must not begin on anything older.
 func (l VersionLimits) end(known announcement) int64 {
-	if l.InAllUS == 0 {
-		return known.at + l.InTermUS
+	if l.TotalUS == 0 {
+		return known.at + l.PerTermUS
 	}
-	return min(known.at+l.InTermUS, known.first+l.InAllUS)
+	return min(known.at+l.PerTermUS, known.first+l.TotalUS)
 }
 
 // OldestAllowed is the oldest version of a model on which a request may still begin at the
--- a/route/announcements_test.go
+++ b/route/announcements_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("version %d counts from %d, not %d", version, at, want)
 		}
 	}
-	if got := a.OldestAllowed(1_000, "m", VersionLimits{InTermUS: 400}); got != 1 {
+	if got := a.OldestAllowed(1_000, "m", VersionLimits{PerTermUS: 400}); got != 1 {
 		t.Errorf("%d is the oldest that is allowed", got)
 	}
 }
@@ -116,11 +116,11 @@
 		limits VersionLimits
 		want   map[uint64]int64 // by version; 0 for ever
 	}{
-		{"one limit", VersionLimits{InTermUS: 100}, map[uint64]int64{1: later + 100, 3: later + 100, 4: later + 100, 5: 0, 6: 0}},
-		{"the limit in all is far", VersionLimits{InTermUS: 100, InAllUS: 9_000}, map[uint64]int64{1: later + 100, 5: 0}},
-		{"the limit in all comes first", VersionLimits{InTermUS: 100, InAllUS: 3_000}, map[uint64]int64{1: 3_400, 2: 3_400, 3: 3_900, 4: 3_900, 5: 0}},
-		{"less a slack", VersionLimits{InTermUS: 100, InAllUS: 3_000}.Earlier(30), map[uint64]int64{1: 3_370}},
-		{"no limit in all, less a slack", VersionLimits{InTermUS: 100}.Earlier(30), map[uint64]int64{1: later + 70}},
+		{"one limit", VersionLimits{PerTermUS: 100}, map[uint64]int64{1: later + 100, 3: later + 100, 4: later + 100, 5: 0, 6: 0}},
+		{"the limit in all is far", VersionLimits{PerTermUS: 100, TotalUS: 9_000}, map[uint64]int64{1: later + 100, 5: 0}},
+		{"the limit in all comes first", VersionLimits{PerTermUS: 100, TotalUS: 3_000}, map[uint64]int64{1: 3_400, 2: 3_400, 3: 3_900, 4: 3_900, 5: 0}},
+		{"less a slack", VersionLimits{PerTermUS: 100, TotalUS: 3_000}.ReducedBy(30), map[uint64]int64{1: 3_370}},
+		{"no limit in all, less a slack", VersionLimits{PerTermUS: 100}.ReducedBy(30), map[uint64]int64{1: later + 70}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := announced(3, map[uint64]int64{2: 700, 3: 400, 5: 900})
@@ -143,7 +143,7 @@
 
 // TestShortest: a bound of 0 over all terms is none.
 func TestShortest(t *testing.T) {
-	for limits, want := range map[VersionLimits]int64{{InTermUS: 5}: 5, {InTermUS: 5, InAllUS: 9}: 5, {InTermUS: 5, InAllUS: 3}: 3} {
+	for limits, want := range map[VersionLimits]int64{{PerTermUS: 5}: 5, {PerTermUS: 5, TotalUS: 9}: 5, {PerTermUS: 5, TotalUS: 3}: 3} {
 		if got := limits.Shortest(); got != want {
 			t.Errorf("%+v: %d", limits, got)
 		}
