--- a/attempt/example_test.go
+++ b/attempt/example_test.go
@@ -6,7 +6,8 @@
 	"violetthread/attempt"
 )
 
-// A once-only request: claimed, sent, rejected with proof, sent again, lost.
+// A once-only request is claimed and sent. The first engine provably does not start it, so it
+// is sent to a second one, whose connection is lost: the outcome is unknown.
 func ExampleHistory_Next() {
 	h := attempt.History{OnceOnly: true}
 	conditions := attempt.Conditions{TimeLeft: true, RetryAllowed: true}
--- a/attempt/forward.go
+++ b/attempt/forward.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Forward is all that is known of one request that the proxy forwards unopened (docs/design.md
-// §14).
+// Forward is the record of one request that the proxy forwards without parsing its body
+// (docs/design.md §14).
 type Forward struct {
-	Repeatable bool // it may run again: it is idempotent, or a stream that can be resumed
-	Resumable  bool // a stream that may go on at another engine after its head went out
-	MaxEngines int  // engines that it may be sent to, at the most
+	Repeatable bool // may run more than once: idempotent, or a stream that can be resumed
+	Resumable  bool // a stream that another engine may continue after the response head was sent
+	MaxEngines int  // maximum number of engines that the request may reach
 	Attempts   []Attempt
-	HeadSent   bool   // the head of an answer has gone to the caller
-	StopReason string // why it must not go on; empty while it may
-	Ended      bool   // the caller has its final answer
+	HeadSent   bool   // the response head has been sent to the caller
+	StopReason string // why the request must not be sent again; empty if it may be
+	Ended      bool   // the caller has the final response
 }
 
 // ForwardAction is the next step of a Forward.
@@ -19,12 +19,12 @@
 
 // The next steps of a Forward.
 const (
-	ForwardWait   ForwardAction = iota + 1 // for the attempt in flight
-	ForwardSend                            // to one more engine
-	ForwardDone                            // the answer went out to its end
-	ForwardReject                          // promise that it has not run and will not
-	ForwardLost                            // say that it may have run
-	ForwardAbort                           // break the answer off so that it can't look complete
+	ForwardWait   ForwardAction = iota + 1 // wait for the attempt in flight
+	ForwardSend                            // send the request to one more engine
+	ForwardDone                            // the response was sent completely
+	ForwardReject                          // tell the caller that the request did not and will not run
+	ForwardLost                            // tell the caller that the request may have run
+	ForwardAbort                           // cut the response off so that it cannot pass for a complete one
 )
 
 // String is the action's name in logs and test output.
@@ -36,23 +36,24 @@
 	return fmt.Sprintf("ForwardAction(%d)", uint8(a))
 }
 
-// Reasons of a rejection beside ReasonDeadline and ReasonRetryBudget. The texts are part of
-// the API.
+// Reasons for a rejection in addition to ReasonDeadline and ReasonRetryBudget. The texts are
+// part of the API.
 const (
 	reasonNoEngine = "no-engine"
-	// ReasonEnginesFull: as many engines as the route allows said that they did not run it.
+	// ReasonEnginesFull: as many engines as the route allows reported that they did not run
+	// the request.
 	ReasonEnginesFull = "engines-full"
 )
 
-// ForwardDecision is the next step of a forwarded request, and what goes with it.
+// ForwardDecision is the next step of a forwarded request and its details.
 type ForwardDecision struct {
 	Action        ForwardAction
-	Reason        string // of a rejection, loss or abort
-	CancelAttempt string // id of an attempt in flight to cancel; empty for none
+	Reason        string // for ForwardReject, ForwardLost and ForwardAbort
+	CancelAttempt string // id of the attempt in flight to cancel; empty for none
 	SpendsRetry   bool   // the attempt counts against the retry budget
 }
 
-// enginesReached counts the attempts of which something reached an engine, or may have.
+// enginesReached counts the attempts that reached an engine, or may have, in whole or in part.
 func (f *Forward) enginesReached() (reached int) {
 	for _, a := range f.Attempts {
 		if a.State != NotStarted || a.Cause != Unreachable {
@@ -62,12 +63,12 @@
 	return reached
 }
 
-// Next decides the next step. It changes nothing.
+// Next decides the next step. It does not modify the record.
 func (f *Forward) Next(conditions Conditions) ForwardDecision {
 	if f.Ended {
 		return ForwardDecision{Action: ForwardWait}
 	}
-	decisive, interrupted := survey(f.Attempts)
+	decisive, interrupted := decidingAttempt(f.Attempts)
 	switch {
 	case decisive != nil:
 		return f.nextInFlightOrCompleted(decisive)
@@ -77,7 +78,7 @@
 	return f.nextNeverRan(conditions)
 }
 
-// nextInFlightOrCompleted decides while an attempt is in flight or when it completed.
+// nextInFlightOrCompleted decides if an attempt is in flight or has completed.
 func (f *Forward) nextInFlightOrCompleted(a *Attempt) ForwardDecision {
 	switch {
 	case a.State == Completed:
@@ -90,7 +91,7 @@
 	return ForwardDecision{Action: ForwardLost, Reason: f.StopReason, CancelAttempt: a.ID}
 }
 
-// nextInterrupted decides when the last attempt may have run.
+// nextInterrupted decides if an interrupted attempt may have run; last is the last such one.
 func (f *Forward) nextInterrupted(last *Attempt, conditions Conditions) ForwardDecision {
 	more := f.maySend(f.enginesReached(), conditions)
 	switch {
@@ -102,7 +103,7 @@
 	return ForwardDecision{Action: ForwardLost, Reason: last.Cause}
 }
 
-// nextNeverRan decides when every attempt, if there was one, provably never ran.
+// nextNeverRan decides if there was no attempt, or every attempt provably never ran.
 func (f *Forward) nextNeverRan(conditions Conditions) ForwardDecision {
 	reached := f.enginesReached()
 	switch {
@@ -120,15 +121,15 @@
 	return ForwardDecision{Action: ForwardReject, Reason: ReasonRetryBudget}
 }
 
-// maySend reports whether one more engine may be asked, as far as time, the route's
-// limit and the retry budget go. The first engine that is reached spends no budget.
+// maySend reports whether the deadline, the route's limit on engines and the retry budget
+// allow one more attempt. The first engine that is reached costs no retry.
 func (f *Forward) maySend(reached int, conditions Conditions) bool {
 	return f.StopReason == "" && conditions.TimeLeft && reached < f.MaxEngines &&
 		(reached == 0 || conditions.RetryAllowed)
 }
 
-// Record sets an attempt's state and reports whether it did: what is known of an attempt is
-// never taken back, and an unknown id changes nothing.
+// Record sets an attempt's state and reports whether it did. A final state is never replaced
+// and a started attempt never goes back to an earlier state; an unknown id changes nothing.
 func (f *Forward) Record(id string, state State, cause string) bool {
 	return record(f.Attempts, id, state, cause)
 }
--- a/attempt/forward_test.go
+++ b/attempt/forward_test.go
@@ -5,69 +5,71 @@
 	"testing"
 )
 
-// attemptKinds are the kinds of attempt that a Forward may hold.
+// attemptKinds are the combinations of state and cause that an attempt of a Forward can have.
 var attemptKinds = []Attempt{{State: Sent}, {State: NotStarted, Cause: "skipped"}, {State: NotStarted, Cause: Unreachable}, {State: Started},
 	{State: Interrupted, Cause: "engine-lost"}, {State: Completed}}
 
-// each calls f with every record of up to most attempts, of which only the last one may
-// be under way or finished.
-func each(most int, f func([]Attempt)) {
-	var walk func(l []Attempt)
-	walk = func(l []Attempt) {
-		f(l)
-		if n := len(l); n == most || n > 0 && l[n-1].State != NotStarted && l[n-1].State != Interrupted {
+// forEachRecord calls check with every list of up to maxAttempts attempts in which only the
+// last one may be in flight or completed.
+func forEachRecord(maxAttempts int, check func([]Attempt)) {
+	var extend func(attempts []Attempt)
+	extend = func(attempts []Attempt) {
+		check(attempts)
+		if n := len(attempts); n == maxAttempts || n > 0 && attempts[n-1].State != NotStarted && attempts[n-1].State != Interrupted {
 			return
 		}
-		for _, x := range attemptKinds {
-			x.ID = fmt.Sprint(len(l))
-			walk(append(append([]Attempt(nil), l...), x))
+		for _, next := range attemptKinds {
+			next.ID = fmt.Sprint(len(attempts))
+			extend(append(append([]Attempt(nil), attempts...), next))
 		}
 	}
-	walk(nil)
+	extend(nil)
 }
 
-func has(l []Attempt, s State) *Attempt {
-	for i := range l {
-		if l[i].State == s {
-			return &l[i]
+// findState returns the first attempt in a state, or nil.
+func findState(attempts []Attempt, state State) *Attempt {
+	for i := range attempts {
+		if attempts[i].State == state {
+			return &attempts[i]
 		}
 	}
 	return nil
 }
 
-// want is the decision table, written anew from what callers and engines may be promised.
-func want(p Forward, f Conditions) (d ForwardAction, retry bool, cancel string) {
-	reached := 0 // engines that may have seen it
-	for _, a := range p.Attempts {
+// expectedDecision is a second, independent implementation of the decision table, derived
+// from what callers and engines may be told.
+func expectedDecision(forward Forward, conditions Conditions) (action ForwardAction, retry bool, cancel string) {
+	reached := 0 // attempts that may have reached an engine
+	for _, a := range forward.Attempts {
 		if a.State != NotStarted || a.Cause == "skipped" {
 			reached++
 		}
 	}
-	live := has(p.Attempts, Sent)
-	if live == nil {
-		live = has(p.Attempts, Started)
+	inFlight := findState(forward.Attempts, Sent)
+	if inFlight == nil {
+		inFlight = findState(forward.Attempts, Started)
 	}
-	lost := has(p.Attempts, Interrupted) != nil
+	lost := findState(forward.Attempts, Interrupted) != nil
 	switch {
-	case p.Ended:
+	case forward.Ended:
 		return ForwardWait, false, ""
-	case has(p.Attempts, Completed) != nil:
+	case findState(forward.Attempts, Completed) != nil:
 		return ForwardDone, false, ""
-	case live != nil && p.StopReason == "":
+	case inFlight != nil && forward.StopReason == "":
 		return ForwardWait, false, ""
-	case live != nil && p.HeadSent:
-		return ForwardAbort, false, live.ID
-	case live != nil:
-		return ForwardLost, false, live.ID
+	case inFlight != nil && forward.HeadSent:
+		return ForwardAbort, false, inFlight.ID
+	case inFlight != nil:
+		return ForwardLost, false, inFlight.ID
 	}
-	may := p.StopReason == "" && f.TimeLeft && reached < p.MaxEngines && (reached == 0 || f.RetryAllowed)
+	maySend := forward.StopReason == "" && conditions.TimeLeft && reached < forward.MaxEngines && (reached == 0 || conditions.RetryAllowed)
 	if lost {
-		may = may && (!p.HeadSent && p.Repeatable || p.HeadSent && p.Resumable)
+		maySend = maySend && (!forward.HeadSent && forward.Repeatable || forward.HeadSent && forward.Resumable)
 	}
 	switch {
-	case may:
+	case maySend:
 		return ForwardSend, reached > 0, ""
-	case p.HeadSent:
+	case forward.HeadSent:
 		return ForwardAbort, false, ""
 	case lost:
 		return ForwardLost, false, ""
@@ -75,51 +77,51 @@
 	return ForwardReject, false, ""
 }
 
-// TestForwardDecisions goes through every record of up to three attempts and checks each
-// decision by what it promises, and against the decision table written anew in want.
+// TestForwardDecisions goes through every record of up to three attempts. Each decision must
+// keep the guarantees to callers and engines, and agree with expectedDecision.
 func TestForwardDecisions(t *testing.T) {
-	n := 0
-	bits := func(x, i int) bool { return x>>i&1 == 1 }
-	each(3, func(l []Attempt) {
-		for x := range 1 << 7 {
-			for most := 1; most <= 3; most++ {
-				p := Forward{Repeatable: bits(x, 0), Resumable: bits(x, 1), HeadSent: bits(x, 2), Ended: bits(x, 3), MaxEngines: most, Attempts: l}
-				if bits(x, 4) {
-					p.StopReason = "caller-gone"
+	count := 0
+	bit := func(bits, i int) bool { return bits>>i&1 == 1 }
+	forEachRecord(3, func(attempts []Attempt) {
+		for bits := range 1 << 7 {
+			for maxEngines := 1; maxEngines <= 3; maxEngines++ {
+				forward := Forward{Repeatable: bit(bits, 0), Resumable: bit(bits, 1), HeadSent: bit(bits, 2), Ended: bit(bits, 3), MaxEngines: maxEngines, Attempts: attempts}
+				if bit(bits, 4) {
+					forward.StopReason = "caller-gone"
 				}
-				f := Conditions{TimeLeft: bits(x, 5), RetryAllowed: bits(x, 6)}
-				m := p.Next(f)
-				n++
-				ran := has(l, Sent) != nil || has(l, Started) != nil || has(l, Interrupted) != nil || has(l, Completed) != nil
-				bad := ""
+				conditions := Conditions{TimeLeft: bit(bits, 5), RetryAllowed: bit(bits, 6)}
+				decision := forward.Next(conditions)
+				count++
+				mayHaveRun := findState(attempts, Sent) != nil || findState(attempts, Started) != nil || findState(attempts, Interrupted) != nil || findState(attempts, Completed) != nil
+				violation := ""
 				switch {
-				case m.Action == ForwardSend && ran && !p.Repeatable && !p.Resumable:
-					bad = "it may run twice"
-				case m.Action == ForwardSend && (has(l, Sent) != nil || has(l, Started) != nil || has(l, Completed) != nil):
-					bad = "it is sent beside an attempt that was not lost"
-				case m.Action == ForwardReject && (ran || p.HeadSent):
-					bad = "it is promised that it never ran"
-				case m.Action == ForwardLost && p.HeadSent, m.Action == ForwardAbort && !p.HeadSent:
-					bad = "the answer is ended in the wrong way"
-				case m.Action == ForwardDone && has(l, Completed) == nil:
-					bad = "no attempt finished"
+				case decision.Action == ForwardSend && mayHaveRun && !forward.Repeatable && !forward.Resumable:
+					violation = "the request may run twice"
+				case decision.Action == ForwardSend && (findState(attempts, Sent) != nil || findState(attempts, Started) != nil || findState(attempts, Completed) != nil):
+					violation = "sent while an attempt is in flight or completed"
+				case decision.Action == ForwardReject && (mayHaveRun || forward.HeadSent):
+					violation = "rejected although it may have run"
+				case decision.Action == ForwardLost && forward.HeadSent, decision.Action == ForwardAbort && !forward.HeadSent:
+					violation = "response ended the wrong way for whether its head was sent"
+				case decision.Action == ForwardDone && findState(attempts, Completed) == nil:
+					violation = "done without a completed attempt"
 				}
-				if bad != "" {
-					t.Fatalf("%s: %+v with %+v: %+v", bad, p, f, m)
+				if violation != "" {
+					t.Fatalf("%s: %+v with %+v: %+v", violation, forward, conditions, decision)
 				}
-				if d, retry, cancel := want(p, f); m.Action != d || m.SpendsRetry != retry || m.CancelAttempt != cancel {
-					t.Fatalf("%+v with %+v: %+v, not %v, retry %v, cancel %q", p, f, m, d, retry, cancel)
+				if action, retry, cancel := expectedDecision(forward, conditions); decision.Action != action || decision.SpendsRetry != retry || decision.CancelAttempt != cancel {
+					t.Fatalf("%+v with %+v: got %+v, want %v, retry %v, cancel %q", forward, conditions, decision, action, retry, cancel)
 				}
-				if (m.Action == ForwardReject || m.Action == ForwardLost || m.Action == ForwardAbort) && m.Reason == "" {
-					t.Fatalf("%+v with %+v: %+v has no reason", p, f, m)
+				if (decision.Action == ForwardReject || decision.Action == ForwardLost || decision.Action == ForwardAbort) && decision.Reason == "" {
+					t.Fatalf("%+v with %+v: decision %+v has no reason", forward, conditions, decision)
 				}
 			}
 		}
 	})
-	t.Logf("%d records", n)
+	t.Logf("%d records checked", count)
 }
 
-// TestForwardRecord: what is known of an attempt never moves backwards.
+// TestForwardRecord: Record accepts only transitions towards a final state.
 func TestForwardRecord(t *testing.T) {
 	for _, c := range []struct {
 		from, to State
@@ -129,10 +131,10 @@
 		{NotStarted, Interrupted, false}, {Completed, Interrupted, false}, {Completed, NotStarted, false}} {
 		p := Forward{Attempts: []Attempt{{ID: "0", State: c.from}}}
 		if ok := p.Record("0", c.to, "x"); ok != c.ok || ok && p.Attempts[0].State != c.to || !ok && p.Attempts[0].State != c.from {
-			t.Errorf("from %v to %v: %v, is %v", c.from, c.to, ok, p.Attempts[0].State)
+			t.Errorf("from %v to %v: accepted %v, state is now %v", c.from, c.to, ok, p.Attempts[0].State)
 		}
 		if p.Record("1", c.to, "x") {
-			t.Error("an attempt that is not there was recorded")
+			t.Error("Record accepted an unknown attempt id")
 		}
 	}
 }
--- a/attempt/golden_digest_test.go
+++ b/attempt/golden_digest_test.go
@@ -9,8 +9,8 @@
 	"violetthread/internal/goldendigest"
 )
 
-// TestGoldenDigest takes requests that are forwarded through random courses, beside a
-// window of retries.
+// TestGoldenDigest runs forwarded requests through random sequences of events, with a
+// RetryWindow, and compares the decisions with the stored digest.
 func TestGoldenDigest(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	digest := goldendigest.New()
--- a/attempt/history.go
+++ b/attempt/history.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// ClaimState is the state of the durable claim by which a once-only request is kept from
-// running twice. Its numbers are part of recordings and must not change.
+// ClaimState is the state of the durable claim that keeps a once-only request from running
+// twice. The numbers are stored in recordings and must not change.
 type ClaimState uint8
 
 // The states of a claim.
 const (
 	ClaimNotRequested ClaimState = iota
-	ClaimRequested               // no answer yet
-	ClaimGranted                 // the request is ours to run
-	ClaimTaken                   // somebody else's
-	ClaimUnknown                 // requested, and the answer was lost
-	ClaimClosed                  // its generation of claims is over: nobody gets it any more
-	ClaimNotNeeded               // nobody else can request it
+	ClaimRequested               // no response yet
+	ClaimGranted                 // this node may run the request
+	ClaimTaken                   // another holder has it
+	ClaimUnknown                 // requested, and the response was lost
+	ClaimClosed                  // its generation of claims has closed: it can no longer be granted
+	ClaimNotNeeded               // no other node can request it
 )
 
 // String is the state's name in logs and test output.
@@ -26,28 +26,28 @@
 	return fmt.Sprintf("ClaimState(%d)", uint8(c))
 }
 
-// History is all that is known of one request of the dispatcher.
+// History is the record of one request of the dispatcher.
 type History struct {
-	OnceOnly        bool       // it must not run twice: a claim goes before its first attempt
+	OnceOnly        bool       // must not run twice: needs a claim before its first attempt
 	Claim           ClaimState // of a once-only request
 	Attempts        []Attempt  // oldest first; at most the last one is in flight
-	ResponseStarted bool       // a byte of an answer has gone to the caller
-	StopReason      string     // why it must not go on; empty while it may
-	Ended           bool       // the caller has its final answer
+	ResponseStarted bool       // at least one byte of a response has been sent to the caller
+	StopReason      string     // why the request must not be sent again; empty if it may be
+	Ended           bool       // the caller has the final response
 }
 
-// Outcome is what the caller is told in the last frame. The texts are part of the API.
+// Outcome is reported to the caller in the last frame. The texts are part of the API.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	Done     Outcome = "done"    // ran once, to its end
+	Done     Outcome = "done"    // ran to completion
 	Rejected Outcome = "refused" // provably never ran and never will
-	Unknown  Outcome = "unknown" // it may have run
+	Unknown  Outcome = "unknown" // may have run
 )
 
-// Reasons that History.Next and Forward.Next give themselves; others are the cause of an
-// attempt or a StopReason. The texts are part of the API.
+// Reasons that originate in History.Next and Forward.Next; all others are copied from an
+// attempt's Cause or from StopReason. The texts are part of the API.
 const (
 	reasonDuplicate        = "duplicate"
 	reasonGenerationClosed = "era-closed"
@@ -63,9 +63,9 @@
 
 // The next steps of a History.
 const (
-	Wait         Action = iota + 1 // for an attempt or the claim
-	RequestClaim                   // before the first attempt
-	Assign                         // send it to an engine
+	Wait         Action = iota + 1 // wait for an attempt or the claim
+	RequestClaim                   // request the claim, before the first attempt
+	Assign                         // send the request to an engine
 	Finish                         // tell the caller the Outcome
 )
 
@@ -78,28 +78,28 @@
 	return fmt.Sprintf("Action(%d)", uint8(a))
 }
 
-// Decision is the next step of a request, and what goes with it.
+// Decision is the next step of a queued request and its details.
 type Decision struct {
 	Action        Action
-	Outcome       Outcome // of Finish
-	Reason        string  // of Finish; empty when Done
-	CancelAttempt string  // id of an attempt in flight to cancel; empty for none
-	ReleaseClaim  bool    // give the claim back
-	SpendsRetry   bool    // the attempt to Assign counts against the retry budget
+	Outcome       Outcome // for Finish
+	Reason        string  // for Finish; empty if the Outcome is Done
+	CancelAttempt string  // id of the attempt in flight to cancel; empty for none
+	ReleaseClaim  bool    // release the claim
+	SpendsRetry   bool    // for Assign: the attempt counts against the retry budget
 }
 
-// Conditions are what a record of attempts does not hold.
+// Conditions are the inputs of a decision that the record of attempts does not hold.
 type Conditions struct {
-	TimeLeft     bool // before the deadline, for one more attempt
-	RetryAllowed bool // by the retry budget
+	TimeLeft     bool // enough time for one more attempt before the deadline
+	RetryAllowed bool // the retry budget allows a retry
 }
 
-// Next decides the next step. It changes nothing.
+// Next decides the next step. It does not modify the record.
 func (h *History) Next(conditions Conditions) Decision {
 	if h.Ended {
 		return Decision{Action: Wait}
 	}
-	decisive, interrupted := survey(h.Attempts)
+	decisive, interrupted := decidingAttempt(h.Attempts)
 	switch {
 	case decisive != nil:
 		return h.nextInFlightOrCompleted(decisive)
@@ -109,7 +109,7 @@
 	return h.nextNeverRan(conditions)
 }
 
-// nextInFlightOrCompleted decides while an attempt is in flight or when it completed.
+// nextInFlightOrCompleted decides if an attempt is in flight or has completed.
 func (h *History) nextInFlightOrCompleted(a *Attempt) Decision {
 	switch {
 	case a.State == Completed:
@@ -120,7 +120,7 @@
 	return Decision{Action: Wait}
 }
 
-// nextInterrupted decides when the last attempt may have run.
+// nextInterrupted decides if an interrupted attempt may have run; last is the last such one.
 func (h *History) nextInterrupted(last *Attempt, conditions Conditions) Decision {
 	switch {
 	case h.OnceOnly || h.ResponseStarted:
@@ -133,18 +133,18 @@
 	return Decision{Action: Assign, SpendsRetry: true}
 }
 
-// nextNeverRan decides when every attempt, if there was one, provably never ran.
+// nextNeverRan decides if there was no attempt, or every attempt provably never ran.
 func (h *History) nextNeverRan(conditions Conditions) Decision {
-	// A claim whose answer was lost is given back as well, should it have been granted.
+	// A claim in state ClaimUnknown is released as well, because it may have been granted.
 	release := h.OnceOnly && (h.Claim == ClaimGranted || h.Claim == ClaimUnknown)
 	switch {
 	case h.OnceOnly && h.Claim == ClaimTaken:
 		return Decision{Action: Finish, Outcome: Unknown, Reason: reasonDuplicate}
 	case h.OnceOnly && h.Claim == ClaimClosed:
-		// Whether it ran while that generation was open is not recorded any more.
+		// Once a generation has closed, there is no record of what ran while it was open.
 		return Decision{Action: Finish, Outcome: Unknown, Reason: reasonGenerationClosed}
 	case h.StopReason != "":
-		// A claim still on its way is given back when it arrives.
+		// If the claim is still being requested, it is released once it is granted.
 		return Decision{Action: Finish, Outcome: Rejected, Reason: h.StopReason, ReleaseClaim: release}
 	case !conditions.TimeLeft:
 		return Decision{Action: Finish, Outcome: Rejected, Reason: ReasonDeadline, ReleaseClaim: release}
@@ -160,13 +160,13 @@
 	return Decision{Action: Assign, SpendsRetry: len(h.Attempts) > 0}
 }
 
-// Record sets an attempt's state and reports whether it did: what is known of an attempt is
-// never taken back, and an unknown id changes nothing.
+// Record sets an attempt's state and reports whether it did. A final state is never replaced
+// and a started attempt never goes back to an earlier state; an unknown id changes nothing.
 func (h *History) Record(id string, state State, cause string) bool {
 	return record(h.Attempts, id, state, cause)
 }
 
-// InFlight is the attempt that has not ended, if there is one.
+// InFlight returns the attempt that has not ended, if there is one.
 func (h *History) InFlight() (Attempt, bool) {
 	for i := range h.Attempts {
 		if h.Attempts[i].inFlight() {
--- a/attempt/history_test.go
+++ b/attempt/history_test.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestTable runs the state table of the design page (§6): each case is a
-// history, its answer the next step.
+// TestTable runs the state table of docs/design.md §6: the input of each case is a history,
+// its expected output the next step.
 func TestTable(t *testing.T) {
 	datadriven.RunTest(t, "testdata/table", func(t *testing.T, d *datadriven.TestData) string {
 		h := History{}
-		f := Conditions{TimeLeft: !d.HasArg("no-time"), RetryAllowed: !d.HasArg("no-budget")}
+		conditions := Conditions{TimeLeft: !d.HasArg("no-time"), RetryAllowed: !d.HasArg("no-budget")}
 		h.OnceOnly, h.ResponseStarted, h.Ended = d.HasArg("once"), d.HasArg("out"), d.HasArg("ended")
 		claims := map[string]ClaimState{"missing": ClaimNotRequested, "asked": ClaimRequested, "held": ClaimGranted, "taken": ClaimTaken, "doubtful": ClaimUnknown}
 		states := map[string]State{"sent": Sent, "never": NotStarted, "began": Started, "broken": Interrupted, "finished": Completed}
@@ -27,71 +27,71 @@
 				for i, v := range a.Vals {
 					s, ok := states[v]
 					if !ok {
-						d.Fatalf(t, "no state %q", v)
+						d.Fatalf(t, "unknown state %q", v)
 					}
 					h.Attempts = append(h.Attempts, Attempt{ID: fmt.Sprint("a", i), State: s, Cause: "lost"})
 				}
 			}
 		}
-		m := h.Next(f)
-		out := []string{map[Action]string{Wait: "wait", RequestClaim: "ask", Assign: "assign", Finish: "end"}[m.Action]}
-		for _, s := range []string{string(m.Outcome), m.Reason} {
+		decision := h.Next(conditions)
+		out := []string{map[Action]string{Wait: "wait", RequestClaim: "ask", Assign: "assign", Finish: "end"}[decision.Action]}
+		for _, s := range []string{string(decision.Outcome), decision.Reason} {
 			if s != "" {
 				out = append(out, s)
 			}
 		}
-		if m.CancelAttempt != "" {
-			out = append(out, "cancel="+m.CancelAttempt)
+		if decision.CancelAttempt != "" {
+			out = append(out, "cancel="+decision.CancelAttempt)
 		}
-		if m.ReleaseClaim {
+		if decision.ReleaseClaim {
 			out = append(out, "release")
 		}
-		if m.SpendsRetry {
+		if decision.SpendsRetry {
 			out = append(out, "retry")
 		}
 		return strings.Join(out, " ") + "\n"
 	})
 }
 
-// TestNoSecondRun tries every history of up to two attempts: whatever else
-// holds, a once-only request and one whose answer has begun are assigned again only when
-// every attempt provably never ran, and rejected only then as well.
+// TestNoSecondRun tries every history of up to two attempts: a once-only request, or one
+// whose response has started, is assigned again only if every attempt provably never ran; no
+// request is rejected if an attempt may have run.
 func TestNoSecondRun(t *testing.T) {
 	states := []State{0, Sent, NotStarted, Started, Interrupted, Completed}
-	n := 0
-	for _, a := range states {
-		for _, b := range states {
-			for c := ClaimNotRequested; c <= ClaimUnknown; c++ {
+	count := 0
+	for _, first := range states {
+		for _, second := range states {
+			for claim := ClaimNotRequested; claim <= ClaimUnknown; claim++ {
 				for bits := 0; bits < 32; bits++ {
-					h := History{OnceOnly: bits&1 != 0, ResponseStarted: bits&2 != 0, Claim: c}
+					h := History{OnceOnly: bits&1 != 0, ResponseStarted: bits&2 != 0, Claim: claim}
 					if bits&4 != 0 {
 						h.StopReason = "stop"
 					}
-					for i, s := range []State{a, b} {
+					for i, s := range []State{first, second} {
 						if s != 0 {
 							h.Attempts = append(h.Attempts, Attempt{ID: fmt.Sprint(i), State: s})
 						}
 					}
-					m := h.Next(Conditions{TimeLeft: bits&8 != 0, RetryAllowed: bits&16 != 0})
+					decision := h.Next(Conditions{TimeLeft: bits&8 != 0, RetryAllowed: bits&16 != 0})
 					mayHaveRun := false
-					for _, x := range h.Attempts {
-						mayHaveRun = mayHaveRun || x.State != NotStarted
+					for _, a := range h.Attempts {
+						mayHaveRun = mayHaveRun || a.State != NotStarted
 					}
-					n++
-					if m.Action == Assign && mayHaveRun && (h.OnceOnly || h.ResponseStarted) {
-						t.Fatalf("second run: %+v -> %+v", h, m)
+					count++
+					if decision.Action == Assign && mayHaveRun && (h.OnceOnly || h.ResponseStarted) {
+						t.Fatalf("assigned again although it may have run: %+v -> %+v", h, decision)
 					}
-					if m.Action == Assign && h.OnceOnly && h.Claim != ClaimGranted && !mayHaveRun {
-						t.Fatalf("run without a claim: %+v -> %+v", h, m)
+					if decision.Action == Assign && h.OnceOnly && h.Claim != ClaimGranted && !mayHaveRun {
+						t.Fatalf("assigned without a claim: %+v -> %+v", h, decision)
 					}
-					if m.Outcome == Rejected && mayHaveRun {
-						t.Fatalf("rejected what may have run: %+v -> %+v", h, m)
+					if decision.Outcome == Rejected && mayHaveRun {
+						t.Fatalf("rejected although it may have run: %+v -> %+v", h, decision)
 					}
 				}
 			}
 		}
 	}
-	if n != 6*6*5*32 {
-		t.Fatalf("tried %d histories", n)
+	if count != 6*6*5*32 {
+		t.Fatalf("tried %d histories", count)
 	}
 }
--- a/attempt/property_test.go
+++ b/attempt/property_test.go
@@ -8,207 +8,209 @@
 	"pgregory.net/rapid"
 )
 
-// truth is what really became of an attempt, which the record can only know by proof.
-type truth struct {
-	reached bool // an engine got some of it
-	ran     bool
-	proven  bool // that it did not run and will not
+// actualResult is what actually happened to an attempt. The record holds only what is proven.
+type actualResult struct {
+	reached      bool // an engine received at least a part of the request
+	ran          bool
+	provenNotRun bool // proven not to have run, and never to run later
 }
 
-// world plays engines, callers and time against a Forward that follows its own decisions.
-type world struct {
+// model simulates engines, the caller and the deadline, and follows the decisions of a Forward.
+type model struct {
 	forward    Forward
 	conditions Conditions
-	truths     []truth
+	actual     []actualResult // by attempt
 	decisions  []ForwardDecision
-	over       bool
+	ended      bool
 }
 
-// endings are how an attempt can end: what is true, and what the proxy may record of it.
+// endings are the ways in which an attempt can end: what actually happened, and what the proxy
+// records.
 var endings = []struct {
-	name  string
-	truth truth
-	state State
-	cause string
+	name   string
+	actual actualResult
+	state  State
+	cause  string
 }{
-	{"no connection", truth{proven: true}, NotStarted, Unreachable},
-	{"refused", truth{reached: true, proven: true}, NotStarted, "skipped"},
-	{"another engine's address", truth{reached: true, proven: true}, NotStarted, "other"},
-	{"reset before it ran", truth{reached: true}, Interrupted, "engine-lost"},
-	{"silence, and it runs later", truth{reached: true, ran: true}, Interrupted, "due-passed"},
-	{"answer cut", truth{reached: true, ran: true}, Interrupted, "engine-lost"},
-	{"answer garbled", truth{reached: true, ran: true}, Interrupted, "engine-malformed"},
-	{"failed", truth{reached: true, ran: true}, Interrupted, "engine-failed"},
-	{"whole", truth{reached: true, ran: true}, Completed, ""},
+	{"no connection", actualResult{provenNotRun: true}, NotStarted, Unreachable},
+	{"refused", actualResult{reached: true, provenNotRun: true}, NotStarted, "skipped"},
+	{"address of another engine", actualResult{reached: true, provenNotRun: true}, NotStarted, "other"},
+	{"reset before it ran", actualResult{reached: true}, Interrupted, "engine-lost"},
+	{"no response, runs later", actualResult{reached: true, ran: true}, Interrupted, "due-passed"},
+	{"response truncated", actualResult{reached: true, ran: true}, Interrupted, "engine-lost"},
+	{"response malformed", actualResult{reached: true, ran: true}, Interrupted, "engine-malformed"},
+	{"failed", actualResult{reached: true, ran: true}, Interrupted, "engine-failed"},
+	{"whole", actualResult{reached: true, ran: true}, Completed, ""},
 }
 
 func drawForward(t *rapid.T) Forward {
-	resume := rapid.Bool().Draw(t, "resumable")
+	resumable := rapid.Bool().Draw(t, "resumable")
 	return Forward{
-		Repeatable: resume || rapid.Bool().Draw(t, "repeatable"),
-		Resumable:  resume,
+		Repeatable: resumable || rapid.Bool().Draw(t, "repeatable"),
+		Resumable:  resumable,
 		MaxEngines: rapid.IntRange(1, 4).Draw(t, "engines"),
 	}
 }
 
 // mayHaveRun reports whether any attempt is not proven not to have run.
-func (w *world) mayHaveRun() bool {
-	for _, x := range w.truths {
-		if !x.proven {
+func (m *model) mayHaveRun() bool {
+	for _, result := range m.actual {
+		if !result.provenNotRun {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) reached() (n int) {
-	for _, x := range w.truths {
-		if x.reached {
+// reached counts the attempts that reached an engine.
+func (m *model) reached() (n int) {
+	for _, result := range m.actual {
+		if result.reached {
 			n++
 		}
 	}
 	return n
 }
 
-// step asks for the next decision, checks it and follows it.
-func (w *world) step(t *rapid.T) {
-	before := w.forward
-	before.Attempts = append([]Attempt(nil), w.forward.Attempts...)
-	decision := w.forward.Next(w.conditions)
-	if !reflect.DeepEqual(before.Attempts, append([]Attempt(nil), w.forward.Attempts...)) || before.HeadSent != w.forward.HeadSent {
-		t.Fatalf("asking for a decision changed the record")
+// step asks for the next decision, checks it and carries it out.
+func (m *model) step(t *rapid.T) {
+	before := m.forward
+	before.Attempts = append([]Attempt(nil), m.forward.Attempts...)
+	decision := m.forward.Next(m.conditions)
+	if !reflect.DeepEqual(before.Attempts, append([]Attempt(nil), m.forward.Attempts...)) || before.HeadSent != m.forward.HeadSent {
+		t.Fatalf("Next modified the record")
 	}
-	w.decisions = append(w.decisions, decision)
-	w.judge(t, decision)
+	m.decisions = append(m.decisions, decision)
+	m.checkDecision(t, decision)
 	switch decision.Action {
 	case ForwardSend:
-		w.attempt(t)
+		m.attempt(t)
 	case ForwardWait:
 	default:
-		w.over = true
+		m.ended = true
 	}
 }
 
-// judge checks a decision against what really happened.
-func (w *world) judge(t *rapid.T, decision ForwardDecision) {
-	ran := w.mayHaveRun()
+// checkDecision checks a decision against what actually happened.
+func (m *model) checkDecision(t *rapid.T, decision ForwardDecision) {
+	mayHaveRun := m.mayHaveRun()
 	switch decision.Action {
 	case ForwardSend:
 		switch {
-		case ran && !w.forward.Repeatable:
-			t.Fatalf("sent again after an attempt that may have run: %+v", w.forward)
-		case w.forward.HeadSent && !w.forward.Resumable:
-			t.Fatalf("sent again behind an answer that can't go on: %+v", w.forward)
-		case w.reached() >= w.forward.MaxEngines:
-			t.Fatalf("sent to engine %d of %d: %+v", w.reached()+1, w.forward.MaxEngines, w.forward)
-		case w.forward.StopReason != "" || !w.conditions.TimeLeft:
-			t.Fatalf("sent with a reason not to: %+v %+v", w.forward, w.conditions)
-		case w.reached() > 0 && (!decision.SpendsRetry || !w.conditions.RetryAllowed):
-			t.Fatalf("a further attempt spends no budget: %+v", w.forward)
+		case mayHaveRun && !m.forward.Repeatable:
+			t.Fatalf("sent again after an attempt that may have run: %+v", m.forward)
+		case m.forward.HeadSent && !m.forward.Resumable:
+			t.Fatalf("sent again after the head of a response that cannot be resumed: %+v", m.forward)
+		case m.reached() >= m.forward.MaxEngines:
+			t.Fatalf("sent to engine %d of %d: %+v", m.reached()+1, m.forward.MaxEngines, m.forward)
+		case m.forward.StopReason != "" || !m.conditions.TimeLeft:
+			t.Fatalf("sent although stopped or past the deadline: %+v %+v", m.forward, m.conditions)
+		case m.reached() > 0 && (!decision.SpendsRetry || !m.conditions.RetryAllowed):
+			t.Fatalf("retried without counting against the retry budget, or beyond it: %+v", m.forward)
 		}
 	case ForwardReject:
-		if ran || w.forward.HeadSent {
-			t.Fatalf("told that it never ran: %+v", w.forward)
+		if mayHaveRun || m.forward.HeadSent {
+			t.Fatalf("rejected although it may have run or the response head was sent: %+v", m.forward)
 		}
 	case ForwardDone:
-		if has(w.forward.Attempts, Completed) == nil {
-			t.Fatalf("told that it is done: %+v", w.forward)
+		if findState(m.forward.Attempts, Completed) == nil {
+			t.Fatalf("done without a completed attempt: %+v", m.forward)
 		}
 	case ForwardLost:
-		if w.forward.HeadSent || !ran {
-			t.Fatalf("lost, with an answer out (%v) or nothing that ran: %+v", w.forward.HeadSent, w.forward)
+		if m.forward.HeadSent || !mayHaveRun {
+			t.Fatalf("lost although the response head was sent (%v) or nothing can have run: %+v", m.forward.HeadSent, m.forward)
 		}
 	case ForwardAbort:
-		if !w.forward.HeadSent {
-			t.Fatalf("cut off before anything went out: %+v", w.forward)
+		if !m.forward.HeadSent {
+			t.Fatalf("aborted before the response head was sent: %+v", m.forward)
 		}
 	}
 }
 
-// attempt makes one and draws how it ends.
-func (w *world) attempt(t *rapid.T) {
-	id := fmt.Sprint(len(w.forward.Attempts))
-	w.forward.Attempts = append(w.forward.Attempts, Attempt{ID: id, State: Sent})
-	end := endings[rapid.IntRange(0, len(endings)-1).Draw(t, "ending")]
-	w.truths = append(w.truths, end.truth)
-	if end.truth.ran && rapid.Bool().Draw(t, "its head went out") {
-		w.forward.Record(id, Started, "")
-		w.forward.HeadSent = true
+// attempt adds an attempt and draws how it ends.
+func (m *model) attempt(t *rapid.T) {
+	id := fmt.Sprint(len(m.forward.Attempts))
+	m.forward.Attempts = append(m.forward.Attempts, Attempt{ID: id, State: Sent})
+	ending := endings[rapid.IntRange(0, len(endings)-1).Draw(t, "ending")]
+	m.actual = append(m.actual, ending.actual)
+	if ending.actual.ran && rapid.Bool().Draw(t, "response head was sent") {
+		m.forward.Record(id, Started, "")
+		m.forward.HeadSent = true
 	}
-	if w.forward.HeadSent && end.truth.ran && rapid.IntRange(0, 4).Draw(t, "an event without an id") == 0 {
-		w.forward.Resumable = false
+	if m.forward.HeadSent && ending.actual.ran && rapid.IntRange(0, 4).Draw(t, "event without an id") == 0 {
+		m.forward.Resumable = false
 	}
-	if !end.truth.proven && rapid.IntRange(0, 5).Draw(t, "still under way") == 0 {
+	if !ending.actual.provenNotRun && rapid.IntRange(0, 5).Draw(t, "still in flight") == 0 {
 		return
 	}
-	w.forward.Record(id, end.state, end.cause)
+	m.forward.Record(id, ending.state, ending.cause)
 }
 
-// TestForwardNeverRepeatsWhatMayHaveRun: whatever engines, callers and time do, in any
-// order, no decision breaks a promise.
+// TestForwardNeverRepeatsWhatMayHaveRun: for every order of what engines, the caller, the
+// deadline and the retry budget do, no decision breaks a guarantee.
 func TestForwardNeverRepeatsWhatMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{forward: drawForward(t), conditions: Conditions{TimeLeft: true, RetryAllowed: true}}
+		m := &model{forward: drawForward(t), conditions: Conditions{TimeLeft: true, RetryAllowed: true}}
 		t.Repeat(map[string]func(*rapid.T){
 			"next decision": func(t *rapid.T) {
-				if w.over {
-					t.Skip("it has ended")
+				if m.ended {
+					t.Skip("the request has ended")
 				}
-				w.step(t)
+				m.step(t)
 			},
-			"the deadline passes": func(*rapid.T) { w.conditions.TimeLeft = false },
-			"the budget is spent": func(*rapid.T) { w.conditions.RetryAllowed = false },
-			"the budget is back":  func(*rapid.T) { w.conditions.RetryAllowed = true },
-			"the caller leaves":   func(*rapid.T) { w.forward.StopReason = "caller-gone" },
-			"a late word of an attempt": func(t *rapid.T) {
-				if len(w.forward.Attempts) == 0 {
-					t.Skip("none was made")
+			"the deadline passes": func(*rapid.T) { m.conditions.TimeLeft = false },
+			"the budget is spent": func(*rapid.T) { m.conditions.RetryAllowed = false },
+			"the budget is back":  func(*rapid.T) { m.conditions.RetryAllowed = true },
+			"the caller leaves":   func(*rapid.T) { m.forward.StopReason = "caller-gone" },
+			"a late report of an attempt": func(t *rapid.T) {
+				if len(m.forward.Attempts) == 0 {
+					t.Skip("there is no attempt")
 				}
-				i := rapid.IntRange(0, len(w.forward.Attempts)-1).Draw(t, "attempt")
-				a := &w.forward.Attempts[i]
-				was := a.State
-				end := endings[rapid.IntRange(0, len(endings)-1).Draw(t, "word")]
-				if end.truth != w.truths[i] && (was == Sent || was == Started) {
-					t.Skip("not what became of it")
+				i := rapid.IntRange(0, len(m.forward.Attempts)-1).Draw(t, "attempt")
+				a := &m.forward.Attempts[i]
+				previous := a.State
+				ending := endings[rapid.IntRange(0, len(endings)-1).Draw(t, "word")]
+				if ending.actual != m.actual[i] && (previous == Sent || previous == Started) {
+					t.Skip("contradicts what actually happened")
 				}
-				w.forward.Record(a.ID, end.state, end.cause)
-				if was != Sent && was != Started && a.State != was {
-					t.Fatalf("a late word turned %v into %v", was, a.State)
+				m.forward.Record(a.ID, ending.state, ending.cause)
+				if previous != Sent && previous != Started && a.State != previous {
+					t.Fatalf("a late report changed the final state %v to %v", previous, a.State)
 				}
 			},
 		})
 	})
 }
 
-// TestForwardEnds: engines that never answer whole are asked as often as allowed, and no
-// more.
+// TestForwardEnds: if no engine ever completes a response, the request ends after at most
+// MaxEngines engines.
 func TestForwardEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{forward: drawForward(t), conditions: Conditions{TimeLeft: true, RetryAllowed: true}}
-		for range 2*w.forward.MaxEngines + 64 {
-			if w.over {
+		m := &model{forward: drawForward(t), conditions: Conditions{TimeLeft: true, RetryAllowed: true}}
+		for range 2*m.forward.MaxEngines + 64 {
+			if m.ended {
 				return
 			}
-			w.step(t)
-			for i := range w.forward.Attempts { // whatever is under way is lost
-				w.forward.Record(w.forward.Attempts[i].ID, Interrupted, "engine-lost")
+			m.step(t)
+			for i := range m.forward.Attempts { // every attempt in flight is interrupted
+				m.forward.Record(m.forward.Attempts[i].ID, Interrupted, "engine-lost")
 			}
 		}
-		if w.reached() >= w.forward.MaxEngines {
-			t.Fatalf("it goes on: %+v", w.decisions)
+		if m.reached() >= m.forward.MaxEngines {
+			t.Fatalf("the request did not end: %+v", m.decisions)
 		}
 	})
 }
 
-// TestHistoryNeverRepeatsWhatMayHaveRun is the same for a History.
+// TestHistoryNeverRepeatsWhatMayHaveRun checks the same guarantees for a History.
 func TestHistoryNeverRepeatsWhatMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &History{OnceOnly: rapid.Bool().Draw(t, "once")}
 		conditions := Conditions{TimeLeft: true, RetryAllowed: true}
-		var truths []truth
-		ran := func() bool {
-			for _, x := range truths {
-				if !x.proven {
+		var actual []actualResult
+		mayHaveRun := func() bool {
+			for _, result := range actual {
+				if !result.provenNotRun {
 					return true
 				}
 			}
@@ -218,23 +220,23 @@
 			"next decision": func(t *rapid.T) {
 				decision := h.Next(conditions)
 				switch {
-				case decision.Action == Assign && h.OnceOnly && ran():
-					t.Fatalf("a once-only request is assigned again: %+v", h)
+				case decision.Action == Assign && h.OnceOnly && mayHaveRun():
+					t.Fatalf("once-only request assigned again although it may have run: %+v", h)
 				case decision.Action == Assign && h.OnceOnly && h.Claim != ClaimGranted && h.Claim != ClaimNotNeeded:
-					t.Fatalf("a once-only request is assigned without its claim: %+v", h)
+					t.Fatalf("once-only request assigned without a claim: %+v", h)
 				case decision.Action == Assign && h.ResponseStarted:
-					t.Fatalf("assigned again behind an answer: %+v", h)
-				case decision.Action == Finish && decision.Outcome == Rejected && ran():
-					t.Fatalf("told that it never ran: %+v", h)
+					t.Fatalf("assigned again after the response started: %+v", h)
+				case decision.Action == Finish && decision.Outcome == Rejected && mayHaveRun():
+					t.Fatalf("rejected although it may have run: %+v", h)
 				case decision.Action == RequestClaim:
 					h.Claim = ClaimRequested
 				case decision.Action == Assign:
-					end := endings[rapid.IntRange(0, len(endings)-1).Draw(t, "ending")]
+					ending := endings[rapid.IntRange(0, len(endings)-1).Draw(t, "ending")]
 					id := fmt.Sprint(len(h.Attempts))
 					h.Attempts = append(h.Attempts, Attempt{ID: id, State: Sent})
-					truths = append(truths, end.truth)
-					h.ResponseStarted = h.ResponseStarted || end.truth.ran && rapid.Bool().Draw(t, "a byte went out")
-					h.Record(id, end.state, end.cause)
+					actual = append(actual, ending.actual)
+					h.ResponseStarted = h.ResponseStarted || ending.actual.ran && rapid.Bool().Draw(t, "a byte was sent")
+					h.Record(id, ending.state, ending.cause)
 				}
 			},
 			"the claim is answered": func(t *rapid.T) {
@@ -244,7 +246,7 @@
 			},
 			"the deadline passes": func(*rapid.T) { conditions.TimeLeft = false },
 			"the budget is spent": func(*rapid.T) { conditions.RetryAllowed = false },
-			"it must stop":        func(*rapid.T) { h.StopReason = "key-revoked" },
+			"it is stopped":       func(*rapid.T) { h.StopReason = "key-revoked" },
 		})
 	})
 }
--- a/attempt/retrybudget_test.go
+++ b/attempt/retrybudget_test.go
@@ -13,6 +13,6 @@
 		}
 	}
 	if spent != 100 {
-		t.Fatalf("1000 requests paid for %d retries, want 100", spent)
+		t.Fatalf("1000 requests allowed %d retries, want 100", spent)
 	}
 }
--- a/attempt/retrywindow.go
+++ b/attempt/retrywindow.go
@@ -1,23 +1,23 @@
 package attempt
 
-// RetryWindow bounds retries over a sliding window: they may be a part of the requests seen
-// in it, plus an allowance (docs/design.md §14). It counts in steps. Retries count for a step
-// longer than the window and requests for a step less, so that the error is always on the
-// side of fewer retries.
+// RetryWindow limits retries over a sliding window to a fraction of the requests seen in it,
+// plus an allowance (docs/design.md §14). It counts per step, a twentieth of the window.
+// Retries count for one step longer than the window and requests for one step less, so that
+// the rounding error always allows fewer retries, never more.
 type RetryWindow struct {
-	Ratio     float64 // retries for each request; 0 allows none beyond the allowance
+	Ratio     float64 // retries per request; 0 allows none beyond the allowance
 	Allowance float64 // retries on top of that, in each window
 	SpanUS    int64   // length of the window, in microseconds
 
-	requests [windowSteps + 2]int // by step, modulo their number
-	retries  [windowSteps + 2]int
-	step     int64 // the present one
-	started  bool  // step is set
+	requests [windowSteps + 2]int // ring buffer by step number
+	retries  [windowSteps + 2]int // ring buffer by step number
+	step     int64                // current step number
+	started  bool                 // step is set
 }
 
 const windowSteps = 20
 
-// advance goes on to the step of the time now and clears the steps in between.
+// advance moves on to the step of the time now and clears the counts of the steps it enters.
 func (w *RetryWindow) advance(now int64) {
 	step := now / max(w.SpanUS/windowSteps, 1)
 	slots := int64(len(w.requests))
@@ -38,7 +38,7 @@
 	w.requests[w.step%int64(len(w.requests))]++
 }
 
-// Allows reports whether a retry at the time now fits.
+// Allows reports whether a retry at the time now is within the limit.
 func (w *RetryWindow) Allows(now int64) bool {
 	w.advance(now)
 	slots := int64(len(w.requests))
@@ -53,7 +53,7 @@
 	return float64(retries+1) <= w.Ratio*float64(requests)+w.Allowance
 }
 
-// CountRetry counts a retry at the time now. The caller has asked Allows.
+// CountRetry counts a retry at the time now. The caller must check Allows first.
 func (w *RetryWindow) CountRetry(now int64) {
 	w.advance(now)
 	w.retries[w.step%int64(len(w.retries))]++
--- a/attempt/retrywindow_test.go
+++ b/attempt/retrywindow_test.go
@@ -5,24 +5,24 @@
 	"testing"
 )
 
-// count is the number of times in (to-span, to].
-func count(at []int64, to, span int64) (n int) {
-	for _, x := range at {
-		if x <= to && x > to-span {
+// countIn is the number of times in (to-span, to].
+func countIn(times []int64, to, span int64) (n int) {
+	for _, at := range times {
+		if at <= to && at > to-span {
 			n++
 		}
 	}
 	return n
 }
 
-// TestRetryWindowSlides: whatever comes, no span of the window's length holds more
-// retries than the requests of it, or of the spans before, allow.
+// TestRetryWindowSlides: in random traffic, no interval of the window's length holds more
+// retries than the requests in it, or in an interval that ends up to one window earlier, allow.
 func TestRetryWindowSlides(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		rnd := rand.New(rand.NewSource(seed))
 		w := RetryWindow{Ratio: []float64{0, 0.05, 0.1, 0.3}[rnd.Intn(4)], Allowance: float64(rnd.Intn(12)), SpanUS: 1_000_000 * int64(1+rnd.Intn(10))}
 		now := int64(50_000_000) + rnd.Int63n(10_000_000)
-		var first, more []int64
+		var requests, retries []int64 // times
 		for range 1500 {
 			switch rnd.Intn(12) {
 			case 0:
@@ -34,25 +34,25 @@
 			}
 			if rnd.Intn(3) > 0 {
 				w.CountRequest(now)
-				first = append(first, now)
+				requests = append(requests, now)
 			}
 			for rnd.Intn(2) == 0 && w.Allows(now) {
 				w.CountRetry(now)
-				more = append(more, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, to := range more {
-			n := count(more, to, w.SpanUS)
-			f := max(count(first, to, w.SpanUS), count(first, to-w.SpanUS/2, w.SpanUS), count(first, to-w.SpanUS, w.SpanUS))
-			if most := w.Ratio*float64(f) + w.Allowance; float64(n) > most {
-				t.Fatalf("seed %d: %d retries in the %d us up to %d, %d requests allow %.1f", seed, n, w.SpanUS, to, f, most)
+		for _, to := range retries {
+			retried := countIn(retries, to, w.SpanUS)
+			requested := max(countIn(requests, to, w.SpanUS), countIn(requests, to-w.SpanUS/2, w.SpanUS), countIn(requests, to-w.SpanUS, w.SpanUS))
+			if limit := w.Ratio*float64(requested) + w.Allowance; float64(retried) > limit {
+				t.Fatalf("seed %d: %d retries in the %d us up to %d, %d requests allow %.1f", seed, retried, w.SpanUS, to, requested, limit)
 			}
 		}
 	}
 }
 
-// TestRetryWindowEdge: retries at the end of one step and at the start of the one that takes its
-// place lie within one span.
+// TestRetryWindowEdge: retries at the end of a step count against the limit until a whole
+// window has passed, also when the ring buffer is about to reuse that step's slot.
 func TestRetryWindowEdge(t *testing.T) {
 	const span, step = 10_000_000, 10_000_000 / windowSteps
 	w := RetryWindow{Allowance: 10, SpanUS: span}
@@ -62,23 +62,24 @@
 		n++
 	}
 	if n != 10 {
-		t.Fatalf("%d retries fit, 10 are allowed", n)
+		t.Fatalf("%d retries were allowed, want 10", n)
 	}
 	for to := at; to < at+span; to += step / 10 {
 		if w.Allows(to) {
-			t.Fatalf("another retry fits %d us after all ten, the span is %d us", to-at, int64(span))
+			t.Fatalf("an eleventh retry was allowed %d us after the tenth, the window is %d us", to-at, int64(span))
 		}
 	}
 	if !w.Allows(at + 2*span) {
-		t.Fatal("the allowance does not come back")
+		t.Fatal("no retry is allowed two windows after the last one")
 	}
 }
 
-// TestRetryWindowEarly: a clock that has just begun forgets nothing.
+// TestRetryWindowEarly: retries are counted correctly when the clock is in step 0, which is
+// also the zero value of the current step.
 func TestRetryWindowEarly(t *testing.T) {
 	w := RetryWindow{Allowance: 1, SpanUS: 10_000_000}
 	w.CountRetry(1000)
 	if w.Allows(2000) {
-		t.Fatal("a retry in the clock's first step is forgotten at once")
+		t.Fatal("a retry in the clock's first step was not counted")
 	}
 }
--- a/attempt/state.go
+++ b/attempt/state.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// State is how far an attempt is known to have come. Its numbers are part of recordings and
-// must not change.
+// State is the known progress of an attempt. The numbers are stored in recordings and must
+// not change.
 type State uint8
 
 // The states of an attempt.
 const (
-	Sent        State = iota + 1 // on its way to an engine, nothing known
-	NotStarted                   // proof that it did not run and will not
-	Started                      // the engine says that it runs
-	Interrupted                  // lost: it may or may not have run on
-	Completed                    // answered to the end
+	Sent        State = iota + 1 // sent to an engine, nothing known yet
+	NotStarted                   // proven not to have run, and never to run later
+	Started                      // the engine reports that it is running
+	Interrupted                  // contact lost: it may have run or still be running
+	Completed                    // the response is complete
 )
 
 // String is the state's name in logs and test output.
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("State(%d)", uint8(s))
 }
 
-// Unreachable is the cause of an attempt of which nothing reached an engine.
+// Unreachable is the Cause of an attempt of which no part reached an engine.
 const Unreachable = "unreachable"
 
 // Attempt is one sending of a request to one engine.
@@ -32,15 +32,15 @@
 	ID     string // unique within the request
 	Engine string // id of the engine's incarnation
 	State  State
-	Cause  string // why it ended as it did; empty until it ended
+	Cause  string // why it ended in its State; empty until then
 }
 
 // inFlight reports whether the attempt has not ended.
 func (a *Attempt) inFlight() bool { return a.State == Sent || a.State == Started }
 
-// survey finds what a decision rests on: the first attempt that is in flight or completed,
-// or else the last one that was interrupted.
-func survey(attempts []Attempt) (decisive, interrupted *Attempt) {
+// decidingAttempt returns the attempt that determines the next step: the first one that is
+// in flight or completed, or else the last one that was interrupted.
+func decidingAttempt(attempts []Attempt) (decisive, interrupted *Attempt) {
 	for i := range attempts {
 		switch a := &attempts[i]; {
 		case a.State == Completed || a.inFlight():
@@ -52,7 +52,8 @@
 	return nil, interrupted
 }
 
-// record sets an attempt's state, unless that would take back what is known already.
+// record sets an attempt's state and cause. It refuses to replace a final state, and to move
+// a started attempt to Sent, NotStarted or Started.
 func record(attempts []Attempt, id string, state State, cause string) bool {
 	for i := range attempts {
 		a := &attempts[i]
