--- a/route/announcements.go
+++ b/route/announcements.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// MaxAnnouncedVersions is how many versions of a model are remembered: an engine that lags
-// behind an older version is late by that one, whatever was announced since. Directories
-// announce as many to proxies.
+// MaxAnnouncedVersions is how many versions of a model are kept. Several are kept because an
+// engine that lags behind several versions is late since the oldest of them was announced.
+// Directories announce as many to proxies.
 const MaxAnnouncedVersions = 8
 
 // announcement is since when a version is known to be announced.
 type announcement struct {
-	at    int64 // as it counts in the present term
-	first int64 // whatever the term; at is never earlier
+	at    int64 // as counted in the current term
+	first int64 // in any term; at is never earlier
 }
 
-// Announcements tell since when versions of weights are known to be announced, in the time of
-// the node that keeps it (monotonic microseconds). An age that is too small would let requests
-// begin on outdated weights, so that within a term the earliest time that was observed stays.
+// Announcements record since when versions of weights are known to be announced, in the local
+// time of the node that keeps them (monotonic microseconds). A time that is too late would let
+// requests start on outdated weights, so within a term the earliest observed time is kept.
 //
 // A term is one lease of the singleton role that leads the rollout of weights. While the role
-// changes hands the core has no leader, and the bound on weights counts anew from there. Since
-// when a version is known at all is kept beside that: the bound on all terms together.
+// changes hands the core has no leader, so the limit per term restarts from there. The time at
+// which a version was first announced in any term is kept as well, for the limit over all terms.
 //
-// The zero value knows no versions.
+// The zero value holds no versions.
 type Announcements struct {
 	term   uint64
 	models map[string]map[uint64]announcement // by model and version
 }
 
-// Term is the term that the times count in. A term is here the revision of the rollout role's
-// register, not a slot's term.
+// Term is the term in which the times count. It is the revision of the rollout role's register,
+// and unrelated to the term of a consensus slot.
 func (a *Announcements) Term() uint64 { return a.term }
 
-// Clone is a copy that shares nothing.
+// Clone returns a deep copy.
 func (a *Announcements) Clone() *Announcements {
 	clone := &Announcements{term: a.term, models: map[string]map[uint64]announcement{}}
 	for model, versions := range a.models {
@@ -43,13 +43,13 @@
 	return clone
 }
 
-// Observe takes in that a version was announced no later than at. The earliest time stays.
+// Observe records that a version was announced no later than at. The earliest time is kept.
 func (a *Announcements) Observe(model string, version uint64, at int64) {
 	a.ObserveInTerm(model, version, at, at)
 }
 
-// ObserveInTerm takes in that a version counts from at in this term, and was announced no later
-// than first. The earliest times stay.
+// ObserveInTerm records that a version counts from at in this term, and was first announced no
+// later than first. The earliest times are kept.
 func (a *Announcements) ObserveInTerm(model string, version uint64, at, first int64) {
 	versions := a.models[model]
 	if versions == nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// StartTerm starts a later term, which counts nothing from before since. A term that is not
-// later changes nothing.
+// StartTerm starts a later term, in which no version counts from before since. A term that is
+// not later is ignored.
 func (a *Announcements) StartTerm(term uint64, since int64) {
 	if term <= a.term {
 		return
@@ -83,9 +83,9 @@
 	}
 }
 
-// Merge takes over what another node knows. Its times replace those here if its term is later.
-// From an earlier term only versions are taken that were not known, and since when others were
-// known at all.
+// Merge adds what another node knows. The times of the later term take precedence; in the same
+// term the earliest time is kept. The earlier term contributes only versions that the later one
+// does not know, and earlier times of first announcement.
 func (a *Announcements) Merge(other *Announcements) {
 	earlier, later := other, a
 	if other.term > a.term {
@@ -104,31 +104,32 @@
 	*a = *merged
 }
 
-// AnnouncedAt is since when a version is known to be announced, and whether it is.
+// AnnouncedAt returns since when a version counts as announced in this term, and whether it is
+// known at all.
 func (a *Announcements) AnnouncedAt(model string, version uint64) (at int64, ok bool) {
 	known, ok := a.models[model][version]
 	return known.at, ok
 }
 
-// Each hands on every version, models by name and versions rising: from when it counts in this
-// term, and since when it is known at all.
-func (a *Announcements) Each(on func(model string, version uint64, at, first int64)) {
+// Each calls visit for every version, sorted by model and version, with the time from which it
+// counts in this term and the time at which it was first announced in any term.
+func (a *Announcements) Each(visit func(model string, version uint64, at, first int64)) {
 	for _, model := range slices.Sorted(maps.Keys(a.models)) {
 		versions := a.models[model]
 		for _, version := range slices.Sorted(maps.Keys(versions)) {
-			on(model, version, versions[version].at, versions[version].first)
+			visit(model, version, versions[version].at, versions[version].first)
 		}
 	}
 }
 
-// VersionLimits bound for how long a request may still begin on a version after a newer one was
+// VersionLimits limit how long requests may still start on a version after a newer one was
 // announced, in microseconds.
 type VersionLimits struct {
-	PerTermUS int64 // within a term
-	TotalUS   int64 // over all terms; 0 for none
+	PerTermUS int64 // counted within a term
+	TotalUS   int64 // counted over all terms; 0 for no such limit
 }
 
-// ReducedBy are the limits less a slack.
+// ReducedBy returns the limits, each shortened by slackUS.
 func (l VersionLimits) ReducedBy(slackUS int64) VersionLimits {
 	l.PerTermUS -= slackUS
 	if l.TotalUS > 0 {
@@ -137,7 +138,7 @@
 	return l
 }
 
-// Shortest is the shorter of the limits.
+// Shortest returns the shorter of the two limits.
 func (l VersionLimits) Shortest() int64 {
 	if l.TotalUS == 0 {
 		return l.PerTermUS
@@ -145,7 +146,7 @@
 	return min(l.PerTermUS, l.TotalUS)
 }
 
-// end is the time from which on a request must not begin on anything older.
+// end is the time after which no request may start on an older version than the one announced.
 func (l VersionLimits) end(known announcement) int64 {
 	if l.TotalUS == 0 {
 		return known.at + l.PerTermUS
@@ -153,8 +154,8 @@
 	return min(known.at+l.PerTermUS, known.first+l.TotalUS)
 }
 
-// OldestAllowed is the oldest version of a model on which a request may still begin at the
-// time now: the newest of those whose limits have passed; 0 if there is none.
+// OldestAllowed returns the oldest version of a model on which a request may still start at the
+// time now: the newest version whose limits have passed, or 0 if there is none.
 func (a *Announcements) OldestAllowed(now int64, model string, limits VersionLimits) (oldest uint64) {
 	for version, known := range a.models[model] {
 		if now > limits.end(known) {
@@ -164,8 +165,8 @@
 	return oldest
 }
 
-// UsableUntil is the time from which on no request may begin on a version, since a newer one was
-// announced, and whether there is such a time.
+// UsableUntil returns the time after which no request may start on a version because a newer
+// one was announced, and whether there is such a time.
 func (a *Announcements) UsableUntil(model string, version uint64, limits VersionLimits) (until int64, superseded bool) {
 	for newer, known := range a.models[model] {
 		if end := limits.end(known); newer > version && (!superseded || end < until) {
--- a/route/bounds.go
+++ b/route/bounds.go
@@ -1,37 +1,38 @@
 package route
 
-// Bounds are the figures that an operator's rules set for a whole fleet (docs/design.md §3).
-// Fields that end in US are microseconds. Used are GraceUS, ConfigApplyUS, RevocationUS,
-// RevocationGlobal, VersionApplyUS, FleetApplyUS, LeaseUS, RetryWindowUS, RetryRatio and RetryAllowance;
-// docs/platform.md says how the others are kept.
+// Bounds are the limits that an operator's policy sets for a whole fleet (docs/design.md §3).
+// Fields that end in US are microseconds. The code reads GraceUS, ConfigApplyUS, RevocationUS,
+// RevocationGlobal, VersionApplyUS, FleetApplyUS, LeaseUS, RetryWindowUS, RetryRatio and
+// RetryAllowance; docs/platform.md describes how the others are met.
 type Bounds struct {
-	SeedStaleUS           int64   // a list of seed nodes may be this much out of date
-	AddressReuseUS        int64   // until an engine's address may be given to another pool's
-	ContactUS             int64   // unbroken contact after which a node counts as in touch
-	AckUS                 int64   // a valid change is acknowledged within this
-	SyncUS                int64   // a node counts as lost this long after it returns
-	DrainUS               int64   // no request reaches a leaving engine later than this
-	GraceUS               int64   // from a graceful stop to the end by force
-	LossSlackUS           int64   // a connection may end this late after a request's last byte
-	ConfigApplyUS         int64   // a configuration is in force everywhere
+	SeedStaleUS           int64   // a list of seed nodes may be out of date by this much
+	AddressReuseUS        int64   // time until an engine's address may be reassigned to another pool
+	ContactUS             int64   // uninterrupted contact after which a node counts as connected
+	AckUS                 int64   // time to acknowledge a valid configuration change
+	SyncUS                int64   // a node that returns still counts as failed for this long
+	DrainUS               int64   // time after which a draining engine receives no request
+	GraceUS               int64   // time between the order to stop gracefully and a forced stop
+	LossSlackUS           int64   // a connection may end this long after a request's last byte
+	ConfigApplyUS         int64   // time until a configuration takes effect on all nodes
 	DowngradeUS           int64   // a request this late is not handled under an older configuration
-	ExtensionUS           int64   // a core without a leader stretches ConfigApplyUS by this at most
-	RevocationUS          int64   // a revoked key is refused everywhere
-	VersionApplyUS        int64   // no request begins on older weights, in one stretch without trouble
-	FleetApplyUS          int64   // the same over all such stretches together; 0 for no such bound
+	ExtensionUS           int64   // longest extension of ConfigApplyUS while the core has no leader
+	RevocationUS          int64   // time until all nodes reject a revoked API key
+	VersionApplyUS        int64   // time until no request starts on older weights, within one period without faults
+	FleetApplyUS          int64   // the same over all such periods together; 0 for no such bound
 	RetryWindowUS         int64   // window over which retries are counted
-	RecoveryUS            int64   // back in service after the last fault
-	TransitUS             int64   // an event's way from engine to caller
-	LeaseUS               int64   // between update requests of two leaders to one engine
-	UnfreezeUS            int64   // update requests this soon after a suspended machine resumes are forgiven
-	RetryRatio            float64 // retries for each request
-	RetryAllowance        int64   // retries on top of that, in each window of the whole fleet
-	RevocationGlobal      bool    // RevocationUS holds for nodes out of touch, too
-	EnginesEnforceFencing bool    // engines refuse a lower fencing token themselves
+	RecoveryUS            int64   // time to return to service after the last fault
+	TransitUS             int64   // time of an event from engine to caller
+	LeaseUS               int64   // minimum time between update requests of two leaders to one engine
+	UnfreezeUS            int64   // update requests this soon after a suspended machine resumes are tolerated
+	RetryRatio            float64 // retries per request
+	RetryAllowance        int64   // retries on top of that, per window, for the whole fleet
+	RevocationGlobal      bool    // RevocationUS also holds for nodes that are disconnected
+	EnginesEnforceFencing bool    // engines themselves reject a fencing token lower than one they have seen
 }
 
-// DefaultBounds are used for figures that nobody set. The two that say who enforces something
-// default to what asks the most of this software, and the retry figures to few retries.
+// DefaultBounds are used for bounds that are not set. RevocationGlobal and
+// EnginesEnforceFencing default to the values that require the most of this software, the retry
+// bounds to few retries.
 func DefaultBounds() Bounds {
 	const millisecond, second = 1000, 1_000_000
 	return Bounds{
@@ -59,7 +60,7 @@
 	}
 }
 
-// VersionLimits are the bounds on new weights.
+// VersionLimits returns the bounds on how long outdated weights may be used.
 func (b Bounds) VersionLimits() VersionLimits {
 	return VersionLimits{PerTermUS: b.VersionApplyUS, TotalUS: b.FleetApplyUS}
 }
--- a/route/change.go
+++ b/route/change.go
@@ -8,25 +8,25 @@
 	"github.com/samber/lo"
 )
 
-// Change is what an operator sends: a whole configuration, or items to merge into the one
-// it builds on.
+// Change is an operator's request to change the configuration: a whole configuration, or a
+// patch to the version that it is based on.
 type Change struct {
 	Replace bool   // Body is a whole configuration; otherwise a patch for Merge
-	Base    uint64 // version it builds on, 0 being none
+	Base    uint64 // version that the change is based on; 0 if there is none yet
 	HasBase bool   // Base was given
 	Body    []byte
 }
 
-// Outcome is what becomes of a change.
+// Outcome is the result of deciding a change.
 type Outcome uint8
 
 // The outcomes of a change.
 const (
-	Accepted    Outcome = iota + 1 // in force once the register holds the next Document
-	Duplicate                      // accepted before, though others may have followed
-	Stale                          // its base is not current, and it was certainly not accepted
-	Invalid                        // never will be accepted
-	Undecidable                    // older than what is remembered: nobody knows whether it was accepted
+	Accepted    Outcome = iota + 1 // takes effect once the register holds the next Document
+	Duplicate                      // was accepted before; later changes may have followed
+	Stale                          // its base is not the current version, and it was provably not accepted
+	Invalid                        // will never be accepted
+	Undecidable                    // older than the recorded changes: whether it was accepted is unknown
 )
 
 // String is the outcome's name in logs.
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("Outcome(%d)", uint8(o))
 }
 
-// digest tells the change from every other one.
+// digest identifies the change.
 func (c Change) digest() [sha256.Size]byte {
 	h := sha256.New()
 	head := [9]byte{lo.Ternary[byte](c.Replace, 1, 0)}
@@ -48,17 +48,19 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// Apply decides a change on the current document, nil being none. Only an Accepted one has a
-// next document, to be put on condition that current is still current; only an Invalid one
-// has findings. parse translates a text into a Config, names are the fields that Merge needs.
+// Apply decides a change against the current document, nil if there is none. Only an Accepted
+// change has a next document, which the caller must write on condition that the register still
+// holds current; only an Invalid change has findings. parse translates a text into a Config;
+// names are the field names for Merge.
 //
-// Whether it was accepted before comes first: a change that was accepted is never refused for
-// what came after it. Whether the base is current comes before whether the change is valid:
-// whoever loses a race with a lower version number should learn that the base has moved.
+// Whether the change was accepted before is checked first, so that an accepted change is never
+// rejected because of later ones. Whether the base is current is checked before the change is
+// validated, so that the sender who loses a race with a lower version number is told that the
+// base has changed.
 func (c Change) Apply(current *Document, parse func([]byte) (Config, []Finding), names FieldNames) (next *Document, outcome Outcome, findings []Finding) {
 	current = lo.CoalesceOrEmpty(current, &Document{})
 	if !c.HasBase {
-		return nil, Invalid, []Finding{{"", "no-base", "say which version the change builds on, 0 for the first"}}
+		return nil, Invalid, []Finding{{"", "no-base", "give the version that the change is based on, 0 for the first change"}}
 	}
 	digest := c.digest()
 	if lo.ContainsBy(current.Accepted, func(a AcceptedChange) bool { return a.Base == c.Base && a.Digest == digest }) {
@@ -80,12 +82,12 @@
 	return next, Accepted, nil
 }
 
-// result is the configuration text that a change on the current document leads to, and its
-// version. With findings it is not valid.
+// result returns the configuration text that the change makes of the current document, and its
+// version. Neither is valid if there are findings.
 func (c Change) result(current *Document, parse func([]byte) (Config, []Finding), names FieldNames) (text []byte, version uint64, findings []Finding) {
 	text = c.Body
 	if c.Replace {
-		// Later merges must be able to tell the members apart.
+		// Later patches can only be merged into one valid JSON object without repeated members.
 		if _, err := topLevelMembers(text); err != nil {
 			return nil, 0, []Finding{unreadable("", err)}
 		}
@@ -93,7 +95,7 @@
 		return nil, 0, findings
 	}
 	if len(text) > MaxConfigBytes {
-		return nil, 0, []Finding{{"", "too-large", "remove items that are not needed any more"}}
+		return nil, 0, []Finding{{"", "too-large", "remove items that are no longer needed"}}
 	}
 	config, findings := parse(text)
 	if len(findings) == 0 {
--- a/route/change_property_test.go
+++ b/route/change_property_test.go
@@ -7,15 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// changeMachine sends changes to a document in any order, again and again, and knows
-// which were accepted.
+// changeMachine is the model of a property test: it sends changes in any order and repeatedly,
+// and records which were accepted.
 type changeMachine struct {
 	current  *Document
 	sent     []Change
-	accepted map[string]bool // by what makes a change the very same
-	bases    map[uint64]bool // that a change was accepted on
+	accepted map[string]bool // by identity
+	bases    map[uint64]bool // versions that an accepted change was based on
 }
 
+// identity is equal for two changes if they are the same change.
 func identity(c Change) string { return fmt.Sprint(c.Replace, c.Base, string(c.Body)) }
 
 func (m *changeMachine) version() uint64 {
@@ -25,42 +26,42 @@
 	return m.current.Version
 }
 
-// send decides a change on the current document. It is put on the condition that the
-// document is still current, which it is here.
+// send decides a change against the current document and stores an accepted one. The condition
+// that the document is still current always holds here.
 func (m *changeMachine) send(t *rapid.T, c Change) {
-	was := m.version()
-	next, outcome, findings := c.Apply(m.current, plain, words)
+	previous := m.version()
+	next, outcome, findings := c.Apply(m.current, parsePools, testFields)
 	switch {
 	case m.accepted[identity(c)]:
 		if outcome != Duplicate {
-			t.Fatalf("%s, which was accepted, is %v", identity(c), outcome)
+			t.Fatalf("%s was accepted before, got %v", identity(c), outcome)
 		}
-	case c.Base != was:
+	case c.Base != previous:
 		if outcome != Stale {
-			t.Fatalf("%s on version %d is %v", identity(c), was, outcome)
+			t.Fatalf("%s against version %d is %v", identity(c), previous, outcome)
 		}
 	case outcome == Accepted:
 		m.accept(t, c, next)
 	case outcome != Invalid || len(findings) == 0:
-		t.Fatalf("%s on version %d is %v, %v", identity(c), was, outcome, findings)
+		t.Fatalf("%s against version %d is %v, %v", identity(c), previous, outcome, findings)
 	}
-	if outcome != Accepted && m.version() != was {
-		t.Fatalf("%v, and version %d became %d", outcome, was, m.version())
+	if outcome != Accepted && m.version() != previous {
+		t.Fatalf("outcome %v changed version %d to %d", outcome, previous, m.version())
 	}
 }
 
 func (m *changeMachine) accept(t *rapid.T, c Change, next *Document) {
 	if m.bases[c.Base] {
-		t.Fatalf("a second change on version %d", c.Base)
+		t.Fatalf("a second change based on version %d was accepted", c.Base)
 	}
 	if next.Version <= m.version() {
-		t.Fatalf("version %d follows %d", next.Version, m.version())
+		t.Fatalf("version %d was accepted after %d", next.Version, m.version())
 	}
-	back, err := DecodeDocument(next.Encode())
+	decoded, err := DecodeDocument(next.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.current = back
+	m.current = decoded
 	m.accepted[identity(c)], m.bases[c.Base] = true, true
 }
 
@@ -77,9 +78,9 @@
 	return patch(base, fmt.Sprintf(`{"v":%d,"set":{"pools":[{"id":%q}]}}`, version, pool))
 }
 
-// TestChangesAnyOrder: whatever is sent, in whatever order and however often, a change is
-// accepted once, one is accepted on a version, versions rise, and a sender who sends again
-// learns whether its change was accepted.
+// TestChangesAnyOrder: in whatever order and however often changes are sent, each change is
+// accepted at most once, at most one change per base is accepted, versions only increase, and
+// a repeated change is answered with whether it was accepted.
 func TestChangesAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &changeMachine{accepted: map[string]bool{}, bases: map[uint64]bool{}}
--- a/route/document.go
+++ b/route/document.go
@@ -15,31 +15,32 @@
 const ConfigKey = "route/config"
 
 const (
-	// MaxChangeBytes is the largest text that an operator may send.
+	// MaxChangeBytes is the largest change that an operator may send.
 	MaxChangeBytes = 8 << 20
-	// MaxConfigBytes is the largest configuration that changes may add up to.
+	// MaxConfigBytes is the largest configuration that may result from a change.
 	MaxConfigBytes = 2 * MaxChangeBytes
-	// MaxAccepted is how many accepted changes are remembered: a few hours' at three thousand
-	// a day. What is older is answered Undecidable, never Stale.
+	// MaxAccepted is how many accepted changes are recorded: those of a few hours at three
+	// thousand changes a day. Older ones are answered with Undecidable, never Stale.
 	MaxAccepted = 1024
 )
 
-// Document is what the register holds: a whole configuration's text, to the byte, and which
-// changes led there.
+// Document is the value of the register: the exact text of a whole configuration, and the
+// changes that led to it.
 type Document struct {
-	Version  uint64 // of the configuration, as its operator numbered it
+	Version  uint64 // of the configuration, as numbered by the operator
 	Text     []byte
 	Accepted []AcceptedChange // oldest first, at most MaxAccepted
 }
 
-// AcceptedChange is a change that was accepted. Each builds on the one before it, so that
-// there is one for each base.
+// AcceptedChange is a change that was accepted. Each is based on the one before it, so that
+// there is exactly one per base.
 type AcceptedChange struct {
-	Version, Base uint64            // the version it led to, and the one it was made on
+	Version, Base uint64            // the resulting version, and the one it was based on
 	Digest        [sha256.Size]byte // of the change
 }
 
-// Encode is the register's value. Its text is deflated, since it is carried to every node.
+// Encode returns the register's value. The text is compressed (DEFLATE), since it is sent to
+// every node.
 func (d *Document) Encode() []byte {
 	body := binary.AppendUvarint(nil, d.Version)
 	body = binary.AppendUvarint(body, uint64(len(d.Accepted)))
@@ -51,19 +52,19 @@
 	body = binary.AppendUvarint(body, uint64(len(d.Text)))
 	var deflated bytes.Buffer
 	w := lo.Must(flate.NewWriter(&deflated, flate.DefaultCompression))
-	_, _ = w.Write(d.Text) // a Buffer takes all
+	_, _ = w.Write(d.Text) // writing to a Buffer does not fail
 	_ = w.Close()
 	return encodeFrame(formatDocument, append(body, deflated.Bytes()...))
 }
 
-// DecodeDocument reads what Encode wrote. A value that is damaged, of another format or over
-// a limit is an error.
+// DecodeDocument decodes a value written by Encode. It returns an error if the value is
+// corrupt, has another format or exceeds a limit.
 func DecodeDocument(frame []byte) (*Document, error) {
 	body, err := decodeFrame(formatDocument, frame)
 	if err != nil {
 		return nil, err
 	}
-	malformed := trace.BadParameter("the configuration's register is malformed; ask a node of the version that wrote it")
+	malformed := trace.BadParameter("the configuration register is malformed; use a node of the software version that wrote it")
 	r := bytes.NewReader(body)
 	d := &Document{}
 	count, err := readUvarintPair(r, &d.Version)
@@ -84,7 +85,7 @@
 	if err != nil || size > MaxConfigBytes {
 		return nil, malformed
 	}
-	// The size is only believed as far as there are bytes for it.
+	// The buffer grows with the data read, because the size field may be wrong.
 	d.Text, err = io.ReadAll(io.LimitReader(flate.NewReader(r), int64(size)+1))
 	if err != nil || uint64(len(d.Text)) != size || r.Len() != 0 {
 		return nil, malformed
@@ -92,7 +93,7 @@
 	return d, nil
 }
 
-// readUvarintPair reads two numbers: the first into first, the second as the result.
+// readUvarintPair reads two numbers: it stores the first in *first and returns the second.
 func readUvarintPair(r io.ByteReader, first *uint64) (second uint64, err error) {
 	if *first, err = binary.ReadUvarint(r); err == nil {
 		second, err = binary.ReadUvarint(r)
@@ -100,10 +101,9 @@
 	return second, err
 }
 
-// oldestBase is the base of the oldest change that is remembered. Each change was put on the
-// revision that held its base, and versions only rise, so one change was accepted on each
-// base: whatever builds on this base or a later one was accepted if and only if it is
-// remembered.
+// oldestBase returns the base of the oldest recorded change. A change is only written over the
+// revision that holds its base, and versions only increase, so exactly one change is accepted
+// per base: a change to this base or a later one was accepted if and only if it is recorded.
 func (d *Document) oldestBase() uint64 {
 	if len(d.Accepted) == 0 {
 		return d.Version
--- a/route/jsontext.go
+++ b/route/jsontext.go
@@ -8,8 +8,8 @@
 	"github.com/samber/lo"
 )
 
-// member is a member of a JSON object. Values stay text: numbers are never read, so that none
-// is changed by a merge.
+// member is a member of a JSON object. Its value is kept as text: numbers are never parsed, so
+// that a merge cannot change them.
 type member struct {
 	name  string
 	value json.RawMessage
@@ -17,10 +17,10 @@
 
 const jsonSpace = " \t\n\r"
 
-// splitJSON splits an object or a list that is known to be valid JSON, and hands on the name
-// (nil in a list) and the value of each member.
-func splitJSON(text []byte, on func(name, value []byte)) {
-	depth, start := 0, -1 // start of the name or value under way
+// splitJSON splits an object or an array that is known to be valid JSON, and calls visit with
+// the name (nil in an array) and the value of each member.
+func splitJSON(text []byte, visit func(name, value []byte)) {
+	depth, start := 0, -1 // start of the current name or value, -1 if there is none
 	var name []byte
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; c {
@@ -41,7 +41,7 @@
 			}
 			ended := depth == 0 || depth == 1 && c == ','
 			if ended && start >= 0 {
-				on(name, bytes.TrimRight(text[start:i], jsonSpace))
+				visit(name, bytes.TrimRight(text[start:i], jsonSpace))
 				name, start = nil, -1
 			}
 			if ended {
@@ -57,7 +57,7 @@
 	}
 }
 
-// stringEnd is the place of the quote that ends the string that begins at start.
+// stringEnd returns the index of the quote that ends the string whose opening quote is at start.
 func stringEnd(text []byte, start int) int {
 	i := start + 1
 	for ; text[i] != '"'; i++ {
@@ -68,7 +68,7 @@
 	return i
 }
 
-// unquote is what a JSON string says.
+// unquote decodes a JSON string.
 func unquote(text []byte) (s string, err error) {
 	if last := len(text) - 1; last > 0 && text[0] == '"' && bytes.IndexByte(text, '\\') < 0 {
 		return string(text[1:last]), nil
@@ -77,24 +77,25 @@
 	return s, err
 }
 
-// topLevelMembers lists the members of the one JSON object that text is, in order.
+// topLevelMembers returns the members of a text that is exactly one JSON object, in order.
 func topLevelMembers(text []byte) ([]member, error) {
 	if !json.Valid(text) {
 		var v json.RawMessage
-		return nil, json.Unmarshal(text, &v) // says what is wrong, and where
+		return nil, json.Unmarshal(text, &v) // returns the syntax error and its offset
 	}
 	return objectMembers(text)
 }
 
-// scannedMembers is up to how many members a repeated name is looked for one by one.
+// scannedMembers is the number of members up to which a repeated name is searched for linearly;
+// beyond it a set is used.
 const scannedMembers = 32
 
-// objectMembers is topLevelMembers of what is known to be valid JSON.
+// objectMembers is topLevelMembers for a text that is known to be valid JSON.
 func objectMembers(text []byte) (ms []member, err error) {
 	if t := bytes.TrimLeft(text, jsonSpace); t[0] != '{' {
 		return nil, trace.BadParameter("send one JSON object")
 	}
-	var seen map[string]bool // made once there are too many to look through
+	var seen map[string]bool // nil up to scannedMembers
 	splitJSON(text, func(quoted, value []byte) {
 		name, nameErr := unquote(quoted)
 		if len(ms) == scannedMembers {
@@ -112,12 +113,12 @@
 	return ms, err
 }
 
-// unreadable is the finding that a text is not one JSON object.
+// unreadable makes the finding that a text is not one JSON object.
 func unreadable(path string, err error) Finding {
 	return Finding{path, "unreadable", err.Error() + "; send one whole JSON object"}
 }
 
-// encodeObject writes an object of these members.
+// encodeObject encodes an object with these members.
 func encodeObject(ms []member) []byte {
 	var b bytes.Buffer
 	for i, m := range ms {
@@ -133,13 +134,13 @@
 	return b.Bytes()
 }
 
-// encodeList writes a list of these items.
+// encodeList encodes an array of these items.
 func encodeList(items []json.RawMessage) json.RawMessage {
 	texts := lo.Map(items, func(item json.RawMessage, _ int) []byte { return item })
 	return append(append([]byte{'['}, bytes.Join(texts, []byte{','})...), ']')
 }
 
-// setMember replaces a member's value where it stands, or adds the member at the end.
+// setMember replaces a member's value in place, or appends the member.
 func setMember(ms []member, name string, value json.RawMessage) []member {
 	for i := range ms {
 		if ms[i].name == name {
@@ -150,7 +151,7 @@
 	return append(ms, member{name, value})
 }
 
-// memberValue is a member's value, nil if there is none or it is null.
+// memberValue returns a member's value, nil if it is missing or null.
 func memberValue(ms []member, name string) json.RawMessage {
 	for _, m := range ms {
 		if m.name == name && string(m.value) != "null" {
--- a/route/merge.go
+++ b/route/merge.go
@@ -7,7 +7,7 @@
 	"github.com/samber/lo"
 )
 
-// FieldNames are the field names of an operator's text by which items are merged.
+// FieldNames are the field names of the operator's configuration format that Merge needs.
 type FieldNames struct {
 	Name    string // of an item in a list
 	Version string // of the configuration
@@ -15,9 +15,10 @@
 	Remove  string // of the names of items to remove, in a patch
 }
 
-// Merge applies a patch to a configuration's text, none being an empty one. Items are first
-// removed by name, unknown names being no mistake, then replaced whole where they stand, or
-// added at the end. Of an object, the fields are replaced.
+// Merge applies a patch to the text of a configuration; an empty base is an empty
+// configuration. Items are first removed by name, ignoring unknown names; then items are
+// replaced as a whole in place, or appended. In a section that is an object, single fields are
+// replaced.
 func Merge(base, patch []byte, names FieldNames) ([]byte, []Finding) {
 	if len(base) == 0 {
 		base = []byte("{}")
@@ -32,7 +33,7 @@
 	}
 	var findings []Finding
 	if version := memberValue(patchMembers, names.Version); version == nil {
-		findings = append(findings, Finding{names.Version, "no-version", "give the version that the patch leads to"})
+		findings = append(findings, Finding{names.Version, "no-version", "give the version that results from the patch"})
 	} else {
 		merged = setMember(merged, names.Version, version)
 	}
@@ -49,7 +50,7 @@
 	return encodeObject(merged), findings
 }
 
-// mergeChanges applies the changes of one operation to each section that they name.
+// mergeChanges applies the changes of one operation to the sections that they name.
 func mergeChanges(merged, changes []member, operation string, names FieldNames) ([]member, []Finding) {
 	var findings []Finding
 	for _, change := range changes {
@@ -67,7 +68,7 @@
 		case change.value[0] == '{':
 			value, finding = replaceFields(section, change.value)
 		default:
-			finding = &Finding{"", "unmergeable", "upsert lists of items, or objects"}
+			finding = &Finding{"", "unmergeable", "upsert a list of items or an object"}
 		}
 		if finding != nil {
 			finding.Path = operation + "." + change.name + finding.Path
@@ -79,13 +80,13 @@
 	return merged, findings
 }
 
-// namedItems reads a list of items and the name of each, "" for none.
+// namedItems splits a list into its items and returns the name of each, "" if it has none.
 func namedItems(list json.RawMessage, nameField string) (items []json.RawMessage, names []string, f *Finding) {
 	if list == nil {
 		return nil, nil, nil
 	}
 	if list[0] != '[' {
-		return nil, nil, &Finding{"", "not-a-list", "name a part that is a list of items"}
+		return nil, nil, &Finding{"", "not-a-list", "use the name of a section that is a list of items"}
 	}
 	splitJSON(list, func(_, item []byte) { items = append(items, item) })
 	names = make([]string, 0, len(items))
@@ -103,7 +104,7 @@
 	return items, names, nil
 }
 
-// removeItems is a list without the items of these names; nil if there is no list.
+// removeItems returns a list without the items of these names; nil if there is no list.
 func removeItems(list, names json.RawMessage, nameField string) (json.RawMessage, *Finding) {
 	var remove []string
 	if err := json.Unmarshal(names, &remove); err != nil {
@@ -117,7 +118,8 @@
 	return encodeList(lo.Filter(items, func(_ json.RawMessage, i int) bool { return !lo.HasKey(removed, present[i]) })), nil
 }
 
-// upsertItems is a list with these items in place of those of the same name, or at its end.
+// upsertItems returns a list in which each of these items replaces the one of the same name, or
+// is appended.
 func upsertItems(list, upsert json.RawMessage, nameField string) (json.RawMessage, *Finding) {
 	items, present, f := namedItems(list, nameField)
 	if f != nil {
@@ -127,29 +129,30 @@
 	if f != nil {
 		return nil, f
 	}
-	places := map[string]int{}
+	indexes := map[string]int{}
 	for i, name := range present {
-		places[name] = i
+		indexes[name] = i
 	}
 	for i, name := range names {
 		if name == "" {
 			return nil, &Finding{fmt.Sprintf("[%d]", i), "no-name", "name the item to add or to replace"}
 		}
-		if place, ok := places[name]; ok {
-			items[place] = changed[i]
+		if index, ok := indexes[name]; ok {
+			items[index] = changed[i]
 		} else {
-			places[name] = len(items)
+			indexes[name] = len(items)
 			items = append(items, changed[i])
 		}
 	}
 	return encodeList(items), nil
 }
 
-// replaceFields is an object with these fields in place of those of the same name.
+// replaceFields returns an object in which each of these fields replaces the one of the same
+// name, or is appended.
 func replaceFields(object, fields json.RawMessage) (json.RawMessage, *Finding) {
 	merged, err := objectMembers(lo.CoalesceSliceOrEmpty(object, []byte("{}")))
 	if err != nil {
-		return nil, &Finding{"", "not-an-object", "name a part that is an object"}
+		return nil, &Finding{"", "not-an-object", "use the name of a section that is an object"}
 	}
 	replaced, err := objectMembers(fields)
 	if err != nil {
--- a/route/table.go
+++ b/route/table.go
@@ -9,18 +9,18 @@
 	"strings"
 )
 
-// Table is a configuration made ready for look-ups. It never changes.
+// Table is a configuration indexed for look-ups. It is immutable.
 type Table struct {
 	Config
-	Revision    uint64              // of the register that held it
+	Revision    uint64              // of the register that it was read from
 	hosts       map[string][]*Route // by host in lower case, longest prefix first
 	keys        map[string]*Tenant
 	pools       map[string]*Pool
-	cacheScopes map[string]string // by tenant; "" for none
-	priorities  int               // number of the routes' priorities
+	cacheScopes map[string]string // by tenant; "" is no tenant
+	priorities  int               // number of priority levels of routes
 }
 
-// Compile makes a table of a configuration that Validate found in order.
+// Compile makes a table of a configuration in which Validate found no problems.
 func Compile(config Config, revision uint64) *Table {
 	t := &Table{
 		Config:   config,
@@ -50,8 +50,8 @@
 	return t
 }
 
-// cacheScopes names the scope of cached prompt blocks of each tenant. Isolated tenants have
-// one each; all others share one.
+// cacheScopes returns the name of each tenant's scope of cached prompt blocks. Isolated tenants
+// have one each; all others share one.
 func cacheScopes(tenants []Tenant) map[string]string {
 	var isolated []string
 	for i := range tenants {
@@ -59,12 +59,13 @@
 			isolated = append(isolated, tenants[i].Name)
 		}
 	}
-	// The shared scope is named by who is isolated from it: whoever comes to be isolated
-	// later left blocks there that the others must not find any more.
+	// The name of the shared scope depends on which tenants are isolated: when another tenant
+	// becomes isolated, the name changes, so that the others no longer find blocks which that
+	// tenant cached in the shared scope before.
 	sort.Strings(isolated)
 	var names []byte
 	for _, name := range isolated {
-		names = binary.AppendUvarint(names, uint64(len(name))) // no name can pass for two
+		names = binary.AppendUvarint(names, uint64(len(name))) // keeps the concatenation unambiguous
 		names = append(names, name...)
 	}
 	shared := scopeName("c", names)
@@ -79,14 +80,15 @@
 	return scopes
 }
 
-// scopeName is part of the keys under which engines cache blocks, and must not change.
+// scopeName makes the name of a scope. It is part of the keys under which engines cache blocks,
+// and must not change.
 func scopeName(kind string, of []byte) string {
 	sum := sha256.Sum256(of)
 	return kind + hex.EncodeToString(sum[:6])
 }
 
-// Match is the route with the longest prefix that begins the path, or nil. A port in the host
-// is ignored unless a route names it.
+// Match returns the route with the longest prefix of the path, or nil. A port in the host is
+// ignored unless a route's host includes it.
 func (t *Table) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	if name, _, err := net.SplitHostPort(host); err == nil && t.hosts[host] == nil {
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// TenantByKey is the tenant that holds a key, or nil.
+// TenantByKey returns the tenant that owns an API key, or nil.
 func (t *Table) TenantByKey(key string) *Tenant {
 	if key == "" {
 		return nil
@@ -108,10 +110,10 @@
 	return t.keys[key]
 }
 
-// RequiresKeys reports whether requests carry keys at all.
+// RequiresKeys reports whether requests need API keys at all.
 func (t *Table) RequiresKeys() bool { return len(t.Tenants) > 0 }
 
-// Pool is the pool of that name, or nil.
+// Pool returns the pool of that name, or nil.
 func (t *Table) Pool(name string) *Pool { return t.pools[name] }
 
 // Stores lists the stores of cached prompt blocks.
@@ -124,8 +126,8 @@
 	return stores
 }
 
-// CacheScope names the cached prompt blocks that a tenant's requests may share; "" is no
-// tenant.
+// CacheScope returns the name of the scope whose cached prompt blocks a tenant's requests may
+// share; "" is no tenant. An unknown tenant has the shared scope.
 func (t *Table) CacheScope(tenant string) string {
 	if scope, ok := t.cacheScopes[tenant]; ok {
 		return scope
@@ -133,8 +135,8 @@
 	return t.cacheScopes[""]
 }
 
-// Priority joins a tenant's priority and a route's, the tenant's first; 0 is the highest. A
-// nil tenant is a request without a key.
+// Priority combines the priorities of a tenant and a route, ordered by the tenant's first; 0 is
+// the highest. tenant is nil for a request without an API key.
 func (t *Table) Priority(tenant *Tenant, r *Route) int {
 	if tenant == nil {
 		return r.Priority
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -20,7 +20,7 @@
 			got = r.Name
 		}
 		if got != x.want {
-			t.Errorf("%s%s goes to %q, not %q", x.host, x.path, got, x.want)
+			t.Errorf("%s%s is routed to %q, want %q", x.host, x.path, got, x.want)
 		}
 	}
 }
@@ -33,19 +33,19 @@
 			got = n.Name
 		}
 		if got != want {
-			t.Errorf("%q is a key of %q, not %q", k, got, want)
+			t.Errorf("%q is a key of %q, want %q", k, got, want)
 		}
 	}
 	if !table.RequiresKeys() || Compile(Config{}, 1).RequiresKeys() {
-		t.Fatal("keys are asked for in the wrong place")
+		t.Fatal("RequiresKeys must be true only if there are tenants")
 	}
 }
 
-// TestCacheScopes: through any row of configurations nobody finds a block that another made,
-// if one of the two is isolated now or was when it was made.
+// TestCacheScopes: through any sequence of configurations, no tenant finds a block that another
+// tenant cached if either of them is isolated now or the other was when it cached the block.
 func TestCacheScopes(t *testing.T) { checkScopes(t, "a", "b", "ab", "c", "A", "a.1") }
 
-// TestCacheScopesOfOddNames: names that joined to others would look like those.
+// TestCacheScopesOfOddNames: the same for names whose concatenations could be confused.
 func TestCacheScopesOfOddNames(t *testing.T) {
 	checkScopes(t, "a", "b", "c", "b\x00c", "a\x00b", "a\x00b\x00c", "\x00")
 }
@@ -55,11 +55,11 @@
 	for seed := int64(1); seed <= 200; seed++ {
 		rnd := rand.New(rand.NewSource(seed))
 		type block struct {
-			maker    string
-			isolated bool
+			tenant   string
+			isolated bool // whether the tenant was isolated when it cached the block
 		}
-		made := map[string][]block{}
-		row := ""
+		cached := map[string][]block{} // by scope
+		history := ""
 		for revision := uint64(1); revision < 25; revision++ {
 			var c Config
 			isolated := map[string]bool{}
@@ -68,24 +68,25 @@
 				isolated[n.Name] = n.Isolated
 				c.Tenants = append(c.Tenants, n)
 			}
-			row += fmt.Sprint(isolated, " ")
+			history += fmt.Sprint(isolated, " ")
 			table := Compile(c, revision)
 			for _, n := range c.Tenants {
-				w := table.CacheScope(n.Name)
-				for _, p := range made[w] {
-					if p.maker != n.Name && (p.isolated || isolated[p.maker] || n.Isolated) {
-						t.Fatalf("seed %d: %q finds what %q made (isolated then: %v) under %s: %s", seed, n.Name, p.maker, p.isolated, w, row)
+				scope := table.CacheScope(n.Name)
+				for _, found := range cached[scope] {
+					if found.tenant != n.Name && (found.isolated || isolated[found.tenant] || n.Isolated) {
+						t.Fatalf("seed %d: %q finds a block of %q (isolated then: %v) in scope %s: %s", seed, n.Name, found.tenant, found.isolated, scope, history)
 					}
 				}
 			}
 			for _, n := range c.Tenants {
-				made[table.CacheScope(n.Name)] = append(made[table.CacheScope(n.Name)], block{n.Name, n.Isolated})
+				cached[table.CacheScope(n.Name)] = append(cached[table.CacheScope(n.Name)], block{n.Name, n.Isolated})
 			}
 		}
 	}
 }
 
-// TestCacheScopesKeep: what does not concern a tenant leaves its scope as it is.
+// TestCacheScopesKeep: the scope of an isolated tenant does not change when others become
+// isolated, and every set of isolated tenants has a shared scope of its own.
 func TestCacheScopesKeep(t *testing.T) {
 	tenants := func(isolated ...string) *Table {
 		c := Config{}
@@ -100,19 +101,19 @@
 	}
 	open, a, ab, b := tenants(), tenants("a"), tenants("a", "b"), tenants("b")
 	if open.CacheScope("b") != open.CacheScope("c") || open.CacheScope("b") != open.CacheScope("") || a.CacheScope("b") != a.CacheScope("c") {
-		t.Fatal("the shared scope is not shared")
+		t.Fatal("tenants that are not isolated have different scopes")
 	}
 	if a.CacheScope("a") != ab.CacheScope("a") || ab.CacheScope("b") != b.CacheScope("b") {
-		t.Fatal("an isolated tenant moved for another's sake")
+		t.Fatal("the scope of an isolated tenant changed with the isolation of another")
 	}
 	seen := map[string]bool{}
-	for _, w := range []string{open.CacheScope("c"), a.CacheScope("c"), ab.CacheScope("c"), b.CacheScope("c"), a.CacheScope("a"), b.CacheScope("b")} {
-		if seen[w] {
-			t.Fatalf("%s stands for two", w)
+	for _, scope := range []string{open.CacheScope("c"), a.CacheScope("c"), ab.CacheScope("c"), b.CacheScope("c"), a.CacheScope("a"), b.CacheScope("b")} {
+		if seen[scope] {
+			t.Fatalf("two scopes have the name %s", scope)
 		}
-		seen[w] = true
+		seen[scope] = true
 	}
 	if open.CacheScope("nobody") != open.CacheScope("") {
-		t.Fatal("whoever is no tenant is not in the shared scope")
+		t.Fatal("an unknown tenant does not have the shared scope")
 	}
 }
--- a/route/validate_test.go
+++ b/route/validate_test.go
@@ -7,7 +7,8 @@
 	"github.com/samber/lo"
 )
 
-func sound() Config {
+// validConfig returns a configuration without problems, of version 7.
+func validConfig() Config {
 	return Config{
 		Version: 7,
 		Routes: []Route{
@@ -60,15 +61,15 @@
 		{"kind", 6, func(c *Config) { c.Routes[0].Semantics = 0 }, []string{"routes[0].kind unknown-kind"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			config := sound()
+			config := validConfig()
 			c.change(&config)
-			fs := Validate(config, c.current)
-			if got := lo.Map(fs, func(f Finding, _ int) string { return f.Path + " " + f.Reason }); !slices.Equal(got, c.want) {
+			findings := Validate(config, c.current)
+			if got := lo.Map(findings, func(f Finding, _ int) string { return f.Path + " " + f.Reason }); !slices.Equal(got, c.want) {
 				t.Fatalf("got %q, want %q", got, c.want)
 			}
-			for _, f := range fs {
+			for _, f := range findings {
 				if f.Remedy == "" {
-					t.Errorf("%s names no remedy", f.Path)
+					t.Errorf("the finding for %s has no remedy", f.Path)
 				}
 			}
 		})
--- a/route/weightversions.go
+++ b/route/weightversions.go
@@ -10,14 +10,15 @@
 	"github.com/gravitational/trace"
 )
 
-// WeightsKey is the register that holds the WeightVersions: models are few.
+// WeightsKey is the register that holds the WeightVersions of all models. One register is enough
+// because there are few models.
 const WeightsKey = "route/weights"
 
 // Limits of WeightVersions.
 const (
 	MaxModels    = 4096
 	MaxModelName = 256 // bytes
-	MaxVersions  = 64  // newest versions of a model that are remembered
+	MaxVersions  = 64  // newest versions of a model that are kept
 )
 
 // WeightVersions are the versions of weights that operators announced for each model.
@@ -25,18 +26,19 @@
 	Models []ModelVersions // sorted by name
 }
 
-// ModelVersions are a model's versions, rising; the last one is wanted.
+// ModelVersions are the announced versions of a model in ascending order; engines are to run
+// the last one.
 type ModelVersions struct {
 	Model    string
 	Versions []uint64
 }
 
-// find is the place of a model, or the one it would take, and whether it is there.
+// find returns the index of a model, or the index to insert it at, and whether it is present.
 func (d *WeightVersions) find(model string) (int, bool) {
 	return slices.BinarySearchFunc(d.Models, model, func(m ModelVersions, name string) int { return strings.Compare(m.Model, name) })
 }
 
-// Latest is the version wanted of a model, 0 if none was ever announced.
+// Latest returns the newest announced version of a model, 0 if there is none.
 func (d *WeightVersions) Latest(model string) uint64 {
 	if i, ok := d.find(model); ok {
 		return d.Models[i].Versions[len(d.Models[i].Versions)-1]
@@ -44,14 +46,14 @@
 	return 0
 }
 
-// Add announces a version and leaves d alone. Without a next value there is nothing to do, as
-// that version or a newer one was announced before. A finding tells what can't be announced.
+// Add returns d with a version added, and does not modify d. next is nil if that version or a
+// newer one was announced before. A finding says why the version cannot be announced.
 func (d *WeightVersions) Add(model string, version uint64) (next *WeightVersions, f *Finding) {
 	switch {
 	case model == "" || len(model) > MaxModelName:
-		return nil, &Finding{"model", "bad-model", "name a model in 256 bytes at most"}
+		return nil, &Finding{"model", "bad-model", "give a model name of 1 to 256 bytes"}
 	case version == 0:
-		return nil, &Finding{"version", "bad-version", "give a version from 1 up"}
+		return nil, &Finding{"version", "bad-version", "give a version of 1 or higher"}
 	case version <= d.Latest(model):
 		return nil, nil
 	}
@@ -59,7 +61,7 @@
 	i, ok := next.find(model)
 	if !ok {
 		if len(next.Models) >= MaxModels {
-			return nil, &Finding{"model", "too-many-models", "use a model that is known"}
+			return nil, &Finding{"model", "too-many-models", "use a model that was announced before"}
 		}
 		next.Models = slices.Insert(next.Models, i, ModelVersions{Model: model})
 	}
@@ -68,7 +70,7 @@
 	return next, nil
 }
 
-// Encode is the register's value.
+// Encode returns the register's value.
 func (d *WeightVersions) Encode() []byte {
 	body := binary.AppendUvarint(nil, uint64(len(d.Models)))
 	for _, m := range d.Models {
@@ -82,14 +84,14 @@
 	return encodeFrame(formatWeights, body)
 }
 
-// DecodeWeights reads what Encode wrote. A value that is damaged, of another format or over a
-// limit is an error.
+// DecodeWeights decodes a value written by Encode. It returns an error if the value is corrupt,
+// has another format or exceeds a limit.
 func DecodeWeights(frame []byte) (*WeightVersions, error) {
 	body, err := decodeFrame(formatWeights, frame)
 	if err != nil {
 		return nil, err
 	}
-	malformed := trace.BadParameter("the register of weights is malformed; ask a node of the version that wrote it")
+	malformed := trace.BadParameter("the register of weight versions is malformed; use a node of the software version that wrote it")
 	r := bytes.NewReader(body)
 	count, err := binary.ReadUvarint(r)
 	if err != nil || count > MaxModels {
@@ -109,7 +111,7 @@
 	return d, nil
 }
 
-// readModelVersions reads one model; false if that is malformed.
+// readModelVersions reads one model; ok is false if it is malformed.
 func readModelVersions(r *bytes.Reader) (m ModelVersions, ok bool) {
 	length, err := binary.ReadUvarint(r)
 	if err != nil || length == 0 || length > MaxModelName {
