--- a/rollout/config.go
+++ b/rollout/config.go
@@ -1,39 +1,40 @@
 package rollout
 
-// LeaseMarginUS is how much longer, in microseconds, than the bound between update requests
-// of two leaders the leader asks its lease for, and a new leader waits.
+// LeaseMarginUS is added to the bound between update requests of two leaders, in microseconds,
+// to get the duration of the leader's lease and the time that a new leader waits.
 const LeaseMarginUS = 500_000
 
-// Config bounds a rollout. Durations are microseconds.
+// Config limits the pace of a rollout. Durations are microseconds.
 type Config struct {
-	// ApplyWithinUS is the time from the announcement of a version until every engine has to
-	// run it. No default; a shorter one updates more engines at a time.
+	// ApplyWithinUS is the time from the announcement of a version until every engine must
+	// run it. No default; a shorter time updates more engines concurrently.
 	ApplyWithinUS int64
-	// DrainDurationUS is how long proxies send an engine nothing new before its request goes
-	// out. Default 350 ms; a longer one leaves fewer requests to be cut off.
+	// DrainDurationUS is how long proxies send an engine no new requests before it is sent its
+	// update request. Default 350 ms; a longer time interrupts fewer requests.
 	DrainDurationUS int64
-	// ExpectedDurationUS is what one engine's update is expected to take before any was seen.
-	// Default 2.6 s; see maxConcurrent.
+	// ExpectedDurationUS is the expected duration of one engine's update, used until the first
+	// update has been measured. Default 2.6 s; see maxConcurrent.
 	ExpectedDurationUS int64
-	// MinConcurrent is how many updates of a pool run at a time when there is time enough.
+	// MinConcurrent is the number of concurrent updates per pool when there is enough time.
 	// Default 2.
 	MinConcurrent int
-	// MaxConcurrentPermille is the thousandths of a pool's engines that may be updated at a
-	// time. Default 300; the rest has to carry the load.
+	// MaxConcurrentPermille is the maximum share of a pool's engines that are updated
+	// concurrently, in thousandths. Default 300; the other engines have to carry the load.
 	MaxConcurrentPermille int
-	// LeaseDurationUS is the time within which two leaders must not both send one engine a
-	// request. Default: the bound given, and LeaseMarginUS.
+	// LeaseDurationUS is the time within which no two leaders may both send an update request
+	// to one engine. Default: the bound passed to DefaultConfig plus LeaseMarginUS.
 	LeaseDurationUS int64
-	// RetryAfterUS is how long after a request without an answer it is sent again. Default:
-	// longer than LeaseDurationUS, and 4 s at least.
+	// RetryAfterUS is the time after which an unanswered update request is repeated. Default:
+	// longer than LeaseDurationUS, and at least 4 s.
 	RetryAfterUS int64
-	// SlowAfterUS is how long an update counts against the others of its pool. Default 6 s; a
-	// longer one lets a stuck engine delay others.
+	// SlowAfterUS is how long an update counts towards the concurrent updates of its pool.
+	// Default 6 s; with a longer time a stuck engine delays the others for longer.
 	SlowAfterUS int64
 }
 
-// DefaultConfig is the daemons' configuration for a bound, and for the lease within which
-// two leaders must not both send one engine a request.
+// DefaultConfig returns the configuration that the daemons use. Every engine must run a new
+// version within applyWithin; within lease no two leaders may both send an update request to
+// one engine.
 func DefaultConfig(applyWithin, lease int64) Config {
 	return Config{
 		ApplyWithinUS:         applyWithin,
--- a/rollout/golden_digest_test.go
+++ b/rollout/golden_digest_test.go
@@ -9,8 +9,9 @@
 	"violetthread/rollout"
 )
 
-// TestGoldenDigest brings engines that come, go, refuse and are slow to versions that are
-// named again and again, with a scheduler that is made anew from its state at times.
+// TestGoldenDigest rolls out one version after another to engines that drain, disappear, reject
+// requests and are slow, with a scheduler that is now and then restored from its state, and
+// compares the decisions with the stored digest.
 func TestGoldenDigest(t *testing.T) {
 	digest := goldendigest.New()
 	for seed := int64(1); seed <= 6; seed++ {
@@ -47,7 +48,7 @@
 		}
 		live := engines
 		if now/1_000_000%20 == 7 {
-			live = engines[1:] // one is gone for a second
+			live = engines[1:] // one engine is missing for a second
 		}
 		requests, inspect, changed := scheduler.Step(now, live)
 		digest.Flag(changed)
--- a/rollout/lease.go
+++ b/rollout/lease.go
@@ -6,40 +6,40 @@
 	"github.com/gravitational/trace"
 )
 
-// RequestTimeoutUS is how long an update request may be on its way, in microseconds. None is
-// written so shortly before its lease expires.
+// RequestTimeoutUS is the time-out for an update request to arrive, in microseconds. No request
+// is written if the lease expires sooner than that.
 const RequestTimeoutUS = 800_000
 
-// Lease is that of the rollout leader, as the leader counts it: from before it asked for
-// it. The zero Lease permits nothing.
+// Lease is the rollout leader's lease, as measured by the leader: its duration is counted from
+// before the leader requested it. The zero Lease permits nothing.
 type Lease struct {
-	FencingToken uint64 // revision of the lease's register, which rises with each leader
+	FencingToken uint64 // revision of the lease's register, which increases with each leader
 	ExpiresAt    int64
 }
 
-// StaleTokenError is why a request that was decided under another lease must not go out.
+// StaleTokenError reports an update request that must not be sent because it was decided under
+// another lease.
 type StaleTokenError struct {
-	Decided uint64 // the fencing token that the request was decided under
-	Current uint64 // that of the lease in force
+	Decided uint64 // fencing token under which the request was decided
+	Current uint64 // fencing token of the current lease
 }
 
 func (e *StaleTokenError) Error() string {
-	return fmt.Sprintf("decided under fencing token %d, the lease is held under %d; decide anew", e.Decided, e.Current)
+	return fmt.Sprintf("update request was decided under fencing token %d, the current lease has token %d; decide again", e.Decided, e.Current)
 }
 
-// LeaseEndingError is why no request may go out before the lease is renewed.
+// LeaseEndingError reports that no update request may be sent before the lease is renewed.
 type LeaseEndingError struct {
-	LeftUS int64 // of the lease; negative once it expired
+	LeftUS int64 // time until the lease expires; negative if it has expired
 }
 
 func (e *LeaseEndingError) Error() string {
-	return fmt.Sprintf("the lease ends in %d us, a request may take %d; renew it first", e.LeftUS, RequestTimeoutUS)
+	return fmt.Sprintf("the lease expires in %d us, an update request may take %d us; renew the lease first", e.LeftUS, RequestTimeoutUS)
 }
 
-// Permit tells why a request that was decided under a fencing token must not be written
-// now: a *StaleTokenError or a *LeaseEndingError, wrapped. Nil is leave to write it:
-// whatever happens to it then, it has arrived or is given up before the lease expires and
-// another leader may send requests.
+// Permit returns a wrapped *StaleTokenError or *LeaseEndingError if a request that was decided
+// under a fencing token must not be written now. If it returns nil, the request may be written:
+// it arrives or times out before the lease expires and another leader may send requests.
 func (l Lease) Permit(now int64, fencingToken uint64) error {
 	if fencingToken != l.FencingToken {
 		return trace.Wrap(&StaleTokenError{Decided: fencingToken, Current: l.FencingToken})
--- a/rollout/lease_test.go
+++ b/rollout/lease_test.go
@@ -15,10 +15,10 @@
 		want  error // of this type
 	}{
 		{"fresh", 1_000_000, 7, nil},
-		{"just in time", 5_000_000 - RequestTimeoutUS - 1, 7, nil},
+		{"last permitted time", 5_000_000 - RequestTimeoutUS - 1, 7, nil},
 		{"too late to arrive", 5_000_000 - RequestTimeoutUS, 7, &LeaseEndingError{}},
-		{"run out", 5_000_001, 7, &LeaseEndingError{}},
-		{"paused for long", 25_000_000, 7, &LeaseEndingError{}},
+		{"expired just now", 5_000_001, 7, &LeaseEndingError{}},
+		{"expired long ago", 25_000_000, 7, &LeaseEndingError{}},
 		{"decided under an earlier lease", 1_000_000, 6, &StaleTokenError{}},
 		{"decided under a later lease", 1_000_000, 8, &StaleTokenError{}},
 	} {
@@ -34,23 +34,24 @@
 				}
 			case *LeaseEndingError:
 				if permitted || !errors.As(err, &ending) || ending.LeftUS != lease.ExpiresAt-c.now {
-					t.Errorf("not a lease that ends: %v", err)
+					t.Errorf("want a LeaseEndingError, got %v", err)
 				}
 			case *StaleTokenError:
 				if permitted || !errors.As(err, &stale) || stale.Decided != c.token || stale.Current != lease.FencingToken {
-					t.Errorf("not a stale token: %v", err)
+					t.Errorf("want a StaleTokenError, got %v", err)
 				}
 			}
 		})
 	}
 	if (Lease{FencingToken: 7}).Permit(1, 7) == nil {
-		t.Error("a lease that was released permits")
+		t.Error("a released lease permits a request")
 	}
 }
 
-// A scheduler that is made anew under the same lease, since its state could not be written,
-// does not wait another lease out, nor repeat a request that was just sent.
-func TestResumeUnderTheSameHold(t *testing.T) {
+// TestResumeUnderTheSameLease: a leader that could not write its state makes a new scheduler
+// under the same lease. It must not wait for its own lease to expire, nor repeat a request that
+// it has just sent.
+func TestResumeUnderTheSameLease(t *testing.T) {
 	const startedAt, now = 100_000_000, 110_000_000
 	config := DefaultConfig(12_000_000, 3_000_000)
 	state := State{
@@ -79,13 +80,13 @@
 		return scheduler
 	}
 	if got := requested(resumed(startedAt), now); !slices.Equal(got, []string{"unsent"}) {
-		t.Errorf("requests to %v, want one to the engine that was sent none", got)
+		t.Errorf("requests to %v, want one to the engine that was not sent one before", got)
 	}
 	if got := requested(resumed(startedAt), now-1_000_000+config.RetryAfterUS); !slices.Contains(got, "sent") {
-		t.Errorf("requests to %v, the one without an answer is not repeated", got)
+		t.Errorf("requests to %v, the unanswered request is not repeated", got)
 	}
-	// Right after the leader changed, another leader's requests may still be under way.
+	// Soon after the leader changed, requests of the former leader may still arrive.
 	if got := requested(resumed(now-config.LeaseDurationUS+1), now); len(got) != 0 {
-		t.Errorf("requests to %v within the lease of the leader before", got)
+		t.Errorf("requests to %v within the lease of the former leader", got)
 	}
 }
--- a/rollout/pacing.go
+++ b/rollout/pacing.go
@@ -6,63 +6,64 @@
 	"strings"
 )
 
-// usableShare is the thousandths of Config.ApplyWithinUS that updates are paced for; the rest
-// is for what takes longer than the average.
-const usableShare = 780
+// usablePermille is the part of Config.ApplyWithinUS within which updates are planned to finish,
+// in thousandths; the rest is a reserve for updates that take longer than the average.
+const usablePermille = 780
 
-// laggard is an engine that runs something older than the target.
-type laggard struct {
+// outdatedEngine is an engine that runs an older version than the target.
+type outdatedEngine struct {
 	Engine
-	model   string // that it lags behind in
-	version uint64 // that it runs
+	model   string // the model whose version is outdated
+	version uint64 // the version that it runs
 }
 
-// startUpdates starts as many updates as are due.
+// startUpdates starts as many updates as maxConcurrent allows.
 func (s *Scheduler) startUpdates(now int64, live map[string]Engine) (changed bool) {
-	laggards := s.laggards(live)
+	outdated := s.outdatedEngines(live)
 	behind, all, updating := map[string]int{}, map[string]int{}, map[string]int{} // engines by pool
 	for _, engine := range live {
 		all[engine.Pool]++
 	}
-	clear(s.lagging)
-	for _, late := range laggards {
-		behind[late.Pool]++
-		s.lagging[late.model] = true
+	clear(s.outdatedModels)
+	for _, engine := range outdated {
+		behind[engine.Pool]++
+		s.outdatedModels[engine.model] = true
 	}
 	for id, update := range s.State.Updates {
 		if now-update.StartedAt < s.config.SlowAfterUS {
 			updating[live[id].Pool]++
 		}
 	}
-	for _, late := range laggards {
-		_, underWay := s.State.Updates[late.ID]
-		waits := s.formerRequests[late.ID] && now < s.formerLeaseUntil-s.config.DrainDurationUS
-		if underWay || waits || updating[late.Pool] >= s.maxConcurrent(now, behind[late.Pool], all[late.Pool], late.model) {
+	for _, engine := range outdated {
+		_, inProgress := s.State.Updates[engine.ID]
+		waits := s.formerRequests[engine.ID] && now < s.formerLeaseUntil-s.config.DrainDurationUS
+		if inProgress || waits || updating[engine.Pool] >= s.maxConcurrent(now, behind[engine.Pool], all[engine.Pool], engine.model) {
 			continue
 		}
-		s.State.Updates[late.ID] = Update{Model: late.model, Version: s.targets[late.model].version, Phase: PhaseDraining, StartedAt: now}
-		updating[late.Pool]++
+		s.State.Updates[engine.ID] = Update{Model: engine.model, Version: s.targets[engine.model].version, Phase: PhaseDraining, StartedAt: now}
+		updating[engine.Pool]++
 		changed = true
 	}
 	return changed
 }
 
-// laggards lists the engines that run something older: those of the oldest version first,
-// since they are late by the oldest announcement, and among those of each zone in turn.
-func (s *Scheduler) laggards(live map[string]Engine) (out []laggard) {
-	byVersion := map[uint64]map[string][]laggard{} // then by zone
+// outdatedEngines lists the engines that run an older version than the target. Those with the
+// oldest version come first, because their deadline counts from the oldest announcement; those
+// with the same version alternate between zones.
+func (s *Scheduler) outdatedEngines(live map[string]Engine) (out []outdatedEngine) {
+	byVersion := map[uint64]map[string][]outdatedEngine{} // then by zone
 	for _, engine := range live {
 		if engine.Draining {
 			continue
 		}
-		late := s.worstLag(engine)
-		if late == nil {
+		outdated := s.mostOutdatedModel(engine)
+		if outdated == nil {
 			continue
 		}
-		if byVersion[late.version] == nil {
-			byVersion[late.version] = map[string][]laggard{}
+		if byVersion[outdated.version] == nil {
+			byVersion[outdated.version] = map[string][]outdatedEngine{}
 		}
-		byVersion[late.version][engine.Zone] = append(byVersion[late.version][engine.Zone], *late)
+		byVersion[outdated.version][engine.Zone] = append(byVersion[outdated.version][engine.Zone], *outdated)
 	}
 	for _, version := range slices.Sorted(maps.Keys(byVersion)) {
 		out = append(out, interleaveZones(byVersion[version])...)
@@ -70,28 +71,28 @@
 	return out
 }
 
-// worstLag is the model in which an engine lags behind most; nil if in none. Versions of
-// several models can't be compared; what counts is how many announcements an engine lags
-// behind, and the version stands for that well enough.
-func (s *Scheduler) worstLag(engine Engine) *laggard {
-	var late *laggard
+// mostOutdatedModel returns the model of which an engine runs the lowest outdated version; nil
+// if none is outdated. Versions of different models are not comparable: what matters is how many
+// announcements the engine is behind, and the version number is a good enough estimate of that.
+func (s *Scheduler) mostOutdatedModel(engine Engine) *outdatedEngine {
+	var oldest *outdatedEngine
 	for model, reported := range engine.Weights {
 		version := s.State.Version(engine.ID, model, reported)
 		if version >= s.targets[model].version {
 			continue
 		}
-		if late == nil || version < late.version || version == late.version && model < late.model {
-			late = &laggard{engine, model, version}
+		if oldest == nil || version < oldest.version || version == oldest.version && model < oldest.model {
+			oldest = &outdatedEngine{engine, model, version}
 		}
 	}
-	return late
+	return oldest
 }
 
-// interleaveZones takes one engine of each zone after the other.
-func interleaveZones(zones map[string][]laggard) (out []laggard) {
+// interleaveZones orders engines so that they alternate between zones.
+func interleaveZones(zones map[string][]outdatedEngine) (out []outdatedEngine) {
 	count := 0
 	for _, engines := range zones {
-		slices.SortFunc(engines, func(a, b laggard) int { return strings.Compare(a.ID, b.ID) })
+		slices.SortFunc(engines, func(a, b outdatedEngine) int { return strings.Compare(a.ID, b.ID) })
 		count += len(engines)
 	}
 	names := slices.Sorted(maps.Keys(zones))
@@ -105,16 +106,17 @@
 	return out
 }
 
-// maxConcurrent is how many updates of a pool must be under way so that all end in time:
-// the time that is left, divided into updates of average duration, for the engines that
-// are behind. Never so many that those left can't carry the load: whoever is late then
-// gets no new requests, which is costly, but all updating at once costs more.
+// maxConcurrent returns how many updates of a pool must run concurrently so that all finish in
+// time: the number of outdated engines times the average duration of an update, divided by the
+// remaining time. It never exceeds MaxConcurrentPermille, so that the other engines can carry
+// the load. An engine that is late because of this limit gets no new requests; that is costly,
+// but updating all engines at once would cost more.
 func (s *Scheduler) maxConcurrent(now int64, behind, all int, model string) int {
-	most := (all*s.config.MaxConcurrentPermille + 999) / 1000
-	left := s.config.ApplyWithinUS*usableShare/1000 - (now - s.targets[model].announcedAt)
+	limit := (all*s.config.MaxConcurrentPermille + 999) / 1000
+	left := s.config.ApplyWithinUS*usablePermille/1000 - (now - s.targets[model].announcedAt)
 	if left <= s.averageDuration {
-		return most
+		return limit
 	}
 	needed := int((int64(behind)*s.averageDuration + left - 1) / left)
-	return min(most, max(s.config.MinConcurrent, needed))
+	return min(limit, max(s.config.MinConcurrent, needed))
 }
--- a/rollout/scheduler.go
+++ b/rollout/scheduler.go
@@ -2,43 +2,42 @@
 
 import "sort"
 
-// retryRejectedAfter is how long after a rejected request it is sent again, in
-// microseconds.
+// retryRejectedAfter is the time after which a rejected request is sent again, in microseconds.
 const retryRejectedAfter = 300_000
 
-// Scheduler works out what the rollout leader has to do. It is not safe for concurrent
-// use.
+// Scheduler decides the actions of the rollout leader. It is not safe for concurrent use.
 type Scheduler struct {
-	// State is to be written to the control state when a step changed it.
+	// State must be written to the control state whenever Step reports that it changed.
 	State State
 
-	config  Config
-	targets map[string]target // the newest version of each model
-	lagging map[string]bool   // models that some engine lags behind in
-	// averageDuration is what an update takes, from the request until the version runs.
+	config         Config
+	targets        map[string]target // by model: the newest version
+	outdatedModels map[string]bool   // models of which some engine runs an older version
+	// averageDuration is the moving average of the duration of an update, in microseconds, from
+	// the start of its draining until the engine runs the version.
 	averageDuration int64
-	notBefore       int64 // announcements count from here at the earliest
-	// Engines that a former leader may have sent a request to get none before
-	// formerLeaseUntil: two leaders' requests must not come within a lease of each other.
+	notBefore       int64 // earliest time that announcements count from
+	// Engines that a former leader may have sent a request to are sent none before
+	// formerLeaseUntil: requests of two leaders must be at least one lease apart.
 	formerRequests   map[string]bool
 	formerLeaseUntil int64
 }
 
-// target is the version of a model that engines are to run.
+// target is the version of a model that all engines are to run.
 type target struct {
 	version     uint64
-	announcedAt int64 // of the oldest version that some engine still lags behind
+	announcedAt int64 // when the oldest version that some engine does not run yet was announced
 }
 
-// New makes a scheduler that goes on from a state. Announcements count from notBefore at
-// the earliest: the bound runs anew when the core was in disorder, as it was if another
-// node led.
+// New makes a scheduler that continues from a state. Announcements count from notBefore at the
+// earliest: the bound on outdated weights restarts after a failure of the control plane, which
+// a change of the leader implies.
 func New(config Config, now, notBefore int64, state State) *Scheduler {
 	s := &Scheduler{
 		State:            state,
 		config:           config,
 		targets:          map[string]target{},
-		lagging:          map[string]bool{},
+		outdatedModels:   map[string]bool{},
 		averageDuration:  config.ExpectedDurationUS,
 		notBefore:        notBefore,
 		formerRequests:   map[string]bool{},
@@ -51,7 +50,7 @@
 		s.State.Applied = map[string]map[string]uint64{}
 	}
 	for id, update := range s.State.Updates {
-		// If a request is out, it was another's: none of ours may follow within the lease.
+		// A former leader may have sent the request: send none before its lease has expired.
 		update.StartedAt, update.RequestedAt = now, now
 		s.State.Updates[id] = update
 		s.formerRequests[id] = true
@@ -62,10 +61,10 @@
 	return s
 }
 
-// Resume tells a new scheduler that its maker has led before under the very same lease,
-// since startedAt, and when it last sent a request to each engine. What was requested in
-// that time was its own, so that no other leader's lease is to be waited out anew; and a
-// request that the state has but that was never sent goes out at once.
+// Resume tells a new scheduler that its owner has been the leader under the same lease since
+// startedAt, and when it last sent a request to each engine. Since those requests were its own,
+// the scheduler waits for a former leader's lease only from startedAt, and sends a request that
+// is in the state but was never sent at once.
 func (s *Scheduler) Resume(startedAt int64, sentAt map[string]int64) {
 	s.formerLeaseUntil = startedAt + s.config.LeaseDurationUS
 	for id, update := range s.State.Updates {
@@ -76,51 +75,54 @@
 	}
 }
 
-// Announce takes in the newest version of a model, and since when it is known.
+// Announce records the newest version of a model and the time since when it is known. It
+// ignores a version that is not newer.
 func (s *Scheduler) Announce(model string, version uint64, at int64) {
 	current := s.targets[model]
 	if current.version >= version {
 		return
 	}
 	announcedAt := current.announcedAt
-	// Announcements in quick succession start no clock anew: who lags behind an older one
-	// is late by that (design §10).
-	if !s.lagging[model] {
+	// While some engine runs an older version, a further announcement does not restart the
+	// time limit: that engine is late by the older announcement (docs/design.md §10).
+	if !s.outdatedModels[model] {
 		announcedAt = max(at, s.notBefore)
 	}
 	s.targets[model] = target{version, announcedAt}
-	s.lagging[model] = true
+	s.outdatedModels[model] = true
 }
 
-// UpdateRequest asks an engine to change its weights.
+// UpdateRequest is a request to an engine to load another version of a model's weights.
 type UpdateRequest struct {
 	Engine, Addr, Model string
 	Version             uint64
 }
 
-// Step looks at the engines and returns the requests to send now, by engine, the engines
-// to look at closely, and whether the state changed and must be written before any request
-// goes out.
+// Step updates the state from the list of engines. It returns the requests to send now, sorted
+// by engine; the engines to query for the version that they run, because their request was
+// sent; and whether the state changed, in which case it must be written before any request is
+// sent.
 func (s *Scheduler) Step(now int64, engines []Engine) (requests []UpdateRequest, inspect []string, changed bool) {
 	live := map[string]Engine{}
 	for _, engine := range engines {
 		live[engine.ID] = engine
 	}
 	finished := s.finishUpdates(now, live)
-	forgotten := s.forgetGone(live)
+	removed := s.removeGone(live)
 	started := s.startUpdates(now, live)
 	requests, inspect, requested := s.dueRequests(now, live)
-	return requests, inspect, finished || forgotten || started || requested
+	return requests, inspect, finished || removed || started || requested
 }
 
-// Observe takes in an engine's own word on what it runs, fresher than the list's.
+// Observe records the version that an engine itself reports, which is more recent than the list
+// of engines.
 func (s *Scheduler) Observe(id, model string, version uint64) {
 	if version > s.State.Applied[id][model] {
 		s.recordApplied(id, model, version)
 	}
 }
 
-// Postpone takes in that an engine rejected its request for now; it is sent again after
+// Postpone records that an engine temporarily rejected its request, which is sent again after
 // retryRejectedAfter.
 func (s *Scheduler) Postpone(now int64, id string) {
 	if update, ok := s.State.Updates[id]; ok && update.Phase == PhaseRequested {
@@ -129,7 +131,7 @@
 	}
 }
 
-// finishUpdates ends the updates of engines that are gone, or that run what they were to.
+// finishUpdates ends the updates of engines that are gone or run the requested version.
 func (s *Scheduler) finishUpdates(now int64, live map[string]Engine) (changed bool) {
 	for id, update := range s.State.Updates {
 		engine, ok := live[id]
@@ -149,8 +151,8 @@
 	return changed
 }
 
-// forgetGone forgets what engines that are gone ran.
-func (s *Scheduler) forgetGone(live map[string]Engine) (changed bool) {
+// removeGone removes the applied versions of engines that are gone.
+func (s *Scheduler) removeGone(live map[string]Engine) (changed bool) {
 	for id := range s.State.Applied {
 		if _, ok := live[id]; !ok {
 			delete(s.State.Applied, id)
@@ -160,7 +162,7 @@
 	return changed
 }
 
-// dueRequests lists the requests that are due, and the engines whose request is out.
+// dueRequests lists the requests that are due, and the engines whose request was sent.
 func (s *Scheduler) dueRequests(now int64, live map[string]Engine) (requests []UpdateRequest, inspect []string, changed bool) {
 	for id, update := range s.State.Updates {
 		newest := s.targets[update.Model].version
@@ -172,7 +174,8 @@
 			changed = true
 			requests = append(requests, UpdateRequest{id, live[id].Addr, update.Model, update.Version})
 		case update.Phase == PhaseRequested && now-update.RequestedAt >= s.config.RetryAfterUS:
-			// Nobody knows whether the last request arrived. This one names what is the newest now.
+			// It is unknown whether the last request arrived. The repetition names the version
+			// that is the newest now.
 			changed = changed || newest > update.Version
 			update.Version, update.RequestedAt = max(newest, update.Version), now
 			s.State.Updates[id] = update
@@ -187,6 +190,7 @@
 	return requests, inspect, changed
 }
 
+// recordApplied records that an engine runs at least a version.
 func (s *Scheduler) recordApplied(id, model string, version uint64) {
 	applied := s.State.Applied[id]
 	if applied == nil {
--- a/rollout/scheduler_test.go
+++ b/rollout/scheduler_test.go
@@ -5,197 +5,198 @@
 	"testing"
 )
 
-// TestAllWithinBound: one announcement, fleets of every size; each engine is updated in
-// time, by exactly one request.
+// TestAllWithinBound: after one announcement, in fleets of many sizes, each engine is updated in
+// time by exactly one request.
 func TestAllWithinBound(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 5, 6, 7, 8, 10, 13, 20, 40, 80, 120, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := newWorld(t, int64(n), n, "m")
-			w.run(3*second, nil)
-			w.announce("m", 5)
-			w.run(applyWithin+2*second, nil)
-			w.report("one announcement")
-			if w.problem == "" && (w.countBehind() > 0 || w.requests != n) {
-				t.Errorf("%d engines are behind, %d requests went to %d engines", w.countBehind(), w.requests, n)
+			f := newFleet(t, int64(n), n, "m")
+			f.run(3*second, nil)
+			f.announce("m", 5)
+			f.run(applyWithin+2*second, nil)
+			f.report("one announcement")
+			if f.failure == "" && (f.countOutdated() > 0 || f.requests != n) {
+				t.Errorf("%d engines are outdated, %d requests were sent to %d engines", f.countOutdated(), f.requests, n)
 			}
-			if len(w.scheduler.State.Updates) != 0 {
-				t.Errorf("%d are still being updated", len(w.scheduler.State.Updates))
+			if len(f.scheduler.State.Updates) != 0 {
+				t.Errorf("%d engines are still being updated", len(f.scheduler.State.Updates))
 			}
 		})
 	}
 }
 
-// TestSlowTurns: updates that take about as long as the scheduler expects of them before it
-// has seen any.
-func TestSlowTurns(t *testing.T) {
+// TestSlowUpdates: all engines are updated in time if updates take 1.7 to 1.9 s, which is close
+// to the duration that the scheduler expects before it has measured any.
+func TestSlowUpdates(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 5, 6, 7, 10, 20, 40, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := newWorld(t, int64(n), n, "m")
-			w.setBound(12 * second)
-			w.updateDuration = func() int64 { return 1700*ms + w.random.Int63n(200*ms) }
-			w.run(3*second, nil)
-			w.announce("m", 2)
-			w.run(w.applyWithin+2*second, nil)
-			w.report("slow updates")
+			f := newFleet(t, int64(n), n, "m")
+			f.setBound(12 * second)
+			f.updateDuration = func() int64 { return 1700*ms + f.random.Int63n(200*ms) }
+			f.run(3*second, nil)
+			f.announce("m", 2)
+			f.run(f.applyWithin+2*second, nil)
+			f.report("slow updates")
 		})
 	}
 }
 
-// TestTwoModels: both models of every engine are announced at once.
+// TestTwoModels: versions of both models of every engine are announced 500 ms apart.
 func TestTwoModels(t *testing.T) {
 	for _, n := range []int{3, 10, 40, 150} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := newWorld(t, int64(n), n, "m", "n")
-			w.setBound(12 * second)
-			w.updateDuration = func() int64 { return 400*ms + w.random.Int63n(500*ms) }
-			w.run(3*second, nil)
-			w.announce("m", 2)
-			w.run(500*ms, nil)
-			w.announce("n", 2)
-			w.run(w.applyWithin+2*second, nil)
-			w.report("two models")
+			f := newFleet(t, int64(n), n, "m", "n")
+			f.setBound(12 * second)
+			f.updateDuration = func() int64 { return 400*ms + f.random.Int63n(500*ms) }
+			f.run(3*second, nil)
+			f.announce("m", 2)
+			f.run(500*ms, nil)
+			f.announce("n", 2)
+			f.run(f.applyWithin+2*second, nil)
+			f.report("two models")
 		})
 	}
 }
 
-// TestSmallPool: a pool of a few engines beside a large one. There always is an engine
-// of it that is not about to be updated.
+// TestSmallPool: in a small pool beside a large one, the engines are never all updated at the
+// same time.
 func TestSmallPool(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		w := newWorld(t, seed, 20, "m")
-		var few []*machine
+		f := newFleet(t, seed, 20, "m")
+		var small []*simulatedEngine
 		for range 3 {
-			engine := w.addEngine("n")
+			engine := f.addEngine("n")
 			engine.Pool = "q"
-			few = append(few, engine)
+			small = append(small, engine)
 		}
-		w.announced["n"] = []target{{1, 0}}
-		w.refreshList()
-		w.run(2*second, nil)
-		w.announce([]string{"n", "m"}[seed%2], 2)
-		w.announce([]string{"m", "n"}[seed%2], 2)
-		w.run(applyWithin, func() {
+		f.announced["n"] = []target{{1, 0}}
+		f.refreshList()
+		f.run(2*second, nil)
+		f.announce([]string{"n", "m"}[seed%2], 2)
+		f.announce([]string{"m", "n"}[seed%2], 2)
+		f.run(applyWithin, func() {
 			updating := 0
-			for _, engine := range few {
-				if _, ok := w.scheduler.State.Updates[engine.ID]; ok {
+			for _, engine := range small {
+				if _, ok := f.scheduler.State.Updates[engine.ID]; ok {
 					updating++
 				}
 			}
-			if updating == len(few) {
-				w.fail("all %d engines of the pool are updated at once", updating)
+			if updating == len(small) {
+				f.fail("all %d engines of the pool are updated concurrently", updating)
 			}
 		})
-		w.report(fmt.Sprint("seed ", seed))
+		f.report(fmt.Sprint("seed ", seed))
 	}
 }
 
-// TestStorm: versions are announced faster than all can follow; nobody is left behind, and
-// all end at the newest.
-func TestStorm(t *testing.T) {
+// TestFrequentAnnouncements: if versions are announced faster than engines can be updated, no
+// engine is late, and all run the newest version in the end.
+func TestFrequentAnnouncements(t *testing.T) {
 	for _, n := range []int{4, 10, 40, 200} {
 		for _, pause := range []int64{700 * ms, 3 * second, 7 * second} {
 			t.Run(fmt.Sprint(n, " every ", pause/ms), func(t *testing.T) {
-				w := newWorld(t, int64(n)+pause, n, "m")
-				w.run(3*second, nil)
+				f := newFleet(t, int64(n)+pause, n, "m")
+				f.run(3*second, nil)
 				version := uint64(1)
 				for range 30 * second / pause {
-					version += 1 + uint64(w.random.Intn(3))
-					w.announce("m", version)
-					w.run(pause, nil)
+					version += 1 + uint64(f.random.Intn(3))
+					f.announce("m", version)
+					f.run(pause, nil)
 				}
-				w.run(applyWithin+2*second, nil)
-				w.report("storm")
+				f.run(applyWithin+2*second, nil)
+				f.report("storm")
 			})
 		}
 	}
 }
 
-// TestComeAndGo: engines come, drain, end and crash while versions are announced.
-func TestComeAndGo(t *testing.T) {
+// TestEnginesJoinAndLeave: engines join, drain, leave and crash while versions are announced. No
+// engine is late, and the state keeps nothing of engines that are gone.
+func TestEnginesJoinAndLeave(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := newWorld(t, seed, 20+int(seed)*8, "m", "n")
-			announcedAt := w.now
-			w.run(55*second, func() {
-				if w.random.Intn(16) == 0 {
-					ids := w.engineIDs()
-					engine := w.engines[ids[w.random.Intn(len(ids))]]
-					switch w.random.Intn(3) {
+			f := newFleet(t, seed, 20+int(seed)*8, "m", "n")
+			announcedAt := f.now
+			f.run(55*second, func() {
+				if f.random.Intn(16) == 0 {
+					ids := f.engineIDs()
+					engine := f.engines[ids[f.random.Intn(len(ids))]]
+					switch f.random.Intn(3) {
 					case 0:
-						w.addEngine("m", "n")
+						f.addEngine("m", "n")
 					case 1:
 						if engine.drainedAt == 0 {
-							engine.drainedAt = w.now
+							engine.drainedAt = f.now
 						}
 					default:
 						if engine.goneAt == 0 && len(ids) > 12 {
-							engine.goneAt = w.now
+							engine.goneAt = f.now
 						}
 					}
 				}
-				for _, id := range w.engineIDs() {
-					if engine := w.engines[id]; engine.drainedAt > 0 && w.now > engine.drainedAt+4*second {
-						delete(w.engines, id)
+				for _, id := range f.engineIDs() {
+					if engine := f.engines[id]; engine.drainedAt > 0 && f.now > engine.drainedAt+4*second {
+						delete(f.engines, id)
 					}
 				}
-				if w.now-announcedAt > 14*second && w.now < 140*second {
-					announcedAt = w.now
-					model := []string{"m", "n"}[w.random.Intn(2)]
-					w.announce(model, w.announced[model][len(w.announced[model])-1].version+1)
+				if f.now-announcedAt > 14*second && f.now < 140*second {
+					announcedAt = f.now
+					model := []string{"m", "n"}[f.random.Intn(2)]
+					f.announce(model, f.announced[model][len(f.announced[model])-1].version+1)
 				}
 			})
-			w.report("come and go")
-			if w.problem == "" && w.countBehind() > 0 {
-				t.Errorf("%d are behind at the end", w.countBehind())
+			f.report("join and leave")
+			if f.failure == "" && f.countOutdated() > 0 {
+				t.Errorf("%d engines are outdated at the end", f.countOutdated())
 			}
-			w.stepLeader(false)
+			f.stepLeader(false)
 			live := map[string]bool{}
-			for _, engine := range w.listed {
+			for _, engine := range f.listed {
 				live[engine.ID] = true
 			}
-			state := w.state()
+			state := f.state()
 			for id := range state.Updates {
 				if !live[id] {
-					t.Errorf("%s is gone and still has an update", id)
+					t.Errorf("%s is gone but still has an update", id)
 				}
 			}
 			for id := range state.Applied {
 				if !live[id] {
-					t.Errorf("%s is gone and still kept", id)
+					t.Errorf("%s is gone but its applied versions are kept", id)
 				}
 			}
 		})
 	}
 }
 
-// TestSuccession: another leader takes over at any moment, also between writing a state
-// and sending its requests. No engine hears two leaders within the lease.
-func TestSuccession(t *testing.T) {
+// TestLeaderChanges: another leader takes over at random times, also between writing a state
+// and sending its requests. No engine is sent requests by two leaders within one lease.
+func TestLeaderChanges(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := newWorld(t, seed, 3+fleetSize(seed), "m")
-			w.judgesBound = false
-			w.run(2*second, nil)
-			w.announce("m", 2)
-			nextChange := w.now + second
+			f := newFleet(t, seed, 3+fleetSize(seed), "m")
+			f.checkBound = false
+			f.run(2*second, nil)
+			f.announce("m", 2)
+			nextChange := f.now + second
 			version := uint64(2)
-			w.run(30*second, func() {
-				if w.now >= nextChange {
-					nextChange = w.now + 500*ms + w.random.Int63n(4*second)
-					if w.random.Intn(2) == 0 {
-						w.stepLeader(true)
+			f.run(30*second, func() {
+				if f.now >= nextChange {
+					nextChange = f.now + 500*ms + f.random.Int63n(4*second)
+					if f.random.Intn(2) == 0 {
+						f.stepLeader(true)
 					}
-					w.changeLeader()
+					f.changeLeader()
 				}
-				if w.random.Intn(60) == 0 {
+				if f.random.Intn(60) == 0 {
 					version++
-					w.announce("m", version)
+					f.announce("m", version)
 				}
 			})
-			w.run(40*second, nil)
-			w.report("succession")
-			if w.problem == "" && w.countBehind() > 0 {
-				t.Errorf("%d are behind, under way %v", w.countBehind(), w.scheduler.State.Updates)
+			f.run(40*second, nil)
+			f.report("succession")
+			if f.failure == "" && f.countOutdated() > 0 {
+				t.Errorf("%d engines are outdated, updates in progress %v", f.countOutdated(), f.scheduler.State.Updates)
 			}
 		})
 	}
@@ -203,33 +204,33 @@
 
 func fleetSize(seed int64) int { return int(seed*13) % 60 }
 
-// TestSuccessionOneNaming: the same without a second announcement.
-func TestSuccessionOneNaming(t *testing.T) {
+// TestLeaderChangesOneAnnouncement: the same without a second announcement.
+func TestLeaderChangesOneAnnouncement(t *testing.T) {
 	for seed := int64(1); seed <= 15; seed++ {
-		w := newWorld(t, seed, 3+fleetSize(seed), "m")
-		w.judgesBound = false
-		w.run(2*second, nil)
-		w.announce("m", 2)
-		nextChange := w.now + second
-		w.run(20*second, func() {
-			if w.now >= nextChange {
-				nextChange = w.now + 300*ms + w.random.Int63n(3*second)
-				if w.random.Intn(2) == 0 {
-					w.stepLeader(true)
+		f := newFleet(t, seed, 3+fleetSize(seed), "m")
+		f.checkBound = false
+		f.run(2*second, nil)
+		f.announce("m", 2)
+		nextChange := f.now + second
+		f.run(20*second, func() {
+			if f.now >= nextChange {
+				nextChange = f.now + 300*ms + f.random.Int63n(3*second)
+				if f.random.Intn(2) == 0 {
+					f.stepLeader(true)
 				}
-				w.changeLeader()
+				f.changeLeader()
 			}
 		})
-		w.run(30*second, nil)
-		w.report(fmt.Sprint("seed ", seed))
-		if w.problem == "" && w.countBehind() > 0 {
-			t.Errorf("seed %d: %d are behind, under way %v", seed, w.countBehind(), w.scheduler.State.Updates)
+		f.run(30*second, nil)
+		f.report(fmt.Sprint("seed ", seed))
+		if f.failure == "" && f.countOutdated() > 0 {
+			t.Errorf("seed %d: %d engines are outdated, updates in progress %v", seed, f.countOutdated(), f.scheduler.State.Updates)
 		}
 	}
 }
 
-// TestRepeatedRequestNamesTheNewestVersion: a request without an answer is sent again for the
-// version that is the newest by then, which is written down first.
+// TestRepeatedRequestNamesTheNewestVersion: an unanswered request is repeated for the version
+// that is the newest by then, and the state with that version is written first.
 func TestRepeatedRequestNamesTheNewestVersion(t *testing.T) {
 	config := DefaultConfig(applyWithin, leaseDuration)
 	scheduler := New(config, 0, 0, State{})
@@ -238,14 +239,14 @@
 	scheduler.Step(0, engines)
 	sentAt := config.DrainDurationUS
 	if requests, _, _ := scheduler.Step(sentAt, engines); len(requests) != 1 || requests[0].Version != 2 {
-		t.Fatalf("first %+v", requests)
+		t.Fatalf("first requests are %+v, want one for version 2", requests)
 	}
 	scheduler.Announce("m", 3, sentAt+second)
 	requests, _, changed := scheduler.Step(sentAt+config.RetryAfterUS, engines)
 	if len(requests) != 1 || requests[0].Version != 3 {
-		t.Errorf("repeated %+v, version 3 is wanted", requests)
+		t.Errorf("repeated requests are %+v, want one for version 3", requests)
 	}
 	if stored := scheduler.State.Updates["silent"]; !changed || stored.Version != 3 {
-		t.Errorf("stored %+v, changed %v before a request for version 3", stored, changed)
+		t.Errorf("state has %+v, changed %v, want version 3 to be written before its request", stored, changed)
 	}
 }
--- a/rollout/state.go
+++ b/rollout/state.go
@@ -8,20 +8,20 @@
 // Engine is what the scheduler knows of one incarnation of an engine.
 type Engine struct {
 	ID, Addr, Pool, Zone string
-	Draining             bool              // it leaves the fleet, and is not updated
-	Weights              map[string]uint64 // version of each model, as last reported
+	Draining             bool              // it is leaving the fleet, and is not updated
+	Weights              map[string]uint64 // version by model, as last reported
 }
 
-// Phase is how far the update of an engine has come.
+// Phase is the phase of an engine's update.
 type Phase uint8
 
 // The phases.
 const (
-	PhaseDraining  Phase = iota + 1 // proxies send the engine nothing new
-	PhaseRequested                  // the request went out
+	PhaseDraining  Phase = iota + 1 // proxies send the engine no new requests
+	PhaseRequested                  // the update request may have been sent
 )
 
-// String is the phase as people read it.
+// String returns the name of the phase for display.
 func (p Phase) String() string {
 	switch p {
 	case PhaseDraining:
@@ -32,34 +32,34 @@
 	return fmt.Sprintf("phase %d", uint8(p))
 }
 
-// Update is the update under way of one engine.
+// Update is the update of one engine that is in progress.
 type Update struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 	Phase   Phase  `json:"phase"`
-	// When it started, and when the request last went out, in the leader's own time; not
+	// When it started and when its request was last sent, by the leader's monotonic clock; not
 	// stored.
 	StartedAt   int64 `json:"-"`
 	RequestedAt int64 `json:"-"`
 }
 
-// State is what is kept of a rollout in the control state, so that every node sees which
-// engines are being updated, and a new leader goes on where the last one left off.
+// State is the part of a rollout that is stored in the control state, so that every node sees
+// which engines are being updated and a new leader can continue.
 type State struct {
-	Updates map[string]Update            `json:"turns"` // under way, by engine
-	Applied map[string]map[string]uint64 `json:"done"`  // engine, model: version known to be in force
+	Updates map[string]Update            `json:"turns"` // in progress, by engine
+	Applied map[string]map[string]uint64 `json:"done"`  // by engine and model: version known to be running
 }
 
-// Marshal is a state as its register holds it.
+// Marshal encodes the state as its register's value.
 func (s State) Marshal() []byte {
 	data, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // plain strings and numbers
+		panic(err) // cannot fail: the state has only strings and numbers
 	}
 	return data
 }
 
-// UnmarshalState reads a register's state; that of an empty register is the zero State.
+// UnmarshalState decodes a register's value; an empty value is the zero State.
 func UnmarshalState(data []byte) (State, error) {
 	var state State
 	if len(data) == 0 {
@@ -69,7 +69,8 @@
 	return state, err
 }
 
-// Version is what an engine runs, from its reports and from what is known to be in force.
+// Version returns the version that an engine runs: the higher one of what it reported and what
+// is known to have been applied.
 func (s State) Version(engine, model string, reported uint64) uint64 {
 	return max(reported, s.Applied[engine][model])
 }
--- a/rollout/state_test.go
+++ b/rollout/state_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestStateReads: a state is read back as it was written, and damage is reported.
+// TestStateReads: a state is decoded as it was encoded, and a malformed one is an error.
 func TestStateReads(t *testing.T) {
 	state := State{Updates: map[string]Update{"i": {Model: "m", Version: 3, Phase: PhaseRequested}}, Applied: map[string]map[string]uint64{"j": {"m": 2}}}
 	got, err := UnmarshalState(state.Marshal())
@@ -10,9 +10,9 @@
 		t.Fatalf("%+v %v", got, err)
 	}
 	if _, err := UnmarshalState([]byte("{")); err == nil {
-		t.Fatal("what can't be read was read")
+		t.Fatal("a malformed state was decoded")
 	}
 	if state, err := UnmarshalState(nil); err != nil || len(state.Updates) != 0 {
-		t.Fatal("an empty register is no empty state")
+		t.Fatal("an empty register does not give an empty state")
 	}
 }
