--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,21 +1,21 @@
-// Package membership is the table of sessions: which nodes of a fleet are live, by their
-// heartbeats to any control node.
+// Package membership is the table of sessions: which nodes of a fleet are live, according to
+// their heartbeats to any control node.
 //
 // # Protocol
 //
 // Each control node keeps the sessions of the nodes that send their heartbeats to it, and
-// announces them to the other control nodes every so often. A control node that hears
-// another one relays its sessions to third ones that do not, one hop and no further, so
-// that one cut link ends no session (docs/design.md §4.7). It is an all-to-all exchange
-// with one relay hop, not a gossip protocol such as SWIM: there are few control nodes.
-// Nothing here decides anything that needs a majority.
+// periodically announces them to the other control nodes. A control node that receives another
+// one's announcements relays its sessions to third control nodes that do not receive them, over
+// one hop only, so that the loss of a single link ends no session (docs/design.md §4.7). This is
+// an all-to-all exchange with one relay hop, not a gossip protocol such as SWIM, because there
+// are few control nodes. Nothing in this package needs a majority.
 //
 // # Assumptions
 //
-// Sessions are aged, not dated: an announcement says how long ago each node was heard, and
-// its way adds to no age. A session may therefore end late by as long as an announcement
-// was under way, and never early while its control node is heard.
+// Announcements carry the age of each node's last heartbeat, not its time, and the transit time
+// of an announcement is not added to the age. A session may therefore end late by the transit
+// time, but never early while announcements of its control node arrive.
 //
-// The package is pure: it has no clock, and times are microseconds of the caller's
-// monotonic clock. All methods may be called from any goroutine.
+// The package has no clock; times are microseconds of the caller's monotonic clock. All methods
+// are safe for concurrent use.
 package membership
--- a/membership/sessions.go
+++ b/membership/sessions.go
@@ -11,9 +11,9 @@
 // SessionTimeoutUS is how long a session lasts after its last heartbeat, in microseconds.
 const SessionTimeoutUS = 2_000_000
 
-// peerTimeout is how long a control node's announcement may stay out before it counts as
-// unreachable, in microseconds. It is well below SessionTimeoutUS, so that another control
-// node relays its sessions before they end.
+// peerTimeout is the time without an announcement after which a control node counts as
+// unreachable, in microseconds. It is well below SessionTimeoutUS, so that another control node
+// relays its sessions before they end.
 const peerTimeout = 700_000
 
 // Sessions is one control node's table of sessions.
@@ -25,32 +25,32 @@
 	peers    map[string]*peer    // by the control node's name
 }
 
-// peer is another control node, by its newest announcement.
+// peer is another control node, according to its last announcement.
 type peer struct {
-	heardAt   int64
-	reachable []string // the control nodes that it hears itself
+	heardAt   int64    // when its last announcement arrived
+	reachable []string // the control nodes whose announcements it receives
 }
 
-// session is one node's.
+// session is the session of one node.
 type session struct {
 	node    *fb.NodeT
-	heardAt int64  // the last heartbeat, as far as known here
-	via     string // the control node that it went to
+	heardAt int64  // time of the last known heartbeat
+	via     string // the control node that received it
 }
 
-// New makes an empty table for the control node of that name.
+// New makes an empty table for the control node named self.
 func New(self string) *Sessions {
 	return &Sessions{self: self, sessions: map[string]*session{}, peers: map[string]*peer{}}
 }
 
-// Heartbeat takes in a heartbeat that came to this control node at a time.
+// Heartbeat records a heartbeat that this control node received at the time now.
 func (s *Sessions) Heartbeat(now int64, node *fb.NodeT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.record(node, now, s.self)
 }
 
-// record keeps the latest heartbeat. A node's new incarnation replaces the old one.
+// record keeps the latest heartbeat of a node, whichever of its incarnations sent it.
 func (s *Sessions) record(node *fb.NodeT, heardAt int64, via string) {
 	if known := s.sessions[node.Name]; known != nil && known.heardAt >= heardAt {
 		return
@@ -60,31 +60,31 @@
 	s.sessions[node.Name] = &session{&copied, heardAt, via}
 }
 
-// Merge takes in another control node's announcement: its own sessions, and those of
-// others that it relays. What is relayed counts only while the control node that keeps the
-// session is unreachable from here, and is relayed no further: an age that went in a
-// circle would never grow old.
+// Merge records another control node's announcement: its own sessions, and those of others
+// that it relays. A relayed session counts only while the control node that keeps it is
+// unreachable from here, and is not relayed further: since transit time is not added to an age,
+// a session relayed in a circle would never end.
 func (s *Sessions) Merge(now int64, announcement *fb.SessionUpdateT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sender := announcement.ControlNode
 	s.peers[sender] = &peer{heardAt: now, reachable: announcement.Hears}
-	firsthand := append(s.reachablePeers(now), s.self)
+	direct := append(s.reachablePeers(now), s.self)
 	for _, node := range announcement.Nodes {
 		via := node.ControlNode
 		if via == "" {
 			via = sender
 		}
 		relayed := via != sender
-		if node.Age < 0 || node.Age >= SessionTimeoutUS || relayed && slices.Contains(firsthand, via) {
+		if node.Age < 0 || node.Age >= SessionTimeoutUS || relayed && slices.Contains(direct, via) {
 			continue
 		}
 		s.record(node, now-node.Age, via)
 	}
 }
 
-// reachablePeers lists the control nodes whose announcements come in, by name, and forgets
-// those that were not heard for as long as a session lasts.
+// reachablePeers lists the control nodes whose announcements arrive, sorted by name. It removes
+// those whose last announcement is older than SessionTimeoutUS.
 func (s *Sessions) reachablePeers(now int64) []string {
 	var names []string
 	for name, peer := range s.peers {
@@ -101,16 +101,16 @@
 	return names
 }
 
-// relays reports whether the sessions of another control node go out with this one's own:
-// it is reachable from here, and not from some third one.
+// relays reports whether this control node announces the sessions of another one in addition to
+// its own: the other one is reachable from here, but not from some third control node.
 func (s *Sessions) relays(via string, reachable []string) bool {
 	return slices.Contains(reachable, via) && slices.ContainsFunc(reachable, func(name string) bool {
 		return name != via && !slices.Contains(s.peers[name].reachable, via)
 	})
 }
 
-// collect copies the sessions that have not ended, by name, of the control nodes that
-// include picks. It forgets those that have.
+// collect copies the sessions that have not ended, sorted by name, of the control nodes for which
+// include returns true. It removes the sessions that have ended.
 func (s *Sessions) collect(now int64, include func(via string) bool) []*fb.NodeT {
 	var nodes []*fb.NodeT
 	for name, session := range s.sessions {
@@ -130,7 +130,7 @@
 	return nodes
 }
 
-// Live lists the nodes whose sessions have not ended, by name, with the age of their last
+// Live lists the nodes whose sessions have not ended, sorted by name, with the age of their last
 // heartbeat.
 func (s *Sessions) Live(now int64) []*fb.NodeT {
 	s.mu.Lock()
@@ -138,7 +138,7 @@
 	return s.collect(now, func(string) bool { return true })
 }
 
-// Announcement is what this control node tells the others.
+// Announcement returns this control node's announcement to the other control nodes.
 func (s *Sessions) Announcement(now int64) *fb.SessionUpdateT {
 	s.mu.Lock()
 	defer s.mu.Unlock()
