--- a/attempt/doc.go
+++ b/attempt/doc.go
@@ -5,9 +5,9 @@
 // There are two kinds of record. A History belongs to a request that the dispatcher queues
 // and may protect with a durable once-only claim. A Forward belongs to a request that the
 // proxy passes to an engine without parsing its body; the operator's route says whether it
-// is idempotent. Both follow one rule: a request that is not idempotent is sent again, or
-// reported to its caller as rejected, only if every attempt so far provably never ran.
-// There are no hedged requests: at most one attempt is in flight.
+// is idempotent. Both follow one rule: a request that is not idempotent is sent again only if
+// every attempt so far provably never ran, and any request is reported to its caller as
+// rejected only in that case. There are no hedged requests: at most one attempt is in flight.
 //
 // RetryBudget and RetryWindow limit retries to a fraction of the regular traffic, so that
 // retries do not amplify an overload. RetryBudget is a token bucket as in Finagle's retry
--- a/rollout/scheduler.go
+++ b/rollout/scheduler.go
@@ -63,8 +63,8 @@
 
 // Resume tells a new scheduler that its owner has been the leader under the same lease since
 // startedAt, and when it last sent a request to each engine. Since those requests were its own,
-// the scheduler waits for a former leader's lease only from startedAt, and sends a request that
-// is in the state but was never sent at once.
+// the wait for a former leader's lease counts from startedAt, and requests that are in the state
+// but were never sent are sent without delay.
 func (s *Scheduler) Resume(startedAt int64, sentAt map[string]int64) {
 	s.formerLeaseUntil = startedAt + s.config.LeaseDurationUS
 	for id, update := range s.State.Updates {
