--- a/internal/app/directory/loads.go
+++ b/internal/app/directory/loads.go
@@ -176,7 +176,7 @@
 	}
 	switch {
 	case cached[update.Key]:
-	case update.Op == cacheindex.OpReading:
+	case update.Op == cacheindex.OpComputing:
 		d.events.Append(update)
 	case update.Op == cacheindex.OpAdd:
 		cached[update.Key] = true
--- a/internal/app/directory/loads_test.go
+++ b/internal/app/directory/loads_test.go
@@ -78,17 +78,17 @@
 		return &fb.CacheUpdateT{Hi: 1, Lo: 2, Check: 3, Holder: holder, Op: byte(op)}
 	}
 	for i, update := range []*fb.CacheUpdateT{
-		read(cacheindex.OpReading, engine),
-		read(cacheindex.OpReading, engine+1), // an engine that is not polled
+		read(cacheindex.OpComputing, engine),
+		read(cacheindex.OpComputing, engine+1), // an engine that is not polled
 		read(cacheindex.OpAdd, engine),
 		read(cacheindex.OpAdd, engine),
-		read(cacheindex.OpReading, engine), // after the block was computed
-		read(cacheindex.OpRemove, engine),  // accepted only from the engine's own events
+		read(cacheindex.OpComputing, engine), // after the block was computed
+		read(cacheindex.OpRemove, engine),    // accepted only from the engine's own events
 	} {
 		d.Handle(t.Context(), loadReport("p1", uint64(i+1), nil, update))
 	}
 	batch := d.events.Since(d.incarnation, 1, 100)
-	want := []cacheindex.UpdateOp{cacheindex.OpReading, cacheindex.OpAdd}
+	want := []cacheindex.UpdateOp{cacheindex.OpComputing, cacheindex.OpAdd}
 	if len(batch.Updates) != len(want) {
 		t.Fatalf("%+v", batch.Updates)
 	}
--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -27,19 +27,19 @@
 	v := &view{}
 	v.merge(fullState(1, 0, "e", 11*second, 5), 100*second)
 	v.merge(fullState(2, 0, "e", 1*second, 5), 102*second)
-	if least := v.minVersion(103*second, "m", route.VersionLimits{InTermUS: within}); least != 2 {
+	if least := v.minVersion(103*second, "m", route.VersionLimits{PerTermUS: within}); least != 2 {
 		t.Errorf("attempts may still start on older weights 14 s after version 2 was announced: minimum version %d", least)
 	}
 	before := *v
 	v.merge(fullState(2, 0, "e", 4*second, 6), 104*second) // the rollout role has moved to another node
-	if least := v.minVersion(105*second, "m", route.VersionLimits{InTermUS: within}); least != 0 {
+	if least := v.minVersion(105*second, "m", route.VersionLimits{PerTermUS: within}); least != 0 {
 		t.Errorf("minimum version %d, though the deadline was restarted", least)
 	}
-	if least := before.minVersion(105*second, "m", route.VersionLimits{InTermUS: within}); least != 2 {
+	if least := before.minVersion(105*second, "m", route.VersionLimits{PerTermUS: within}); least != 2 {
 		t.Error("a published view has changed")
 	}
 	v.merge(fullState(1, 0, "e", 90*second, 5), 106*second) // a node that does not know that yet
-	if least := v.minVersion(107*second, "m", route.VersionLimits{InTermUS: within}); least != 0 {
+	if least := v.minVersion(107*second, "m", route.VersionLimits{PerTermUS: within}); least != 0 {
 		t.Errorf("minimum version %d, taken from a node of an earlier term", least)
 	}
 }
