--- a/plan/doc.go
+++ b/plan/doc.go
@@ -3,7 +3,7 @@
 // the engines' weights, and limits (docs/design.md §2).
 //
 // A plan is a JSON object. Parse validates it and returns all findings at once; a Change,
-// which is a whole plan or an RFC 7396 merge patch, is applied to the plan in force; Compile
+// which is a complete plan or an RFC 7396 merge patch, is applied to the plan in force; Compile
 // prepares it for use while requests are handled. The register of the control state contains
 // the operator's text byte for byte, preceded by a DomainHistory that records the revision
 // at which each cache domain began (docs/design.md §2.1).
--- a/wal/damage_test.go
+++ b/wal/damage_test.go
@@ -474,16 +474,16 @@
 	if err := log.Checkpoint([][]byte{[]byte("a=1"), []byte("b=1")}); err != nil {
 		f.Fatal(err)
 	}
-	var whole []byte
+	var intact []byte
 	for i := 0; i < smallestConfig.SegmentCount; i++ {
-		whole = append(whole, fs.files[fmt.Sprintf("ring-%03d", i)].cache...)
+		intact = append(intact, fs.files[fmt.Sprintf("ring-%03d", i)].cache...)
 	}
-	f.Add(whole, uint32(0), byte(0))
-	f.Add(whole, uint32(4096+8), byte(1))
-	f.Add(whole, uint32(2*4096+36), byte(255))
-	f.Add(whole[:6000], uint32(40), byte(7))
+	f.Add(intact, uint32(0), byte(0))
+	f.Add(intact, uint32(4096+8), byte(1))
+	f.Add(intact, uint32(2*4096+36), byte(255))
+	f.Add(intact[:6000], uint32(40), byte(7))
 	// The first segment is erased, and the header of the second is damaged (found by fuzzing).
-	firstErased := slices.Clone(whole)
+	firstErased := slices.Clone(intact)
 	clear(firstErased[smallestConfig.SegmentBytes : 2*smallestConfig.SegmentBytes])
 	f.Add(firstErased, uint32(2*smallestConfig.SegmentBytes+8), byte(1))
 	f.Add([]byte("VTRING02"), uint32(0), byte(0))
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -8,8 +8,9 @@
 
 // Config is the size of a log. It can't be changed once the log contains records.
 type Config struct {
-	// SegmentCount is the number of segment files, at least 3. The longer a checkpoint
-	// takes, the more segments are needed; Append describes how many are reserved.
+	// SegmentCount is the number of segment files, at least 3. For a state of a given size,
+	// the longer a checkpoint takes, the more segments are needed; Append describes how many
+	// are reserved.
 	SegmentCount int
 	// SegmentBytes is the length of each file in bytes, at least 4096. A record must fit
 	// into a segment after its header.
@@ -98,7 +99,7 @@
 	l.files = files
 	records, err := l.recover()
 	if err == nil && l.position(l.sequence, l.offset) < minEnd {
-		err = &CorruptionError{l.fileIndex(l.sequence), l.offset, "is followed by no data although more was synced"}
+		err = &CorruptionError{l.fileIndex(l.sequence), l.offset, "is before the end of the synced data"}
 		records = nil
 	}
 	if err == nil {
@@ -210,7 +211,7 @@
 	return nil
 }
 
-// nextSegment begins the next segment if at least the given number stay free.
+// nextSegment begins the next segment if at least the given number of segments stay free.
 func (l *Log) nextSegment(reserved int) error {
 	if l.sequence+2-l.oldestNeeded > uint64(l.config.SegmentCount-reserved) {
 		return &FullError{
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -142,7 +142,7 @@
 func TestFlippedBit(t *testing.T) {
 	world := sim.NewWorld(1)
 	rng := rand.New(rand.NewSource(7))
-	found := 0
+	detected := 0
 	for i := 0; i < 300; i++ {
 		disk := sim.NewDisk(world)
 		log, _ := open(t, disk, testConfig)
@@ -163,7 +163,7 @@
 		_, raw, err := wal.Open(disk, testConfig)
 		switch {
 		case errors.Is(err, wal.ErrCorrupt):
-			found++
+			detected++
 		case err != nil:
 			t.Fatal(err)
 		default:
@@ -178,8 +178,8 @@
 			}
 		}
 	}
-	if found < 200 {
-		t.Fatalf("detected only %d of 300 flipped bits", found)
+	if detected < 200 {
+		t.Fatalf("detected only %d of 300 flipped bits", detected)
 	}
 }
 
