--- a/index/engines.go
+++ b/index/engines.go
@@ -38,13 +38,13 @@
 // Event is one thing that an engine reports. Recordings contain it under the names in the
 // tags, as they do Report and Poll.
 type Event struct {
-	Seq             uint64         `json:"Seq"`
-	Added           bool           `json:"Keep"` // Block is cached now
-	Removed         bool           `json:"Drop"` // Block is cached no more
-	FinishedAttempt string         `json:"Ran"`
-	RecomputedBytes uint64         `json:"Filled"` // blocks recomputed by FinishedAttempt
-	Block           cacheindex.Key `json:"Part"`
-	HasBlock        bool           `json:"HasPart"`
+	Seq              uint64         `json:"Seq"`
+	Added            bool           `json:"Keep"` // Block is cached now
+	Removed          bool           `json:"Drop"` // Block is cached no more
+	FinishedAttempt  string         `json:"Ran"`
+	RecomputedBlocks uint64         `json:"Filled"` // blocks recomputed by FinishedAttempt
+	Block            cacheindex.Key `json:"Part"`
+	HasBlock         bool           `json:"HasPart"`
 }
 
 // Report is what an engine reports of itself.
@@ -195,7 +195,7 @@
 		return
 	}
 	delete(engine.pending, event.FinishedAttempt)
-	succeeded := int(event.RecomputedBytes) <= transfer.TotalBlocks-len(transfer.Blocks)
+	succeeded := int(event.RecomputedBlocks) <= transfer.TotalBlocks-len(transfer.Blocks)
 	engine.transferScores.Record(now, transfer.FromNode, succeeded)
 	if succeeded {
 		n.Counters.TransfersOK++
--- a/internal/app/indexnode/engines.go
+++ b/internal/app/indexnode/engines.go
@@ -105,10 +105,10 @@
 	}
 	for _, event := range packed.Events {
 		unpacked := index.Event{
-			Seq:             event.Seq,
-			Added:           event.Op == engineapi.EventAdded,
-			Removed:         event.Op == engineapi.EventRemoved,
-			RecomputedBytes: event.RecomputedBytes,
+			Seq:              event.Seq,
+			Added:            event.Op == engineapi.EventAdded,
+			Removed:          event.Op == engineapi.EventRemoved,
+			RecomputedBlocks: event.RecomputedBytes,
 		}
 		if event.Op == engineapi.EventFinished {
 			unpacked.FinishedAttempt = event.Attempt
--- a/sim/engine_run.go
+++ b/sim/engine_run.go
@@ -198,7 +198,7 @@
 			e.addBlock(key, fresh)
 		}
 	}
-	e.publish(index.Event{FinishedAttempt: run.action.AttemptID, RecomputedBytes: uint64(len(chain) - reused.blocks)})
+	e.publish(index.Event{FinishedAttempt: run.action.AttemptID, RecomputedBlocks: uint64(len(chain) - reused.blocks)})
 	e.sendPieces(run)
 }
 
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -448,7 +448,7 @@
 		e.flag(event.Added)
 		e.flag(event.Removed)
 		e.text(event.FinishedAttempt)
-		e.unsigned(event.RecomputedBytes)
+		e.unsigned(event.RecomputedBlocks)
 		e.part(event.Block)
 		e.flag(event.HasBlock)
 	}
