--- a/index/doc.go
+++ b/index/doc.go
@@ -1,18 +1,20 @@
-// Package index is the deciding part of an index node (docs/design.md §7, §8 and §10).
+// Package index implements the decision logic of an index node (docs/design.md §7, §8 and
+// §10).
 //
-// Index nodes divide singleton roles between them: each engine has one owner, and so has
+// Index nodes divide singleton roles among themselves: each engine has one owner, and so has
 // each shard of the prefix-cache index. A role is held under a lease that a majority of the
-// control nodes grants (Gray and Cheriton, "Leases", SOSP 1989); its holder stops before
-// the lease ends by its own clock, and the revision that granted it is the fencing token of
-// what the holder orders. All nodes compute the same Placement from the same list of peers
-// (rendezvous hashing within a bound on the load), and each works towards its own part.
+// control nodes grants (Gray and Cheriton, "Leases", SOSP 1989). By its own clock, the holder
+// stops before the lease ends, and the revision that granted the lease is the fencing token
+// of its requests to engines. All nodes compute the same Placement from the same list of
+// peers (rendezvous hashing with bounded loads), and each node acquires and releases leases
+// until it holds the roles that are placed on it.
 //
 // The owner of an engine polls its reports, learns from them which blocks it has cached,
-// grants each proxy a part of its capacity (package fairqueue), and makes it change weights
-// in waves. The owner of a shard follows the owners of the engines, and tells each zone
-// which node is nearest for each block (package cacheindex); one index node for each zone
-// brings that to the zone's proxies.
+// grants each proxy a part of its capacity (package fairqueue), and updates its weights in
+// waves over the fleet. The owner of a shard follows the update feeds of the engines' owners,
+// and publishes to each zone which node is nearest for each block (package cacheindex). One
+// index node for each zone relays those updates to the zone's proxies.
 //
-// The package is pure: no clock, socket or disk. A Node is not safe for concurrent use; its
-// callers hold one lock around each call. All times are monotonic microseconds.
+// The package does no I/O and reads no clock. A Node is not safe for concurrent use; callers
+// hold a lock around each call. All times are in microseconds of a monotonic clock.
 package index
--- a/index/engines.go
+++ b/index/engines.go
@@ -8,46 +8,46 @@
 	"violetthread/cacheindex"
 )
 
-// engine is an engine, or the store, that is owned here.
+// engine is the state of an engine, or of the cache store, that this node owns.
 type engine struct {
 	ListedEngine
 	incarnation      uint64
 	nodeID           uint64 // of the incarnation, 0 before the first report
-	seq              uint64 // of the last event taken in
-	holdingsComplete bool   // holdings are all that it has cached as of seq
+	seq              uint64 // of the last event applied
+	holdingsComplete bool   // whether holdings has all blocks cached as of seq
 	holdings         map[cacheindex.Key]bool
 	weights          string
 	capacity         int
 	running          int
 	queueLength      int
 	slowUS           int64
-	reportedAt       int64 // when the newest report was asked for
-	updateSentAt     int64 // when it was last told to change weights
+	reportedAt       int64 // when the newest report was requested
+	updateSentAt     int64 // when the last weight update was sent
 	transferScores   *cacheindex.TransferScores
 	pending          map[string]pendingTransfer // by attempt
-	suspicion        float64                    // failures seen by proxies, decaying
-	suspicionAt      int64                      // as of then
+	suspicion        float64                    // decaying count of failures that proxies reported
+	suspicionAt      int64                      // up to when suspicion has been decayed
 }
 
-// pendingTransfer is a transfer of which the engine has not reported what became.
+// pendingTransfer is a transfer whose result the engine has not reported yet.
 type pendingTransfer struct {
 	Transfer
 	orderedAt int64
 }
 
-// Event is one thing that an engine reports. Recordings contain it under the names in the
-// tags, as they do Report and Poll.
+// Event is an event in an engine's report. Recordings store Event, Report and Poll under the
+// names in the tags.
 type Event struct {
 	Seq              uint64         `json:"Seq"`
-	Added            bool           `json:"Keep"` // Block is cached now
-	Removed          bool           `json:"Drop"` // Block is cached no more
+	Added            bool           `json:"Keep"` // Block is now cached
+	Removed          bool           `json:"Drop"` // Block is no longer cached
 	FinishedAttempt  string         `json:"Ran"`
 	RecomputedBlocks uint64         `json:"Filled"` // blocks recomputed by FinishedAttempt
 	Block            cacheindex.Key `json:"Part"`
 	HasBlock         bool           `json:"HasPart"`
 }
 
-// Report is what an engine reports of itself.
+// Report is an engine's report on its own state.
 type Report struct {
 	Incarnation uint64  `json:"Inc"`
 	Weights     string  `json:"Weights"`
@@ -56,21 +56,21 @@
 	Capacity    int     `json:"Room"`
 	SlowUS      int64   `json:"SlowUS"`
 	LastSeq     uint64  `json:"Last"`   // of the newest event
-	Events      []Event `json:"Events"` // those after the one that was asked for, or what is left of them
+	Events      []Event `json:"Events"` // the events after Poll.AfterSeq that the engine still has
 }
 
-// Poll says where to ask an engine for its report, and after which event.
+// Poll is a request to an engine for its report, with the events after AfterSeq.
 type Poll struct {
 	Engine        string `json:"Engine"`
 	Addr          string `json:"Addr"`
-	FencingToken  uint64 `json:"Epoch"` // 0 for an engine of another owner, which is only probed
+	FencingToken  uint64 `json:"Epoch"` // 0 for an engine that another node owns and this one only probes
 	Incarnation   uint64 `json:"Inc"`
 	AfterSeq      uint64 `json:"After"`
-	NeedsHoldings bool   `json:"Whole"` // all its holdings must be read first, for ResetHoldings
+	NeedsHoldings bool   `json:"Whole"` // read all of the engine's holdings first and pass them to ResetHoldings
 }
 
-// Polls lists the engines to ask now, by name: those owned here, and those of others that
-// are probed.
+// Polls lists the engines to poll now, sorted by name: those that this node owns, and the
+// probe targets among those that other nodes own.
 func (n *Node) Polls(now int64) []Poll {
 	var polls []Poll
 	probes := n.probeTargets(now)
@@ -96,7 +96,7 @@
 	return polls
 }
 
-// ownedEngine returns the state of an engine owned here, new if it was not known.
+// ownedEngine returns the state of an engine that this node owns, and creates it if needed.
 func (n *Node) ownedEngine(listed ListedEngine) *engine {
 	owned := n.engines[listed.Name]
 	if owned == nil {
@@ -111,7 +111,7 @@
 	return owned
 }
 
-// ResetHoldings takes in all blocks that an engine has cached, as of its event seq.
+// ResetHoldings sets the blocks that an engine has cached as of its event seq.
 func (n *Node) ResetHoldings(now int64, name string, incarnation, seq uint64, blocks []cacheindex.Key) {
 	engine := n.engines[name]
 	if _, owned := n.HoldsLease(now, EngineRole(name)); engine == nil || !owned {
@@ -132,7 +132,8 @@
 	engine.seq, engine.holdingsComplete = seq, true
 }
 
-// setIncarnation makes sure that what an engine's former incarnation had is forgotten.
+// setIncarnation sets the engine's incarnation. If it is a new one, the holdings and pending
+// transfers of the previous incarnation are dropped.
 func (n *Node) setIncarnation(engine *engine, incarnation uint64) {
 	if engine.incarnation == incarnation {
 		return
@@ -149,20 +150,20 @@
 	}
 }
 
-// ApplyReport takes in an engine's report that was asked for at time asked. After a gap in
-// its events all its holdings are read anew.
-func (n *Node) ApplyReport(now, asked int64, name string, report Report) {
-	n.recordAnswer(asked, name)
+// ApplyReport applies an engine's report that was requested at time askedAt. If events are
+// missing, the next poll reads all holdings again.
+func (n *Node) ApplyReport(now, askedAt int64, name string, report Report) {
+	n.recordAnswer(askedAt, name)
 	engine := n.engines[name]
-	if _, owned := n.HoldsLease(now, EngineRole(name)); engine == nil || !owned || asked < engine.reportedAt {
+	if _, owned := n.HoldsLease(now, EngineRole(name)); engine == nil || !owned || askedAt < engine.reportedAt {
 		return
 	}
 	n.setIncarnation(engine, report.Incarnation)
-	engine.weights, engine.slowUS, engine.reportedAt = report.Weights, report.SlowUS, asked
+	engine.weights, engine.slowUS, engine.reportedAt = report.Weights, report.SlowUS, askedAt
 	engine.running, engine.queueLength, engine.capacity = report.Running, report.QueueLength, report.Capacity
 	for _, event := range report.Events {
 		if event.Seq <= engine.seq {
-			continue // repeated
+			continue // already applied
 		}
 		if event.Seq != engine.seq+1 {
 			engine.holdingsComplete = false
@@ -187,8 +188,9 @@
 	}
 }
 
-// learnTransfer learns from a finished attempt whether its transfer worked: then nothing
-// was recomputed but the blocks that were not transferred.
+// learnTransfer updates the transfer scores with the result of a finished attempt. The
+// transfer succeeded if the engine recomputed no more blocks than those left out of the
+// transfer.
 func (n *Node) learnTransfer(now int64, engine *engine, event Event) {
 	transfer, known := engine.pending[event.FinishedAttempt]
 	if !known {
@@ -218,7 +220,7 @@
 	}
 }
 
-// publish tells the followers of the shard that an update belongs to.
+// publish appends an update to the feeds of the followers of its shard.
 func (n *Node) publish(update cacheindex.Update) {
 	n.Counters.HoldingChanges++
 	shard := uint16(update.Key.Shard(Shards))
@@ -230,8 +232,8 @@
 	}
 }
 
-// EngineStatus is an engine as its owner sees it, for operators. The names in the tags are
-// those of the API.
+// EngineStatus is an engine's state as its owner knows it, for operators. The tags are the
+// field names of the API.
 type EngineStatus struct {
 	Name             string         `json:"Name"`
 	Addr             string         `json:"Addr"`
@@ -246,10 +248,10 @@
 	Capacity         int            `json:"Room"`
 	Holdings         int            `json:"Kept"`
 	ReportAge        int64          `json:"ReportAge"` // microseconds
-	TransferScores   map[string]int `json:"HandOver"`  // in thousandths, by peer in hexadecimal
+	TransferScores   map[string]int `json:"HandOver"`  // in thousandths, by the peer's node id in hexadecimal
 }
 
-// Engines lists the engines owned now, by name.
+// Engines lists the engines that this node owns now, sorted by name.
 func (n *Node) Engines(now int64) []EngineStatus {
 	var engines []EngineStatus
 	for name, engine := range n.engines {
--- a/index/feeds.go
+++ b/index/feeds.go
@@ -6,32 +6,33 @@
 	"violetthread/cacheindex"
 )
 
-// Bounds of the feeds between index nodes and to proxies, in updates.
+// Sizes of the feeds between index nodes and to proxies, in updates.
 const (
-	feedLogSize  = 1 << 14
-	feedBatch    = 4096
-	zoneHints    = 1 << 15 // entries in a zone's table
-	feedSeqShift = 40      // of feedSeq above the incarnation
+	feedLogSize   = 1 << 14
+	feedBatchSize = 4096
+	zoneTableSize = 1 << 15 // entries in a zone's table
+	feedSeqShift  = 40      // bits of the incarnation below feedSeq in a feed's incarnation
 )
 
-// Cursor is how far a follower has read a feed.
+// Cursor is a follower's position in a feed.
 type Cursor struct{ Incarnation, Next uint64 }
 
-// HolderLocation is where a node stands that has blocks.
+// HolderLocation is the location of a node that has blocks cached.
 type HolderLocation struct {
 	NodeID       uint64 // of the engine's incarnation
 	Engine, Zone string
 	Store        bool
 }
 
-// holdingsFeed tells one follower which blocks of its shards the engines owned here have.
+// holdingsFeed is the feed for one follower of which blocks of its shards are cached by the
+// engines that this node owns.
 type holdingsFeed struct {
 	shards []uint16
 	log    *cacheindex.UpdateLog
 }
 
-// HoldingsFeed answers the owner of shards that follows what the engines owned here have
-// cached, with where those engines stand.
+// HoldingsFeed returns the next updates for an owner of shards that follows the holdings of
+// the engines that this node owns, and the locations of those engines.
 func (n *Node) HoldingsFeed(follower string, shards []uint16, incarnation, since uint64) (cacheindex.UpdateBatch, []HolderLocation) {
 	feed := n.followers[follower]
 	if feed == nil || !slices.Equal(feed.shards, shards) {
@@ -41,7 +42,7 @@
 		feed.log = cacheindex.NewUpdateLog(feedIncarnation, feedLogSize, func() []cacheindex.Update { return n.holdingsSnapshot(shards) })
 		n.followers[follower] = feed
 	}
-	return feed.log.Since(incarnation, since, feedBatch), n.ownLocations()
+	return feed.log.Since(incarnation, since, feedBatchSize), n.ownLocations()
 }
 
 func (n *Node) holdingsSnapshot(shards []uint16) []cacheindex.Update {
@@ -66,7 +67,7 @@
 	return locations
 }
 
-// HeldShards lists the shards held now.
+// HeldShards lists the shards whose leases this node holds now.
 func (n *Node) HeldShards(now int64) []uint16 {
 	var shards []uint16
 	for shard := range Shards {
@@ -77,11 +78,11 @@
 	return shards
 }
 
-// ShardsOf lists the shards that a peer says it holds.
+// ShardsOf lists the shards that a peer reports as held.
 func ShardsOf(peer Peer) []uint16 {
 	var shards []uint16
 	for _, role := range peer.Roles {
-		if shard, is := shardOf(role); is {
+		if shard, ok := shardOf(role); ok {
 			shards = append(shards, uint16(shard))
 		}
 	}
@@ -89,14 +90,14 @@
 	return shards
 }
 
-// HoldingsCursor is how far the holdings feed of another index node was read.
+// HoldingsCursor returns this node's position in the holdings feed of another index node.
 func (n *Node) HoldingsCursor(peer string) Cursor { return n.holdingsCursors[peer] }
 
-// UpdatesSent counts the updates queued for followers, all feeds together.
+// UpdatesSent returns the number of updates queued for followers, over all feeds.
 func (n *Node) UpdatesSent() uint64 { return n.Counters.UpdatesQueued + n.directory.UpdatesSent() }
 
-// ApplyHoldings takes in what the engines of another index node have cached of the shards
-// held here.
+// ApplyHoldings applies a batch from the holdings feed of another index node, for the shards
+// that this node holds.
 func (n *Node) ApplyHoldings(now int64, peer string, batch cacheindex.UpdateBatch, locations []HolderLocation) {
 	for _, location := range locations {
 		n.setLocation(peer, location)
@@ -117,14 +118,14 @@
 	n.locationSource[location.NodeID] = peer
 	for id, other := range n.locations {
 		if other.Engine == location.Engine && id != location.NodeID {
-			delete(n.locations, id) // a former incarnation
+			delete(n.locations, id) // of an earlier incarnation
 		}
 	}
 	n.locations[location.NodeID] = location
 }
 
-// removeUnlisted forgets what a peer told of its engines before, now that it begins anew,
-// except for what it tells again.
+// removeUnlisted removes the holdings that a peer announced before it reset its feed, except
+// for those that are among the updates.
 func (n *Node) removeUnlisted(peer string, updates []cacheindex.Update, locations []HolderLocation) {
 	located := map[uint64]bool{}
 	for _, location := range locations {
@@ -140,7 +141,7 @@
 	})
 }
 
-// ZoneFeed answers the index node that serves a zone's proxies.
+// ZoneFeed returns the next updates for the index node that serves a zone's proxies.
 func (n *Node) ZoneFeed(zone string, incarnation, since uint64) cacheindex.UpdateBatch {
-	return n.directory.ZoneLog(zone).Since(incarnation, since, feedBatch)
+	return n.directory.ZoneLog(zone).Since(incarnation, since, feedBatchSize)
 }
--- a/index/grants.go
+++ b/index/grants.go
@@ -12,24 +12,25 @@
 
 // Times of grants, in microseconds.
 const (
-	maxReportAge    = 1_500_000 // of an engine's report: past this nothing is granted
-	proxyTimeout    = 1_500_000 // after which a silent proxy's capacity goes to the others
-	transferTimeout = 60_000_000
-	suspicionHalf   = 1_000_000 // half-life of the suspicion of an engine
+	maxReportAge      = 1_500_000 // of an engine's report; no grants of an engine whose report is older
+	proxyTimeout      = 1_500_000 // without a request for this long, a proxy's capacity goes to the others
+	transferTimeout   = 60_000_000
+	suspicionHalfLife = 1_000_000
 )
 
 const (
-	// A proxy's demand falls by an eighth with each report; less than minDemand is none.
+	// With each report, a proxy's smoothed demand decays to at least 7/8 of its last value;
+	// below minDemand it counts as zero.
 	demandDecay = 0.875
 	minDemand   = 0.05
-	// An engine with more failures of late than suspicionLimit gets a quarter of its
-	// capacity, and one with less than minSuspicion is trusted.
+	// Only a quarter of an engine's capacity is granted while its suspicion is above
+	// suspicionLimit. At minSuspicion or below, an engine counts as trusted.
 	suspicionLimit = 3
 	minSuspicion   = 0.01
 )
 
-// Transfer is an order of a proxy to an engine to fetch blocks of a prompt from a node.
-// Recordings contain it under the names in the tags, as they do the other types here.
+// Transfer is a proxy's request to an engine to fetch blocks of a prompt from another node.
+// Recordings store it and the other types of this file under the names in the tags.
 type Transfer struct {
 	AttemptID   string           `json:"Attempt"`
 	Engine      string           `json:"Engine"`
@@ -38,27 +39,28 @@
 	Blocks      []cacheindex.Key `json:"Parts"`
 }
 
-// Outcomes is how a proxy's attempts at an engine went since its last request.
+// Outcomes counts the results of a proxy's attempts at an engine since the proxy's last
+// request.
 type Outcomes struct {
 	Engine    string `json:"Engine"`
 	Failures  int    `json:"Problems"`
 	Successes int    `json:"Dones"`
 }
 
-// EngineGrant is what one proxy may send one engine.
+// EngineGrant is the part of an engine's capacity that one proxy may use.
 type EngineGrant struct {
 	ListedEngine
 	NodeID         uint64         `json:"ID"`    // of the engine's incarnation
 	FencingToken   uint64         `json:"Epoch"` // of the owner's lease
-	Capacity       int            `json:"Room"`  // runs of the proxy at a time
+	Capacity       int            `json:"Room"`  // concurrent runs of the proxy
 	Weights        string         `json:"Weights"`
 	QueueLength    int            `json:"Queue"`  // as the engine reported
 	SlowUS         int64          `json:"SlowUS"` // as the engine reported
-	Age            int64          `json:"Age"`    // microseconds since it was known to be good
+	Age            int64          `json:"Age"`    // microseconds since the grant was known to be valid
 	TransferScores map[uint64]int `json:"Grades"` // of transfers from other nodes, in thousandths
 }
 
-// GrantRequest is what a proxy tells when it asks for its grants.
+// GrantRequest is a proxy's request for grants, with its demand and its reports on engines.
 type GrantRequest struct {
 	Proxy     string         `json:"Proxy"`
 	Zone      string         `json:"Site"`
@@ -68,18 +70,18 @@
 	Outcomes  []Outcomes     `json:"Seen"`
 }
 
-// proxyDemand is a proxy's demand of late.
+// proxyDemand is a proxy's smoothed demand.
 type proxyDemand struct {
 	zone       string
 	byGroup    map[string]float64
 	reportedAt int64
 }
 
-// smoothed is a proxy's demand without its flicker: it rises at once and falls by an eighth
-// with each report, since capacity that is taken away from one proxy and given to another
-// is used twice until the former's runs have ended. More than maxDemand, which the whole
-// fleet could run, counts for nothing: among proxies of a group with too much, the longer
-// queue must not get more and more.
+// smoothed returns a proxy's demand after smoothing: it rises at once and decays by up to an
+// eighth with each report. Capacity that moves from one proxy to another is used twice until
+// the former proxy's runs have ended, so short dips must not move it. Demand is capped at
+// maxDemand, which is what the whole fleet can run: among proxies of an overloaded group, the
+// longer queue must not get an ever larger share.
 func (p *proxyDemand) smoothed(demand map[string]int, maxDemand int) map[string]float64 {
 	byGroup := map[string]float64{}
 	if p != nil {
@@ -96,24 +98,25 @@
 	return byGroup
 }
 
-// division is what the capacity of every engine is divided by.
-type division struct {
+// capacitySplit has the parameters by which the capacity of every engine is split between
+// proxies.
+type capacitySplit struct {
 	capacityLimit int // of one engine
-	serving       int // engines that get work
+	serving       int // number of engines that may get new work
 	shares        map[string]float64
 	demands       []fairqueue.Demand
 }
 
-// IssueGrants takes in a proxy's demand and what it learnt, and answers with its grants of
-// the engines owned here, by name.
+// IssueGrants applies a proxy's demand and reports, and returns its grants of the engines
+// that this node owns, sorted by name.
 func (n *Node) IssueGrants(now int64, request GrantRequest) []EngineGrant {
-	div := n.divisionByPlan()
-	n.updateDemand(now, request, div.capacityLimit*max(1, div.serving))
+	split := n.newCapacitySplit()
+	n.updateDemand(now, request, split.capacityLimit*max(1, split.serving))
 	n.applyTransfers(now, request.Transfers)
 	n.applyOutcomes(now, request.Outcomes)
-	div.demands = make([]fairqueue.Demand, 0, len(n.proxies))
+	split.demands = make([]fairqueue.Demand, 0, len(n.proxies))
 	for name, proxy := range n.proxies {
-		div.demands = append(div.demands, fairqueue.Demand{Proxy: name, ByGroup: proxy.byGroup})
+		split.demands = append(split.demands, fairqueue.Demand{Proxy: name, ByGroup: proxy.byGroup})
 	}
 	var grants []EngineGrant
 	for name, engine := range n.engines {
@@ -122,9 +125,9 @@
 			continue
 		}
 		engine.expireTransfers(now)
-		grant := n.grant(now, engine, token)
+		grant := n.newGrant(now, engine, token)
 		if !engine.Store && !engine.Leaving && !n.weightUpdateOverdue(now, engine) {
-			grant.Capacity = n.divide(now, engine, div)[request.Proxy]
+			grant.Capacity = n.splitCapacity(now, engine, split)[request.Proxy]
 		}
 		grants = append(grants, grant)
 	}
@@ -132,24 +135,26 @@
 	return grants
 }
 
-// divisionByPlan is what the plan and the platform's list say of the division.
-func (n *Node) divisionByPlan() division {
-	div := division{capacityLimit: plan.Limits{}.WithDefaults().CapacityPerEngine, shares: map[string]float64{}}
+// newCapacitySplit returns the parameters that the plan and the platform's list determine;
+// demands are left empty.
+func (n *Node) newCapacitySplit() capacitySplit {
+	split := capacitySplit{capacityLimit: plan.Limits{}.WithDefaults().CapacityPerEngine, shares: map[string]float64{}}
 	for _, listed := range n.listed {
 		if listed.serves() {
-			div.serving++
+			split.serving++
 		}
 	}
 	if n.plan != nil {
-		div.capacityLimit = n.plan.Limits.CapacityPerEngine
+		split.capacityLimit = n.plan.Limits.CapacityPerEngine
 		for name, group := range n.plan.Groups {
-			div.shares[name] = group.Share
+			split.shares[name] = group.Share
 		}
 	}
-	return div
+	return split
 }
 
-// updateDemand takes in a proxy's demand, and forgets proxies that are silent.
+// updateDemand updates a proxy's demand, and removes proxies whose last request is older
+// than proxyTimeout.
 func (n *Node) updateDemand(now int64, request GrantRequest, maxDemand int) {
 	byGroup := n.proxies[request.Proxy].smoothed(request.Demand, maxDemand)
 	n.proxies[request.Proxy] = &proxyDemand{zone: request.Zone, byGroup: byGroup, reportedAt: now}
@@ -160,7 +165,8 @@
 	}
 }
 
-// applyTransfers expects the ordered blocks at their engines, ahead of the engines' reports.
+// applyTransfers adds the blocks that proxies told engines to fetch to the engines' holdings,
+// before the engines report them.
 func (n *Node) applyTransfers(now int64, transfers []Transfer) {
 	for _, transfer := range transfers {
 		engine := n.engines[transfer.Engine]
@@ -174,7 +180,7 @@
 	}
 }
 
-// applyOutcomes takes in how a proxy's attempts went.
+// applyOutcomes updates the engines' suspicion from the results of a proxy's attempts.
 func (n *Node) applyOutcomes(now int64, outcomes []Outcomes) {
 	for _, outcome := range outcomes {
 		engine := n.engines[outcome.Engine]
@@ -189,8 +195,8 @@
 	}
 }
 
-// grant is a grant without any capacity.
-func (n *Node) grant(now int64, engine *engine, token uint64) EngineGrant {
+// newGrant returns a grant of an engine with no capacity.
+func (n *Node) newGrant(now int64, engine *engine, token uint64) EngineGrant {
 	grant := EngineGrant{
 		ListedEngine:   engine.ListedEngine,
 		NodeID:         engine.nodeID,
@@ -207,29 +213,32 @@
 	return grant
 }
 
-// divide splits an engine's capacity between the proxies. Where there are more proxies than
-// capacity, they take turns with each LeaseDuration, at another offset for each engine.
-func (n *Node) divide(now int64, engine *engine, div division) map[string]int {
+// splitCapacity splits an engine's capacity between the proxies. If there are more proxies
+// than capacity, the proxies that get any rotate every LeaseDuration, with an offset that
+// differs between engines.
+func (n *Node) splitCapacity(now int64, engine *engine, split capacitySplit) map[string]int {
 	capacity := engine.capacity
 	if n.plan != nil {
-		capacity = min(capacity, div.capacityLimit)
+		capacity = min(capacity, split.capacityLimit)
 	}
 	engine.decaySuspicion(now)
 	if engine.suspicion > suspicionLimit {
-		capacity = max(1, capacity/4) // slow start for one that fails, never none
+		capacity = max(1, capacity/4) // never zero, so that the engine can show that it has recovered
 	}
 	round := int(now/LeaseDuration) + int(rendezvousScore(engine.Name, "")%97)
-	return fairqueue.Split(capacity, div.shares, div.serving, div.demands, round)
+	return fairqueue.Split(capacity, split.shares, split.serving, split.demands, round)
 }
 
-// grantAge is how old a grant is when it leaves here: as old as the platform's list, and
-// old enough that no proxy still uses it once this owner's lease ends.
+// grantAge returns the age that a grant has when it is issued: at least the age of the
+// platform's list, and enough for the grant to expire at every proxy by the end of this
+// owner's lease.
 func (n *Node) grantAge(now int64, engine string) int64 {
 	leaseLeft := n.leases[EngineRole(engine)].expiresAt - now
 	return max(0, now-n.listedAt, dispatch.MaxGrantAge-leaseLeft)
 }
 
-// expireTransfers forgets the transfers whose run was never reported.
+// expireTransfers drops the pending transfers whose run was not reported within
+// transferTimeout.
 func (e *engine) expireTransfers(now int64) {
 	for id, transfer := range e.pending {
 		if now-transfer.orderedAt > transferTimeout {
@@ -238,10 +247,10 @@
 	}
 }
 
-// decaySuspicion halves the suspicion of an engine every second, so that one bad report
-// can't keep it out.
+// decaySuspicion halves the suspicion of an engine every suspicionHalfLife, so that a single
+// bad report does not reduce its grants for long.
 func (e *engine) decaySuspicion(now int64) {
-	for ; now-e.suspicionAt >= suspicionHalf && e.suspicion > minSuspicion; e.suspicionAt += suspicionHalf {
+	for ; now-e.suspicionAt >= suspicionHalfLife && e.suspicion > minSuspicion; e.suspicionAt += suspicionHalfLife {
 		e.suspicion /= 2
 	}
 	if e.suspicion <= minSuspicion {
--- a/index/leases.go
+++ b/index/leases.go
@@ -10,46 +10,46 @@
 
 // Times of leases, in microseconds.
 const (
-	// LeaseDuration is how long the lease of a role lasts, from when it was asked for.
+	// LeaseDuration is how long the lease of a role lasts, from when it was requested.
 	LeaseDuration = 2_000_000
 	// LeaseRenewInterval is how often a lease is renewed.
 	LeaseRenewInterval = 500_000
-	// LeaseSafetyMargin is how long before the end of its lease a holder stops.
+	// LeaseSafetyMargin is how long before the end of its lease a holder stops acting.
 	LeaseSafetyMargin = 250_000
-	// leaseAnswerTimeout is how long the answer to a lease operation is waited for.
+	// leaseAnswerTimeout is how long to wait for the result of a lease operation.
 	leaseAnswerTimeout = 2 * LeaseDuration
 )
 
-// roleLease is the lease of a role, as this node knows it.
+// roleLease is the state of the lease of a role at this node.
 type roleLease struct {
-	token      uint64 // revision that granted the lease, the fencing token; 0: not held
-	expiresAt  int64  // this node must not act in the role from then on
-	askedAt    int64  // when the last operation was asked for
+	token      uint64 // fencing token: the revision that granted the lease; 0 if not held
+	expiresAt  int64  // from then on this node must not act in the role
+	askedAt    int64  // when the last operation was requested
 	opInFlight bool
 	releasing  bool
 }
 
-// LeaseOp is an operation on the lease of a role that must be carried out, and answered by
-// LeaseAnswered. Recordings contain it under the names in the tags.
+// LeaseOp is an operation on the lease of a role. The caller executes it and passes the result
+// to LeaseAnswered. Recordings store it under the names in the tags.
 type LeaseOp struct {
 	Key     string `json:"Key"`
 	Token   uint64 `json:"Epoch"` // of the lease held so far, 0 for none
-	Release bool   `json:"Free"`  // else acquire or renew
+	Release bool   `json:"Free"`  // otherwise acquire or renew
 }
 
-// The keys of leases begin with what the role owns.
+// Prefixes of the keys of leases, by kind of role.
 const (
 	engineRolePrefix = "duty/engine/"
 	shardRolePrefix  = "duty/shard/"
 )
 
-// EngineRole is the key of the lease of an engine's owner.
+// EngineRole returns the lease key of an engine's owner.
 func EngineRole(engine string) string { return engineRolePrefix + engine }
 
-// ShardRole is the key of the lease of a shard's owner.
+// ShardRole returns the lease key of a shard's owner.
 func ShardRole(shard int) string { return shardRolePrefix + strconv.Itoa(shard) }
 
-// allRoles lists the keys of all roles there are, sorted.
+// allRoles lists the lease keys of all roles, sorted.
 func (n *Node) allRoles() []string {
 	var roles []string
 	for name := range n.listed {
@@ -62,8 +62,9 @@
 	return roles
 }
 
-// LeaseOps works out the lease operations that lead from the roles held here to those that
-// are placed here, by key. Each must be answered by LeaseAnswered.
+// LeaseOps returns the lease operations that move this node from the roles that it holds to
+// those that are placed on it, sorted by key. The result of each must be passed to
+// LeaseAnswered.
 func (n *Node) LeaseOps(now int64) []LeaseOp {
 	placement := n.Placement()
 	ops := append(n.releaseOps(now, placement), n.acquireOps(now, placement)...)
@@ -71,9 +72,10 @@
 	return ops
 }
 
-// releaseOps gives up the roles that are placed elsewhere. The role is left first, and only
-// then is its lease given back. An engine's grants are out at proxies until the lease ends,
-// which is not renewed, and given back then; a shard's owner grants nothing.
+// releaseOps releases the roles that are placed on other nodes. This node stops acting in a
+// role before it releases the lease. Proxies may use grants of an engine until its lease ends,
+// so an engine's lease is not renewed, and released only once it has ended. A shard's owner
+// issues no grants, and its lease is released at once.
 func (n *Node) releaseOps(now int64, placement map[string]string) []LeaseOp {
 	var ops []LeaseOp
 	for key, lease := range n.leases {
@@ -94,7 +96,7 @@
 	return ops
 }
 
-// acquireOps acquires or renews the leases of the roles that are placed here.
+// acquireOps acquires or renews the leases of the roles that are placed on this node.
 func (n *Node) acquireOps(now int64, placement map[string]string) []LeaseOp {
 	var ops []LeaseOp
 	for _, key := range n.allRoles() {
@@ -117,12 +119,12 @@
 	return ops
 }
 
-// HoldsNoLeases reports whether every lease was given back or ran out.
+// HoldsNoLeases reports whether every lease has been released or has expired.
 func (n *Node) HoldsNoLeases() bool { return len(n.leases) == 0 }
 
-// LeaseAnswered takes in the answer to a lease operation that was asked for at time asked:
-// whether it was done, and the token of the lease as it is now, 0 if that is not known.
-func (n *Node) LeaseAnswered(now int64, op LeaseOp, asked int64, done bool, token uint64) {
+// LeaseAnswered applies the result of a lease operation that was requested at time askedAt:
+// whether it succeeded, and the current token of the lease, 0 if unknown.
+func (n *Node) LeaseAnswered(now int64, op LeaseOp, askedAt int64, done bool, token uint64) {
 	lease := n.leases[op.Key]
 	if lease == nil {
 		return
@@ -140,35 +142,35 @@
 	}
 	if lease.token != token {
 		n.Counters.Takeovers++
-		if engine, is := strings.CutPrefix(op.Key, engineRolePrefix); is {
+		if engine, ok := strings.CutPrefix(op.Key, engineRolePrefix); ok {
 			delete(n.engines, engine)
 		}
 	}
 	lease.token = token
-	lease.expiresAt = max(lease.expiresAt, asked+LeaseDuration-LeaseSafetyMargin)
+	lease.expiresAt = max(lease.expiresAt, askedAt+LeaseDuration-LeaseSafetyMargin)
 }
 
-// forgetRole forgets what came with a role.
+// forgetRole removes the state that belongs to a role.
 func (n *Node) forgetRole(key string) {
-	if engine, is := strings.CutPrefix(key, engineRolePrefix); is {
+	if engine, ok := strings.CutPrefix(key, engineRolePrefix); ok {
 		delete(n.engines, engine)
 	}
-	if shard, is := shardOf(key); is {
+	if shard, ok := shardOf(key); ok {
 		n.directory.RetainKeys(func(k cacheindex.Key) bool { return k.Shard(Shards) != shard })
 	}
 }
 
-// shardOf is the shard that a role owns, if it is a shard's.
-func shardOf(key string) (shard int, is bool) {
-	number, is := strings.CutPrefix(key, shardRolePrefix)
-	if !is {
+// shardOf returns the shard of a role, if it is the role of a shard's owner.
+func shardOf(key string) (shard int, ok bool) {
+	number, ok := strings.CutPrefix(key, shardRolePrefix)
+	if !ok {
 		return 0, false
 	}
 	shard, err := strconv.Atoi(number)
 	return shard, err == nil && shard < Shards
 }
 
-// HoldsLease reports whether the lease of a role is held now, and its token.
+// HoldsLease reports whether this node holds the lease of a role now, and returns its token.
 func (n *Node) HoldsLease(now int64, key string) (token uint64, held bool) {
 	lease := n.leases[key]
 	if lease == nil || lease.token == 0 || lease.releasing || now >= lease.expiresAt {
@@ -177,7 +179,7 @@
 	return lease.token, true
 }
 
-// HeldRoles lists the roles whose leases are held now, sorted.
+// HeldRoles lists the keys of the leases that this node holds now, sorted.
 func (n *Node) HeldRoles(now int64) []string {
 	var roles []string
 	for key := range n.leases {
--- a/index/node.go
+++ b/index/node.go
@@ -8,14 +8,14 @@
 	"violetthread/plan"
 )
 
-// Shards is how many shards the prefix-cache index has.
+// Shards is the number of shards of the prefix-cache index.
 const Shards = 16
 
-// maxDirectoryBlocks bounds the blocks of the shards that one node holds.
+// maxDirectoryBlocks limits the blocks in the shards that one node holds.
 const maxDirectoryBlocks = 1 << 20
 
-// Peer is a live index node, with the roles that it says it holds and the engines that it
-// reaches. Recordings contain it under the names in the tags.
+// Peer is a live index node, with the roles that it reports as held and the reachability of
+// engines from it. Recordings store it under the names in the tags.
 type Peer struct {
 	Name  string   `json:"Name"`
 	Zone  string   `json:"Site"`
@@ -24,57 +24,57 @@
 	Reachability
 }
 
-// ListedEngine is an engine or the store as the platform lists it. Recordings contain it
+// ListedEngine is an engine or the cache store as the platform lists it. Recordings store it
 // under the names in the tags.
 type ListedEngine struct {
 	Name    string `json:"Name"`
 	Addr    string `json:"Addr"`
 	Zone    string `json:"Site"`
-	Store   bool   `json:"Store"`   // it keeps blocks and runs nothing
-	Leaving bool   `json:"Leaving"` // it gets no new work
+	Store   bool   `json:"Store"`   // the cache store: it stores blocks and runs no requests
+	Leaving bool   `json:"Leaving"` // draining: it gets no new work
 }
 
 // serves reports whether the engine may get new work.
 func (l *ListedEngine) serves() bool { return !l.Store && !l.Leaving }
 
-// Node decides for one index node. It is not safe for concurrent use.
+// Node is the decision state of one index node. It is not safe for concurrent use.
 type Node struct {
 	name, zone      string
 	incarnation     uint64
 	plan            *plan.Compiled
 	planConfirmedAt int64
-	weightsHistory  []weightsNaming // newest last
-	peers           []Peer          // by name, this node among them
+	weightsHistory  []weightsChange // newest last
+	peers           []Peer          // sorted by name, including this node
 	listed          map[string]ListedEngine
-	listedAt        int64                    // when the platform's list was known to be good
+	listedAt        int64                    // when the platform's list was last known to be current
 	leases          map[string]*roleLease    // by key
-	engines         map[string]*engine       // owned here
-	contacts        map[string]*contact      // engines that are polled, owned or not
-	proxies         map[string]*proxyDemand  // that asked for grants of late
-	directory       *cacheindex.Directory    // of the shards held here
-	followers       map[string]*holdingsFeed // of what the engines owned here have cached, by follower
-	locationSource  map[uint64]string        // index node that told of a holder
+	engines         map[string]*engine       // owned by this node
+	contacts        map[string]*contact      // of engines that are polled, owned or not
+	proxies         map[string]*proxyDemand  // that requested grants recently
+	directory       *cacheindex.Directory    // of the shards that this node holds
+	followers       map[string]*holdingsFeed // by follower: holdings of the engines that this node owns
+	locationSource  map[uint64]string        // index node that announced a holder
 	locations       map[uint64]HolderLocation
-	holdingsCursors map[string]Cursor    // how far the other nodes' feeds were read
-	zones           map[string]*zoneFeed // for whose proxies this node follows the shards
-	feedSeq         int                  // tells the feeds of this incarnation apart
+	holdingsCursors map[string]Cursor    // by peer: position in its holdings feed
+	zones           map[string]*zoneFeed // gathered for the proxies of the zones that this node serves
+	feedSeq         int                  // distinguishes the feeds of this incarnation
 	Counters        Counters
 }
 
-// Counters count since the start, for metrics.
+// Counters count events since the process started, for metrics.
 type Counters struct {
-	Takeovers       uint64 // leases newly won
-	Released        uint64 // leases given back
-	Resyncs         uint64 // times that all holdings of an engine were read
+	Takeovers       uint64 // leases newly acquired
+	Released        uint64 // leases released
+	Resyncs         uint64 // full reads of an engine's holdings
 	TransfersOK     uint64
-	TransfersFailed uint64 // learnt to have been recomputed
+	TransfersFailed uint64 // the engine recomputed transferred blocks
 	UpdatesQueued   uint64 // for followers of holdings and of zones
-	HoldingChanges  uint64 // of engines owned here
+	HoldingChanges  uint64 // of the engines that this node owns
 	Prefetches      uint64
 }
 
-// New makes the node of that name, in a zone, with an incarnation that no other process of
-// that name has.
+// New returns a node of the given name and zone. The incarnation must differ from that of any
+// other process of this name.
 func New(name, zone string, incarnation uint64) *Node {
 	return &Node{
 		name:            name,
@@ -94,8 +94,8 @@
 	}
 }
 
-// ApplyPlan takes in a plan that was known to be in force at time confirmedAt. It never
-// goes back to an older one.
+// ApplyPlan sets the plan, which was known to be in force at time confirmedAt. A plan older
+// than the current one is ignored.
 func (n *Node) ApplyPlan(p *plan.Compiled, confirmedAt int64) {
 	if p == nil || n.plan != nil && p.Revision < n.plan.Revision {
 		return
@@ -104,10 +104,10 @@
 	n.plan, n.planConfirmedAt = p, max(n.planConfirmedAt, confirmedAt)
 }
 
-// CurrentPlan is the newest plan known here, nil for none.
+// CurrentPlan returns the newest plan known to this node, nil if there is none.
 func (n *Node) CurrentPlan() *plan.Compiled { return n.plan }
 
-// PlanRevision is the revision of the newest plan known here, 0 for none.
+// PlanRevision returns the revision of the newest plan known to this node, 0 if there is none.
 func (n *Node) PlanRevision() uint64 {
 	if n.plan == nil {
 		return 0
@@ -115,14 +115,14 @@
 	return n.plan.Revision
 }
 
-// SetPeers takes in the live index nodes, this one among them.
+// SetPeers sets the live index nodes, including this one.
 func (n *Node) SetPeers(peers []Peer) {
 	n.peers = slices.Clone(peers)
 	slices.SortFunc(n.peers, func(a, b Peer) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// SetListing takes in the platform's list of engines as of time at. Engines that are not on
-// it any more are forgotten.
+// SetListing sets the platform's list of engines as of time at. The state of engines that are
+// no longer listed is removed.
 func (n *Node) SetListing(at int64, listing []ListedEngine) {
 	if at < n.listedAt {
 		return
@@ -133,8 +133,8 @@
 		n.listed[listed.Name] = listed
 	}
 	for name, engine := range n.engines {
-		listed, there := n.listed[name]
-		if !there {
+		listed, found := n.listed[name]
+		if !found {
 			n.removeAllHoldings(engine)
 			delete(n.engines, name)
 			continue
@@ -143,12 +143,12 @@
 	}
 }
 
-// ConfirmListing says that the last list stood as of time at.
+// ConfirmListing records that the last list was still current at time at.
 func (n *Node) ConfirmListing(at int64) {
 	if n.listedAt > 0 {
 		n.listedAt = max(n.listedAt, at)
 	}
 }
 
-// Directory is the index of the shards held here, for metrics.
+// Directory returns the index of the shards that this node holds, for metrics.
 func (n *Node) Directory() *cacheindex.Directory { return n.directory }
--- a/index/placement.go
+++ b/index/placement.go
@@ -10,12 +10,13 @@
 	"violetthread/internal/rendezvous"
 )
 
-// rendezvousScore ranks candidates for a role, a zone or a wave.
+// rendezvousScore ranks candidates by rendezvous hashing, for example for a role or a zone.
 func rendezvousScore(name, candidate string) uint64 { return rendezvous.Weight(name, "|", candidate) }
 
-// Placement says which node is to hold each role. Whoever holds a role keeps it while no
-// node has more than its part and it can serve the role; the rest goes by rendezvous among
-// the nodes that can. Nodes that know the same peers and list find the same.
+// Placement returns which node is to hold each role, by lease key. The holder of a role keeps
+// it while it can serve the role and its load is within the bound. The other roles are
+// assigned by rendezvous hashing among the nodes that can serve them. Nodes that know the same
+// peers and the same list compute the same placement.
 func (n *Node) Placement() map[string]string {
 	placement := map[string]string{}
 	if len(n.peers) == 0 {
@@ -30,7 +31,8 @@
 	return placement
 }
 
-// currentHolders is who says that it holds each role, the first by name of several.
+// currentHolders returns which peer reports that it holds each role; of several, the first by
+// name.
 func (n *Node) currentHolders() map[string]string {
 	holders := map[string]string{}
 	for _, peer := range n.peers {
@@ -43,7 +45,8 @@
 	return holders
 }
 
-// assignRoles places the roles of one kind, sorted by key.
+// assignRoles places the roles of one kind, which are sorted by key. Each node gets at most
+// its share of them, rounded up, unless choosePeer finds every candidate at that bound.
 func (n *Node) assignRoles(roles []string, holders, placement map[string]string) {
 	maxLoad := (len(roles) + len(n.peers) - 1) / len(n.peers)
 	load := map[string]int{}
@@ -67,9 +70,9 @@
 	}
 }
 
-// candidates are the nodes that may hold a role. An engine that its holder can't serve goes
-// to a node that shows it can. While there is none, the engine is down rather than out of
-// its holder's reach, and nothing is gained by a move.
+// candidates returns the nodes that may hold a role. An engine that its holder can't serve
+// moves only to a node that has proved that it reaches the engine. If there is none, the
+// engine itself is probably down, and moving it would gain nothing.
 func (n *Node) candidates(role, holder string) []Peer {
 	able := filterPeers(n.peers, func(peer Peer) bool { return peer.canServe(role) })
 	if holder == "" && len(able) > 0 || containsPeer(able, holder) {
@@ -85,12 +88,13 @@
 	return filterPeers(n.peers, func(peer Peer) bool { return peer.Name == holder })
 }
 
-// choosePeer picks the candidate below maxLoad that ranks first for a role. When all are at
-// their bound its holder keeps it, or else it goes to the one with the least to do.
+// choosePeer returns the candidate with the highest rendezvous score among those below
+// maxLoad. If all are at maxLoad, the role stays with its holder, or goes to the least loaded
+// candidate if the holder is not one.
 func choosePeer(role, holder string, candidates []Peer, load map[string]int, maxLoad int) string {
-	open := filterPeers(candidates, func(peer Peer) bool { return load[peer.Name] < maxLoad })
-	if len(open) > 0 {
-		return slices.MaxFunc(open, func(a, b Peer) int {
+	available := filterPeers(candidates, func(peer Peer) bool { return load[peer.Name] < maxLoad })
+	if len(available) > 0 {
+		return slices.MaxFunc(available, func(a, b Peer) int {
 			return cmp.Compare(rendezvousScore(role, a.Name), rendezvousScore(role, b.Name))
 		}).Name
 	}
--- a/index/placement_test.go
+++ b/index/placement_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newTestNode makes a node that knows so many engines, named e0 and on.
+// newTestNode returns a node that knows the given number of engines, named e0, e1 and so on.
 func newTestNode(name string, engines int) *Node {
 	n := New(name, "north", 1)
 	var listing []ListedEngine
@@ -19,7 +19,7 @@
 	return n
 }
 
-// engineRoles are the keys of the leases of engines.
+// engineRoles returns the lease keys of engines.
 func engineRoles(engines ...string) []string {
 	var roles []string
 	for _, engine := range engines {
@@ -28,18 +28,18 @@
 	return roles
 }
 
-// enginesAt lists the engines that are placed at a node.
+// enginesAt lists the engines that are placed on a node.
 func enginesAt(n *Node, peer string) (engines []string) {
 	for role, at := range n.Placement() {
-		if engine, is := strings.CutPrefix(role, engineRolePrefix); is && at == peer {
+		if engine, ok := strings.CutPrefix(role, engineRolePrefix); ok && at == peer {
 			engines = append(engines, engine)
 		}
 	}
 	return engines
 }
 
-// TestPlacementMovesWhatItsOwnerCannotServe: an engine that is out of its owner's reach
-// goes to a node that reaches it, and stays there, though that one has more than its part.
+// TestPlacementMovesWhatItsOwnerCannotServe: an engine that its owner can't reach moves to a
+// node that reaches it, and stays there even though that node's load exceeds the bound.
 func TestPlacementMovesWhatItsOwnerCannotServe(t *testing.T) {
 	n := newTestNode("a", 4)
 	silent := Reachability{Silent: []string{"e0"}}
@@ -48,13 +48,13 @@
 		a, b   Peer
 		wantE0 string
 	}{
-		{"b never showed that it reaches e0",
+		{"b has not proved that it reaches e0",
 			Peer{Name: "a", Roles: engineRoles("e0", "e1"), Reachability: silent},
 			Peer{Name: "b", Roles: engineRoles("e2", "e3")}, "a"},
 		{"a can't serve e0",
 			Peer{Name: "a", Roles: engineRoles("e0", "e1"), Reachability: silent},
 			Peer{Name: "b", Roles: engineRoles("e2", "e3"), Reachability: Reachability{Reached: []string{"e0"}}}, "b"},
-		{"e0 is between its owners",
+		{"a has released e0 and b does not hold it yet",
 			Peer{Name: "a", Roles: engineRoles("e1"), Reachability: silent},
 			Peer{Name: "b", Roles: engineRoles("e2", "e3"), Reachability: Reachability{Reached: []string{"e0"}}}, "b"},
 		{"b owns e0",
@@ -63,30 +63,30 @@
 	} {
 		n.SetPeers([]Peer{step.a, step.b})
 		if at := n.Placement()[EngineRole("e0")]; at != step.wantE0 {
-			t.Fatalf("%s: it is placed at %s", step.what, at)
+			t.Fatalf("%s: e0 is placed on %s", step.what, at)
 		}
 	}
 }
 
-// TestPlacementSpreadsAgainOnceReached: a node that reaches no engine gets none, and its
-// part of them once it does.
+// TestPlacementSpreadsAgainOnceReached: a node that reaches no engine gets none, and gets its
+// share once it reaches them.
 func TestPlacementSpreadsAgainOnceReached(t *testing.T) {
 	n := newTestNode("a", 4)
 	a := Peer{Name: "a", Reachability: Reachability{Silent: []string{"e0", "e1", "e2", "e3"}}}
 	b := Peer{Name: "b", Roles: engineRoles("e0", "e1", "e2", "e3")}
 	n.SetPeers([]Peer{a, b})
 	if engines := enginesAt(n, "b"); len(engines) != 4 {
-		t.Fatalf("of four engines %v are placed at b, and a reaches none", engines)
+		t.Fatalf("a reaches no engine, and only %v of 4 are placed on b", engines)
 	}
 	a.Silent = nil
 	n.SetPeers([]Peer{a, b})
 	if engines := enginesAt(n, "a"); len(engines) != 2 {
-		t.Fatalf("the way is mended and of 4 engines %v go over", engines)
+		t.Fatalf("a reaches all engines again, and %v of 4 move to it", engines)
 	}
 }
 
-// TestPlacementLeavesTheStaleList: a node without the platform's list owns no engines
-// while others can serve them; shards need no list.
+// TestPlacementLeavesTheStaleList: a node whose copy of the platform's list is stale owns no
+// engines while others can serve them. It keeps its shards, which don't depend on the list.
 func TestPlacementLeavesTheStaleList(t *testing.T) {
 	n := newTestNode("a", 3)
 	engines := []string{"e0", "e1", "e2"}
@@ -96,22 +96,22 @@
 	placement := n.Placement()
 	for _, engine := range engines {
 		if placement[EngineRole(engine)] != "b" {
-			t.Fatalf("%s is placed at %s", engine, placement[EngineRole(engine)])
+			t.Fatalf("%s is placed on %s", engine, placement[EngineRole(engine)])
 		}
 	}
 	if placement[ShardRole(0)] != "a" {
-		t.Fatal("a shard moved, though it needs no list")
+		t.Fatal("a shard moved because of a stale list")
 	}
 	b.ListStale, b.Reached = true, nil
 	n.SetPeers([]Peer{a, b})
 	placement = n.Placement()
 	if placement[EngineRole("e0")] != "a" || placement[EngineRole("e2")] != "b" {
-		t.Fatalf("nobody has a list, and engines move: %v", placement)
+		t.Fatalf("the lists of all nodes are stale, and engines move: %v", placement)
 	}
 }
 
-// TestPlacementAlike: all nodes place alike, whatever is out of reach, and every role has a
-// place.
+// TestPlacementAlike: whichever engines are silent, all nodes compute the same placement, and
+// every role is placed.
 func TestPlacementAlike(t *testing.T) {
 	for silent := range 1 << 6 {
 		var peers []Peer
@@ -131,7 +131,7 @@
 		atA, atB := a.Placement(), b.Placement()
 		for _, role := range a.allRoles() {
 			if atA[role] == "" || atA[role] != atB[role] {
-				t.Fatalf("silent %b: %s at %q and %q", silent, role, atA[role], atB[role])
+				t.Fatalf("silent %b: %s is placed on %q and %q", silent, role, atA[role], atB[role])
 			}
 		}
 	}
--- a/index/prefetch.go
+++ b/index/prefetch.go
@@ -11,10 +11,10 @@
 	"violetthread/cacheindex"
 )
 
-// prefetchBatch bounds the updates in an answer of a prefetch feed.
-const prefetchBatch = 256
+// prefetchBatchSize limits the updates in a batch of a prefetch feed.
+const prefetchBatchSize = 256
 
-// Prefetch is an order to an engine to fetch a block ahead of need.
+// Prefetch is a request to an engine to fetch a block before a request needs it.
 type Prefetch struct {
 	Engine, Addr string
 	From         string // address of a node that has the block
@@ -23,21 +23,21 @@
 	Block        cacheindex.Key
 }
 
-// PrefetchFeed answers an index node that owns engines in a zone with the blocks worth
-// fetching there ahead of need, and where their holders stand.
+// PrefetchFeed returns, for an index node that owns engines in a zone, the blocks worth
+// prefetching there and the locations of their holders.
 func (n *Node) PrefetchFeed(zone string, incarnation, since uint64) (cacheindex.UpdateBatch, []HolderLocation) {
-	return n.directory.PrefetchLog(zone).Since(incarnation, since, prefetchBatch), n.knownLocations()
+	return n.directory.PrefetchLog(zone).Since(incarnation, since, prefetchBatchSize), n.knownLocations()
 }
 
-// knownLocations lists the holders that the holdings feeds named, by engine.
+// knownLocations lists the holders that the holdings feeds have announced, sorted by engine.
 func (n *Node) knownLocations() []HolderLocation {
 	locations := lo.Values(n.locations)
 	slices.SortFunc(locations, func(a, b HolderLocation) int { return strings.Compare(a.Engine, b.Engine) })
 	return locations
 }
 
-// PrefetchZones lists the zones of the engines owned here, sorted, if the plan lets them
-// prefetch.
+// PrefetchZones lists the zones of the engines that this node owns, sorted, if the plan
+// enables prefetching.
 func (n *Node) PrefetchZones(now int64) []string {
 	if n.plan == nil || n.plan.Limits.Prefetch == "none" {
 		return nil
@@ -53,8 +53,9 @@
 	return names
 }
 
-// Prefetches turns the answer of a prefetch feed into orders for the engines owned here.
-// Every index node picks the same engines of a zone by rendezvous; each orders its own.
+// Prefetches turns a batch of a prefetch feed into requests to the engines that this node
+// owns. Every index node selects the same engines of a zone by rendezvous hashing, and returns
+// requests to its own.
 func (n *Node) Prefetches(now int64, zone string, batch cacheindex.UpdateBatch, locations []HolderLocation) []Prefetch {
 	if n.plan == nil {
 		return nil
@@ -89,7 +90,7 @@
 	return orders
 }
 
-// servingIn lists the engines of a zone that get work.
+// servingIn lists the engines of a zone that may get new work.
 func (n *Node) servingIn(zone string) []string {
 	var names []string
 	for name, listed := range n.listed {
@@ -100,7 +101,8 @@
 	return names
 }
 
-// prefetchCount is how many of so many engines fetch a block, by the plan's setting.
+// prefetchCount returns how many of the given number of engines prefetch a block, by the
+// plan's setting.
 func prefetchCount(setting string, engines int) int {
 	switch setting {
 	case "one":
--- a/index/reachability.go
+++ b/index/reachability.go
@@ -5,35 +5,35 @@
 	"strings"
 )
 
-// Bounds on what this node says of its way to engines, in microseconds.
+// Time limits of what this node reports on the reachability of engines, in microseconds.
 const (
-	// silentAfter is how long an engine that is polled may stay without an answer before
-	// this node says that it can't serve it.
+	// silentAfter is how long a polled engine may go without an answer before this node
+	// reports that it can't serve the engine.
 	silentAfter = 1_000_000
-	// reachedFor is how long an answer counts as proof that an engine is in reach.
+	// reachedFor is how long an answer counts as proof that an engine is reachable.
 	reachedFor = 500_000
-	// maxListingAge is the age of the platform's list beyond which this node says that it
-	// can serve no engine: its grants are as old as the list.
+	// maxListingAge is the age of the platform's list beyond which this node reports that it
+	// can serve no engine: its grants are at least as old as the list.
 	maxListingAge = 1_000_000
 )
 
-// Reachability is what an index node says of its way to engines. With a part of the network
-// lost, the owner of an engine may be the one node that can't serve it; the others learn it
-// from here, and one of them takes the engine over (docs/design.md §10). Recordings contain
-// it under the names in the tags.
+// Reachability is an index node's report on which engines it reaches. In a partial network
+// partition, the owner of an engine may be the only node that can't serve it. The other nodes
+// see that in this report, and one of them takes the engine over (docs/design.md §10).
+// Recordings store it under the names in the tags.
 type Reachability struct {
-	// ListStale: the platform's list is too old here to grant anything by.
+	// ListStale reports that this node's copy of the platform's list is too old to issue grants.
 	ListStale bool `json:"ListStale"`
-	// Silent are engines that were polled and have not answered for a while.
+	// Silent lists polled engines that have not answered within silentAfter.
 	Silent []string `json:"Silent"`
-	// Reached are engines of other owners that answered a moment ago.
+	// Reached lists engines of other owners that answered within reachedFor.
 	Reached []string `json:"Reached"`
 }
 
-// contact is how an engine answers this node.
+// contact tracks the answers of an engine to this node's polls.
 type contact struct {
 	trackedSince int64 // polled since then
-	answeredAt   int64 // when the newest answered poll was sent, 0 for never
+	answeredAt   int64 // when the latest answered poll was sent, 0 for never
 }
 
 func (c *contact) isSilent(now int64) bool {
@@ -44,7 +44,8 @@
 	return c.answeredAt > 0 && now-c.answeredAt <= reachedFor
 }
 
-// Reachability says which engines this node can't serve, and which of the others' it could.
+// Reachability returns which engines this node can't serve, and which engines of other owners
+// it could serve.
 func (n *Node) Reachability(now int64) Reachability {
 	r := Reachability{ListStale: now-n.listedAt > maxListingAge}
 	for name, contact := range n.contacts {
@@ -60,8 +61,8 @@
 	return r
 }
 
-// probeTargets are the engines of others that this node polls as well: those that another
-// node can't serve, and those that stayed silent here, until they answer.
+// probeTargets returns the engines that this node polls even if other nodes own them: those
+// that another node reports it can't serve, and those that are silent here, until they answer.
 func (n *Node) probeTargets(now int64) map[string]bool {
 	targets := map[string]bool{}
 	for name, contact := range n.contacts {
@@ -80,7 +81,7 @@
 			continue
 		}
 		for _, role := range peer.Roles {
-			if name, is := strings.CutPrefix(role, engineRolePrefix); is {
+			if name, ok := strings.CutPrefix(role, engineRolePrefix); ok {
 				targets[name] = true
 			}
 		}
@@ -88,7 +89,8 @@
 	return targets
 }
 
-// trackContacts notes that these engines are polled from now on, and forgets all others.
+// trackContacts keeps contacts for exactly the polled engines, and creates those that are
+// missing.
 func (n *Node) trackContacts(now int64, polls []Poll) {
 	contacts := map[string]*contact{}
 	for _, poll := range polls {
@@ -101,21 +103,23 @@
 	n.contacts = contacts
 }
 
-// recordAnswer notes an engine's answer to a poll that was sent at time asked.
-func (n *Node) recordAnswer(asked int64, engine string) {
+// recordAnswer records an engine's answer to a poll that was sent at time askedAt.
+func (n *Node) recordAnswer(askedAt int64, engine string) {
 	if contact := n.contacts[engine]; contact != nil {
-		contact.answeredAt = max(contact.answeredAt, asked)
+		contact.answeredAt = max(contact.answeredAt, askedAt)
 	}
 }
 
-// canServe reports whether the node does not say that it can't serve a role.
+// canServe reports whether the node may hold a role: it has not reported that it can't serve
+// the role's engine.
 func (p *Peer) canServe(role string) bool {
-	engine, is := strings.CutPrefix(role, engineRolePrefix)
-	return !is || !p.ListStale && !slices.Contains(p.Silent, engine)
+	engine, ok := strings.CutPrefix(role, engineRolePrefix)
+	return !ok || !p.ListStale && !slices.Contains(p.Silent, engine)
 }
 
-// reachedEngine reports whether the node reached the engine of a role a moment ago.
+// reachedEngine reports whether the node has reported a recent answer of the role's engine,
+// which another node owns.
 func (p *Peer) reachedEngine(role string) bool {
-	engine, is := strings.CutPrefix(role, engineRolePrefix)
-	return is && slices.Contains(p.Reached, engine)
+	engine, ok := strings.CutPrefix(role, engineRolePrefix)
+	return ok && slices.Contains(p.Reached, engine)
 }
--- a/index/reachability_test.go
+++ b/index/reachability_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// holdEngine gives a node an engine's lease at time now.
+// holdEngine grants a node the lease of an engine at time now.
 func holdEngine(n *Node, now int64, engine string, token uint64) {
 	role := EngineRole(engine)
 	n.leases[role] = &roleLease{}
 	n.LeaseAnswered(now, LeaseOp{Key: role}, now, true, token)
 }
 
-// TestReachability: an owned engine that falls silent is told of, and polled on after its
-// lease went to another node until it answers; one that another node can't serve is probed,
-// and told of once it answered.
+// TestReachability: a node reports an owned engine that stops answering, and goes on polling
+// it after it has lost the lease, until the engine answers. An engine that another node can't
+// serve is probed, and reported as reached once it answers.
 func TestReachability(t *testing.T) {
 	n := newTestNode("a", 2)
 	now := int64(10_000_000)
@@ -25,7 +25,7 @@
 	}
 	n.ApplyReport(now, now, "e0", Report{Incarnation: 5})
 	if now += silentAfter; len(n.Reachability(now).Silent) > 0 {
-		t.Fatal("told too early")
+		t.Fatal("reported as silent too early")
 	}
 	now++
 	if r := n.Reachability(now); !slices.Equal(r.Silent, []string{"e0"}) || !r.ListStale {
@@ -40,7 +40,7 @@
 	}
 	for _, poll := range polls {
 		if poll.FencingToken != 0 || poll.NeedsHoldings {
-			t.Fatalf("an engine of another owner is polled as an own one: %+v", poll)
+			t.Fatalf("an engine of another owner is polled like an owned one: %+v", poll)
 		}
 	}
 	n.ApplyReport(now, now, "e1", Report{Incarnation: 6})
@@ -48,11 +48,11 @@
 		t.Fatalf("%+v", r)
 	}
 	if n.Engines(now) != nil || n.engines["e1"] != nil {
-		t.Fatal("an engine of another owner was taken in")
+		t.Fatal("an engine of another owner is listed as owned")
 	}
 	n.ApplyReport(now, now, "e0", Report{Incarnation: 5})
 	n.SetPeers(nil)
 	if polls := n.Polls(now); len(polls) > 0 {
-		t.Fatalf("all answered and nobody misses them, and they are polled: %+v", polls)
+		t.Fatalf("engines that answered and that no peer reports as silent are still polled: %+v", polls)
 	}
 }
--- a/index/recorded_test.go
+++ b/index/recorded_test.go
@@ -12,9 +12,9 @@
 	"violetthread/dispatch"
 )
 
-// TestRecordedForm compares the JSON form of everything that recordings and the engines'
-// page contain with testdata/recorded: stored recordings are replayed by these names,
-// whatever the fields are called in the code.
+// TestRecordedForm compares the JSON form of the types in recordings and in the response of
+// /v1/engines with testdata/recorded. Stored recordings are replayed by these names, so they
+// must not change when a Go field is renamed.
 func TestRecordedForm(t *testing.T) {
 	recorded := map[string]any{
 		"dispatch grant":      &dispatch.EngineGrant{},
@@ -46,12 +46,12 @@
 		return string(form) + "\n"
 	})
 	for name := range recorded {
-		t.Errorf("testdata/recorded does not show the form of %s", name)
+		t.Errorf("testdata/recorded has no entry for %s", name)
 	}
 }
 
-// fill gives every field below v a value of its own: a field left out of the form, or one
-// that took another's name, shows.
+// fill sets every field below v to a distinct value, so that a field that is missing from the
+// JSON form or has another field's name is detected.
 func fill(t *testing.T, v reflect.Value, n *int) {
 	t.Helper()
 	*n++
--- a/index/weights.go
+++ b/index/weights.go
@@ -8,11 +8,11 @@
 
 // Times of weight updates, in microseconds (docs/bounds.md).
 const (
-	maxRolloutPlanAge = 3_000_000  // of the plan: past this no engine is told to change
-	weightUpdateLimit = 13_000_000 // an engine that still runs other weights gets no work
-	weightUpdateRetry = 1_000_000  // before an engine is told again
-	waveSpan          = 9_000_000  // from a naming until the last wave is told
-	unknownSince      = 1 << 50    // before this node knew the plan
+	maxRolloutPlanAge = 3_000_000  // with a plan older than this, no weight updates are sent
+	weightUpdateLimit = 13_000_000 // an engine outdated for longer than this gets no work
+	weightUpdateRetry = 1_000_000  // interval at which an update is repeated
+	waveSpan          = 9_000_000  // from a change of weights until the last wave starts
+	unknownAge        = 1 << 50    // assumed age of the weights in the first plan that this node gets
 )
 
 const (
@@ -20,13 +20,14 @@
 	maxWeightsHistory  = 16
 )
 
-// weightsNaming is a name of weights, and since when it is known to be in force.
-type weightsNaming struct {
-	name  string
-	since int64
+// weightsChange is a change of the plan's weights: their new name, and since when they are
+// known to be in force.
+type weightsChange struct {
+	weights string
+	since   int64
 }
 
-// WeightUpdate tells an engine to change to other weights. Recordings contain it under the
+// WeightUpdate is a request to an engine to load other weights. Recordings store it under the
 // names in the tags.
 type WeightUpdate struct {
 	Engine       string `json:"Engine"`
@@ -35,46 +36,48 @@
 	FencingToken uint64 `json:"Epoch"`
 }
 
-// recordWeights takes in the weights that the plan names, and since when. Nobody told this
-// node since when its first plan was in force: engines with other weights are as late as
-// can be, and get nothing until they have changed.
+// recordWeights records the weights that the plan names, and since when. This node can't know
+// since when the weights of its first plan have been in force, so engines with other weights
+// count as overdue and get no work until they have changed.
 func (n *Node) recordWeights(name string, since int64) {
 	if n.plan == nil {
-		n.weightsHistory = []weightsNaming{{name, since - unknownSince}}
+		n.weightsHistory = []weightsChange{{name, since - unknownAge}}
 		return
 	}
 	if name == n.plan.Weights {
 		return
 	}
-	n.weightsHistory = append(n.weightsHistory, weightsNaming{name, since})
+	n.weightsHistory = append(n.weightsHistory, weightsChange{name, since})
 	if len(n.weightsHistory) > maxWeightsHistory {
 		n.weightsHistory = n.weightsHistory[1:]
 	}
 }
 
-// outdatedFor is for how long an engine has run weights that are not the newest: since the
-// first naming that neither it nor any later one matches. So a storm of namings excuses
-// nobody (docs/design.md §10).
+// outdatedFor returns for how long an engine has run weights that are not the newest. The time
+// counts from the first change after the last one to the engine's own weights, or from the
+// oldest recorded change if none named them, so that frequent further changes don't extend
+// the time limit (docs/design.md §10).
 func (n *Node) outdatedFor(now int64, engine *engine) (us int64, outdated bool) {
-	for _, naming := range slices.Backward(n.weightsHistory) {
-		if naming.name == engine.weights {
+	for _, change := range slices.Backward(n.weightsHistory) {
+		if change.weights == engine.weights {
 			break
 		}
-		us, outdated = now-naming.since, true
+		us, outdated = now-change.since, true
 	}
 	return us, outdated
 }
 
-// waveRank is the place of an engine in the order of the waves.
+// waveRank is the position of an engine in the order of the waves.
 type waveRank struct {
-	turn  int // within its zone
-	score uint64
-	name  string
+	rankInZone int
+	score      uint64
+	name       string
 }
 
-// waveDelay is how long after a naming an engine is to be told, as every index node works
-// it out alike from the platform's list: so many in a wave, taken from all zones in turn,
-// whoever owns them, and the last wave in time for the bound.
+// waveDelay returns how long after a change of weights an engine is to be updated. Every index
+// node computes the same from the platform's list. A wave takes the plan's percentage of the
+// engines, from all zones in turn and regardless of their owners, and the last wave starts
+// early enough to meet the limit.
 func (n *Node) waveDelay(name string) int64 {
 	percent := defaultWavePercent
 	if n.plan != nil {
@@ -87,13 +90,13 @@
 	order := n.waveOrder()
 	at := slices.IndexFunc(order, func(rank waveRank) bool { return rank.name == name })
 	if at < 0 {
-		return 0 // leaving: it serves nobody
+		return 0 // draining or no longer listed: it gets no new work
 	}
 	return int64(at*waves/len(order)) * waveSpan / int64(waves-1)
 }
 
-// waveOrder ranks all engines that serve: the first of each zone, then the second of each,
-// and so on.
+// waveOrder ranks all engines that may get new work: the first of each zone, then the second
+// of each, and so on.
 func (n *Node) waveOrder() []waveRank {
 	byZone := map[string][]waveRank{}
 	for name, listed := range n.listed {
@@ -102,13 +105,13 @@
 		}
 	}
 	compare := func(a, b waveRank) int {
-		return cmp.Or(cmp.Compare(a.turn, b.turn), cmp.Compare(a.score, b.score), strings.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.rankInZone, b.rankInZone), cmp.Compare(a.score, b.score), strings.Compare(a.name, b.name))
 	}
 	var order []waveRank
 	for _, ranks := range byZone {
 		slices.SortFunc(ranks, compare)
-		for turn, rank := range ranks {
-			rank.turn = turn
+		for i, rank := range ranks {
+			rank.rankInZone = i
 			order = append(order, rank)
 		}
 	}
@@ -116,8 +119,9 @@
 	return order
 }
 
-// WeightUpdates lists the engines to change now, by name, in waves over the whole fleet, so
-// that the others keep serving (docs/design.md §10). An engine is told until it has changed.
+// WeightUpdates lists the engines to update now, sorted by name. Updates go in waves over the
+// whole fleet, so that the other engines keep serving (docs/design.md §10). They are repeated
+// until the engine reports the new weights.
 func (n *Node) WeightUpdates(now int64) []WeightUpdate {
 	if n.plan == nil || now-n.planConfirmedAt > maxRolloutPlanAge {
 		return nil
@@ -138,8 +142,8 @@
 	return updates
 }
 
-// weightUpdateOverdue reports whether an engine was to change weights and did not within
-// the bound: it gets nothing more until it has.
+// weightUpdateOverdue reports whether an engine has not changed weights within the limit. It
+// gets no more work until it has.
 func (n *Node) weightUpdateOverdue(now int64, engine *engine) bool {
 	us, outdated := n.outdatedFor(now, engine)
 	return outdated && us > weightUpdateLimit
--- a/index/zones.go
+++ b/index/zones.go
@@ -8,7 +8,8 @@
 	"violetthread/cacheindex"
 )
 
-// zoneFeed is what the owners of the shards tell of a zone, gathered for its proxies.
+// zoneFeed has the cache updates of a zone, gathered from the shard owners for the zone's
+// proxies.
 type zoneFeed struct {
 	table   *cacheindex.Table
 	log     *cacheindex.UpdateLog
@@ -16,7 +17,8 @@
 }
 
 // ServedZones lists the zones for whose proxies this node gathers cache updates, sorted. A
-// zone is served by its own first index node by name; one without any goes by rendezvous.
+// zone is served by the first by name of its index nodes; a zone without any is assigned by
+// rendezvous hashing.
 func (n *Node) ServedZones() []string {
 	serving := map[string]string{}
 	for _, peer := range n.peers {
@@ -28,7 +30,7 @@
 	for _, zone := range n.knownZones() {
 		server := serving[zone]
 		if server == "" {
-			server = n.firstByRendezvous(zone)
+			server = n.highestScoringPeer(zone)
 		}
 		if server == n.name {
 			served = append(served, zone)
@@ -37,7 +39,7 @@
 	return served
 }
 
-// knownZones lists this node's own zone and those of engines and proxies, sorted.
+// knownZones lists the zones of this node, the engines and the proxies, sorted.
 func (n *Node) knownZones() []string {
 	zones := map[string]bool{n.zone: true}
 	for _, listed := range n.listed {
@@ -51,8 +53,9 @@
 	return names
 }
 
-// firstByRendezvous is the peer that ranks first for a name, "" without peers.
-func (n *Node) firstByRendezvous(name string) (first string) {
+// highestScoringPeer returns the peer with the highest rendezvous score for a name, "" if
+// there are no peers.
+func (n *Node) highestScoringPeer(name string) (first string) {
 	var highest uint64
 	for _, peer := range n.peers {
 		if score := rendezvousScore(name, peer.Name); first == "" || score > highest {
@@ -62,11 +65,11 @@
 	return first
 }
 
-// zoneFeed returns the feed of a zone. It is made when it is first asked for.
+// zoneFeed returns the feed of a zone, and creates it if needed.
 func (n *Node) zoneFeed(zone string) *zoneFeed {
 	feed := n.zones[zone]
 	if feed == nil {
-		feed = &zoneFeed{table: cacheindex.NewTable(zoneHints), cursors: map[string]*Cursor{}}
+		feed = &zoneFeed{table: cacheindex.NewTable(zoneTableSize), cursors: map[string]*Cursor{}}
 		feed.log = cacheindex.NewUpdateLog(n.incarnation, feedLogSize, feed.snapshot)
 		n.zones[zone] = feed
 	}
@@ -81,7 +84,7 @@
 	return updates
 }
 
-// ZoneCursor is how far a shard owner's feed for a zone was read.
+// ZoneCursor returns this node's position in a shard owner's feed for a zone.
 func (n *Node) ZoneCursor(zone, owner string) *Cursor {
 	feed := n.zoneFeed(zone)
 	cursor := feed.cursors[owner]
@@ -92,12 +95,13 @@
 	return cursor
 }
 
-// ApplyZoneUpdates takes in a shard owner's feed for a zone, and passes on what changes.
-// Shards are those that the feed speaks for.
+// ApplyZoneUpdates applies a batch from a shard owner's feed for a zone, and appends the
+// effective changes to the feed for the zone's proxies. A reset batch replaces the hints of
+// the given shards, which are those of the owner.
 func (n *Node) ApplyZoneUpdates(zone, owner string, shards []uint16, batch cacheindex.UpdateBatch) {
 	feed := n.zoneFeed(zone)
 	if batch.Reset {
-		for _, update := range feed.unlisted(shards, batch.Updates) {
+		for _, update := range feed.removalsOfMissing(shards, batch.Updates) {
 			n.applyZoneUpdate(feed, update)
 		}
 	}
@@ -107,8 +111,9 @@
 	*n.ZoneCursor(zone, owner) = Cursor{batch.Incarnation, batch.Next}
 }
 
-// unlisted are the removals of hints of shards whose keys are in no update.
-func (f *zoneFeed) unlisted(shards []uint16, updates []cacheindex.Update) []cacheindex.Update {
+// removalsOfMissing returns removals for the hints of the given shards whose keys are not
+// among the updates.
+func (f *zoneFeed) removalsOfMissing(shards []uint16, updates []cacheindex.Update) []cacheindex.Update {
 	listed := map[cacheindex.Key]bool{}
 	for _, update := range updates {
 		listed[update.Key] = true
@@ -135,10 +140,11 @@
 	n.Counters.UpdatesQueued++
 }
 
-// ProxyFeed answers a proxy that follows its zone's hints, if this node serves the zone.
+// ProxyFeed returns the next updates for a proxy that follows its zone's hints. It returns
+// false if this node does not serve the zone.
 func (n *Node) ProxyFeed(zone string, incarnation, since uint64) (cacheindex.UpdateBatch, bool) {
 	if !slices.Contains(n.ServedZones(), zone) {
 		return cacheindex.UpdateBatch{}, false
 	}
-	return n.zoneFeed(zone).log.Since(incarnation, since, feedBatch), true
+	return n.zoneFeed(zone).log.Since(incarnation, since, feedBatchSize), true
 }
