--- a/internal/app/indexnode/engines.go
+++ b/internal/app/indexnode/engines.go
@@ -15,16 +15,16 @@
 	"violetthread/recording/replay"
 )
 
-// Microseconds.
+// Time-outs in microseconds.
 const (
 	listingTimeout = 600_000
-	reportTimeout  = 800_000   // for what an engine keeps, and for its report
-	weightsTimeout = 2_500_000 // for an engine to take other weights
+	reportTimeout  = 800_000   // for an engine's holdings, and for its report
+	weightsTimeout = 2_500_000 // for an engine to accept other weights
 )
 
-// refreshListing follows the platform's list of engines. While the platform refuses
-// connections it shows nothing to anyone, and the last list stays in force; while it is
-// merely silent, the list ages and engines get no new work (docs/bounds.md).
+// refreshListing polls the platform's list of engines. While the platform refuses connections,
+// no node can get a newer list, and the last one remains valid. While the platform only does
+// not answer, the list ages until engines get no new work (docs/bounds.md).
 func (n *indexNode) refreshListing(ctx context.Context) {
 	askedAt := clock.Now()
 	var list engineapi.EngineList
@@ -51,8 +51,8 @@
 	})
 }
 
-// pollEngines asks the engines owned here for their reports, and updates those with other
-// weights than the plan's.
+// pollEngines requests the reports of the engines to poll, and updates engines whose weights
+// differ from the plan's.
 func (n *indexNode) pollEngines(context.Context) {
 	var polls []index.Poll
 	var updates []index.WeightUpdate
@@ -68,8 +68,8 @@
 	}
 }
 
-// poll asks one engine for its report, and before that for all that it keeps if the
-// changes can't be followed.
+// poll requests the report of one engine. If events are missing, it reads all of the engine's
+// holdings first.
 func (n *indexNode) poll(ctx context.Context, poll index.Poll) {
 	if poll.NeedsHoldings {
 		var holdings engineapi.Holdings
@@ -92,7 +92,7 @@
 	n.withNode(func(now int64, node *replay.IndexNode) { node.ApplyReport(now, askedAt, poll.Engine, unpacked) })
 }
 
-// unpackReport reads an engine's report.
+// unpackReport converts an engine's report from the form of its API.
 func unpackReport(packed engineapi.Report) index.Report {
 	report := index.Report{
 		Incarnation: packed.Incarnation,
@@ -119,9 +119,10 @@
 	return report
 }
 
-// updateWeights brings one engine to the plan's weights.
+// updateWeights tells one engine to load the plan's weights.
 func (n *indexNode) updateWeights(ctx context.Context, update index.WeightUpdate) {
-	// The engine rejects a lower token, but it need not come to that.
+	// The engine rejects a stale token; this check saves the request if the lease was lost
+	// since the update was decided.
 	current := false
 	n.withNode(func(now int64, node *replay.IndexNode) {
 		token, held := node.HoldsLease(now, index.EngineRole(update.Engine))
--- a/internal/app/indexnode/frames.go
+++ b/internal/app/indexnode/frames.go
@@ -11,10 +11,11 @@
 	"violetthread/schema/fb"
 )
 
-// relayTimeout is how long the answer to a relayed demand is waited for, in microseconds.
+// relayTimeout is how long to wait for the response to a relayed capacity request, in
+// microseconds.
 const relayTimeout = 500_000
 
-// handleFrame answers agents and other index nodes.
+// handleFrame handles the requests of agents and other index nodes.
 func (n *indexNode) handleFrame(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
 	switch {
 	case frame.CapacityRequest != nil && frame.CapacityRequest.To != "" && frame.CapacityRequest.To != n.settings.Name:
@@ -27,8 +28,8 @@
 	return nil
 }
 
-// relay passes an agent's demand on to the index node that it is for, which the agent does
-// not reach itself.
+// relay forwards an agent's capacity request to the index node in its field To, which the
+// agent can't reach directly.
 func (n *indexNode) relay(ctx context.Context, request *fb.CapacityRequestT) *fb.FrameT {
 	peer, ok := lo.Find(n.session.View().Nodes, func(node *fb.NodeT) bool {
 		return node.Name == request.To && node.Role == membership.RoleIndexNode
@@ -43,7 +44,7 @@
 	return &fb.FrameT{CapacityResponse: frame.CapacityResponse}
 }
 
-// issueGrants answers a demand with grants of the engines owned here.
+// issueGrants answers a capacity request with grants of the engines that this node owns.
 func (n *indexNode) issueGrants(request *fb.CapacityRequestT) (response *fb.CapacityResponseT) {
 	n.withNode(func(now int64, node *replay.IndexNode) {
 		response = codec.AnswerCapacity(node, now, n.settings.Name, request)
@@ -51,7 +52,7 @@
 	return response
 }
 
-// answerUpdates answers another index node that follows this one.
+// answerUpdates answers a request of an index node that follows one of this node's feeds.
 func (n *indexNode) answerUpdates(request *fb.UpdatesRequestT) (response *fb.UpdatesResponseT) {
 	n.withNode(func(_ int64, node *replay.IndexNode) { response = codec.AnswerUpdates(node.Node, request) })
 	return response
--- a/internal/app/indexnode/leases.go
+++ b/internal/app/indexnode/leases.go
@@ -14,11 +14,11 @@
 
 // Microseconds.
 const (
-	leaseTimeout = 1_000_000 // for the answer to a lease operation
-	releasePause = 50_000    // between two looks, on a polite stop
+	leaseTimeout    = 1_000_000 // for the result of a lease operation
+	releaseInterval = 50_000    // between two rounds of releases, on a graceful stop
 )
 
-// renewLeases brings the leases held nearer to those that should be.
+// renewLeases acquires, renews and releases leases to follow the placement.
 func (n *indexNode) renewLeases(context.Context) {
 	if n.daemon.Stopping() {
 		return
@@ -31,18 +31,18 @@
 		}
 		peers, live := codec.ReadyIndexNodes(view.Nodes, n.settings.Name)
 		if !live {
-			return // no member yet: this node's roles may be another's by now
+			return // not among the ready nodes: others may have taken over the roles of this one
 		}
 		node.SetPeers(now, peers)
 		operations = node.LeaseOps(now)
 	})
 	for _, operation := range operations {
-		n.daemon.Group.Go("lease", func(ctx context.Context) { n.carryOut(ctx, operation) })
+		n.daemon.Group.Go("lease", func(ctx context.Context) { n.executeLeaseOp(ctx, operation) })
 	}
 }
 
-// carryOut asks the control nodes for a lease, or gives one back.
-func (n *indexNode) carryOut(ctx context.Context, operation index.LeaseOp) {
+// executeLeaseOp has the control nodes acquire, renew or release a lease.
+func (n *indexNode) executeLeaseOp(ctx context.Context, operation index.LeaseOp) {
 	operationType := quorum.OpAcquire
 	if operation.Release {
 		operationType = quorum.OpRelease
@@ -68,8 +68,9 @@
 	})
 }
 
-// releaseLeases gives every lease back, so that others need not wait for them to expire:
-// those of shards at once, those of engines when no grant is in use any more (design §10).
+// releaseLeases releases every lease, so that other nodes need not wait for it to expire:
+// those of shards at once, and those of engines when no grant can be in use any more
+// (docs/design.md §10).
 func (n *indexNode) releaseLeases(ctx context.Context) {
 	n.withNode(func(now int64, node *replay.IndexNode) { node.SetPeers(now, nil) })
 	for idle := false; !idle; {
@@ -78,9 +79,9 @@
 			operations, idle = node.LeaseOps(now), node.HoldsNoLeases()
 		})
 		for _, operation := range operations {
-			n.daemon.Group.Go("lease.release", func(ctx context.Context) { n.carryOut(ctx, operation) })
+			n.daemon.Group.Go("lease.release", func(ctx context.Context) { n.executeLeaseOp(ctx, operation) })
 		}
-		if !idle && !taskgroup.Sleep(ctx, releasePause) {
+		if !idle && !taskgroup.Sleep(ctx, releaseInterval) {
 			return
 		}
 	}
--- a/internal/app/indexnode/metrics.go
+++ b/internal/app/indexnode/metrics.go
@@ -8,7 +8,7 @@
 	"violetthread/recording/replay"
 )
 
-// registerMetrics shows the index node's state to operators.
+// registerMetrics registers the index node's metrics and the page of its engines.
 func (n *indexNode) registerMetrics() {
 	gauge := func(name, help string, read func(now int64, node *replay.IndexNode) float64) {
 		n.daemon.Gauge(name, help, func() (value float64) {
@@ -31,7 +31,7 @@
 	n.daemon.Handle("/v1/engines", n.serveEngines)
 }
 
-// serveEngines serves GET /v1/engines: the engines as this node knows them.
+// serveEngines serves GET /v1/engines: the engines that this node owns.
 func (n *indexNode) serveEngines(w http.ResponseWriter, _ *http.Request) {
 	var engines []index.EngineStatus
 	n.withNode(func(now int64, node *replay.IndexNode) { engines = node.Engines(now) })
--- a/internal/app/indexnode/node.go
+++ b/internal/app/indexnode/node.go
@@ -26,12 +26,12 @@
 // Settings of an index node.
 type Settings struct {
 	daemon.NodeSettings
-	// Platform is where the platform lists its engines. No default.
+	// Platform is the address of the platform's list of engines. No default.
 	Platform string `json:"platform" validate:"required,ipport" help:"IP:port of the platform's list of engines"`
 	daemon.RecordingSettings
 }
 
-// Defaults of the settings.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		NodeSettings:      daemon.NodeSettings{DrainUS: 3_000_000},
@@ -39,7 +39,7 @@
 	}
 }
 
-// Intervals of the loops, in microseconds.
+// Periods of the loops, in microseconds.
 const (
 	listingInterval = 200_000
 	leasesInterval  = 100_000
@@ -54,16 +54,16 @@
 	peers       *transport.PeerPool
 	session     *session.Session
 	incarnation uint64 // of this process
-	leaseHolder string // as whom it holds leases; unlike any other process
+	leaseHolder string // name under which it holds leases; unique to this process
 	http        *engineapi.Client
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	node            *replay.IndexNode
-	running         map[string]bool         // by spawn's name
+	running         map[string]bool         // tasks of spawn, by name
 	prefetchCursors map[string]index.Cursor // by zone and peer
 }
 
-// Run runs an index node until it is told to stop.
+// Run runs an index node until it is stopped.
 func Run(settings Settings) error {
 	d, err := NewDaemon(settings)
 	if err != nil {
@@ -72,10 +72,11 @@
 	return d.Run()
 }
 
-// NewDaemon makes an index node as a process, ready to Run. Its loops run from here on.
+// NewDaemon creates the daemon of an index node and starts its loops. The caller runs it with
+// Run.
 func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	if settings.TransportAddr == "" || len(settings.Seeds) == 0 {
-		return nil, trace.BadParameter("wire and seeds are needed; give --wire an IP:port and --seeds the control nodes' addresses")
+		return nil, trace.BadParameter("settings wire and seeds are required; set --wire to an IP:port and --seeds to the addresses of the control nodes")
 	}
 	d := daemon.New("violetthread-index", settings.Name, settings.HTTPAddr, settings.DrainUS)
 	if err := d.ProfileCPU(settings.CPUProfile); err != nil {
@@ -87,7 +88,7 @@
 	}
 	listener, err := net.Listen("tcp", settings.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free IP:port of this machine", settings.TransportAddr)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; set --wire to a free IP:port of this machine", settings.TransportAddr)
 	}
 	transport.Serve(d.Group, listener, n.handleFrame)
 	n.session.Run()
@@ -98,7 +99,7 @@
 	return d, nil
 }
 
-// newIndexNode makes an index node without its loops.
+// newIndexNode creates an index node without starting its loops.
 func newIndexNode(settings Settings, d *daemon.Daemon) (*indexNode, error) {
 	incarnation, err := process.NewIncarnation()
 	if err != nil {
@@ -134,7 +135,7 @@
 	every("peers", followInterval, n.followPeers)
 }
 
-// self is this node's own state, for its heartbeats.
+// self returns this node's own state, for its heartbeats.
 func (n *indexNode) self() *fb.NodeT {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -150,14 +151,15 @@
 	return codec.AddIndexNodeStatus(n.node.Node, clock.Now(), status)
 }
 
-// withNode runs a function on the index node, which is not safe for concurrent use.
+// withNode calls a function on the index node under the lock.
 func (n *indexNode) withNode(run func(now int64, node *replay.IndexNode)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	run(clock.Now(), n.node)
 }
 
-// spawn runs a function unless the last one of that name still runs.
+// spawn runs a function in a goroutine of its own, unless the previous one of that name is
+// still running.
 func (n *indexNode) spawn(name string, run func(ctx context.Context)) {
 	n.mu.Lock()
 	if n.running[name] {
--- a/internal/app/indexnode/peers.go
+++ b/internal/app/indexnode/peers.go
@@ -14,11 +14,11 @@
 // Microseconds.
 const (
 	updatesTimeout  = 800_000 // for another index node's updates
-	prefetchTimeout = 500_000 // for an engine to take a prefetch
-	prefetchWait    = 300_000 // that the engine may wait for the block to come
+	prefetchTimeout = 500_000 // for an engine to accept a prefetch
+	prefetchWait    = 300_000 // how long the engine may wait for the block
 )
 
-// followPeers follows the other index nodes' updates.
+// followPeers reads the update feeds of all index nodes.
 func (n *indexNode) followPeers(context.Context) {
 	var peers []index.Peer
 	for _, node := range n.session.View().Nodes {
@@ -31,9 +31,9 @@
 	}
 }
 
-// askUpdates asks an index node, which may be this one, for its updates. False means that
-// it did not answer.
-func (n *indexNode) askUpdates(ctx context.Context, peer index.Peer, request *fb.UpdatesRequestT) (*fb.UpdatesResponseT, bool) {
+// requestUpdates requests the updates of an index node, which may be this one. It returns
+// false without a response.
+func (n *indexNode) requestUpdates(ctx context.Context, peer index.Peer, request *fb.UpdatesRequestT) (*fb.UpdatesResponseT, bool) {
 	request.From = n.settings.Name
 	if peer.Name == n.settings.Name {
 		return n.answerUpdates(request), true
@@ -45,7 +45,7 @@
 	return frame.UpdatesResponse, true
 }
 
-// follow takes in what one index node has for the shards and zones of this one.
+// follow reads one index node's feeds for the shards and zones of this node.
 func (n *indexNode) follow(ctx context.Context, peer index.Peer) {
 	var shards []uint16
 	var cursor index.Cursor
@@ -65,35 +65,36 @@
 	}
 }
 
-// followHoldings follows what the engines of an index node keep of this one's shards.
+// followHoldings reads which blocks of this node's shards are cached by the engines that an
+// index node owns.
 func (n *indexNode) followHoldings(ctx context.Context, peer index.Peer, shards []uint16, cursor index.Cursor) {
 	request := &fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: shards, Incarnation: cursor.Incarnation, Since: cursor.Next}
-	if response, ok := n.askUpdates(ctx, peer, request); ok {
+	if response, ok := n.requestUpdates(ctx, peer, request); ok {
 		n.withNode(func(now int64, node *replay.IndexNode) { codec.ApplyHoldings(node.Node, now, peer.Name, response) })
 	}
 }
 
-// followZone follows what an index node's shards say of a zone that this one serves.
+// followZone reads the updates of an index node's shards for a zone that this node serves.
 func (n *indexNode) followZone(ctx context.Context, peer index.Peer, zone string) {
 	var cursor index.Cursor
 	n.withNode(func(_ int64, node *replay.IndexNode) { cursor = *node.ZoneCursor(zone, peer.Name) })
 	request := &fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: zone, Incarnation: cursor.Incarnation, Since: cursor.Next}
-	if response, ok := n.askUpdates(ctx, peer, request); ok {
+	if response, ok := n.requestUpdates(ctx, peer, request); ok {
 		n.withNode(func(_ int64, node *replay.IndexNode) {
 			node.ApplyZoneUpdates(zone, peer.Name, index.ShardsOf(peer), codec.UnpackBatch(response))
 		})
 	}
 }
 
-// prefetch follows what a shard's owner suggests for a zone, and asks the engines owned
-// here for what falls to them. A prefetch that fails is not repeated.
+// prefetch reads which blocks a shard's owner suggests to prefetch in a zone, and sends the
+// prefetches of the engines that this node owns. A failed prefetch is not retried.
 func (n *indexNode) prefetch(ctx context.Context, peer index.Peer, zone string) {
 	key := zone + "|" + peer.Name
 	n.mu.Lock()
 	cursor := n.prefetchCursors[key]
 	n.mu.Unlock()
 	request := &fb.UpdatesRequestT{Feed: codec.PrefetchFeed, Zone: zone, Incarnation: cursor.Incarnation, Since: cursor.Next}
-	response, ok := n.askUpdates(ctx, peer, request)
+	response, ok := n.requestUpdates(ctx, peer, request)
 	if !ok {
 		return
 	}
