--- a/internal/app/gateway/admission.go
+++ b/internal/app/gateway/admission.go
@@ -12,35 +12,36 @@
 	"violetthread/plan"
 )
 
-// reasonStopping ends what is left when the gateway stops.
+// reasonStopping is the reason for ending the remaining requests when the gateway stops.
 const reasonStopping = callerapi.ReasonStopping
 
-// retrySoonUS is told to callers whom a moment's trouble kept out, in microseconds.
-const retrySoonUS = 1_000_000
+// transientRetryAfterUS is the retry-after time for calls that are rejected for a transient
+// reason, in microseconds.
+const transientRetryAfterUS = 1_000_000
 
-// caller is who sends a call, under the plan that says so.
+// caller is an authenticated caller, with the plan that it was authenticated by.
 type caller struct {
 	plan      *plan.Compiled
 	group     string
 	keyDigest string
 }
 
-// rejection is the answer to a call that was not taken in.
+// rejection is the response to a call that is not accepted.
 type rejection struct {
-	status       int // of HTTP
+	status       int // HTTP status
 	reason       string
-	retryAfterUS int64 // 0: sending it again does not help
+	retryAfterUS int64 // 0 if a retry would not help
 }
 
-// authenticate says who calls, or why the call is rejected. The plan must be known to be in
-// force.
+// authenticate returns the caller of a request, or a rejection. The plan must be known to be
+// in force.
 func (g *gateway) authenticate(r *http.Request) (caller, *rejection) {
 	cached := g.plan.Load()
 	switch {
 	case g.daemon.Stopping():
-		return caller{}, &rejection{http.StatusServiceUnavailable, callerapi.ReasonStopping, retrySoonUS}
+		return caller{}, &rejection{http.StatusServiceUnavailable, callerapi.ReasonStopping, transientRetryAfterUS}
 	case cached.Plan == nil || cached.Age(clock.Now()) > dispatch.MaxPlanAge:
-		return caller{}, &rejection{http.StatusServiceUnavailable, callerapi.ReasonPlanNotFresh, retrySoonUS}
+		return caller{}, &rejection{http.StatusServiceUnavailable, callerapi.ReasonPlanNotFresh, transientRetryAfterUS}
 	}
 	key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
@@ -54,9 +55,9 @@
 	return caller{plan: cached.Plan, group: group, keyDigest: digest}, nil
 }
 
-// checkGeneration says why an id that may come again can't have a claim of a generation,
-// "" if it can. The leader of the claim has the last word; what is a little ahead of this
-// proxy is left to it.
+// checkGeneration returns the reason why an id can't be claimed in a generation, "" if it may
+// be. The leader of the claim makes the final decision, so a generation that is one ahead of
+// this proxy's is left to it.
 func (g *gateway) checkGeneration(generation uint64) string {
 	known := g.generation.Load()
 	switch {
@@ -70,21 +71,21 @@
 	return ""
 }
 
-// serveGeneration answers GET /v1/era.
+// serveGeneration serves GET /v1/era.
 func (g *gateway) serveGeneration(w http.ResponseWriter, _ *http.Request) {
 	generation := g.generation.Load()
 	if generation == 0 {
-		g.reject(w, rejection{http.StatusServiceUnavailable, callerapi.ReasonClaimUnavailable, retrySoonUS})
+		g.reject(w, rejection{http.StatusServiceUnavailable, callerapi.ReasonClaimUnavailable, transientRetryAfterUS})
 		return
 	}
 	daemon.WriteJSON(w, http.StatusOK, callerapi.Generation{Generation: generation})
 }
 
-// reject answers a call that was not taken in. Without claims, whoever needed one may come
-// back soon.
+// reject responds to a call that is not accepted. If claims are unavailable, the call may be
+// retried soon.
 func (g *gateway) reject(w http.ResponseWriter, r rejection) {
 	if r.reason == callerapi.ReasonClaimUnavailable {
-		r.status, r.retryAfterUS = http.StatusServiceUnavailable, retrySoonUS
+		r.status, r.retryAfterUS = http.StatusServiceUnavailable, transientRetryAfterUS
 	}
 	if r.retryAfterUS > 0 {
 		seconds := (r.retryAfterUS + 999_999) / 1_000_000
@@ -99,7 +100,7 @@
 	})
 }
 
-// statusOf is the HTTP status of a rejection by the dispatcher.
+// statusOf returns the HTTP status of a rejection by the dispatcher.
 func statusOf(reason string) int {
 	switch reason {
 	case dispatch.ReasonQueueFull, dispatch.ReasonDeadline:
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	maxFrameBytes     = 1 << 20 // of a line of a run
+	maxFrameBytes     = 1 << 20 // of a line of an engine's response
 	frameBufferBytes  = 4096
 	maxRejectionBytes = 4096
 )
 
-// attemptError is how an attempt ended other than completely.
+// attemptError is the result of an attempt that did not complete.
 type attemptError struct {
 	state attempt.State // NotStarted or Interrupted
 	cause string
@@ -33,14 +33,15 @@
 
 func (e *attemptError) Error() string { return e.cause }
 
-// Why an answer of an engine was not passed on to its end.
+// Reasons why an engine's response was not forwarded to its end.
 var (
 	errEngineMalformed = &attemptError{attempt.Interrupted, callerapi.ReasonEngineMalformed}
 	errEngineLost      = &attemptError{attempt.Interrupted, callerapi.ReasonEngineLost}
-	errCut             = &attemptError{attempt.Interrupted, "cut"} // by the dispatcher, or the caller is gone
+	errCut             = &attemptError{attempt.Interrupted, "cut"} // by the dispatcher, or the caller has disconnected
 )
 
-// runAttempt sends one attempt to an engine and tells the dispatcher how far it comes.
+// runAttempt sends one attempt to an engine, forwards the response to the caller, and reports
+// the progress to the dispatcher.
 func (g *gateway) runAttempt(ctx context.Context, c *call, action dispatch.Action) {
 	response, err := g.sendAttempt(ctx, action)
 	if err == nil {
@@ -64,15 +65,15 @@
 	})
 }
 
-// sendAttempt sends an attempt and returns the engine's answer if it is a run. Errors are
-// attemptErrors: an attempt provably never began when nothing of it was sent, or when the
-// engine says so.
+// sendAttempt sends an attempt and returns the engine's response if the engine accepted the
+// run. Errors are attemptErrors. An attempt certainly never started if nothing of it was sent,
+// or if the engine says so.
 func (g *gateway) sendAttempt(ctx context.Context, action dispatch.Action) (*http.Response, error) {
 	body, err := json.Marshal(newRunRequest(action))
 	if err != nil {
 		return nil, &attemptError{attempt.NotStarted, "unencodable"}
 	}
-	var connected atomic.Bool // from here on bytes may have gone out
+	var connected atomic.Bool // once set, bytes may have been sent
 	request, err := newTracedRequest(ctx, http.MethodPost, "http://"+action.Grant.Addr+"/v1/run", body, &connected)
 	if err != nil {
 		return nil, &attemptError{attempt.NotStarted, "bad-address"}
@@ -94,7 +95,7 @@
 	return response, nil
 }
 
-// newRunRequest is what an engine is told of an attempt.
+// newRunRequest returns the request that an attempt sends to its engine.
 func newRunRequest(action dispatch.Action) engineapi.RunRequest {
 	request := engineapi.RunRequest{
 		Attempt:      action.AttemptID,
@@ -115,9 +116,9 @@
 	return request
 }
 
-// newTracedRequest makes a request that is sent once at most, and sets connected before any
-// byte of it may have gone out. A reader that can't be rewound keeps the library from
-// sending it twice.
+// newTracedRequest returns a request that is sent at most once, and that sets connected before
+// any of its bytes may have been sent. The body can't be rewound, which keeps net/http from
+// sending the request again.
 func newTracedRequest(ctx context.Context, method, url string, body []byte, connected *atomic.Bool) (*http.Request, error) {
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }})
 	request, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader(body)))
@@ -128,7 +129,8 @@
 	return request, nil
 }
 
-// rejectionOf is why an engine did not answer with a run.
+// rejectionOf returns the error of an attempt that the engine answered with a status other
+// than 200.
 func rejectionOf(response *http.Response) error {
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maxRejectionBytes))
 	var rejected engineapi.Rejection
@@ -138,7 +140,8 @@
 	return &attemptError{attempt.Interrupted, "engine-error-" + strconv.Itoa(response.StatusCode)}
 }
 
-// streamRun passes the pieces of a run on to the caller. Without an error it was complete.
+// streamRun forwards the pieces of a run to the caller. It returns nil only if the run was
+// complete.
 func (g *gateway) streamRun(c *call, action dispatch.Action, body io.Reader) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, frameBufferBytes), maxFrameBytes)
@@ -174,7 +177,7 @@
 	return errEngineLost
 }
 
-// allowFirstByte reports whether the attempt is still the one to answer the caller.
+// allowFirstByte reports whether the attempt is still the one whose output goes to the caller.
 func (g *gateway) allowFirstByte(action dispatch.Action) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/app/gateway/call.go
+++ b/internal/app/gateway/call.go
@@ -11,31 +11,31 @@
 	"violetthread/internal/callerapi"
 )
 
-// call is one caller's request on its way, with the answer to it.
+// call is a request in flight, with the state of its response.
 type call struct {
 	ref     uint64
 	done    chan struct{}
 	final   dispatch.Action               // set before done is closed
-	cancels map[string]context.CancelFunc // by attempt, under the gateway's lock
+	cancels map[string]context.CancelFunc // by attempt; guarded by the gateway's lock
 
-	// The attempt writes its pieces itself: handing each to the caller's own goroutine
-	// would cost a wake-up for each piece.
-	mu      sync.Mutex // guards what follows
+	// The attempt's goroutine writes the pieces itself: passing them to the goroutine of the
+	// caller's request would cost a wake-up for each piece.
+	mu      sync.Mutex // guards the fields below
 	flusher http.Flusher
 	encoder *json.Encoder
 	pieces  int
-	closed  bool // the last frame went out
+	closed  bool // the last frame has been written
 }
 
-// writeFrame writes a frame, and reports whether it could; after the last one nothing more
-// goes out.
+// writeFrame writes a frame, and reports whether that succeeded. After the last frame nothing
+// more is written.
 func (c *call) writeFrame(frame callerapi.Frame, last bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writeFrameLocked(frame, last)
 }
 
-// writeFrameLocked is writeFrame for a holder of the lock.
+// writeFrameLocked is writeFrame for callers that hold the lock.
 func (c *call) writeFrameLocked(frame callerapi.Frame, last bool) bool {
 	if c.closed {
 		return false
@@ -55,7 +55,7 @@
 	return err == nil
 }
 
-// finish writes the last frame, which says the outcome.
+// finish writes the last frame, which has the outcome.
 func (c *call) finish(id string) {
 	last := callerapi.Frame{Frame: string(c.final.Outcome), RequestID: id}
 	if c.final.Outcome != attempt.Done {
--- a/internal/app/gateway/doc.go
+++ b/internal/app/gateway/doc.go
@@ -1,12 +1,16 @@
-// Package gateway is the proxy of the product's own interface, program violetthread-gateway:
-// callers' requests come in over HTTP and run on the engines that package dispatch chooses.
+// Package gateway implements the proxy of the product's own interface, program
+// violetthread-gateway: it receives callers' requests over HTTP and runs them on the engines
+// that package dispatch selects.
 //
-// The gateway polls the agent beside it for the plan, its engine grants and cache updates,
-// and has claims carried out through it (docs/design.md §3 and §6). What it decides stands
-// in package dispatch, which is pure; this package has its sockets and its clock.
+// The gateway polls the agent beside it for the plan, engine grants and cache updates, and
+// executes operations on claims through it (docs/design.md §3 and §6). Package dispatch makes
+// the decisions and does no I/O; this package has the sockets and the clock.
 //
-// All state of the dispatcher is behind one lock, which is held around each step: a call of
-// the dispatcher and handing its actions on. No step waits. Each attempt, claim and release
-// runs on a goroutine of its own in the daemon's task group. The plan and the hint table
-// are read without the lock.
+// Plain calls are all other HTTP requests of callers. They don't go through the dispatcher: the
+// gateway forwards them to the application back ends that the plan names for their paths.
+//
+// One lock guards all state of the dispatcher. It is held for each step, which is a call of
+// the dispatcher and the start of the actions that it returns; no step blocks. Each attempt,
+// claim and release runs in a goroutine of its own in the daemon's task group. The plan and
+// the hint table are read without the lock.
 package gateway
--- a/internal/app/gateway/feed.go
+++ b/internal/app/gateway/feed.go
@@ -11,10 +11,10 @@
 	"violetthread/schema/fb"
 )
 
-// feedTimeout is for the agent's answer to a poll, in microseconds.
+// feedTimeout is the time-out of a poll of the agent, in microseconds.
 const feedTimeout = 500_000
 
-// feed polls the agent for plan, grants and cache updates, and tells it this proxy's demand.
+// feed polls the agent for plan, grants and cache updates, and reports this proxy's demand.
 func (g *gateway) feed(ctx context.Context) {
 	request := &fb.FeedRequestT{
 		Node: &fb.NodeT{
@@ -40,8 +40,8 @@
 	g.updateReadiness()
 }
 
-// applyFeed takes the agent's answer in. Ages count from the question: the answer may have
-// been long on its way.
+// applyFeed applies the agent's response. Ages count from when the poll was sent, because the
+// response may have been delayed.
 func (g *gateway) applyFeed(response *fb.FeedResponseT, askedAt int64) {
 	update := plan.Update{Revision: response.Revision, Age: response.Age, Raw: response.Plan, Confirmed: response.Confirmed}
 	cached, changed, err := g.plan.Load().Apply(update, askedAt)
@@ -66,7 +66,7 @@
 	g.updateCursor = codec.ApplyUpdates(g.table, g.updateCursor, response)
 }
 
-// updateReadiness tells the platform whether this proxy can serve.
+// updateReadiness sets whether this proxy is ready to serve, which the platform asks for.
 func (g *gateway) updateReadiness() {
 	now := clock.Now()
 	g.mu.Lock()
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -28,14 +28,14 @@
 	daemon.NodeSettings
 	// Agent is the loopback IP:port of the agent beside the gateway. No default.
 	Agent string `json:"agent" old:"runner" validate:"required,ipport" help:"loopback IP:port of the agent beside it"`
-	// Hints is how many entries the hint table has, 32 bytes each. Default 65,536.
+	// Hints is the number of entries of the hint table, 32 bytes each. Default 65,536.
 	Hints int `json:"hints" validate:"min=64,max=16777216" help:"entries in the hint table"`
-	// Index says whether the hint table is used, to measure what it is worth. Default true.
+	// Index enables the use of the hint table; false is for measuring its benefit. Default true.
 	Index bool `json:"index" help:"false leaves the hint table unused, to measure what it is worth"`
 	daemon.RecordingSettings
 }
 
-// Defaults of the settings.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 12_000_000}, Hints: 1 << 16, Index: true, RecordingSettings: daemon.RecordingDefaults}
 }
@@ -43,8 +43,8 @@
 const (
 	feedInterval = 100_000 // microseconds between two polls of the agent
 	dialTimeout  = 400 * time.Millisecond
-	// A proxy keeps little and makes much garbage: rarer collections cost it a few
-	// megabytes and save processor time, for which its machines are paid.
+	// A proxy has a small heap and a high allocation rate: less frequent garbage collection
+	// costs a few megabytes and saves CPU time, which is the main cost of its machines.
 	gcPercent = 400
 )
 
@@ -54,16 +54,16 @@
 	daemon       *daemon.Daemon
 	incarnation  uint64
 	agent        *transport.Peer
-	table        *cacheindex.Table // written by the feed loop alone
+	table        *cacheindex.Table // hint table; only the feed loop writes it
 	updateCursor codec.Cursor      // of the feed loop
 	backends     *http.Client      // for engines and application back ends
 
-	plan       atomic.Pointer[plan.Cached] // replaced, never changed
-	generation atomic.Uint64               // newest generation of claims known here, 0 for none
-	lastRef    atomic.Uint64               // numbers requests and claims of plain calls
+	plan       atomic.Pointer[plan.Cached] // the pointed-to plan is immutable
+	generation atomic.Uint64               // newest known generation of claims, 0 for none
+	lastRef    atomic.Uint64               // latest number of a request or of a plain call's claim
 	plainCalls atomic.Int64                // plain calls in flight
 
-	mu               sync.Mutex // guards what follows
+	mu               sync.Mutex // guards the fields below
 	dispatcher       *replay.Dispatcher
 	calls            map[uint64]*call    // by reference
 	plainRetryBudget attempt.RetryBudget // of calls to application back ends
@@ -71,7 +71,7 @@
 	claimLatency latencySum
 }
 
-// latencySum sums how long something took.
+// latencySum counts operations and sums their durations.
 type latencySum struct{ count, totalUS atomic.Int64 }
 
 func (l *latencySum) add(us int64) {
@@ -79,7 +79,7 @@
 	l.totalUS.Add(us)
 }
 
-// Run runs a gateway until it is told to stop.
+// Run runs a gateway until it is stopped.
 func Run(settings Settings) error {
 	d, err := NewDaemon(settings)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return d.Run()
 }
 
-// NewDaemon makes a gateway as a process, ready to Run. Its loops run from here on.
+// NewDaemon creates the daemon of a gateway and starts its loops. The caller runs it with Run.
 func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	d := daemon.New("violetthread-gateway", settings.Name, settings.HTTPAddr, settings.DrainUS)
 	debug.SetGCPercent(gcPercent)
@@ -119,9 +119,9 @@
 	return d, nil
 }
 
-// newBackendClient makes the client for engines and application back ends. No connection is
-// used twice: a broken idle one would leave it open whether an attempt began
-// (docs/design.md §6).
+// newBackendClient returns the client for engines and application back ends. Connections are
+// not reused: if a request fails on an idle connection, it is unknown whether the attempt has
+// started (docs/design.md §6).
 func newBackendClient() *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
@@ -130,7 +130,7 @@
 	}
 }
 
-// start adds the handlers and starts the loops.
+// start registers the handlers and starts the loops.
 func (g *gateway) start() {
 	g.daemon.Handle("/v1/tickets", g.serveRequest)
 	g.daemon.Handle("/v1/era", g.serveGeneration)
@@ -147,15 +147,14 @@
 	g.daemon.OnDrain(g.drain)
 }
 
-// step calls the dispatcher and hands its actions on.
+// step calls the dispatcher under the lock and starts the actions that it returns.
 func (g *gateway) step(decide func(now int64) []dispatch.Action) {
 	g.mu.Lock()
 	g.perform(decide(clock.Now()))
 	g.mu.Unlock()
 }
 
-// perform hands actions to those who carry them out. The lock is held, so that nothing here
-// may wait.
+// perform starts actions. The caller holds the lock, so perform must not block.
 func (g *gateway) perform(actions []dispatch.Action) {
 	for _, action := range actions {
 		call := g.calls[action.Ref]
@@ -191,10 +190,11 @@
 	})
 }
 
-// drainCheckInterval is how often drain looks whether requests are left, in microseconds.
+// drainCheckInterval is how often drain checks for remaining requests, in microseconds.
 const drainCheckInterval = 20_000
 
-// drain lets running requests finish, and ends the rest explicitly.
+// drain waits for running requests until ctx ends, and then stops the remaining ones, so that
+// their callers get a last frame.
 func (g *gateway) drain(ctx context.Context) {
 	for g.inFlight() > 0 {
 		if !taskgroup.Sleep(ctx, drainCheckInterval) {
@@ -208,7 +208,7 @@
 	}
 }
 
-// inFlight counts requests and plain calls that have not ended.
+// inFlight returns the number of requests and plain calls that have not ended.
 func (g *gateway) inFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/app/gateway/metrics.go
+++ b/internal/app/gateway/metrics.go
@@ -5,8 +5,8 @@
 	"violetthread/internal/clock"
 )
 
-// registerMetrics adds the gateway's metrics. Their names are used by dashboards, and stay
-// as they were first published.
+// registerMetrics registers the gateway's metrics. Dashboards use their names, so the names
+// must not change.
 func (g *gateway) registerMetrics() {
 	counter := func(name, help string, value func(c dispatch.Counters) uint64) {
 		g.daemon.Counter(name, help, func() float64 {
--- a/internal/app/gateway/requests.go
+++ b/internal/app/gateway/requests.go
@@ -21,11 +21,12 @@
 const (
 	maxBodyBytes = 4 << 20
 	maxIDBytes   = 128
-	// slowReaderUS is how long after its deadline a caller that reads too slowly is cut off.
-	slowReaderUS = 2_000_000
+	// writeGraceUS is how long after the deadline of a request its response may still be
+	// written to a slow caller, in microseconds.
+	writeGraceUS = 2_000_000
 )
 
-// serveRequest answers POST /v1/tickets.
+// serveRequest serves POST /v1/tickets.
 func (g *gateway) serveRequest(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		daemon.WriteJSON(w, http.StatusMethodNotAllowed, daemon.ErrorResponse{Reason: "no-such-method", Remedy: "use POST"})
@@ -51,8 +52,9 @@
 	g.awaitFinish(r.Context(), c, request.ID)
 }
 
-// admit hands a request to the dispatcher and answers that it was taken in. Nothing is
-// written before, by whatever the dispatcher started already: the call is locked meanwhile.
+// admit passes a request to the dispatcher and writes the frame that says it was accepted. An
+// attempt that the dispatcher starts at once can't write before that frame, because admit
+// holds the call's lock.
 func (g *gateway) admit(w http.ResponseWriter, c *call, request dispatch.Request, dueUS int64) *rejection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +70,7 @@
 	if refused != nil {
 		return &rejection{statusOf(refused.Reason), refused.Reason, refused.RetryAfterUS}
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Duration(dueUS + slowReaderUS)))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(clock.Duration(dueUS + writeGraceUS)))
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.Header().Set("X-Ticket-Id", request.ID)
 	accepted := callerapi.Frame{Frame: callerapi.FrameAccepted, RequestID: request.ID, Node: g.settings.Name, Generation: g.generation.Load()}
@@ -76,8 +78,8 @@
 	return nil
 }
 
-// awaitFinish sees a request through. Whatever happens, there is one last frame or none at
-// all, and without one the answer is plainly incomplete.
+// awaitFinish waits for the end of a request and writes its last frame. At most one last frame
+// is ever written, and a response without one is recognizably incomplete.
 func (g *gateway) awaitFinish(ctx context.Context, c *call, id string) {
 	select {
 	case <-c.done:
@@ -90,7 +92,7 @@
 	c.finish(id)
 }
 
-// newRequest makes what the dispatcher decides about.
+// newRequest returns a caller's request in the dispatcher's form.
 func (g *gateway) newRequest(body callerapi.Request, from caller, arrived int64) dispatch.Request {
 	id := body.ID
 	if id == "" {
@@ -116,15 +118,15 @@
 	return request
 }
 
-// newRequestID makes up an id, which no other gateway or incarnation makes up too.
+// newRequestID generates an id that is unique among all gateways and their incarnations.
 func (g *gateway) newRequestID() string {
 	b := binary.BigEndian.AppendUint64(nil, g.incarnation)
 	b = binary.BigEndian.AppendUint32(b, uint32(g.lastRef.Add(1)))
 	return "t-" + hex.EncodeToString(b)
 }
 
-// readRequest reads the body of a request and checks it against the plan. The deadline is
-// filled in if the caller left it open.
+// readRequest reads the body of a request, checks it against the plan, and sets the default
+// deadline if the caller gave none.
 func (g *gateway) readRequest(w http.ResponseWriter, r *http.Request, from caller) (callerapi.Request, *rejection) {
 	var request callerapi.Request
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -150,7 +152,8 @@
 	return request, nil
 }
 
-// checkRequest checks a request against the plan and fills its deadline in.
+// checkRequest checks a request against the plan, and sets the default deadline if there is
+// none.
 func checkRequest(request *callerapi.Request, from caller) *rejection {
 	kind, known := from.plan.Kinds[request.Kind]
 	switch {
@@ -176,7 +179,7 @@
 
 func badRequest(reason string) *rejection { return &rejection{http.StatusBadRequest, reason, 0} }
 
-// newCall makes the call whose answer goes to w.
+// newCall returns a call whose response is written to w.
 func newCall(w http.ResponseWriter, ref uint64) *call {
 	c := &call{ref: ref, done: make(chan struct{}), cancels: map[string]context.CancelFunc{}, encoder: json.NewEncoder(w)}
 	c.encoder.SetEscapeHTML(false)
--- a/internal/app/gateway/routes.go
+++ b/internal/app/gateway/routes.go
@@ -14,18 +14,20 @@
 	"violetthread/plan"
 )
 
-// Headers of plain calls that may run once at most.
+// Headers of plain calls that may run at most once.
 const (
 	headerRequestID  = "X-Ticket-Id"
 	headerGeneration = "X-Ticket-Era"
 )
 
-// hopHeaders concern one connection only; the caller's key is not passed on either.
+// hopHeaders are not forwarded: the hop-by-hop headers, which apply to one connection only, the
+// caller's key, and the content length, which is set anew.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", "Content-Length"}
 
-// serveRoute passes a plain call on to an application back end. A safe method is sent again
-// once if it broke; an unsafe one never, and with an id it is claimed.
+// serveRoute forwards a plain call to an application back end. A call that failed is retried
+// at most once, and only if its method is safe or nothing of it was sent. A call with an
+// unsafe method and an id is claimed first, so that it runs at most once.
 func (g *gateway) serveRoute(w http.ResponseWriter, r *http.Request) {
 	from, rejected := g.authenticate(r)
 	if rejected != nil {
@@ -54,13 +56,13 @@
 	g.forwardPlain(ctx, w, r, from.plan, route, body)
 }
 
-// isSafe reports whether a call may be sent twice.
+// isSafe reports whether a method is safe, so that a call may be sent twice.
 func isSafe(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// claimRoute claims a plain call with an id, and reports whether it may go on; if not, the
-// caller is answered.
+// claimRoute acquires the claim of a plain call with an id, and reports whether the call may
+// proceed. If not, it has responded to the caller.
 func (g *gateway) claimRoute(ctx context.Context, w http.ResponseWriter, r *http.Request, group, id string) bool {
 	generation, _ := strconv.ParseUint(r.Header.Get(headerGeneration), 10, 64)
 	if reason := g.checkGeneration(generation); reason != "" {
@@ -73,12 +75,13 @@
 	case callerapi.ReasonDuplicate, callerapi.ReasonGenerationClosed:
 		daemon.WriteJSON(w, http.StatusConflict, callerapi.Frame{Frame: callerapi.FrameUnknown, RequestID: id, Reason: reason, Remedy: callerapi.Remedy(reason)})
 	default:
-		g.reject(w, rejection{http.StatusServiceUnavailable, reason, retrySoonUS})
+		g.reject(w, rejection{http.StatusServiceUnavailable, reason, transientRetryAfterUS})
 	}
 	return false
 }
 
-// forwardPlain sends a plain call, again once if it may be and the retry budget allows.
+// forwardPlain sends a plain call and the response to it. It retries once if the call may be
+// repeated and the retry budget allows it.
 func (g *gateway) forwardPlain(ctx context.Context, w http.ResponseWriter, r *http.Request, compiled *plan.Compiled, route plan.Route, body []byte) {
 	g.mu.Lock()
 	g.plainRetryBudget.Permille = compiled.Limits.RetryPermille
@@ -98,13 +101,14 @@
 			daemon.WriteJSON(w, http.StatusBadGateway, callerapi.Frame{Frame: callerapi.FrameUnknown, Reason: reason, Remedy: callerapi.Remedy(reason)})
 			return
 		default:
-			g.reject(w, rejection{http.StatusServiceUnavailable, callerapi.ReasonBackendUnreachable, retrySoonUS})
+			g.reject(w, rejection{http.StatusServiceUnavailable, callerapi.ReasonBackendUnreachable, transientRetryAfterUS})
 			return
 		}
 	}
 }
 
-// spendPlainRetry takes a retry out of the budget of plain calls, if there is one.
+// spendPlainRetry takes a retry from the retry budget of plain calls, and reports whether there
+// was one.
 func (g *gateway) spendPlainRetry() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,8 +119,8 @@
 	return true
 }
 
-// sendPlain sends a plain call once. It reports whether the back end may have got any of
-// it, which it may have even without an answer.
+// sendPlain sends a plain call once. sent reports whether the back end may have received any of
+// it, which is possible even without a response.
 func (g *gateway) sendPlain(ctx context.Context, r *http.Request, route plan.Route, body []byte) (response *http.Response, sent bool, err error) {
 	var connected atomic.Bool
 	request, err := newTracedRequest(ctx, r.Method, "http://"+route.Backend+r.URL.RequestURI(), body, &connected)
@@ -131,7 +135,7 @@
 	return response, connected.Load(), err
 }
 
-// copyHeaders copies the headers that do not concern one connection only.
+// copyHeaders copies all headers except hopHeaders.
 func copyHeaders(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(hopHeaders, http.CanonicalHeaderKey(name)) {
@@ -140,8 +144,8 @@
 	}
 }
 
-// copyResponse passes a back end's answer on. One that breaks off breaks the caller's
-// connection: the caller must not take it for a complete one.
+// copyResponse forwards a back end's response. If the response is cut off, the caller's
+// connection is aborted, so that the caller can't mistake the response for a complete one.
 func copyResponse(w http.ResponseWriter, response *http.Response) {
 	defer response.Body.Close()
 	copyHeaders(w.Header(), response.Header)
