--- a/internal/app/session/operation.go
+++ b/internal/app/session/operation.go
@@ -12,21 +12,21 @@
 
 // Microseconds.
 const (
-	attemptPause      = 20_000 // between two attempts of Propose
+	retryInterval     = 20_000 // between two attempts of Propose
 	minAttemptTimeout = 1_000
 )
 
-// Why Propose has no result yet. Which of the attempts took effect, if any, is not known.
+// Errors of Propose. The operation may have taken effect in any of its attempts.
 var (
-	errNoControlNode = errors.New("no control node is reachable; check the seeds and the core machines")
-	errWrongAnswer   = errors.New("a control node answered with another frame; run the same version everywhere")
-	errLeaderChanged = errors.New("the key changed leaders meanwhile; ask again")
-	errNoLeader      = errors.New("the key has no leader just now; try again in a second")
+	errNoControlNode      = errors.New("no control node is reachable; check the seeds and the core machines")
+	errUnexpectedResponse = errors.New("unexpected response of a control node; run the same version on all machines")
+	errLeaderChanged      = errors.New("the leader of the key changed during the operation; try again")
+	errNoLeader           = errors.New("the key has no leader; try again in a second")
 )
 
-// Propose has a control node carry an operation on a key out, and waits up to timeoutUS
-// microseconds for its end. An error means that the outcome is not known. A put is not
-// repeated after an attempt without an answer: it may have taken effect.
+// Propose has a control node execute an operation on a key, and waits up to timeoutUS
+// microseconds for the result. If it returns an error, the outcome is unknown. A put is not
+// retried after an attempt without a response, because it may have taken effect.
 func (s *Session) Propose(ctx context.Context, operation *fb.OperationRequestT, timeoutUS int64) (*fb.OperationResponseT, error) {
 	deadline := clock.Now() + timeoutUS
 	isPut := operation.Type == byte(quorum.OpPut)
@@ -46,7 +46,7 @@
 				return nil, err
 			}
 		case response == nil:
-			last = errWrongAnswer
+			last = errUnexpectedResponse
 		case quorum.Status(response.Status) == quorum.StatusUnknown && !isPut:
 			last = errLeaderChanged
 		case quorum.Status(response.Status) == quorum.StatusNotLeader:
@@ -54,15 +54,15 @@
 		default:
 			return response, nil
 		}
-		if !taskgroup.Sleep(ctx, attemptPause) {
+		if !taskgroup.Sleep(ctx, retryInterval) {
 			break
 		}
 	}
 	return nil, last
 }
 
-// propose is one attempt at one control node. The response is nil if the answer was none
-// to an operation.
+// propose makes one attempt at one control node. The returned response is nil if the received
+// frame has none to an operation.
 func (s *Session) propose(ctx context.Context, addr string, operation *fb.OperationRequestT, timeoutUS int64) (*fb.OperationResponseT, error) {
 	request := *operation
 	frame, err := s.peers.Get(addr).Call(ctx, &fb.FrameT{OperationRequest: &request}, timeoutUS)
--- a/internal/app/session/session.go
+++ b/internal/app/session/session.go
@@ -18,11 +18,11 @@
 // Microseconds.
 const (
 	heartbeatInterval = 150_000
-	heartbeatTimeout  = 600_000 // for one control node's answer
+	heartbeatTimeout  = 600_000 // for the response of one control node
 )
 
-// View is what a session knows: the plan in force, and the live nodes. It never changes
-// once published.
+// View has the state that a session gets from the control nodes: the plan and the live nodes.
+// It is immutable once published.
 type View struct {
 	plan.Cached
 	Nodes      []*fb.NodeT
@@ -38,11 +38,11 @@
 	view  atomic.Pointer[View]
 
 	mu           sync.Mutex
-	controlNodes []string // addresses of the voters, as last told by one of them
-	current      string   // address of the one that keeps the session; "" if none
+	controlNodes []string // addresses of the voters, from the latest response that had them
+	current      string   // address of the control node that the session is with; "" if none
 }
 
-// New makes a session; Run starts it. Self is this node's own state, asked at each
+// New creates a session; Run starts it. self returns this node's own state, for each
 // heartbeat.
 func New(group *taskgroup.Group, peers *transport.PeerPool, seeds []string, self func() *fb.NodeT) *Session {
 	s := &Session{group: group, peers: peers, seeds: seeds, self: self}
@@ -53,15 +53,15 @@
 // View returns the newest view.
 func (s *Session) View() *View { return s.view.Load() }
 
-// Run keeps the session up until the group stops.
+// Run starts sending heartbeats, until the group stops.
 func (s *Session) Run() {
 	s.group.Go("session", func(ctx context.Context) {
 		taskgroup.Every(ctx, clock.Duration(heartbeatInterval), s.heartbeat)
 	})
 }
 
-// candidates lists the control nodes to try: the current one first, then the others by
-// this node's own preference, so that nodes spread.
+// candidates lists the control nodes to try: the current one first, then the others in this
+// node's own order of preference, so that nodes spread over the control nodes.
 func (s *Session) candidates() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	return addrs
 }
 
-// heartbeat sends a heartbeat to the first control node that answers.
+// heartbeat sends a heartbeat to one control node after another until one responds.
 func (s *Session) heartbeat(ctx context.Context) {
 	for _, addr := range s.candidates() {
 		before := s.view.Load()
@@ -97,17 +97,17 @@
 			return
 		}
 		if err != nil || frame.HeartbeatResponse == nil {
-			s.noteUnanswered(addr)
+			s.closeSession(addr)
 			continue
 		}
-		s.noteAnswered(addr, frame.HeartbeatResponse.ControlNodes)
+		s.openSession(addr, frame.HeartbeatResponse.ControlNodes)
 		s.publish(before, frame.HeartbeatResponse, sentAt)
 		return
 	}
 }
 
-// noteUnanswered ends the session with a control node that does not answer.
-func (s *Session) noteUnanswered(addr string) {
+// closeSession ends the session if it is with the given control node, which did not respond.
+func (s *Session) closeSession(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current == addr {
@@ -116,8 +116,9 @@
 	}
 }
 
-// noteAnswered keeps who answered, and the voters that it knows.
-func (s *Session) noteAnswered(addr string, controlNodes []string) {
+// openSession makes the control node that responded the current one, and stores the voters'
+// addresses from its response.
+func (s *Session) openSession(addr string, controlNodes []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current != addr {
@@ -129,8 +130,8 @@
 	}
 }
 
-// publish publishes a new view. The age counts from before the heartbeat was sent, so that
-// whatever the answer went through is in it (design §3).
+// publish publishes a new view. The age of the plan counts from before the heartbeat was sent,
+// so that it includes any delay of the response (docs/design.md §3).
 func (s *Session) publish(before *View, response *fb.HeartbeatResponseT, sentAt int64) {
 	next := *before
 	next.Nodes = response.Nodes
