--- a/internal/app/agent/server.go
+++ b/internal/app/agent/server.go
@@ -19,17 +19,17 @@
 	"violetthread/schema/fb"
 )
 
-// Settings of an agent: those of every node. Name is that of its proxy.
+// Settings of an agent are those of every node. Name is the name of its proxy.
 type Settings struct{ daemon.NodeSettings }
 
-// Defaults of the settings.
+// Defaults returns the default settings.
 func Defaults() Settings { return Settings{daemon.NodeSettings{DrainUS: 500_000}} }
 
 // Microseconds.
 const (
 	queryInterval    = 120_000   // between two rounds of queries to the index nodes
-	queryTimeout     = 700_000   // for the response to one
-	operationTimeout = 1_900_000 // for an operation on a control key that the proxy asked for
+	queryTimeout     = 700_000   // for the response to a query
+	operationTimeout = 1_900_000 // for an operation on a control key that the proxy requested
 )
 
 // server is a running agent.
@@ -38,13 +38,13 @@
 	daemon    *daemon.Daemon
 	peers     *transport.PeerPool
 	session   *session.Session
-	proxyNode atomic.Pointer[fb.NodeT] // the proxy's own state, as it last polled, for heartbeats
+	proxyNode atomic.Pointer[fb.NodeT] // the proxy's state from its latest poll, for heartbeats
 
 	mu    sync.Mutex // guards agent
 	agent *agent.Agent
 }
 
-// Run runs an agent until it is told to stop.
+// Run runs an agent until it is stopped.
 func Run(settings Settings) error {
 	process, err := NewDaemon(settings)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return process.Run()
 }
 
-// NewDaemon makes an agent as a process, ready to Run. Its loops run from here on.
+// NewDaemon creates the daemon of an agent and starts its loops. The caller runs it with Run.
 func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	s.session = session.New(process.Group, s.peers, settings.Seeds, s.proxyNode.Load)
 	listener, err := net.Listen("tcp", settings.TransportAddr)
 	if err != nil {
-		return nil, trace.ConnectionProblem(err, "can't listen on %s; give --wire a free loopback IP:port", settings.TransportAddr)
+		return nil, trace.ConnectionProblem(err, "can't listen on %s; set --wire to a free loopback IP:port", settings.TransportAddr)
 	}
 	transport.Serve(process.Group, listener, s.handleFrame)
 	s.session.Run()
@@ -84,13 +84,13 @@
 	return process, nil
 }
 
-// check tells what is wrong with settings that are well-formed.
+// check validates settings beyond their form.
 func (s Settings) check() error {
 	if s.TransportAddr == "" || len(s.Seeds) == 0 {
-		return trace.BadParameter("wire and seeds are needed; give --wire a loopback IP:port and --seeds the control nodes' addresses")
+		return trace.BadParameter("settings wire and seeds are required; set --wire to a loopback IP:port and --seeds to the addresses of the control nodes")
 	}
 	if host, _, _ := net.SplitHostPort(s.TransportAddr); !net.ParseIP(host).IsLoopback() {
-		return trace.BadParameter("wire must be on loopback, beside its proxy; give --wire 127.0.0.1:port")
+		return trace.BadParameter("setting wire must be a loopback address, on the machine of the proxy; set --wire to 127.0.0.1:port")
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 	s.daemon.Gauge("plan_age_us", "time since the plan was vouched for", func() float64 { return float64(s.session.View().Age(clock.Now())) })
 }
 
-// handleFrame answers the proxy.
+// handleFrame handles the requests of the proxy.
 func (s *server) handleFrame(ctx context.Context, frame *fb.FrameT) *fb.FrameT {
 	switch {
 	case frame.FeedRequest != nil && frame.FeedRequest.Node != nil:
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// feedProxy answers a poll of the proxy.
+// feedProxy answers the proxy's poll.
 func (s *server) feedProxy(poll *fb.FeedRequestT) *fb.FeedResponseT {
 	s.proxyNode.Store(poll.Node)
 	s.mu.Lock()
@@ -120,8 +120,8 @@
 	return s.agent.Poll(clock.Now(), &view.Cached, view.Generation, poll)
 }
 
-// execute has a control node carry an operation out. Without an answer it may have taken
-// effect.
+// execute has a control node execute an operation. If there is no response, the operation may
+// still have taken effect.
 func (s *server) execute(ctx context.Context, request *fb.OperationRequestT) *fb.OperationResponseT {
 	response, err := s.session.Propose(ctx, request, operationTimeout)
 	if err != nil {
@@ -131,7 +131,7 @@
 	return response
 }
 
-// queryIndexNodes puts the queries that are due, each on its own.
+// queryIndexNodes sends the queries that are due, each in a goroutine of its own.
 func (s *server) queryIndexNodes(context.Context) {
 	s.mu.Lock()
 	queries := s.agent.Queries(clock.Now(), s.session.View().Nodes)
@@ -141,7 +141,7 @@
 	}
 }
 
-// query puts one query and takes its response in.
+// query sends one query and passes its response to the agent.
 func (s *server) query(ctx context.Context, query agent.Query) {
 	askedAt := clock.Now()
 	answer, err := s.peers.Get(query.Addr).Call(ctx, &fb.FrameT{CapacityRequest: query.Request}, queryTimeout)
