--- a/internal/app/process/process.go
+++ b/internal/app/process/process.go
@@ -1,6 +1,6 @@
-// Package process has what the programs of package app do alike when they start.
+// Package process has the start-up functions that the programs below internal/app share.
 //
-// Its functions are called once each, from the goroutine that makes the daemon.
+// Each function is called once, from the goroutine that creates the daemon.
 package process
 
 import (
@@ -13,8 +13,8 @@
 	"violetthread/recording"
 )
 
-// NewIncarnation draws a number that tells this run of a program from others: 40 random
-// bits, never 0. Those above them are left for what a program numbers itself.
+// NewIncarnation returns a random number that distinguishes this run of a program from others:
+// 40 bits, never 0. The bits above them are free for the program's own numbering.
 func NewIncarnation() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -23,8 +23,8 @@
 	return binary.LittleEndian.Uint64(b[:])>>24 | 1, nil
 }
 
-// StartRecording starts the recording that the settings ask for, which ends with the daemon.
-// It returns nil if they ask for none: a nil writer records nothing.
+// StartRecording starts a recording if the settings name a file for it, and closes it when the
+// daemon stops. Otherwise it returns nil; a nil writer records nothing.
 func StartRecording(d *daemon.Daemon, settings daemon.RecordingSettings, header recording.Header) (*recording.Writer, error) {
 	if settings.Recording == "" {
 		return nil, nil
