--- a/agent/agent.go
+++ b/agent/agent.go
@@ -8,52 +8,51 @@
 	"violetthread/schema/fb"
 )
 
-// proxyTimeout is how long a proxy's last poll counts as its demand, in microseconds.
+// proxyTimeout is how long the demand in a proxy's last poll remains valid, in microseconds.
 const proxyTimeout = 800_000
 
-// Agent is that of one proxy. It is not safe for concurrent use.
+// Agent is the agent of one proxy. It is not safe for concurrent use.
 type Agent struct {
 	name, zone   string
 	lastPoll     fb.FeedRequestT
 	polledAt     int64
-	polled       bool                  // the proxy polled once
+	polled       bool                  // whether the proxy has ever polled
 	sources      map[string]*indexNode // by the index node's name
 	cacheUpdates updateBatch
 	relayTurn    int // rotates the index nodes that relay queries
 }
 
-// indexNode is what came from one index node, and what is to go there.
+// indexNode is the state of one index node: its grants, and the reports to send to it.
 type indexNode struct {
 	grants  []*fb.GrantT
-	askedAt int64           // when the query was put that brought them
-	engines map[string]bool // that it owns
-	// Reports of the proxy that wait for the next query.
-	imports []*fb.TransferT
-	seen    []*fb.OutcomesT
+	askedAt int64           // when the query that returned the grants was sent
+	engines map[string]bool // the engines that it owns
+	// Reports of the proxy that the next query will send.
+	transfers []*fb.TransferT
+	outcomes  []*fb.OutcomesT
 
-	busy       bool  // a query is under way
-	relayUntil int64 // it is queried through another index node until then
+	inFlight   bool  // whether a query is in flight
+	relayUntil int64 // until then it is queried through another index node
 }
 
-// updateBatch is a batch of cache updates that waits for the proxy to fetch it.
+// updateBatch is a batch of cache updates for the proxy's next poll.
 type updateBatch struct {
 	incarnation, since, next uint64
 	reset, present           bool
 	updates                  []*fb.CacheUpdateT
 }
 
-// follows reports whether a proxy that asks from this position can use the batch.
+// follows reports whether a proxy at this position in the feed can apply the batch.
 func (b *updateBatch) follows(incarnation, since uint64) bool {
 	return b.present && (b.reset || b.incarnation == incarnation && b.since == since)
 }
 
-// New makes the agent of the proxy of that name.
+// New returns the agent of the proxy of the given name and zone.
 func New(name, zone string) *Agent {
 	return &Agent{name: name, zone: zone, sources: map[string]*indexNode{}}
 }
 
-// Poll answers the proxy with plan, grants and cache updates, and takes in its demand and
-// its reports.
+// Poll stores the proxy's demand and reports, and returns the plan, grants and cache updates.
 func (a *Agent) Poll(now int64, cached *plan.Cached, generation uint64, request *fb.FeedRequestT) *fb.FeedResponseT {
 	a.lastPoll, a.polledAt, a.polled = *request, now, true
 	response := &fb.FeedResponseT{Revision: cached.Revision, Age: cached.Age(now), Confirmed: cached.Known, Generation: generation}
@@ -76,24 +75,24 @@
 	return response
 }
 
-// queueReports keeps what the proxy reports of engines for the index nodes that own them.
+// queueReports queues the proxy's reports on engines for the index nodes that own them.
 func (a *Agent) queueReports(request *fb.FeedRequestT) {
-	for _, imported := range request.Transfers {
-		if source := a.owner(imported.Engine); source != nil {
-			source.imports = append(source.imports, imported)
+	for _, transfer := range request.Transfers {
+		if source := a.owner(transfer.Engine); source != nil {
+			source.transfers = append(source.transfers, transfer)
 		}
 	}
-	for _, seen := range request.Outcomes {
-		if source := a.owner(seen.Engine); source != nil {
-			source.seen = append(source.seen, seen)
+	for _, outcome := range request.Outcomes {
+		if source := a.owner(outcome.Engine); source != nil {
+			source.outcomes = append(source.outcomes, outcome)
 		}
 	}
 }
 
-// sourceNames lists the index nodes, by name.
+// sourceNames lists the names of the index nodes, sorted.
 func (a *Agent) sourceNames() []string { return slices.Sorted(maps.Keys(a.sources)) }
 
-// owner is the index node that owns an engine, or nil.
+// owner returns the index node that owns an engine, or nil.
 func (a *Agent) owner(engine string) *indexNode {
 	for _, name := range a.sourceNames() {
 		if a.sources[name].engines[engine] {
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -8,7 +8,7 @@
 	"violetthread/schema/fb"
 )
 
-// indexNodes are index nodes of these names; i1 listens at addr1.
+// indexNodes returns index nodes of the given names; the address of i1 is addr1.
 func indexNodes(names ...string) (nodes []*fb.NodeT) {
 	for _, name := range names {
 		nodes = append(nodes, &fb.NodeT{Name: name, Role: membership.RoleIndexNode, Addr: addrOf(name)})
@@ -18,7 +18,7 @@
 
 func addrOf(indexNode string) string { return "addr" + indexNode[1:] }
 
-// queriesByNode polls an agent and returns its queries by the index node that each is for.
+// queriesByNode polls an agent and returns its queries, by destination index node.
 func queriesByNode(t *testing.T, a *Agent, now int64, nodes []*fb.NodeT) map[string]Query {
 	t.Helper()
 	a.Poll(now, &plan.Cached{}, 0, &fb.FeedRequestT{})
@@ -32,8 +32,9 @@
 	return queries
 }
 
-// TestAsksGoRoundACutLink: an index node that does not answer is queried through one that
-// does, whose replies keep their age, and directly again after a while.
+// TestAsksGoRoundACutLink: an index node that does not respond is queried through one that
+// does, and directly again after relayDuration. The grants in relayed responses keep their
+// age.
 func TestAsksGoRoundACutLink(t *testing.T) {
 	a := New("proxy", "north")
 	nodes := indexNodes("i1", "i2", "i3")
@@ -56,7 +57,7 @@
 		t.Fatalf("%+v", query)
 	}
 	if _, busy := queries["i3"]; busy {
-		t.Fatal("i3 was queried twice at a time")
+		t.Fatal("a second query to i3 while the first is in flight")
 	}
 	a.HandleResponse(queries["i1"], now, &fb.CapacityResponseT{Grants: []*fb.GrantT{{Engine: "e", Age: 7}}})
 	if response := a.Poll(now+50, &plan.Cached{}, 0, &fb.FeedRequestT{}); len(response.Grants) != 1 || response.Grants[0].Age != 57 {
@@ -67,8 +68,9 @@
 	}
 }
 
-// TestNobodyPassesOn: with no other index node that answers, the one is queried directly.
-func TestNobodyPassesOn(t *testing.T) {
+// TestQueriedDirectlyWithoutRelay: if no other index node responds, an index node is queried
+// directly.
+func TestQueriedDirectlyWithoutRelay(t *testing.T) {
 	a := New("proxy", "north")
 	nodes := indexNodes("i1", "i2")
 	a.Poll(0, &plan.Cached{}, 0, &fb.FeedRequestT{})
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,20 +1,20 @@
-// Package agent is the deciding part of the agent beside a proxy: it gathers grants of
-// engines and cache updates from every index node and hands them on with their ages
-// (docs/design.md §3).
+// Package agent implements the decision logic of the agent beside a proxy: it collects grants
+// of engines and cache updates from all index nodes, and passes them to the proxy with their
+// ages (docs/design.md §3).
 //
 // # Protocol
 //
-// The proxy polls its agent with its demand (Agent.Poll). The agent queries every index
-// node for what the proxy may send (Agent.Queries), one query at a time to each, and takes
-// the response in (Agent.HandleResponse). An index node that does not answer is queried through
-// another one for a while: with a part of the network lost, the owner of an engine may be
+// The proxy polls its agent with its demand (Agent.Poll). The agent queries every index node
+// for grants and cache updates (Agent.Queries), one query at a time to each, and applies the
+// response (Agent.HandleResponse). An index node that does not respond is queried through
+// another one for a while: in a partial network partition, the owner of an engine may be
 // unreachable from a proxy that reaches the engine itself.
 //
-// A grant's age counts from before the query that brought it, whatever its way. Responses
-// may be lost: the next one replaces what the last one said.
+// A grant's age counts from before the query that returned it was sent, also if the query was
+// relayed. Responses may be lost: the next response replaces the previous one.
 //
 // # Assumptions
 //
-// The package is pure: it has no clock, and times are microseconds of the caller's
-// monotonic clock. An Agent belongs to one goroutine at a time.
+// The package does no I/O and reads no clock. Times are in microseconds of the caller's
+// monotonic clock. An Agent is used by one goroutine at a time.
 package agent
--- a/agent/query.go
+++ b/agent/query.go
@@ -9,24 +9,24 @@
 // one before it is queried directly again, in microseconds.
 const relayDuration = 3_000_000
 
-// Query is a question for the index node named IndexNode, to be sent to the one named Via
-// at Addr: the same one, or another that relays it.
+// Query is a request for the index node named IndexNode. It is sent to the index node named
+// Via at Addr, which is the same one, or another that relays it.
 type Query struct {
 	IndexNode, Via, Addr string
 	Request              *fb.CapacityRequestT
 }
 
-// Queries lists the queries to put now: one to each index node that has answered the last
-// one, so that a slow one holds up nobody. Each must end in HandleResponse.
+// Queries returns the queries to send now: one to each index node that has none in flight, so
+// that a slow index node does not delay the others. HandleResponse must be called for each.
 func (a *Agent) Queries(now int64, nodes []*fb.NodeT) []Query {
 	live := addrsOfIndexNodes(nodes)
 	for name, source := range a.sources {
-		if live[name] == "" && !source.busy {
+		if live[name] == "" && !source.inFlight {
 			delete(a.sources, name)
 		}
 	}
 	if !a.polled || now-a.polledAt > proxyTimeout {
-		return nil // no proxy, no demand
+		return nil // the proxy does not poll: there is no demand to report
 	}
 	for name := range live {
 		if a.sources[name] == nil {
@@ -35,14 +35,14 @@
 	}
 	var queries []Query
 	for _, name := range a.sourceNames() {
-		if source := a.sources[name]; !source.busy && live[name] != "" {
+		if source := a.sources[name]; !source.inFlight && live[name] != "" {
 			queries = append(queries, a.query(now, name, live))
 		}
 	}
 	return queries
 }
 
-// addrsOfIndexNodes is where each index node listens, by name.
+// addrsOfIndexNodes returns the address of each index node, by name.
 func addrsOfIndexNodes(nodes []*fb.NodeT) map[string]string {
 	addrs := map[string]string{}
 	for _, node := range nodes {
@@ -53,10 +53,10 @@
 	return addrs
 }
 
-// query begins a query to an index node; the reports that wait for it go along.
+// query returns a new query to an index node, which includes the reports queued for it.
 func (a *Agent) query(now int64, name string, live map[string]string) Query {
 	source := a.sources[name]
-	source.busy = true
+	source.inFlight = true
 	request := &fb.CapacityRequestT{
 		Proxy:              a.name,
 		Zone:               a.zone,
@@ -64,10 +64,10 @@
 		Active:             a.lastPoll.Active,
 		UpdatesIncarnation: a.lastPoll.UpdatesIncarnation,
 		UpdatesSince:       a.lastPoll.UpdatesSince,
-		Transfers:          source.imports,
-		Outcomes:           source.seen,
+		Transfers:          source.transfers,
+		Outcomes:           source.outcomes,
 	}
-	source.imports, source.seen = nil, nil
+	source.transfers, source.outcomes = nil, nil
 	via := a.relay(now, name, live)
 	if via != name {
 		request.To = name
@@ -75,8 +75,8 @@
 	return Query{IndexNode: name, Via: via, Addr: live[via], Request: request}
 }
 
-// relay is the index node to send a query for an index node to: that one, or, for a while
-// after it did not answer, one of those that do.
+// relay returns the index node to which the query for the given index node is sent: the same
+// one, or, for relayDuration after it did not respond, another one that responds.
 func (a *Agent) relay(now int64, name string, live map[string]string) string {
 	if now >= a.sources[name].relayUntil {
 		return name
@@ -94,15 +94,15 @@
 	return others[a.relayTurn%len(others)]
 }
 
-// HandleResponse takes in the response to a query that was put at a time; nil if there was
-// none. What the query reported may be lost then, which cache locations and transfer scores
-// tolerate.
+// HandleResponse applies the response to a query that was sent at time askedAt; nil if there
+// was none. In that case the reports in the query may be lost, which cache locations and
+// transfer scores tolerate.
 func (a *Agent) HandleResponse(query Query, askedAt int64, response *fb.CapacityResponseT) {
 	source := a.sources[query.IndexNode]
 	if source == nil {
 		return
 	}
-	source.busy = false
+	source.inFlight = false
 	if response == nil {
 		if query.Via == query.IndexNode {
 			source.relayUntil = askedAt + relayDuration
