--- a/client/client.go
+++ b/client/client.go
@@ -1,9 +1,9 @@
-// Package client is the Go client of the product's own interface, for callers. All of it
-// but this file is generated from schema/caller.yaml by scripts/schema; docs/caller-api.md
-// says what the calls mean.
+// Package client is the Go client of the product's own interface, for callers. Except for this
+// file, it is generated from schema/caller.yaml by scripts/schema. docs/caller-api.md
+// describes the calls.
 //
-// A Client may be used from any goroutine. Errors of its methods are those of net/http; an
-// answer that was not taken in is a frame with a reason and a remedy.
+// A Client is safe for concurrent use. Its methods return the errors of net/http; a call that
+// is not accepted is answered with a frame that has a reason and a remedy.
 package client
 
 import (
@@ -11,14 +11,14 @@
 	"net/http"
 )
 
-// Names of the frames that end an answer.
+// Names of the frames that end a response.
 const (
-	FrameDone    = "done"    // ran once, to its end
-	FrameRefused = "refused" // never ran and never will
-	FrameUnknown = "unknown" // it may have run
+	FrameDone    = "done"    // the request ran once, to its end
+	FrameRefused = "refused" // the request never ran and never will
+	FrameUnknown = "unknown" // the request may have run
 )
 
-// WithKey sends a group's key with every call.
+// WithKey makes the client send a group's key with every call.
 func WithKey(key string) ClientOption {
 	return WithRequestEditorFn(func(_ context.Context, request *http.Request) error {
 		request.Header.Set("Authorization", "Bearer "+key)
@@ -26,8 +26,8 @@
 	})
 }
 
-// Last reports whether no frame may follow. An answer without such a frame is incomplete
-// and counts as unknown.
+// Last reports whether the frame ends its response. A response without such a frame is
+// incomplete, and its outcome counts as unknown.
 func (f Frame) Last() bool {
 	return f.Frame == FrameDone || f.Frame == FrameRefused || f.Frame == FrameUnknown
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -11,7 +11,7 @@
 	"violetthread/internal/callerapi"
 )
 
-// fieldKinds are the kinds of a struct's fields by their names in JSON.
+// fieldKinds returns the kinds of a struct's fields, by their JSON names.
 func fieldKinds(value any) map[string]reflect.Kind {
 	kinds := map[string]reflect.Kind{}
 	structType := reflect.TypeOf(value)
@@ -27,8 +27,8 @@
 	return kinds
 }
 
-// TestSchemaIsWhatIsServed: the proxy's types and the schema's have the same fields.
-func TestSchemaIsWhatIsServed(t *testing.T) {
+// TestSchemaMatchesProxy: the proxy's types and the schema's have the same fields.
+func TestSchemaMatchesProxy(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		schema, served any
@@ -39,24 +39,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if schema, served := fieldKinds(c.schema), fieldKinds(c.served); !reflect.DeepEqual(schema, served) {
-				t.Errorf("the schema says %v, the proxy %v", schema, served)
+				t.Errorf("the schema has the fields %v, the proxy %v", schema, served)
 			}
 		})
 	}
 }
 
-// TestLast: the frames that end an answer are those of the proxy.
+// TestLast: client and proxy agree on which frames end a response.
 func TestLast(t *testing.T) {
 	for _, name := range []string{
 		callerapi.FrameAccepted, callerapi.FramePiece, callerapi.FrameDone, callerapi.FrameRefused, callerapi.FrameUnknown, "",
 	} {
 		if last, served := (Frame{Frame: name}).Last(), (callerapi.Frame{Frame: name}).Last(); last != served {
-			t.Errorf("frame %q: last is %v here and %v at the proxy", name, last, served)
+			t.Errorf("frame %q: Last is %v in the client and %v in the proxy", name, last, served)
 		}
 	}
 }
 
-// TestWithKey: the key goes with every call.
+// TestWithKey: the key is sent with a call.
 func TestWithKey(t *testing.T) {
 	var got string
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
