--- a/recording/reader.go
+++ b/recording/reader.go
@@ -11,40 +11,40 @@
 
 const readBufferBytes = 1 << 20
 
-// What is wrong with a recording, for errors.Is.
+// Errors of Read, for errors.Is.
 var (
-	// ErrEmpty means that there is no complete first line.
+	// ErrEmpty is returned if there is no complete first line.
 	ErrEmpty = errors.New("the recording is empty; record one with --recording")
-	// ErrNoRecording means that the first line is no Header.
-	ErrNoRecording = errors.New("this is no recording; give a file that a daemon wrote with --recording")
+	// ErrNotRecording is returned if the first line is not a valid Header.
+	ErrNotRecording = errors.New("the file is not a recording; specify one that a daemon wrote with --recording")
 )
 
-// VersionError is a recording of another version.
+// VersionError is returned for a recording of another version.
 type VersionError struct{ Recorded int }
 
-// Error names the remedy.
+// Error returns a message that names the remedy.
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("the recording has version %d and this program replays %d; use the program that wrote it", e.Recorded, Version)
+	return fmt.Sprintf("the recording has version %d, but this program replays version %d; use the program that wrote it", e.Recorded, Version)
 }
 
-// LineError is a line that is no Event.
+// LineError is returned for a line that is not a valid Event.
 type LineError struct {
 	Line int // from 1
 	Err  error
 }
 
-// Error names the remedy.
+// Error returns a message that names the likely causes.
 func (e *LineError) Error() string {
-	return fmt.Sprintf("line %d is broken: %v; the recording was changed or its disk is failing", e.Line, e.Err)
+	return fmt.Sprintf("line %d is invalid: %v; the recording was modified or its disk is failing", e.Line, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Read calls onHeader for the first line and onEvent for every one after it, with the
-// line's number from 1, and ends with the first error that either returns. A last line
-// that was cut off is left out. Beside those errors and the reader's own it returns
-// ErrEmpty, ErrNoRecording, a *VersionError or a *LineError.
+// Read calls onHeader for the first line and onEvent for every further line with its number,
+// counted from 1. It stops at the first error that either returns. An incomplete last line is
+// ignored. Apart from those errors and the reader's own, Read returns ErrEmpty,
+// ErrNotRecording, a *VersionError or a *LineError.
 func Read(reader io.Reader, onHeader func(Header) error, onEvent func(line int, event Event) error) error {
 	buffered := bufio.NewReaderSize(reader, readBufferBytes)
 	for number := 1; ; number++ {
@@ -71,7 +71,7 @@
 func readHeader(line []byte, onHeader func(Header) error) error {
 	var header Header
 	if err := decodeLine(line, &header); err != nil || header.Version == 0 {
-		return ErrNoRecording
+		return ErrNotRecording
 	}
 	if header.Version != Version {
 		return &VersionError{header.Version}
--- a/recording/recording_test.go
+++ b/recording/recording_test.go
@@ -23,7 +23,7 @@
 	return w, path
 }
 
-// read returns a recording's events in short.
+// read returns a summary of each event of a recording.
 func read(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := os.Open(path)
@@ -36,7 +36,7 @@
 		want := header
 		want.Version = recording.Version
 		if got != want {
-			t.Errorf("header %+v, not %+v", got, want)
+			t.Errorf("header %+v, want %+v", got, want)
 		}
 		return nil
 	}, func(line int, event recording.Event) error {
@@ -53,17 +53,18 @@
 	w, path := create(t, 1<<20)
 	w.Record(5, "tick", nil, []int{1})
 	w.Record(6, "plan", map[string]int{"rev": 2}, nil)
-	w.Record(7, "not JSON", func() {}, nil) // left out
+	w.Record(7, "not JSON", func() {}, nil) // can't be encoded: not recorded
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
 	const want = `[2 5 tick  [1] 3 6 plan {"rev":2} ]`
 	if got := fmt.Sprint(read(t, path)); got != want {
-		t.Fatalf("%s, not %s", got, want)
+		t.Fatalf("%s, want %s", got, want)
 	}
 }
 
-// TestBound: a recording ends with the last event that fits, and says so once.
+// TestBound: a recording ends with the last event that fits below the limit, and OnFull is
+// called once.
 func TestBound(t *testing.T) {
 	w, path := create(t, 200)
 	full := 0
@@ -80,7 +81,7 @@
 	}
 	events := read(t, path)
 	if full != 1 || len(content) > 200 || len(events) < 3 || !strings.HasPrefix(events[0], "2 0 tick") {
-		t.Fatalf("%d bytes, %d events, full %d times", len(content), len(events), full)
+		t.Fatalf("%d bytes, %d events, %d calls of OnFull", len(content), len(events), full)
 	}
 }
 
@@ -101,8 +102,8 @@
 	}{
 		{"nothing", "", func(err error) bool { return errors.Is(err, recording.ErrEmpty) }},
 		{"a header cut off", `{"tape":2`, func(err error) bool { return errors.Is(err, recording.ErrEmpty) }},
-		{"another file", "PK\n", func(err error) bool { return errors.Is(err, recording.ErrNoRecording) }},
-		{"another JSON file", "{}\n", func(err error) bool { return errors.Is(err, recording.ErrNoRecording) }},
+		{"another file", "PK\n", func(err error) bool { return errors.Is(err, recording.ErrNotRecording) }},
+		{"another JSON file", "{}\n", func(err error) bool { return errors.Is(err, recording.ErrNotRecording) }},
 		{"another version", `{"tape":1}` + "\n", func(err error) bool {
 			var version *recording.VersionError
 			return errors.As(err, &version) && version.Recorded == 1
--- a/recording/replay/dispatcher.go
+++ b/recording/replay/dispatcher.go
@@ -8,9 +8,9 @@
 	"violetthread/recording"
 )
 
-// Types of the dispatcher's events. The values are stored.
+// Types of the dispatcher's events. The values are stored in recordings.
 const (
-	eventPlan              = "plan" // of both components
+	eventPlan              = "plan" // used by both components
 	eventGrants            = "orders"
 	eventAdmit             = "arrive"
 	eventClaimAnswered     = "claimed"
@@ -20,15 +20,15 @@
 	eventTick              = "tick"
 )
 
-// Dispatcher is a gateway's dispatcher whose calls are recorded. Its methods take the
-// time since boot in microseconds, as those of dispatch.Dispatcher, and pass everything on.
+// Dispatcher is a gateway's dispatcher whose calls are recorded. As in dispatch.Dispatcher,
+// now is the time since boot in microseconds.
 type Dispatcher struct {
 	*dispatch.Dispatcher
 	Writer *recording.Writer // nil records nothing
 }
 
-// action is a dispatch.Action as recordings show it: without the prompt, and with the
-// number of its blocks in place of their keys.
+// action is the recorded form of a dispatch.Action: without the prompt, and with the number of
+// the prompt's blocks in place of their keys.
 type action struct {
 	Type          dispatch.ActionType `json:"do"`
 	Ref           uint64              `json:"ref,omitempty"`
@@ -38,7 +38,7 @@
 	FencingToken  uint64              `json:"epoch,omitempty"`
 	Weights       string              `json:"weights,omitempty"`
 	Blocks        int                 `json:"parts,omitempty"`
-	TransferBlock int                 `json:"take,omitempty"` // index of the block plus 1, 0 for none
+	TransferBlock int                 `json:"take,omitempty"` // index of the block to transfer plus 1, 0 for none
 	TransferNode  uint64              `json:"peer,omitempty"`
 	Outcome       attempt.Outcome     `json:"outcome,omitempty"`
 	Reason        string              `json:"reason,omitempty"`
@@ -68,7 +68,7 @@
 	return a
 }
 
-// dispatcherOutput is what any call of the dispatcher decided.
+// dispatcherOutput is the result of a call of the dispatcher.
 type dispatcherOutput struct {
 	Actions   []action            `json:"acts,omitempty"`
 	Rejection *dispatch.Rejection `json:"refused,omitempty"`
@@ -83,15 +83,15 @@
 	return output
 }
 
-// requestInput is a request as recordings show it: without the caller's words, and with
-// the number of its blocks in place of their keys, which are not needed to decide.
+// requestInput is the recorded form of a request: without the prompt, and with the number of
+// the prompt's blocks in place of their keys, on which decisions don't depend.
 type requestInput struct {
 	dispatch.Request
-	Prompt *string `json:"Prompt,omitempty"` // always nil: hides Request.Prompt
+	Prompt *string `json:"Prompt,omitempty"` // always nil; shadows Request.Prompt
 	Blocks int     `json:"Rows"`
 }
 
-// attemptInput is news of a request or of one of its attempts.
+// attemptInput is the input of the calls that report on a request or one of its attempts.
 type attemptInput struct {
 	Ref       uint64             `json:"ref"`
 	AttemptID string             `json:"attempt,omitempty"`
@@ -100,7 +100,7 @@
 	Cause     string             `json:"why,omitempty"`
 }
 
-// ApplyPlan records and passes on.
+// ApplyPlan calls the dispatcher and records the call.
 func (d *Dispatcher) ApplyPlan(now int64, cached *plan.Cached) []dispatch.Action {
 	isNew := d.Writer != nil && d.PlanRevision() != cached.Revision
 	input := newPlanInput(cached, isNew)
@@ -109,14 +109,14 @@
 	return actions
 }
 
-// ApplyGrants records and passes on.
+// ApplyGrants calls the dispatcher and records the call.
 func (d *Dispatcher) ApplyGrants(now int64, grants []dispatch.EngineGrant) []dispatch.Action {
 	actions := d.Dispatcher.ApplyGrants(now, grants)
 	d.Writer.Record(now, eventGrants, grants, newOutput(actions))
 	return actions
 }
 
-// Admit records and passes on.
+// Admit calls the dispatcher and records the call.
 func (d *Dispatcher) Admit(now int64, request dispatch.Request) ([]dispatch.Action, *dispatch.Rejection) {
 	actions, rejection := d.Dispatcher.Admit(now, request)
 	if d.Writer == nil {
@@ -130,14 +130,14 @@
 	return actions, rejection
 }
 
-// ClaimAnswered records and passes on.
+// ClaimAnswered calls the dispatcher and records the call.
 func (d *Dispatcher) ClaimAnswered(now int64, ref uint64, claim attempt.ClaimState) []dispatch.Action {
 	actions := d.Dispatcher.ClaimAnswered(now, ref, claim)
 	d.Writer.Record(now, eventClaimAnswered, attemptInput{Ref: ref, Claim: claim}, newOutput(actions))
 	return actions
 }
 
-// AttemptProgressed records and passes on.
+// AttemptProgressed calls the dispatcher and records the call.
 func (d *Dispatcher) AttemptProgressed(now int64, ref uint64, attemptID string, state attempt.State, cause string) []dispatch.Action {
 	actions := d.Dispatcher.AttemptProgressed(now, ref, attemptID, state, cause)
 	input := attemptInput{Ref: ref, AttemptID: attemptID, State: state, Cause: cause}
@@ -145,28 +145,28 @@
 	return actions
 }
 
-// AllowFirstByte records and passes on.
+// AllowFirstByte calls the dispatcher and records the call.
 func (d *Dispatcher) AllowFirstByte(now int64, ref uint64, attemptID string) bool {
 	allowed := d.Dispatcher.AllowFirstByte(ref, attemptID)
 	d.Writer.Record(now, eventAllowFirstByte, attemptInput{Ref: ref, AttemptID: attemptID}, dispatcherOutput{Allowed: allowed})
 	return allowed
 }
 
-// Stop records and passes on.
+// Stop calls the dispatcher and records the call.
 func (d *Dispatcher) Stop(now int64, ref uint64, cause string) []dispatch.Action {
 	actions := d.Dispatcher.Stop(now, ref, cause)
 	d.Writer.Record(now, eventStop, attemptInput{Ref: ref, Cause: cause}, newOutput(actions))
 	return actions
 }
 
-// Tick records and passes on.
+// Tick calls the dispatcher and records the call.
 func (d *Dispatcher) Tick(now int64) []dispatch.Action {
 	actions := d.Dispatcher.Tick(now)
 	d.Writer.Record(now, eventTick, nil, newOutput(actions))
 	return actions
 }
 
-// replay makes a recorded call again.
+// replay replays a recorded call.
 func (d *Dispatcher) replay(event recording.Event) (dispatcherOutput, error) {
 	switch event.Type {
 	case eventPlan:
@@ -209,7 +209,7 @@
 	return output, nil
 }
 
-// replayAttempt makes a call again that is about a request or one of its attempts.
+// replayAttempt replays a call that reports on a request or one of its attempts.
 func (d *Dispatcher) replayAttempt(event recording.Event) (dispatcherOutput, error) {
 	input, err := decodeInput[attemptInput](event)
 	if err != nil {
--- a/recording/replay/format_test.go
+++ b/recording/replay/format_test.go
@@ -15,10 +15,10 @@
 	"violetthread/recording"
 )
 
-var update = flag.Bool("update", false, "write testdata/stored_form.txt anew")
+var update = flag.Bool("update", false, "overwrite testdata/stored_form.txt")
 
-// recorded lists every type that is stored in recordings, by the event and the side of
-// it on which it stands.
+// recorded lists every type that is stored in recordings, named after the component, the
+// event types and whether it is an input or output.
 var recorded = []struct {
 	name  string
 	value any
@@ -44,8 +44,8 @@
 	{"index node orders output", []index.EngineGrant{}},
 }
 
-// TestStoredForm: recordings are replayed by later versions of the program, so that the
-// JSON form of what they hold does not follow the names of Go fields.
+// TestStoredForm: later versions of the program replay recordings, so the JSON form of the
+// recorded types must not change when a Go field is renamed.
 func TestStoredForm(t *testing.T) {
 	var got bytes.Buffer
 	for _, entry := range recorded {
@@ -73,17 +73,17 @@
 	}
 	gotLines, wantLines := bytes.Split(got.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
 	if len(gotLines) != len(wantLines) {
-		t.Fatalf("%d recorded types, not %d", len(gotLines)-1, len(wantLines)-1)
+		t.Fatalf("%d recorded types, want %d", len(gotLines)-1, len(wantLines)-1)
 	}
 	for i := range wantLines {
 		if !bytes.Equal(gotLines[i], wantLines[i]) {
-			t.Errorf("the stored form changed:\n got %s\nwant %s", gotLines[i], wantLines[i])
+			t.Errorf("the stored form has changed:\n got %s\nwant %s", gotLines[i], wantLines[i])
 		}
 	}
 }
 
-// fill gives every exported field a value other than its zero value, so that no field
-// is left out of the JSON form.
+// fill sets every exported field to a non-zero value, so that omitempty leaves none out of the
+// JSON form.
 func fill(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
--- a/recording/replay/golden_recordings_test.go
+++ b/recording/replay/golden_recordings_test.go
@@ -12,9 +12,9 @@
 )
 
 // The golden recordings are of a gateway's dispatcher and of an index node in a simulated
-// fleet, as commit 150d7f5 wrote them. The dispatcher's day has no change of weights: a
-// request that was sent to an engine with other weights than it came under can't be
-// replayed, since a recording leaves its prompt out (known at 150d7f5).
+// fleet, written by commit 150d7f5. The weights don't change in the dispatcher's run: a
+// request that is sent to an engine with other weights than those it was admitted under can't
+// be replayed, because recordings leave out the prompt (a known limitation at 150d7f5).
 const goldenRecordings = "testdata/golden_recordings"
 
 func TestGoldenRecordings(t *testing.T) {
@@ -27,7 +27,7 @@
 			}
 			calls, err := replay.Replay(bytes.NewReader(stored))
 			if err != nil || calls != events {
-				t.Fatalf("%d events replayed, not %d: %v", calls, events, err)
+				t.Fatalf("%d events replayed, want %d: %v", calls, events, err)
 			}
 			for cut := 0; cut < len(stored); cut += len(stored)/37 + 1 {
 				replayCut(t, stored[:cut])
@@ -36,7 +36,7 @@
 	}
 }
 
-// replayCut replays the beginning of a recording: each whole line counts.
+// replayCut replays the beginning of a recording. Every complete line must be replayed.
 func replayCut(t *testing.T, beginning []byte) {
 	t.Helper()
 	calls, err := replay.Replay(bytes.NewReader(beginning))
@@ -48,6 +48,6 @@
 		return
 	}
 	if err != nil || calls != lines-1 {
-		t.Errorf("cut at %d: %d events replayed, not %d: %v", len(beginning), calls, lines-1, err)
+		t.Errorf("cut at %d: %d events replayed, want %d: %v", len(beginning), calls, lines-1, err)
 	}
 }
--- a/recording/replay/indexnode.go
+++ b/recording/replay/indexnode.go
@@ -7,7 +7,8 @@
 	"violetthread/recording"
 )
 
-// Types of the index node's events, beside eventPlan. The values are stored.
+// Types of the index node's events, in addition to eventPlan. The values are stored in
+// recordings.
 const (
 	eventPeers         = "peers"
 	eventListing       = "listing"
@@ -20,23 +21,23 @@
 	eventIssueGrants   = "orders"
 )
 
-// IndexNode is an index node whose calls are recorded as far as they move its decisions:
-// plans, peers, listings, leases, reports and demands in; lease operations, polls, weight
-// updates and grants out. Its methods take the time since boot in microseconds, as those
-// of index.Node, and pass everything on.
+// IndexNode is an index node whose calls are recorded as far as they affect the recorded
+// decisions. Inputs are plans, peers, listings, results of lease operations, holdings, reports
+// and grant requests; outputs are the placement, lease operations, polls, weight updates and
+// grants. As in index.Node, now is the time since boot in microseconds.
 type IndexNode struct {
 	*index.Node
 	Writer *recording.Writer // nil records nothing
 }
 
-// listingInput is the platform's list of engines, or that the last one still stands.
+// listingInput is the platform's list of engines, or the information that it is unchanged.
 type listingInput struct {
 	ListedAt  int64                `json:"At"` // time since boot in microseconds
 	Engines   []index.ListedEngine `json:"List"`
 	Unchanged bool                 `json:"Stands,omitempty"`
 }
 
-// leaseInput is the answer to a lease operation.
+// leaseInput is the result of a lease operation.
 type leaseInput struct {
 	Op      index.LeaseOp `json:"Ask"`
 	AskedAt int64         `json:"Asked"` // time since boot in microseconds
@@ -44,7 +45,7 @@
 	Token   uint64        `json:"Epoch"`
 }
 
-// holdingsInput is all blocks that an engine holds.
+// holdingsInput has all blocks that an engine has cached.
 type holdingsInput struct {
 	Engine      string           `json:"Engine"`
 	Incarnation uint64           `json:"Inc"`
@@ -59,7 +60,7 @@
 	Report  index.Report `json:"Report"`
 }
 
-// ApplyPlan records and passes on.
+// ApplyPlan calls the index node and records the call.
 func (n *IndexNode) ApplyPlan(now int64, cached *plan.Cached) {
 	isNew := n.Writer != nil && n.PlanRevision() != cached.Revision
 	input := newPlanInput(cached, isNew)
@@ -67,71 +68,72 @@
 	n.Writer.Record(now, eventPlan, input, nil)
 }
 
-// SetPeers records and passes on. What it moves is the placement of roles.
+// SetPeers calls the index node and records the call, with the resulting placement as output.
 func (n *IndexNode) SetPeers(now int64, peers []index.Peer) {
 	n.Node.SetPeers(peers)
 	n.Writer.Record(now, eventPeers, peers, n.Placement())
 }
 
-// SetListing records and passes on.
+// SetListing calls the index node and records the call.
 func (n *IndexNode) SetListing(now, listedAt int64, engines []index.ListedEngine) {
 	n.Node.SetListing(listedAt, engines)
 	n.Writer.Record(now, eventListing, listingInput{ListedAt: listedAt, Engines: engines}, nil)
 }
 
-// ConfirmListing records and passes on.
+// ConfirmListing calls the index node and records the call.
 func (n *IndexNode) ConfirmListing(now, listedAt int64) {
 	n.Node.ConfirmListing(listedAt)
 	n.Writer.Record(now, eventListing, listingInput{ListedAt: listedAt, Unchanged: true}, nil)
 }
 
-// LeaseOps records and passes on.
+// LeaseOps calls the index node and records the call.
 func (n *IndexNode) LeaseOps(now int64) []index.LeaseOp {
 	ops := n.Node.LeaseOps(now)
 	n.Writer.Record(now, eventLeaseOps, nil, ops)
 	return ops
 }
 
-// LeaseAnswered records and passes on.
+// LeaseAnswered calls the index node and records the call.
 func (n *IndexNode) LeaseAnswered(now int64, op index.LeaseOp, askedAt int64, ok bool, token uint64) {
 	n.Node.LeaseAnswered(now, op, askedAt, ok, token)
 	n.Writer.Record(now, eventLeaseAnswered, leaseInput{op, askedAt, ok, token}, nil)
 }
 
-// Polls records and passes on: an engine that is polled for the first time becomes known.
+// Polls calls the index node and records the call. It must be replayed, because it creates the
+// state of engines that are polled for the first time.
 func (n *IndexNode) Polls(now int64) []index.Poll {
 	polls := n.Node.Polls(now)
 	n.Writer.Record(now, eventPolls, nil, polls)
 	return polls
 }
 
-// WeightUpdates records and passes on.
+// WeightUpdates calls the index node and records the call.
 func (n *IndexNode) WeightUpdates(now int64) []index.WeightUpdate {
 	updates := n.Node.WeightUpdates(now)
 	n.Writer.Record(now, eventWeightUpdates, nil, updates)
 	return updates
 }
 
-// ResetHoldings records and passes on.
+// ResetHoldings calls the index node and records the call.
 func (n *IndexNode) ResetHoldings(now int64, engine string, incarnation, seq uint64, blocks []cacheindex.Key) {
 	n.Node.ResetHoldings(now, engine, incarnation, seq, blocks)
 	n.Writer.Record(now, eventResetHoldings, holdingsInput{engine, incarnation, seq, blocks}, nil)
 }
 
-// ApplyReport records and passes on.
+// ApplyReport calls the index node and records the call.
 func (n *IndexNode) ApplyReport(now, askedAt int64, engine string, report index.Report) {
 	n.Node.ApplyReport(now, askedAt, engine, report)
 	n.Writer.Record(now, eventReport, reportInput{askedAt, engine, report}, nil)
 }
 
-// IssueGrants records and passes on.
+// IssueGrants calls the index node and records the call.
 func (n *IndexNode) IssueGrants(now int64, request index.GrantRequest) []index.EngineGrant {
 	grants := n.Node.IssueGrants(now, request)
 	n.Writer.Record(now, eventIssueGrants, request, grants)
 	return grants
 }
 
-// replay makes a recorded call again.
+// replay replays a recorded call.
 func (n *IndexNode) replay(event recording.Event) (output any, err error) {
 	now := event.TimeUS
 	switch event.Type {
@@ -152,7 +154,7 @@
 	return nil, n.replayInput(event)
 }
 
-// replayInput makes a call again that decides nothing by itself.
+// replayInput replays a call that has no result.
 func (n *IndexNode) replayInput(event recording.Event) error {
 	now := event.TimeUS
 	switch event.Type {
@@ -195,7 +197,7 @@
 	return nil
 }
 
-// replayCall makes a call with the recorded input, unless that can't be decoded.
+// replayCall decodes the recorded input and calls the function with it.
 func replayCall[T any](event recording.Event, call func(input T)) error {
 	input, err := decodeInput[T](event)
 	if err != nil {
--- a/recording/replay/replay.go
+++ b/recording/replay/replay.go
@@ -1,14 +1,14 @@
-// Package replay records the calls of deciding components and makes the recorded calls
-// again (package recording; docs/design.md section 11).
+// Package replay records the calls of decision components, and replays recorded calls (package
+// recording; docs/design.md section 11).
 //
-// [Dispatcher] and [IndexNode] wrap the components of the same names: each method records
-// its arguments and result and passes the call on. A wrapper without a Writer only passes
-// on. They are used as the components are: by one goroutine at a time, under the daemon's
-// lock.
+// [Dispatcher] and [IndexNode] wrap the decision components: each method calls the component's
+// method of that name, and records the arguments and the result. A wrapper without a Writer
+// records nothing. The wrappers are used like the components, by one goroutine at a time,
+// under the daemon's lock.
 //
-// [Replay] feeds a recording to a new component and compares every decision. What the
-// components take in that people must not read is left out of recordings: prompts, and
-// the keys of prompts' blocks, of which only the number matters to decisions.
+// [Replay] replays a recording on a new component and compares every decision. Confidential
+// inputs are left out of recordings: prompts, and the keys of prompts' blocks, of which only
+// the number matters to decisions.
 package replay
 
 import (
@@ -25,25 +25,25 @@
 	"violetthread/recording"
 )
 
-// DifferenceError is a decision that came out otherwise than recorded.
+// DifferenceError is returned for a decision that differs from the recorded one.
 type DifferenceError struct {
 	Line     int // of the recording, from 1
 	Event    recording.Event
-	Decision json.RawMessage // now; Event.Output is the recorded one
+	Decision json.RawMessage // of the replay; Event.Output is the recorded one
 }
 
-// Error shows both decisions.
+// Error returns a message with both decisions.
 func (e *DifferenceError) Error() string {
-	return fmt.Sprintf("line %d (%s at %d) was decided as\n  %s\nand is now\n  %s\nif the rules were changed on purpose, record a new one",
+	return fmt.Sprintf("line %d (%s at %d): the recorded decision is\n  %s\nand the replayed one is\n  %s\nif the rules were changed on purpose, make a new recording",
 		e.Line, e.Event.Type, e.Event.TimeUS, e.Event.Output, e.Decision)
 }
 
-// component makes one recorded call again and returns what is decided now.
+// component replays one recorded call and returns the result.
 type component func(event recording.Event) (output any, err error)
 
-// Replay makes the recorded calls again and stops at the first decision that comes out
-// otherwise, with a *DifferenceError. It returns how many calls it made. Other errors are
-// those of recording.Read, or a trace.BadParameter for a recording that can't be fed.
+// Replay replays the recorded calls and stops at the first decision that differs from the
+// recorded one, with a *DifferenceError. It returns the number of replayed calls. Other errors
+// are those of recording.Read, or a trace.BadParameter for a recording that can't be replayed.
 func Replay(reader io.Reader) (calls int, err error) {
 	var call component
 	onHeader := func(header recording.Header) (err error) {
@@ -53,7 +53,7 @@
 	err = recording.Read(reader, onHeader, func(line int, event recording.Event) error {
 		output, err := call(event)
 		if err != nil {
-			return trace.BadParameter("line %d can't be fed: %v; the recording was changed", line, err)
+			return trace.BadParameter("line %d can't be replayed: %v; the recording was modified", line, err)
 		}
 		calls++
 		return compare(line, event, output)
@@ -70,7 +70,7 @@
 		n := &IndexNode{Node: index.New(header.Name, header.Zone, header.Incarnation)}
 		return n.replay, nil
 	}
-	return nil, trace.BadParameter("the recording is of a %q, which this program does not know", header.Component)
+	return nil, trace.BadParameter("the recording is of component %q, which this program does not know", header.Component)
 }
 
 func compare(line int, event recording.Event, output any) error {
@@ -92,12 +92,12 @@
 	return input, err
 }
 
-// planInput is a plan as both components take it. The register's value is recorded when
-// its revision is new.
+// planInput is the input of ApplyPlan of both components. The value of the plan's register is
+// recorded only if its revision is new to the component.
 type planInput struct {
 	Revision    uint64 `json:"rev"`
 	ConfirmedAt int64  `json:"at"`             // time since boot in microseconds
-	Stored      string `json:"plan,omitempty"` // the register's value, seal and all
+	Stored      string `json:"plan,omitempty"` // the register's value, including the plan's seal (package plan)
 }
 
 func newPlanInput(cached *plan.Cached, isNew bool) planInput {
@@ -108,7 +108,8 @@
 	return input
 }
 
-// cached is the recorded plan; current is the one that the component has so far.
+// cached returns the recorded plan. It is current, the component's current plan, if the
+// recording has no new one.
 func (i planInput) cached(current *plan.Compiled) (*plan.Cached, error) {
 	cached := &plan.Cached{Revision: i.Revision, ConfirmedAt: i.ConfirmedAt, Plan: current}
 	if len(i.Stored) > 0 {
--- a/recording/replay/replay_test.go
+++ b/recording/replay/replay_test.go
@@ -14,7 +14,7 @@
 	"violetthread/recording"
 )
 
-// record runs calls of a component and returns their recording.
+// record makes calls of a component and returns their recording.
 func record(t *testing.T, name string, calls func(w *recording.Writer)) []byte {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "recording")
@@ -67,7 +67,8 @@
 	})
 }
 
-// TestReplay: what was recorded of every call is decided again in the same way.
+// TestReplay: the replay of every kind of call gives the recorded decision, and no prompt is
+// recorded.
 func TestReplay(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -81,7 +82,7 @@
 			content := test.record(t)
 			calls, err := Replay(bytes.NewReader(content))
 			if err != nil || calls < test.minCalls || calls != bytes.Count(content, []byte("\n"))-1 {
-				t.Fatalf("%d calls of %d lines: %v", calls, bytes.Count(content, []byte("\n")), err)
+				t.Fatalf("%d calls replayed of %d lines: %v", calls, bytes.Count(content, []byte("\n")), err)
 			}
 			if bytes.Contains(content, []byte("secret")) {
 				t.Error("a prompt was recorded")
@@ -90,12 +91,12 @@
 	}
 }
 
-// TestDifference: a decision that comes out otherwise is shown with what was recorded.
+// TestDifference: a decision that differs is returned together with the recorded one.
 func TestDifference(t *testing.T) {
 	content := recordIndexNode(t)
 	changed := bytes.Replace(content, []byte(`"duty/engine/e1"`), []byte(`"duty/engine/e2"`), 1)
 	if bytes.Equal(content, changed) {
-		t.Fatal("no role of an engine was recorded")
+		t.Fatal("the recording has no role of an engine")
 	}
 	_, err := Replay(bytes.NewReader(changed))
 	var difference *DifferenceError
@@ -107,7 +108,7 @@
 	}
 }
 
-// TestUnknownComponent: a recording of another component is refused.
+// TestUnknownComponent: a recording of an unknown component is rejected.
 func TestUnknownComponent(t *testing.T) {
 	content := record(t, "other", func(*recording.Writer) {})
 	if _, err := Replay(bytes.NewReader(content)); err == nil {
--- a/recording/writer.go
+++ b/recording/writer.go
@@ -11,21 +11,21 @@
 
 const writeBufferBytes = 64 << 10
 
-// Writer appends to a recording until its bound; what comes after is not recorded. A nil
+// Writer appends events to a recording up to its size limit, and drops further events. A nil
 // Writer records nothing. It is not safe for concurrent use.
 type Writer struct {
 	file      *os.File
 	buffer    *bufio.Writer
-	remaining int64  // bytes up to the bound, negative once it was reached
-	OnFull    func() // called once, when the bound is reached; nil does nothing
+	remaining int64  // bytes left to the limit, negative once it is reached
+	OnFull    func() // called once when the limit is reached; may be nil
 }
 
-// Create starts a recording of at most maxBytes bytes; a file that is there is replaced.
-// header.Version is set.
+// Create starts a recording of at most maxBytes bytes. It replaces an existing file, and sets
+// header.Version.
 func Create(path string, header Header, maxBytes int64) (*Writer, error) {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return nil, trace.Wrap(err, "can't write the recording; give --recording a file in a folder that exists")
+		return nil, trace.Wrap(err, "can't write the recording; set --recording to a file in an existing folder")
 	}
 	w := &Writer{file: file, buffer: bufio.NewWriterSize(file, writeBufferBytes), remaining: maxBytes}
 	header.Version = Version
@@ -45,7 +45,7 @@
 	return err
 }
 
-// stop ends the recording at its bound.
+// stop ends the recording at its size limit.
 func (w *Writer) stop() {
 	w.remaining = -1
 	_ = w.buffer.Flush()
@@ -55,9 +55,9 @@
 	}
 }
 
-// Record appends an event at a time since boot in microseconds. Input and output are
-// stored as JSON, nil as nothing. An event that can't be stored is left out: recording
-// never disturbs the component.
+// Record appends an event; timeUS is the time since boot in microseconds. Input and output are
+// stored as JSON, and omitted if nil. An event that can't be encoded or written is dropped, so
+// that recording never affects the component.
 func (w *Writer) Record(timeUS int64, eventType string, input, output any) {
 	if w == nil || w.remaining < 0 {
 		return
@@ -75,14 +75,14 @@
 	}
 }
 
-// Flush writes out what is buffered.
+// Flush writes buffered data to the file.
 func (w *Writer) Flush() {
 	if w != nil {
 		_ = w.buffer.Flush()
 	}
 }
 
-// Close writes out what is buffered and closes the file.
+// Close flushes buffered data and closes the file.
 func (w *Writer) Close() error {
 	if w == nil {
 		return nil
