--- a/index/engines.go
+++ b/index/engines.go
@@ -32,7 +32,7 @@
 // pendingTransfer is a transfer whose result the engine has not reported yet.
 type pendingTransfer struct {
 	Transfer
-	orderedAt int64
+	requestedAt int64
 }
 
 // Event is an event in an engine's report. Recordings store Event, Report and Poll under the
--- a/index/grants.go
+++ b/index/grants.go
@@ -173,7 +173,7 @@
 		if engine == nil || !engine.holdingsComplete {
 			continue
 		}
-		engine.pending[transfer.AttemptID] = pendingTransfer{Transfer: transfer, orderedAt: now}
+		engine.pending[transfer.AttemptID] = pendingTransfer{Transfer: transfer, requestedAt: now}
 		for _, block := range transfer.Blocks {
 			n.addHolding(engine, block)
 		}
@@ -241,7 +241,7 @@
 // transferTimeout.
 func (e *engine) expireTransfers(now int64) {
 	for id, transfer := range e.pending {
-		if now-transfer.orderedAt > transferTimeout {
+		if now-transfer.requestedAt > transferTimeout {
 			delete(e.pending, id)
 		}
 	}
--- a/index/prefetch.go
+++ b/index/prefetch.go
@@ -66,7 +66,7 @@
 	}
 	serving := n.servingIn(zone)
 	count := prefetchCount(n.plan.Limits.Prefetch, len(serving))
-	var orders []Prefetch
+	var prefetches []Prefetch
 	for _, update := range batch.Updates {
 		key := strconv.FormatUint(update.Key.Hi, 16)
 		sort.Slice(serving, func(i, j int) bool { return rendezvousScore(key, serving[i]) > rendezvousScore(key, serving[j]) })
@@ -76,7 +76,7 @@
 			if engine == nil || !owned || engine.holdings[update.Key] || addrs[update.Node] == "" || engine.nodeID == update.Node {
 				continue
 			}
-			orders = append(orders, Prefetch{
+			prefetches = append(prefetches, Prefetch{
 				Engine:       name,
 				Addr:         engine.Addr,
 				From:         addrs[update.Node],
@@ -87,7 +87,7 @@
 			n.Counters.Prefetches++
 		}
 	}
-	return orders
+	return prefetches
 }
 
 // servingIn lists the engines of a zone that may get new work.
