--- a/index/reachability.go
+++ b/index/reachability.go
@@ -62,7 +62,8 @@
 }
 
 // probeTargets returns the engines that this node polls even if other nodes own them: those
-// that another node reports it can't serve, and those that are silent to this node, until they answer.
+// that another node reports it can't serve, and those that are silent to this node, until they
+// answer.
 func (n *Node) probeTargets(now int64) map[string]bool {
 	targets := map[string]bool{}
 	for name, contact := range n.contacts {
