--- a/internal/codec/capacity.go
+++ b/internal/codec/capacity.go
@@ -11,16 +11,17 @@
 	"violetthread/schema/fb"
 )
 
-// GrantSource is an index node, recorded or not.
+// GrantSource is an index node, or a wrapper that records its calls.
 type GrantSource interface {
-	// IssueGrants takes a proxy's demand and returns what it may send to engines.
+	// IssueGrants updates the demand of a proxy and returns its capacity grants for engines.
 	IssueGrants(now int64, request index.GrantRequest) []index.EngineGrant
-	// ProxyFeed returns the cache updates of a zone from a position on; false if this node
-	// does not serve the zone.
+	// ProxyFeed returns the cache updates of a zone from a position on, and false if this
+	// node does not serve the zone.
 	ProxyFeed(zone string, incarnation, since uint64) (cacheindex.UpdateBatch, bool)
 }
 
-// AnswerCapacity answers a proxy's agent out of an index node. now is microseconds.
+// AnswerCapacity returns the response to a capacity request of a proxy's agent. now is in
+// microseconds.
 func AnswerCapacity(source GrantSource, now int64, indexNode string, q *fb.CapacityRequestT) *fb.CapacityResponseT {
 	t := &fb.CapacityResponseT{IndexNode: indexNode}
 	for _, g := range source.IssueGrants(now, unpackGrantRequest(q)) {
@@ -74,7 +75,7 @@
 	return t
 }
 
-// UnpackGrants unpacks grants. lag, in microseconds, is how long they were under way, and is
+// UnpackGrants converts tables to grants. lag is their transit time in microseconds, which is
 // added to the age of each.
 func UnpackGrants(grants []*fb.GrantT, lag int64) []dispatch.EngineGrant {
 	return lo.Map(grants, func(t *fb.GrantT, _ int) dispatch.EngineGrant {
@@ -99,8 +100,8 @@
 	})
 }
 
-// FillFeedRequest adds a dispatcher's demand, and its report since the last call, to a
-// request to the agent beside the gateway, and returns the request.
+// FillFeedRequest adds to a request to the gateway's local agent the dispatcher's demand and
+// the transfers and outcomes since the last call, and returns the request.
 func FillFeedRequest(d *dispatch.Dispatcher, q *fb.FeedRequestT) *fb.FeedRequestT {
 	demand, active := d.Demand()
 	transfers, outcomes := d.TakeReport()
--- a/internal/codec/doc.go
+++ b/internal/codec/doc.go
@@ -1,24 +1,24 @@
-// Package codec turns messages between the project's own processes into frames and back,
-// and records of the control state into the bytes that lie on a voter's disk. The schema is
-// schema/violetthread.fbs; package schema/fb is made from it.
+// Package codec encodes and decodes the frames that the project's own processes exchange, and
+// the records of the control state in a voter's write-ahead log. The schema is
+// schema/violetthread.fbs; package schema/fb is generated from it.
 //
 // # Frames
 //
-// A frame is the length of its body and the CRC-32C of its body, four bytes each, little
-// endian, and the body: a FlatBuffers buffer whose root is the table Frame. Fields are known
-// by their numbers, so that versions whose tables end in different fields understand each
-// other (docs/design.md section 9).
+// A frame consists of the length of its body, the CRC-32C of its body (four bytes each, little
+// endian) and the body: a FlatBuffers buffer whose root is the table Frame. Fields are
+// identified by their numbers, so that versions can communicate when one of them has appended
+// fields to a table (docs/design.md section 9).
 //
-// # Trust
+// # Untrusted input
 //
-// FlatBuffers for Go reads without checking. Every buffer is walked by the declared tables
-// first ([Verify]), so that bytes from a broken peer or disk end in an error: never in a
-// panic, and never in an allocation larger than the buffer.
+// FlatBuffers for Go does not check bounds when it reads. [Verify] therefore checks every
+// buffer against the declared tables first, so that malformed bytes from a peer or a disk
+// cause an error, never a panic or an allocation larger than the buffer.
 //
-// # Use
+// # Concurrency
 //
-// All functions are pure and may be called from any goroutine. The adapters between tables
-// and the types of deciding packages (quorum, index, dispatch, cacheindex) stand here too, so
-// that these packages need not know the schema; those that take an index node, a dispatcher
-// or a table are called under its owner's lock.
+// Functions may be called from any goroutine and keep no state. The package also holds the
+// adapters between tables and the types of the packages quorum, index, dispatch and
+// cacheindex, so that these do not depend on the schema; a caller of an adapter that takes an
+// index node, a dispatcher or a hint table must hold the lock that protects it.
 package codec
--- a/internal/codec/frame.go
+++ b/internal/codec/frame.go
@@ -12,18 +12,18 @@
 	"violetthread/schema/fb"
 )
 
-// MaxFrameBytes bounds the body of a frame, before anything is allocated for it.
+// MaxFrameBytes bounds the body of a frame. It is checked before the body is allocated.
 const MaxFrameBytes = 32 << 20
 
 const (
-	headerBytes  = 8        // length and checksum
-	builderBytes = 512      // first size of a frame's builder
-	bodyStep     = 64 << 10 // memory that a body gets before any of it has come
+	headerBytes      = 8        // length and checksum
+	builderBytes     = 512      // initial size of a frame's builder
+	initialBodyBytes = 64 << 10 // allocated for a body before any of it has arrived
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode packs a frame with its length and checksum in front.
+// Encode returns the header and the body of a frame.
 func Encode(frame *fb.FrameT) []byte {
 	builder := flatbuffers.NewBuilder(builderBytes)
 	builder.Finish(frame.Pack(builder))
@@ -34,7 +34,7 @@
 	return append(encoded, body...)
 }
 
-// Decode unpacks the body of a frame. The error is a *FormatError.
+// Decode verifies and decodes the body of a frame. The error is a *FormatError.
 func Decode(body []byte) (*fb.FrameT, error) {
 	if err := Verify(body, frameType); err != nil {
 		return nil, err
@@ -42,9 +42,9 @@
 	return fb.GetRootAsFrame(body, 0).UnPack(), nil
 }
 
-// ReadFrame reads one frame. io.EOF means that there is none; an end within a frame is
-// io.ErrUnexpectedEOF. Other errors are those of the reader, *FrameSizeError and
-// *FormatError.
+// ReadFrame reads one frame. It returns io.EOF if the input ends before the frame and
+// io.ErrUnexpectedEOF if it ends within the frame. Other errors are those of the reader,
+// *FrameSizeError and *FormatError.
 func ReadFrame(r io.Reader) (*fb.FrameT, error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -64,12 +64,12 @@
 	return Decode(body)
 }
 
-// readBody reads size bytes. Memory grows with what has come, bodyStep or as much again at
-// a time, so that a claimed size costs nothing.
+// readBody reads size bytes. The buffer starts with at most initialBodyBytes and about doubles
+// each time it is full, so that a false declared size can't cause a large allocation.
 func readBody(r io.Reader, size int) ([]byte, error) {
-	body := make([]byte, 0, min(size, bodyStep))
+	body := make([]byte, 0, min(size, initialBodyBytes))
 	for len(body) < size {
-		body = slices.Grow(body, min(size-len(body), max(len(body), bodyStep)))
+		body = slices.Grow(body, min(size-len(body), max(len(body), initialBodyBytes)))
 		start := len(body)
 		body = body[:min(size, cap(body))]
 		if _, err := io.ReadFull(r, body[start:]); err != nil {
--- a/internal/codec/frame_test.go
+++ b/internal/codec/frame_test.go
@@ -16,7 +16,7 @@
 	"violetthread/schema/fb"
 )
 
-func samples() []*fb.FrameT {
+func sampleFrames() []*fb.FrameT {
 	entry := quorum.Entry{Key: "plan", Position: quorum.Position{Term: 3, Index: 9}, Revision: 4, Value: []byte(`{"weights":"w1"}`)}
 	return []*fb.FrameT{
 		PackMessage(quorum.Message{Type: quorum.MsgVoteGranted, From: "a", Incarnation: 7, VoterSetRevision: 1, Slot: 3, Term: 65537, Last: quorum.Position{Term: 1, Index: 2}, Entries: []quorum.Entry{entry, entry}, Keys: []string{"x", "yy"}}),
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestRoundTrip: what goes in comes out, for messages of voters and records.
+// TestRoundTrip: voter messages and records are decoded to the values that were encoded.
 func TestRoundTrip(t *testing.T) {
 	entry := quorum.Entry{Key: "k", Position: quorum.Position{Term: 1, Index: 2}, Revision: 3, Value: []byte{0, 255}}
 	message := quorum.Message{Type: quorum.MsgSnapshotChunk, From: "a", Incarnation: 1, VoterSetRevision: 2, Slot: 3, Term: 4, Time: -5, Previous: quorum.Position{Term: 1}, Last: quorum.Position{Index: 2},
@@ -46,13 +46,12 @@
 	}
 }
 
-// TestMutations changes one message at a time: flipped bits, cut and stretched
-// bodies, lengths made huge. Each ends in a frame or an error, never a panic,
-// and never takes more memory than the message has bytes.
-func TestMutations(t *testing.T) {
+// TestDecodeMutated: truncated bodies, and bodies with flipped bits, random bytes or huge
+// offsets and lengths, are decoded to a frame or cause an error, never a panic.
+func TestDecodeMutated(t *testing.T) {
 	rng := rand.New(rand.NewSource(3))
 	rejected := 0
-	for _, frame := range samples() {
+	for _, frame := range sampleFrames() {
 		whole := Encode(frame)[8:]
 		for i := 0; i < 20_000; i++ {
 			body := append([]byte(nil), whole...)
@@ -79,13 +78,13 @@
 	}
 }
 
-// TestFrames: a wrong checksum and a length beyond the bound are refused before
-// anything is allocated.
-func TestFrames(t *testing.T) {
-	b := Encode(samples()[0])
+// TestReadFrameRejects: a wrong checksum is an error, and so is a length over the limit, which
+// is rejected before the body is allocated.
+func TestReadFrameRejects(t *testing.T) {
+	b := Encode(sampleFrames()[0])
 	b[4] ^= 1
 	if _, err := ReadFrame(bytes.NewReader(b)); err == nil {
-		t.Fatal("a wrong checksum passed")
+		t.Fatal("a wrong checksum was accepted")
 	}
 	b[3] = 0xff
 	if n := testing.AllocsPerRun(10, func() { _, _ = ReadFrame(bytes.NewReader(b)) }); n > 20 {
@@ -94,7 +93,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, s := range samples() {
+	for _, s := range sampleFrames() {
 		f.Add(Encode(s)[8:])
 	}
 	f.Fuzz(func(_ *testing.T, b []byte) {
@@ -104,27 +103,28 @@
 	})
 }
 
-// TestLengthCostsNothing: a length that nothing follows takes no memory, whatever it says.
-func TestLengthCostsNothing(t *testing.T) {
+// TestFalseLengthAllocation: a frame whose declared length is far larger than what arrives
+// does not cause an allocation of the declared length.
+func TestFalseLengthAllocation(t *testing.T) {
 	b := binary.LittleEndian.AppendUint32(nil, MaxFrameBytes)
 	b = append(b, 1, 2, 3, 4, 5)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 10 {
 		if _, err := ReadFrame(bytes.NewReader(b)); err == nil {
-			t.Fatal("a frame of 1 byte passed for one of 32 MiB")
+			t.Fatal("a frame of 32 MiB was read from a body of 1 byte")
 		}
 	}
 	runtime.ReadMemStats(&after)
 	if n := after.TotalAlloc - before.TotalAlloc; n > MaxFrameBytes {
-		t.Fatalf("%d bytes were allocated for frames of which one byte came", n)
+		t.Fatalf("%d bytes were allocated for frames of which one byte arrived", n)
 	}
 }
 
-// TestTornFrame: a frame that ends at any byte is an error, and one that was begun is not
-// taken for an end between frames.
-func TestTornFrame(t *testing.T) {
-	whole := Encode(samples()[0])
+// TestTruncatedFrame: a frame truncated at any byte is an error, which is io.EOF only if not
+// even its first byte is there. A frame that arrives byte by byte is read.
+func TestTruncatedFrame(t *testing.T) {
+	whole := Encode(sampleFrames()[0])
 	for n := range whole {
 		_, err := ReadFrame(bytes.NewReader(whole[:n]))
 		if err == nil || n > 0 && err == io.EOF {
@@ -134,14 +134,14 @@
 	large := Encode(&fb.FrameT{CapacityResponse: &fb.CapacityResponseT{IndexNode: strings.Repeat("x", 3<<20)}})
 	f, err := ReadFrame(iotest.OneByteReader(bytes.NewReader(large)))
 	if err != nil || len(f.CapacityResponse.IndexNode) != 3<<20 {
-		t.Fatalf("a frame that comes byte by byte: %v", err)
+		t.Fatalf("a frame that arrives byte by byte: %v", err)
 	}
 }
 
-// FuzzRead: no bytes make reading panic, and a frame that was read is one that can be
-// written and read again.
+// FuzzReadFrame: reading never panics, and a frame that was read can be encoded and read
+// again without a change.
 func FuzzReadFrame(f *testing.F) {
-	for _, s := range samples() {
+	for _, s := range sampleFrames() {
 		f.Add(Encode(s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -159,9 +159,10 @@
 	})
 }
 
-// TestErrors: errors of content have types, and those of the reader stay what they are.
+// TestErrors: malformed content causes the errors of this package, and errors of the reader are
+// passed on.
 func TestErrors(t *testing.T) {
-	whole := Encode(samples()[0])
+	whole := Encode(sampleFrames()[0])
 	changed := func(at int, b ...byte) []byte {
 		frame := bytes.Clone(whole)
 		copy(frame[at:], b)
@@ -182,12 +183,12 @@
 	}
 	var size *FrameSizeError
 	if _, err := ReadFrame(bytes.NewReader(changed(0, 1, 0, 0, 2))); !errors.As(err, &size) || size.Bytes != MaxFrameBytes+1 {
-		t.Errorf("a frame over the bound: %v", err)
+		t.Errorf("a frame over the limit: %v", err)
 	}
 	if _, err := ReadFrame(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
 		t.Errorf("no frame: %v", err)
 	}
 	if _, err := ReadFrame(bytes.NewReader(whole[:len(whole)-1])); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a cut frame: %v", err)
+		t.Errorf("a truncated frame: %v", err)
 	}
 }
--- a/internal/codec/golden_frames_test.go
+++ b/internal/codec/golden_frames_test.go
@@ -13,23 +13,23 @@
 	"violetthread/schema/fb"
 )
 
-// goldenFrames holds one frame of each message with all its fields. Messages and their fields
-// count by their place in the schema, not by their names.
+// goldenFrames contains one frame of each message type with all its fields set. Messages and
+// fields are identified by their position in the schema, not by their names.
 const goldenFrames = "testdata/golden_frames.bin"
 
-// olderGoldenFrames holds the same as commit f8592ad encoded them, before fields were added to
-// the ends of the messages about maps and loads.
+// olderGoldenFrames contains the same frames as encoded by commit f8592ad, before fields were
+// appended to the messages about maps and loads.
 const olderGoldenFrames = "testdata/golden_frames_f8592ad.bin"
 
-// formerGoldenFrames holds the same as commit 87570e5 encoded them, before announced versions and
-// the loads of a proxy got a field each.
-const formerGoldenFrames = "testdata/golden_frames_87570e5.bin"
+// previousGoldenFrames contains the same frames as encoded by commit 87570e5, before a field was
+// appended to the tables of announced versions and of a proxy's loads.
+const previousGoldenFrames = "testdata/golden_frames_87570e5.bin"
 
-// goldenFiller sets all fields of a message to values that follow from their place.
-type goldenFiller struct{ place uint64 }
+// goldenFiller sets all fields of a message to values derived from their position.
+type goldenFiller struct{ position uint64 }
 
 func (f *goldenFiller) fill(v reflect.Value) {
-	f.place++
+	f.position++
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
@@ -43,17 +43,17 @@
 		f.fill(v.Index(0))
 		f.fill(v.Index(1))
 	case reflect.String:
-		v.SetString(fmt.Sprint("text ", f.place))
+		v.SetString(fmt.Sprint("text ", f.position))
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Int64:
-		v.SetInt(-int64(f.place) << 33)
+		v.SetInt(-int64(f.position) << 33)
 	default:
-		v.SetUint(f.place % (1 << (v.Type().Bits() - 1)))
+		v.SetUint(f.position % (1 << (v.Type().Bits() - 1)))
 	}
 }
 
-// expectedGoldenFrames are the messages that the file holds, in their order.
+// expectedGoldenFrames returns the frames that goldenFrames contains, in order.
 func expectedGoldenFrames() []*fb.FrameT {
 	var frames []*fb.FrameT
 	fields := reflect.TypeFor[fb.FrameT]()
@@ -69,8 +69,8 @@
 	return frames
 }
 
-// TestGoldenFrames decodes stored frames, checks every value, and encodes them to the
-// same bytes.
+// TestGoldenFrames: stored frames are decoded to the expected values and encoded to the same
+// bytes again.
 func TestGoldenFrames(t *testing.T) {
 	stored, err := os.ReadFile(goldenFrames)
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	reader := bytes.NewReader(stored)
 	for i, want := range expectedGoldenFrames() {
-		begin := len(stored) - reader.Len()
+		start := len(stored) - reader.Len()
 		got, err := codec.ReadFrame(reader)
 		if err != nil {
 			t.Fatalf("frame %d: %v", i, err)
@@ -87,17 +87,18 @@
 			t.Errorf("frame %d is decoded as %+v, not %+v", i, got, want)
 		}
 		end := len(stored) - reader.Len()
-		if !bytes.Equal(codec.Encode(got), stored[begin:end]) {
+		if !bytes.Equal(codec.Encode(got), stored[start:end]) {
 			t.Errorf("frame %d is encoded to other bytes", i)
 		}
 	}
 	if reader.Len() > 0 {
-		t.Errorf("%d bytes of frames are left that no message stands for", reader.Len())
+		t.Errorf("%d bytes are left after the last expected frame", reader.Len())
 	}
 }
 
-// TestOlderGoldenFrames decodes what earlier versions sent: frames of messages that have not
-// grown are the same to the byte, in the others what was known is read and what is new is zero.
+// TestOlderGoldenFrames: frames of an earlier version are decoded. In messages to which fields
+// were appended since, the old fields have their values and the new ones are zero; all others
+// equal those of this version.
 func TestOlderGoldenFrames(t *testing.T) {
 	stored, err := os.ReadFile(olderGoldenFrames)
 	if err != nil {
@@ -134,9 +135,9 @@
 	}
 }
 
-// TestFormerGoldenFrames decodes what the version before sent, by the same rule.
-func TestFormerGoldenFrames(t *testing.T) {
-	stored, err := os.ReadFile(formerGoldenFrames)
+// TestPreviousGoldenFrames checks the same for frames of the previous version.
+func TestPreviousGoldenFrames(t *testing.T) {
+	stored, err := os.ReadFile(previousGoldenFrames)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,8 +171,8 @@
 	}
 }
 
-// TestGoldenFramesCutShort reads each stored frame cut short at every offset.
-func TestGoldenFramesCutShort(t *testing.T) {
+// TestTruncatedGoldenFrames: each stored frame, truncated at any byte, is an error.
+func TestTruncatedGoldenFrames(t *testing.T) {
 	stored, err := os.ReadFile(goldenFrames)
 	if err != nil {
 		t.Fatal(err)
@@ -184,10 +185,10 @@
 				want = io.EOF
 			}
 			if _, err := codec.ReadFrame(bytes.NewReader(stored[:cut])); !errors.Is(err, want) {
-				t.Fatalf("frame %d cut at %d: %v, not %v", i, cut, err, want)
+				t.Fatalf("frame %d truncated at %d: %v, not %v", i, cut, err, want)
 			}
 			if _, err := codec.Decode(stored[min(8, cut):cut]); err == nil && cut < size-8 {
-				t.Fatalf("the body of frame %d cut at %d is decoded", i, cut)
+				t.Fatalf("the body of frame %d truncated at %d is decoded", i, cut)
 			}
 		}
 		stored = stored[size:]
--- a/internal/codec/golden_rings_test.go
+++ b/internal/codec/golden_rings_test.go
@@ -15,23 +15,24 @@
 	"violetthread/wal"
 )
 
-// The golden rings are logs of a control node after a loss of power, as commit 150d7f5
-// wrote them: one behind a checkpoint, and one amidst the first. Beside each lie the
-// voters, the records that it recovered (records.txt), the state that a node replayed from
-// them (state.txt), and what it recovered when one file was blank from an offset on
-// (cuts.txt: file, offset, and the kind of error, or the number and digest of records).
+// The golden rings are write-ahead logs of a control node after a power loss, written by
+// commit 150d7f5: one after a checkpoint, and one in the middle of the first checkpoint. Each
+// folder also has the voters (voters.json), the records recovered from the log (records.txt),
+// the state that a node replayed from them (state.txt), and what was recovered when one file
+// was zeroed from an offset on (cuts.txt: file, offset, and the kind of error or the number
+// and digest of records).
 const goldenRings = "testdata/golden_rings"
 
-// These are the sizes and the voter of the golden rings.
+// The configuration, and below the voter, that wrote the golden rings.
 var goldenRingConfig = wal.Config{SegmentCount: 6, SegmentBytes: 8 << 10}
 
 const (
 	goldenVoter       = "registrar1"
 	goldenIncarnation = 101
-	goldenClock       = 1_000_000
+	goldenTimeUS      = 1_000_000
 )
 
-// memoryFiles is a folder in memory.
+// memoryFiles is a folder of files in memory, by name.
 type memoryFiles map[string][]byte
 
 func (m memoryFiles) Size(name string) (int64, error) { return int64(len(m[name])), nil }
@@ -68,7 +69,7 @@
 	return strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 }
 
-// recordLine tells a record's values in a fixed order.
+// recordLine formats the values of a record in a fixed order.
 func recordLine(r quorum.Record) string {
 	voters := "-"
 	if r.VoterSet != nil {
@@ -78,7 +79,8 @@
 		r.Entry.Key, r.Entry.Position.Term, r.Entry.Position.Index, r.Entry.Revision, r.Entry.Value, voters)
 }
 
-// recoverRing opens a copy of a ring and tells the records, or the kind of error.
+// recoverRing opens a copy of a ring and returns its records, also as lines, or the kind of
+// error.
 func recoverRing(t *testing.T, files memoryFiles) (lines []string, records []quorum.Record, failure string) {
 	t.Helper()
 	scratch := memoryFiles{}
@@ -90,12 +92,12 @@
 	case errors.Is(err, wal.ErrCorrupt):
 		return nil, nil, "corrupt"
 	case err != nil:
-		t.Fatalf("neither opened nor corrupt: %v", err)
+		t.Fatalf("opening failed, and not because the ring is corrupt: %v", err)
 	}
 	for _, b := range stored {
-		record, founding, err := codec.UnpackRecord(b)
-		if err != nil || founding != nil {
-			t.Fatalf("a record can't be unpacked: %v", err)
+		record, identity, err := codec.UnpackRecord(b)
+		if err != nil || identity != nil {
+			t.Fatalf("a record can't be decoded, or is an identity: %v", err)
 		}
 		records = append(records, record)
 		lines = append(lines, recordLine(record))
@@ -123,7 +125,7 @@
 			if string(voters.Bytes()) != string(text) {
 				t.Errorf("the voters are written as %s, not %s", voters.Bytes(), text)
 			}
-			node := quorum.New(quorum.DefaultConfig(goldenVoter, goldenIncarnation), voters, goldenClock, records)
+			node := quorum.New(quorum.DefaultConfig(goldenVoter, goldenIncarnation), voters, goldenTimeUS, records)
 			var state []string
 			for _, record := range node.Checkpoint() {
 				state = append(state, recordLine(record))
@@ -146,8 +148,8 @@
 	}
 }
 
-// TestGoldenRingsCutShort recovers rings of which one file is blank from an offset on.
-func TestGoldenRingsCutShort(t *testing.T) {
+// TestZeroedGoldenRings: rings with one file zeroed from an offset on are recovered as stored.
+func TestZeroedGoldenRings(t *testing.T) {
 	for _, name := range []string{"checkpointed", "midway"} {
 		t.Run(name, func(t *testing.T) {
 			folder := filepath.Join(goldenRings, name)
@@ -164,7 +166,7 @@
 				}
 				want := strings.SplitN(cut, " ", 3)[2]
 				if got := recoverCut(t, files, file, offset); got != want {
-					t.Errorf("%s blank from %d: %s, not %s", file, offset, got, want)
+					t.Errorf("%s zeroed from %d: %s, not %s", file, offset, got, want)
 				}
 			}
 		})
--- a/internal/codec/golden_test.go
+++ b/internal/codec/golden_test.go
@@ -10,8 +10,8 @@
 	"violetthread/schema/fb"
 )
 
-// goldenFrames are digests of the messages that a frame carries, by the order of the
-// frame's fields; the first field is the reference number.
+// goldenFrames are digests of frames, one for each message type in the order of the fields of
+// the table Frame. The first field is the reference number and has no digest.
 var goldenFrames = []string{
 	"",
 	"024cb9cea5c95170",
@@ -36,8 +36,8 @@
 
 const goldenRecord = "69a405aa19015667"
 
-// fill sets every field of a table, of its tables and of one element of each vector to
-// values that are no defaults. It goes by the order of fields alone, not by their names.
+// fill sets every field of a table, of its nested tables and of one element of each vector to
+// a non-default value that depends on the order of the fields and not on their names.
 func fill(v reflect.Value, next *uint64) {
 	*next++
 	switch v.Kind() {
@@ -64,10 +64,10 @@
 	}
 }
 
-// TestBytesStay: the bytes of every message and record are those of earlier versions. A
-// digest changes only when a field is added to the end of its table; changing one for any
-// other reason breaks a fleet that is restarted node by node.
-func TestBytesStay(t *testing.T) {
+// TestEncodingIsFixed: every message and record is encoded to the same bytes as by earlier
+// versions. A digest may change only when a field is appended to its table; any other change
+// breaks a fleet during a rolling restart, when versions are mixed.
+func TestEncodingIsFixed(t *testing.T) {
 	frame := reflect.TypeOf(fb.FrameT{})
 	for i := 1; i < frame.NumField(); i++ {
 		t.Run(fmt.Sprintf("frame field %d", i), func(t *testing.T) {
--- a/internal/codec/record.go
+++ b/internal/codec/record.go
@@ -7,13 +7,14 @@
 	"violetthread/schema/fb"
 )
 
-// identityRecord is the type of the record that says which fleet and which incarnation of
-// the disk a write-ahead log belongs to. Types of package quorum are smaller.
+// identityRecord is the type of the record that identifies the fleet, and the incarnation of
+// the disk, to which a write-ahead log belongs. The record types of package quorum are
+// smaller numbers.
 const identityRecord = 200
 
-const recordBuilderBytes = 256 // first size of a record's builder
+const recordBuilderBytes = 256 // initial size of a record's builder
 
-// PackRecord packs a record for the write-ahead log.
+// PackRecord encodes a record of the write-ahead log.
 func PackRecord(r quorum.Record) []byte {
 	t := &fb.RecordT{
 		Type:      byte(r.Type),
@@ -31,8 +32,8 @@
 	return encodeRecord(t)
 }
 
-// PackIdentity packs the record that says which fleet and which incarnation of the disk a
-// write-ahead log belongs to.
+// PackIdentity encodes the record that identifies the fleet, and the incarnation of the disk,
+// to which a write-ahead log belongs.
 func PackIdentity(set *fb.VoterSetT) []byte {
 	return encodeRecord(&fb.RecordT{Type: identityRecord, VoterSet: set})
 }
@@ -43,8 +44,8 @@
 	return builder.FinishedBytes()
 }
 
-// UnpackRecord unpacks a record of the write-ahead log. identity is set for the one record
-// that PackIdentity packed, and the record is empty then. The error is a *FormatError.
+// UnpackRecord decodes a record of the write-ahead log. For a record of PackIdentity it
+// returns identity and an empty r. The error is a *FormatError.
 func UnpackRecord(b []byte) (r quorum.Record, identity *fb.VoterSetT, err error) {
 	if err := Verify(b, recordType); err != nil {
 		return r, nil, err
--- a/internal/codec/record_test.go
+++ b/internal/codec/record_test.go
@@ -8,7 +8,7 @@
 	"violetthread/schema/fb"
 )
 
-// diskRecords is one record of each type, as they lie on a disk.
+// diskRecords returns encoded records of each type.
 func diskRecords() [][]byte {
 	voterSet := quorum.VoterSet{Revision: quorum.FirstRevision(5), Voters: []quorum.Voter{{Name: "a", Addr: "10.0.0.1:1", Incarnation: 3, Number: 1}}}
 	entry := quorum.Entry{Key: "plan", Position: quorum.Position{Term: 3, Index: 9}, Revision: 4, Value: []byte("{}")}
@@ -23,7 +23,7 @@
 	}
 }
 
-// readRecord reads a record of any content, and the voter set in it.
+// readRecord decodes a record and encodes it again.
 func readRecord(b []byte) error {
 	rec, identity, err := UnpackRecord(b)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// TestDamagedRecords: records that were cut at any byte or have any byte changed end in
-// a record or an error, never in a panic; cut ones mostly in an error.
+// TestDamagedRecords: decoding a record that is truncated at any byte, or has any one byte
+// changed, returns a record or an error and never panics. One of less than 4 bytes is an error.
 func TestDamagedRecords(t *testing.T) {
 	rng := rand.New(rand.NewSource(5))
 	for i, whole := range diskRecords() {
@@ -47,10 +47,10 @@
 			t.Fatalf("record %d: %v", i, err)
 		}
 		for n := range whole {
-			cut := append([]byte(nil), whole[:n]...)
-			_ = readRecord(cut)
-			if err := readRecord(cut); n < 4 && err == nil {
-				t.Fatalf("record %d cut to %d bytes was read", i, n)
+			truncated := append([]byte(nil), whole[:n]...)
+			_ = readRecord(truncated)
+			if err := readRecord(truncated); n < 4 && err == nil {
+				t.Fatalf("record %d truncated to %d bytes was decoded", i, n)
 			}
 			flipped := append([]byte(nil), whole...)
 			flipped[n] ^= byte(1 + rng.Intn(255))
--- a/internal/codec/rollout.go
+++ b/internal/codec/rollout.go
@@ -7,13 +7,14 @@
 	"violetthread/schema/fb"
 )
 
-// AgeNeverRead is the age of what a control node has not read yet, in microseconds. It is
-// longer than any machine runs.
+// AgeNeverRead is the age, in microseconds, that stands for state that a control node has not
+// read yet. It is longer than the uptime of any machine.
 const AgeNeverRead = 1 << 50
 
-// UnpackVersionAges reads when weights were announced. sentAt is a time of the reader,
-// microseconds, that is no later than the answer's departure, so that no age is taken for
-// less than it is.
+// UnpackVersionAges converts the ages of announced versions in a response to times of the
+// reader's clock. sentAt must be a time of that clock, in microseconds, no later than the
+// sending of the response; the transit time can then only make a version appear older than it
+// is, never newer.
 func UnpackVersionAges(t *fb.MapResponseT, sentAt int64) *route.Announcements {
 	announcements := &route.Announcements{}
 	announcements.StartTerm(t.AnnouncedTerm, math.MinInt64)
@@ -23,7 +24,7 @@
 	return announcements
 }
 
-// UnpackWeights reads the version of each model that an engine of the map runs.
+// UnpackWeights returns the version of each model that an engine of the map runs.
 func UnpackWeights(models []*fb.ModelVersionT) map[string]uint64 {
 	weights := map[string]uint64{}
 	for _, m := range models {
--- a/internal/codec/updates.go
+++ b/internal/codec/updates.go
@@ -9,22 +9,22 @@
 	"violetthread/schema/fb"
 )
 
-// Feeds of cache updates that index nodes read from each other, as
-// fb.UpdatesRequestT.Feed names them.
+// Feeds of cache updates that index nodes read from each other: the values of
+// fb.UpdatesRequestT.Feed.
 const (
-	HoldingsFeed = 1 // what the engines that the other node leads hold of the asker's shards
-	ZoneFeed     = 2 // what changed for the asker's zone
-	PrefetchFeed = 3 // which blocks the asker's zone should have
+	HoldingsFeed = 1 // blocks of the reader's shards that are cached by engines which the serving node owns
+	ZoneFeed     = 2 // cache updates for the reader's zone
+	PrefetchFeed = 3 // blocks to prefetch into the reader's zone
 )
 
-// Cursor is how far the reader of a feed has read.
+// Cursor is the position of a reader in a feed.
 type Cursor struct {
 	Incarnation uint64 // of the feed's source
-	Next        uint64 // number of the first update not read yet
+	Next        uint64 // number of the next update to read
 }
 
-// ReadyIndexNodes picks the ready index nodes out of the members, and tells whether the one
-// named self is among them.
+// ReadyIndexNodes returns the index nodes among the members that are ready, and reports
+// whether the node named self is one of them.
 func ReadyIndexNodes(members []*fb.NodeT, self string) (peers []index.Peer, included bool) {
 	for _, n := range members {
 		if n.Role != membership.RoleIndexNode || !n.Ready {
@@ -42,8 +42,8 @@
 	return peers, included
 }
 
-// AddIndexNodeStatus adds the leased roles of an index node, and which engines it reaches,
-// to its session, and returns the session. now is microseconds.
+// AddIndexNodeStatus adds the leased roles of an index node and its view of which engines are
+// reachable to its session, and returns the session. now is in microseconds.
 func AddIndexNodeStatus(node *index.Node, now int64, session *fb.NodeT) *fb.NodeT {
 	reach := node.Reachability(now)
 	session.LeasedRoles = node.HeldRoles(now)
@@ -51,7 +51,7 @@
 	return session
 }
 
-// AnswerUpdates answers another index node from the feed that it asks for.
+// AnswerUpdates returns the response to another index node's request for a feed.
 func AnswerUpdates(node *index.Node, q *fb.UpdatesRequestT) *fb.UpdatesResponseT {
 	var batch cacheindex.UpdateBatch
 	var locations []index.HolderLocation
@@ -74,13 +74,14 @@
 	}
 }
 
-// ApplyHoldings applies the answer of another node's holdings feed. now is microseconds.
+// ApplyHoldings applies a response of another node's holdings feed. now is in microseconds.
 func ApplyHoldings(node *index.Node, now int64, from string, t *fb.UpdatesResponseT) {
 	node.ApplyHoldings(now, from, UnpackBatch(t), UnpackLocations(t))
 }
 
-// ApplyUpdates applies what a gateway's agent brought to the gateway's table, and returns
-// how far it has read now. Updates that do not follow the last ones are left out.
+// ApplyUpdates applies the updates in a response of a gateway's agent to the gateway's hint
+// table, and returns the new cursor. A reset replaces the whole table; other updates are
+// ignored unless they start at the cursor.
 func ApplyUpdates(table *cacheindex.Table, cursor Cursor, t *fb.FeedResponseT) Cursor {
 	if t.UpdatesReset {
 		table.Clear()
@@ -97,31 +98,31 @@
 	return Cursor{t.UpdatesIncarnation, t.UpdatesNext}
 }
 
-// UnpackBatch unpacks the updates in a feed's answer.
+// UnpackBatch returns the update batch in a feed's response.
 func UnpackBatch(t *fb.UpdatesResponseT) cacheindex.UpdateBatch {
 	return cacheindex.UpdateBatch{Incarnation: t.Incarnation, Next: t.Next, Reset: t.Reset, Updates: UnpackUpdates(t.Updates)}
 }
 
-// UnpackUpdates unpacks cache updates.
+// UnpackUpdates converts tables to cache updates.
 func UnpackUpdates(updates []*fb.CacheUpdateT) []cacheindex.Update {
 	return lo.Map(updates, func(u *fb.CacheUpdateT, _ int) cacheindex.Update {
 		return UnpackUpdate(u)
 	})
 }
 
-// UnpackUpdate unpacks one cache update.
+// UnpackUpdate converts a table to a cache update.
 func UnpackUpdate(t *fb.CacheUpdateT) cacheindex.Update {
 	return cacheindex.Update{Key: unpackKey(t), Node: t.Holder, Op: cacheindex.UpdateOp(t.Op)}
 }
 
-// PackUpdate packs one cache update.
+// PackUpdate converts a cache update to its table.
 func PackUpdate(u cacheindex.Update) *fb.CacheUpdateT {
 	t := packKey(u.Key)
 	t.Holder, t.Op = u.Node, byte(u.Op)
 	return t
 }
 
-// UnpackLocations unpacks where the holders in a feed's answer are.
+// UnpackLocations returns the locations of block holders in a feed's response.
 func UnpackLocations(t *fb.UpdatesResponseT) []index.HolderLocation {
 	return lo.Map(t.Locations, func(l *fb.HolderLocationT, _ int) index.HolderLocation {
 		return index.HolderLocation{NodeID: l.Id, Engine: l.Engine, Zone: l.Zone, Store: l.Store}
--- a/internal/codec/verify.go
+++ b/internal/codec/verify.go
@@ -7,38 +7,38 @@
 	"violetthread/schema/fb"
 )
 
-const maxDepth = 8 // of tables within tables
+const maxDepth = 8 // of nested tables
 
 var (
 	frameType  = reflect.TypeOf(fb.FrameT{})
 	recordType = reflect.TypeOf(fb.RecordT{})
 )
 
-// Sizes of what a FlatBuffers buffer is made of, in bytes.
+// Sizes of the elements of a FlatBuffers buffer, in bytes.
 const (
-	offsetBytes       = 4 // of a table, vector or string, relative to where it stands
-	vtableEntryBytes  = 2 // of one field's place in its table
-	vtableHeaderBytes = 4 // length of the vtable and of the table
+	offsetBytes       = 4 // offset of a table, vector or string, relative to its own position
+	vtableEntryBytes  = 2 // offset of one field in its table
+	vtableHeaderBytes = 4 // lengths of the vtable and of the table
 )
 
-// Verify walks a buffer by the tables that an object type of package fb declares. Every
-// offset, table and vector must lie within the buffer. The error is a *FormatError.
+// Verify checks that every offset, table and vector of a buffer lies within the buffer. The
+// root table is described by an object type of package fb. The error is a *FormatError.
 func Verify(b []byte, object reflect.Type) error {
 	v := &verifier{buffer: b, tablesLeft: 1 + len(b)/4}
 	if len(b) < 8 {
-		return &FormatError{"too short"}
+		return &FormatError{"buffer too short"}
 	}
 	return v.table(uint64(binary.LittleEndian.Uint32(b)), object, 0)
 }
 
-// verifier walks one buffer. Positions are offsets from its start; sums of two 32-bit
-// numbers do not overflow them.
+// verifier checks one buffer. Positions are 64-bit offsets from its start, so that the sum of
+// two 32-bit numbers does not overflow.
 type verifier struct {
 	buffer     []byte
-	tablesLeft int // several fields may share a table, so that their number needs a bound
+	tablesLeft int // bounds the work: a table shared by several fields is verified once for each
 }
 
-// contains tells whether n bytes from at on lie within the buffer.
+// contains reports whether the n bytes at a position lie within the buffer.
 func (v *verifier) contains(at, n uint64) bool {
 	size := uint64(len(v.buffer))
 	return at <= size && n <= size-at
@@ -52,23 +52,24 @@
 	return uint64(binary.LittleEndian.Uint16(v.buffer[at:]))
 }
 
-// table verifies a table and all that it refers to. Its fields are those of the object
-// type, in order; a vtable may know fewer of them, or more that this version does not read.
+// table verifies a table and everything that it refers to. Its fields are those of the object
+// type, in order; a vtable of another version may have fewer of them, or additional ones,
+// which are not read.
 func (v *verifier) table(at uint64, object reflect.Type, depth int) error {
 	if v.tablesLeft--; v.tablesLeft < 0 || depth > maxDepth {
-		return &FormatError{"too deep or too many tables"}
+		return &FormatError{"tables nested too deeply or too many tables"}
 	}
 	if !v.contains(at, offsetBytes) {
-		return &FormatError{"table outside"}
+		return &FormatError{"table outside the buffer"}
 	}
 	signedVtable := int64(at) - int64(int32(v.uint32(at)))
 	if signedVtable < 0 || !v.contains(uint64(signedVtable), vtableHeaderBytes) {
-		return &FormatError{"field list outside"}
+		return &FormatError{"vtable outside the buffer"}
 	}
 	vtable := uint64(signedVtable)
 	vtableSize, tableSize := v.uint16(vtable), v.uint16(vtable+2)
 	if vtableSize < vtableHeaderBytes || vtableSize%vtableEntryBytes != 0 || !v.contains(vtable, vtableSize) || !v.contains(at, tableSize) {
-		return &FormatError{"field list too long"}
+		return &FormatError{"invalid length of a vtable or table"}
 	}
 	for i := range object.NumField() {
 		entry := uint64(vtableHeaderBytes + vtableEntryBytes*i)
@@ -76,7 +77,7 @@
 			break
 		}
 		offset := v.uint16(vtable + entry)
-		if offset == 0 { // not set
+		if offset == 0 { // field not set
 			continue
 		}
 		if offset < offsetBytes || offset+inlineBytes(object.Field(i).Type) > tableSize {
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// inlineBytes is what a value of a type takes in its table or vector.
+// inlineBytes returns the size of a value in its table or vector, where a reference takes
+// offsetBytes.
 func inlineBytes(t reflect.Type) uint64 {
 	switch t.Kind() {
 	case reflect.Bool, reflect.Uint8, reflect.Int8:
@@ -103,7 +105,8 @@
 	}
 }
 
-// field verifies what a field refers to. The field itself lies within the buffer.
+// field verifies what a field refers to. The caller has checked that the field itself lies
+// within the buffer.
 func (v *verifier) field(at uint64, t reflect.Type, depth int) error {
 	switch t.Kind() {
 	case reflect.Ptr:
@@ -116,7 +119,7 @@
 	return nil
 }
 
-// elements verifies a vector and what its elements refer to.
+// elements verifies a vector and everything that its elements refer to.
 func (v *verifier) elements(vector uint64, t reflect.Type, depth int) error {
 	if err := v.vector(vector, inlineBytes(t)); err != nil {
 		return err
@@ -135,7 +138,7 @@
 // vector verifies that the elements of a vector lie within the buffer.
 func (v *verifier) vector(at, elementBytes uint64) error {
 	if !v.contains(at, offsetBytes) || !v.contains(at+offsetBytes, v.uint32(at)*elementBytes) {
-		return &FormatError{"vector outside"}
+		return &FormatError{"vector outside the buffer"}
 	}
 	return nil
 }
--- a/internal/codec/voters.go
+++ b/internal/codec/voters.go
@@ -7,7 +7,7 @@
 	"violetthread/schema/fb"
 )
 
-// PackMessage packs a message between voters.
+// PackMessage returns the frame of a message between voters.
 func PackMessage(m quorum.Message) *fb.FrameT {
 	return &fb.FrameT{VoterMessage: &fb.VoterMessageT{
 		Type:             byte(m.Type),
@@ -31,7 +31,7 @@
 	}}
 }
 
-// UnpackMessage unpacks a message between voters.
+// UnpackMessage is the reverse of PackMessage.
 func UnpackMessage(t *fb.VoterMessageT) quorum.Message {
 	return quorum.Message{
 		Type:             quorum.MessageType(t.Type),
@@ -55,8 +55,8 @@
 	}
 }
 
-// PackVoterSet packs a voter set, with the incarnation of the disk that it is written on;
-// 0 where it belongs to no disk.
+// PackVoterSet converts a voter set to its table. incarnation is that of the disk to which the
+// voter set is written, or 0 if it is not the identity of a disk.
 func PackVoterSet(set quorum.VoterSet, incarnation uint64) *fb.VoterSetT {
 	return &fb.VoterSetT{
 		Fleet:       set.Fleet(),
@@ -69,7 +69,7 @@
 	}
 }
 
-// UnpackVoterSet unpacks a voter set.
+// UnpackVoterSet converts a table to a voter set. The incarnation of the disk is left out.
 func UnpackVoterSet(t *fb.VoterSetT) quorum.VoterSet {
 	return quorum.VoterSet{
 		Revision:   t.Revision,
@@ -80,7 +80,7 @@
 	}
 }
 
-// packPosition leaves the position before the first entry out.
+// packPosition returns nil for the zero position, which comes before the first entry.
 func packPosition(p quorum.Position) *fb.PositionT {
 	if p == (quorum.Position{}) {
 		return nil
