--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -9,17 +9,17 @@
 // Command is a subcommand of a program.
 type Command struct {
 	Name, About string
-	Settings    any          // pointer to a struct with defaults set, see Declared
-	Run         func() error // called once the settings are loaded
+	Settings    any          // pointer to a struct with defaults set, see CommandSettings
+	Run         func() error // called after the settings are loaded
 }
 
-// RunCommands runs the command that args name, or prints help and ends the process. An
-// error ends the process too, with exit code 2 (see Exit).
+// RunCommands runs the command that the process's arguments name, or prints help and exits. An
+// error ends the process with exit code 2 (see Exit).
 func RunCommands(program, about string, commands []Command) {
 	p := flaggy.NewParser(program)
 	p.Description, p.Version, p.ShowCompletion = about, Version, false
 	subcommands := make([]*flaggy.Subcommand, len(commands))
-	declared := make([]*Declared, len(commands))
+	declared := make([]*CommandSettings, len(commands))
 	for i, c := range commands {
 		subcommands[i] = flaggy.NewSubcommand(c.Name)
 		subcommands[i].Description = c.About
--- a/internal/daemon/declared.go
+++ b/internal/daemon/command_settings.go
@@ -15,26 +15,26 @@
 	"github.com/integrii/flaggy"
 )
 
-// Declared is the settings of one command, declared as flags and ready to be loaded.
+// CommandSettings loads the settings of one command from a file and from flags.
 //
 // Settings are a struct with defaults set. The tags of its fields are: json, the key in a
-// settings file (its flag is the same with '-' for '_'); validate, a rule of
+// settings file (the flag is the same with '-' for '_'); validate, a rule of
 // go-playground/validator or "name" or "ipport"; help, the text of --help; old, the key
-// and flag of earlier versions, which still work and give a warning.
-type Declared struct {
+// and flag in earlier versions, which still work but log a warning.
+type CommandSettings struct {
 	settings any
 	file     string
-	flags    map[string]*string // text of each flag by key, former keys included
-	warn     func(former, current string)
+	flags    map[string]*string           // value of each flag by key, former keys included
+	warn     func(former, current string) // called for each former key or flag in use
 }
 
 // DeclareSettings declares --settings and a flag for every setting on a command. settings
-// is a pointer to a struct; program stands in the log lines of warnings.
-func DeclareSettings(program string, command *flaggy.Subcommand, settings any) *Declared {
-	d := &Declared{settings: settings, flags: map[string]*string{}, warn: func(former, current string) {
+// is a pointer to a struct; program is the program's name in logged warnings.
+func DeclareSettings(program string, command *flaggy.Subcommand, settings any) *CommandSettings {
+	d := &CommandSettings{settings: settings, flags: map[string]*string{}, warn: func(former, current string) {
 		NewLogger(program, "-").Info("deprecated_setting", "setting", former, "use", current)
 	}}
-	command.String(&d.file, "s", "settings", "JSON file with settings; flags go before it")
+	command.String(&d.file, "s", "settings", "JSON file with settings; flags override it")
 	d.each(func(f reflect.StructField, v reflect.Value) {
 		help := f.Tag.Get("help")
 		if !v.IsZero() {
@@ -50,18 +50,18 @@
 	return d
 }
 
-func (d *Declared) declare(command *flaggy.Subcommand, key, help string) {
+func (d *CommandSettings) declare(command *flaggy.Subcommand, key, help string) {
 	d.flags[key] = new(string)
 	command.String(d.flags[key], "", flagName(key), help)
 }
 
-func (d *Declared) each(visit func(reflect.StructField, reflect.Value)) {
+func (d *CommandSettings) each(visit func(reflect.StructField, reflect.Value)) {
 	eachSetting(reflect.ValueOf(d.settings).Elem(), visit)
 }
 
 // LoadSettings fills settings, a pointer to a struct with defaults set, from the file that
-// --settings names and then from flags. It prints help or the version and ends the process
-// when asked to; the error lists every mistake.
+// --settings names and then from flags. For --help and --version it prints and exits. The
+// error lists every mistake.
 func LoadSettings(program, about string, settings any, args []string) error {
 	p := flaggy.NewParser(program)
 	p.Description, p.Version = about, Version
@@ -74,8 +74,8 @@
 }
 
 // Load reads the file, then the flags, and validates the settings. The error lists every
-// mistake, a line each.
-func (d *Declared) Load() error {
+// mistake, one a line.
+func (d *CommandSettings) Load() error {
 	text, err := d.readFile()
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (d *Declared) readFile() ([]byte, error) {
+func (d *CommandSettings) readFile() ([]byte, error) {
 	if d.file == "" {
 		return nil, nil
 	}
@@ -102,8 +102,8 @@
 	return text, nil
 }
 
-// decode sets what the text of the file says; without a file nothing.
-func (d *Declared) decode(text []byte) (mistakes []string) {
+// decode sets the settings in the text of the file, if there is a file.
+func (d *CommandSettings) decode(text []byte) (mistakes []string) {
 	if d.file == "" {
 		return nil
 	}
@@ -116,9 +116,9 @@
 	return mistakes
 }
 
-// renameFormerKeys puts current keys for former ones. Text without former keys, or that is
-// no JSON object, stays as it is.
-func (d *Declared) renameFormerKeys(text []byte) (renamed []byte, mistakes []string) {
+// renameFormerKeys replaces former keys by current ones. Text that has no former keys, or is
+// not a JSON object, is returned unchanged.
+func (d *CommandSettings) renameFormerKeys(text []byte) (renamed []byte, mistakes []string) {
 	given := map[string]json.RawMessage{}
 	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&given); err != nil {
 		return text, nil
@@ -149,8 +149,8 @@
 	return renamed, mistakes
 }
 
-// readFlag sets a field from its flag or its former flag, if one was given.
-func (d *Declared) readFlag(f reflect.StructField, v reflect.Value) []string {
+// readFlag sets a field from its flag or its former flag, if one of them is given.
+func (d *CommandSettings) readFlag(f reflect.StructField, v reflect.Value) []string {
 	key, former := settingKey(f), formerKey(f)
 	text := *d.flags[key]
 	if former != "" && *d.flags[former] != "" {
@@ -169,10 +169,10 @@
 	return nil
 }
 
-func (d *Declared) validate() (mistakes []string) {
-	var broken validator.ValidationErrors
-	if err := newValidator().Struct(d.settings); errors.As(err, &broken) {
-		for _, e := range broken {
+func (d *CommandSettings) validate() (mistakes []string) {
+	var violations validator.ValidationErrors
+	if err := newValidator().Struct(d.settings); errors.As(err, &violations) {
+		for _, e := range violations {
 			key := strings.Split(e.Field(), "[")[0]
 			mistakes = append(mistakes, fmt.Sprintf("%s: %q breaks the rule %s %s; set it in the file or by --%s", e.Field(), fmt.Sprint(e.Value()), e.Tag(), e.Param(), flagName(key)))
 		}
@@ -181,7 +181,7 @@
 }
 
 var (
-	errNotWhole   = errors.New("is not a whole number")
+	errNotInteger = errors.New("is not a whole number")
 	errNotBoolean = errors.New("is not true or false")
 )
 
@@ -192,7 +192,7 @@
 	case reflect.Int, reflect.Int64:
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			return errNotWhole
+			return errNotInteger
 		}
 		v.SetInt(n)
 	case reflect.Bool:
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// splitList splits a list at its commas and leaves out what is empty.
+// splitList splits a list at its commas and drops empty elements.
 func splitList(text string) []string {
 	var list []string
 	for _, part := range strings.Split(text, ",") {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -16,29 +16,29 @@
 	"violetthread/internal/taskgroup"
 )
 
-// httpStopTimeout bounds how long open HTTP requests are waited for once draining is over.
+// httpStopTimeout bounds the wait for open HTTP requests after draining.
 const httpStopTimeout = 2 * time.Second
 
-// Daemon is one running process.
+// Daemon is a process of the project. The exported fields are set by New.
 type Daemon struct {
-	Program string               // as it stands in the log
+	Program string               // name of the program in the log
 	Name    string               // of the node
-	Group   *taskgroup.Group     // of the process's tasks; it ends with the process
+	Group   *taskgroup.Group     // for the process's tasks; Run stops it after serving
 	Log     logr.Logger          // see NewLogger
-	Metrics *prometheus.Registry // what /metrics shows
+	Metrics *prometheus.Registry // served at /metrics
 
 	server       *khttp.Server
-	app          atomic.Pointer[kratos.App] // once it runs
-	notReady     atomic.Pointer[string]     // why it is not ready; nil when it is
+	app          atomic.Pointer[kratos.App] // nil before Run
+	notReady     atomic.Pointer[string]     // reason; nil when ready
 	stopping     atomic.Bool
-	failure      atomic.Pointer[error] // why the process ends by itself
+	failure      atomic.Pointer[error] // set by Fail
 	drains       []func(ctx context.Context)
 	stops        []func()
 	drainTimeout time.Duration
 }
 
-// New makes a daemon that will serve HTTP at an IP:port, and drain for drainUS microseconds
-// at most when it is stopped. It is not ready yet.
+// New returns a daemon that will serve HTTP at an IP:port and drain for at most drainUS
+// microseconds on a graceful stop. It is not ready until SetReady("").
 func New(program, name, addr string, drainUS int64) *Daemon {
 	d := &Daemon{
 		Program:      program,
@@ -50,13 +50,13 @@
 	}
 	d.Group = taskgroup.New(context.Background(), d.Log)
 	d.SetReady("starting")
-	d.countTraffic()
-	d.handleVitals()
+	d.registerTrafficMetrics()
+	d.registerStatusHandlers()
 	return d
 }
 
-// SetReady tells the platform why this process is not ready; an empty reason says that it
-// is. A process that is stopping stays not ready.
+// SetReady sets the reason why this process is not ready, which /readyz reports; an empty
+// reason makes it ready. A process that is stopping remains not ready.
 func (d *Daemon) SetReady(reason string) {
 	if reason == "" && !d.stopping.Load() {
 		d.notReady.Store(nil)
@@ -67,21 +67,22 @@
 	}
 }
 
-// Ready reports what /readyz would.
+// Ready reports whether this process is ready, as /readyz does.
 func (d *Daemon) Ready() bool { return d.notReady.Load() == nil }
 
 // Stopping reports whether a graceful stop is under way.
 func (d *Daemon) Stopping() bool { return d.stopping.Load() }
 
-// OnDrain adds what finishes running work on a graceful stop, before ctx ends; what was
-// added last comes first.
+// OnDrain adds a function that finishes running work on a graceful stop, before its ctx ends.
+// The function added last is called first.
 func (d *Daemon) OnDrain(drain func(ctx context.Context)) { d.drains = append(d.drains, drain) }
 
-// OnStop adds what is done after everything else has ended, in the order it was added.
+// OnStop adds a function that Run calls after everything else has ended, in the order of
+// addition.
 func (d *Daemon) OnStop(stop func()) { d.stops = append(d.stops, stop) }
 
-// Run serves until the process is stopped, then drains and ends. The error is that of Fail,
-// or why the HTTP side could not be served.
+// Run serves until the process is stopped, then drains and returns. The error is that of Fail,
+// or of the HTTP server.
 func (d *Daemon) Run() error {
 	app := kratos.New(kratos.Name(d.Program), kratos.Version(Version), kratos.Server(d.server),
 		kratos.StopTimeout(httpStopTimeout), kratos.Signal(syscall.SIGTERM, syscall.SIGINT), kratos.BeforeStop(d.drain))
@@ -102,7 +103,8 @@
 	return err
 }
 
-// drain finishes running work within the drain time. The error is always nil.
+// drain makes the process not ready and finishes running work within the drain time. The
+// error is always nil.
 func (d *Daemon) drain(context.Context) error {
 	d.stopping.Store(true)
 	d.SetReady("stopping")
@@ -115,15 +117,15 @@
 	return nil
 }
 
-// Stop ends the process as a signal would; Run then returns.
+// Stop starts a graceful stop, as SIGTERM does; Run then returns. Before Run it does nothing.
 func (d *Daemon) Stop() {
 	if app := d.app.Load(); app != nil {
 		_ = app.Stop()
 	}
 }
 
-// Fail ends the process as Stop does, with an error that Run returns and that names the
-// remedy: for what does not pass by itself. Only the first failure counts.
+// Fail stops the process as Stop does and makes Run return err, which should state the remedy.
+// It is for failures that the process can't recover from. Only the first call has an effect.
 func (d *Daemon) Fail(err error) {
 	if !d.failure.CompareAndSwap(nil, &err) {
 		return
@@ -133,7 +135,7 @@
 	d.Stop()
 }
 
-// Failure is why the process ends by itself, nil if it does not.
+// Failure returns the error of the first Fail, or nil.
 func (d *Daemon) Failure() error {
 	if failure := d.failure.Load(); failure != nil {
 		return *failure
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,10 +19,10 @@
 		pairs []any
 		want  string
 	}{
-		{"plain words", "started", []any{"version", "0.1.0", "count", 3, "on", true}, "event=started version=0.1.0 count=3 on=true"},
-		{"spaces stay quoted", "failed", []any{"cause", "the disk is full"}, `event=failed cause="the disk is full"`},
+		{"one-word values", "started", []any{"version", "0.1.0", "count", 3, "on", true}, "event=started version=0.1.0 count=3 on=true"},
+		{"values with spaces stay quoted", "failed", []any{"cause", "the disk is full"}, `event=failed cause="the disk is full"`},
 		{"quotes stay escaped", "failed", []any{"cause", `key "a"="b"`}, `event=failed cause="key \"a\"=\"b\""`},
-		{"nothing else", "stopped", nil, "event=stopped"},
+		{"no further keys", "stopped", nil, "event=stopped"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -38,7 +38,7 @@
 	}
 }
 
-// get asks a daemon's HTTP side.
+// get sends a request to a daemon's HTTP server and returns the status and the body.
 func get(t *testing.T, d *Daemon, method, path string) (int, string) {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -75,16 +75,16 @@
 	}
 }
 
-// TestStop: a stop makes the process not ready, drains in reverse order and then runs what
-// was added for the end.
+// TestStop: a graceful stop makes the process not ready, then calls the drain functions, the
+// last added first, and then the stop functions.
 func TestStop(t *testing.T) {
 	d := New("test", "n", "127.0.0.1:0", 1_000_000)
 	d.SetReady("")
 	var order []string
 	d.OnDrain(func(context.Context) { order = append(order, "first added") })
 	d.OnDrain(func(ctx context.Context) {
-		if _, bounded := ctx.Deadline(); !bounded || !d.Stopping() || d.Ready() {
-			t.Error("draining without a bound, or while ready")
+		if _, hasDeadline := ctx.Deadline(); !hasDeadline || !d.Stopping() || d.Ready() {
+			t.Error("draining without a deadline, or while ready")
 		}
 		d.SetReady("")
 		if d.Ready() {
@@ -94,7 +94,7 @@
 	})
 	d.OnStop(func() { order = append(order, "stop") })
 	d.Group.Go("stopper", func(context.Context) {
-		for d.app.Load() == nil { // Run was not called yet
+		for d.app.Load() == nil { // Run has not been called yet
 			continue
 		}
 		d.Stop()
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestFail: the first failure is what Run returns, also if it came before.
+// TestFail: Run returns the first failure, even if Fail was called before Run.
 func TestFail(t *testing.T) {
 	d := New("test", "n", "127.0.0.1:0", 0)
 	cause := errors.New("the disk is gone; replace it")
--- a/internal/daemon/exit.go
+++ b/internal/daemon/exit.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// exitError is the exit code of a process that ends with an error.
-const exitError = 2
+// exitCodeError is the exit code of a process that ends with an error.
+const exitCodeError = 2
 
-// Exit prints an error to standard error, each of its lines behind the program's name, and
-// ends the process with code 2.
+// Exit prints an error to standard error, each of its lines prefixed with the program's name,
+// and ends the process with exit code 2.
 func Exit(program string, err error) {
 	for _, line := range strings.Split(err.Error(), "\n") {
 		fmt.Fprintf(os.Stderr, "%s: %s\n", program, line)
 	}
-	os.Exit(exitError)
+	os.Exit(exitCodeError)
 }
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -15,39 +15,40 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// ErrorResponse is the body of an HTTP answer that refuses a request.
+// ErrorResponse is the body of an HTTP error response.
 type ErrorResponse struct {
 	Reason string `json:"reason"` // short name of the cause
 	Remedy string `json:"remedy"` // what the caller can do
 }
 
-// newServer makes the HTTP side. Nothing times out by itself: the library's default of one
-// second would cut streams.
+// newServer returns the HTTP server. Requests have no overall time-out, since the library's
+// default of one second would cut off streams.
 func newServer(addr string) *khttp.Server {
-	noPath := func(w http.ResponseWriter, _ *http.Request) {
-		WriteJSON(w, http.StatusNotFound, ErrorResponse{"no-such-path", "see the API page for the paths there are"})
+	pathNotFound := func(w http.ResponseWriter, _ *http.Request) {
+		WriteJSON(w, http.StatusNotFound, ErrorResponse{"no-such-path", "see the API documentation for the available paths"})
 	}
-	noMethod := func(w http.ResponseWriter, _ *http.Request) {
-		WriteJSON(w, http.StatusMethodNotAllowed, ErrorResponse{"no-such-method", "see the API page for the methods of this path"})
+	methodNotAllowed := func(w http.ResponseWriter, _ *http.Request) {
+		WriteJSON(w, http.StatusMethodNotAllowed, ErrorResponse{"no-such-method", "see the API documentation for the methods of this path"})
 	}
 	server := khttp.NewServer(khttp.Address(addr), khttp.Timeout(0),
-		khttp.NotFoundHandler(http.HandlerFunc(noPath)), khttp.MethodNotAllowedHandler(http.HandlerFunc(noMethod)))
+		khttp.NotFoundHandler(http.HandlerFunc(pathNotFound)), khttp.MethodNotAllowedHandler(http.HandlerFunc(methodNotAllowed)))
 	server.ReadHeaderTimeout = readHeaderTimeout
 	server.IdleTimeout = idleTimeout
 	server.MaxHeaderBytes = maxHeaderBytes
 	return server
 }
 
-// Handle serves a path.
+// Handle registers the handler of a path.
 func (d *Daemon) Handle(path string, handler http.HandlerFunc) { d.server.HandleFunc(path, handler) }
 
-// HandlePrefix serves every path that begins so.
+// HandlePrefix registers the handler of all paths with a prefix.
 func (d *Daemon) HandlePrefix(prefix string, handler http.HandlerFunc) {
 	d.server.HandlePrefix(prefix, handler)
 }
 
-// handleVitals serves what the platform and monitoring ask every process.
-func (d *Daemon) handleVitals() {
+// registerStatusHandlers serves the health, readiness and metrics paths, which the platform and
+// monitoring request.
+func (d *Daemon) registerStatusHandlers() {
 	d.Handle("/healthz", func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, map[string]string{"vitals": "ok"})
 	})
@@ -61,7 +62,7 @@
 	d.Handle("/metrics", promhttp.HandlerFor(d.Metrics, promhttp.HandlerOpts{}).ServeHTTP)
 }
 
-// WriteJSON writes v as the answer.
+// WriteJSON writes a response with v as its JSON body.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
--- a/internal/daemon/logger.go
+++ b/internal/daemon/logger.go
@@ -16,15 +16,15 @@
 // timeFormat is UTC with microseconds.
 const timeFormat = "2006-01-02T15:04:05.000000Z"
 
-// quotedKey and quotedWord find quotes that the library writes and nobody needs; quotes
-// inside a value are escaped and never match.
+// quotedKey and quotedWord match quotes around keys and one-word values, which the library
+// writes and newLogger removes. Quotes inside a value are escaped and never match.
 var (
 	quotedKey  = regexp.MustCompile(`(^| )"([a-z0-9_]+)"=`)
 	quotedWord = regexp.MustCompile(`="([A-Za-z0-9_.:/#-]+)"`)
 )
 
-// NewLogger makes a logger that writes one line of key=value pairs for each event to
-// standard error. The message of a call is the event's name, in snake_case.
+// NewLogger returns a logger that writes each event to standard error as one line of key=value
+// pairs. The message of a call is the event's name, in snake_case.
 func NewLogger(program, node string) logr.Logger { return newLogger(os.Stderr, program, node) }
 
 func newLogger(out io.Writer, program, node string) logr.Logger {
@@ -39,7 +39,8 @@
 	return funcr.New(write, funcr.Options{RenderBuiltinsHook: renderBuiltins})
 }
 
-// renderBuiltins names the message "event" and leaves out the library's level and logger.
+// renderBuiltins renames the message to "event" and removes the library's level and logger
+// name.
 func renderBuiltins(pairs []any) []any {
 	rendered := []any{}
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -54,11 +55,12 @@
 	return rendered
 }
 
-// silentLogger drops the lines of the HTTP library, which are no events of ours.
-type silentLogger struct{}
+// discardLogger drops the log lines of the HTTP library, which are not in the format of
+// NewLogger.
+type discardLogger struct{}
 
 // Log drops a line.
-func (silentLogger) Log(klog.Level, ...any) error { return nil }
+func (discardLogger) Log(klog.Level, ...any) error { return nil }
 
-// The library's logger is global, so it is set before anything runs.
-func init() { klog.SetLogger(silentLogger{}) }
+// The logger of the HTTP library is global, so it is set before any other code runs.
+func init() { klog.SetLogger(discardLogger{}) }
--- a/internal/daemon/profile.go
+++ b/internal/daemon/profile.go
@@ -7,15 +7,15 @@
 	"github.com/gravitational/trace"
 )
 
-// ProfileCPU writes a processor profile to a file until the daemon has stopped; an empty
-// path writes none.
+// ProfileCPU writes a CPU profile to a file until the daemon has stopped. An empty path writes
+// none.
 func (d *Daemon) ProfileCPU(path string) error {
 	if path == "" {
 		return nil
 	}
 	file, err := os.Create(path)
 	if err != nil {
-		return trace.Wrap(err, "can't write the profile; give --cpu-profile a file in a folder that exists")
+		return trace.Wrap(err, "can't write the CPU profile; give --cpu-profile a file in an existing folder")
 	}
 	if err := pprof.StartCPUProfile(file); err != nil {
 		return trace.Wrap(err)
--- a/internal/daemon/programs_test.go
+++ b/internal/daemon/programs_test.go
@@ -13,7 +13,8 @@
 	"violetthread/internal/daemon"
 )
 
-// TestExampleSettings: every file in examples/settings is a complete file of its program.
+// TestExampleSettings: every file in examples/settings contains valid and sufficient settings
+// of its program.
 func TestExampleSettings(t *testing.T) {
 	settings := map[string]any{
 		"agent.json":   ptr(agent.Defaults()),
@@ -34,8 +35,8 @@
 	}
 }
 
-// TestFormerSettings: settings files and flags of the programs' earlier versions mean the
-// same as those of today.
+// TestFormerSettings: settings files and flags of earlier versions of the programs result in
+// the same settings as the current ones.
 func TestFormerSettings(t *testing.T) {
 	const node = `{"name":"n","site":"z","http":"10.0.0.1:1","wire":"127.0.0.1:2","seeds":["10.0.0.2:2"]`
 	for _, c := range []struct {
@@ -57,19 +58,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, given := range []struct {
-				name                string
-				former, now         string
-				formerArgs, nowArgs []string
+				name                    string
+				former, current         string
+				formerArgs, currentArgs []string
 			}{
 				{"file", node + c.former, node + c.file, nil, nil},
 				{"flags", node + c.file, node + c.file, c.formerFlags, c.flags},
 			} {
 				t.Run(given.name, func(t *testing.T) {
-					former, now := c.defaults(), c.defaults()
+					former, current := c.defaults(), c.defaults()
 					mustLoad(t, former, given.former, given.formerArgs)
-					mustLoad(t, now, given.now, given.nowArgs)
-					if !reflect.DeepEqual(former, now) {
-						t.Errorf("former names gave %+v, not %+v", former, now)
+					mustLoad(t, current, given.current, given.currentArgs)
+					if !reflect.DeepEqual(former, current) {
+						t.Errorf("former names gave %+v, not %+v", former, current)
 					}
 					if reflect.DeepEqual(former, c.defaults()) {
 						t.Error("nothing was set")
@@ -80,8 +81,8 @@
 	}
 }
 
-// mustLoad loads a settings file with this text, then flags. A file that both name a
-// setting in, and a flag, is no conflict: the flag counts.
+// mustLoad loads a settings file with the given text, then flags. A setting may be in both the
+// file and the flags, under its former or current name; the flag takes precedence.
 func mustLoad(t *testing.T, settings any, text string, args []string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.json")
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -21,8 +21,8 @@
 	RecordingSettings
 }
 
-// load declares the settings on a parser, parses args and loads; it returns the settings,
-// the warnings as "former=current" and the error.
+// load loads settings from args. It returns the settings, the warnings as "former=current" and
+// the error.
 func load(t *testing.T, args ...string) (testSettings, []string, error) {
 	t.Helper()
 	s := testSettings{Count: 3, RecordingSettings: RecordingDefaults}
@@ -59,8 +59,8 @@
 		{"file", `{"name":"n","wide_us":7,"on":true,"list":["10.0.0.1:1"]}`, nil, func(s *testSettings) {
 			s.Wide, s.On, s.List = 7, true, []string{"10.0.0.1:1"}
 		}},
-		{"flags go before the file", `{"name":"other","count":2}`, []string{"--name", "n", "--count", "5"}, func(s *testSettings) { s.Count = 5 }},
-		{"list of a flag", "", []string{"--name", "n", "--list", "10.0.0.1:1, 10.0.0.2:2,"}, func(s *testSettings) {
+		{"flags override the file", `{"name":"other","count":2}`, []string{"--name", "n", "--count", "5"}, func(s *testSettings) { s.Count = 5 }},
+		{"list in a flag", "", []string{"--name", "n", "--list", "10.0.0.1:1, 10.0.0.2:2,"}, func(s *testSettings) {
 			s.List = []string{"10.0.0.1:1", "10.0.0.2:2"}
 		}},
 		{"embedded settings", `{"name":"n","recording":"f"}`, []string{"--recording-bytes", "8192"}, func(s *testSettings) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestFormerNames: keys and flags of earlier versions still work and give a warning.
+// TestFormerNames: keys and flags of earlier versions still work and cause a warning.
 func TestFormerNames(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestWrongSettings: the error lists every mistake, a line each, with how to mend it.
-func TestWrongSettings(t *testing.T) {
+// TestInvalidSettings: the error lists every mistake with its remedy.
+func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		file string
