--- a/internal/taskgroup/select.go
+++ b/internal/taskgroup/select.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Every runs step at once and then each period, until ctx ends. A step that takes longer
-// than the period is not caught up on. A step may still follow the end of ctx if the period
-// passes at the same moment; step gets ctx for that.
+// Every calls step immediately and then once each period, until ctx ends. Calls missed during a
+// step that takes longer than the period are not made up for. step may be called again after
+// ctx has ended if the period ends at the same moment, and can check ctx for that.
 func Every(ctx context.Context, period time.Duration, step func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -21,8 +21,8 @@
 	}
 }
 
-// Serve passes each value from the channel to handle and calls tick each period, one at a
-// time, until ctx ends.
+// Serve calls handle for each value from the channel, and tick once each period, until ctx
+// ends. The calls do not overlap.
 func Serve[T any](ctx context.Context, values <-chan T, period time.Duration, handle func(T), tick func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -38,7 +38,7 @@
 	}
 }
 
-// Receive waits for the next value of the channel. It returns false if the channel is
+// Receive waits for the next value from the channel. It returns false if the channel is
 // closed or ctx ends first.
 func Receive[T any](ctx context.Context, values <-chan T) (value T, ok bool) {
 	select {
@@ -49,7 +49,7 @@
 	}
 }
 
-// Send waits until the channel takes the value. It returns false if ctx ends first.
+// Send sends the value and blocks until that is possible. It returns false if ctx ends first.
 func Send[T any](ctx context.Context, values chan<- T, value T) bool {
 	select {
 	case values <- value:
@@ -59,7 +59,7 @@
 	}
 }
 
-// TrySend sends the value unless that would block, and reports whether it did.
+// TrySend sends the value unless that would block, and reports whether the value was sent.
 func TrySend[T any](values chan<- T, value T) bool {
 	select {
 	case values <- value:
@@ -69,7 +69,7 @@
 	}
 }
 
-// Sleep waits for so many microseconds. It returns false if ctx ends first.
+// Sleep waits for us microseconds. It returns false if ctx ends first.
 func Sleep(ctx context.Context, us int64) bool {
 	timer := time.NewTimer(time.Duration(us) * time.Microsecond)
 	defer timer.Stop()
--- a/internal/taskgroup/taskgroup.go
+++ b/internal/taskgroup/taskgroup.go
@@ -1,9 +1,9 @@
-// Package taskgroup is the only place of the module where goroutines start
-// (DEVELOPERS.md). A Group starts goroutines that end together; see select.go for the select
-// statements and timer loops that they share.
+// Package taskgroup is the only package of the module that starts goroutines
+// (DEVELOPERS.md). A Group starts goroutines that are stopped together. The functions in
+// select.go wrap the select statements and timer loops that these goroutines need.
 //
 // A Group's methods may be called from any goroutine, except that Stop must not be called
-// from one of the group's own: it waits for all of them.
+// from a goroutine of the group, since it waits for all of them.
 package taskgroup
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/go-logr/logr"
 )
 
-// Group is a set of goroutines that end together.
+// Group is a set of goroutines that are stopped together.
 type Group struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -22,21 +22,22 @@
 	log    logr.Logger
 }
 
-// New makes a group whose context is derived from ctx.
+// New returns a group whose context is derived from ctx.
 func New(ctx context.Context, log logr.Logger) *Group {
 	derived, cancel := context.WithCancel(ctx)
 	return &Group{ctx: derived, cancel: cancel, log: log}
 }
 
-// Context ends when the group is stopped, or the context that it was made with ends.
+// Context returns the group's context, which ends when the group is stopped or the context
+// passed to New ends.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Log is the log that the group was made with.
+// Log returns the logger passed to New.
 func (g *Group) Log() logr.Logger { return g.log }
 
-// Go runs task in a goroutine of the group; it must return soon after its context ends.
-// A panic in it is logged under the name and ends the process: the state that a
-// half-finished step leaves behind is not to be trusted.
+// Go runs task in a goroutine of the group; task must return soon after its context ends.
+// A panic in task is logged with name and ends the process, since a step that was interrupted
+// may have left inconsistent state.
 func (g *Group) Go(name string, task func(ctx context.Context)) {
 	g.wait.Add(1)
 	go func() {
@@ -46,7 +47,8 @@
 	}()
 }
 
-// logPanic must be deferred itself: recover has no effect further down.
+// logPanic logs a panic and repeats it. It must be deferred directly: recover has no effect in
+// a function that a deferred function calls.
 func (g *Group) logPanic(name string) {
 	if cause := recover(); cause != nil {
 		g.log.Info("panic", "group", name, "cause", cause, "stack", string(debug.Stack()))
--- a/internal/taskgroup/taskgroup_test.go
+++ b/internal/taskgroup/taskgroup_test.go
@@ -20,7 +20,7 @@
 	return group
 }
 
-// TestStop: Stop ends the context and returns only after every goroutine has.
+// TestStop: Stop ends the context and returns after every goroutine has returned.
 func TestStop(t *testing.T) {
 	group := newGroup(t)
 	ended := 0
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestParentContext: the group's context ends with the one that it was made with.
+// TestParentContext: the group's context ends with its parent.
 func TestParentContext(_ *testing.T) {
 	parent, cancel := context.WithCancel(context.Background())
 	group := taskgroup.New(parent, logr.Discard())
@@ -43,8 +43,8 @@
 	group.Stop()
 }
 
-// TestEvery: the first step comes at once, the next after the period. Steps may follow the
-// end of the context when the period passes at the same moment.
+// TestEvery: the first step runs immediately, the next after the period. A further step is
+// allowed when the period ends at the same moment as the context.
 func TestEvery(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -69,7 +69,7 @@
 	}
 }
 
-// TestServe: values are handled in order, and ticks come between them.
+// TestServe: values are handled in order, and tick is called as well.
 func TestServe(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	values := make(chan int, 2)
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestChannels: sends and receives succeed when the channel is ready, and give up when
-// the context has ended.
+// TestChannels: Send and Receive succeed when the channel is ready and fail when the context
+// has ended; TrySend fails when the channel is full.
 func TestChannels(t *testing.T) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -113,7 +113,7 @@
 	check("try to send", taskgroup.TrySend(values, 4), true)
 }
 
-// TestSleep: it returns after the time, or false when the context ends.
+// TestSleep: Sleep returns true after the time, or false when the context ends.
 func TestSleep(t *testing.T) {
 	if !taskgroup.Sleep(context.Background(), 1) {
 		t.Error("one microsecond did not pass")
