--- a/internal/engineapi/api.go
+++ b/internal/engineapi/api.go
@@ -1,8 +1,8 @@
 package engineapi
 
-// RunRequest is the body of POST /v1/run. The answer is a stream of RunFrame, one JSON
-// object a line. An answer other than 200 with a Rejection proves that the run did not and
-// will not begin.
+// RunRequest is the body of POST /v1/run. The response is a stream of RunFrame, one JSON
+// object a line. A response with a status other than 200 and a Rejection as its body proves
+// that the run has not started and will not start.
 type RunRequest struct {
 	Attempt      string    `json:"attempt"`
 	RequestID    string    `json:"ticket"`
@@ -15,38 +15,38 @@
 	Prompt       string    `json:"prompt"`
 	Blocks       []string  `json:"parts"` // keys of the prompt's blocks
 	Transfer     *Transfer `json:"take,omitempty"`
-	DueUS        int64     `json:"due_us"` // microseconds from now to the deadline
+	DueUS        int64     `json:"due_us"` // time left until the deadline, in microseconds
 }
 
-// Transfer orders blocks to be fetched from another engine or the store. When they do not
-// come within WaitUS the engine recomputes them; nothing in the answer tells which happened.
+// Transfer tells the engine to fetch blocks from another engine or the store. Blocks that do not
+// arrive within WaitUS are recomputed; the response does not tell which happened.
 type Transfer struct {
 	Block  int    `json:"part"` // index of the last block to fetch
 	From   string `json:"from"` // IP:port
 	WaitUS int64  `json:"wait_us"`
 }
 
-// Rejection is why a run will not begin.
+// Rejection is the reason why a run will not start.
 type Rejection struct {
 	Reason string `json:"refused"`
 }
 
-// RunFrame is one line of a run: began first, then pieces, then done.
+// RunFrame is one line of a run's response: began first, then pieces, then done.
 type RunFrame struct {
 	Began  bool    `json:"began,omitempty"`
 	Piece  *string `json:"piece,omitempty"`
 	Done   bool    `json:"done,omitempty"`
-	Pieces int     `json:"n,omitempty"` // with done: how many there were
+	Pieces int     `json:"n,omitempty"` // number of pieces, in the frame with done
 }
 
 // Values of Event.Op.
 const (
-	EventAdded    = "keep" // Block is cached now
-	EventRemoved  = "drop" // Block is cached no more
-	EventFinished = "ran"  // Attempt ended, after RecomputedBytes were recomputed
+	EventAdded    = "keep" // Block was added to the cache
+	EventRemoved  = "drop" // Block was removed from the cache
+	EventFinished = "ran"  // Attempt ended; RecomputedBytes were recomputed for it
 )
 
-// Event is one thing that an engine or the store tells.
+// Event is one event that an engine or the store reports.
 type Event struct {
 	Seq             uint64 `json:"seq"`
 	Op              string `json:"op"`
@@ -55,8 +55,8 @@
 	RecomputedBytes uint64 `json:"filled,omitempty"`
 }
 
-// Report is the answer to GET /v1/report?inc=I&after=N: the events after N, or what is left
-// of them. A first event beyond N+1 shows a gap.
+// Report is the response to GET /v1/report?inc=I&after=N: the events after N that are still
+// retained. If the first one has a number above N+1, events were lost.
 type Report struct {
 	Name        string  `json:"name"`
 	Incarnation uint64  `json:"inc,string"`
@@ -69,21 +69,21 @@
 	Events      []Event `json:"events"`
 }
 
-// Holdings is the answer to GET /v1/keeps: all blocks cached as of event Seq.
+// Holdings is the response to GET /v1/keeps: all blocks cached as of event Seq.
 type Holdings struct {
 	Incarnation uint64   `json:"inc,string"`
 	Seq         uint64   `json:"seq"`
 	Blocks      []string `json:"parts"`
 }
 
-// WeightsRequest is the body of POST /v1/weights: change to other weights.
+// WeightsRequest is the body of POST /v1/weights, which tells an engine to load other weights.
 type WeightsRequest struct {
 	Weights      string `json:"weights"`
 	FencingToken uint64 `json:"epoch"` // of the engine's owner
-	Owner        string `json:"owner"` // its name
+	Owner        string `json:"owner"` // name of the owner
 }
 
-// ImportRequest is the body of POST /v1/import: fetch a block ahead of need.
+// ImportRequest is the body of POST /v1/import, which tells an engine to prefetch a block.
 type ImportRequest struct {
 	Block        string `json:"part"`
 	From         string `json:"from"`  // IP:port
@@ -92,10 +92,10 @@
 	Weights      string `json:"weights"`
 }
 
-// KindStore is ListedEngine.Kind of the store.
+// KindStore is the ListedEngine.Kind of the store.
 const KindStore = "store"
 
-// ListedEngine is one entry of the platform's list.
+// ListedEngine is one entry of the platform's list of engines.
 type ListedEngine struct {
 	Name    string `json:"name"`
 	Addr    string `json:"addr"`
@@ -104,7 +104,7 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// EngineList is the answer to the platform's GET /v1/engines.
+// EngineList is the response to the platform's GET /v1/engines.
 type EngineList struct {
 	Engines []ListedEngine `json:"engines"`
 }
--- a/internal/engineapi/key.go
+++ b/internal/engineapi/key.go
@@ -9,10 +9,10 @@
 	"violetthread/cacheindex"
 )
 
-// keyBytes is the length of a key's binary form: hash and check, in big-endian order.
+// keyBytes is the length of a key's binary form: Hi, Lo and Check in big-endian order.
 const keyBytes = 20
 
-// FormatKey writes a key as engines know it: 40 hexadecimal digits, the check last.
+// FormatKey formats a key as in the engine protocol: 40 hexadecimal digits, Check last.
 func FormatKey(key cacheindex.Key) string {
 	var b [keyBytes]byte
 	binary.BigEndian.PutUint64(b[:], key.Hi)
@@ -21,12 +21,13 @@
 	return hex.EncodeToString(b[:])
 }
 
-// FormatKeys writes the keys of a prompt's blocks. It never returns nil.
+// FormatKeys formats the keys of a prompt's blocks. It never returns nil, which JSON would
+// encode as null.
 func FormatKeys(keys []cacheindex.Key) []string {
 	return lo.Map(keys, func(key cacheindex.Key, _ int) string { return FormatKey(key) })
 }
 
-// ParseKey reads what FormatKey writes, and reports whether it could.
+// ParseKey parses a key in the format of FormatKey, and reports whether it is valid.
 func ParseKey(s string) (key cacheindex.Key, ok bool) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != keyBytes {
