--- a/internal/callerapi/decode.go
+++ b/internal/callerapi/decode.go
@@ -11,21 +11,21 @@
 	"github.com/gravitational/trace"
 )
 
-// UnknownFieldError says that a request has a field that there is not.
+// UnknownFieldError means that a request has a field that the API does not define.
 type UnknownFieldError struct{ Field string }
 
 func (e *UnknownFieldError) Error() string {
-	return "there is no field " + e.Field + "; " + Remedy(ReasonUnknownField)
+	return "unknown field " + e.Field + "; " + Remedy(ReasonUnknownField)
 }
 
-// ErrMalformed says that a body is not one JSON object with values of the right types.
+// ErrMalformed means that a body is not one JSON object with values of the right types.
 var ErrMalformed = errors.New("the body is not one JSON object with values of the right types; " + Remedy(ReasonMalformed))
 
 // fieldNames are the names of the fields of Request.
 var fieldNames = []string{"kind", "id", "era", "due_us", "prompt"}
 
-// DecodeRequest reads the body of a request. Errors are *UnknownFieldError and ErrMalformed,
-// wrapped; of several faults that a body has, the first one counts.
+// DecodeRequest decodes the body of a request. Its errors wrap *UnknownFieldError or
+// ErrMalformed, whichever fault comes first in the body.
 func DecodeRequest(body []byte) (Request, error) {
 	var request Request
 	decoder := json.NewDecoder(bytes.NewReader(body))
@@ -43,14 +43,15 @@
 		return request, trace.Wrap(ErrMalformed)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return request, trace.Wrap(ErrMalformed) // something follows the object
+		return request, trace.Wrap(ErrMalformed) // more input after the object
 	}
 	return request, nil
 }
 
-// firstUnknownField finds the first field of a JSON value that is not of Request, as package
-// encoding/json tells them apart, and where its name ends. The JSON library has no typed
-// error for it. The value is known to be valid JSON; one that is no object has no fields.
+// firstUnknownField returns the first field of a JSON value that is not a field of Request, by
+// the case-insensitive comparison of encoding/json, and the offset where its name ends.
+// encoding/json has no typed error for unknown fields. The value is known to be valid JSON; one
+// that is not an object has no fields.
 func firstUnknownField(body []byte) (name string, end int64, found bool) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
--- a/internal/callerapi/decode_test.go
+++ b/internal/callerapi/decode_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// reasonOf is the reason that a body is refused for, "" if it is not.
+// reasonOf returns the reason for which a body is refused, or "" if err is nil.
 func reasonOf(t *testing.T, err error) string {
 	t.Helper()
 	var unknownField *UnknownFieldError
@@ -26,7 +26,8 @@
 	return ""
 }
 
-// TestDecodeRequest: what is read, and what is refused for which reason.
+// TestDecodeRequest: bodies are decoded to the expected request or refused with the expected
+// reason.
 func TestDecodeRequest(t *testing.T) {
 	for _, c := range []struct {
 		name, body, wantReason string
@@ -41,8 +42,8 @@
 		{"an unknown field with a nested value", `{"x":{"y":[1,{"z":2}]},"kind":"k"}`, ReasonUnknownField, Request{}},
 		{"an unknown field before a wrong type", `{"x":1,"kind":7}`, ReasonUnknownField, Request{}},
 		{"a wrong type before an unknown field", `{"kind":7,"x":1}`, ReasonMalformed, Request{}},
-		{"an unknown field and something behind", `{"x":1} {}`, ReasonUnknownField, Request{}},
-		{"something behind", `{"kind":"k"} {}`, ReasonMalformed, Request{}},
+		{"an unknown field and more after the object", `{"x":1} {}`, ReasonUnknownField, Request{}},
+		{"more after the object", `{"kind":"k"} {}`, ReasonMalformed, Request{}},
 		{"not closed", `{"x":1`, ReasonMalformed, Request{}},
 		{"empty", ``, ReasonMalformed, Request{}},
 		{"an array", `[1]`, ReasonMalformed, Request{}},
@@ -60,7 +61,7 @@
 	}
 }
 
-// TestFieldNames: fieldNames are those of Request.
+// TestFieldNames: fieldNames lists all fields of Request.
 func TestFieldNames(t *testing.T) {
 	var names []string
 	for i := range reflect.TypeFor[Request]().NumField() {
@@ -72,8 +73,8 @@
 	}
 }
 
-// decodeByText decides as the JSON library does, whose error for an unknown field is told
-// by its text alone.
+// decodeByText decodes with DisallowUnknownFields of encoding/json, whose error for an unknown
+// field can be recognized only by its text.
 func decodeByText(body []byte) (request Request, reason string) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -89,8 +90,8 @@
 	return request, ""
 }
 
-// FuzzDecodeRequest: bodies are read, and refused for the reasons, that the JSON library
-// gives.
+// FuzzDecodeRequest: DecodeRequest accepts the same bodies, and refuses others for the same
+// reasons, as encoding/json.
 func FuzzDecodeRequest(f *testing.F) {
 	for _, seed := range []string{
 		`{"kind":"k","id":"i","era":3,"due_us":5,"prompt":"p"}`, `{"kind":7,"x":1}`, `{"x":1,"kind":7}`, `{"KIND":"k"}`,
--- a/internal/callerapi/doc.go
+++ b/internal/callerapi/doc.go
@@ -1,7 +1,7 @@
-// Package callerapi is what callers of the product's own interface send and get: HTTP/1.1
-// with JSON, and answers as frames, one a line (docs/caller-api.md). The names in struct
-// tags and the reasons are part of the API; package client is generated from the same API's
-// description in schema/caller.yaml.
+// Package callerapi contains the requests and responses of the product's own caller API:
+// HTTP/1.1 with JSON, and responses as a stream of frames, one a line (docs/caller-api.md). The
+// names in struct tags and the reasons are part of the API; package client is generated from
+// the description of the same API in schema/caller.yaml.
 //
-// The package is pure, and may be used from any goroutine.
+// The functions keep no state and may be called from any goroutine.
 package callerapi
--- a/internal/callerapi/reasons.go
+++ b/internal/callerapi/reasons.go
@@ -1,7 +1,7 @@
 package callerapi
 
-// Reasons of refused and unknown ends. Those that the dispatcher gives are in package
-// dispatch and package attempt as well.
+// Reasons in refused and unknown frames. Those that the dispatcher returns are also defined in
+// packages dispatch and attempt.
 const (
 	ReasonKeyMissing         = "key-missing"
 	ReasonKeyUnknown         = "key-unknown"
@@ -34,40 +34,40 @@
 	ReasonBackendUnreachable = "backend-unreachable"
 )
 
-// remedies say what a caller can do about a reason.
+// remedies tell the caller what to do, by reason.
 var remedies = map[string]string{
 	ReasonKeyMissing:         "send your group's key as Authorization: Bearer KEY",
-	ReasonKeyUnknown:         "this key is in no group of the plan in force; ask an operator",
-	ReasonKeyRevoked:         "your key was taken away; ask an operator for another",
+	ReasonKeyUnknown:         "no group in the current plan has this key; ask an operator",
+	ReasonKeyRevoked:         "your key was revoked; ask an operator for a new one",
 	ReasonKindRevoked:        "your group may not send this kind; ask an operator",
-	ReasonDomainChanged:      "your group's wall was changed meanwhile; send the ticket again",
+	ReasonDomainChanged:      "the isolation (wall) of your group was changed meanwhile; send the request again",
 	ReasonTooLarge:           "keep the body within 4 MiB",
 	ReasonUnknownField:       "send only kind, id, era, due_us and prompt",
 	ReasonMalformed:          "send one JSON object with kind, id, era, due_us and prompt",
-	ReasonUnknownKind:        "use a kind that the plan names",
+	ReasonUnknownKind:        "use a kind that the plan defines",
 	ReasonBadID:              "use at most 128 printable characters without spaces",
-	ReasonDeadlinePast:       "give due_us as microseconds from now, above zero",
-	ReasonDeadlineTooFar:     "give a due within the kind's max_due_us",
-	ReasonDeadline:           "it can't be done by its due; come back after retry_after_us, or give it a later due",
-	ReasonDeadlinePassed:     "its due passed while it ran; look at what it did before sending it again",
-	ReasonQueueFull:          "your group has too many waiting; come back after retry_after_us",
-	ReasonNoEngine:           "no engine has room for this proxy just now; come back after retry_after_us",
-	ReasonPlanNotFresh:       "this proxy can't prove that its plan is in force; try another, or come back after retry_after_us",
-	ReasonStopping:           "this proxy is about to stop; try another",
-	ReasonClaimUnavailable:   "the control nodes did not answer; it has not run, send it again",
-	ReasonDuplicate:          "a ticket of this id was taken before; look at what that one did, or send it under a new id",
-	ReasonGenerationMissing:  "an id of a once-only kind needs an era: for a new id the one given here, for a resend the one it was first sent with",
-	ReasonGenerationNotOpen:  "that era is not open; for a new id take the one given here",
-	ReasonGenerationClosed:   "its era is over, it will not run now; look at whether it ran then, or send it under a new id and era",
-	ReasonRetryBudget:        "engines turned it away and retries are used up; come back after retry_after_us",
-	ReasonCallerGone:         "the caller hung up",
-	ReasonEngineLost:         "the engine was lost while it ran; look at what it did before sending it again",
-	ReasonEngineMalformed:    "the engine's answer broke the protocol; look at what it did before sending it again",
-	ReasonBackendLost:        "the back end was lost after the call was sent; look at what it did before sending it again",
-	ReasonBackendUnreachable: "the back end can't be reached; nothing was sent, come back after retry_after_us",
+	ReasonDeadlinePast:       "set due_us to a number of microseconds from now, above zero",
+	ReasonDeadlineTooFar:     "set due_us to at most the kind's max_due_us",
+	ReasonDeadline:           "the request can't be completed by its deadline; retry after retry_after_us, or with a later deadline",
+	ReasonDeadlinePassed:     "the deadline passed while the request ran; check what it did before sending it again",
+	ReasonQueueFull:          "your group has too many requests waiting; retry after retry_after_us",
+	ReasonNoEngine:           "no engine has capacity for this proxy at the moment; retry after retry_after_us",
+	ReasonPlanNotFresh:       "this proxy can't confirm that its plan is current; use another proxy, or retry after retry_after_us",
+	ReasonStopping:           "this proxy is shutting down; use another proxy",
+	ReasonClaimUnavailable:   "the control nodes did not respond; the request has not run, send it again",
+	ReasonDuplicate:          "a request with this id was accepted before; check what that one did, or send this one with a new id",
+	ReasonGenerationMissing:  "an id of a once-only kind needs an era: for a new id the one in this response, for a resend the one it was first sent with",
+	ReasonGenerationNotOpen:  "this era is not open; for a new id use the one in this response",
+	ReasonGenerationClosed:   "the era of this request is closed and it will not run now; check whether it ran before, or send it with a new id and era",
+	ReasonRetryBudget:        "engines rejected the request and its retries are used up; retry after retry_after_us",
+	ReasonCallerGone:         "the caller closed the connection",
+	ReasonEngineLost:         "the engine was lost while the request ran; check what it did before sending it again",
+	ReasonEngineMalformed:    "the engine's response violated the protocol; check what the request did before sending it again",
+	ReasonBackendLost:        "the connection to the back end was lost after the call was sent; check what it did before sending it again",
+	ReasonBackendUnreachable: "the back end can't be reached; nothing was sent, retry after retry_after_us",
 }
 
-// Remedy says what a caller can do about a reason.
+// Remedy returns what a caller can do about a reason.
 func Remedy(reason string) string {
 	if remedy, known := remedies[reason]; known {
 		return remedy
