--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,20 +1,21 @@
-// Package rendezvous ranks candidates for a name by rendezvous hashing (highest random weight,
-// Thaler and Ravishankar): whoever knows the same candidates finds the same order without
-// talking to anybody, and a candidate that comes or goes moves only the names it wins.
+// Package rendezvous contains the hash functions of rendezvous hashing (highest random weight,
+// Thaler and Ravishankar). All nodes that know the same candidates rank them for a name in the
+// same order without communicating, and adding or removing a candidate reassigns only the names
+// for which it ranks highest.
 //
-// There are two hashes, FNV-1a with different finalizers, since either is part of what running
-// nodes agree on: proxies and sessions rank control nodes by Score, index nodes rank nodes for
-// roles and proxies rank engines for prompt blocks by Weight. Changing one is a change of the
-// protocol between versions, and Weight's would move every cached block's home.
+// There are two functions, FNV-1a with different finalizers: proxies and sessions rank control
+// nodes by Score; by Weight index nodes rank nodes for roles, and proxies rank engines for prompt
+// blocks. Nodes of different versions must agree on both, so that changing either is a protocol
+// change. Changing Weight would also move every cached block to another engine.
 //
-// The package is pure, and may be called from any goroutine.
+// The functions keep no state and may be called from any goroutine.
 package rendezvous
 
 import "hash/fnv"
 
 const multiplier = 0xff51afd7ed558ccd // of MurmurHash3's finalizer
 
-// Score is the weight of a control node for a follower of it.
+// Score returns the weight of a control node for a process that chooses one to follow.
 func Score(follower, controlNode string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(follower + "|" + controlNode))
@@ -22,7 +23,7 @@
 	return (x ^ x>>29) * multiplier
 }
 
-// Weight is the weight of a candidate for a name. The separator keeps the two apart.
+// Weight returns the weight of a candidate for a name. The separator is hashed between the two.
 func Weight(name, separator, candidate string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestScoreIsFixed: nodes of different versions rank alike.
+// TestScoreIsFixed: Score returns the same values as in other versions, so that nodes of mixed
+// versions rank candidates in the same order.
 func TestScoreIsFixed(t *testing.T) {
 	for _, c := range []struct {
 		follower, node string
@@ -19,7 +20,8 @@
 	}
 }
 
-// TestWeightIsFixed: nodes of different versions rank alike.
+// TestWeightIsFixed: Weight returns the same values as in other versions, so that nodes of mixed
+// versions rank candidates in the same order.
 func TestWeightIsFixed(t *testing.T) {
 	for _, c := range []struct {
 		name, separator, candidate string
