--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock reads the machine's time since boot, which runs on while the machine is
-// suspended and never jumps. All decisions rest on it; none rests on wall time
-// (docs/design.md section 3). Deciding packages don't import it: they take the time as an
-// argument, so that the simulator and replay can give it.
+// Package clock reads the time since boot of the machine (CLOCK_BOOTTIME), which includes time
+// in suspend and never jumps. All decisions use it and none uses wall-clock time
+// (docs/design.md section 3). Packages with decision logic don't import this package: they take
+// the current time as an argument, so that the simulator and replay can control it.
 package clock
 
 import (
@@ -15,8 +15,8 @@
 	nanosecondsPerMicrosecond = 1_000
 )
 
-// Now is the time since boot in whole microseconds. It may be called from any goroutine.
-// Readings of different machines, or of different boots, can't be compared.
+// Now returns the time since boot in whole microseconds. It may be called from any goroutine.
+// Times of different machines, or of different boots, can't be compared.
 func Now() int64 {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
@@ -25,5 +25,5 @@
 	return reading.Sec*microsecondsPerSecond + reading.Nsec/nanosecondsPerMicrosecond
 }
 
-// Duration turns whole microseconds into a duration for the timers of package time.
+// Duration converts microseconds to a time.Duration.
 func Duration(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,7 +7,7 @@
 	"violetthread/internal/clock"
 )
 
-// TestNow: the clock never goes back, and goes on.
+// TestNow: the clock advances and never goes backwards.
 func TestNow(t *testing.T) {
 	first := clock.Now()
 	last := first
