--- a/internal/goldendigest/digest.go
+++ b/internal/goldendigest/digest.go
@@ -1,9 +1,9 @@
-// Package goldendigest compares the decisions of a deciding package with those that it
-// made before. A test makes seeded decisions, adds their values one by one, in an order of
-// its own, and compares the digest with the one in its testdata folder. Names of types,
-// fields and functions never enter a digest; log texts should not.
+// Package goldendigest detects changes of behaviour in packages with decision logic. A test
+// runs a package on inputs from a fixed seed, adds the values of its decisions one by one in
+// a fixed order, and compares the digest with the one in its testdata folder. Names of types,
+// fields and functions are never part of a digest; log texts should not be.
 //
-// VT_GOLDEN=write writes the digests anew, which only a change of behaviour calls for.
+// VT_GOLDEN=write replaces the stored digest, which only a change of behaviour justifies.
 package goldendigest
 
 import (
@@ -21,16 +21,17 @@
 	writeEnv = "VT_GOLDEN"
 )
 
-// Digest is a SHA-256 sum of values in the order they were added. One goroutine uses it.
+// Digest is a SHA-256 digest of values in the order of their addition. It must not be used
+// concurrently.
 type Digest struct {
 	sum    hash.Hash
 	values int
 }
 
-// New makes a digest of nothing.
+// New returns an empty digest.
 func New() *Digest { return &Digest{sum: sha256.New()} }
 
-// Number adds a number.
+// Number adds an integer.
 func (d *Digest) Number(n int64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(n))
@@ -38,7 +39,7 @@
 	d.values++
 }
 
-// Flag adds a truth value.
+// Flag adds a boolean, as 0 or 1.
 func (d *Digest) Flag(set bool) {
 	if set {
 		d.Number(1)
@@ -47,18 +48,18 @@
 	d.Number(0)
 }
 
-// Text adds a text with its length.
+// Text adds a string, preceded by its length.
 func (d *Digest) Text(text string) {
 	d.Number(int64(len(text)))
 	_, _ = d.sum.Write([]byte(text))
 }
 
-// Compare fails the test if the digest is not the one in its testdata folder, or if nothing was
-// added. With VT_GOLDEN=write it writes the digest there instead.
+// Compare fails the test if the digest differs from the one in the test's testdata folder, or if
+// no value was added. With VT_GOLDEN=write it stores the digest there instead.
 func (d *Digest) Compare(t *testing.T) {
 	t.Helper()
 	if d.values == 0 {
-		t.Fatal("the digest is of nothing")
+		t.Fatal("no values were added to the digest")
 	}
 	got := hex.EncodeToString(d.sum.Sum(nil))
 	if os.Getenv(writeEnv) == "write" {
@@ -72,6 +73,6 @@
 		t.Fatal(err)
 	}
 	if want := strings.TrimSpace(string(stored)); got != want {
-		t.Errorf("decides otherwise: the digest of %d values is %s, not %s", d.values, got, want)
+		t.Errorf("behaviour has changed: the digest of %d values is %s, not %s", d.values, got, want)
 	}
 }
--- a/internal/goldendigest/digest_test.go
+++ b/internal/goldendigest/digest_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-func sum(add func(*Digest)) string {
+func digestOf(add func(*Digest)) string {
 	d := New()
 	add(d)
 	return hex.EncodeToString(d.sum.Sum(nil))
 }
 
-// TestDigestTellsValuesApart: other values, another order or another division of a text give
-// another digest.
-func TestDigestTellsValuesApart(t *testing.T) {
+// TestDigestsDiffer: different values, another order or another division of a text result in
+// different digests, and the same values in the same digest.
+func TestDigestsDiffer(t *testing.T) {
 	seen := map[string]string{}
 	for _, c := range []struct {
 		name string
@@ -27,23 +27,23 @@
 		{"set flag", func(d *Digest) { d.Flag(true) }},
 		{"empty text twice", func(d *Digest) { d.Text(""); d.Text("") }},
 		{"texts", func(d *Digest) { d.Text("ab"); d.Text("c") }},
-		{"texts divided otherwise", func(d *Digest) { d.Text("a"); d.Text("bc") }},
+		{"texts divided differently", func(d *Digest) { d.Text("a"); d.Text("bc") }},
 		{"texts in another order", func(d *Digest) { d.Text("c"); d.Text("ab") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			digest := sum(c.add)
+			digest := digestOf(c.add)
 			if other, found := seen[digest]; found {
 				t.Errorf("the same digest as %s", other)
 			}
 			seen[digest] = c.name
-			if again := sum(c.add); again != digest {
+			if again := digestOf(c.add); again != digest {
 				t.Errorf("%s, then %s", digest, again)
 			}
 		})
 	}
 }
 
-// TestCompare: the digest in the testdata folder passes, and is written only on demand.
+// TestCompare: a digest that was stored with VT_GOLDEN=write passes the comparison.
 func TestCompare(t *testing.T) {
 	t.Chdir(t.TempDir())
 	d := New()
