--- a/internal/lincheck/lincheck.go
+++ b/internal/lincheck/lincheck.go
@@ -1,8 +1,9 @@
 // Package lincheck checks histories of one register with revisions for linearizability
-// (Herlihy and Wing 1990): whether some order of the operations, which keeps that of
-// operations that did not overlap, explains everything that clients saw. The search is
-// that of github.com/anishathalye/porcupine (Wing and Gong 1993, with Lowe's cache); what
-// clients learn from revisions is used beforehand, to keep it short. Tests use it.
+// (Herlihy and Wing 1990): whether there is an order of the operations that agrees with the
+// real-time order of operations that did not overlap, and with every result that clients got.
+// The search is that of github.com/anishathalye/porcupine (Wing and Gong 1993, with Lowe's
+// cache). The revisions that clients saw are evaluated first, to keep the search short. Only
+// tests use this package.
 package lincheck
 
 import (
@@ -15,42 +16,42 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Operation is one operation as its client saw it. A confirmed one took effect at an
-// instant between Invoked and Returned, which may be of any unit and clock, as long as it
-// is the same for all clients.
+// Operation is one operation as its client observed it. A confirmed one took effect at some
+// instant between Invoked and Returned. These may have any unit and clock that all clients
+// share.
 type Operation struct {
 	Client int
 	Write  bool // else a read
-	// Confirmed tells that the client learnt the result. A write that was not confirmed
-	// may take effect at any time after Invoked, or never; Returned and Revision mean
-	// nothing then.
+	// Confirmed means that the client got the result. An unconfirmed write may take effect
+	// at any time after Invoked, or never; its Returned and Revision are ignored.
 	Confirmed         bool
 	Invoked, Returned int64
-	Revision          uint64 // that was made or read; the register starts at 0
-	Value             string // that was written or read; the register starts with ""
+	Revision          uint64 // created or read; the register starts at 0
+	Value             string // written or read; the register starts with ""
 }
 
-// register is the model's state: every write adds one to its revision.
+// register is the state of the model. Every write increments the revision.
 type register struct {
 	revision uint64
 	value    string
-	reads    int // of this revision so far
+	reads    int // number of reads of this revision so far
 }
 
-// history is what is known of all operations before the search.
+// history contains what is known from confirmed operations before the search.
 type history struct {
-	written map[uint64]bool   // revisions that confirmed writes made
-	read    map[uint64]string // values of the revisions that were read
-	reads   map[uint64]int    // how often
-	seen    map[string]bool   // the values that were read
-	newest  uint64            // revision that any client saw
+	written    map[uint64]bool   // revisions created by confirmed writes
+	readValues map[uint64]string // values of the revisions that were read
+	reads      map[uint64]int    // number of reads of each revision
+	seen       map[string]bool   // values that were read
+	newest     uint64            // highest revision written or read
 }
 
-// timeout ends a search that gets out of hand; one takes milliseconds.
+// timeout ends a search that takes too long, since the worst case is exponential. One usually
+// takes milliseconds.
 const timeout = 30 * time.Second
 
-// Check returns an error if no order of the operations explains what clients saw, or if
-// the search took too long to tell.
+// Check returns an error if the operations are not linearizable, or if the search timed out
+// without a result.
 func Check(operations []Operation) error {
 	h := newHistory(operations)
 	completed, err := h.complete(operations)
@@ -65,13 +66,13 @@
 	case porcupine.Ok:
 		return nil
 	case porcupine.Illegal:
-		return fmt.Errorf("no order explains the %d operations", len(searched))
+		return fmt.Errorf("not linearizable: no order explains the results of the %d operations", len(searched))
 	}
-	return fmt.Errorf("no verdict on %d operations within %v", len(searched), timeout)
+	return fmt.Errorf("the search over %d operations found no result within %v", len(searched), timeout)
 }
 
 func newHistory(operations []Operation) *history {
-	h := &history{written: map[uint64]bool{}, read: map[uint64]string{}, reads: map[uint64]int{}, seen: map[string]bool{}}
+	h := &history{written: map[uint64]bool{}, readValues: map[uint64]string{}, reads: map[uint64]int{}, seen: map[string]bool{}}
 	for _, o := range operations {
 		if o.Confirmed {
 			h.add(o)
@@ -84,55 +85,55 @@
 	if o.Write {
 		h.written[o.Revision] = true
 	} else {
-		h.read[o.Revision] = o.Value
+		h.readValues[o.Revision] = o.Value
 		h.reads[o.Revision]++
 		h.seen[o.Value] = true
 	}
 	h.newest = max(h.newest, o.Revision)
 }
 
-// complete gives each revision that no confirmed write made to an unconfirmed one, and
-// leaves out all other unconfirmed operations: nobody saw them. A revision that was read
-// belongs to the write of its value. Those that nobody read may be given to the earliest
-// writes in their order, since any that was invoked in time will do; trying them all would
-// take exponential time.
+// complete assigns each revision that no confirmed write created to an unconfirmed write, and
+// drops all other unconfirmed operations, which had no observed effect. A revision that was
+// read is assigned to a write of its value. Revisions that were not read can be assigned to the
+// earliest writes in order, since any write that was invoked in time will do; trying all of
+// them would take exponential time.
 func (h *history) complete(operations []Operation) ([]Operation, error) {
-	completed, open := split(operations)
+	completed, unconfirmed := split(operations)
 	for revision := uint64(1); revision <= h.newest; revision++ {
 		if h.written[revision] {
 			continue
 		}
-		i := slices.IndexFunc(open, func(o Operation) bool { return h.mayHaveMade(revision, o) })
+		i := slices.IndexFunc(unconfirmed, func(o Operation) bool { return h.mayHaveCreated(revision, o) })
 		if i < 0 {
-			return nil, fmt.Errorf("nobody made revision %d (%q)", revision, h.read[revision])
+			return nil, fmt.Errorf("no write can have created revision %d (%q)", revision, h.readValues[revision])
 		}
-		write := open[i]
-		open = slices.Delete(open, i, i+1)
+		write := unconfirmed[i]
+		unconfirmed = slices.Delete(unconfirmed, i, i+1)
 		write.Revision, write.Returned = revision, math.MaxInt64
 		completed = append(completed, write)
 	}
 	return completed, nil
 }
 
-// split returns the confirmed operations, and the unconfirmed writes by when they were
-// invoked.
-func split(operations []Operation) (confirmed, open []Operation) {
+// split returns the confirmed operations, and the unconfirmed writes sorted by the time of
+// their invocation. Unconfirmed reads are dropped.
+func split(operations []Operation) (confirmed, unconfirmed []Operation) {
 	for _, o := range operations {
 		switch {
 		case o.Confirmed:
 			confirmed = append(confirmed, o)
 		case o.Write:
-			open = append(open, o)
+			unconfirmed = append(unconfirmed, o)
 		}
 	}
-	slices.SortStableFunc(open, func(a, b Operation) int { return cmp.Compare(a.Invoked, b.Invoked) })
-	return confirmed, open
+	slices.SortStableFunc(unconfirmed, func(a, b Operation) int { return cmp.Compare(a.Invoked, b.Invoked) })
+	return confirmed, unconfirmed
 }
 
-// mayHaveMade reports whether an unconfirmed write fits a revision: it wrote the value
-// that was read there, or, if nobody read it, one that nobody read anywhere.
-func (h *history) mayHaveMade(revision uint64, write Operation) bool {
-	if value, wasRead := h.read[revision]; wasRead {
+// mayHaveCreated reports whether an unconfirmed write can have created a revision: if the
+// revision was read, the write must have its value, otherwise a value that was never read.
+func (h *history) mayHaveCreated(revision uint64, write Operation) bool {
+	if value, wasRead := h.readValues[revision]; wasRead {
 		return write.Value == value
 	}
 	return !h.seen[write.Value]
@@ -146,8 +147,8 @@
 	}
 }
 
-// step applies an operation, or returns false if it can't come next. A write comes only
-// after all reads of the revision before it: they could never come later.
+// step applies an operation to the state, or returns false if the operation can't come next. A
+// write must follow all reads of the previous revision, since none of them can come later.
 func (h *history) step(state register, o Operation) (bool, any) {
 	if o.Write {
 		next := register{revision: o.Revision, value: o.Value}
