--- a/internal/engineapi/api.go
+++ b/internal/engineapi/api.go
@@ -56,7 +56,7 @@
 }
 
 // Report is the response to GET /v1/report?inc=I&after=N: the events after N that are still
-// retained. If the first one has a number above N+1, events were lost.
+// retained. If the first one has a number above N+1, those in between are missing.
 type Report struct {
 	Name        string  `json:"name"`
 	Incarnation uint64  `json:"inc,string"`
