--- a/sim/catchup_day.go
+++ b/sim/catchup_day.go
@@ -7,30 +7,30 @@
 )
 
 // Setback is what keeps a member from following a long row of changes.
-type Setback string
+type CatchupFault string
 
 // The setbacks.
 const (
-	SetbackDown       Setback = "down"       // for a part of the row, with its disk
-	SetbackWiped      Setback = "wiped"      // for a part of the row, and comes back empty
-	SetbackRestarts   Setback = "restarts"   // again and again, killed or without power
-	SetbackCheckpoint Setback = "checkpoint" // ends at each record of a checkpoint in turn
+	CatchupFaultDown       CatchupFault = "down"       // for a part of the row, with its disk
+	CatchupFaultWiped      CatchupFault = "wiped"      // for a part of the row, and comes back empty
+	CatchupFaultRestarts   CatchupFault = "restarts"   // again and again, killed or without power
+	CatchupFaultCheckpoint CatchupFault = "checkpoint" // ends at each record of a checkpoint in turn
 )
 
 // Setbacks lists them all.
-var Setbacks = []Setback{SetbackDown, SetbackWiped, SetbackRestarts, SetbackCheckpoint}
+var CatchupFaults = []CatchupFault{CatchupFaultDown, CatchupFaultWiped, CatchupFaultRestarts, CatchupFaultCheckpoint}
 
 const (
 	// largeRoutes is the size of the large configurations; the text is some 100 kB.
 	largeRoutes = 350
 	// Of each so many orders one brings a large configuration, and another, shortly
 	// after, a small one.
-	largeEvery = 60
-	largeFor   = 6
-	// downMost is the longest that a member is down, and restartMost that one that is
+	largeConfigPeriod   = 60
+	largeConfigLifetime = 6
+	// maxDowntimeUS is the longest that a member is down, and maxRestartUS that one that is
 	// restarted is away.
-	downMost    = 3_000_000
-	restartMost = 400_000
+	maxDowntimeUS = 3_000_000
+	maxRestartUS  = 400_000
 )
 
 // catchupLog has room for a row of configurations beside a checkpoint that is written
@@ -41,9 +41,9 @@
 
 // CatchupResult is what a day of many changes came to.
 type CatchupResult struct {
-	Changes, Large, Setbacks, Checkpoints int
-	// CutRecords are the records of checkpoints at which a process ended.
-	CutRecords int
+	Changes, Large, Faults, Checkpoints int
+	// InterruptedCheckpoints are the records of checkpoints at which a process ended.
+	InterruptedCheckpoints int
 	// SlowestCatchupUS is the longest from a voter's start until it holds all that is committed.
 	SlowestCatchupUS int64
 	// Leaders counts the changes of the configuration's leader.
@@ -55,19 +55,19 @@
 // CatchupDay is a row of changes with setbacks of one kind.
 type CatchupDay struct {
 	*ConfigWorld
-	setback       Setback
-	changes       int
-	nextCutRecord int                   // record at which the next checkpoint is cut short
-	sparesNext    map[*ControlNode]bool // its last checkpoint was cut short, the next one is not
-	busy          bool
-	leader        string
-	version       map[uint64]uint64 // by revision of the register
-	result        CatchupResult
+	fault                 CatchupFault
+	changes               int
+	nextInterruptedRecord int                   // record at which the next checkpoint is cut short
+	completeNext          map[*ControlNode]bool // its last checkpoint was cut short, the next one is not
+	busy                  bool
+	leader                string
+	version               map[uint64]uint64 // by revision of the register
+	result                CatchupResult
 }
 
 // RunCatchup runs a day of so many changes.
-func RunCatchup(seed int64, nodes, changes int, setback Setback, texts Texts) CatchupResult {
-	d := &CatchupDay{ConfigWorld: NewConfigWorld(seed, nodes, texts), setback: setback, changes: changes, sparesNext: map[*ControlNode]bool{}, version: map[uint64]uint64{}}
+func RunCatchup(seed int64, nodes, changes int, fault CatchupFault, format ConfigFormat) CatchupResult {
+	d := &CatchupDay{ConfigWorld: NewConfigWorld(seed, nodes, format), fault: fault, changes: changes, completeNext: map[*ControlNode]bool{}, version: map[uint64]uint64{}}
 	d.Cluster.logConfig = catchupLog(changes)
 	d.Cluster.selfHealing = true
 	d.AddOperators(2)
@@ -76,8 +76,8 @@
 		o.Pause = 10_000
 		o.Routes = d.routes
 	}
-	if setback == SetbackCheckpoint {
-		d.Cluster.beforeCheckpointRecord = d.cutsCheckpoint
+	if fault == CatchupFaultCheckpoint {
+		d.Cluster.beforeCheckpointRecord = d.interruptCheckpoint
 	}
 	d.Start()
 	world := d.World
@@ -86,9 +86,9 @@
 	}
 	d.watchLeader()
 	d.next()
-	most := int64(changes) * 400_000
-	if _, ok := d.Until(most, func() bool { return int(d.Config.newest) >= changes && !d.busy }); !ok {
-		world.Violation("too slow", "%d of %d changes in %d us", d.Config.newest, changes, most)
+	bound := int64(changes) * 400_000
+	if _, ok := d.Until(bound, func() bool { return int(d.Config.newest) >= changes && !d.busy }); !ok {
+		world.Violation("too slow", "%d of %d changes in %d us", d.Config.newest, changes, bound)
 	}
 	d.Config.Close()
 	r := &d.result
@@ -102,11 +102,11 @@
 
 // routes is the size of an operator's n-th order.
 func (d *CatchupDay) routes(n int) int {
-	switch n % largeEvery {
-	case largeEvery / 2:
+	switch n % largeConfigPeriod {
+	case largeConfigPeriod / 2:
 		d.result.Large++
 		return largeRoutes
-	case largeEvery/2 + largeFor:
+	case largeConfigPeriod/2 + largeConfigLifetime:
 		return mergedRoutes
 	}
 	return 0
@@ -115,24 +115,24 @@
 // next brings the next setback about, once the last one is over, while changes go on.
 func (d *CatchupDay) next() {
 	world := d.World
-	if d.setback == SetbackCheckpoint || int(d.Config.newest) >= d.changes {
+	if d.fault == CatchupFaultCheckpoint || int(d.Config.newest) >= d.changes {
 		return // checkpoints come by themselves
 	}
 	world.At(world.now+100_000+world.Rng.Int63n(500_000), func() {
 		node := d.Cluster.Nodes[world.Rng.Intn(len(d.Cluster.Nodes))]
 		d.busy = true
-		d.stopMember(node, d.setback == SetbackWiped)
-		away := world.Rng.Int63n(downMost)
-		if d.setback == SetbackRestarts {
-			away = world.Rng.Int63n(restartMost)
+		d.stopMember(node, d.fault == CatchupFaultWiped)
+		downtimeUS := world.Rng.Int63n(maxDowntimeUS)
+		if d.fault == CatchupFaultRestarts {
+			downtimeUS = world.Rng.Int63n(maxRestartUS)
 		}
-		world.At(world.now+away, func() { d.restartMember(node) })
+		world.At(world.now+downtimeUS, func() { d.restartMember(node) })
 	})
 }
 
 // stopMember ends a voter's process, by a kill or with the power, and its disk if asked for.
 func (d *CatchupDay) stopMember(node *ControlNode, wiped bool) {
-	d.result.Setbacks++
+	d.result.Faults++
 	switch {
 	case wiped:
 		node.loseDisk()
@@ -147,10 +147,10 @@
 func (d *CatchupDay) restartMember(node *ControlNode) {
 	world := d.World
 	at := world.now
-	bound := syncTime(len(d.Cluster.Nodes))
+	bound := rejoinPeriodUS(len(d.Cluster.Nodes))
 	node.restart()
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		took := world.now - at
 		if d.holdsCommitted(node) {
 			d.result.SlowestCatchupUS = max(d.result.SlowestCatchupUS, took)
@@ -162,9 +162,9 @@
 			world.Violation("not caught up", "%s does not hold all that is settled %d us after its start", node.Name, took)
 			return
 		}
-		world.At(world.now+checkInterval, look)
+		world.At(world.now+checkIntervalUS, poll)
 	}
-	look()
+	poll()
 }
 
 // holdsCommitted reports whether a node votes and holds every slot up to what its leader
@@ -174,7 +174,7 @@
 		return false
 	}
 	held := node.node.Status(node.Clock())
-	owned := make([]bool, len(held))
+	hasLeader := make([]bool, len(held))
 	for _, other := range d.Cluster.Nodes {
 		if !other.up || other.node == nil {
 			continue
@@ -183,39 +183,39 @@
 			if !status.IsLeader {
 				continue
 			}
-			owned[i] = true
+			hasLeader[i] = true
 			if held[i].Last.Before(status.Committed) {
 				return false
 			}
 		}
 	}
-	for _, is := range owned {
-		if !is {
+	for _, has := range hasLeader {
+		if !has {
 			return false
 		}
 	}
 	return true
 }
 
-// cutsCheckpoint ends a process at the next record of a checkpoint in turn, while all
+// interruptCheckpoint ends a process at the next record of a checkpoint in turn, while all
 // members are up and hold everything. The member's next checkpoint is left whole: what
 // is cut short takes room, and a log that never sees a whole one is full in the end.
-func (d *CatchupDay) cutsCheckpoint(node *ControlNode, written, of int) bool {
-	if d.sparesNext[node] {
-		d.sparesNext[node] = written < of-1
+func (d *CatchupDay) interruptCheckpoint(node *ControlNode, written, of int) bool {
+	if d.completeNext[node] {
+		d.completeNext[node] = written < of-1
 		return false
 	}
-	if d.busy || written != d.nextCutRecord || !d.allUp() {
+	if d.busy || written != d.nextInterruptedRecord || !d.allUp() {
 		return false
 	}
-	d.nextCutRecord++
-	if d.nextCutRecord >= of {
-		d.nextCutRecord = 0
+	d.nextInterruptedRecord++
+	if d.nextInterruptedRecord >= of {
+		d.nextInterruptedRecord = 0
 	}
-	d.result.CutRecords++
-	d.sparesNext[node], d.busy = true, true
+	d.result.InterruptedCheckpoints++
+	d.completeNext[node], d.busy = true, true
 	d.stopMember(node, false)
-	d.World.At(d.World.now+1+d.World.Rng.Int63n(restartMost), func() { d.restartMember(node) })
+	d.World.At(d.World.now+1+d.World.Rng.Int63n(maxRestartUS), func() { d.restartMember(node) })
 	return true
 }
 
@@ -227,7 +227,7 @@
 			d.checkLeader(node)
 		}
 	}
-	world.At(world.now+checkInterval/2, d.watchLeader)
+	world.At(world.now+checkIntervalUS/2, d.watchLeader)
 }
 
 func (d *CatchupDay) checkLeader(node *ControlNode) {
--- a/sim/catchup_day_test.go
+++ b/sim/catchup_day_test.go
@@ -10,22 +10,22 @@
 // holds all that is committed within the time for which it counts as lost, and nobody
 // answers with old state. VT_SEEDS runs a thousand changes each.
 func TestCatchupDays(t *testing.T) {
-	for _, setback := range Setbacks {
+	for _, fault := range CatchupFaults {
 		for _, nodes := range controlSizes {
-			if seeds() == 0 && !(nodes == 4 && (setback == SetbackWiped || setback == SetbackCheckpoint)) {
+			if seeds() == 0 && !(nodes == 4 && (fault == CatchupFaultWiped || fault == CatchupFaultCheckpoint)) {
 				continue // the others on long runs
 			}
-			t.Run(fmt.Sprint(setback, " ", nodes), func(t *testing.T) {
+			t.Run(fmt.Sprint(fault, " ", nodes), func(t *testing.T) {
 				t.Parallel()
 				var sum CatchupResult
 				for _, seed := range daySeeds(1) {
-					r := RunCatchup(seed, nodes, catchupChanges(), setback, platformTexts)
-					failDay(t, seed, r.Violations, r.Notes)
+					r := RunCatchup(seed, nodes, catchupChanges(), fault, platformFormat)
+					requireNoViolations(t, seed, r.Violations, r.Notes)
 					sum.add(r)
 				}
 				t.Logf("%d changes, %d of 350 routes, %d setbacks, %d checkpoints, %d cut short, %d owners: caught up after %s of %s",
-					sum.Changes, sum.Large, sum.Setbacks, sum.Checkpoints, sum.CutRecords, sum.Leaders, seconds(sum.SlowestCatchupUS), seconds(syncTime(nodes)))
-				if sum.Setbacks == 0 || sum.Large == 0 || sum.SlowestCatchupUS == 0 {
+					sum.Changes, sum.Large, sum.Faults, sum.Checkpoints, sum.InterruptedCheckpoints, sum.Leaders, seconds(sum.SlowestCatchupUS), seconds(rejoinPeriodUS(nodes)))
+				if sum.Faults == 0 || sum.Large == 0 || sum.SlowestCatchupUS == 0 {
 					t.Error("too little to prove anything")
 				}
 			})
@@ -44,9 +44,9 @@
 func (r *CatchupResult) add(o CatchupResult) {
 	r.Changes += o.Changes
 	r.Large += o.Large
-	r.Setbacks += o.Setbacks
+	r.Faults += o.Faults
 	r.Checkpoints += o.Checkpoints
-	r.CutRecords += o.CutRecords
+	r.InterruptedCheckpoints += o.InterruptedCheckpoints
 	r.Leaders += o.Leaders
 	r.SlowestCatchupUS = max(r.SlowestCatchupUS, o.SlowestCatchupUS)
 }
--- a/sim/checker.go
+++ b/sim/checker.go
@@ -25,9 +25,9 @@
 	removed       map[string][]span // by group: when there was none of that name
 
 	weights          string // that were named last
-	weightsNamedAt   int64
+	weightsChangedAt int64
 	weightsBeingSent string // that a plan on its way names
-	namings          []naming
+	weightsChanges   []weightsChange
 
 	runsByAttempt  map[string]map[string]int // by request and attempt
 	completions    map[string]int            // by request
@@ -105,8 +105,8 @@
 		world.Violation("ran twice", "%s (%s): %v", key, request.kind, runs)
 	}
 	c.checkKey(request, "began")
-	if naming, old := c.oldestUnfollowed(run.action.Weights, weightUpdateBoundUS); old {
-		world.Violation("old weights served", "%s ran %s under %s, %d us after %s was named", engine.Name, key, run.action.Weights, world.now-naming.acknowledgedAt, naming.name)
+	if change, old := c.oldestUnfollowed(run.action.Weights, weightUpdateBoundUS); old {
+		world.Violation("old weights served", "%s ran %s under %s, %d us after %s was named", engine.Name, key, run.action.Weights, world.now-change.acknowledgedAt, change.name)
 	}
 	c.checkDraining(engine)
 	if request.ended {
--- a/sim/checker_cache.go
+++ b/sim/checker_cache.go
@@ -10,7 +10,7 @@
 // the time that a plan has to come into force.
 func (c *checker) heldBetween(spans []span, origin blockOrigin) bool {
 	for _, held := range spans {
-		if held.from > 0 && origin.madeAt < held.to && c.fleet.World.now > held.from+planBoundUS {
+		if held.from > 0 && origin.computedAt < held.to && c.fleet.World.now > held.from+planBoundUS {
 			return true
 		}
 	}
@@ -34,11 +34,11 @@
 	switch {
 	case origin.weights != run.action.Weights:
 		world.Violation("older weights' cache", "%s/%s ran under %s on cache made under %s", group, run.request.id, run.action.Weights, origin.weights)
-	case len(c.namings) > 0 && c.weights == origin.weights && origin.madeAt < c.namings[len(c.namings)-1].sentAt && world.now > c.weightsNamedAt+planBoundUS:
-		world.Violation("older weights' cache", "%s/%s ran on cache of %d, %s was named again at %d", group, run.request.id, origin.madeAt, origin.weights, c.namings[len(c.namings)-1].sentAt)
+	case len(c.weightsChanges) > 0 && c.weights == origin.weights && origin.computedAt < c.weightsChanges[len(c.weightsChanges)-1].sentAt && world.now > c.weightsChangedAt+planBoundUS:
+		world.Violation("older weights' cache", "%s/%s ran on cache of %d, %s was named again at %d", group, run.request.id, origin.computedAt, origin.weights, c.weightsChanges[len(c.weightsChanges)-1].sentAt)
 	case origin.group != group && (c.heldBetween(c.isolated[origin.group], origin) || c.heldBetween(c.isolated[group], origin)):
-		world.Violation("wall crossed", "%s/%s ran on cache that %s made at %d; walls since: %v %v", group, run.request.id, origin.group, origin.madeAt, c.isolated[origin.group], c.isolated[group])
-	case origin.group == group && c.heldBetween(c.removed[group], origin) && (c.wasIsolated(group, origin.madeAt, 0) || c.wasIsolated(group, world.now, planBoundUS)):
-		world.Violation("wall crossed", "%s/%s ran on cache that another group of that name made at %d", group, run.request.id, origin.madeAt)
+		world.Violation("wall crossed", "%s/%s ran on cache that %s made at %d; walls since: %v %v", group, run.request.id, origin.group, origin.computedAt, c.isolated[origin.group], c.isolated[group])
+	case origin.group == group && c.heldBetween(c.removed[group], origin) && (c.wasIsolated(group, origin.computedAt, 0) || c.wasIsolated(group, world.now, planBoundUS)):
+		world.Violation("wall crossed", "%s/%s ran on cache that another group of that name made at %d", group, run.request.id, origin.computedAt)
 	}
 }
--- a/sim/checker_weights.go
+++ b/sim/checker_weights.go
@@ -5,23 +5,23 @@
 )
 
 // naming is one naming of weights: when its plan was sent, and acknowledged.
-type naming struct {
+type weightsChange struct {
 	name                   string
 	sentAt, acknowledgedAt int64
 }
 
 // oldestUnfollowed finds the oldest naming that an engine running these weights has not
 // followed for so long: neither it nor any later one names them.
-func (c *checker) oldestUnfollowed(weights string, bound int64) (naming, bool) {
-	for i, candidate := range c.namings {
+func (c *checker) oldestUnfollowed(weights string, bound int64) (weightsChange, bool) {
+	for i, candidate := range c.weightsChanges {
 		if c.fleet.World.now-candidate.acknowledgedAt <= bound {
 			break
 		}
-		if !slices.ContainsFunc(c.namings[i:], func(later naming) bool { return later.name == weights }) && c.weightsBeingSent != weights {
+		if !slices.ContainsFunc(c.weightsChanges[i:], func(later weightsChange) bool { return later.name == weights }) && c.weightsBeingSent != weights {
 			return candidate, true
 		}
 	}
-	return naming{}, false
+	return weightsChange{}, false
 }
 
 // checkEngineWeights checks each engine against each naming by itself, from when the engine
@@ -36,8 +36,8 @@
 		engine.unreachableUntil = fleet.World.now
 		return
 	}
-	for i, candidate := range c.namings {
-		if slices.ContainsFunc(c.namings[i:], func(later naming) bool { return later.name == engine.weights }) || c.weightsBeingSent == engine.weights {
+	for i, candidate := range c.weightsChanges {
+		if slices.ContainsFunc(c.weightsChanges[i:], func(later weightsChange) bool { return later.name == engine.weights }) || c.weightsBeingSent == engine.weights {
 			continue
 		}
 		took := fleet.World.now - max(candidate.acknowledgedAt, engine.unreachableUntil)
--- a/sim/claim_clients.go
+++ b/sim/claim_clients.go
@@ -6,8 +6,8 @@
 	"violetthread/quorum"
 )
 
-// lateClaimEvery is of how many claims one is followed by another for a key of long ago.
-const lateClaimEvery = 8
+// lateClaimPeriod is of how many claims one is followed by another for a key of long ago.
+const lateClaimPeriod = 8
 
 // ClaimClients race for claims: of all that ask for one key, at most one is ever told that
 // it holds it.
@@ -42,7 +42,7 @@
 	generation := max(1, c.cluster.newestGeneration())
 	nonce := fmt.Sprintf("%s-%d-%d", host.Name, host.process, number)
 	c.claim(host, quorum.ClaimKey(generation, fmt.Sprintf("g/%d", number/2)), nonce)
-	if number%lateClaimEvery == 0 {
+	if number%lateClaimPeriod == 0 {
 		rng := c.cluster.world.Rng
 		earlier := max(1, generation-min(generation, uint64(rng.Intn(9))))
 		key := quorum.ClaimKey(earlier, fmt.Sprintf("g/%d", rng.Intn(number/2+1)))
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -14,20 +14,20 @@
 // and a claim that was granted is granted to nobody else, however late he asks.
 func TestClaimsWithoutEnd(t *testing.T) {
 	t.Parallel()
-	const perSecond, seconds, era = 200, 40, 1_000_000
+	const perSecond, seconds, generation = 200, 40, 1_000_000
 	world := NewWorld(5)
 	cluster := NewCluster(world, 4)
-	cluster.generationUS = era
+	cluster.generationUS = generation
 	cluster.logConfig = wal.Config{SegmentCount: 32, SegmentBytes: 64 << 10}
 	cluster.Start()
 	host := world.NewHost("desk", "north", func() {})
 	host.Start()
-	got, most, n := map[quorum.Status]int{}, 0, 0
-	late := map[quorum.Status]int{}
-	eras := map[int]uint64{}
-	ask := func(i int, era uint64, nonce string, count map[quorum.Status]int) {
+	results, maxStateBytes, n := map[quorum.Status]int{}, 0, 0
+	lateResults := map[quorum.Status]int{}
+	generations := map[int]uint64{}
+	ask := func(i int, generation uint64, nonce string, count map[quorum.Status]int) {
 		node := cluster.Nodes[world.Rng.Intn(4)]
-		Call(host, node.Host, quorum.Operation{Type: quorum.OpClaim, Key: quorum.ClaimKey(era, fmt.Sprintf("dealing-desk/order-%08d", i)), Value: []byte(nonce)}, 2_000_000,
+		Call(host, node.Host, quorum.Operation{Type: quorum.OpClaim, Key: quorum.ClaimKey(generation, fmt.Sprintf("dealing-desk/order-%08d", i)), Value: []byte(nonce)}, 2_000_000,
 			node.serve, func(result quorum.Result) { count[result.Status]++ }, func() { count[0]++ })
 	}
 	var next func()
@@ -37,15 +37,15 @@
 		}
 		n++
 		i := n
-		eras[i] = max(1, cluster.newestGeneration())
-		ask(i, eras[i], fmt.Sprintf("remisier4/k3f9a2b1c/%x", i), got)
+		generations[i] = max(1, cluster.newestGeneration())
+		ask(i, generations[i], fmt.Sprintf("remisier4/k3f9a2b1c/%x", i), results)
 		if i > 50 {
 			j := 1 + world.Rng.Intn(i-50)
-			ask(j, eras[j], fmt.Sprintf("remisier7/z81k2b1c/%x", i), late)
+			ask(j, generations[j], fmt.Sprintf("remisier7/z81k2b1c/%x", i), lateResults)
 		}
 		for _, node := range cluster.Nodes {
 			if node.node != nil {
-				most = max(most, node.node.StateBytes())
+				maxStateBytes = max(maxStateBytes, node.node.StateBytes())
 			}
 		}
 		world.At(world.now+1_000_000/perSecond, next)
@@ -57,15 +57,15 @@
 	}
 	room := int(int64(cluster.logConfig.SegmentCount)*cluster.logConfig.SegmentBytes) / 4 * 3 / 4
 	t.Logf("%d claims: %v; asked for again: %v; %d eras; at most %d of %d bytes; a claim's record takes %d bytes",
-		n, got, late, cluster.newestGeneration(), most, room, len(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 9, Term: 1 << 18, Last: quorum.Position{Term: 1 << 18, Index: 1 << 20},
+		n, results, lateResults, cluster.newestGeneration(), maxStateBytes, room, len(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 9, Term: 1 << 18, Last: quorum.Position{Term: 1 << 18, Index: 1 << 20},
 			Committed: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Entry: quorum.Entry{Key: "claim/12345/dealing-desk/order-00000001", Position: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Revision: 1, Value: []byte("remisier4/k3f9a2b1c/ffffff")}})))
-	if got[quorum.StatusDone] != n || late[quorum.StatusDone] > 0 {
-		t.Errorf("of %d claims %v; asked for again %v", n, got, late)
+	if results[quorum.StatusDone] != n || lateResults[quorum.StatusDone] > 0 {
+		t.Errorf("of %d claims %v; asked for again %v", n, results, lateResults)
 	}
-	if late[quorum.StatusGenerationClosed] < n/4 || late[quorum.StatusConflict] == 0 {
-		t.Errorf("asked for again: %v", late)
+	if lateResults[quorum.StatusGenerationClosed] < n/4 || lateResults[quorum.StatusConflict] == 0 {
+		t.Errorf("asked for again: %v", lateResults)
 	}
-	if most > room*9/10 {
-		t.Errorf("%d of %d bytes were used", most, room)
+	if maxStateBytes > room*9/10 {
+		t.Errorf("%d of %d bytes were used", maxStateBytes, room)
 	}
 }
--- a/sim/cluster.go
+++ b/sim/cluster.go
@@ -34,7 +34,7 @@
 	onMessage func(receiver *ControlNode, message quorum.Message)
 	// dropsMessage and losesStep tell whether a message, or a step of an order, gets lost.
 	dropsMessage func(quorum.Message) bool
-	losesStep    func(OrderStep) bool
+	losesStep    func(RequestStep) bool
 	// beforeResult is called before a node tells an operation's result, beforeSynced when
 	// records are on its disk and its voter does not know yet. They return true if they
 	// ended the process.
--- a/sim/cluster_day_test.go
+++ b/sim/cluster_day_test.go
@@ -15,21 +15,21 @@
 	for _, fault := range ClusterFaults {
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
-			acks, won, terms, ckpts, joined := 0, 0, 0, 0, 0
+			acknowledged, won, terms, checkpoints, joined := 0, 0, 0, 0, 0
 			for seed := int64(1); seed <= 3; seed++ {
 				result := RunCluster(seed, fault, 12_000_000)
 				if len(result.Violations) > 0 {
 					k := max(0, len(result.Notes)-60)
 					t.Fatalf("seed %d: %v\n%s", seed, result.Violations, strings.Join(result.Notes[k:], "\n"))
 				}
-				acks, won, terms, ckpts, joined = acks+result.Acknowledged, won+result.ClaimsWon, terms+result.LeaseTerms, ckpts+result.Checkpoints, joined+result.Joins
+				acknowledged, won, terms, checkpoints, joined = acknowledged+result.Acknowledged, won+result.ClaimsWon, terms+result.LeaseTerms, checkpoints+result.Checkpoints, joined+result.Joins
 			}
-			t.Logf("%d checkpoints, %d joined", ckpts, joined)
+			t.Logf("%d checkpoints, %d joined", checkpoints, joined)
 			if fault == FaultSelfHealing && joined < 3 {
 				t.Fatalf("%d machines were let in", joined)
 			}
-			if acks < 100 || won < 30 || terms < 4 || ckpts == 0 && fault != FaultKillAll {
-				t.Fatalf("%d changes acknowledged, %d claims won, %d terms: too little to prove anything", acks, won, terms)
+			if acknowledged < 100 || won < 30 || terms < 4 || checkpoints == 0 && fault != FaultKillAll {
+				t.Fatalf("%d changes acknowledged, %d claims won, %d terms: too little to prove anything", acknowledged, won, terms)
 			}
 		})
 	}
@@ -70,20 +70,20 @@
 func TestFailedCandidateFollows(t *testing.T) {
 	s := newDirectedRun(t, 1, "plan")
 	s.put("plan", "v1")
-	other, i := s.awaitLeader(), quorum.SlotOf("plan", 16)
+	leader, slot := s.awaitLeader(), quorum.SlotOf("plan", 16)
 	node := s.cluster.Nodes[0]
-	if node == other {
+	if node == leader {
 		node = s.cluster.Nodes[1]
 	}
-	at := func(node *ControlNode) quorum.SlotStatus { return node.node.Status(node.Clock())[i] }
-	s.world.Cut(other.Name, node.Name)
+	at := func(node *ControlNode) quorum.SlotStatus { return node.node.Status(node.Clock())[slot] }
+	s.world.Cut(leader.Name, node.Name)
 	s.world.Run(s.world.now + 4_000_000)
-	if at(node).Term <= at(other).Term {
-		t.Fatalf("nothing was sought: %+v beside %+v", at(node), at(other))
+	if at(node).Term <= at(leader).Term {
+		t.Fatalf("nothing was sought: %+v beside %+v", at(node), at(leader))
 	}
 	s.world.HealAll()
 	s.world.Run(s.world.now + 2_000_000)
-	if other = s.leader(); other == nil || at(node).Leader != other.Name || at(node).Term != at(other).Term || at(node).Last != at(other).Last {
+	if leader = s.leader(); leader == nil || at(node).Leader != leader.Name || at(node).Term != at(leader).Term || at(node).Last != at(leader).Last {
 		t.Fatalf("it does not follow: %+v", at(node))
 	}
 	if len(s.world.violations) > 0 {
--- a/sim/cluster_faults.go
+++ b/sim/cluster_faults.go
@@ -5,34 +5,34 @@
 
 // The failures of control nodes.
 const (
-	FaultKill              Fault = "kills"
-	FaultKillAll           Fault = "herd"
-	FaultPowerLoss         Fault = "power"
-	FaultFreeze            Fault = "freezes"
-	FaultPartition         Fault = "cuts"
-	FaultOneWay            Fault = "one-way"
-	FaultLossyLinks        Fault = "lossy"
-	FaultSlowDisks         Fault = "slow-disks"
-	FaultSlowLinks         Fault = "slow-links"
-	FaultForgottenPromises Fault = "amnesia"   // all but one restart at once while that one is cut off
-	FaultPartialAppend     Fault = "torn"      // changes that reached only some, then kills
-	FaultLeave             Fault = "polite"    // stops that give the slots up first
-	FaultForgottenLeader   Fault = "forgetful" // voters restart while one that waits for a lease to end does not
-	FaultReplacement       Fault = "replaced"  // machines lose their disks and come back empty, others are added in their place
-	FaultSelfHealing       Fault = "healed"    // machines come back empty, are replaced, or return after that, and no operator is there
-	FaultAll               Fault = "everything"
+	FaultKill            Fault = "kills"
+	FaultKillAll         Fault = "herd"
+	FaultPowerLoss       Fault = "power"
+	FaultFreeze          Fault = "freezes"
+	FaultPartition       Fault = "cuts"
+	FaultOneWay          Fault = "one-way"
+	FaultLossyLinks      Fault = "lossy"
+	FaultSlowDisks       Fault = "slow-disks"
+	FaultSlowLinks       Fault = "slow-links"
+	FaultRestartOthers   Fault = "amnesia"   // all but one restart at once while that one is cut off
+	FaultPartialAppend   Fault = "torn"      // changes that reached only some, then kills
+	FaultLeave           Fault = "polite"    // stops that give the slots up first
+	FaultLostLeaseGrants Fault = "forgetful" // voters restart while one that waits for a lease to end does not
+	FaultReplacement     Fault = "replaced"  // machines lose their disks and come back empty, others are added in their place
+	FaultSelfHealing     Fault = "healed"    // machines come back empty, are replaced, or return after that, and no operator is there
+	FaultAll             Fault = "everything"
 )
 
 // ClusterFaults lists them all.
 var ClusterFaults = []Fault{
 	FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultLossyLinks, FaultSlowDisks, FaultSlowLinks,
-	FaultForgottenPromises, FaultPartialAppend, FaultReplacement, FaultLeave, FaultForgottenLeader, FaultSelfHealing, FaultAll,
+	FaultRestartOthers, FaultPartialAppend, FaultReplacement, FaultLeave, FaultLostLeaseGrants, FaultSelfHealing, FaultAll,
 }
 
 // singleFaults are the faults of which FaultAll draws one after the other.
 var singleFaults = []Fault{
 	FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultSlowDisks, FaultSlowLinks,
-	FaultForgottenPromises, FaultPartialAppend, FaultReplacement, FaultLeave, FaultForgottenLeader,
+	FaultRestartOthers, FaultPartialAppend, FaultReplacement, FaultLeave, FaultLostLeaseGrants,
 }
 
 // InjectFaults brings a fault about again and again until a true time, then ends all.
@@ -95,18 +95,18 @@
 		c.cutOneWay(node)
 	case FaultSlowLinks:
 		c.slowLinks(node)
-	case FaultForgottenPromises:
+	case FaultRestartOthers:
 		c.restartOthers(node)
 	case FaultPartialAppend:
 		c.killWhilePartitioned(node)
-	case FaultForgottenLeader:
-		c.forgetLeader(node)
+	case FaultLostLeaseGrants:
+		c.loseLeaseGrants(node)
 	case FaultLeave:
 		c.leave(node)
 	case FaultReplacement:
 		c.replaceVoterUnderFaults()
 	case FaultSelfHealing:
-		c.strikeOneMachine()
+		c.disruptOneMachine()
 	case FaultSlowDisks:
 		c.slowDisks()
 	}
@@ -193,11 +193,11 @@
 		}
 	}
 	if world.Rng.Intn(2) == 0 {
-		c.hearLateThenFallSilent(node)
+		c.delayThenCutOutbound(node)
 	}
 }
 
-func (c *Cluster) hearLateThenFallSilent(node *ControlNode) {
+func (c *Cluster) delayThenCutOutbound(node *ControlNode) {
 	world := c.world
 	for _, other := range c.Nodes {
 		world.linkDelayUS[link{node.Name, other.Name}] = 0
@@ -243,9 +243,9 @@
 	world.At(world.now+400_000+world.Rng.Int63n(4_000_000), node.restart)
 }
 
-// forgetLeader has one node hear nothing of a leader and wait for its lease to end; then
+// loseLeaseGrants has one node hear nothing of a leader and wait for its lease to end; then
 // the leader is cut off, and the others restart and forget the leases that they granted.
-func (c *Cluster) forgetLeader(leader *ControlNode) {
+func (c *Cluster) loseLeaseGrants(leader *ControlNode) {
 	world := c.world
 	world.HealAll()
 	waiting := c.Nodes[world.Rng.Intn(len(c.Nodes))]
--- a/sim/cluster_replacement.go
+++ b/sim/cluster_replacement.go
@@ -63,9 +63,9 @@
 	}, func() {})
 }
 
-// strikeOneMachine strikes one machine, once the last one struck has recovered: it loses its
+// disruptOneMachine strikes one machine, once the last one struck has recovered: it loses its
 // disk, or its power, or goes and another comes; one that went may return, with its old disk.
-func (c *Cluster) strikeOneMachine() {
+func (c *Cluster) disruptOneMachine() {
 	world := c.world
 	voterSet, members := c.currentVoters()
 	for _, node := range c.Nodes {
--- a/sim/config_checker.go
+++ b/sim/config_checker.go
@@ -1,7 +1,7 @@
 package sim
 
-// checkInterval is how often what proxies serve by is checked.
-const checkInterval = 10_000
+// checkIntervalUS is how often what proxies serve by is checked.
+const checkIntervalUS = 10_000
 
 // ServeChecker checks what proxies serve by.
 type ServeChecker struct {
@@ -20,7 +20,7 @@
 			c.check(world, proxy)
 		}
 	}
-	world.At(world.now+checkInterval, func() { c.Watch(world) })
+	world.At(world.now+checkIntervalUS, func() { c.Watch(world) })
 }
 
 func (c *ServeChecker) check(world *World, proxy *ConfigProxy) {
@@ -31,7 +31,7 @@
 	if at := c.config.replacedAt(proxy.config.version); at > 0 {
 		old := world.now - at
 		c.OldestConfigUS = max(c.OldestConfigUS, old)
-		if old > ApplyBound {
+		if old > ApplyBoundUS {
 			world.Violation("old configuration in use", "%s serves by version %d, replaced %d us ago", proxy.Name, proxy.config.version, old)
 		}
 	}
@@ -39,7 +39,7 @@
 		return
 	}
 	vouched = world.now - (proxy.Clock() - proxy.weights.confirmedAt)
-	if floor := c.weights.namedAt(vouched); floor > proxy.weights.version {
+	if floor := c.weights.newestAt(vouched); floor > proxy.weights.version {
 		world.Violation("vouched for older weights", "%s holds version %d as the newest at %d, when %d was", proxy.Name, proxy.weights.version, vouched, floor)
 	}
 }
--- a/sim/config_directory.go
+++ b/sim/config_directory.go
@@ -66,7 +66,7 @@
 	cluster.onBoot = func(node *ControlNode) {
 		d := &Directory{node: node}
 		directories.byNode[node] = d
-		node.Every(directoryRefreshInterval, d.refresh)
+		node.Every(directoryRefreshIntervalUS, d.refresh)
 	}
 	return directories
 }
--- a/sim/config_history.go
+++ b/sim/config_history.go
@@ -8,10 +8,10 @@
 	"violetthread/route"
 )
 
-// ConfigOrder is a change of the configuration that an operator sends until it has a clear
+// ConfigRequest is a change of the configuration that an operator sends until it has a clear
 // answer. It leads from version base to base+1, so that the versions in force form one
 // chain without gaps.
-type ConfigOrder struct {
+type ConfigRequest struct {
 	id             int
 	change         route.Change
 	version        uint64
@@ -33,11 +33,11 @@
 // It knows which order was sent when and what was answered, and nothing of the nodes.
 type ConfigHistory struct {
 	world                   *World
-	texts                   Texts
-	orders                  []*ConfigOrder
-	accepted                map[uint64]*ConfigOrder // version: the order known to lead to it
-	known                   map[uint64]int64        // version: since when it was certainly in force once
-	docs                    map[uint64]*orderedDoc  // as the orders make them, from the first read on
+	format                  ConfigFormat
+	requests                []*ConfigRequest
+	accepted                map[uint64]*ConfigRequest  // version: the order known to lead to it
+	inForceSince            map[uint64]int64           // version: since when it was certainly in force once
+	expected                map[uint64]*expectedConfig // as the orders make them, from the first read on
 	reads                   []configRead
 	newest                  uint64 // version that was acknowledged or read
 	Acknowledged            int    // orders acknowledged
@@ -49,64 +49,64 @@
 	MostBehind uint64
 }
 
-// orderedDoc is a configuration as its orders make it.
-type orderedDoc struct {
+// expectedConfig is a configuration as its orders make it.
+type expectedConfig struct {
 	document *route.Document // nil before the first one
 	value    []byte          // as its register holds it
 }
 
 // NewConfigHistory starts the history of a world without a configuration.
-func NewConfigHistory(world *World, texts Texts) *ConfigHistory {
+func NewConfigHistory(world *World, format ConfigFormat) *ConfigHistory {
 	return &ConfigHistory{
-		world: world, texts: texts,
-		accepted: map[uint64]*ConfigOrder{},
-		known:    map[uint64]int64{},
-		docs:     map[uint64]*orderedDoc{0: {}},
+		world: world, format: format,
+		accepted:     map[uint64]*ConfigRequest{},
+		inForceSince: map[uint64]int64{},
+		expected:     map[uint64]*expectedConfig{0: {}},
 	}
 }
 
 // begin notes an order that is about to be sent.
-func (h *ConfigHistory) begin(order *ConfigOrder) {
-	order.sentAt = h.world.now
-	h.orders = append(h.orders, order)
+func (h *ConfigHistory) recordSent(request *ConfigRequest) {
+	request.sentAt = h.world.now
+	h.requests = append(h.requests, request)
 }
 
 // acknowledged checks an acknowledgement.
-func (h *ConfigHistory) acknowledged(order *ConfigOrder, resent bool) {
-	if order.acknowledgedAt == 0 {
-		order.acknowledgedAt = h.world.now
+func (h *ConfigHistory) acknowledged(request *ConfigRequest, resent bool) {
+	if request.acknowledgedAt == 0 {
+		request.acknowledgedAt = h.world.now
 		h.Acknowledged++
 		if resent {
 			h.AcknowledgedAfterResend++
 		}
-		if h.newest > order.version {
-			h.MostBehind = max(h.MostBehind, h.newest-order.version)
+		if h.newest > request.version {
+			h.MostBehind = max(h.MostBehind, h.newest-request.version)
 		}
 	}
-	h.link(order)
-	h.seen(order.version)
+	h.recordAccepted(request)
+	h.recordInForce(request.version)
 }
 
 // link holds that one order leads to a version.
-func (h *ConfigHistory) link(order *ConfigOrder) {
-	if other := h.accepted[order.version]; other != nil && other != order {
-		h.world.Violation("two under one number", "orders %d and %d both are version %d", other.id, order.id, order.version)
+func (h *ConfigHistory) recordAccepted(request *ConfigRequest) {
+	if other := h.accepted[request.version]; other != nil && other != request {
+		h.world.Violation("two under one number", "orders %d and %d both are version %d", other.id, request.id, request.version)
 		return
 	}
-	h.accepted[order.version] = order
+	h.accepted[request.version] = request
 }
 
 // seen notes that a version is in force, or was.
-func (h *ConfigHistory) seen(version uint64) {
-	if _, ok := h.known[version]; !ok {
-		h.known[version] = h.world.now
+func (h *ConfigHistory) recordInForce(version uint64) {
+	if _, ok := h.inForceSince[version]; !ok {
+		h.inForceSince[version] = h.world.now
 	}
 	h.newest = max(h.newest, version)
 }
 
 // rejected notes a rejection; whether it was right shows at the end.
-func (h *ConfigHistory) rejected(order *ConfigOrder, from int64) {
-	order.rejections = append(order.rejections, interval{from, h.world.now})
+func (h *ConfigHistory) rejected(request *ConfigRequest, from int64) {
+	request.rejections = append(request.rejections, interval{from, h.world.now})
 	h.Rejected++
 }
 
@@ -122,26 +122,26 @@
 	}
 	h.Reads++
 	h.reads = append(h.reads, configRead{interval{from, h.world.now}, document.Version})
-	h.seen(document.Version)
-	if order := h.orderOf(document); order != nil {
-		h.link(order)
+	h.recordInForce(document.Version)
+	if request := h.requestOf(document); request != nil {
+		h.recordAccepted(request)
 	}
 	h.compare(document, value)
 }
 
-// orderOf is the order that made a configuration: each brings a key of its own.
-func (h *ConfigHistory) orderOf(document *route.Document) *ConfigOrder {
+// requestOf is the order that made a configuration: each brings a key of its own.
+func (h *ConfigHistory) requestOf(document *route.Document) *ConfigRequest {
 	_, rest, found := strings.Cut(string(document.Text), keyPrefix)
 	if !found {
 		return nil
 	}
 	number, _, _ := strings.Cut(rest, `"`)
 	id, err := strconv.Atoi(number)
-	if err != nil || id < 1 || id > len(h.orders) || h.orders[id-1].version != document.Version {
+	if err != nil || id < 1 || id > len(h.requests) || h.requests[id-1].version != document.Version {
 		h.world.Violation("an order that nobody sent", "version %d holds the key of %q", document.Version, number)
 		return nil
 	}
-	return h.orders[id-1]
+	return h.requests[id-1]
 }
 
 // readConfig reads a register's value; an empty one is no configuration yet.
@@ -155,7 +155,7 @@
 // inForceAt is the newest version that was certainly in force before a time.
 func (h *ConfigHistory) inForceAt(at int64) (version uint64) {
 	for v := h.newest; v > 0; v-- {
-		if since, ok := h.known[v]; ok && since < at {
+		if since, ok := h.inForceSince[v]; ok && since < at {
 			return v
 		}
 	}
@@ -165,7 +165,7 @@
 // replacedAt is when a later version than this was known to be in force, 0 for not yet.
 func (h *ConfigHistory) replacedAt(version uint64) (at int64) {
 	for v := version + 1; v <= h.newest; v++ {
-		if since, ok := h.known[v]; ok && (at == 0 || since < at) {
+		if since, ok := h.inForceSince[v]; ok && (at == 0 || since < at) {
 			at = since
 		}
 	}
@@ -177,11 +177,11 @@
 	if document.Version == 0 {
 		return
 	}
-	want, ok := h.document(document.Version)
+	want, ok := h.expectedAt(document.Version)
 	if !ok {
 		// An order without a clear answer was taken on the way: which one, only the
 		// text tells.
-		h.docs[document.Version] = &orderedDoc{document, value}
+		h.expected[document.Version] = &expectedConfig{document, value}
 		return
 	}
 	if !bytes.Equal(want.value, value) {
@@ -189,56 +189,56 @@
 	}
 }
 
-// document is what the orders known to be taken make of a version.
-func (h *ConfigHistory) document(version uint64) (*orderedDoc, bool) {
-	if d, ok := h.docs[version]; ok {
+// expectedAt is what the orders known to be taken make of a version.
+func (h *ConfigHistory) expectedAt(version uint64) (*expectedConfig, bool) {
+	if d, ok := h.expected[version]; ok {
 		return d, true
 	}
-	order := h.accepted[version]
-	if order == nil {
+	request := h.accepted[version]
+	if request == nil {
 		return nil, false
 	}
-	base, ok := h.document(version - 1)
+	base, ok := h.expectedAt(version - 1)
 	if !ok {
 		return nil, false
 	}
-	next, out, _ := order.change.Apply(base.document, h.texts.Translate, h.texts.Words)
+	next, out, _ := request.change.Apply(base.document, h.format.Translate, h.format.FieldNames)
 	if out != route.Accepted {
-		h.world.Violation("taken on another base", "order %d is %v on version %d", order.id, out, version-1)
+		h.world.Violation("taken on another base", "order %d is %v on version %d", request.id, out, version-1)
 		return nil, false
 	}
-	h.docs[version] = &orderedDoc{next, next.Encode()}
-	return h.docs[version], true
+	h.expected[version] = &expectedConfig{next, next.Encode()}
+	return h.expected[version], true
 }
 
 // Close judges the rejections, once all is known that will be.
 func (h *ConfigHistory) Close() {
-	for _, order := range h.orders {
-		for _, r := range order.rejections {
-			h.checkRejection(order, r)
+	for _, request := range h.requests {
+		for _, r := range request.rejections {
+			h.checkRejection(request, r)
 		}
 	}
 }
 
-func (h *ConfigHistory) checkRejection(order *ConfigOrder, r interval) {
-	if h.accepted[order.version] == order {
-		h.world.Violation("taken and refused", "order %d for version %d, sent at %d, acknowledged at %d, was refused at %d..%d", order.id, order.version, order.sentAt, order.acknowledgedAt, r.from, r.to)
+func (h *ConfigHistory) checkRejection(request *ConfigRequest, r interval) {
+	if h.accepted[request.version] == request {
+		h.world.Violation("taken and refused", "order %d for version %d, sent at %d, acknowledged at %d, was refused at %d..%d", request.id, request.version, request.sentAt, request.acknowledgedAt, r.from, r.to)
 		return
 	}
-	since, ok := h.known[order.change.Base]
-	current := order.change.Base == 0 || ok && since < r.from
-	if current && h.earliestAfter(order.change.Base) > r.to {
-		h.world.Violation("refused wrongly", "order %d on version %d was refused at %d..%d, and that was current", order.id, order.change.Base, r.from, r.to)
+	since, ok := h.inForceSince[request.change.Base]
+	current := request.change.Base == 0 || ok && since < r.from
+	if current && h.earliestReplacement(request.change.Base) > r.to {
+		h.world.Violation("refused wrongly", "order %d on version %d was refused at %d..%d, and that was current", request.id, request.change.Base, r.from, r.to)
 	}
 }
 
-// earliestAfter is the earliest time at which a version may have been replaced: the
+// earliestReplacement is the earliest time at which a version may have been replaced: the
 // order that did it was sent by then, and who read the version did so before.
-func (h *ConfigHistory) earliestAfter(version uint64) int64 {
+func (h *ConfigHistory) earliestReplacement(version uint64) int64 {
 	at := int64(1) << 62
-	for _, order := range h.orders {
-		if order.change.Base == version && h.mayHaveMade(order) {
-			at = min(at, order.sentAt)
+	for _, request := range h.requests {
+		if request.change.Base == version && h.mayHaveProduced(request) {
+			at = min(at, request.sentAt)
 		}
 	}
 	for _, r := range h.reads {
@@ -249,9 +249,9 @@
 	return at
 }
 
-// mayHaveMade tells whether an order may have led to its version. One that was rejected did
+// mayHaveProduced tells whether an order may have led to its version. One that was rejected did
 // not, or that is a fault of its own.
-func (h *ConfigHistory) mayHaveMade(order *ConfigOrder) bool {
-	t := h.accepted[order.version]
-	return t == order || t == nil && len(order.rejections) == 0
+func (h *ConfigHistory) mayHaveProduced(request *ConfigRequest) bool {
+	t := h.accepted[request.version]
+	return t == request || t == nil && len(request.rejections) == 0
 }
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	operatorSilence = 1_000_000 // after which an operator goes on to another node
-	operatorPause   = 50_000    // after a failure, growing
-	operatorPauses  = 8         // times as long at most
-	operatorShuns   = 5_000_000 // a node that was silent is not asked for so long, if another is left
+	operatorTimeoutUS      = 1_000_000 // after which an operator goes on to another node
+	operatorRetryDelayUS   = 50_000    // after a failure, growing
+	operatorMaxRetryFactor = 8         // times as long at most
+	operatorAvoidUS        = 5_000_000 // a node that was silent is not asked for so long, if another is left
 )
 
 // ConfigOperator sends changes of the configuration, one after the other, each until
@@ -26,40 +26,40 @@
 	// LosesReplies makes it miss all answers.
 	LosesReplies bool
 	// OnAccepted is called at each acknowledgement that it hears.
-	OnAccepted func(o *ConfigOrder)
+	OnAccepted func(o *ConfigRequest)
 	// OnFinished is called at each acknowledgement or rejection that it hears.
 	OnFinished func()
-	order      *ConfigOrder
+	request    *ConfigRequest
 	sends      int // of this order
 	count      int
 	last       *ControlNode
-	silent     map[*ControlNode]int64 // when last
+	timedOutAt map[*ControlNode]int64 // when last
 	// SlowestTaken is the longest from sending an order to hearing of its end.
-	SlowestOrderUS int64
+	SlowestRequestUS int64
 }
 
 // NewConfigOperator adds an operator.
 func NewConfigOperator(cluster *Cluster, name, zone string, history *ConfigHistory) *ConfigOperator {
-	o := &ConfigOperator{cluster: cluster, history: history, Pause: 100_000, silent: map[*ControlNode]int64{}}
+	o := &ConfigOperator{cluster: cluster, history: history, Pause: 100_000, timedOutAt: map[*ControlNode]int64{}}
 	o.Host = cluster.world.NewHost(name, zone, func() { o.After(1+cluster.world.Rng.Int63n(o.Pause+1), o.next) })
 	return o
 }
 
 // next sends a new order.
 func (o *ConfigOperator) next() {
-	if o.order != nil {
+	if o.request != nil {
 		return
 	}
 	o.count++
 	o.sends = 0
-	o.order = &ConfigOrder{id: len(o.history.orders) + 1, version: o.Base + 1}
-	o.order.change = o.change(o.order)
-	o.history.begin(o.order)
+	o.request = &ConfigRequest{id: len(o.history.requests) + 1, version: o.Base + 1}
+	o.request.change = o.change(o.request)
+	o.history.recordSent(o.request)
 	o.send()
 }
 
 // change is a small merge, or a whole configuration of as many routes as asked for.
-func (o *ConfigOperator) change(order *ConfigOrder) route.Change {
+func (o *ConfigOperator) change(request *ConfigRequest) route.Change {
 	routes := 0
 	if o.Routes != nil {
 		routes = o.Routes(o.count)
@@ -67,35 +67,35 @@
 	change := route.Change{Base: o.Base, HasBase: true}
 	if o.Base == 0 || routes > 0 {
 		change.Replace = true
-		change.Body = []byte(wholeText(order, max(routes, 3)))
+		change.Body = []byte(wholeText(request, max(routes, 3)))
 		return change
 	}
-	change.Body = []byte(mergeText(order))
+	change.Body = []byte(mergeText(request))
 	return change
 }
 
 // send sends the order as it stands to a node.
 func (o *ConfigOperator) send() {
 	o.sends++
-	order, from := o.order, o.cluster.world.now
+	request, from := o.request, o.cluster.world.now
 	node := o.chooseNode()
 	o.last = node
-	Call(o.Host, node.Host, order, operatorSilence,
-		func(order *ConfigOrder, answer func(Reply)) {
-			if o.cluster.isStepLost(StepOrder) {
+	Call(o.Host, node.Host, request, operatorTimeoutUS,
+		func(request *ConfigRequest, answer func(Reply)) {
+			if o.cluster.isStepLost(StepRequest) {
 				return
 			}
-			node.Edit(route.ConfigKey, changeConfiguration(order.change, o.history.texts), answer)
+			node.Edit(route.ConfigKey, changeConfiguration(request.change, o.history.format), answer)
 		},
 		func(r Reply) {
 			if o.LosesReplies || o.cluster.isStepLost(StepReply) {
-				o.After(max(1, from+operatorSilence-o.cluster.world.now), o.resend)
+				o.After(max(1, from+operatorTimeoutUS-o.cluster.world.now), o.resend)
 				return
 			}
-			o.answered(order, r, from)
+			o.answered(request, r, from)
 		},
 		func() {
-			o.silent[node] = o.cluster.world.now
+			o.timedOutAt[node] = o.cluster.world.now
 			o.resend()
 		})
 }
@@ -106,8 +106,8 @@
 	var rest []*ControlNode
 	now := o.cluster.world.now
 	for _, node := range o.cluster.Nodes {
-		at, silent := o.silent[node]
-		if node != o.last && !node.removed && !(silent && now-at < operatorShuns) {
+		at, silent := o.timedOutAt[node]
+		if node != o.last && !node.removed && !(silent && now-at < operatorAvoidUS) {
 			rest = append(rest, node)
 		}
 	}
@@ -119,24 +119,24 @@
 
 // resend sends the same order again after a pause that grows.
 func (o *ConfigOperator) resend() {
-	o.After(int64(min(o.sends, operatorPauses))*operatorPause, o.send)
+	o.After(int64(min(o.sends, operatorMaxRetryFactor))*operatorRetryDelayUS, o.send)
 }
 
-func (o *ConfigOperator) answered(order *ConfigOrder, answer Reply, from int64) {
+func (o *ConfigOperator) answered(request *ConfigRequest, answer Reply, from int64) {
 	switch answer.Outcome {
 	case OutcomeAccepted:
-		o.history.acknowledged(order, o.sends > 1)
-		o.Base = order.version
+		o.history.acknowledged(request, o.sends > 1)
+		o.Base = request.version
 		o.finish()
 		if o.OnAccepted != nil {
-			o.OnAccepted(order)
+			o.OnAccepted(request)
 		}
 	case OutcomeStale:
-		o.history.rejected(order, from)
+		o.history.rejected(request, from)
 		o.Base = answer.Version
 		o.finish()
 	case OutcomeInvalid:
-		o.cluster.world.Violation("a good order was declined", "order %d on version %d", order.id, order.change.Base)
+		o.cluster.world.Violation("a good order was declined", "order %d on version %d", request.id, request.change.Base)
 	default:
 		o.resend()
 	}
@@ -144,8 +144,8 @@
 
 // finish ends an order and turns to the next.
 func (o *ConfigOperator) finish() {
-	o.SlowestOrderUS = max(o.SlowestOrderUS, o.cluster.world.now-o.order.sentAt)
-	o.order = nil
+	o.SlowestRequestUS = max(o.SlowestRequestUS, o.cluster.world.now-o.request.sentAt)
+	o.request = nil
 	if o.OnFinished != nil {
 		o.OnFinished()
 	}
--- a/sim/config_proxy.go
+++ b/sim/config_proxy.go
@@ -3,12 +3,12 @@
 // ConfigProxy serves by the configuration that directories tell it.
 type ConfigProxy struct {
 	*Host
-	cluster     *Cluster
-	directories *Directories
-	config      confirmedVersion
-	weights     confirmedVersion
-	pausedUntil map[*ControlNode]int64 // until when
-	directory   *ControlNode
+	cluster      *Cluster
+	directories  *Directories
+	config       confirmedVersion
+	weights      confirmedVersion
+	avoidedUntil map[*ControlNode]int64 // until when
+	directory    *ControlNode
 }
 
 // NewConfigProxy adds a proxy.
@@ -16,8 +16,8 @@
 	proxy := &ConfigProxy{cluster: cluster, directories: dirs}
 	proxy.Host = cluster.world.NewHost(name, zone, func() {
 		proxy.config, proxy.weights, proxy.directory = confirmedVersion{}, confirmedVersion{}, nil
-		proxy.pausedUntil = map[*ControlNode]int64{}
-		proxy.Every(proxyPollInterval, proxy.poll)
+		proxy.avoidedUntil = map[*ControlNode]int64{}
+		proxy.Every(proxyPollIntervalUS, proxy.poll)
 	})
 	return proxy
 }
@@ -32,7 +32,7 @@
 func (p *ConfigProxy) poll() {
 	node := p.choose()
 	at := p.Clock()
-	Call(p.Host, node.Host, 0, proxyPollTimeout,
+	Call(p.Host, node.Host, 0, proxyPollTimeoutUS,
 		func(_ int, reply func(directoryAnswer)) {
 			if d := p.directories.byNode[node]; d != nil {
 				now := node.Clock()
@@ -40,7 +40,7 @@
 			}
 		},
 		func(answer directoryAnswer) { p.answered(node, at, answer) },
-		func() { p.pauseDirectory(node) })
+		func() { p.avoidDirectory(node) })
 }
 
 func (p *ConfigProxy) answered(node *ControlNode, at int64, answer directoryAnswer) {
@@ -48,21 +48,21 @@
 	answer.weights.confirmedAt = at - answer.weightsAge
 	p.config.update(answer.config)
 	p.weights.update(answer.weights)
-	if !answer.config.known || answer.configAge > maxDirectoryAge {
-		p.pauseDirectory(node)
+	if !answer.config.known || answer.configAge > maxDirectoryAgeUS {
+		p.avoidDirectory(node)
 	}
 }
 
 // choose keeps to one directory while it does.
 func (p *ConfigProxy) choose() *ControlNode {
-	if p.directory != nil && p.pausedUntil[p.directory] <= p.Clock() {
+	if p.directory != nil && p.avoidedUntil[p.directory] <= p.Clock() {
 		return p.directory
 	}
 	nodes := p.cluster.Nodes
 	first := p.world.Rng.Intn(len(nodes))
 	p.directory = nodes[first]
 	for i := range nodes {
-		if node := nodes[(first+i)%len(nodes)]; !node.removed && p.pausedUntil[node] <= p.Clock() {
+		if node := nodes[(first+i)%len(nodes)]; !node.removed && p.avoidedUntil[node] <= p.Clock() {
 			p.directory = node
 			break
 		}
@@ -70,11 +70,11 @@
 	return p.directory
 }
 
-func (p *ConfigProxy) pauseDirectory(node *ControlNode) {
-	p.pausedUntil[node] = p.Clock() + directoryPause
+func (p *ConfigProxy) avoidDirectory(node *ControlNode) {
+	p.avoidedUntil[node] = p.Clock() + directoryAvoidUS
 }
 
 // Serves reports whether the configuration is young enough to serve by.
 func (p *ConfigProxy) Serves() bool {
-	return p.up && !p.frozen && p.config.known && p.Clock()-p.config.confirmedAt <= ServeAge
+	return p.up && !p.frozen && p.config.known && p.Clock()-p.config.confirmedAt <= MaxServeAgeUS
 }
--- a/sim/config_reader.go
+++ b/sim/config_reader.go
@@ -38,7 +38,7 @@
 // readAt reads at one node, and tells whether there was an answer.
 func (r *ConfigReader) readAt(node *ControlNode, done func(ok bool)) {
 	from := r.cluster.world.now
-	Call(r.Host, node.Host, 0, operatorSilence,
+	Call(r.Host, node.Host, 0, operatorTimeoutUS,
 		func(_ int, reply func(registerValue)) {
 			node.Read(route.ConfigKey, func(value []byte, _ uint64, ok bool) { reply(registerValue{value, ok}) })
 		},
--- a/sim/config_texts.go
+++ b/sim/config_texts.go
@@ -15,21 +15,21 @@
 // keyPrefix begins the key that an order brings.
 const keyPrefix = "key-of-order-"
 
-func tenantText(order *ConfigOrder) string {
-	return fmt.Sprintf(`{"name":"desk","api-keys":["%s%d"]}`, keyPrefix, order.id)
+func tenantText(request *ConfigRequest) string {
+	return fmt.Sprintf(`{"name":"desk","api-keys":["%s%d"]}`, keyPrefix, request.id)
 }
 
-func wholeText(order *ConfigOrder, routes int) string {
+func wholeText(request *ConfigRequest, routes int) string {
 	var rs []string
 	for i := range routes {
-		rs = append(rs, routeText(fmt.Sprint("route", i), fmt.Sprintf("/order%d/%d/", order.id, i)))
+		rs = append(rs, routeText(fmt.Sprint("route", i), fmt.Sprintf("/order%d/%d/", request.id, i)))
 	}
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"engines","max-connections":8},{"name":"others"}],"tenants":[%s],"limits":{"idle-timeout-ms":5000}}`,
-		order.version, strings.Join(rs, ","), tenantText(order))
+		request.version, strings.Join(rs, ","), tenantText(request))
 }
 
-func mergeText(order *ConfigOrder) string {
-	name := fmt.Sprint("merged", order.id%mergedRoutes)
+func mergeText(request *ConfigRequest) string {
+	name := fmt.Sprint("merged", request.id%mergedRoutes)
 	return fmt.Sprintf(`{"version":%d,"upsert":{"routes":[%s],"tenants":[%s]}}`,
-		order.version, routeText(name, fmt.Sprintf("/merged%d/", order.id)), tenantText(order))
+		request.version, routeText(name, fmt.Sprintf("/merged%d/", request.id)), tenantText(request))
 }
--- a/sim/config_version.go
+++ b/sim/config_version.go
@@ -5,15 +5,15 @@
 // real time; the rule is the same: an answer's age counts from before its question was
 // sent, and what is vouched for never goes back.
 const (
-	directoryRefreshInterval = 150_000
-	proxyPollInterval        = 150_000
-	proxyPollTimeout         = 700_000
-	maxDirectoryAge          = 1_000_000 // a directory whose answer is older is not asked first
-	directoryPause           = 1_500_000 // for so long
-	// ServeAge is the age of the configuration up to which a proxy serves.
-	ServeAge = 1_600_000
-	// ApplyBound is when a change is in force everywhere, after its acknowledgement.
-	ApplyBound = 2_000_000
+	directoryRefreshIntervalUS = 150_000
+	proxyPollIntervalUS        = 150_000
+	proxyPollTimeoutUS         = 700_000
+	maxDirectoryAgeUS          = 1_000_000 // a directory whose answer is older is not asked first
+	directoryAvoidUS           = 1_500_000 // for so long
+	// MaxServeAgeUS is the age of the configuration up to which a proxy serves.
+	MaxServeAgeUS = 1_600_000
+	// ApplyBoundUS is when a change is in force everywhere, after its acknowledgement.
+	ApplyBoundUS = 2_000_000
 )
 
 // confirmedVersion is what one hop vouches for: a version was in force at a time by its own
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -24,8 +24,8 @@
 // deployments ask: one of four, two of five and of eight.
 func tolerates(nodes int) int { return min(2, (nodes-1)/2) }
 
-// syncTime is until when a node counts as lost after it is back.
-func syncTime(nodes int) int64 {
+// rejoinPeriodUS is until when a node counts as lost after it is back.
+func rejoinPeriodUS(nodes int) int64 {
 	if nodes <= 4 {
 		return 4_000_000
 	}
@@ -35,24 +35,24 @@
 // ConfigWorld is control nodes with operators that change the configuration and the
 // weights, readers, and proxies that serve by them; everything is judged.
 type ConfigWorld struct {
-	World       *World
-	Cluster     *Cluster
-	Config      *ConfigHistory
-	Weights     *WeightsHistory
-	Operators   []*ConfigOperator
-	Namer       *WeightsOperator
-	Readers     []*ConfigReader
-	Proxies     []*ConfigProxy
-	Serve       *ServeChecker
-	directories *Directories
+	World           *World
+	Cluster         *Cluster
+	Config          *ConfigHistory
+	Weights         *WeightsHistory
+	Operators       []*ConfigOperator
+	WeightsOperator *WeightsOperator
+	Readers         []*ConfigReader
+	Proxies         []*ConfigProxy
+	Serve           *ServeChecker
+	directories     *Directories
 }
 
 // NewConfigWorld makes one of so many control nodes, with nobody around them yet.
-func NewConfigWorld(seed int64, nodes int, texts Texts) *ConfigWorld {
+func NewConfigWorld(seed int64, nodes int, format ConfigFormat) *ConfigWorld {
 	world := NewWorld(seed)
 	cluster := NewCluster(world, nodes)
 	cluster.leaseUS, cluster.logConfig = platformLeaseUS, configLog
-	configWorld := &ConfigWorld{World: world, Cluster: cluster, Config: NewConfigHistory(world, texts), Weights: NewWeightsHistory(world)}
+	configWorld := &ConfigWorld{World: world, Cluster: cluster, Config: NewConfigHistory(world, format), Weights: NewWeightsHistory(world)}
 	configWorld.directories = NewDirectories(cluster)
 	configWorld.Serve = &ServeChecker{config: configWorld.Config, weights: configWorld.Weights}
 	return configWorld
@@ -67,9 +67,9 @@
 	}
 }
 
-// AddNamer adds an operator that names weights.
-func (cw *ConfigWorld) AddNamer() {
-	cw.Namer = NewWeightsOperator(cw.Cluster, "namer", zones[0], cw.Weights)
+// AddWeightsOperator adds an operator that names weights.
+func (cw *ConfigWorld) AddWeightsOperator() {
+	cw.WeightsOperator = NewWeightsOperator(cw.Cluster, "namer", zones[0], cw.Weights)
 }
 
 // AddReaders adds clients that read the configuration back.
@@ -102,8 +102,8 @@
 		for _, r := range cw.Readers {
 			r.Start()
 		}
-		if cw.Namer != nil {
-			cw.Namer.Start()
+		if cw.WeightsOperator != nil {
+			cw.WeightsOperator.Start()
 		}
 	})
 	cw.Serve.Watch(cw.World)
@@ -118,7 +118,7 @@
 		if world.now-from >= bound || len(world.violations) > 0 {
 			return world.now - from, false
 		}
-		world.Run(world.now + checkInterval)
+		world.Run(world.now + checkIntervalUS)
 	}
 	return world.now - from, true
 }
--- a/sim/control_node.go
+++ b/sim/control_node.go
@@ -205,16 +205,16 @@
 }
 
 const (
-	// silenceLimit is how long a leader may be silent before nothing is forwarded to it, as
+	// maxLeaderSilenceUS is how long a leader may be silent before nothing is forwarded to it, as
 	// in the daemon (internal/app/control): whoever asks learns at once to ask elsewhere.
-	silenceLimit = 400_000
+	maxLeaderSilenceUS = 400_000
 	// maxForwards is how often an operation is forwarded at most.
 	maxForwards = 2
 )
 
 // isSilent reports whether a voter was not heard here for a while.
 func (n *ControlNode) isSilent(name string) bool {
-	return n.node != nil && n.node.TimeSinceHeard(n.Clock(), name) > silenceLimit
+	return n.node != nil && n.node.TimeSinceHeard(n.Clock(), name) > maxLeaderSilenceUS
 }
 
 // serve takes an operation from a client.
--- a/sim/control_node_membership.go
+++ b/sim/control_node_membership.go
@@ -76,7 +76,7 @@
 
 // pollNewerVoterSets asks for newer voter sets while a voter is silent, as the daemon does.
 func (n *ControlNode) pollNewerVoterSets() {
-	if n.node == nil || n.Failure != nil || !n.hearsSilence() {
+	if n.node == nil || n.Failure != nil || !n.hasSilentVoter() {
 		return
 	}
 	for _, other := range n.cluster.Nodes {
@@ -95,8 +95,8 @@
 	}
 }
 
-// hearsSilence reports whether any voter was not heard for a quarter of a second.
-func (n *ControlNode) hearsSilence() bool {
+// hasSilentVoter reports whether any voter was not heard for a quarter of a second.
+func (n *ControlNode) hasSilentVoter() bool {
 	return slices.ContainsFunc(n.node.VoterSet().Voters, func(voter quorum.Voter) bool {
 		return n.node.TimeSinceHeard(n.Clock(), voter.Name) >= 250_000
 	})
--- a/sim/cutoff_day.go
+++ b/sim/cutoff_day.go
@@ -13,10 +13,10 @@
 	// leaderBoundUS is the longest that nobody may answer for a register while a majority
 	// is in touch.
 	leaderBoundUS = 2_000_000
-	// insideReadEvery is between two reads on the side that is cut off.
-	insideReadEvery = 60_000
-	// calmBetween two cuts, once all is back.
-	calmBetween = 1_500_000
+	// insideReadIntervalUS is between two reads on the side that is cut off.
+	insideReadIntervalUS = 60_000
+	// pauseBetweenCutsUS two cuts, once all is back.
+	pauseBetweenCutsUS = 1_500_000
 )
 
 // CutoffDay is a day on which control machines are cut off for 20 s again and again,
@@ -31,7 +31,7 @@
 
 // CutoffResult is what such a day came to.
 type CutoffResult struct {
-	Acknowledged, Rejected, Reads, Named, Cuts int
+	Acknowledged, Rejected, Reads, WeightsVersions, Cuts int
 	// OldestConfigUS is the longest that a proxy served by a configuration after a newer one
 	// was acknowledged.
 	OldestConfigUS int64
@@ -47,8 +47,8 @@
 }
 
 // RunCutoff runs a day with one cut of each given kind.
-func RunCutoff(seed int64, nodes int, cuts []Partition, texts Texts) CutoffResult {
-	d := newCutoffDay(seed, nodes, texts)
+func RunCutoff(seed int64, nodes int, cuts []Partition, format ConfigFormat) CutoffResult {
+	d := newCutoffDay(seed, nodes, format)
 	d.Start()
 	var r CutoffResult
 	world := d.World
@@ -62,21 +62,21 @@
 		d.cut(partition, &r)
 	}
 	d.Config.Close()
-	r.Acknowledged, r.Rejected, r.Reads, r.Named = d.Config.Acknowledged, d.Config.Rejected, d.Config.Reads, d.Weights.Acknowledged
+	r.Acknowledged, r.Rejected, r.Reads, r.WeightsVersions = d.Config.Acknowledged, d.Config.Rejected, d.Config.Reads, d.Weights.Acknowledged
 	r.OldestConfigUS, r.Violations, r.Notes = d.Serve.OldestConfigUS, world.violations, world.notes
 	return r
 }
 
-func newCutoffDay(seed int64, nodes int, texts Texts) *CutoffDay {
-	d := &CutoffDay{ConfigWorld: NewConfigWorld(seed, nodes, texts)}
+func newCutoffDay(seed int64, nodes int, format ConfigFormat) *CutoffDay {
+	d := &CutoffDay{ConfigWorld: NewConfigWorld(seed, nodes, format)}
 	d.AddOperators(4)
-	d.AddNamer()
+	d.AddWeightsOperator()
 	d.AddReaders(2, 200_000)
 	d.AddProxies(4)
 	for _, o := range d.Operators {
 		o.Pause = 400_000
 	}
-	d.AddReaders(1, insideReadEvery)
+	d.AddReaders(1, insideReadIntervalUS)
 	d.reader = d.Readers[2]
 	d.inside = d.Operators[0]
 	d.proxiesInside = d.Proxies[:2]
@@ -96,11 +96,11 @@
 		inside = append(inside, machine.Host)
 	}
 	world.CutOff(partition, inside)
-	if partition == PartitionForgot {
+	if partition == PartitionRestart {
 		d.restartOutside(machines)
 	}
 	d.reader.Only = machines
-	d.watchGap(world.now+cutDurationUS, result)
+	d.watchAvailability(world.now+cutDurationUS, result)
 	world.Rejoin(inside)
 	d.reader.Only = nil
 	world.Notef("healed")
@@ -111,7 +111,7 @@
 	if !ok {
 		world.Violation("not back", "%s was not in service %d us after a cut of kind %s", missing(), recoveryBoundOfCutUS, partition)
 	}
-	world.Run(world.now + calmBetween)
+	world.Run(world.now + pauseBetweenCutsUS)
 }
 
 // restartOutside ends the control nodes on the other side, which come back at once and
@@ -127,12 +127,12 @@
 }
 
 // chooseMachines picks the machines to cut off, among them the configuration's leader if asked for.
-func (d *CutoffDay) chooseMachines(owner bool) []*ControlNode {
+func (d *CutoffDay) chooseMachines(withLeader bool) []*ControlNode {
 	world := d.World
 	n := 1 + world.Rng.Intn(tolerates(len(d.Cluster.Nodes)))
 	nodes := d.Cluster.Nodes
 	first := world.Rng.Intn(len(nodes))
-	if other := d.Cluster.LeaderOf(route.ConfigKey); other != nil && owner {
+	if other := d.Cluster.LeaderOf(route.ConfigKey); other != nil && withLeader {
 		first = slices.Index(nodes, other)
 	}
 	var out []*ControlNode
@@ -142,22 +142,22 @@
 	return out
 }
 
-// watchGap runs until a time and judges that changes go on being acknowledged on the
+// watchAvailability runs until a time and judges that changes go on being acknowledged on the
 // side of the majority.
-func (d *CutoffDay) watchGap(until int64, result *CutoffResult) {
+func (d *CutoffDay) watchAvailability(until int64, result *CutoffResult) {
 	world := d.World
-	acks, at, owned := d.Config.Acknowledged, world.now, world.now
+	acknowledged, at, ledAt := d.Config.Acknowledged, world.now, world.now
 	for world.now < until && len(world.violations) == 0 {
-		world.Run(world.now + checkInterval)
-		if d.Config.Acknowledged > acks {
-			acks, at = d.Config.Acknowledged, world.now
+		world.Run(world.now + checkIntervalUS)
+		if d.Config.Acknowledged > acknowledged {
+			acknowledged, at = d.Config.Acknowledged, world.now
 		}
 		if d.HasConfigLeader() {
-			owned = world.now
+			ledAt = world.now
 		}
-		result.LongestWithoutLeaderUS = max(result.LongestWithoutLeaderUS, world.now-owned)
-		if world.now-owned > leaderBoundUS {
-			world.Violation("no owner", "of the configuration for %d us, with a majority in touch", world.now-owned)
+		result.LongestWithoutLeaderUS = max(result.LongestWithoutLeaderUS, world.now-ledAt)
+		if world.now-ledAt > leaderBoundUS {
+			world.Violation("no owner", "of the configuration for %d us, with a majority in touch", world.now-ledAt)
 		}
 		result.LongestGapUS = max(result.LongestGapUS, world.now-at)
 		if world.now-at > acknowledgementBoundUS {
@@ -174,9 +174,9 @@
 	for _, machine := range machines {
 		d.probe(machine, answered)
 	}
-	told := map[*ConfigOperator]bool{}
+	finished := map[*ConfigOperator]bool{}
 	for _, o := range d.Operators {
-		o.OnFinished = func() { told[o] = true }
+		o.OnFinished = func() { finished[o] = true }
 	}
 	return func() string {
 		for _, proxy := range d.Proxies {
@@ -190,7 +190,7 @@
 			}
 		}
 		for _, o := range d.Operators {
-			if !told[o] {
+			if !finished[o] {
 				return o.Name
 			}
 		}
--- a/sim/cutoff_day_test.go
+++ b/sim/cutoff_day_test.go
@@ -10,8 +10,8 @@
 	"violetthread/platform"
 )
 
-// platformTexts reads texts as the platform's operators write them.
-var platformTexts = Texts{Translate: platform.Translate, Words: platform.FieldNames}
+// platformFormat reads texts as the platform's operators write them.
+var platformFormat = ConfigFormat{Translate: platform.Translate, FieldNames: platform.FieldNames}
 
 // controlSizes are the numbers of control nodes of the directed days: 4 bear the loss
 // of one, 5 and 8 that of two.
@@ -31,12 +31,12 @@
 	return out
 }
 
-// failDay reports a day that broke a promise, with the end of its notes.
-func failDay(t *testing.T, seed int64, wrong, notes []string) {
+// requireNoViolations reports a day that broke a promise, with the end of its notes.
+func requireNoViolations(t *testing.T, seed int64, violations, notes []string) {
 	t.Helper()
-	if len(wrong) > 0 {
+	if len(violations) > 0 {
 		last := notes[max(0, len(notes)-60):]
-		t.Fatalf("seed %d: %v\n%s", seed, wrong, strings.Join(last, "\n"))
+		t.Fatalf("seed %d: %v\n%s", seed, violations, strings.Join(last, "\n"))
 	}
 }
 
@@ -55,13 +55,13 @@
 			t.Parallel()
 			var sum CutoffResult
 			for _, seed := range daySeeds(1) {
-				r := RunCutoff(seed, nodes, cutsOf(seed+int64(i)), platformTexts)
-				failDay(t, seed, r.Violations, r.Notes)
+				r := RunCutoff(seed, nodes, cutsOf(seed+int64(i)), platformFormat)
+				requireNoViolations(t, seed, r.Violations, r.Notes)
 				sum.add(r)
 			}
 			t.Logf("%d cuts: %d acknowledged, %d refused, %d read back, %d weights named; old configuration in use for %s of %s, no owner for %s of %s, no acknowledgement for %s of %s, back after %s of %s",
-				sum.Cuts, sum.Acknowledged, sum.Rejected, sum.Reads, sum.Named, seconds(sum.OldestConfigUS), seconds(ApplyBound), seconds(sum.LongestWithoutLeaderUS), seconds(leaderBoundUS), seconds(sum.LongestGapUS), seconds(acknowledgementBoundUS), seconds(sum.SlowestRecoveryUS), seconds(recoveryBoundOfCutUS))
-			if sum.Acknowledged < 20*sum.Cuts || sum.Reads < 50*sum.Cuts || sum.Rejected == 0 || sum.Named < 10*sum.Cuts {
+				sum.Cuts, sum.Acknowledged, sum.Rejected, sum.Reads, sum.WeightsVersions, seconds(sum.OldestConfigUS), seconds(ApplyBoundUS), seconds(sum.LongestWithoutLeaderUS), seconds(leaderBoundUS), seconds(sum.LongestGapUS), seconds(acknowledgementBoundUS), seconds(sum.SlowestRecoveryUS), seconds(recoveryBoundOfCutUS))
+			if sum.Acknowledged < 20*sum.Cuts || sum.Reads < 50*sum.Cuts || sum.Rejected == 0 || sum.WeightsVersions < 10*sum.Cuts {
 				t.Error("too little to prove anything")
 			}
 		})
@@ -83,7 +83,7 @@
 	r.Acknowledged += o.Acknowledged
 	r.Rejected += o.Rejected
 	r.Reads += o.Reads
-	r.Named += o.Named
+	r.WeightsVersions += o.WeightsVersions
 	r.OldestConfigUS = max(r.OldestConfigUS, o.OldestConfigUS)
 	r.LongestGapUS = max(r.LongestGapUS, o.LongestGapUS)
 	r.LongestWithoutLeaderUS = max(r.LongestWithoutLeaderUS, o.LongestWithoutLeaderUS)
--- a/sim/engine.go
+++ b/sim/engine.go
@@ -45,7 +45,7 @@
 // the checker goes by that and not by the keys of blocks.
 type blockOrigin struct {
 	group, weights string
-	madeAt         int64
+	computedAt     int64
 }
 
 func newEngine(fleet *Fleet, name, zone string, store bool) *Engine {
--- a/sim/engine_run.go
+++ b/sim/engine_run.go
@@ -84,7 +84,7 @@
 	}
 	e.arrivalTimes = append(e.arrivalTimes, e.fleet.World.now)
 	run.received = true // a connection does not repeat what it carries
-	if reason := e.refuses(run.action); reason != "" {
+	if reason := e.refusalReason(run.action); reason != "" {
 		run.reply(400, func() { run.finish(attempt.NotStarted, reason) })
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // refuses is why an engine does not take a run, "" if it does.
-func (e *Engine) refuses(action dispatch.Action) string {
+func (e *Engine) refusalReason(action dispatch.Action) string {
 	switch {
 	case action.Grant.NodeID != e.nodeID():
 		return "other-life"
--- a/sim/final_fault_day.go
+++ b/sim/final_fault_day.go
@@ -13,8 +13,8 @@
 	// finalAnswersUS is when the last of that must have ended.
 	finalAnswersUS = 16_000_000
 
-	finalRequestEvery = 150_000
-	finalPlanEvery    = 400_000
+	finalRequestIntervalUS = 150_000
+	finalPlanIntervalUS    = 400_000
 )
 
 // RunFinalFault brings one last fault about and asks for service for ten seconds after it:
@@ -32,7 +32,7 @@
 	if len(world.violations) > 0 {
 		return 0, world.violations
 	}
-	fleet.nameWeights = operator.NameWeights
+	fleet.changeWeights = operator.ChangeWeights
 	FinalFaults[fault](fleet)
 	fleet.checker.lastCompletion = 0
 	p := newServiceProbes(fleet, operator, at)
@@ -66,8 +66,8 @@
 func (p *serviceProbes) start() {
 	prober := p.fleet.World.NewHost("prober", "north", func() {})
 	prober.Start()
-	prober.Every(finalRequestEvery, p.sendRequests)
-	prober.Every(finalPlanEvery, p.putPlan)
+	prober.Every(finalRequestIntervalUS, p.sendRequests)
+	prober.Every(finalPlanIntervalUS, p.putPlan)
 	p.fleet.checker.onRequestEnded = func(request *callerRequest, outcome attempt.Outcome) {
 		if request.probe && outcome == attempt.Done {
 			p.byRequestID[request.id].doneUS = p.sinceFault()
--- a/sim/final_faults.go
+++ b/sim/final_faults.go
@@ -36,7 +36,7 @@
 	},
 	"the owner of most shards dies": func(f *Fleet) { f.busiestIndexNode("duty/shard/").Kill() },
 	"the owner of most engines dies in a roll-out": func(f *Fleet) {
-		f.nameWeights()
+		f.changeWeights()
 		c := f.busiestIndexNode("duty/engine/")
 		f.World.At(f.World.now+1_000_000, c.Kill)
 	},
--- a/sim/final_faults_test.go
+++ b/sim/final_faults_test.go
@@ -14,19 +14,19 @@
 	for _, name := range FinalFaultNames() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var all []int64
+			var recoveries []int64
 			for s := int64(1); s <= n; s++ {
-				back, wrong := RunFinalFault(s, name, small)
-				if len(wrong) > 0 {
-					t.Fatalf("seed %d: %v", s, wrong)
+				recoveryUS, violations := RunFinalFault(s, name, smallFleet)
+				if len(violations) > 0 {
+					t.Fatalf("seed %d: %v", s, violations)
 				}
-				if back == 0 || back > 10_000_000 {
-					t.Fatalf("seed %d: back after %d us (0: not within ten seconds)", s, back)
+				if recoveryUS == 0 || recoveryUS > 10_000_000 {
+					t.Fatalf("seed %d: back after %d us (0: not within ten seconds)", s, recoveryUS)
 				}
-				all = append(all, back)
+				recoveries = append(recoveries, recoveryUS)
 			}
-			slices.Sort(all)
-			t.Logf("| %s | %.2f s | %.2f s |", name, float64(all[len(all)/2])/1e6, float64(all[len(all)-1])/1e6)
+			slices.Sort(recoveries)
+			t.Logf("| %s | %.2f s | %.2f s |", name, float64(recoveries[len(recoveries)/2])/1e6, float64(recoveries[len(recoveries)-1])/1e6)
 		})
 	}
 }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -21,7 +21,7 @@
 	services         map[*ControlNode]*controlServices
 	checker          *checker
 	requestsSent     int
-	nameWeights      func() // names new weights, for final faults
+	changeWeights    func() // names new weights, for final faults
 	callerGeneration uint64 // newest that any gateway told its callers
 	// EventLossPermille is the part of engines' events that gets lost, in thousandths.
 	EventLossPermille int
--- a/sim/fleet_faults.go
+++ b/sim/fleet_faults.go
@@ -48,17 +48,17 @@
 func (f *Fleet) injectFault(day Day, operator *FleetOperator) {
 	switch day {
 	case DayGateways:
-		f.harmGateway()
+		f.disruptGateway()
 	case DayIndex:
-		f.harmIndexNodes()
+		f.disruptIndexNodes()
 	case DayControl:
-		f.harmControlNodes()
+		f.disruptControlNodes()
 	case DayEngines:
-		f.harmEngine(operator)
+		f.disruptEngine(operator)
 	case DayNetwork:
-		f.harmNetwork()
+		f.disruptNetwork()
 	case DayWeights:
-		f.troubleWeights(operator)
+		f.disruptWeights(operator)
 	case DayReplacement:
 		f.replaceMachine(operator)
 	case DayIsolation:
@@ -69,9 +69,9 @@
 }
 
 // harm freezes or kills a host for at most so long.
-func (f *Fleet) harm(host *Host, mostUS int64) {
+func (f *Fleet) disruptHost(host *Host, maxDurationUS int64) {
 	world := f.World
-	duration := 50_000 + world.Rng.Int63n(mostUS)
+	duration := 50_000 + world.Rng.Int63n(maxDurationUS)
 	if world.Rng.Intn(3) == 0 {
 		host.Freeze()
 		world.At(world.now+duration, host.Thaw)
@@ -81,20 +81,20 @@
 	world.At(world.now+duration, host.Start)
 }
 
-func (f *Fleet) harmGateway() {
+func (f *Fleet) disruptGateway() {
 	if f.World.Rng.Intn(2) == 0 {
-		f.harm(pick(f.World, f.Gateways).Host, 3_000_000)
+		f.disruptHost(pick(f.World, f.Gateways).Host, 3_000_000)
 	} else {
-		f.harm(pick(f.World, f.Agents).Host, 6_000_000)
+		f.disruptHost(pick(f.World, f.Agents).Host, 6_000_000)
 	}
 }
 
-// harmIndexNodes harms all index nodes, cuts one off, or harms one.
-func (f *Fleet) harmIndexNodes() {
+// disruptIndexNodes harms all index nodes, cuts one off, or harms one.
+func (f *Fleet) disruptIndexNodes() {
 	world := f.World
 	if world.Rng.Intn(6) == 0 {
 		for _, indexNode := range f.IndexNodes {
-			f.harm(indexNode.Host, 1_500_000)
+			f.disruptHost(indexNode.Host, 1_500_000)
 		}
 		return
 	}
@@ -104,10 +104,10 @@
 		world.At(world.now+world.Rng.Int63n(4_000_000), world.HealAll)
 		return
 	}
-	f.harm(indexNode.Host, 5_000_000)
+	f.disruptHost(indexNode.Host, 5_000_000)
 }
 
-func (f *Fleet) harmControlNodes() {
+func (f *Fleet) disruptControlNodes() {
 	switch f.World.Rng.Intn(8) {
 	case 0:
 		f.Cluster.injectFault(FaultKillAll)
@@ -120,8 +120,8 @@
 	}
 }
 
-// harmEngine drains, freezes or kills an engine or the store, which is never drained.
-func (f *Fleet) harmEngine(operator *FleetOperator) {
+// disruptEngine drains, freezes or kills an engine or the store, which is never drained.
+func (f *Fleet) disruptEngine(operator *FleetOperator) {
 	world := f.World
 	engine := pick(world, f.Engines)
 	switch world.Rng.Intn(4) {
@@ -138,7 +138,7 @@
 	}
 }
 
-func (f *Fleet) harmNetwork() {
+func (f *Fleet) disruptNetwork() {
 	world := f.World
 	switch world.Rng.Intn(4) {
 	case 0:
@@ -151,14 +151,14 @@
 	world.At(world.now+200_000+world.Rng.Int63n(3_000_000), world.HealAll)
 }
 
-// troubleWeights names weights, or has an engine ignore them, load them slowly or die while
+// disruptWeights names weights, or has an engine ignore them, load them slowly or die while
 // it does, or an index node die.
-func (f *Fleet) troubleWeights(operator *FleetOperator) {
+func (f *Fleet) disruptWeights(operator *FleetOperator) {
 	world := f.World
 	engine := pick(world, f.Engines)
 	switch world.Rng.Intn(7) {
 	case 0, 1, 2:
-		operator.NameWeights()
+		operator.ChangeWeights()
 	case 3:
 		engine.ignoresWeights = true
 		world.At(world.now+2_000_000+world.Rng.Int63n(20_000_000), func() { engine.ignoresWeights = false })
@@ -194,7 +194,7 @@
 	group := pick(f.World, simGroups)
 	switch f.World.Rng.Intn(6) {
 	case 0:
-		operator.NameWeights()
+		operator.ChangeWeights()
 	case 1, 2:
 		operator.ToggleGroup(group)
 	default:
@@ -207,7 +207,7 @@
 	world := f.World
 	switch world.Rng.Intn(4) {
 	case 0:
-		operator.NameWeights()
+		operator.ChangeWeights()
 	case 1:
 		for i := int64(0); i < 10; i++ {
 			world.At(world.now+i*30_000, func() { operator.PutPlan(nil) })
--- a/sim/fleet_operator.go
+++ b/sim/fleet_operator.go
@@ -176,8 +176,8 @@
 	})
 }
 
-// NameWeights names new weights, and now and then those of before.
-func (o *FleetOperator) NameWeights() {
+// ChangeWeights names new weights, and now and then those of before.
+func (o *FleetOperator) ChangeWeights() {
 	if o.busy {
 		return
 	}
@@ -190,9 +190,9 @@
 	name, sentAt := fmt.Sprint("w", o.weights), world.now
 	checker.weightsBeingSent = name
 	o.PutPlan(func() {
-		checker.namings = append(checker.namings, naming{name, sentAt, world.now})
-		checker.weights, checker.weightsNamedAt = name, world.now
-		o.fleet.Tally.WeightsNamed++
+		checker.weightsChanges = append(checker.weightsChanges, weightsChange{name, sentAt, world.now})
+		checker.weights, checker.weightsChangedAt = name, world.now
+		o.fleet.Tally.WeightsChanged++
 		world.Notef("weights %s named", name)
 	})
 }
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-var small = FleetSize{Gateways: 4, Engines: 6}
+var smallFleet = FleetSize{Gateways: 4, Engines: 6}
 
 // TestFleetDays: none of what must never happen does, on any kind of day, and
 // service is back within ten seconds of the last fault.
@@ -15,7 +15,7 @@
 			t.Parallel()
 			done := 0
 			for seed := int64(1); seed <= 2; seed++ {
-				result := RunFleet(seed, day, 20_000_000, small)
+				result := RunFleet(seed, day, 20_000_000, smallFleet)
 				if len(result.Violations) > 0 {
 					t.Fatalf("seed %d: %v\n%s", seed, result.Violations, strings.Join(result.Notes[max(0, len(result.Notes)-60):], "\n"))
 				}
@@ -31,7 +31,7 @@
 
 func TestSameSeedSameFleetDay(t *testing.T) {
 	t.Parallel()
-	a, b := RunFleet(3, DayAll, 8_000_000, small), RunFleet(3, DayAll, 8_000_000, small)
+	a, b := RunFleet(3, DayAll, 8_000_000, smallFleet), RunFleet(3, DayAll, 8_000_000, smallFleet)
 	if a.Tally != b.Tally || strings.Join(a.Notes, "\n") != strings.Join(b.Notes, "\n") {
 		t.Fatalf("two runs of one seed differ:\n%+v\n%+v", a.Tally, b.Tally)
 	}
@@ -41,18 +41,18 @@
 // bound is over, and the others carry on.
 func TestStuckEngine(t *testing.T) {
 	t.Parallel()
-	fleet := NewFleet(4, small)
+	fleet := NewFleet(4, smallFleet)
 	fleet.engineNamed("e02").ignoresWeights = true
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
 	world.At(2_500_000, func() { fleet.sendRequests(operator, 40_000_000) })
-	world.At(5_000_000, operator.NameWeights)
+	world.At(5_000_000, operator.ChangeWeights)
 	world.Run(40_000_000)
 	if len(world.violations) > 0 {
 		t.Fatal(world.violations)
 	}
-	if fleet.Tally.WeightsNamed != 1 || fleet.Tally.Done < 500 {
+	if fleet.Tally.WeightsChanged != 1 || fleet.Tally.Done < 500 {
 		t.Fatalf("%+v", fleet.Tally)
 	}
 	late := 0
@@ -66,13 +66,13 @@
 	}
 }
 
-// TestHandOversAreLearnt: half the engines hand over more slowly than anyone
+// TestTransferScoresAreLearned: half the engines hand over more slowly than anyone
 // waits. What later reports tell keeps others from waiting for them in vain.
-func TestHandOversAreLearnt(t *testing.T) {
+func TestTransferScoresAreLearned(t *testing.T) {
 	t.Parallel()
-	run := func(unlearnt bool) Tally {
+	run := func(hideScores bool) Tally {
 		fleet := NewFleet(6, FleetSize{Gateways: 4, Engines: 8})
-		fleet.HideTransferScores = unlearnt
+		fleet.HideTransferScores = hideScores
 		fleet.SlowTransfersFrom = map[string]bool{"e00": true, "e02": true, "e04": true, "e06": true}
 		fleet.Documents = 8
 		for _, engine := range fleet.Engines {
@@ -100,7 +100,7 @@
 // what runs before a key that was taken meanwhile has worked for five seconds.
 func TestCutOffProxyEndsStreams(t *testing.T) {
 	t.Parallel()
-	fleet := NewFleet(8, small)
+	fleet := NewFleet(8, smallFleet)
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
@@ -130,7 +130,7 @@
 // silent; it gets nothing new all the same, and service is back with the platform.
 func TestPlatformOutOfReach(t *testing.T) {
 	t.Parallel()
-	fleet := NewFleet(12, small)
+	fleet := NewFleet(12, smallFleet)
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
@@ -153,27 +153,27 @@
 	}
 }
 
-// TestFrozenEngineAndAWall: runs are on their way to an engine that freezes; while it
+// TestFrozenEngineAndIsolation: runs are on their way to an engine that freezes; while it
 // stands still a group that left parts there is walled off. Thawed, it must not begin
 // them on those parts.
-func TestFrozenEngineAndAWall(t *testing.T) {
+func TestFrozenEngineAndIsolation(t *testing.T) {
 	t.Parallel()
 	fleet := NewFleet(3, FleetSize{Gateways: 2, Engines: 1})
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
 	engine := fleet.engineNamed("e00")
-	send1 := func(group, id string) {
+	send := func(group, id string) {
 		gateway := fleet.Gateways[0]
 		request := &callerRequest{group: group, kind: "check", id: id, keyDigest: simKey(group, 0), gateway: gateway}
 		gateway.admit(request, strings.Repeat("words that both groups send. ", 300), 8_000_000)
 	}
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
-	world.At(5_000_000, func() { send1("desk", "made") })
+	world.At(5_000_000, func() { send("desk", "made") })
 	reused, sent := 0, 0
-	world.At(7_000_000, func() { send1("east", "goes-on"); reused = fleet.Tally.Reused })
+	world.At(7_000_000, func() { send("east", "goes-on"); reused = fleet.Tally.Reused })
 	world.At(8_000_000, func() {
 		reused = fleet.Tally.Reused - reused
-		send1("east", "on-its-way")
+		send("east", "on-its-way")
 		sent = fleet.Tally.Runs
 		world.At(world.now+100, engine.Freeze)
 		operator.ToggleIsolation("desk")
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -117,7 +117,7 @@
 func (g *Gateway) admit(sent *callerRequest, prompt string, timeoutUS int64) {
 	now := g.Clock()
 	sent.deadline = g.fleet.World.now + timeoutUS // it counts from arrival
-	if reason := g.refuses(sent); reason != "" {
+	if reason := g.refusalReason(sent); reason != "" {
 		g.fleet.requestEnded(sent, attempt.Rejected, reason)
 		return
 	}
@@ -151,7 +151,7 @@
 }
 
 // refuses is why a request gets no further than the gateway's door, "" if it does.
-func (g *Gateway) refuses(sent *callerRequest) string {
+func (g *Gateway) refusalReason(sent *callerRequest) string {
 	compiled := g.plan.Plan
 	if compiled == nil || g.plan.Age(g.Clock()) > dispatch.MaxPlanAge {
 		return "plan-not-fresh"
--- a/sim/gateway_attempt.go
+++ b/sim/gateway_attempt.go
@@ -5,15 +5,15 @@
 	"violetthread/dispatch"
 )
 
-// attemptNote is what an observer is told of an attempt's course.
-type attemptNote struct {
+// attemptProgress is what an observer is told of an attempt's course.
+type attemptProgress struct {
 	state attempt.State
 	cause string
 }
 
 // progress tells the dispatcher how an attempt got on.
 func (g *Gateway) progress(action dispatch.Action, state attempt.State, cause string) {
-	g.fleet.World.observe("attempt", g.Name, action.AttemptID, attemptNote{state, cause})
+	g.fleet.World.observe("attempt", g.Name, action.AttemptID, attemptProgress{state, cause})
 	g.perform(g.dispatcher.AttemptProgressed(g.Clock(), action.Ref, action.AttemptID, state, cause))
 }
 
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -50,7 +50,7 @@
 // goldenDay is a day with a digest.
 type goldenDay struct {
 	name string
-	run  func(t *testing.T, seed int64) (wrong []string)
+	run  func(t *testing.T, seed int64) (violations []string)
 }
 
 func goldenDays() []goldenDay {
@@ -65,33 +65,33 @@
 	}
 	for _, day := range Days {
 		add("fleet/"+string(day), func(_ *testing.T, seed int64) []string {
-			return RunFleet(seed, day, 8_000_000, small).Violations
+			return RunFleet(seed, day, 8_000_000, smallFleet).Violations
 		})
 	}
-	for _, setback := range Setbacks {
-		add("catch-up/"+string(setback), func(_ *testing.T, seed int64) []string {
-			return RunCatchup(seed, 4, 60, setback, platformTexts).Violations
+	for _, fault := range CatchupFaults {
+		add("catch-up/"+string(fault), func(_ *testing.T, seed int64) []string {
+			return RunCatchup(seed, 4, 60, fault, platformFormat).Violations
 		})
 	}
-	for _, partition := range []Partition{PartitionSilent, PartitionReset, PartitionFrozen, PartitionForgot} {
+	for _, partition := range []Partition{PartitionSilent, PartitionReset, PartitionFrozen, PartitionRestart} {
 		add("cut-off/"+string(partition), func(_ *testing.T, seed int64) []string {
-			return RunCutoff(seed, 4, []Partition{partition}, platformTexts).Violations
+			return RunCutoff(seed, 4, []Partition{partition}, platformFormat).Violations
 		})
 	}
 	add("messages", func(_ *testing.T, seed int64) []string {
 		return RunMessages(seed, 5, 4_000_000).Violations
 	})
-	for i, trouble := range RaceTroubles() {
+	for i, fault := range RaceFaults() {
 		if i%2 == 1 {
 			continue // they differ only in which message is lost
 		}
-		add("races/"+string(trouble), func(_ *testing.T, seed int64) []string {
-			return RunRaces(seed, controlSizes[i/2%2], 2, trouble, 4_000_000, platformTexts).Violations
+		add("races/"+string(fault), func(_ *testing.T, seed int64) []string {
+			return RunRaces(seed, controlSizes[i/2%2], 2, fault, 4_000_000, platformFormat).Violations
 		})
 	}
-	for i, prelude := range Preludes {
-		add("second-loss/"+string(prelude), func(_ *testing.T, seed int64) []string {
-			return RunSecondLoss(seed, SecondLoss{controlSizes[i%2], prelude, Losses[i%len(Losses)], 500_000}).Violations
+	for i, disruption := range Disruptions {
+		add("second-loss/"+string(disruption), func(_ *testing.T, seed int64) []string {
+			return RunSecondLoss(seed, SecondLoss{controlSizes[i%2], disruption, Losses[i%len(Losses)], 500_000}).Violations
 		})
 	}
 	for i, change := range membershipChanges {
@@ -114,13 +114,13 @@
 	})
 	for _, fault := range []string{"the owner of most engines dies in a roll-out", "a site is lost"} {
 		add("last-fault/"+fault, func(_ *testing.T, seed int64) []string {
-			_, wrong := RunFinalFault(seed, fault, small)
-			return wrong
+			_, violations := RunFinalFault(seed, fault, smallFleet)
+			return violations
 		})
 	}
 	// Engines have little room, some hand over slowly, and blocks come and go.
 	add("fleet/tight", func(_ *testing.T, seed int64) []string {
-		fleet := NewFleet(seed, small)
+		fleet := NewFleet(seed, smallFleet)
 		fleet.SlowTransfersFrom = map[string]bool{"e00": true, "e03": true}
 		fleet.Documents = 8
 		for _, engine := range fleet.Engines {
@@ -158,7 +158,7 @@
 			t.Run(day.name, func(t *testing.T) {
 				t.Parallel()
 				seed := goldenSeed + int64(i)
-				failDay(t, seed, day.run(t, seed), nil)
+				requireNoViolations(t, seed, day.run(t, seed), nil)
 				digest := observers[seed].digest(t)
 				mu.Lock()
 				got[day.name] = digest
@@ -294,7 +294,7 @@
 
 func (e *goldenEncoder) frame(frame *fb.FrameT) { e.bytes(codec.Encode(frame)) }
 
-func (e *goldenEncoder) part(key cacheindex.Key) {
+func (e *goldenEncoder) block(key cacheindex.Key) {
 	e.unsigned(key.Hi)
 	e.unsigned(key.Lo)
 	e.unsigned(uint64(key.Check))
@@ -328,7 +328,7 @@
 	case Reply:
 		e.unsigned(uint64(v.Outcome))
 		e.unsigned(v.Version)
-	case *ConfigOrder:
+	case *ConfigRequest:
 		e.number(int64(v.id))
 		e.flag(v.change.Replace)
 		e.unsigned(v.change.Base)
@@ -336,8 +336,8 @@
 		e.bytes(v.change.Body)
 		e.unsigned(v.version)
 	case directoryAnswer:
-		e.word(v.config)
-		e.word(v.weights)
+		e.confirmedVersion(v.config)
+		e.confirmedVersion(v.weights)
 		e.number(v.configAge)
 		e.number(v.weightsAge)
 	default:
@@ -356,7 +356,7 @@
 	e.number(o.LeaseDurationUS)
 }
 
-func (e *goldenEncoder) word(world confirmedVersion) {
+func (e *goldenEncoder) confirmedVersion(world confirmedVersion) {
 	e.flag(world.known)
 	e.unsigned(world.revision)
 	e.unsigned(world.version)
@@ -398,7 +398,7 @@
 	case engineHoldings:
 		e.unsigned(v.incarnation)
 		e.unsigned(v.sequence)
-		e.parts(v.blocks)
+		e.blocks(v.blocks)
 	case []index.ListedEngine:
 		e.number(int64(len(v)))
 		for _, l := range v {
@@ -414,8 +414,8 @@
 		e.text(v.Weights)
 		e.unsigned(v.FencingToken)
 	case dispatch.Action:
-		e.act(v)
-	case attemptNote:
+		e.action(v)
+	case attemptProgress:
 		e.unsigned(uint64(v.state))
 		e.text(v.cause)
 	case requestResult:
@@ -427,10 +427,10 @@
 	return true
 }
 
-func (e *goldenEncoder) parts(parts []cacheindex.Key) {
-	e.number(int64(len(parts)))
-	for _, p := range parts {
-		e.part(p)
+func (e *goldenEncoder) blocks(blocks []cacheindex.Key) {
+	e.number(int64(len(blocks)))
+	for _, p := range blocks {
+		e.block(p)
 	}
 }
 
@@ -449,22 +449,22 @@
 		e.flag(event.Removed)
 		e.text(event.FinishedAttempt)
 		e.unsigned(event.RecomputedBytes)
-		e.part(event.Block)
+		e.block(event.Block)
 		e.flag(event.HasBlock)
 	}
 }
 
-func (e *goldenEncoder) act(action dispatch.Action) {
+func (e *goldenEncoder) action(action dispatch.Action) {
 	e.unsigned(uint64(action.Type))
 	e.unsigned(action.Ref)
 	for _, s := range []string{action.Group, action.RequestID, action.ClaimNonce, action.ClaimKey, action.AttemptID} {
 		e.text(s)
 	}
-	e.order(action.Grant)
+	e.grant(action.Grant)
 	for _, s := range []string{action.Domain, action.Weights, action.Kind, action.Prompt} {
 		e.text(s)
 	}
-	e.parts(action.PrefixKeys)
+	e.blocks(action.PrefixKeys)
 	e.number(int64(action.TransferBlock))
 	e.unsigned(action.TransferNode)
 	e.text(action.TransferAddr)
@@ -476,7 +476,7 @@
 	e.number(action.RetryAfterUS)
 }
 
-func (e *goldenEncoder) order(o dispatch.EngineGrant) {
+func (e *goldenEncoder) grant(o dispatch.EngineGrant) {
 	for _, s := range []string{o.Engine, o.Addr, o.Zone, o.Weights} {
 		e.text(s)
 	}
--- a/sim/index_node.go
+++ b/sim/index_node.go
@@ -73,7 +73,7 @@
 		}
 	}
 	ops := n.node.LeaseOps(now)
-	n.fleet.World.orderLeaseOps(ops)
+	n.fleet.World.sortLeaseOps(ops)
 	for _, op := range ops {
 		n.proposeLease(op, now)
 	}
@@ -100,17 +100,17 @@
 func (n *IndexNode) issueGrants(request *fb.CapacityRequestT, reply func(*fb.CapacityResponseT)) {
 	if request.To == "" || request.To == n.Name {
 		response := codec.AnswerCapacity(n.node, n.Clock(), n.Name, request)
-		n.fleet.World.orderUpdates(response.Updates, response.UpdatesReset)
+		n.fleet.World.sortUpdates(response.Updates, response.UpdatesReset)
 		reply(response)
 		return
 	}
 	if other := n.fleet.indexNodeNamed(request.To); other != nil {
-		Call(n.Host, other.Host, request, relayTimeout, other.issueGrants, reply, func() {})
+		Call(n.Host, other.Host, request, relayTimeoutUS, other.issueGrants, reply, func() {})
 	}
 }
 
-// relayTimeout is how long an index node waits for an answer that it passes on.
-const relayTimeout = 500_000
+// relayTimeoutUS is how long an index node waits for an answer that it passes on.
+const relayTimeoutUS = 500_000
 
 // pollEngines polls the engines that it should, and tells those that should load other
 // weights.
@@ -211,7 +211,7 @@
 // answerUpdates answers another index node.
 func (n *IndexNode) answerUpdates(request *fb.UpdatesRequestT) *fb.UpdatesResponseT {
 	response := codec.AnswerUpdates(n.node, request)
-	n.fleet.World.orderUpdates(response.Updates, response.Reset)
-	n.fleet.World.orderLocations(response.Locations)
+	n.fleet.World.sortUpdates(response.Updates, response.Reset)
+	n.fleet.World.sortLocations(response.Locations)
 	return response
 }
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -11,50 +11,50 @@
 // recorder is a client of one key that keeps all it asked and was told.
 type recorder struct {
 	*Host
-	core    *Cluster
-	key     string
-	client  int
-	changes int // of a hundred operations
-	count   int
-	seen    uint64 // newest revision it was told of
-	ops     *[]lincheck.Operation
+	cluster        *Cluster
+	key            string
+	client         int
+	changes        int // of a hundred operations
+	count          int
+	newestRevision uint64 // newest revision it was told of
+	ops            *[]lincheck.Operation
 }
 
 func newRecorder(cluster *Cluster, client int, key string, changes int, ops *[]lincheck.Operation) *recorder {
-	r := &recorder{core: cluster, key: key, client: client, changes: changes, ops: ops}
-	r.Host = cluster.world.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.act) })
+	r := &recorder{cluster: cluster, key: key, client: client, changes: changes, ops: ops}
+	r.Host = cluster.world.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.operate) })
 	return r
 }
 
-func (r *recorder) act() {
-	world := r.core.world
-	node := r.core.Nodes[world.Rng.Intn(len(r.core.Nodes))]
+func (r *recorder) operate() {
+	world := r.cluster.world
+	node := r.cluster.Nodes[world.Rng.Intn(len(r.cluster.Nodes))]
 	r.count++
-	seen := lincheck.Operation{Client: r.client, Invoked: world.now}
+	operation := lincheck.Operation{Client: r.client, Invoked: world.now}
 	op := quorum.Operation{Type: quorum.OpGet, Key: r.key}
 	if world.Rng.Intn(100) < r.changes {
-		seen.Write, seen.Value = true, fmt.Sprintf("%d-%d", r.client, r.count)
+		operation.Write, operation.Value = true, fmt.Sprintf("%d-%d", r.client, r.count)
 		// A request that the network repeats must not change the key twice.
-		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.seen, []byte(seen.Value)
+		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.newestRevision, []byte(operation.Value)
 	}
 	Call(r.Host, node.Host, op, 900_000, node.serve,
-		func(result quorum.Result) { r.answered(seen, result) },
-		func() { r.keep(seen) })
+		func(result quorum.Result) { r.answered(operation, result) },
+		func() { r.record(operation) })
 }
 
 // answered takes all but a confirmation as unknown: where requests are repeated, one may
 // be refused although its twin took effect.
-func (r *recorder) answered(seen lincheck.Operation, result quorum.Result) {
+func (r *recorder) answered(operation lincheck.Operation, result quorum.Result) {
 	if result.Status == quorum.StatusDone || result.Status == quorum.StatusConflict {
-		r.seen = max(r.seen, result.Revision)
+		r.newestRevision = max(r.newestRevision, result.Revision)
 	}
 	if result.Status == quorum.StatusDone {
-		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.world.now, result.Revision, string(result.Value)
+		operation.Confirmed, operation.Returned, operation.Revision, operation.Value = true, r.cluster.world.now, result.Revision, string(result.Value)
 	}
-	r.keep(seen)
+	r.record(operation)
 }
 
-func (r *recorder) keep(seen lincheck.Operation) { *r.ops = append(*r.ops, seen) }
+func (r *recorder) record(operation lincheck.Operation) { *r.ops = append(*r.ops, operation) }
 
 // TestLinearizable: what operators see of a key on core days, answers lost and unknown
 // ones included, is explained by one order of their operations.
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -320,8 +320,8 @@
 // loses it once it is missed.
 func TestSeatOfTheLeaver(t *testing.T) {
 	for _, size := range clusterSizes {
-		for _, polite := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%d/polite %v", size.machines, polite), func(t *testing.T) {
+		for _, graceful := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%d/polite %v", size.machines, graceful), func(t *testing.T) {
 				t.Parallel()
 				var worst int64
 				for seed := int64(1); seed <= max(seeds(), 2); seed++ {
@@ -331,14 +331,14 @@
 					newNode.Start()
 					d.world.Run(d.world.now + size.recoveryUS)
 					bound, dropped := int64(2_000_000), true
-					if polite {
+					if graceful {
 						bound = 500_000
 					}
 					end := func() {
 						voterSet, _ := d.currentVoters()
-						node.removed, dropped = true, !polite || !node.isMemberOf(voterSet) || len(voterSet.Voters)%2 == 1
+						node.removed, dropped = true, !graceful || !node.isMemberOf(voterSet) || len(voterSet.Voters)%2 == 1
 					}
-					if polite {
+					if graceful {
 						d.stop(node, end)
 					} else {
 						node.LosePower()
--- a/sim/messages_day_test.go
+++ b/sim/messages_day_test.go
@@ -17,12 +17,12 @@
 			t.Parallel()
 			var sum MessagesResult
 			for _, seed := range daySeeds(1) {
-				r := RunMessages(seed, nodes, messagesLast())
-				failDay(t, seed, r.Violations, r.Notes)
+				r := RunMessages(seed, nodes, messagesDurationUS())
+				requireNoViolations(t, seed, r.Violations, r.Notes)
 				sum.add(r)
 			}
 			t.Logf("%d messages repeated, %d of them to another life, %d restarts: %d acknowledged, %d claims, %d terms; back after %s of %s",
-				sum.Repeated, sum.ToNextProcess, sum.Restarts, sum.Acknowledged, sum.Claims, sum.Leases, seconds(sum.RecoveryUS), seconds(messagesRecoveryBoundUS))
+				sum.Duplicated, sum.ToNextProcess, sum.Restarts, sum.Acknowledged, sum.Claims, sum.Leases, seconds(sum.RecoveryUS), seconds(messagesRecoveryBoundUS))
 			if sum.ToNextProcess < 50 || sum.Restarts < 2 || sum.Acknowledged < 50 || sum.Claims == 0 || sum.Leases == 0 {
 				t.Error("too little to prove anything")
 			}
@@ -30,8 +30,8 @@
 	}
 }
 
-// messagesLast is how long a day of repeated messages is troubled.
-func messagesLast() int64 {
+// messagesDurationUS is how long a day of repeated messages is troubled.
+func messagesDurationUS() int64 {
 	if seeds() > 0 {
 		return 15_000_000
 	}
@@ -42,7 +42,7 @@
 	r.Acknowledged += o.Acknowledged
 	r.Claims += o.Claims
 	r.Leases += o.Leases
-	r.Repeated += o.Repeated
+	r.Duplicated += o.Duplicated
 	r.ToNextProcess += o.ToNextProcess
 	r.Restarts += o.Restarts
 	r.RecoveryUS = max(r.RecoveryUS, o.RecoveryUS)
--- a/sim/move_test.go
+++ b/sim/move_test.go
@@ -14,7 +14,7 @@
 func TestMoveCost(t *testing.T) {
 	t.Parallel()
 	runs := seeds()
-	for _, polite := range []bool{false, true} {
+	for _, graceful := range []bool{false, true} {
 		var withoutHolderUS, outOfUseUS, recoveredUS []int64
 		moved, resyncs, failed, sent := 0, uint64(0), 0, 0
 		for seed := int64(1); seed <= max(runs, 2); seed++ {
@@ -26,14 +26,14 @@
 			world.Run(8_000_000)
 			indexNode := fleet.busiestIndexNode("duty/engine/")
 			moved += len(indexNode.node.HeldRoles(indexNode.Clock()))
-			was := uint64(0)
+			resyncsBefore := uint64(0)
 			for _, other := range fleet.IndexNodes {
-				was += other.node.Counters.Resyncs
+				resyncsBefore += other.node.Counters.Resyncs
 			}
-			withoutHolder, last := map[string]int64{}, int64(0) // role -> how long nobody held it
-			idle := int64(0)                                    // engine-microseconds out of use, over gateways
+			withoutHolder, lastWithoutHolder := map[string]int64{}, int64(0) // role -> how long nobody held it
+			outOfUse := int64(0)                                             // engine-microseconds out of use, over gateways
 			const step = 10_000
-			if polite {
+			if graceful {
 				indexNode.leaving = true
 			} else {
 				indexNode.Kill()
@@ -63,12 +63,12 @@
 					}
 				}
 				if !all {
-					last = world.now - 8_000_000
+					lastWithoutHolder = world.now - 8_000_000
 				}
 				for _, gateway := range fleet.Gateways {
 					for _, engine := range fleet.Engines {
 						if !engine.store && gateway.dispatcher.GrantAge(gateway.Clock(), engine.Name) > dispatch.MaxGrantAge {
-							idle += step
+							outOfUse += step
 						}
 					}
 				}
@@ -82,26 +82,26 @@
 			if len(withoutHolder) == 0 {
 				withoutHolderUS = append(withoutHolderUS, 0)
 			}
-			recoveredUS = append(recoveredUS, last)
-			outOfUseUS = append(outOfUseUS, idle/9)
+			recoveredUS = append(recoveredUS, lastWithoutHolder)
+			outOfUseUS = append(outOfUseUS, outOfUse/9)
 			for _, other := range fleet.IndexNodes {
 				if other != indexNode {
 					resyncs += other.node.Counters.Resyncs
 				}
 			}
-			resyncs -= min(resyncs, was-indexNode.node.Counters.Resyncs)
+			resyncs -= min(resyncs, resyncsBefore-indexNode.node.Counters.Resyncs)
 			failed += fleet.Tally.Rejected - from.Rejected
 			sent += fleet.Tally.Sent - from.Sent
-			if last > 5_000_000 {
-				t.Errorf("seed %d: a duty had no owner after %d us", seed, last)
+			if lastWithoutHolder > 5_000_000 {
+				t.Errorf("seed %d: a duty had no owner after %d us", seed, lastWithoutHolder)
 			}
 		}
 		slices.Sort(withoutHolderUS)
 		slices.Sort(outOfUseUS)
 		slices.Sort(recoveredUS)
-		mid := func(other []int64) float64 { return float64(other[len(other)/2]) / 1e6 }
-		top := func(other []int64) float64 { return float64(other[len(other)-1]) / 1e6 }
+		median := func(other []int64) float64 { return float64(other[len(other)/2]) / 1e6 }
+		worst := func(other []int64) float64 { return float64(other[len(other)-1]) / 1e6 }
 		t.Logf("| polite %v | %d duties moved | without an owner, each: %.2f s, %.2f s at worst | all have one after %.2f s, %.2f s | engines out of use: %.1f, %.1f engine-seconds at a proxy | %d keeps read whole | %d of %d tickets refused |",
-			polite, moved, mid(withoutHolderUS), top(withoutHolderUS), mid(recoveredUS), top(recoveredUS), mid(outOfUseUS), top(outOfUseUS), resyncs, failed, sent)
+			graceful, moved, median(withoutHolderUS), worst(withoutHolderUS), median(recoveredUS), worst(recoveredUS), median(outOfUseUS), worst(outOfUseUS), resyncs, failed, sent)
 	}
 }
--- a/sim/network.go
+++ b/sim/network.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// resetDelay is how long a caller takes to learn that its connection was reset.
-const resetDelay = 1_000
+// resetDelayUS is how long a caller takes to learn that its connection was reset.
+const resetDelayUS = 1_000
 
 // Call sends a request to another host, which serves it there, at once or later, by calling
 // reply. Exactly one of answer and fail runs at the caller, unless its process ends before:
@@ -95,12 +95,12 @@
 				}
 			})
 			if host.world.resetsConnections(host, receiver) {
-				host.After(resetDelay, giveUp)
+				host.After(resetDelayUS, giveUp)
 			}
 		})
 	})
 	if host.world.resetsConnections(host, receiver) {
-		host.After(resetDelay, giveUp)
+		host.After(resetDelayUS, giveUp)
 	}
 	host.After(timeoutUS, giveUp)
 }
--- a/sim/network_partition.go
+++ b/sim/network_partition.go
@@ -5,16 +5,16 @@
 
 // How the hosts inside are cut off from those outside.
 const (
-	PartitionSilent Partition = "silent" // nothing passes, and nobody is told
-	PartitionHears  Partition = "hears"  // those inside hear, and are not heard
-	PartitionHeard  Partition = "heard"  // those inside are heard, and hear nothing
-	PartitionReset  Partition = "reset"  // nothing passes, and connections are reset
-	PartitionFrozen Partition = "frozen" // those inside stand still, and what arrives waits
-	PartitionForgot Partition = "forgot" // silent, and the control nodes outside restart at once
+	PartitionSilent       Partition = "silent" // nothing passes, and nobody is told
+	PartitionInboundOnly  Partition = "hears"  // those inside hear, and are not heard
+	PartitionOutboundOnly Partition = "heard"  // those inside are heard, and hear nothing
+	PartitionReset        Partition = "reset"  // nothing passes, and connections are reset
+	PartitionFrozen       Partition = "frozen" // those inside stand still, and what arrives waits
+	PartitionRestart      Partition = "forgot" // silent, and the control nodes outside restart at once
 )
 
 // Partitions lists them all.
-var Partitions = []Partition{PartitionSilent, PartitionHears, PartitionHeard, PartitionReset, PartitionFrozen, PartitionForgot}
+var Partitions = []Partition{PartitionSilent, PartitionInboundOnly, PartitionOutboundOnly, PartitionReset, PartitionFrozen, PartitionRestart}
 
 // CutOff cuts the hosts inside off from all others. Rejoin ends it.
 func (w *World) CutOff(partition Partition, inside []*Host) {
@@ -32,7 +32,7 @@
 	for _, in := range inside {
 		for _, out := range w.hosts {
 			if !within[out] {
-				w.cutOneOff(partition, in.Name, out.Name)
+				w.cutPair(partition, in.Name, out.Name)
 			}
 		}
 	}
@@ -46,12 +46,12 @@
 	}
 }
 
-// cutOneOff cuts one host inside off from one outside.
-func (w *World) cutOneOff(partition Partition, in, out string) {
-	if partition != PartitionHears {
+// cutPair cuts one host inside off from one outside.
+func (w *World) cutPair(partition Partition, in, out string) {
+	if partition != PartitionInboundOnly {
 		w.Cut(out, in)
 	}
-	if partition != PartitionHeard {
+	if partition != PartitionOutboundOnly {
 		w.Cut(in, out)
 	}
 	if partition == PartitionReset {
--- a/sim/observed_order.go
+++ b/sim/observed_sort.go
@@ -14,9 +14,9 @@
 // methods put what comes of it into one order, so that an observed day is the same each
 // time. In other days the order stays as it comes.
 
-// orderUpdates sorts updates by block. Those of one block keep their order, unless the feed
+// sortUpdates sorts updates by block. Those of one block keep their order, unless the feed
 // restates everything.
-func (w *World) orderUpdates(updates []*fb.CacheUpdateT, restated bool) {
+func (w *World) sortUpdates(updates []*fb.CacheUpdateT, restated bool) {
 	if w.observer == nil {
 		return
 	}
@@ -29,15 +29,15 @@
 	})
 }
 
-// orderLocations sorts the locations of holders.
-func (w *World) orderLocations(locations []*fb.HolderLocationT) {
+// sortLocations sorts the locations of holders.
+func (w *World) sortLocations(locations []*fb.HolderLocationT) {
 	if w.observer != nil {
 		slices.SortFunc(locations, func(a, b *fb.HolderLocationT) int { return cmp.Compare(a.Id, b.Id) })
 	}
 }
 
-// orderLeaseOps sorts the releases, which come before what is asked for.
-func (w *World) orderLeaseOps(ops []index.LeaseOp) {
+// sortLeaseOps sorts the releases, which come before what is asked for.
+func (w *World) sortLeaseOps(ops []index.LeaseOp) {
 	if w.observer == nil {
 		return
 	}
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -43,8 +43,8 @@
 		if len(r.world.violations) > 0 {
 			r.t.Fatal(r.world.violations)
 		}
-		if other := r.leader(); other != nil {
-			return other
+		if leader := r.leader(); leader != nil {
+			return leader
 		}
 	}
 	r.t.Fatal("no owner")
@@ -74,32 +74,32 @@
 	return r.operate(r.awaitLeader(), quorum.Operation{Type: quorum.OpPut, Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision})
 }
 
-// tornLeader makes the leader take a change that reaches nobody, and die of it.
-func (r *directedRun) tornLeader() *ControlNode {
-	other := r.awaitLeader()
+// crashLeaderMidWrite makes the leader take a change that reaches nobody, and die of it.
+func (r *directedRun) crashLeaderMidWrite() *ControlNode {
+	leader := r.awaitLeader()
 	for _, node := range r.cluster.Nodes {
-		r.world.Cut(other.Name, node.Name)
+		r.world.Cut(leader.Name, node.Name)
 	}
-	other.Propose(quorum.Operation{Type: quorum.OpPut, Key: r.history.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
+	leader.Propose(quorum.Operation{Type: quorum.OpPut, Key: r.history.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
 	r.world.Run(r.world.now + 60_000)
-	other.Kill()
+	leader.Kill()
 	r.world.HealAll()
-	return other
+	return leader
 }
 
 // moveLeaderTo kills the leader again and again, restarting it, until it is want, or
 // until it is no more when want is nil.
 func (r *directedRun) moveLeaderTo(want *ControlNode) {
 	for i := 0; i < 30; i++ {
-		other := r.awaitLeader()
+		leader := r.awaitLeader()
 		r.get()
-		r.moveOn()
-		if other == want {
+		r.advanceSlot()
+		if leader == want {
 			return
 		}
-		other.Kill()
+		leader.Kill()
 		r.world.Run(r.world.now + 2_600_000)
-		other.Start()
+		leader.Start()
 		r.world.Run(r.world.now + 300_000)
 		if want == nil && i > 4 {
 			return
@@ -108,8 +108,8 @@
 	r.t.Fatal("the node never came to own the key")
 }
 
-// keyBeside is a key of the same slot, whose changes move the slot's positions on.
-func keyBeside(key string) string {
+// otherKeyInSlot is a key of the same slot, whose changes move the slot's positions on.
+func otherKeyInSlot(key string) string {
 	for i := 0; ; i++ {
 		if k := fmt.Sprint("beside", i); quorum.SlotOf(k, 16) == quorum.SlotOf(key, 16) {
 			return k
@@ -117,21 +117,21 @@
 	}
 }
 
-// lostChange leaves a change of the key on its dead owner's disk alone, while the
+// leaveUncommittedChange leaves a change of the key on its dead owner's disk alone, while the
 // next line gets ahead of what that owner knows.
-func (r *directedRun) lostChange() *ControlNode {
+func (r *directedRun) leaveUncommittedChange() *ControlNode {
 	r.put(r.history.key, "v1")
-	r.moveOn()
-	one := r.tornLeader()
+	r.advanceSlot()
+	one := r.crashLeaderMidWrite()
 	r.get()
-	r.moveOn()
+	r.advanceSlot()
 	return one
 }
 
-// moveOn moves the slot's marks on, in memory and on disk.
-func (r *directedRun) moveOn() {
+// advanceSlot moves the slot's marks on, in memory and on disk.
+func (r *directedRun) advanceSlot() {
 	for i := 0; i < 3; i++ {
-		r.put(keyBeside(r.history.key), fmt.Sprint(i))
+		r.put(otherKeyInSlot(r.history.key), fmt.Sprint(i))
 	}
 }
 
@@ -140,7 +140,7 @@
 func TestPhantom(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		s := newDirectedRun(t, seed, "rare")
-		one := s.lostChange()
+		one := s.leaveUncommittedChange()
 		one.Start()
 		s.world.Run(s.world.now + 1_500_000)
 		s.moveLeaderTo(one)
@@ -160,15 +160,15 @@
 func TestOldLine(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		s := newDirectedRun(t, seed, "rare")
-		one := s.lostChange()
-		other := s.awaitLeader()
-		s.world.CutBoth(one.Name, other.Name)
+		one := s.leaveUncommittedChange()
+		leader := s.awaitLeader()
+		s.world.CutBoth(one.Name, leader.Name)
 		one.Start()
 		s.world.Run(s.world.now + 1_200_000)
-		other.Kill()
+		leader.Kill()
 		s.get() // the third line was elected with the old owner's vote
 		s.world.HealAll()
-		other.Start()
+		leader.Start()
 		s.moveLeaderTo(nil)
 		if len(s.world.violations) > 0 {
 			t.Fatalf("seed %d: %v", seed, s.world.violations)
--- a/sim/races_day.go
+++ b/sim/races_day.go
@@ -15,22 +15,22 @@
 	killPercent = 25
 )
 
-// RaceTrouble is what troubles operators that race.
-type RaceTrouble string
+// RaceFault is what troubles operators that race.
+type RaceFault string
 
 // Kills of the leader at the moments between a sync and its answer; losses are named by
 // their steps.
 const (
-	KillSynced    RaceTrouble = "killed after its sync"       // before its voter hears of it
-	KillAnswering RaceTrouble = "killed before its answer"    // once a majority has it
-	PowerAnswered RaceTrouble = "all lose power at an answer" // just after it
+	RaceFaultKillAfterSync    RaceFault = "killed after its sync"       // before its voter hears of it
+	RaceFaultKillBeforeAnswer RaceFault = "killed before its answer"    // once a majority has it
+	RaceFaultPowerLoss        RaceFault = "all lose power at an answer" // just after it
 )
 
-// RaceTroubles lists the kills and the steps.
-func RaceTroubles() []RaceTrouble {
-	out := []RaceTrouble{KillSynced, KillAnswering, PowerAnswered}
-	for _, step := range OrderSteps {
-		out = append(out, RaceTrouble(step))
+// RaceFaults lists the kills and the steps.
+func RaceFaults() []RaceFault {
+	out := []RaceFault{RaceFaultKillAfterSync, RaceFaultKillBeforeAnswer, RaceFaultPowerLoss}
+	for _, step := range RequestSteps {
+		out = append(out, RaceFault(step))
 	}
 	return out
 }
@@ -38,30 +38,30 @@
 // RaceDay is a day on which operators send changes under the same numbers at once.
 type RaceDay struct {
 	*ConfigWorld
-	trouble RaceTrouble
-	lasts   int64
-	until   int64
-	result  RaceResult
+	fault      RaceFault
+	durationUS int64
+	until      int64
+	result     RaceResult
 }
 
 // RaceResult is what such a day came to.
 type RaceResult struct {
-	Orders, Acknowledged, AcknowledgedAfterResend, Rejected, Reads int
-	Lost, Kills                                                    int // messages, processes
+	Requests, Acknowledged, AcknowledgedAfterResend, Rejected, Reads int
+	Lost, Kills                                                      int // messages, processes
 	// MostBehind is the most changes that were in force after an order when it was
 	// acknowledged for the first time.
 	MostBehind uint64
-	// SlowestOrderUS is the longest that an operator went without a clear answer.
-	SlowestOrderUS int64
-	// SettledUS is how long after the trouble all was clear.
-	SettledUS  int64
+	// SlowestRequestUS is the longest that an operator went without a clear answer.
+	SlowestRequestUS int64
+	// RecoveryUS is how long after the trouble all was clear.
+	RecoveryUS int64
 	Violations []string
 	Notes      []string
 }
 
 // RunRaces runs a day of so many operators, with trouble for a time.
-func RunRaces(seed int64, nodes, operators int, trouble RaceTrouble, lasts int64, texts Texts) RaceResult {
-	d := &RaceDay{ConfigWorld: NewConfigWorld(seed, nodes, texts), trouble: trouble, lasts: lasts}
+func RunRaces(seed int64, nodes, operators int, fault RaceFault, durationUS int64, format ConfigFormat) RaceResult {
+	d := &RaceDay{ConfigWorld: NewConfigWorld(seed, nodes, format), fault: fault, durationUS: durationUS}
 	d.AddOperators(operators)
 	d.AddReaders(2, 150_000)
 	for _, o := range d.Operators {
@@ -84,15 +84,15 @@
 // begin brings the trouble about until its time is over.
 func (d *RaceDay) begin() {
 	cluster := d.Cluster
-	d.until = d.World.now + d.lasts
-	switch d.trouble {
-	case KillSynced:
-		cluster.beforeSynced = d.killsSynced
-	case KillAnswering:
-		cluster.beforeResult = d.killsAnswering
-	case PowerAnswered:
+	d.until = d.World.now + d.durationUS
+	switch d.fault {
+	case RaceFaultKillAfterSync:
+		cluster.beforeSynced = d.killAfterSync
+	case RaceFaultKillBeforeAnswer:
+		cluster.beforeResult = d.killBeforeAnswer
+	case RaceFaultPowerLoss:
 		// By onTaken, at the very acknowledgement.
-	case RaceTrouble(StepWrite), RaceTrouble(StepWriteOK):
+	case RaceFault(StepAppend), RaceFault(StepAppendAck):
 		cluster.dropsMessage = d.dropsMessage
 	default:
 		cluster.losesStep = d.losesStep
@@ -104,14 +104,14 @@
 func (d *RaceDay) finish() {
 	cluster, world := d.Cluster, d.World
 	cluster.beforeSynced, cluster.beforeResult, cluster.dropsMessage, cluster.losesStep = nil, nil, nil, nil
-	told := map[*ConfigOperator]bool{}
+	finished := map[*ConfigOperator]bool{}
 	for _, o := range d.Operators {
-		o.OnFinished = func() { told[o] = true }
+		o.OnFinished = func() { finished[o] = true }
 	}
-	took, ok := d.Until(raceRecoveryBoundUS, func() bool { return len(told) == len(d.Operators) })
-	d.result.SettledUS = took
+	took, ok := d.Until(raceRecoveryBoundUS, func() bool { return len(finished) == len(d.Operators) })
+	d.result.RecoveryUS = took
 	if !ok {
-		world.Violation("not back", "%d of %d operators had a clear answer %d us after the trouble", len(told), len(d.Operators), took)
+		world.Violation("not back", "%d of %d operators had a clear answer %d us after the trouble", len(finished), len(d.Operators), took)
 	}
 	reads := d.Config.Reads
 	if _, ok := d.Until(raceRecoveryBoundUS, func() bool { return d.Config.Reads > reads+4 }); !ok {
@@ -121,23 +121,23 @@
 
 func (d *RaceDay) collect() {
 	r, history := &d.result, d.Config
-	r.Orders, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(history.orders), history.Acknowledged, history.AcknowledgedAfterResend, history.Rejected, history.Reads
+	r.Requests, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(history.requests), history.Acknowledged, history.AcknowledgedAfterResend, history.Rejected, history.Reads
 	r.MostBehind = history.MostBehind
 	for _, o := range d.Operators {
-		r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestOrderUS)
+		r.SlowestRequestUS = max(r.SlowestRequestUS, o.SlowestRequestUS)
 	}
 	r.Violations, r.Notes = d.World.violations, d.World.notes
 }
 
 // losesStep loses some messages of one step.
-func (d *RaceDay) losesStep(step OrderStep) bool {
-	if RaceTrouble(step) != d.trouble {
+func (d *RaceDay) losesStep(step RequestStep) bool {
+	if RaceFault(step) != d.fault {
 		return false
 	}
-	return d.losesOne()
+	return d.drawLoss()
 }
 
-func (d *RaceDay) losesOne() bool {
+func (d *RaceDay) drawLoss() bool {
 	if d.World.Rng.Intn(100) >= lossPercent {
 		return false
 	}
@@ -149,24 +149,24 @@
 // configuration's slot.
 func (d *RaceDay) dropsMessage(message quorum.Message) bool {
 	kind := quorum.MsgAppend
-	if d.trouble == RaceTrouble(StepWriteOK) {
+	if d.fault == RaceFault(StepAppendAck) {
 		kind = quorum.MsgAppendAck
 	}
-	return message.Type == kind && message.Slot == slotOf(route.ConfigKey) && d.losesOne()
+	return message.Type == kind && message.Slot == slotOf(route.ConfigKey) && d.drawLoss()
 }
 
-// killsSynced kills the configuration's leader when its records are on disk and its voter
+// killAfterSync kills the configuration's leader when its records are on disk and its voter
 // does not know yet.
-func (d *RaceDay) killsSynced(node *ControlNode) bool {
+func (d *RaceDay) killAfterSync(node *ControlNode) bool {
 	if d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
 	return d.endProcess(node)
 }
 
-// killsAnswering kills the leader when a change is on a majority's disks and nobody was
+// killBeforeAnswer kills the leader when a change is on a majority's disks and nobody was
 // told.
-func (d *RaceDay) killsAnswering(node *ControlNode, result quorum.Result) bool {
+func (d *RaceDay) killBeforeAnswer(node *ControlNode, result quorum.Result) bool {
 	if result.Status != quorum.StatusDone || d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
@@ -190,9 +190,9 @@
 }
 
 // losePowerAll cuts the power of all control nodes at some acknowledgements.
-func (d *RaceDay) losePowerAll(*ConfigOrder) {
+func (d *RaceDay) losePowerAll(*ConfigRequest) {
 	world := d.World
-	if d.trouble != PowerAnswered || world.now >= d.until || !d.allUp() || world.Rng.Intn(100) >= killPercent {
+	if d.fault != RaceFaultPowerLoss || world.now >= d.until || !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return
 	}
 	d.result.Kills++
--- a/sim/races_day_test.go
+++ b/sim/races_day_test.go
@@ -10,8 +10,8 @@
 // sync and the answer. Never are two confirmed under one number, what was taken is never
 // refused, and what is read back is the newest acknowledged, to the byte.
 func TestRaceDays(t *testing.T) {
-	for i, trouble := range RaceTroubles() {
-		t.Run(string(trouble), func(t *testing.T) {
+	for i, fault := range RaceFaults() {
+		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			var sum RaceResult
 			for _, seed := range daySeeds(1) {
@@ -20,13 +20,13 @@
 						continue // CI takes each trouble at one size
 					}
 					operators := []int{2, 8}[(int(seed)+i+j)%2]
-					r := RunRaces(seed, nodes, operators, trouble, raceLasts(), platformTexts)
-					failDay(t, seed, r.Violations, append(r.Notes, fmt.Sprintf("%d nodes, %d operators", nodes, operators)))
+					r := RunRaces(seed, nodes, operators, fault, raceDurationUS(), platformFormat)
+					requireNoViolations(t, seed, r.Violations, append(r.Notes, fmt.Sprintf("%d nodes, %d operators", nodes, operators)))
 					sum.add(r)
 				}
 			}
 			t.Logf("%d orders: %d taken, %d after a resend, %d refused, %d read back; %d messages lost, %d kills; %d changes behind at most, a clear answer after %s, all clear after %s of %s",
-				sum.Orders, sum.Acknowledged, sum.AcknowledgedAfterResend, sum.Rejected, sum.Reads, sum.Lost, sum.Kills, sum.MostBehind, seconds(sum.SlowestOrderUS), seconds(sum.SettledUS), seconds(raceRecoveryBoundUS))
+				sum.Requests, sum.Acknowledged, sum.AcknowledgedAfterResend, sum.Rejected, sum.Reads, sum.Lost, sum.Kills, sum.MostBehind, seconds(sum.SlowestRequestUS), seconds(sum.RecoveryUS), seconds(raceRecoveryBoundUS))
 			if sum.Acknowledged < 20 || sum.Rejected == 0 || sum.Lost+sum.Kills < 3 || sum.Reads < 40 {
 				t.Error("too little to prove anything")
 			}
@@ -34,8 +34,8 @@
 	}
 }
 
-// raceLasts is how long a day of races is troubled.
-func raceLasts() int64 {
+// raceDurationUS is how long a day of races is troubled.
+func raceDurationUS() int64 {
 	if seeds() > 0 {
 		return 10_000_000
 	}
@@ -43,7 +43,7 @@
 }
 
 func (r *RaceResult) add(o RaceResult) {
-	r.Orders += o.Orders
+	r.Requests += o.Requests
 	r.Acknowledged += o.Acknowledged
 	r.AcknowledgedAfterResend += o.AcknowledgedAfterResend
 	r.Rejected += o.Rejected
@@ -51,6 +51,6 @@
 	r.Lost += o.Lost
 	r.Kills += o.Kills
 	r.MostBehind = max(r.MostBehind, o.MostBehind)
-	r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestOrderUS)
-	r.SettledUS = max(r.SettledUS, o.SettledUS)
+	r.SlowestRequestUS = max(r.SlowestRequestUS, o.SlowestRequestUS)
+	r.RecoveryUS = max(r.RecoveryUS, o.RecoveryUS)
 }
--- a/sim/order_decisions.go
+++ b/sim/register_decide.go
@@ -10,13 +10,13 @@
 
 // Texts reads operators' texts. Tests pass the platform's, which this package does
 // not import: an adapter imports the product, never the other way round.
-type Texts struct {
-	Translate func([]byte) (route.Config, []route.Finding)
-	Words     route.FieldNames
+type ConfigFormat struct {
+	Translate  func([]byte) (route.Config, []route.Finding)
+	FieldNames route.FieldNames
 }
 
 // changeConfiguration decides a change of the configuration.
-func changeConfiguration(change route.Change, texts Texts) decideFunc {
+func changeConfiguration(change route.Change, format ConfigFormat) decideFunc {
 	return func(value []byte, revision uint64) ([]byte, Reply) {
 		var current *route.Document
 		version := uint64(0)
@@ -27,7 +27,7 @@
 			}
 			current, version = document, document.Version
 		}
-		next, out, _ := change.Apply(current, texts.Translate, texts.Words)
+		next, out, _ := change.Apply(current, format.Translate, format.FieldNames)
 		switch out {
 		case route.Accepted:
 			return next.Encode(), Reply{OutcomeAccepted, next.Version}
@@ -43,8 +43,8 @@
 	}
 }
 
-// nameWeights decides the naming of a version of a model's weights.
-func nameWeights(model string, version uint64) decideFunc {
+// addWeightsVersion decides the naming of a version of a model's weights.
+func changeWeights(model string, version uint64) decideFunc {
 	return func(value []byte, revision uint64) ([]byte, Reply) {
 		current := &route.WeightVersions{}
 		if revision != 0 {
--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -9,16 +9,16 @@
 // can't run them; what they decide by (quorum, route.Change, route.WeightsDoc) is
 // the very code. TestEditIsThePlatforms holds the constants to theirs.
 const (
-	orderTimeoutUS       = 900_000 // in which a node answers an operator
-	readTimeoutUS        = 700_000 // in which a directory reads a register
-	maxReadAgeUS         = 500_000 // how old the read may be that an answer rests on
-	contactCheckInterval = 50_000  // between looks at the contact with a majority
-	retryWithoutLeader   = 25_000  // between looks at a register without an leader
-	retryAfterConflict   = 1_000   // after another's change came first
-	passReadTimeoutUS    = 500_000 // for a read that is passed to the leader
-	passChangeTimeoutUS  = 2_000_000
-	maxHops              = 2
-	passSilenceLimit     = 400_000 // nothing is passed to a leader silent for so long
+	editTimeoutUS          = 900_000 // in which a node answers an operator
+	readTimeoutUS          = 700_000 // in which a directory reads a register
+	maxReadAgeUS           = 500_000 // how old the read may be that an answer rests on
+	contactCheckIntervalUS = 50_000  // between looks at the contact with a majority
+	retryWithoutLeaderUS   = 25_000  // between looks at a register without an leader
+	retryAfterConflictUS   = 1_000   // after another's change came first
+	forwardReadTimeoutUS   = 500_000 // for a read that is passed to the leader
+	forwardPutTimeoutUS    = 2_000_000
+	maxHops                = 2
+	maxForwardSilenceUS    = 400_000 // nothing is passed to a leader silent for so long
 )
 
 // Outcome is what an operator hears of an order.
@@ -57,7 +57,7 @@
 
 // Edit changes a register on behalf of an operator.
 func (n *ControlNode) Edit(key string, decide decideFunc, reply func(Reply)) {
-	e := &registerEdit{node: n, key: key, until: n.Clock() + orderTimeoutUS, decide: decide, reply: reply}
+	e := &registerEdit{node: n, key: key, until: n.Clock() + editTimeoutUS, decide: decide, reply: reply}
 	e.checkContact()
 	e.read()
 }
@@ -71,7 +71,7 @@
 		e.end(Reply{Outcome: OutcomeUnknown})
 		return
 	}
-	e.node.After(contactCheckInterval, e.checkContact)
+	e.node.After(contactCheckIntervalUS, e.checkContact)
 }
 
 func (e *registerEdit) end(reply Reply) {
@@ -105,7 +105,7 @@
 		return
 	}
 	if result.Status != quorum.StatusDone {
-		e.retryAfter(retryWithoutLeader)
+		e.retryAfter(retryWithoutLeaderUS)
 		return
 	}
 	next, reply := e.decide(result.Value, result.Revision)
@@ -131,9 +131,9 @@
 	case quorum.StatusDone:
 		e.end(reply)
 	case quorum.StatusConflict:
-		e.retryAfter(retryAfterConflict)
+		e.retryAfter(retryAfterConflictUS)
 	case quorum.StatusNotLeader, quorum.StatusFull:
-		e.retryAfter(retryWithoutLeader)
+		e.retryAfter(retryWithoutLeaderUS)
 	default:
 		e.end(Reply{Outcome: OutcomeUnknown})
 	}
--- a/sim/order_forward.go
+++ b/sim/register_forward.go
@@ -7,10 +7,10 @@
 // proposeOnce carries an operation to the leader of its key with one try, which ends at a
 // time by this node's clock.
 func (n *ControlNode) proposeOnce(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
-	over := false
+	ended := false
 	end := func(result quorum.Result) {
-		if !over {
-			over = true
+		if !ended {
+			ended = true
 			reply(result)
 		}
 	}
@@ -20,30 +20,30 @@
 			end(result)
 			return
 		}
-		n.passToLeader(op, hops, result.Leader, end)
+		n.forwardToLeader(op, hops, result.Leader, end)
 	})
 }
 
-// passToLeader hands an operation on to the leader of its key.
-func (n *ControlNode) passToLeader(op quorum.Operation, hops int, leaderName string, end func(quorum.Result)) {
+// forwardToLeader hands an operation on to the leader of its key.
+func (n *ControlNode) forwardToLeader(op quorum.Operation, hops int, leaderName string, end func(quorum.Result)) {
 	receiver := n.cluster.nodeNamed(leaderName)
-	if receiver == nil || n.node == nil || n.node.TimeSinceHeard(n.Clock(), leaderName) > passSilenceLimit {
+	if receiver == nil || n.node == nil || n.node.TimeSinceHeard(n.Clock(), leaderName) > maxForwardSilenceUS {
 		end(quorum.Result{Status: quorum.StatusNotLeader})
 		return
 	}
-	limit := int64(passChangeTimeoutUS)
+	limit := int64(forwardPutTimeoutUS)
 	if op.Type == quorum.OpGet {
-		limit = passReadTimeoutUS
+		limit = forwardReadTimeoutUS
 	}
-	ask, tell := stepsOf(op.Type)
+	requestStep, replyStep := stepsOf(op.Type)
 	Call(n.Host, receiver.Host, op, limit,
 		func(operation quorum.Operation, answer func(quorum.Result)) {
-			if !n.cluster.isStepLost(ask) {
+			if !n.cluster.isStepLost(requestStep) {
 				receiver.proposeOnce(operation, hops+1, receiver.Clock()+limit, answer)
 			}
 		},
 		func(result quorum.Result) {
-			if !n.cluster.isStepLost(tell) {
+			if !n.cluster.isStepLost(replyStep) {
 				end(result)
 			}
 		},
@@ -59,7 +59,7 @@
 	voters := n.node.VoterSet().Voters
 	heard := 0
 	for _, voter := range voters {
-		if n.node.TimeSinceHeard(n.Clock(), voter.Name) <= passSilenceLimit {
+		if n.node.TimeSinceHeard(n.Clock(), voter.Name) <= maxForwardSilenceUS {
 			heard++
 		}
 	}
--- a/sim/resend_day_test.go
+++ b/sim/resend_day_test.go
@@ -12,7 +12,7 @@
 func TestResendAfterHundredsOfChanges(t *testing.T) {
 	t.Parallel()
 	for _, seed := range daySeeds(1) {
-		configWorld := NewConfigWorld(seed, 4, platformTexts)
+		configWorld := NewConfigWorld(seed, 4, platformFormat)
 		configWorld.AddReaders(1, 200_000)
 		configWorld.AddOperators(1)
 		late := configWorld.Operators[0]
@@ -31,7 +31,7 @@
 		}
 		late.LosesReplies = false
 		acks := 0
-		late.OnAccepted = func(*ConfigOrder) { acks++ }
+		late.OnAccepted = func(*ConfigRequest) { acks++ }
 		back, ok := configWorld.Until(acknowledgementBoundUS, func() bool { return acks > 0 })
 		configWorld.Config.Close()
 		if !ok || len(world.violations) > 0 {
--- a/sim/retries_test.go
+++ b/sim/retries_test.go
@@ -11,8 +11,8 @@
 // the requests, the struggling engine gets less than its part of them, and when it is
 // well again, or back from a crash, it is not run down.
 func TestRetriesFleetWide(t *testing.T) {
-	for _, bad := range []string{"breaks off", "refuses", "crashes"} {
-		t.Run(bad, func(t *testing.T) {
+	for _, fault := range []string{"breaks off", "refuses", "crashes"} {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			fleet := NewFleet(21, FleetSize{Gateways: 9, Engines: 6})
 			operator := NewFleetOperator(fleet)
@@ -23,10 +23,10 @@
 				if outcome != attempt.Done && !x.probe && x.reason != "duplicate" && world.now < 24_000_000 {
 					// A caller that sends again at once, elsewhere, under the same name.
 					resent++
-					y := &callerRequest{group: x.group, kind: x.kind, id: x.id, keyDigest: x.keyDigest, generation: x.generation, probe: true}
-					y.gateway = fleet.Gateways[world.Rng.Intn(len(fleet.Gateways))]
+					again := &callerRequest{group: x.group, kind: x.kind, id: x.id, keyDigest: x.keyDigest, generation: x.generation, probe: true}
+					again.gateway = fleet.Gateways[world.Rng.Intn(len(fleet.Gateways))]
 					fleet.Tally.Sent++
-					y.gateway.After(1_000, func() { y.gateway.admit(y, "again", 5_000_000) })
+					again.gateway.After(1_000, func() { again.gateway.admit(again, "again", 5_000_000) })
 				}
 			}
 			world.At(1_300_000, func() { operator.PutPlan(nil) })
@@ -35,21 +35,21 @@
 					fleet.sendRequests(operator, 30_000_000)
 				}
 			})
-			count := func(from, to int64) (mine, all int) {
+			count := func(from, to int64) (toEngine, all int) {
 				for _, x := range fleet.Engines {
 					for _, at := range x.arrivalTimes {
 						if at >= from && at < to {
 							all++
 							if x == engine {
-								mine++
+								toEngine++
 							}
 						}
 					}
 				}
-				return mine, all
+				return toEngine, all
 			}
 			world.At(8_000_000, func() {
-				switch bad {
+				switch fault {
 				case "breaks off":
 					engine.interruptsRuns = true
 				case "refuses":
@@ -71,18 +71,18 @@
 				c := gateway.dispatcher.Counters
 				arrived, retries, attempts = arrived+c.Arrived, retries+c.Retries, attempts+c.Attempts
 			}
-			while, all := count(9_000_000, 16_000_000)
-			first, then := count(16_000_000, 18_000_000)
+			duringFault, all := count(9_000_000, 16_000_000)
+			first, allAfter := count(16_000_000, 18_000_000)
 			t.Logf("%d tickets (%d of them resent), %d attempts, %d of them retries; the struggling engine got %d of %d attempts; %d of %d in the 2 s after",
-				arrived, resent, attempts, retries, while, all, first, then)
-			if retries*10 > arrived || retries == 0 && bad != "crashes" || attempts > arrived+arrived/10 {
+				arrived, resent, attempts, retries, duringFault, all, first, allAfter)
+			if retries*10 > arrived || retries == 0 && fault != "crashes" || attempts > arrived+arrived/10 {
 				t.Errorf("%d retries and %d attempts for %d tickets", retries, attempts, arrived)
 			}
-			if while*6 > all {
-				t.Errorf("the struggling engine got %d of %d runs, a sixth is its part", while, all)
+			if duringFault*6 > all {
+				t.Errorf("the struggling engine got %d of %d runs, a sixth is its part", duringFault, all)
 			}
-			if first*3 > then || first == 0 {
-				t.Errorf("%d of %d attempts came to it in the 2 s after it was well, a sixth is its part", first, then)
+			if first*3 > allAfter || first == 0 {
+				t.Errorf("%d of %d attempts came to it in the 2 s after it was well, a sixth is its part", first, allAfter)
 			}
 		})
 	}
--- a/sim/second_loss_day.go
+++ b/sim/second_loss_day.go
@@ -6,37 +6,37 @@
 )
 
 // Prelude is what happens before a second loss.
-type Prelude string
+type Disruption string
 
 // The preludes.
 const (
-	RepairedDisk  Prelude = "repaired disk"  // a machine loses its disk and comes back empty
-	RepairedPower Prelude = "repaired power" // a machine loses its power and comes back
-	Replacement   Prelude = "replacement"    // a new machine starts, and an old one leaves
-	Leave         Prelude = "leave"          // a machine leaves politely and comes back
+	DisruptionDiskLoss    Disruption = "repaired disk"  // a machine loses its disk and comes back empty
+	DisruptionPowerLoss   Disruption = "repaired power" // a machine loses its power and comes back
+	DisruptionReplacement Disruption = "replacement"    // a new machine starts, and an old one leaves
+	DisruptionLeave       Disruption = "leave"          // a machine leaves politely and comes back
 )
 
 // Preludes lists them all.
-var Preludes = []Prelude{RepairedDisk, RepairedPower, Replacement, Leave}
+var Disruptions = []Disruption{DisruptionDiskLoss, DisruptionPowerLoss, DisruptionReplacement, DisruptionLeave}
 
 // Loss is how machines are lost.
 type Loss string
 
 // The losses.
 const (
-	LossOfPower Loss = "power"           // the disk is kept
-	LossOfDisk  Loss = "disk"            // the machine comes back empty
-	LossAmidst  Loss = "disk, all power" // while all others lose their power
+	LossOfPower        Loss = "power"           // the disk is kept
+	LossOfDisk         Loss = "disk"            // the machine comes back empty
+	LossOfDiskInOutage Loss = "disk, all power" // while all others lose their power
 )
 
 // Losses lists them all.
-var Losses = []Loss{LossOfPower, LossOfDisk, LossAmidst}
+var Losses = []Loss{LossOfPower, LossOfDisk, LossOfDiskInOutage}
 
 const (
-	// lossStep is between two instants of a sweep.
-	lossStep = 50_000
-	// lossWindow is swept from when a second loss is borne.
-	lossWindow = 3_000_000
+	// lossStepUS is between two instants of a sweep.
+	lossStepUS = 50_000
+	// lossWindowUS is swept from when a second loss is borne.
+	lossWindowUS = 3_000_000
 	// lossRecoveryBoundUS is within how long after a second loss every slot takes changes again.
 	lossRecoveryBoundUS = 4_000_000
 	// lossReturnUS is when machines of the second loss come back.
@@ -45,14 +45,14 @@
 
 // SecondLoss is one run: a prelude, and a second loss at an instant after it.
 type SecondLoss struct {
-	Nodes   int
-	Prelude Prelude
-	Loss    Loss
-	Instant int64 // after the second loss is borne for the first time
+	Nodes      int
+	Disruption Disruption
+	Loss       Loss
+	Instant    int64 // after the second loss is borne for the first time
 }
 
 func (l SecondLoss) String() string {
-	return fmt.Sprintf("%d nodes, %s, then %s after %d us", l.Nodes, l.Prelude, l.Loss, l.Instant)
+	return fmt.Sprintf("%d nodes, %s, then %s after %d us", l.Nodes, l.Disruption, l.Loss, l.Instant)
 }
 
 // SecondLossResult is what such a run came to.
@@ -73,18 +73,18 @@
 	writer *SlotWriter
 	// firstLossUntil is until when the first loss counts, by the platform's rule.
 	firstLossUntil int64
-	// bearableFrom is since when the second loss is borne.
-	bearableFrom int64
-	lost         []*ControlNode
-	result       SecondLossResult
+	// toleratedFrom is since when the second loss is borne.
+	toleratedFrom int64
+	lost          []*ControlNode
+	result        SecondLossResult
 }
 
 // RunSecondLoss runs one.
 func RunSecondLoss(seed int64, loss SecondLoss) SecondLossResult {
-	configWorld := NewConfigWorld(seed, loss.Nodes, Texts{})
+	configWorld := NewConfigWorld(seed, loss.Nodes, ConfigFormat{})
 	configWorld.Cluster.logConfig = smallLog
 	configWorld.Cluster.selfHealing = true
-	configWorld.Cluster.keepSeats()
+	configWorld.Cluster.setTargetSize()
 	s := &secondLossRun{SecondLoss: loss, world: configWorld, writer: NewSlotWriter(configWorld.Cluster)}
 	configWorld.Cluster.Start()
 	world := configWorld.World
@@ -92,8 +92,8 @@
 	if _, ok := configWorld.Until(4_000_000, func() bool { return configWorld.AllRecovered() && s.writer.AcknowledgedSince(0) }); !ok {
 		world.Violation("not begun", "not every slot took a change within %d us", world.now)
 	}
-	s.prelude()
-	world.Run(max(world.now, s.bearableFrom) + loss.Instant)
+	s.disrupt()
+	world.Run(max(world.now, s.toleratedFrom) + loss.Instant)
 	s.loseSecond()
 	s.awaitRecovery()
 	s.result.Acknowledged, s.result.Violations, s.result.Notes = s.writer.Acknowledged(), world.violations, world.notes
@@ -102,24 +102,24 @@
 
 // prelude brings the first loss or the planned work about, and tells from when on a
 // second loss is borne.
-func (r *secondLossRun) prelude() {
+func (r *secondLossRun) disrupt() {
 	world, nodes := r.world.World, r.world.Cluster.Nodes
 	first := nodes[world.Rng.Intn(len(nodes))]
 	back := world.now + leaveTimeoutUS + leavePollUS + world.Rng.Int63n(2_500_000)
-	sync := syncTime(r.Nodes)
+	sync := rejoinPeriodUS(r.Nodes)
 	r.firstLossUntil = back + sync
-	switch r.Prelude {
-	case RepairedDisk:
+	switch r.Disruption {
+	case DisruptionDiskLoss:
 		world.Notef("%s loses its disk", first.Name)
 		first.loseDisk()
 		world.At(back, first.restart)
-	case RepairedPower:
+	case DisruptionPowerLoss:
 		first.LosePower()
 		world.At(back, first.restart)
-	case Leave:
+	case DisruptionLeave:
 		r.leave(first)
 		world.At(back, first.restart)
-	case Replacement:
+	case DisruptionReplacement:
 		successor := r.world.Cluster.newNode()
 		successor.Start()
 		r.firstLossUntil = world.now + sync
@@ -129,9 +129,9 @@
 		})
 		world.Run(back)
 	}
-	r.bearableFrom = world.now
+	r.toleratedFrom = world.now
 	if tolerates(r.Nodes) == 1 {
-		r.bearableFrom = max(r.bearableFrom, r.firstLossUntil)
+		r.toleratedFrom = max(r.toleratedFrom, r.firstLossUntil)
 	}
 }
 
@@ -161,8 +161,8 @@
 	leaveTimeoutUS = 900_000
 )
 
-// keepSeats has the voter set count the seats that the fleet keeps, as at a founding.
-func (c *Cluster) keepSeats() {
+// setTargetSize has the voter set count the seats that the fleet keeps, as at a founding.
+func (c *Cluster) setTargetSize() {
 	c.voterSet.TargetSize = uint16(len(c.voterSet.Voters))
 	for _, node := range c.Nodes {
 		node.voterSet = c.voterSet
@@ -173,24 +173,24 @@
 // those first that hold the newest changes of its slot.
 func (r *secondLossRun) loseSecond() {
 	world := r.world.World
-	struck := false
+	triggered := false
 	r.writer.OnAcknowledged = func(slot int) {
-		if !struck {
-			struck = true
-			r.lose(r.mostRecent(slot))
+		if !triggered {
+			triggered = true
+			r.lose(r.newestHolders(slot))
 		}
 	}
-	if _, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return struck }); !ok {
+	if _, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return triggered }); !ok {
 		world.Violation("not served", "no change was acknowledged for %d us after one loss: %v", lossRecoveryBoundUS, r.SecondLoss)
 	}
 	r.writer.OnAcknowledged = nil
 }
 
-// mostRecent are the machines that go: they hold the most of a slot.
-func (r *secondLossRun) mostRecent(slot int) []*ControlNode {
-	spare := tolerates(r.Nodes)
+// newestHolders are the machines that go: they hold the most of a slot.
+func (r *secondLossRun) newestHolders(slot int) []*ControlNode {
+	tolerated := tolerates(r.Nodes)
 	if r.world.World.now < r.firstLossUntil {
-		spare--
+		tolerated--
 	}
 	var live []*ControlNode
 	for _, node := range r.world.Cluster.Nodes {
@@ -210,7 +210,7 @@
 		}
 		return 0
 	})
-	return live[:min(spare, len(live))]
+	return live[:min(tolerated, len(live))]
 }
 
 // lose loses machines at once.
@@ -222,7 +222,7 @@
 		case slices.Contains(nodes, node):
 			world.Notef("%s is lost: %s", node.Name, r.Loss)
 			r.loseOne(node)
-		case r.Loss == LossAmidst && node.up:
+		case r.Loss == LossOfDiskInOutage && node.up:
 			node.LosePower()
 			world.At(world.now+50_000+world.Rng.Int63n(300_000), node.restart)
 		}
@@ -250,8 +250,8 @@
 	}
 	world.Run(max(world.now, at+lossReturnUS))
 	back := world.now
-	if _, ok := r.world.Until(syncTime(r.Nodes), r.world.AllRecovered); !ok {
-		world.Violation("not firm", "not every machine was a firm member %d us after it was back: %v", syncTime(r.Nodes), r.SecondLoss)
+	if _, ok := r.world.Until(rejoinPeriodUS(r.Nodes), r.world.AllRecovered); !ok {
+		world.Violation("not firm", "not every machine was a firm member %d us after it was back: %v", rejoinPeriodUS(r.Nodes), r.SecondLoss)
 	}
 	r.result.RejoinUS = world.now - back
 	reads := world.now
--- a/sim/second_loss_day_test.go
+++ b/sim/second_loss_day_test.go
@@ -11,25 +11,25 @@
 // again within a bound. CI takes some instants, VT_SEEDS sweeps all, 50 ms apart.
 func TestSecondLoss(t *testing.T) {
 	for _, nodes := range controlSizes {
-		for _, prelude := range Preludes {
-			if seeds() == 0 && nodes > 5 && prelude != Replacement {
+		for _, disruption := range Disruptions {
+			if seeds() == 0 && nodes > 5 && disruption != DisruptionReplacement {
 				continue // the largest takes longest: on long runs
 			}
-			t.Run(fmt.Sprint(nodes, " ", prelude), func(t *testing.T) {
+			t.Run(fmt.Sprint(nodes, " ", disruption), func(t *testing.T) {
 				t.Parallel()
-				var served, firm int64
-				runs, acks, gone := 0, 0, 0
+				var served, rejoined int64
+				runs, acks, lost := 0, 0, 0
 				for _, seed := range daySeeds(1) {
-					for i, loss := range secondLosses(seed, nodes, prelude) {
+					for i, loss := range secondLosses(seed, nodes, disruption) {
 						r := RunSecondLoss(seed*1000+int64(i), loss)
-						failDay(t, seed*1000+int64(i), r.Violations, append(r.Notes, loss.String()))
-						served, firm = max(served, r.RecoveryUS), max(firm, r.RejoinUS)
-						runs, acks, gone = runs+1, acks+r.Acknowledged, gone+r.Lost
+						requireNoViolations(t, seed*1000+int64(i), r.Violations, append(r.Notes, loss.String()))
+						served, rejoined = max(served, r.RecoveryUS), max(rejoined, r.RejoinUS)
+						runs, acks, lost = runs+1, acks+r.Acknowledged, lost+r.Lost
 					}
 				}
 				t.Logf("%d second losses of %d machines, %d acknowledged: all slots served after %s of %s, firm after %s of %s",
-					runs, gone, acks, seconds(served), seconds(lossRecoveryBoundUS), seconds(firm), seconds(syncTime(nodes)))
-				if gone < runs || acks < 50*runs {
+					runs, lost, acks, seconds(served), seconds(lossRecoveryBoundUS), seconds(rejoined), seconds(rejoinPeriodUS(nodes)))
+				if lost < runs || acks < 50*runs {
 					t.Error("too little to prove anything")
 				}
 			})
@@ -39,17 +39,17 @@
 
 // secondLosses are the runs of one test: the whole sweep on long runs, each instant with
 // another loss for each seed.
-func secondLosses(seed int64, nodes int, prelude Prelude) (out []SecondLoss) {
-	window := int64(lossWindow)
+func secondLosses(seed int64, nodes int, disruption Disruption) (out []SecondLoss) {
+	window := int64(lossWindowUS)
 	if tolerates(nodes) > 1 {
-		window += syncTime(nodes)
+		window += rejoinPeriodUS(nodes)
 	}
 	if seeds() == 0 {
-		return []SecondLoss{{nodes, prelude, LossOfDisk, window - lossStep}}
+		return []SecondLoss{{nodes, disruption, LossOfDisk, window - lossStepUS}}
 	}
-	for i := int64(0); i*lossStep < window; i++ {
+	for i := int64(0); i*lossStepUS < window; i++ {
 		loss := Losses[(i+seed)%int64(len(Losses))]
-		out = append(out, SecondLoss{nodes, prelude, loss, i * lossStep})
+		out = append(out, SecondLoss{nodes, disruption, loss, i * lossStepUS})
 	}
 	return out
 }
--- a/sim/shares_test.go
+++ b/sim/shares_test.go
@@ -10,7 +10,7 @@
 
 // crowd is a group that sends a request every gap microseconds at some gateways,
 // from a true time to another.
-type crowd struct {
+type load struct {
 	group    string
 	at       []int
 	gap      int64
@@ -18,28 +18,28 @@
 }
 
 const (
-	crowdFrom = 6_000_000
-	crowdTo   = 26_000_000
+	measureFromUS = 6_000_000
+	loadEndUS     = 26_000_000
 )
 
 // The shares of desk, east, west and walled are 4, 3, 2 and 1.
-var crowds = map[string]struct {
-	who    []crowd
-	strike func(f *Fleet) // at 14 s
+var scenarios = map[string]struct {
+	loads []load
+	fault func(f *Fleet) // at 14 s
 }{
-	"one group floods one proxy": {who: []crowd{{"walled", []int{0}, 4_000, 0, crowdTo},
-		{"desk", []int{0, 1, 2}, 150_000, 0, crowdTo}, {"east", []int{0, 1, 2}, 200_000, 0, crowdTo}}},
-	"each group at a proxy of its own": {who: []crowd{{"walled", []int{0}, 20_000, 0, crowdTo},
-		{"west", []int{1}, 20_000, 0, crowdTo}, {"desk", []int{2}, 20_000, 0, crowdTo}}},
-	"a group is back from idle": {who: []crowd{{"walled", []int{0, 1, 2}, 40_000, 0, crowdTo},
-		{"east", []int{0, 1, 2}, 40_000, 0, crowdTo}, {"desk", []int{0, 1}, 100_000, 16_000_000, crowdTo}}},
-	"an engine is lost in a flood": {who: []crowd{{"walled", []int{0}, 4_000, 0, crowdTo},
-		{"desk", []int{0, 1, 2}, 200_000, 0, crowdTo}}, strike: func(f *Fleet) { f.Engines[0].Kill() }},
-	"a proxy is lost in a flood": {who: []crowd{{"walled", []int{0, 1}, 8_000, 0, crowdTo},
-		{"desk", []int{0, 2}, 150_000, 0, crowdTo}}, strike: func(f *Fleet) { f.Gateways[1].Kill() }},
+	"one group floods one proxy": {loads: []load{{"walled", []int{0}, 4_000, 0, loadEndUS},
+		{"desk", []int{0, 1, 2}, 150_000, 0, loadEndUS}, {"east", []int{0, 1, 2}, 200_000, 0, loadEndUS}}},
+	"each group at a proxy of its own": {loads: []load{{"walled", []int{0}, 20_000, 0, loadEndUS},
+		{"west", []int{1}, 20_000, 0, loadEndUS}, {"desk", []int{2}, 20_000, 0, loadEndUS}}},
+	"a group is back from idle": {loads: []load{{"walled", []int{0, 1, 2}, 40_000, 0, loadEndUS},
+		{"east", []int{0, 1, 2}, 40_000, 0, loadEndUS}, {"desk", []int{0, 1}, 100_000, 16_000_000, loadEndUS}}},
+	"an engine is lost in a flood": {loads: []load{{"walled", []int{0}, 4_000, 0, loadEndUS},
+		{"desk", []int{0, 1, 2}, 200_000, 0, loadEndUS}}, fault: func(f *Fleet) { f.Engines[0].Kill() }},
+	"a proxy is lost in a flood": {loads: []load{{"walled", []int{0, 1}, 8_000, 0, loadEndUS},
+		{"desk", []int{0, 2}, 150_000, 0, loadEndUS}}, fault: func(f *Fleet) { f.Gateways[1].Kill() }},
 }
 
-type portion struct{ sent, done, refused, late, unknown int }
+type groupResult struct{ sent, done, refused, late, unknown int }
 
 // TestShares: however the groups' requests come in, each group gets what its share
 // entitles it to of what is served, and what can't be done is refused early.
@@ -47,23 +47,23 @@
 func TestShares(t *testing.T) {
 	n := seeds()
 	var names []string
-	for c := range crowds {
+	for c := range scenarios {
 		names = append(names, c)
 	}
 	sort.Strings(names)
 	for _, c := range names {
 		t.Run(c, func(t *testing.T) {
 			t.Parallel()
-			sum, due := map[string]portion{}, map[string]float64{}
+			sum, due := map[string]groupResult{}, map[string]float64{}
 			late, refused, worst := 0, 0, 0
 			for seed := int64(9); seed < 9+max(n, 2); seed++ {
-				got := share(t, seed, c)
-				for group, e := range entitled(got) {
+				got := runScenario(t, seed, c)
+				for group, e := range fairShares(got) {
 					x, s := got[group], sum[group]
 					if float64(x.done) < 0.8*e-3 {
 						t.Errorf("seed %d: %s got %d of the %.0f that it is entitled to: %+v", seed, group, x.done, e, x)
 					}
-					sum[group] = portion{s.sent + x.sent, s.done + x.done, s.refused + x.refused, s.late + x.late, s.unknown + x.unknown}
+					sum[group] = groupResult{s.sent + x.sent, s.done + x.done, s.refused + x.refused, s.late + x.late, s.unknown + x.unknown}
 					due[group] += e
 					late, refused = late+x.late, refused+x.refused
 					if x.refused > 50 {
@@ -85,7 +85,7 @@
 
 // entitled fills the groups up by share with all that was served, none above what
 // it sent.
-func entitled(got map[string]portion) map[string]float64 {
+func fairShares(got map[string]groupResult) map[string]float64 {
 	shares := map[string]float64{"desk": 4, "east": 3, "west": 2, "walled": 1}
 	left := 0.0
 	for _, x := range got {
@@ -119,17 +119,17 @@
 	return out
 }
 
-func share(t *testing.T, seed int64, name string) map[string]portion {
-	c := crowds[name]
+func runScenario(t *testing.T, seed int64, name string) map[string]groupResult {
+	c := scenarios[name]
 	fleet := NewFleet(seed, FleetSize{Gateways: 3, Engines: 3})
 	for _, engine := range fleet.Engines {
 		engine.capacity = 8
 	}
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
-	got := map[string]portion{}
+	got := map[string]groupResult{}
 	fleet.checker.onRequestEnded = func(x *callerRequest, outcome attempt.Outcome) {
-		if x.sentAt < crowdFrom {
+		if x.sentAt < measureFromUS {
 			return
 		}
 		g := got[x.group]
@@ -147,31 +147,31 @@
 		got[x.group] = g
 	}
 	n := 0
-	var send1 func(c crowd, p *Gateway)
-	send1 = func(c crowd, p *Gateway) {
+	var send func(c load, p *Gateway)
+	send = func(c load, p *Gateway) {
 		if world.now > c.to {
 			return
 		}
 		n++
 		x := &callerRequest{group: c.group, kind: "check", id: fmt.Sprint("f", n), keyDigest: simKey(c.group, 0), gateway: p, sentAt: world.now, deadline: world.now + 8_000_000}
 		if p.up {
-			if world.now >= crowdFrom {
+			if world.now >= measureFromUS {
 				g := got[c.group]
 				g.sent++
 				got[c.group] = g
 			}
 			p.After(300, func() { p.admit(x, "flood", 8_000_000) })
 		}
-		world.At(world.now+c.gap, func() { send1(c, p) })
+		world.At(world.now+c.gap, func() { send(c, p) })
 	}
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
-	for _, x := range c.who {
+	for _, x := range c.loads {
 		for _, p := range x.at {
-			world.At(max(4_000_000, x.from), func() { send1(x, fleet.Gateways[p]) })
+			world.At(max(4_000_000, x.from), func() { send(x, fleet.Gateways[p]) })
 		}
 	}
-	if c.strike != nil {
-		world.At(14_000_000, func() { c.strike(fleet) })
+	if c.fault != nil {
+		world.At(14_000_000, func() { c.fault(fleet) })
 	}
 	world.Run(36_000_000)
 	if len(world.violations) > 0 {
--- a/sim/slot_writer.go
+++ b/sim/slot_writer.go
@@ -19,10 +19,10 @@
 }
 
 const (
-	slotWriteEvery = 12_000
-	slotWriteLimit = 900_000
-	// slotReads of each so many operations are reads.
-	slotReads = 4
+	slotWriteIntervalUS = 12_000
+	slotWriteTimeoutUS  = 900_000
+	// slotReadPeriod of each so many operations are reads.
+	slotReadPeriod = 4
 )
 
 // NewSlotWriter adds a writer.
@@ -32,7 +32,7 @@
 	for i := range slots {
 		s.histories = append(s.histories, NewHistory(cluster.world, keyOfSlot(i)))
 	}
-	s.Host = cluster.world.NewHost("slot-writer", "north", func() { s.Every(slotWriteEvery, s.act) })
+	s.Host = cluster.world.NewHost("slot-writer", "north", func() { s.Every(slotWriteIntervalUS, s.nextOperation) })
 	return s
 }
 
@@ -46,11 +46,11 @@
 }
 
 // act runs the next operation, slot by slot.
-func (s *SlotWriter) act() {
+func (s *SlotWriter) nextOperation() {
 	s.next++
 	slot := s.next % len(s.histories)
 	op := quorum.Operation{Type: quorum.OpPut, ExpectedRevision: quorum.AnyRevision, Value: []byte(fmt.Sprint("value", s.next))}
-	if s.next/len(s.histories)%slotReads == 0 {
+	if s.next/len(s.histories)%slotReadPeriod == 0 {
 		op = quorum.Operation{Type: quorum.OpGet}
 	}
 	op.Key = s.histories[slot].key
@@ -61,9 +61,9 @@
 func (s *SlotWriter) operate(node *ControlNode, slot int, op quorum.Operation, done func(ok bool)) {
 	world := s.cluster.world
 	from := world.now
-	Call(s.Host, node.Host, op, slotWriteLimit,
+	Call(s.Host, node.Host, op, slotWriteTimeoutUS,
 		func(operation quorum.Operation, reply func(quorum.Result)) {
-			node.proposeOnce(operation, 0, node.Clock()+slotWriteLimit, reply)
+			node.proposeOnce(operation, 0, node.Clock()+slotWriteTimeoutUS, reply)
 		},
 		func(result quorum.Result) {
 			if result.Status != quorum.StatusDone {
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -84,14 +84,14 @@
 // differs names a register of the filled slot that the leader has settled and r holds
 // otherwise, or "".
 func (d *snapshotDay) differs(node *ControlNode) string {
-	other := d.slotOwner()
-	if other == nil || other == node {
+	leader := d.slotLeader()
+	if leader == nil || leader == node {
 		return ""
 	}
-	settled := other.node.Status(other.Clock())[quorum.SlotOf(planKey, 16)].Committed
-	mine, theirs := registers(node), registers(other)
+	committed := leader.node.Status(leader.Clock())[quorum.SlotOf(planKey, 16)].Committed
+	mine, theirs := registers(node), registers(leader)
 	for _, k := range d.keys {
-		if entry := theirs[k]; !settled.Before(entry.Position) && mine[k].Position.Before(entry.Position) {
+		if entry := theirs[k]; !committed.Before(entry.Position) && mine[k].Position.Before(entry.Position) {
 			return fmt.Sprintf("%s is of %v, not %v", k, mine[k].Position, entry.Position)
 		}
 	}
@@ -109,8 +109,8 @@
 	return all
 }
 
-// slotOwner is the machine that owns the slot, or nil.
-func (d *snapshotDay) slotOwner() *ControlNode {
+// slotLeader is the machine that owns the slot, or nil.
+func (d *snapshotDay) slotLeader() *ControlNode {
 	for _, node := range d.liveVoters() {
 		if slotsLed(node) == 1 {
 			return node
@@ -123,25 +123,25 @@
 // hundred times a second. A machine that comes back empty, or with state of hundreds of
 // changes ago, holds everything in time, also when it or the leader ends midway.
 func TestSnapshotInParts(t *testing.T) {
-	for _, how := range []string{"empty", "behind", "ends midway", "owner ends midway", "lossy"} {
-		t.Run(how, func(t *testing.T) {
+	for _, scenario := range []string{"empty", "behind", "ends midway", "owner ends midway", "lossy"} {
+		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
 			var worst int64
 			largest := 0
 			for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 				d := newSnapshotDay(t, seed, 100)
 				node := d.liveVoters()[0]
-				if how == "behind" { // and a line behind, since it owned the slot
-					d.until(2_000_000, func() bool { node = d.slotOwner(); return node != nil })
+				if scenario == "behind" { // and a line behind, since it owned the slot
+					d.until(2_000_000, func() bool { node = d.slotLeader(); return node != nil })
 				}
 				node.Kill()
-				if how != "behind" {
+				if scenario != "behind" {
 					node.loseDisk()
 				}
 				d.world.Run(d.world.now + 6_000_000)
 				node.Start()
 				bound := d.size.recoveryUS
-				switch how {
+				switch scenario {
 				case "ends midway":
 					d.until(1_000_000, func() bool { return node.node != nil })
 					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
@@ -154,9 +154,9 @@
 				case "owner ends midway":
 					d.until(1_000_000, func() bool { return node.node != nil })
 					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
-					if other := d.slotOwner(); other != nil && other != node {
-						other.Kill()
-						d.world.At(d.world.now+300_000, other.Start)
+					if leader := d.slotLeader(); leader != nil && leader != node {
+						leader.Kill()
+						d.world.At(d.world.now+300_000, leader.Start)
 					}
 				}
 				took, ok := d.until(bound, func() bool { return d.caughtUp(node) })
@@ -164,8 +164,8 @@
 					voterSet, _ := d.currentVoters()
 					t.Fatalf("seed %d: not caught up in %d us, votes %v, largest message %d bytes, %d changes: %v", seed, took, node.isMemberOf(voterSet), d.largest, d.changes, d.world.violations)
 				}
-				if was := d.differs(node); was != "" {
-					t.Fatalf("seed %d: it holds something else than the owner: %s", seed, was)
+				if difference := d.differs(node); difference != "" {
+					t.Fatalf("seed %d: it holds something else than the owner: %s", seed, difference)
 				}
 				if d.largest > frameBound {
 					t.Fatalf("seed %d: a message of %d bytes was sent", seed, d.largest)
--- a/sim/soak_test.go
+++ b/sim/soak_test.go
@@ -19,9 +19,9 @@
 		t.Run("fleet/"+string(d), func(t *testing.T) {
 			t.Parallel()
 			var sum Tally
-			var back int64
+			var recovery int64
 			for s := from + 1; s <= from+n; s++ {
-				result := RunFleet(s, d, soakLong(d), small)
+				result := RunFleet(s, d, soakDurationUS(d), smallFleet)
 				if len(result.Violations) > 0 {
 					t.Errorf("seed %d: %v", s, result.Violations)
 					t.Log(strings.Join(result.Notes[max(0, len(result.Notes)-40):], "\n"))
@@ -29,9 +29,9 @@
 				}
 				sum.Sent, sum.Done, sum.Rejected = sum.Sent+result.Sent, sum.Done+result.Done, sum.Rejected+result.Rejected
 				sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS = max(sum.SlowestRevocationUS, result.SlowestRevocationUS), max(sum.SlowestDrainUS, result.SlowestDrainUS), max(sum.SlowestWeightUpdateUS, result.SlowestWeightUpdateUS)
-				back = max(back, result.RecoveryUS)
+				recovery = max(recovery, result.RecoveryUS)
 			}
-			t.Logf("%d seeds: sent %d done %d refused %d; slowest return %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Rejected, back, sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS)
+			t.Logf("%d seeds: sent %d done %d refused %d; slowest return %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Rejected, recovery, sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS)
 		})
 	}
 	for _, fault := range ClusterFaults {
@@ -54,8 +54,8 @@
 	}
 }
 
-// soakLong is how long a day is: the bound on weights is itself as long as most.
-func soakLong(day Day) int64 {
+// soakDurationUS is how long a day is: the bound on weights is itself as long as most.
+func soakDurationUS(day Day) int64 {
 	if day == DayWeights {
 		return 70_000_000
 	}
--- a/sim/tally.go
+++ b/sim/tally.go
@@ -13,7 +13,7 @@
 	// Arrived, Retries and Attempts are the gateways' own counters.
 	Arrived, Retries, Attempts uint64
 	// What operators and the platform did.
-	PlansAcknowledged, KeysRevoked, WeightsNamed, EnginesDrained, IsolationChanges int
+	PlansAcknowledged, KeysRevoked, WeightsChanged, EnginesDrained, IsolationChanges int
 	// The longest that a revoked key, a leaving engine and old weights were still used, in
 	// microseconds.
 	SlowestRevocationUS, SlowestDrainUS, SlowestWeightUpdateUS int64
--- a/sim/waves_test.go
+++ b/sim/waves_test.go
@@ -12,23 +12,23 @@
 func TestWaves(t *testing.T) {
 	t.Parallel()
 	n := seeds()
-	least, worst := 18, int64(0)
+	minServing, worst := 18, int64(0)
 	for seed := int64(1); seed <= max(n, 2); seed++ {
 		fleet := NewFleet(seed, FleetSize{Gateways: 9, Engines: 18})
 		operator := NewFleetOperator(fleet)
 		world := fleet.World
 		world.At(1_300_000, func() { operator.PutPlan(nil) })
 		world.At(2_500_000, func() { fleet.sendRequests(operator, 30_000_000) })
-		world.At(6_000_000, operator.NameWeights)
+		world.At(6_000_000, operator.ChangeWeights)
 		world.At(8_000_000, func() { fleet.IndexNodes[seed%4].Kill() })
-		done, lost := int64(0), map[string]int{}
+		done, lostByReason := int64(0), map[string]int{}
 		fleet.checker.onRequestEnded = func(request *callerRequest, outcome attempt.Outcome) {
 			if outcome != attempt.Done && request.reason != "duplicate" {
-				lost[request.reason]++
+				lostByReason[request.reason]++
 			}
 		}
-		var look func()
-		look = func() {
+		var poll func()
+		poll = func() {
 			serving, old := 0, 0
 			for _, engine := range fleet.Engines {
 				if engine.store {
@@ -41,13 +41,13 @@
 					old++
 				}
 			}
-			least = min(least, serving)
+			minServing = min(minServing, serving)
 			if old == 0 && done == 0 {
 				done = world.now - 6_000_000
 			}
-			world.At(world.now+20_000, look)
+			world.At(world.now+20_000, poll)
 		}
-		world.At(6_000_000, look)
+		world.At(6_000_000, poll)
 		world.Run(32_000_000)
 		if len(world.violations) > 0 {
 			t.Fatalf("seed %d: %v", seed, world.violations)
@@ -56,13 +56,13 @@
 			t.Errorf("seed %d: all engines had turned after %d us", seed, done)
 		}
 		// Callers turned away by engines that turn may use retries up.
-		if fleet.Tally.Rejected*100 > fleet.Tally.Sent || lost["engine-lost"] > 0 {
-			t.Errorf("seed %d: of %d tickets %v", seed, fleet.Tally.Sent, lost)
+		if fleet.Tally.Rejected*100 > fleet.Tally.Sent || lostByReason["engine-lost"] > 0 {
+			t.Errorf("seed %d: of %d tickets %v", seed, fleet.Tally.Sent, lostByReason)
 		}
 		worst = max(worst, done)
 	}
-	t.Logf("at least %d of 18 engines served; all had turned after %.1f s at most", least, float64(worst)/1e6)
-	if least < 9 {
-		t.Errorf("only %d of 18 engines served", least)
+	t.Logf("at least %d of 18 engines served; all had turned after %.1f s at most", minServing, float64(worst)/1e6)
+	if minServing < 9 {
+		t.Errorf("only %d of 18 engines served", minServing)
 	}
 }
--- a/sim/weights_operator.go
+++ b/sim/weights_operator.go
@@ -28,8 +28,8 @@
 	h.newest = max(h.newest, version)
 }
 
-// namedAt is the newest version that was certainly named before a time.
-func (h *WeightsHistory) namedAt(at int64) uint64 {
+// newestAt is the newest version that was certainly named before a time.
+func (h *WeightsHistory) newestAt(at int64) uint64 {
 	for v := h.newest; v > 0; v-- {
 		if since, ok := h.since[v]; ok && since < at {
 			return v
@@ -67,24 +67,24 @@
 	nodes := o.cluster.Nodes
 	node := nodes[o.cluster.world.Rng.Intn(len(nodes))]
 	version, from := o.version, o.cluster.world.now
-	Call(o.Host, node.Host, version, operatorSilence,
+	Call(o.Host, node.Host, version, operatorTimeoutUS,
 		func(version uint64, answer func(Reply)) {
-			node.Edit(route.WeightsKey, nameWeights(simModel, version), answer)
+			node.Edit(route.WeightsKey, changeWeights(simModel, version), answer)
 		},
 		func(r Reply) { o.answered(version, r, from) },
-		o.again)
+		o.retry)
 }
 
-func (o *WeightsOperator) again() {
-	o.After(int64(min(o.sends, operatorPauses))*operatorPause, o.send)
+func (o *WeightsOperator) retry() {
+	o.After(int64(min(o.sends, operatorMaxRetryFactor))*operatorRetryDelayUS, o.send)
 }
 
 func (o *WeightsOperator) answered(version uint64, answer Reply, from int64) {
 	if answer.Outcome != OutcomeAccepted {
-		o.again()
+		o.retry()
 		return
 	}
-	if floor := o.history.namedAt(from); answer.Version < floor {
+	if floor := o.history.newestAt(from); answer.Version < floor {
 		o.cluster.world.Violation("older weights", "version %d was told at %d, %d was named before", answer.Version, from, floor)
 	}
 	o.history.acknowledged(version)
