--- a/sim/agent.go
+++ b/sim/agent.go
@@ -7,14 +7,14 @@
 	"violetthread/schema/fb"
 )
 
-// Agent is the agent beside a gateway: the real one, and adapters to the simulated world.
+// Agent runs the agent of a gateway, connected to the simulated world.
 type Agent struct {
 	*Host
 	fleet   *Fleet
-	gateway string // its name
+	gateway string // name of the gateway
 	session session
 	agent   *agent.Agent
-	status  *fb.NodeT // of the gateway, as it last told
+	status  *fb.NodeT // the gateway's status as of its last poll
 }
 
 func (a *Agent) start() {
@@ -28,7 +28,7 @@
 	})
 }
 
-// ask carries a query to the index node that it is for.
+// ask sends a capacity query to its index node.
 func (a *Agent) ask(query agent.Query) {
 	indexNode, askedAt := a.fleet.indexNodeNamed(query.Via), a.Clock()
 	Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(response *fb.CapacityResponseT) {
@@ -41,13 +41,13 @@
 	}, func() { a.agent.HandleResponse(query, askedAt, nil) })
 }
 
-// answerGateway answers the gateway's poll.
+// answerGateway serves a poll of the gateway.
 func (a *Agent) answerGateway(request *fb.FeedRequestT, reply func(*fb.FeedResponseT)) {
 	a.status = request.Node
 	reply(a.agent.Poll(a.Clock(), &a.session.plan, a.session.generation, request))
 }
 
-// propose carries the gateway's operation to the control nodes.
+// propose forwards the gateway's operation to the control nodes.
 func (a *Agent) propose(op quorum.Operation, reply func(quorum.Result)) {
 	a.fleet.propose(a.Host, &a.session, a.session.current, op, 1_900_000, func(result quorum.Result, ok bool) {
 		if !ok {
--- a/sim/catchup_day.go
+++ b/sim/catchup_day.go
@@ -6,45 +6,47 @@
 	"violetthread/wal"
 )
 
-// Setback is what keeps a member from following a long row of changes.
+// CatchupFault is a kind of fault that keeps a voter from following a long series of changes.
 type CatchupFault string
 
-// The setbacks.
+// Faults of catch-up days.
 const (
-	CatchupFaultDown       CatchupFault = "down"       // for a part of the row, with its disk
-	CatchupFaultWiped      CatchupFault = "wiped"      // for a part of the row, and comes back empty
-	CatchupFaultRestarts   CatchupFault = "restarts"   // again and again, killed or without power
-	CatchupFaultCheckpoint CatchupFault = "checkpoint" // ends at each record of a checkpoint in turn
+	CatchupFaultDown       CatchupFault = "down"       // a voter is down during part of the series and keeps its disk
+	CatchupFaultWiped      CatchupFault = "wiped"      // a voter is down during part of the series and comes back with an empty disk
+	CatchupFaultRestarts   CatchupFault = "restarts"   // voters restart repeatedly, after a kill or a power loss
+	CatchupFaultCheckpoint CatchupFault = "checkpoint" // a process ends at a record of a checkpoint, at each record in turn
 )
 
-// Setbacks lists them all.
+// CatchupFaults lists all catch-up faults.
 var CatchupFaults = []CatchupFault{CatchupFaultDown, CatchupFaultWiped, CatchupFaultRestarts, CatchupFaultCheckpoint}
 
 const (
-	// largeRoutes is the size of the large configurations; the text is some 100 kB.
+	// largeRoutes is the number of routes of a large configuration, some 100 kB of text.
 	largeRoutes = 350
-	// Of each so many orders one brings a large configuration, and another, shortly
-	// after, a small one.
+	// Of every largeConfigPeriod requests, one sends a large configuration. The one that comes
+	// largeConfigLifetime requests later replaces it with a small one.
 	largeConfigPeriod   = 60
 	largeConfigLifetime = 6
-	// maxDowntimeUS is the longest that a member is down, and maxRestartUS that one that is
-	// restarted is away.
+	// maxDowntimeUS limits the downtime of a stopped voter, and maxRestartUS that of a
+	// restarted one.
 	maxDowntimeUS = 3_000_000
 	maxRestartUS  = 400_000
 )
 
-// catchupLog has room for a row of configurations beside a checkpoint that is written
-// record by record; a configuration remembers the changes that led to it.
+// catchupLog returns the settings of a log that holds a series of configurations in addition
+// to a checkpoint that is written record by record. The log grows with the number of changes
+// because a configuration keeps its change history.
 func catchupLog(changes int) wal.Config {
 	return wal.Config{SegmentCount: 24, SegmentBytes: int64(20<<10 + changes*48)}
 }
 
-// CatchupResult is what a day of many changes came to.
+// CatchupResult is the result of a catch-up day.
 type CatchupResult struct {
 	Changes, Large, Faults, Checkpoints int
-	// InterruptedCheckpoints are the records of checkpoints at which a process ended.
+	// InterruptedCheckpoints counts the checkpoint records at which a process was ended.
 	InterruptedCheckpoints int
-	// SlowestCatchupUS is the longest from a voter's start until it holds all that is committed.
+	// SlowestCatchupUS is the longest time from a voter's start until it holds all committed
+	// changes.
 	SlowestCatchupUS int64
 	// Leaders counts the changes of the configuration's leader.
 	Leaders    int
@@ -52,20 +54,20 @@
 	Notes      []string
 }
 
-// CatchupDay is a row of changes with setbacks of one kind.
+// CatchupDay makes a series of changes under faults of one kind.
 type CatchupDay struct {
 	*ConfigWorld
 	fault                 CatchupFault
 	changes               int
-	nextInterruptedRecord int                   // record at which the next checkpoint is cut short
-	completeNext          map[*ControlNode]bool // its last checkpoint was cut short, the next one is not
+	nextInterruptedRecord int                   // record at which the next checkpoint is interrupted
+	completeNext          map[*ControlNode]bool // true after an interrupted checkpoint: the node's next one is left to complete
 	busy                  bool
 	leader                string
-	version               map[uint64]uint64 // by revision of the register
+	version               map[uint64]uint64 // configuration version by revision of the register
 	result                CatchupResult
 }
 
-// RunCatchup runs a day of so many changes.
+// RunCatchup runs a day with the given number of changes.
 func RunCatchup(seed int64, nodes, changes int, fault CatchupFault, format ConfigFormat) CatchupResult {
 	d := &CatchupDay{ConfigWorld: NewConfigWorld(seed, nodes, format), fault: fault, changes: changes, completeNext: map[*ControlNode]bool{}, version: map[uint64]uint64{}}
 	d.Cluster.logConfig = catchupLog(changes)
@@ -82,7 +84,7 @@
 	d.Start()
 	world := d.World
 	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acknowledged > 2 }); !ok {
-		world.Violation("not begun", "no configuration was acknowledged after %d us", world.now)
+		world.Violation("not started", "no configuration was acknowledged after %d us", world.now)
 	}
 	d.watchLeader()
 	d.next()
@@ -100,7 +102,7 @@
 	return *r
 }
 
-// routes is the size of an operator's n-th order.
+// routes returns the number of routes of an operator's n-th request.
 func (d *CatchupDay) routes(n int) int {
 	switch n % largeConfigPeriod {
 	case largeConfigPeriod / 2:
@@ -112,11 +114,12 @@
 	return 0
 }
 
-// next brings the next setback about, once the last one is over, while changes go on.
+// next injects the next fault after the previous one has ended, while changes remain to be
+// made.
 func (d *CatchupDay) next() {
 	world := d.World
 	if d.fault == CatchupFaultCheckpoint || int(d.Config.newest) >= d.changes {
-		return // checkpoints come by themselves
+		return // checkpoint faults are injected by interruptCheckpoint
 	}
 	world.At(world.now+100_000+world.Rng.Int63n(500_000), func() {
 		node := d.Cluster.Nodes[world.Rng.Intn(len(d.Cluster.Nodes))]
@@ -130,7 +133,7 @@
 	})
 }
 
-// stopMember ends a voter's process, by a kill or with the power, and its disk if asked for.
+// stopMember kills a voter's process or cuts its power, and empties its disk if wiped is set.
 func (d *CatchupDay) stopMember(node *ControlNode, wiped bool) {
 	d.result.Faults++
 	switch {
@@ -143,7 +146,7 @@
 	}
 }
 
-// restartMember starts the member again and waits until it holds all that is committed.
+// restartMember restarts a voter and waits until it holds all committed changes.
 func (d *CatchupDay) restartMember(node *ControlNode) {
 	world := d.World
 	at := world.now
@@ -159,7 +162,7 @@
 			return
 		}
 		if took > bound {
-			world.Violation("not caught up", "%s does not hold all that is settled %d us after its start", node.Name, took)
+			world.Violation("not caught up", "%s does not hold all committed changes %d us after its start", node.Name, took)
 			return
 		}
 		world.At(world.now+checkIntervalUS, poll)
@@ -167,8 +170,8 @@
 	poll()
 }
 
-// holdsCommitted reports whether a node votes and holds every slot up to what its leader
-// knows to be committed.
+// holdsCommitted reports whether a node is a voter and holds every slot up to the position
+// that the slot's leader knows to be committed.
 func (d *CatchupDay) holdsCommitted(node *ControlNode) bool {
 	if !node.up || node.node == nil || !node.node.AllSlotsRecovered() {
 		return false
@@ -198,8 +201,9 @@
 }
 
 // interruptCheckpoint ends a process at the next record of a checkpoint in turn, while all
-// members are up and hold everything. The member's next checkpoint is left whole: what
-// is cut short takes room, and a log that never sees a whole one is full in the end.
+// members are up and have recovered all slots. The member's next checkpoint is left to
+// complete: interrupted checkpoints take up space, and a log without any complete one fills
+// up.
 func (d *CatchupDay) interruptCheckpoint(node *ControlNode, written, of int) bool {
 	if d.completeNext[node] {
 		d.completeNext[node] = written < of-1
@@ -219,7 +223,7 @@
 	return true
 }
 
-// watchLeader checks that whoever answers for the configuration has the newest one.
+// watchLeader checks that the leader of the configuration's slot has the newest version.
 func (d *CatchupDay) watchLeader() {
 	world := d.World
 	for _, node := range d.Cluster.Nodes {
@@ -240,11 +244,12 @@
 		d.result.Leaders++
 	}
 	if floor := d.Config.inForceAt(d.World.now); d.versionOf(entry) < floor {
-		d.World.Violation("an owner with old state", "%s answers with version %d, %d was in force", node.Name, d.versionOf(entry), floor)
+		d.World.Violation("leader with old state", "%s answers with version %d, but %d was in force", node.Name, d.versionOf(entry), floor)
 	}
 }
 
-// versionOf is the version that a register's entry holds; a revision has one value.
+// versionOf returns the version in a register's entry, cached by revision because a revision
+// has exactly one value.
 func (d *CatchupDay) versionOf(entry quorum.Entry) uint64 {
 	if v, ok := d.version[entry.Revision]; ok {
 		return v
--- a/sim/catchup_day_test.go
+++ b/sim/catchup_day_test.go
@@ -23,10 +23,10 @@
 					requireNoViolations(t, seed, r.Violations, r.Notes)
 					sum.add(r)
 				}
-				t.Logf("%d changes, %d of 350 routes, %d setbacks, %d checkpoints, %d cut short, %d owners: caught up after %s of %s",
+				t.Logf("%d changes, %d of 350 routes, %d faults, %d checkpoints, %d interrupted, %d leaders: caught up after %s, limit %s",
 					sum.Changes, sum.Large, sum.Faults, sum.Checkpoints, sum.InterruptedCheckpoints, sum.Leaders, seconds(sum.SlowestCatchupUS), seconds(rejoinPeriodUS(nodes)))
 				if sum.Faults == 0 || sum.Large == 0 || sum.SlowestCatchupUS == 0 {
-					t.Error("too little to prove anything")
+					t.Error("too little activity for a meaningful result")
 				}
 			})
 		}
--- a/sim/checker.go
+++ b/sim/checker.go
@@ -4,8 +4,8 @@
 	"violetthread/attempt"
 )
 
-// Within how long after its acknowledgement an operator's act must be in force everywhere
-// (docs/design.md), with what the checker allows for its own resolution.
+// Limits on the time from the acknowledgement of an operator's change until it is in force
+// everywhere (docs/design.md), including an allowance for the checker's resolution.
 const (
 	planBoundUS         = 2_000_000
 	revocationBoundUS   = 5_000_000
@@ -13,29 +13,30 @@
 	weightUpdateBoundUS = 25_000_000
 )
 
-// checker is the test oracle of a fleet: it knows what operators and the platform did and
-// when, in true time, and compares what callers, engines and index nodes show from outside.
+// checker is the test oracle of a fleet. It records, in true time, what operators and the
+// platform did and compares it with the externally visible behaviour of callers, engines and
+// index nodes.
 type checker struct {
 	fleet *Fleet
 
-	acknowledged  []acknowledgement // of plans
-	revokedAt     map[string]int64  // by digest of a key: when its removal was acknowledged
+	acknowledged  []acknowledgement // acknowledged plans
+	revokedAt     map[string]int64  // by key digest: when the key's removal was acknowledged
 	drainingSince map[string]int64  // by engine: when the platform listed it as leaving
 	isolated      map[string][]span // by group: when it was isolated
-	removed       map[string][]span // by group: when there was none of that name
+	removed       map[string][]span // by group: when the plan had no such group
 
-	weights          string // that were named last
+	weights          string // weights of the last acknowledged change
 	weightsChangedAt int64
-	weightsBeingSent string // that a plan on its way names
+	weightsBeingSent string // weights of a plan that is not acknowledged yet
 	weightsChanges   []weightsChange
 
-	runsByAttempt  map[string]map[string]int // by request and attempt
+	runsByAttempt  map[string]map[string]int // by request, then by attempt
 	completions    map[string]int            // by request
 	lastCompletion int64
 	onRequestEnded func(*callerRequest, attempt.Outcome)
 }
 
-// acknowledgement is a plan that was acknowledged at a true time.
+// acknowledgement is the acknowledgement of a plan, in true time.
 type acknowledgement struct {
 	at       int64
 	revision uint64
@@ -53,10 +54,10 @@
 	}
 }
 
-// onceKinds are the kinds of requests that may run and complete once at most.
+// onceKinds are the kinds of requests that may run and complete at most once.
 var onceKinds = map[string]bool{"tag": true, "confirmation": true}
 
-// inForce is the newest revision that must be in force everywhere by now.
+// inForce returns the newest revision that must be in force everywhere by now.
 func (c *checker) inForce(bound int64) uint64 {
 	var newest uint64
 	for _, acknowledged := range c.acknowledged {
@@ -67,15 +68,15 @@
 	return newest
 }
 
-// requestAdmitted checks that a gateway admits by a plan that may still be in force.
+// requestAdmitted checks that a gateway does not admit a request by an outdated plan.
 func (c *checker) requestAdmitted(request *callerRequest) {
 	if inForce := c.inForce(planBoundUS); request.planRevision < inForce {
-		c.fleet.World.Violation("old plan", "%s allowed %s/%s under revision %d, %d is in force", request.gateway.Name, request.group, request.id, request.planRevision, inForce)
+		c.fleet.World.Violation("outdated plan", "%s admitted %s/%s under revision %d, but %d is in force", request.gateway.Name, request.group, request.id, request.planRevision, inForce)
 	}
-	c.checkKey(request, "was allowed")
+	c.checkKey(request, "was admitted")
 }
 
-// checkKey checks that a request's key was not revoked too long ago.
+// checkKey checks that a request's key was not revoked longer ago than the bound allows.
 func (c *checker) checkKey(request *callerRequest, event string) {
 	revokedAt, ok := c.revokedAt[request.keyDigest]
 	if !ok {
@@ -83,15 +84,15 @@
 	}
 	age := c.fleet.World.now - revokedAt
 	if age > revocationBoundUS {
-		c.fleet.World.Violation("key works", "%s/%s %s %d us after its key was taken away", request.group, request.id, event, age)
+		c.fleet.World.Violation("revoked key accepted", "%s/%s %s %d us after its key was revoked", request.group, request.id, event, age)
 		return
 	}
 	c.fleet.Tally.SlowestRevocationUS = max(c.fleet.Tally.SlowestRevocationUS, age)
 }
 
-func (c *checker) pieceDelivered(request *callerRequest) { c.checkKey(request, "got a piece") }
+func (c *checker) pieceDelivered(request *callerRequest) { c.checkKey(request, "received a piece") }
 
-// runStarted checks a run that an engine took.
+// runStarted checks a run that an engine accepted.
 func (c *checker) runStarted(engine *Engine, run *engineRun) {
 	world, request, attemptID := c.fleet.World, run.request, run.action.AttemptID
 	c.fleet.Tally.Runs++
@@ -106,15 +107,16 @@
 	}
 	c.checkKey(request, "began")
 	if change, old := c.oldestUnfollowed(run.action.Weights, weightUpdateBoundUS); old {
-		world.Violation("old weights served", "%s ran %s under %s, %d us after %s was named", engine.Name, key, run.action.Weights, world.now-change.acknowledgedAt, change.name)
+		world.Violation("old weights served", "%s ran %s under %s, %d us after the change to %s was acknowledged", engine.Name, key, run.action.Weights, world.now-change.acknowledgedAt, change.name)
 	}
 	c.checkDraining(engine)
 	if request.ended {
-		world.Violation("ran after its end", "%s attempt %s", key, attemptID)
+		world.Violation("ran after its outcome", "%s attempt %s", key, attemptID)
 	}
 }
 
-// checkDraining checks that an engine that takes a run was not listed as leaving too long ago.
+// checkDraining checks that an engine does not accept runs longer after it was listed as
+// leaving than the bound allows.
 func (c *checker) checkDraining(engine *Engine) {
 	since, ok := c.drainingSince[engine.Name]
 	if !ok {
@@ -122,12 +124,12 @@
 	}
 	age := c.fleet.World.now - since
 	if age > drainBoundUS {
-		c.fleet.World.Violation("leaving", "%s got work %d us after it showed as leaving", engine.Name, age)
+		c.fleet.World.Violation("leaving", "%s got a run %d us after it was listed as leaving", engine.Name, age)
 	}
 	c.fleet.Tally.SlowestDrainUS = max(c.fleet.Tally.SlowestDrainUS, age)
 }
 
-// requestEnded checks what the caller was told last.
+// requestEnded checks the final response to the caller.
 func (c *checker) requestEnded(request *callerRequest, outcome attempt.Outcome, reason string) {
 	if c.onRequestEnded != nil {
 		c.onRequestEnded(request, outcome)
@@ -143,7 +145,7 @@
 	}
 	world, gateway := c.fleet.World, request.gateway
 	if world.now > request.deadline+500_000 && gateway.up && !gateway.frozen && world.now > gateway.thawedAt+100_000 {
-		world.Violation("late word", "%s was told %s %d us after its due", key, outcome, world.now-request.deadline)
+		world.Violation("late response", "%s got the outcome %s %d us after its deadline", key, outcome, world.now-request.deadline)
 	}
 }
 
@@ -151,10 +153,10 @@
 	c.fleet.Tally.Done++
 	c.lastCompletion = c.fleet.World.now
 	if request.pieces != piecesPerRun {
-		c.fleet.World.Violation("looks whole", "%s was done with %d pieces", key, request.pieces)
+		c.fleet.World.Violation("incomplete answer", "%s completed with %d pieces", key, request.pieces)
 	}
 	if c.completions[key]++; onceKinds[request.kind] && c.completions[key] > 1 {
-		c.fleet.World.Violation("done twice", "%s", key)
+		c.fleet.World.Violation("completed twice", "%s", key)
 	}
 }
 
@@ -162,16 +164,17 @@
 func (c *checker) requestRejected(request *callerRequest, key, reason string) {
 	c.fleet.Tally.Rejected++
 	if request.pieces > 0 {
-		c.fleet.World.Violation("refused late", "%s was refused after a piece", key)
+		c.fleet.World.Violation("rejected late", "%s was rejected after a piece", key)
 	}
 	for _, id := range request.attempts {
 		if c.runsByAttempt[key][id] > 0 {
-			c.fleet.World.Violation("refused and ran", "%s (%s): attempt %s ran", key, reason, id)
+			c.fleet.World.Violation("rejected and ran", "%s (%s): attempt %s ran", key, reason, id)
 		}
 	}
 }
 
-// checkInvariants checks, at some of the events, what must be true at every instant.
+// checkInvariants checks invariants that must hold at every instant, sampled at some of the
+// events.
 func (c *checker) checkInvariants() {
 	if c.fleet.World.Events%32 != 0 {
 		return
@@ -184,7 +187,7 @@
 	}
 }
 
-// checkOneHolder checks that no two index nodes hold the lease of a role.
+// checkOneHolder checks that no two index nodes hold the lease of the same role.
 func (c *checker) checkOneHolder() {
 	holders := map[string]string{}
 	for _, indexNode := range c.fleet.IndexNodes {
--- a/sim/checker_weights.go
+++ b/sim/checker_weights.go
@@ -4,14 +4,16 @@
 	"slices"
 )
 
-// naming is one naming of weights: when its plan was sent, and acknowledged.
+// weightsChange is a change of the weights in the plan, with the times at which the plan was
+// sent and acknowledged.
 type weightsChange struct {
 	name                   string
 	sentAt, acknowledgedAt int64
 }
 
-// oldestUnfollowed finds the oldest naming that an engine running these weights has not
-// followed for so long: neither it nor any later one names them.
+// oldestUnfollowed finds the oldest weights change, acknowledged longer ago than the bound,
+// that an engine running the given weights has not followed: neither that change nor any later
+// one set these weights.
 func (c *checker) oldestUnfollowed(weights string, bound int64) (weightsChange, bool) {
 	for i, candidate := range c.weightsChanges {
 		if c.fleet.World.now-candidate.acknowledgedAt <= bound {
@@ -24,9 +26,9 @@
 	return weightsChange{}, false
 }
 
-// checkEngineWeights checks each engine against each naming by itself, from when the engine
-// could last be told: up, not frozen, listed and not leaving. One that ignores the update is
-// nobody's fault; that it serves nothing any more is checked at every run.
+// checkEngineWeights checks an engine against each weights change, starting from the time when
+// the engine could last be reached: up, not frozen, listed and not leaving. An engine that
+// ignores the update is no violation here; runStarted checks that it gets no more runs.
 func (c *checker) checkEngineWeights(engine *Engine) {
 	fleet := c.fleet
 	if engine.store {
@@ -43,7 +45,7 @@
 		took := fleet.World.now - max(candidate.acknowledgedAt, engine.unreachableUntil)
 		fleet.Tally.SlowestWeightUpdateUS = max(fleet.Tally.SlowestWeightUpdateUS, took)
 		if took > weightUpdateBoundUS {
-			fleet.World.Violation("old weights", "%s runs %s %d us after %s was named", engine.Name, engine.weights, fleet.World.now-candidate.acknowledgedAt, candidate.name)
+			fleet.World.Violation("old weights", "%s runs %s %d us after the change to %s was acknowledged", engine.Name, engine.weights, fleet.World.now-candidate.acknowledgedAt, candidate.name)
 		}
 		return
 	}
--- a/sim/claim_clients.go
+++ b/sim/claim_clients.go
@@ -6,20 +6,20 @@
 	"violetthread/quorum"
 )
 
-// lateClaimPeriod is of how many claims one is followed by another for a key of long ago.
+// lateClaimPeriod is the number of claims after which a client also requests a claim for an
+// old key.
 const lateClaimPeriod = 8
 
-// ClaimClients race for claims: of all that ask for one key, at most one is ever told that
-// it holds it.
+// ClaimClients compete for claims and check that each key is granted to at most one of them.
 type ClaimClients struct {
-	Won  int // claims that were granted, repeats included
-	Late int // claims of generations that were over when they were asked for
+	Won  int // granted claims, repeats included
+	Late int // claims whose generation was already closed
 
 	cluster *Cluster
-	holder  map[string]string // by key: the nonce that was told so
+	holder  map[string]string // by key: nonce of the client that was granted the claim
 }
 
-// NewClaimClients adds so many clients that race for claims.
+// NewClaimClients adds the given number of clients that compete for claims.
 func NewClaimClients(cluster *Cluster, count int) *ClaimClients {
 	clients := &ClaimClients{cluster: cluster, holder: map[string]string{}}
 	for i := 0; i < count; i++ {
@@ -36,8 +36,8 @@
 	return clients
 }
 
-// claimNext claims the next key, which another client asks for as well, and now and then one
-// that was granted long ago.
+// claimNext requests a claim for the next key, which other clients request as well, and
+// from time to time one for an old key.
 func (c *ClaimClients) claimNext(host *Host, number int) {
 	generation := max(1, c.cluster.newestGeneration())
 	nonce := fmt.Sprintf("%s-%d-%d", host.Name, host.process, number)
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -56,14 +56,14 @@
 		t.Fatal(world.violations)
 	}
 	room := int(int64(cluster.logConfig.SegmentCount)*cluster.logConfig.SegmentBytes) / 4 * 3 / 4
-	t.Logf("%d claims: %v; asked for again: %v; %d eras; at most %d of %d bytes; a claim's record takes %d bytes",
+	t.Logf("%d claims: %v; late claims: %v; %d generations; at most %d of %d bytes; a claim's record takes %d bytes",
 		n, results, lateResults, cluster.newestGeneration(), maxStateBytes, room, len(codec.PackRecord(quorum.Record{Type: quorum.RecordEntry, Slot: 9, Term: 1 << 18, Last: quorum.Position{Term: 1 << 18, Index: 1 << 20},
 			Committed: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Entry: quorum.Entry{Key: "claim/12345/dealing-desk/order-00000001", Position: quorum.Position{Term: 1 << 18, Index: 1 << 20}, Revision: 1, Value: []byte("remisier4/k3f9a2b1c/ffffff")}})))
 	if results[quorum.StatusDone] != n || lateResults[quorum.StatusDone] > 0 {
-		t.Errorf("of %d claims %v; asked for again %v", n, results, lateResults)
+		t.Errorf("of %d claims %v; late claims %v", n, results, lateResults)
 	}
 	if lateResults[quorum.StatusGenerationClosed] < n/4 || lateResults[quorum.StatusConflict] == 0 {
-		t.Errorf("asked for again: %v", lateResults)
+		t.Errorf("late claims: %v", lateResults)
 	}
 	if maxStateBytes > room*9/10 {
 		t.Errorf("%d of %d bytes were used", maxStateBytes, room)
--- a/sim/cluster.go
+++ b/sim/cluster.go
@@ -7,52 +7,53 @@
 	"violetthread/wal"
 )
 
-// Cluster is the control nodes of a world. Its function fields are for directed days: they
-// let a day lose messages, end processes at chosen moments, or watch.
+// Cluster is the set of control nodes of a world. Its function fields are hooks with which
+// directed days drop messages, end processes at chosen moments, or observe the cluster.
 type Cluster struct {
 	Nodes     []*ControlNode
 	world     *World
-	voterSet  quorum.VoterSet // as founded
+	voterSet  quorum.VoterSet // initial voter set
 	logConfig wal.Config
 
-	generationUS int64 // how long a generation of claims is the newest
-	leaseUS      int64 // of a slot's leader, 0 for the default
-	selfHealing  bool  // control nodes admit each other, without an operator
+	generationUS int64 // how long a generation of claims stays the newest
+	leaseUS      int64 // lease of a slot's leader, 0 for the default
+	selfHealing  bool  // control nodes admit each other without an operator
 
 	replacing      bool   // an operator is changing the voter set
-	powerLossArmed bool   // all lose their power at the next acknowledgement
-	incarnations   uint64 // drawn so far, beside the first ones
+	powerLossArmed bool   // all nodes lose power at the next acknowledgement
+	incarnations   uint64 // number drawn so far, besides the initial ones
 
-	Replacements  int   // how often an operator changed the voter set
-	Joins         int   // how often a machine was admitted
-	SlowestJoinUS int64 // from its start until all slots were recovered with it
+	Replacements  int   // changes of the voter set by an operator
+	Joins         int   // machines that were admitted
+	SlowestJoinUS int64 // longest time from a machine's start until all slots were recovered with it
 
 	// onNewNode is called for a new machine before its first start, onBoot at each start.
 	onNewNode func(*ControlNode)
 	onBoot    func(*ControlNode)
-	// onMessage sees every message between voters when it is sent.
+	// onMessage is called for every message between voters when it is sent.
 	onMessage func(receiver *ControlNode, message quorum.Message)
-	// dropsMessage and losesStep tell whether a message, or a step of an order, gets lost.
+	// dropsMessage and losesStep report whether a message, or a step of a configuration
+	// request, is lost.
 	dropsMessage func(quorum.Message) bool
 	losesStep    func(RequestStep) bool
-	// beforeResult is called before a node tells an operation's result, beforeSynced when
-	// records are on its disk and its voter does not know yet. They return true if they
-	// ended the process.
+	// beforeResult is called before a node returns an operation's result. beforeSynced is
+	// called when records are on the disk and the voter has not been notified yet. Both return
+	// true if they ended the process.
 	beforeResult func(*ControlNode, quorum.Result) bool
 	beforeSynced func(*ControlNode) bool
-	// beforeCheckpointRecord is called before each record of a checkpoint with how many of
-	// it are written, and returns true if it ended the process. Checkpoints are written
-	// record by record then.
+	// beforeCheckpointRecord is called before each record of a checkpoint with the number of
+	// records written and the total, and returns true if it ended the process. If it is set,
+	// checkpoints are written record by record.
 	beforeCheckpointRecord func(node *ControlNode, written, of int) bool
 }
 
-// smallLog is so small that days of control nodes write checkpoints.
+// smallLog is small enough for checkpoints to be written within a simulated day.
 var smallLog = wal.Config{SegmentCount: 10, SegmentBytes: 18 << 10}
 
-// zones are those of all simulated worlds.
+// zones are the zones of all simulated worlds.
 var zones = []string{"north", "east", "south", "west"}
 
-// NewCluster adds so many control nodes, which are the voters.
+// NewCluster adds the given number of control nodes, all of them voters.
 func NewCluster(world *World, size int) *Cluster {
 	cluster := &Cluster{world: world, generationUS: 800_000, logConfig: smallLog}
 	cluster.voterSet.Revision = quorum.FirstRevision(7)
@@ -68,14 +69,14 @@
 	return cluster
 }
 
-// Start starts all nodes.
+// Start starts all control nodes.
 func (c *Cluster) Start() {
 	for _, node := range c.Nodes {
 		node.Start()
 	}
 }
 
-// newNode adds a machine with an empty disk that is in no voter set yet.
+// newNode adds a machine with an empty disk that is not in any voter set yet.
 func (c *Cluster) newNode() *ControlNode {
 	i := len(c.Nodes)
 	node := &ControlNode{cluster: c, Disk: NewDisk(c.world), incarnation: uint64(100 + i)}
@@ -87,13 +88,13 @@
 	return node
 }
 
-// newIncarnation draws the incarnation of an emptied disk.
+// newIncarnation returns a new incarnation, for a machine whose disk was emptied.
 func (c *Cluster) newIncarnation() uint64 {
 	c.incarnations++
 	return 1000 + c.incarnations
 }
 
-// nodeNamed is the control node of a name, nil if there is none.
+// nodeNamed returns the control node with a name, or nil.
 func (c *Cluster) nodeNamed(name string) *ControlNode {
 	for _, node := range c.Nodes {
 		if node.Name == name {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// currentVoters are the machines in the newest voter set that any of them has.
+// currentVoters returns the newest voter set that any machine has, and the machines in it.
 func (c *Cluster) currentVoters() (quorum.VoterSet, []*ControlNode) {
 	var voterSet quorum.VoterSet
 	for _, node := range c.Nodes {
@@ -120,7 +121,7 @@
 	return voterSet, out
 }
 
-// newestGeneration is the newest generation of claims that any control node heard of.
+// newestGeneration returns the newest generation of claims known to any control node.
 func (c *Cluster) newestGeneration() (newest uint64) {
 	for _, node := range c.Nodes {
 		newest = max(newest, node.generation)
@@ -128,7 +129,7 @@
 	return newest
 }
 
-// LeaderOf is the control node that answers for a key under a lease just now, nil for none.
+// LeaderOf returns the control node that currently holds the leader's lease for a key, or nil.
 func (c *Cluster) LeaderOf(key string) *ControlNode {
 	for _, node := range c.Nodes {
 		if !node.up || node.frozen || node.node == nil {
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// checkOneLeader checks that no slot has two leaders under live leases at one instant.
+// checkOneLeader checks that no slot has two leaders with valid leases at the same instant.
 func (c *Cluster) checkOneLeader() {
 	if c.world.Events%8 != 0 {
 		return
--- a/sim/cluster_day.go
+++ b/sim/cluster_day.go
@@ -4,29 +4,29 @@
 	"fmt"
 )
 
-// ClusterResult is what one simulated day of the control nodes under a fault came to: what
-// the clients were told, and what was violated, if anything.
+// ClusterResult is the result of one simulated day of the control nodes under a fault: what
+// clients observed, and any violations.
 type ClusterResult struct {
-	Acknowledged int // changes of the busy key
+	Acknowledged int // writes of the frequently written key
 	ClaimsWon    int
-	LateClaims   int // of generations that were over
-	LeaseTerms   int // leases newly granted
-	Replacements int // of machines, by an operator
+	LateClaims   int // claims whose generation was already closed
+	LeaseTerms   int // newly granted leases
+	Replacements int // machines replaced by an operator
 	Checkpoints  int
-	Joins        int // of machines, without an operator
-	// SlowestJoinUS is the longest that a machine took from its start until all slots were
-	// recovered with it.
+	Joins        int // machines admitted without an operator
+	// SlowestJoinUS is the longest time from a machine's start until all slots were recovered
+	// with it.
 	SlowestJoinUS int64
-	// RecoveryUS is how long after the last fault a change was acknowledged.
+	// RecoveryUS is the time from the end of the faults to the next acknowledged change.
 	RecoveryUS int64
 	Violations []string
 	Notes      []string
 }
 
-// recoveryBoundUS is within how long after the last fault of a day service must be back.
+// recoveryBoundUS limits the time from the last fault of a day until service is back.
 const recoveryBoundUS = 10_000_000
 
-// RunCluster runs one day of so many microseconds.
+// RunCluster runs one day of the given duration.
 func RunCluster(seed int64, fault Fault, durationUS int64) ClusterResult {
 	world := NewWorld(seed)
 	cluster := NewCluster(world, 4)
@@ -35,7 +35,7 @@
 	for i := 0; i < 3; i++ {
 		NewRegisterClient(cluster, fmt.Sprint("operator", i), history, 60).Start()
 	}
-	// Keys that are seldom changed and often read show what surfaces late.
+	// Keys that are rarely written and often read reveal faults that surface late.
 	for i := 0; i < 4; i++ {
 		NewRegisterClient(cluster, fmt.Sprint("reader", i), NewHistory(world, fmt.Sprint("rare", i)), 8).Start()
 	}
@@ -49,7 +49,7 @@
 	}
 	recoveryUS := world.now - durationUS
 	if history.Acknowledged == before && len(world.violations) == 0 {
-		world.Violation("not back", "no change was acknowledged within ten seconds after the last fault")
+		world.Violation("not back", "no change was acknowledged within 10 s of the last fault")
 	}
 	return ClusterResult{
 		Acknowledged:  history.Acknowledged,
@@ -66,7 +66,7 @@
 	}
 }
 
-// checkpoints is how many its nodes began.
+// checkpoints returns the number of checkpoints that the nodes began.
 func (c *Cluster) checkpoints() (total int) {
 	for _, node := range c.Nodes {
 		total += node.Checkpoints
--- a/sim/cluster_day_test.go
+++ b/sim/cluster_day_test.go
@@ -26,10 +26,10 @@
 			}
 			t.Logf("%d checkpoints, %d joined", checkpoints, joined)
 			if fault == FaultSelfHealing && joined < 3 {
-				t.Fatalf("%d machines were let in", joined)
+				t.Fatalf("only %d machines were admitted", joined)
 			}
 			if acknowledged < 100 || won < 30 || terms < 4 || checkpoints == 0 && fault != FaultKillAll {
-				t.Fatalf("%d changes acknowledged, %d claims won, %d terms: too little to prove anything", acknowledged, won, terms)
+				t.Fatalf("%d changes acknowledged, %d claims granted, %d lease terms: too little activity for a meaningful result", acknowledged, won, terms)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 	}
 	s.world.At(s.world.now+300_000, func() { s.cluster.dropsMessage = nil })
 	if result := s.put("plan", "v2"); result.Status != quorum.StatusDone || lost == 0 {
-		t.Fatalf("%d words lost: %+v", lost, result)
+		t.Fatalf("%d acknowledgements lost: %+v", lost, result)
 	}
 	if len(s.world.violations) > 0 {
 		t.Fatal(s.world.violations)
@@ -79,12 +79,12 @@
 	s.world.Cut(leader.Name, node.Name)
 	s.world.Run(s.world.now + 4_000_000)
 	if at(node).Term <= at(leader).Term {
-		t.Fatalf("nothing was sought: %+v beside %+v", at(node), at(leader))
+		t.Fatalf("the node did not stand for election: %+v, leader %+v", at(node), at(leader))
 	}
 	s.world.HealAll()
 	s.world.Run(s.world.now + 2_000_000)
 	if leader = s.leader(); leader == nil || at(node).Leader != leader.Name || at(node).Term != at(leader).Term || at(node).Last != at(leader).Last {
-		t.Fatalf("it does not follow: %+v", at(node))
+		t.Fatalf("the node does not follow the leader: %+v", at(node))
 	}
 	if len(s.world.violations) > 0 {
 		t.Fatal(s.world.violations)
--- a/sim/cluster_faults.go
+++ b/sim/cluster_faults.go
@@ -1,9 +1,9 @@
 package sim
 
-// Fault is a kind of failure of control nodes that a day brings about again and again.
+// Fault is a kind of control-node failure that is injected repeatedly during a day.
 type Fault string
 
-// The failures of control nodes.
+// Faults of control nodes.
 const (
 	FaultKill            Fault = "kills"
 	FaultKillAll         Fault = "herd"
@@ -14,28 +14,28 @@
 	FaultLossyLinks      Fault = "lossy"
 	FaultSlowDisks       Fault = "slow-disks"
 	FaultSlowLinks       Fault = "slow-links"
-	FaultRestartOthers   Fault = "amnesia"   // all but one restart at once while that one is cut off
-	FaultPartialAppend   Fault = "torn"      // changes that reached only some, then kills
-	FaultLeave           Fault = "polite"    // stops that give the slots up first
-	FaultLostLeaseGrants Fault = "forgetful" // voters restart while one that waits for a lease to end does not
-	FaultReplacement     Fault = "replaced"  // machines lose their disks and come back empty, others are added in their place
-	FaultSelfHealing     Fault = "healed"    // machines come back empty, are replaced, or return after that, and no operator is there
+	FaultRestartOthers   Fault = "amnesia"   // one node is partitioned from the others, which all restart at once and lose what they held in memory
+	FaultPartialAppend   Fault = "torn"      // a node is killed after its changes reached only some of the others
+	FaultLeave           Fault = "polite"    // a node gives up its slots and then stops
+	FaultLostLeaseGrants Fault = "forgetful" // voters restart and lose the lease grants in their memory, while one that waits for a lease to end does not
+	FaultReplacement     Fault = "replaced"  // machines are lost with their disks, and an operator adds empty ones in their place
+	FaultSelfHealing     Fault = "healed"    // machines lose their disks, are replaced, or return after a replacement, without an operator
 	FaultAll             Fault = "everything"
 )
 
-// ClusterFaults lists them all.
+// ClusterFaults lists all faults.
 var ClusterFaults = []Fault{
 	FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultLossyLinks, FaultSlowDisks, FaultSlowLinks,
 	FaultRestartOthers, FaultPartialAppend, FaultReplacement, FaultLeave, FaultLostLeaseGrants, FaultSelfHealing, FaultAll,
 }
 
-// singleFaults are the faults of which FaultAll draws one after the other.
+// singleFaults are the faults from which FaultAll draws.
 var singleFaults = []Fault{
 	FaultKill, FaultKillAll, FaultPowerLoss, FaultFreeze, FaultPartition, FaultOneWay, FaultSlowDisks, FaultSlowLinks,
 	FaultRestartOthers, FaultPartialAppend, FaultReplacement, FaultLeave, FaultLostLeaseGrants,
 }
 
-// InjectFaults brings a fault about again and again until a true time, then ends all.
+// InjectFaults injects a fault repeatedly until a true time, then ends all faults.
 func (c *Cluster) InjectFaults(fault Fault, until int64) {
 	world := c.world
 	c.selfHealing = fault == FaultSelfHealing
@@ -63,7 +63,7 @@
 	world.At(world.now+pause+world.Rng.Int63n(2_000_000), func() { c.injectNext(fault, until) })
 }
 
-// endFaults ends all faults: every node runs again, except machines that are gone.
+// endFaults ends all faults and starts every node, except machines that were removed.
 func (c *Cluster) endFaults() {
 	c.powerLossArmed = false
 	c.world.LossPermille, c.world.DuplicatePermille = 0, 0
@@ -77,7 +77,7 @@
 	}
 }
 
-// injectFault brings a fault about once, at a control node drawn for it or at all.
+// injectFault injects a fault once, at a randomly chosen control node or at all of them.
 func (c *Cluster) injectFault(fault Fault) {
 	node := c.Nodes[c.world.Rng.Intn(len(c.Nodes))]
 	switch fault {
@@ -112,7 +112,7 @@
 	}
 }
 
-// restartSoon starts nodes again within two seconds, each at a time of its own.
+// restartSoon restarts each node within about two seconds, at a time of its own.
 func (c *Cluster) restartSoon(nodes ...*ControlNode) {
 	world := c.world
 	for _, node := range nodes {
@@ -127,8 +127,9 @@
 	c.restartSoon(nodes...)
 }
 
-// losePower takes the power of one node or all, now or just after the next
-// acknowledgement while disks are slow: what was acknowledged without a sync is gone then.
+// losePower cuts the power of one node or of all: at once, or just after the next
+// acknowledgement while disks are slow, which loses a change that was acknowledged without a
+// sync.
 func (c *Cluster) losePower(node *ControlNode) {
 	if c.world.Rng.Intn(2) == 0 {
 		for _, node := range c.Nodes {
@@ -155,7 +156,7 @@
 func (c *Cluster) partition() {
 	world := c.world
 	world.HealAll()
-	side := world.Rng.Intn(1 << len(c.Nodes)) // a bit for each node
+	side := world.Rng.Intn(1 << len(c.Nodes)) // one bit for each node
 	for i, one := range c.Nodes {
 		for j, other := range c.Nodes {
 			if side>>i&1 != side>>j&1 {
@@ -163,7 +164,7 @@
 			}
 		}
 	}
-	world.Notef("core cut %b", side)
+	world.Notef("control nodes partitioned: %b", side)
 }
 
 func (c *Cluster) cutOneWay(node *ControlNode) {
@@ -176,11 +177,11 @@
 			world.Cut(other.Name, node.Name)
 		}
 	}
-	world.Notef("%s cut one way", node.Name)
+	world.Notef("%s: links cut one way", node.Name)
 }
 
-// slowLinks delays messages of a node in either direction. In half of the cases all that
-// it hears is old, and later nothing goes out any more.
+// slowLinks delays messages to and from a node. In half of the cases all messages to the node
+// are delayed, and later its outbound links are cut.
 func (c *Cluster) slowLinks(node *ControlNode) {
 	world := c.world
 	world.linkDelayUS = map[link]int64{}
@@ -207,16 +208,16 @@
 		for _, other := range c.Nodes {
 			world.Cut(node.Name, other.Name)
 		}
-		world.Notef("%s speaks to nobody, and hears late", node.Name)
+		world.Notef("%s: outbound links cut, inbound messages delayed", node.Name)
 	})
 	world.At(world.now+3_500_000, world.HealAll)
 }
 
-// restartOthers restarts all nodes but one at once, while that one is cut off.
+// restartOthers restarts all nodes but one at once, while that one is partitioned from them.
 func (c *Cluster) restartOthers(node *ControlNode) {
 	world := c.world
 	world.HealAll()
-	world.Notef("%s cut off, the others restart", node.Name)
+	world.Notef("%s is partitioned, the others restart", node.Name)
 	for _, other := range c.Nodes {
 		if node == other {
 			continue
@@ -227,7 +228,7 @@
 	}
 }
 
-// killWhilePartitioned ends a node whose changes reached only some others.
+// killWhilePartitioned kills a node whose changes reached only some of the others.
 func (c *Cluster) killWhilePartitioned(node *ControlNode) {
 	world := c.world
 	world.HealAll()
@@ -243,8 +244,9 @@
 	world.At(world.now+400_000+world.Rng.Int63n(4_000_000), node.restart)
 }
 
-// loseLeaseGrants has one node hear nothing of a leader and wait for its lease to end; then
-// the leader is cut off, and the others restart and forget the leases that they granted.
+// loseLeaseGrants cuts one node off from the leader, so that it waits for the leader's lease
+// to end. Then the leader is partitioned from all nodes, and the other voters restart and lose
+// the lease grants that they held in memory.
 func (c *Cluster) loseLeaseGrants(leader *ControlNode) {
 	world := c.world
 	world.HealAll()
@@ -254,7 +256,7 @@
 	}
 	world.CutBoth(leader.Name, waiting.Name)
 	world.At(world.now+1_200_000+world.Rng.Int63n(600_000), func() {
-		world.Notef("%s is cut off and forgotten", leader.Name)
+		world.Notef("%s is partitioned, the others restart without its lease grants", leader.Name)
 		for _, other := range c.Nodes {
 			if other == leader {
 				continue
@@ -268,19 +270,20 @@
 	})
 }
 
-// leave stops a node in order: it gives its slots up first.
+// leave shuts a node down gracefully: it gives up its slots first.
 func (c *Cluster) leave(node *ControlNode) {
 	if !node.up || node.frozen || node.node == nil {
 		return
 	}
 	world := c.world
-	world.Notef("%s leaves politely", node.Name)
+	world.Notef("%s shuts down gracefully", node.Name)
 	node.handle(node.node.Leave(node.Clock()))
 	node.After(20_000+world.Rng.Int63n(200_000), node.Kill)
 	world.At(world.now+300_000+world.Rng.Int63n(1_000_000), node.restart)
 }
 
-// replaceVoterUnderFaults replaces a machine, in half of the cases with another fault.
+// replaceVoterUnderFaults replaces a machine, in half of the cases together with another
+// fault.
 func (c *Cluster) replaceVoterUnderFaults() {
 	c.replaceVoter()
 	if c.world.Rng.Intn(2) == 0 {
@@ -297,7 +300,8 @@
 	}
 }
 
-// changeAcknowledged is called when a client has just been told that its change is in force.
+// changeAcknowledged is called when a client has just received the acknowledgement of a
+// change.
 func (c *Cluster) changeAcknowledged() {
 	if !c.powerLossArmed {
 		return
--- a/sim/cluster_replacement.go
+++ b/sim/cluster_replacement.go
@@ -4,16 +4,16 @@
 	"violetthread/quorum"
 )
 
-// replacement is an operator's change of the voter set, which it tries until it is taken.
+// replacement is a change of the voter set that an operator retries until it is accepted.
 type replacement struct {
 	cluster *Cluster
-	host    *Host // the operator's
+	host    *Host // host of the operator
 	old     *ControlNode
 	new     *ControlNode
 }
 
-// replaceVoter takes a machine away for good, disk and all, and has an operator put an empty
-// one in its place.
+// replaceVoter removes a machine and its disk for good and has an operator add an empty one in
+// its place.
 func (c *Cluster) replaceVoter() {
 	world := c.world
 	voterSet, members := c.currentVoters()
@@ -27,14 +27,14 @@
 	old.removed = true
 	successor := c.newNode()
 	successor.Start()
-	world.Notef("%s is to replace %s after step %d", successor.Name, old.Name, voterSet.Step())
+	world.Notef("%s is to replace %s after voter set step %d", successor.Name, old.Name, voterSet.Step())
 	host := world.NewHost("roster-operator-"+successor.Name, "north", func() {})
 	host.Start()
 	r := &replacement{cluster: c, host: host, old: old, new: successor}
 	r.try()
 }
 
-// try proposes the change at a voter drawn for it, and tries again until it is in force.
+// try proposes the change at a randomly chosen voter, and retries until it is in force.
 func (r *replacement) try() {
 	c := r.cluster
 	voterSet, members := c.currentVoters()
@@ -63,8 +63,9 @@
 	}, func() {})
 }
 
-// disruptOneMachine strikes one machine, once the last one struck has recovered: it loses its
-// disk, or its power, or goes and another comes; one that went may return, with its old disk.
+// disruptOneMachine disrupts one machine, once all have recovered from earlier disruptions.
+// The machine loses its disk or its power, or is removed and replaced by a new one; a removed
+// machine may return with its old disk.
 func (c *Cluster) disruptOneMachine() {
 	world := c.world
 	voterSet, members := c.currentVoters()
@@ -84,7 +85,7 @@
 		node.loseDisk()
 		world.At(soon, node.restart)
 	case 2:
-		world.Notef("%s goes, and another comes", node.Name)
+		world.Notef("%s is removed, and a new machine is added", node.Name)
 		node.Kill()
 		node.removed = true
 		newNode := c.newNode()
--- a/sim/config_checker.go
+++ b/sim/config_checker.go
@@ -1,19 +1,19 @@
 package sim
 
-// checkIntervalUS is how often what proxies serve by is checked.
+// checkIntervalUS is the interval at which the configuration that proxies serve by is checked.
 const checkIntervalUS = 10_000
 
-// ServeChecker checks what proxies serve by.
+// ServeChecker checks the configuration and the weights that proxies serve by.
 type ServeChecker struct {
 	config  *ConfigHistory
 	weights *WeightsHistory
 	proxies []*ConfigProxy
-	// OldestConfigUS is the longest after an acknowledgement that a proxy served by an older
-	// configuration.
+	// OldestConfigUS is the longest time after its replacement was acknowledged that a proxy
+	// still served by a configuration.
 	OldestConfigUS int64
 }
 
-// Watch judges until the world ends.
+// Watch checks the proxies periodically until the end of the run.
 func (c *ServeChecker) Watch(world *World) {
 	for _, proxy := range c.proxies {
 		if proxy.Serves() {
@@ -26,13 +26,13 @@
 func (c *ServeChecker) check(world *World, proxy *ConfigProxy) {
 	vouched := world.now - (proxy.Clock() - proxy.config.confirmedAt)
 	if floor := c.config.inForceAt(vouched); floor > proxy.config.version {
-		world.Violation("vouched for an older configuration", "%s holds version %d as in force at %d, when %d was", proxy.Name, proxy.config.version, vouched, floor)
+		world.Violation("confirmed an older configuration", "%s confirmed version %d as in force at %d, but %d was", proxy.Name, proxy.config.version, vouched, floor)
 	}
 	if at := c.config.replacedAt(proxy.config.version); at > 0 {
 		old := world.now - at
 		c.OldestConfigUS = max(c.OldestConfigUS, old)
 		if old > ApplyBoundUS {
-			world.Violation("old configuration in use", "%s serves by version %d, replaced %d us ago", proxy.Name, proxy.config.version, old)
+			world.Violation("old configuration in use", "%s serves by version %d, which was replaced %d us ago", proxy.Name, proxy.config.version, old)
 		}
 	}
 	if !proxy.weights.known {
@@ -40,6 +40,6 @@
 	}
 	vouched = world.now - (proxy.Clock() - proxy.weights.confirmedAt)
 	if floor := c.weights.newestAt(vouched); floor > proxy.weights.version {
-		world.Violation("vouched for older weights", "%s holds version %d as the newest at %d, when %d was", proxy.Name, proxy.weights.version, vouched, floor)
+		world.Violation("confirmed older weights", "%s confirmed version %d as the newest at %d, but %d was", proxy.Name, proxy.weights.version, vouched, floor)
 	}
 }
--- a/sim/config_directory.go
+++ b/sim/config_directory.go
@@ -5,14 +5,14 @@
 	"violetthread/route"
 )
 
-// Directory follows the registers beside a control node.
+// Directory caches the configuration and weights registers at a control node.
 type Directory struct {
 	node    *ControlNode
 	config  confirmedVersion
 	weights confirmedVersion
 }
 
-// refresh reads the registers anew.
+// refresh reads the registers again.
 func (d *Directory) refresh() {
 	d.ask(route.ConfigKey, &d.config, configVersion)
 	d.ask(route.WeightsKey, &d.weights, func(value []byte) (uint64, bool) {
@@ -55,12 +55,13 @@
 	return versions.Latest(model), true
 }
 
-// Directories are those of a core, by node; one begins anew with its node.
+// Directories are the directories of a cluster, by control node. A restarted node gets a new
+// one.
 type Directories struct {
 	byNode map[*ControlNode]*Directory
 }
 
-// NewDirectories puts a directory beside each control node.
+// NewDirectories adds a directory to each control node.
 func NewDirectories(cluster *Cluster) *Directories {
 	directories := &Directories{byNode: map[*ControlNode]*Directory{}}
 	cluster.onBoot = func(node *ControlNode) {
--- a/sim/config_history.go
+++ b/sim/config_history.go
@@ -8,51 +8,52 @@
 	"violetthread/route"
 )
 
-// ConfigRequest is a change of the configuration that an operator sends until it has a clear
-// answer. It leads from version base to base+1, so that the versions in force form one
-// chain without gaps.
+// ConfigRequest is a change of the configuration that an operator sends until it gets a
+// definite answer. It changes version n to n+1, so that the versions in force form a chain
+// without gaps.
 type ConfigRequest struct {
 	id             int
 	change         route.Change
 	version        uint64
-	sentAt         int64 // for the first time
-	acknowledgedAt int64 // for the first time, 0 for never
+	sentAt         int64 // time of the first send
+	acknowledgedAt int64 // time of the first acknowledgement, 0 for none
 	rejections     []interval
 }
 
-// interval is a span of true time: of a question and its answer.
+// interval is the span of true time between a request and its answer.
 type interval struct{ from, to int64 }
 
-// configRead is one reading of the configuration that had an answer.
+// configRead is a read of the configuration that was answered.
 type configRead struct {
 	interval
 	version uint64
 }
 
-// ConfigHistory judges in true time what operators are told about the configuration.
-// It knows which order was sent when and what was answered, and nothing of the nodes.
+// ConfigHistory checks, in true time, the answers that operators get about the configuration.
+// It records which request was sent when and what was answered, and does not look into the
+// nodes.
 type ConfigHistory struct {
 	world                   *World
 	format                  ConfigFormat
 	requests                []*ConfigRequest
-	accepted                map[uint64]*ConfigRequest  // version: the order known to lead to it
-	inForceSince            map[uint64]int64           // version: since when it was certainly in force once
-	expected                map[uint64]*expectedConfig // as the orders make them, from the first read on
+	accepted                map[uint64]*ConfigRequest  // by version: the request known to have produced it
+	inForceSince            map[uint64]int64           // by version: time from which it was certainly in force, or had been
+	expected                map[uint64]*expectedConfig // by version: the result of applying the requests, starting from the first read
 	reads                   []configRead
-	newest                  uint64 // version that was acknowledged or read
-	Acknowledged            int    // orders acknowledged
-	AcknowledgedAfterResend int    // orders acknowledged after a resend
-	Rejected                int    // rejections of orders
+	newest                  uint64 // newest version that was acknowledged or read
+	Acknowledged            int    // acknowledged requests
+	AcknowledgedAfterResend int    // requests acknowledged after a resend
+	Rejected                int    // rejections, of which a request may get several
 	Reads                   int
-	// MostBehind is the most changes that were in force after an order when it was
-	// acknowledged for the first time.
+	// MostBehind is the largest number of changes that were already in force on top of a
+	// request at its first acknowledgement.
 	MostBehind uint64
 }
 
-// expectedConfig is a configuration as its orders make it.
+// expectedConfig is a configuration as its requests produce it.
 type expectedConfig struct {
-	document *route.Document // nil before the first one
-	value    []byte          // as its register holds it
+	document *route.Document // nil before the first configuration
+	value    []byte          // value of the register
 }
 
 // NewConfigHistory starts the history of a world without a configuration.
@@ -65,13 +66,13 @@
 	}
 }
 
-// begin notes an order that is about to be sent.
+// recordSent records a request that is about to be sent.
 func (h *ConfigHistory) recordSent(request *ConfigRequest) {
 	request.sentAt = h.world.now
 	h.requests = append(h.requests, request)
 }
 
-// acknowledged checks an acknowledgement.
+// acknowledged records and checks an acknowledgement.
 func (h *ConfigHistory) acknowledged(request *ConfigRequest, resent bool) {
 	if request.acknowledgedAt == 0 {
 		request.acknowledgedAt = h.world.now
@@ -87,16 +88,16 @@
 	h.recordInForce(request.version)
 }
 
-// link holds that one order leads to a version.
+// recordAccepted records that a request produced its version. No two may produce the same one.
 func (h *ConfigHistory) recordAccepted(request *ConfigRequest) {
 	if other := h.accepted[request.version]; other != nil && other != request {
-		h.world.Violation("two under one number", "orders %d and %d both are version %d", other.id, request.id, request.version)
+		h.world.Violation("two requests with one version", "requests %d and %d both produced version %d", other.id, request.id, request.version)
 		return
 	}
 	h.accepted[request.version] = request
 }
 
-// seen notes that a version is in force, or was.
+// recordInForce records that a version is in force now, or was before.
 func (h *ConfigHistory) recordInForce(version uint64) {
 	if _, ok := h.inForceSince[version]; !ok {
 		h.inForceSince[version] = h.world.now
@@ -104,13 +105,13 @@
 	h.newest = max(h.newest, version)
 }
 
-// rejected notes a rejection; whether it was right shows at the end.
+// rejected records a rejection. Close checks whether it was justified.
 func (h *ConfigHistory) rejected(request *ConfigRequest, from int64) {
 	request.rejections = append(request.rejections, interval{from, h.world.now})
 	h.Rejected++
 }
 
-// read judges a reading that was asked for at a true time.
+// read checks the result of a read that was sent at a true time.
 func (h *ConfigHistory) read(from int64, value []byte) {
 	document, err := readConfig(value)
 	if err != nil {
@@ -118,7 +119,7 @@
 		return
 	}
 	if floor := h.inForceAt(from); document.Version < floor {
-		h.world.Violation("older configuration", "version %d was read at %d..%d, %d was in force before", document.Version, from, h.world.now, floor)
+		h.world.Violation("older configuration", "version %d was read at %d..%d, but %d was in force before", document.Version, from, h.world.now, floor)
 	}
 	h.Reads++
 	h.reads = append(h.reads, configRead{interval{from, h.world.now}, document.Version})
@@ -129,7 +130,8 @@
 	h.compare(document, value)
 }
 
-// requestOf is the order that made a configuration: each brings a key of its own.
+// requestOf returns the request that produced a configuration, identified by the key that each
+// request adds.
 func (h *ConfigHistory) requestOf(document *route.Document) *ConfigRequest {
 	_, rest, found := strings.Cut(string(document.Text), keyPrefix)
 	if !found {
@@ -138,13 +140,13 @@
 	number, _, _ := strings.Cut(rest, `"`)
 	id, err := strconv.Atoi(number)
 	if err != nil || id < 1 || id > len(h.requests) || h.requests[id-1].version != document.Version {
-		h.world.Violation("an order that nobody sent", "version %d holds the key of %q", document.Version, number)
+		h.world.Violation("unknown request", "version %d contains the key of request %q", document.Version, number)
 		return nil
 	}
 	return h.requests[id-1]
 }
 
-// readConfig reads a register's value; an empty one is no configuration yet.
+// readConfig decodes a register's value; an empty one means no configuration yet.
 func readConfig(value []byte) (*route.Document, error) {
 	if len(value) == 0 {
 		return &route.Document{}, nil
@@ -152,7 +154,7 @@
 	return route.DecodeDocument(value)
 }
 
-// inForceAt is the newest version that was certainly in force before a time.
+// inForceAt returns the newest version that was certainly in force before a given time.
 func (h *ConfigHistory) inForceAt(at int64) (version uint64) {
 	for v := h.newest; v > 0; v-- {
 		if since, ok := h.inForceSince[v]; ok && since < at {
@@ -162,7 +164,7 @@
 	return 0
 }
 
-// replacedAt is when a later version than this was known to be in force, 0 for not yet.
+// replacedAt returns when a later version was first known to be in force, 0 if none is yet.
 func (h *ConfigHistory) replacedAt(version uint64) (at int64) {
 	for v := version + 1; v <= h.newest; v++ {
 		if since, ok := h.inForceSince[v]; ok && (at == 0 || since < at) {
@@ -172,24 +174,26 @@
 	return at
 }
 
-// compare holds what was read against what the orders taken make, to the byte.
+// compare checks that a configuration that was read equals, byte for byte, the result of the
+// accepted requests.
 func (h *ConfigHistory) compare(document *route.Document, value []byte) {
 	if document.Version == 0 {
 		return
 	}
 	want, ok := h.expectedAt(document.Version)
 	if !ok {
-		// An order without a clear answer was taken on the way: which one, only the
-		// text tells.
+		// An earlier request without a definite answer was accepted. Only the text tells which
+		// one.
 		h.expected[document.Version] = &expectedConfig{document, value}
 		return
 	}
 	if !bytes.Equal(want.value, value) {
-		h.world.Violation("read back as something else", "version %d is %d bytes, the orders make %d", document.Version, len(value), len(want.value))
+		h.world.Violation("unexpected content", "version %d has %d bytes, expected %d", document.Version, len(value), len(want.value))
 	}
 }
 
-// expectedAt is what the orders known to be taken make of a version.
+// expectedAt returns the configuration that the requests known to be accepted produce for a
+// version.
 func (h *ConfigHistory) expectedAt(version uint64) (*expectedConfig, bool) {
 	if d, ok := h.expected[version]; ok {
 		return d, true
@@ -204,14 +208,14 @@
 	}
 	next, out, _ := request.change.Apply(base.document, h.format.Translate, h.format.FieldNames)
 	if out != route.Accepted {
-		h.world.Violation("taken on another base", "order %d is %v on version %d", request.id, out, version-1)
+		h.world.Violation("accepted on another base", "request %d is %v on version %d", request.id, out, version-1)
 		return nil, false
 	}
 	h.expected[version] = &expectedConfig{next, next.Encode()}
 	return h.expected[version], true
 }
 
-// Close judges the rejections, once all is known that will be.
+// Close checks the rejections, at the end of a run when all answers are known.
 func (h *ConfigHistory) Close() {
 	for _, request := range h.requests {
 		for _, r := range request.rejections {
@@ -222,18 +226,19 @@
 
 func (h *ConfigHistory) checkRejection(request *ConfigRequest, r interval) {
 	if h.accepted[request.version] == request {
-		h.world.Violation("taken and refused", "order %d for version %d, sent at %d, acknowledged at %d, was refused at %d..%d", request.id, request.version, request.sentAt, request.acknowledgedAt, r.from, r.to)
+		h.world.Violation("accepted and rejected", "request %d for version %d, sent at %d, acknowledged at %d, was rejected at %d..%d", request.id, request.version, request.sentAt, request.acknowledgedAt, r.from, r.to)
 		return
 	}
 	since, ok := h.inForceSince[request.change.Base]
 	current := request.change.Base == 0 || ok && since < r.from
 	if current && h.earliestReplacement(request.change.Base) > r.to {
-		h.world.Violation("refused wrongly", "order %d on version %d was refused at %d..%d, and that was current", request.id, request.change.Base, r.from, r.to)
+		h.world.Violation("wrongly rejected", "request %d on version %d was rejected at %d..%d, while that version was current", request.id, request.change.Base, r.from, r.to)
 	}
 }
 
-// earliestReplacement is the earliest time at which a version may have been replaced: the
-// order that did it was sent by then, and who read the version did so before.
+// earliestReplacement returns the earliest time at which a version may have been replaced: not
+// before the first request that may have replaced it was sent, and not before the last read
+// that returned the version was sent.
 func (h *ConfigHistory) earliestReplacement(version uint64) int64 {
 	at := int64(1) << 62
 	for _, request := range h.requests {
@@ -249,8 +254,8 @@
 	return at
 }
 
-// mayHaveProduced tells whether an order may have led to its version. One that was rejected did
-// not, or that is a fault of its own.
+// mayHaveProduced reports whether a request may have produced its version. One that was
+// rejected did not; if it did, checkRejection reports that.
 func (h *ConfigHistory) mayHaveProduced(request *ConfigRequest) bool {
 	t := h.accepted[request.version]
 	return t == request || t == nil && len(request.rejections) == 0
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -5,36 +5,36 @@
 )
 
 const (
-	operatorTimeoutUS      = 1_000_000 // after which an operator goes on to another node
-	operatorRetryDelayUS   = 50_000    // after a failure, growing
-	operatorMaxRetryFactor = 8         // times as long at most
-	operatorAvoidUS        = 5_000_000 // a node that was silent is not asked for so long, if another is left
+	operatorTimeoutUS      = 1_000_000 // time after which an operator tries another node
+	operatorRetryDelayUS   = 50_000    // delay after the first failure, multiplied by the number of sends
+	operatorMaxRetryFactor = 8         // limit of that multiplier
+	operatorAvoidUS        = 5_000_000 // how long a node that timed out is avoided, if another one is left
 )
 
-// ConfigOperator sends changes of the configuration, one after the other, each until
-// it has a clear answer, as the platform's operators do.
+// ConfigOperator sends changes of the configuration one at a time, each until it gets a
+// definite answer, as the platform's operators do.
 type ConfigOperator struct {
 	*Host
 	cluster *Cluster
 	history *ConfigHistory
-	// Base is the version that it takes for current.
+	// Base is the version that the operator takes to be current.
 	Base uint64
-	// Pause is how long it waits before its next order.
+	// Pause is the mean pause between two requests.
 	Pause int64
-	// Routes is how many routes the n-th of its orders brings, 0 for a small merge.
+	// Routes returns the number of routes of the n-th request, 0 for a small merge.
 	Routes func(n int) int
-	// LosesReplies makes it miss all answers.
+	// LosesReplies makes the operator miss all answers.
 	LosesReplies bool
-	// OnAccepted is called at each acknowledgement that it hears.
+	// OnAccepted is called at each acknowledgement that reaches the operator.
 	OnAccepted func(o *ConfigRequest)
-	// OnFinished is called at each acknowledgement or rejection that it hears.
+	// OnFinished is called at each acknowledgement or rejection that reaches the operator.
 	OnFinished func()
 	request    *ConfigRequest
-	sends      int // of this order
+	sends      int // how often the current request was sent
 	count      int
 	last       *ControlNode
-	timedOutAt map[*ControlNode]int64 // when last
-	// SlowestTaken is the longest from sending an order to hearing of its end.
+	timedOutAt map[*ControlNode]int64 // when a request to the node last timed out
+	// SlowestRequestUS is the longest time from sending a request to its definite answer.
 	SlowestRequestUS int64
 }
 
@@ -45,7 +45,7 @@
 	return o
 }
 
-// next sends a new order.
+// next sends a new request, unless one is under way.
 func (o *ConfigOperator) next() {
 	if o.request != nil {
 		return
@@ -58,7 +58,7 @@
 	o.send()
 }
 
-// change is a small merge, or a whole configuration of as many routes as asked for.
+// change returns a small merge, or a whole configuration with the requested number of routes.
 func (o *ConfigOperator) change(request *ConfigRequest) route.Change {
 	routes := 0
 	if o.Routes != nil {
@@ -74,7 +74,7 @@
 	return change
 }
 
-// send sends the order as it stands to a node.
+// send sends the current request to a node.
 func (o *ConfigOperator) send() {
 	o.sends++
 	request, from := o.request, o.cluster.world.now
@@ -100,8 +100,8 @@
 		})
 }
 
-// chooseNode is a node to send to, not the one that was just asked, nor one that was silent
-// lately.
+// chooseNode picks a node other than the one asked last, avoiding nodes that timed out
+// recently.
 func (o *ConfigOperator) chooseNode() *ControlNode {
 	var rest []*ControlNode
 	now := o.cluster.world.now
@@ -117,7 +117,7 @@
 	return rest[o.cluster.world.Rng.Intn(len(rest))]
 }
 
-// resend sends the same order again after a pause that grows.
+// resend sends the same request again after a delay that grows with the number of sends.
 func (o *ConfigOperator) resend() {
 	o.After(int64(min(o.sends, operatorMaxRetryFactor))*operatorRetryDelayUS, o.send)
 }
@@ -136,13 +136,13 @@
 		o.Base = answer.Version
 		o.finish()
 	case OutcomeInvalid:
-		o.cluster.world.Violation("a good order was declined", "order %d on version %d", request.id, request.change.Base)
+		o.cluster.world.Violation("valid request declined", "request %d on version %d", request.id, request.change.Base)
 	default:
 		o.resend()
 	}
 }
 
-// finish ends an order and turns to the next.
+// finish ends the current request and schedules the next one.
 func (o *ConfigOperator) finish() {
 	o.SlowestRequestUS = max(o.SlowestRequestUS, o.cluster.world.now-o.request.sentAt)
 	o.request = nil
--- a/sim/config_proxy.go
+++ b/sim/config_proxy.go
@@ -1,13 +1,13 @@
 package sim
 
-// ConfigProxy serves by the configuration that directories tell it.
+// ConfigProxy serves by the configuration that it gets from directories.
 type ConfigProxy struct {
 	*Host
 	cluster      *Cluster
 	directories  *Directories
 	config       confirmedVersion
 	weights      confirmedVersion
-	avoidedUntil map[*ControlNode]int64 // until when
+	avoidedUntil map[*ControlNode]int64 // by node: when it may be asked again
 	directory    *ControlNode
 }
 
@@ -22,13 +22,14 @@
 	return proxy
 }
 
-// directoryAnswer is a directory's answer: ages, since no two hosts' clocks agree.
+// directoryAnswer is the answer of a directory. It carries ages because clocks of hosts
+// differ.
 type directoryAnswer struct {
 	config, weights       confirmedVersion
 	configAge, weightsAge int64
 }
 
-// poll asks one directory, and goes on to another when it fails or lags behind.
+// poll asks one directory, and avoids it for a while if it fails or its data is too old.
 func (p *ConfigProxy) poll() {
 	node := p.choose()
 	at := p.Clock()
@@ -53,7 +54,7 @@
 	}
 }
 
-// choose keeps to one directory while it does.
+// choose keeps to one directory unless that one is being avoided.
 func (p *ConfigProxy) choose() *ControlNode {
 	if p.directory != nil && p.avoidedUntil[p.directory] <= p.Clock() {
 		return p.directory
@@ -74,7 +75,7 @@
 	p.avoidedUntil[node] = p.Clock() + directoryAvoidUS
 }
 
-// Serves reports whether the configuration is young enough to serve by.
+// Serves reports whether the configuration is recent enough to serve by.
 func (p *ConfigProxy) Serves() bool {
 	return p.up && !p.frozen && p.config.known && p.Clock()-p.config.confirmedAt <= MaxServeAgeUS
 }
--- a/sim/config_reader.go
+++ b/sim/config_reader.go
@@ -4,12 +4,12 @@
 	"violetthread/route"
 )
 
-// ConfigReader reads the configuration back at any node, again and again.
+// ConfigReader periodically reads the configuration at any node.
 type ConfigReader struct {
 	*Host
 	cluster *Cluster
 	history *ConfigHistory
-	// Only are the nodes that it reads at, nil for any.
+	// Only restricts the nodes that it reads from, nil for any.
 	Only []*ControlNode
 }
 
@@ -29,13 +29,13 @@
 	r.readAt(node, func(bool) {})
 }
 
-// registerValue is a register as a node answers for it.
+// registerValue is a node's answer to a read of a register.
 type registerValue struct {
 	value []byte
 	ok    bool
 }
 
-// readAt reads at one node, and tells whether there was an answer.
+// readAt reads at one node, and reports whether it got an answer.
 func (r *ConfigReader) readAt(node *ControlNode, done func(ok bool)) {
 	from := r.cluster.world.now
 	Call(r.Host, node.Host, 0, operatorTimeoutUS,
--- a/sim/config_texts.go
+++ b/sim/config_texts.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// mergedRoutes is how many routes merges take turns in replacing.
+// mergedRoutes is the number of routes that merges replace in turn.
 const mergedRoutes = 6
 
 func routeText(name, prefix string) string {
 	return fmt.Sprintf(`{"name":%q,"host":"calls.example","path-prefix":%q,"route-type":"idempotent","timeout-ms":2000,"target-latency-ms":600,"priority":1,"max-attempts":2,"traffic-split":[{"service":"engines","weight":3},{"service":"others","weight":1}]}`, name, prefix)
 }
 
-// keyPrefix begins the key that an order brings.
+// keyPrefix is the beginning of the key that each request adds.
 const keyPrefix = "key-of-order-"
 
 func tenantText(request *ConfigRequest) string {
--- a/sim/config_version.go
+++ b/sim/config_version.go
@@ -1,23 +1,24 @@
 package sim
 
-// Times by which the directory beside a control node and the proxies keep up with the
-// registers (internal/app/directory, internal/app/proxy). Theirs run in goroutines by
-// real time; the rule is the same: an answer's age counts from before its question was
-// sent, and what is vouched for never goes back.
+// Intervals and limits by which a control node's directory and the proxies follow the
+// registers. The real ones (internal/app/directory, internal/app/proxy) run in goroutines by
+// real time and cannot be simulated. The rules are the same: an answer's age counts from
+// before its question was sent, and a confirmed version never goes back.
 const (
 	directoryRefreshIntervalUS = 150_000
 	proxyPollIntervalUS        = 150_000
 	proxyPollTimeoutUS         = 700_000
-	maxDirectoryAgeUS          = 1_000_000 // a directory whose answer is older is not asked first
-	directoryAvoidUS           = 1_500_000 // for so long
-	// MaxServeAgeUS is the age of the configuration up to which a proxy serves.
+	maxDirectoryAgeUS          = 1_000_000 // a directory whose answer is older is avoided
+	directoryAvoidUS           = 1_500_000 // for this long
+	// MaxServeAgeUS is the largest age of the configuration at which a proxy still serves.
 	MaxServeAgeUS = 1_600_000
-	// ApplyBoundUS is when a change is in force everywhere, after its acknowledgement.
+	// ApplyBoundUS limits the time from a change's acknowledgement until it is in force
+	// everywhere.
 	ApplyBoundUS = 2_000_000
 )
 
-// confirmedVersion is what one hop vouches for: a version was in force at a time by its own
-// clock.
+// confirmedVersion is a version and the time, by the holder's own clock, at which it was known
+// to be in force.
 type confirmedVersion struct {
 	known       bool
 	revision    uint64
@@ -25,7 +26,7 @@
 	confirmedAt int64
 }
 
-// update takes a newer one in.
+// update applies a newer confirmation and ignores an older one.
 func (v *confirmedVersion) update(newer confirmedVersion) {
 	switch {
 	case !newer.known || v.known && newer.revision < v.revision:
--- a/sim/config_world.go
+++ b/sim/config_world.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// platformLeaseUS is the lease of a slot's leader on the users' platform
+	// platformLeaseUS is the leader's lease of a slot on the users' platform
 	// (platform.Control).
 	platformLeaseUS = 600_000
-	// acknowledgementBoundUS is within how long a proper change is acknowledged, where a majority
-	// can be reached.
+	// acknowledgementBoundUS limits the time until a valid change is acknowledged while a
+	// majority is reachable.
 	acknowledgementBoundUS = 4_000_000
 )
 
 // configLog has room for configurations of some hundred routes.
 var configLog = wal.Config{SegmentCount: 10, SegmentBytes: 64 << 10}
 
-// tolerates is how many of n control nodes may be lost at once, as the platform's
-// deployments ask: one of four, two of five and of eight.
+// tolerates returns how many control nodes may be lost at once, as the platform's deployments
+// require: one of four, two of five and of eight.
 func tolerates(nodes int) int { return min(2, (nodes-1)/2) }
 
-// rejoinPeriodUS is until when a node counts as lost after it is back.
+// rejoinPeriodUS is how long after its return a node still counts as lost.
 func rejoinPeriodUS(nodes int) int64 {
 	if nodes <= 4 {
 		return 4_000_000
@@ -32,8 +32,8 @@
 	return 6_000_000
 }
 
-// ConfigWorld is control nodes with operators that change the configuration and the
-// weights, readers, and proxies that serve by them; everything is judged.
+// ConfigWorld is a cluster of control nodes with operators that change the configuration and
+// the weights, readers, proxies that serve by both, and checks of all of them.
 type ConfigWorld struct {
 	World           *World
 	Cluster         *Cluster
@@ -47,7 +47,7 @@
 	directories     *Directories
 }
 
-// NewConfigWorld makes one of so many control nodes, with nobody around them yet.
+// NewConfigWorld makes a world with the given number of control nodes and no clients yet.
 func NewConfigWorld(seed int64, nodes int, format ConfigFormat) *ConfigWorld {
 	world := NewWorld(seed)
 	cluster := NewCluster(world, nodes)
@@ -58,7 +58,7 @@
 	return configWorld
 }
 
-// AddOperators adds operators, the first of which brings the first configuration.
+// AddOperators adds operators. The first one sends the first configuration.
 func (cw *ConfigWorld) AddOperators(n int) {
 	for range n {
 		i := len(cw.Operators)
@@ -67,12 +67,12 @@
 	}
 }
 
-// AddWeightsOperator adds an operator that names weights.
+// AddWeightsOperator adds an operator that adds versions of the weights.
 func (cw *ConfigWorld) AddWeightsOperator() {
 	cw.WeightsOperator = NewWeightsOperator(cw.Cluster, "namer", zones[0], cw.Weights)
 }
 
-// AddReaders adds clients that read the configuration back.
+// AddReaders adds clients that read the configuration.
 func (cw *ConfigWorld) AddReaders(n int, every int64) {
 	for range n {
 		i := len(cw.Readers)
@@ -89,7 +89,8 @@
 	cw.Serve.proxies = cw.Proxies
 }
 
-// Start boots the control nodes and, once they had time to find each other, the rest.
+// Start starts the control nodes and proxies at once, and the other clients a second later,
+// when the nodes have had time to elect leaders.
 func (cw *ConfigWorld) Start() {
 	cw.Cluster.Start()
 	for _, proxy := range cw.Proxies {
@@ -109,8 +110,8 @@
 	cw.Serve.Watch(cw.World)
 }
 
-// Until runs on until a condition holds, looked at every 10 ms, and tells how long that
-// took. After the bound it goes on no further.
+// Until runs the world until a condition holds, checked every 10 ms, or until the bound or a
+// violation. It returns the time that passed.
 func (cw *ConfigWorld) Until(bound int64, holds func() bool) (took int64, ok bool) {
 	world := cw.World
 	from := world.now
@@ -123,10 +124,10 @@
 	return world.now - from, true
 }
 
-// HasConfigLeader reports whether a node answers for the configuration.
+// HasConfigLeader reports whether the configuration's slot has a leader.
 func (cw *ConfigWorld) HasConfigLeader() bool { return cw.Cluster.LeaderOf(route.ConfigKey) != nil }
 
-// allUp reports whether all control nodes take part.
+// allUp reports whether all control nodes are up and all have recovered every slot.
 func (cw *ConfigWorld) allUp() bool {
 	for _, node := range cw.Cluster.Nodes {
 		if !node.up || node.node == nil || !node.node.AllSlotsRecovered() {
@@ -136,8 +137,8 @@
 	return true
 }
 
-// AllRecovered reports whether all nodes that are up are voters and every slot has a leader
-// that recovered it under the present voter set.
+// AllRecovered reports whether all nodes that were not removed are up, are voters, and have
+// all slots recovered under the current voter set.
 func (cw *ConfigWorld) AllRecovered() bool {
 	for _, node := range cw.Cluster.Nodes {
 		if node.removed {
@@ -150,7 +151,7 @@
 	return true
 }
 
-// slotOf is the slot of a key at the nodes' own count of slots.
+// slotOf returns the slot of a key, for the default number of slots.
 func slotOf(key string) uint16 {
 	return quorum.SlotOf(key, quorum.DefaultConfig("", 0).Slots)
 }
--- a/sim/control_node.go
+++ b/sim/control_node.go
@@ -6,31 +6,30 @@
 	"violetthread/wal"
 )
 
-// ControlNode is a control node: the real voter with the real write-ahead log on a
-// simulated disk.
+// ControlNode is a control node: a real voter with a real write-ahead log on a simulated disk.
 type ControlNode struct {
 	*Host
 	cluster         *Cluster
 	Disk            *Disk
 	incarnation     uint64
-	removed         bool            // this machine is gone for good
-	voterSet        quorum.VoterSet // as founded or last told
+	removed         bool            // the machine is gone for good
+	voterSet        quorum.VoterSet // initial voter set, or the one it joined
 	log             *wal.Log
 	node            *quorum.Node
 	recordsIssued   uint64
 	syncing         bool
 	checkpointing   bool            // a checkpoint is being written
-	checkpointRest  []quorum.Record // what is still to come of it
-	checkpointSize  int             // records that it has
+	checkpointRest  []quorum.Record // records still to be written
+	checkpointSize  int             // total number of its records
 	Checkpoints     int
-	generation      uint64 // newest that it heard of
+	generation      uint64 // newest generation of claims that the voter knows of
 	lastOperationID uint64
 	pending         map[uint64]func(quorum.Result)
-	Failure         error // of its disk
+	Failure         error // error of the disk
 }
 
-// start is what the daemon does at its start: it reads its log, and votes if it is in a
-// voter set, or else asks to be taken into one.
+// start does what the daemon does at its start: it reads its log and becomes a voter if it is
+// in a voter set, and otherwise asks to be admitted to one.
 func (n *ControlNode) start() {
 	n.pending = map[uint64]func(quorum.Result){}
 	n.recordsIssued, n.generation = 0, 0
@@ -44,7 +43,7 @@
 	n.node = nil
 	config := n.voterConfig()
 	if err := n.startVoter(config, records); err != nil {
-		n.node = nil // there is no room for the state itself
+		n.node = nil // no room in the log for the state itself
 		n.fail(err)
 		return
 	}
@@ -85,7 +84,7 @@
 	return config
 }
 
-// startVoter makes the voter, or begins to ask for a place in a voter set.
+// startVoter creates the voter, or starts asking for admission to a voter set.
 func (n *ControlNode) startVoter(config quorum.Config, records []quorum.Record) error {
 	if len(n.voterSet.Voters) > 0 {
 		n.node = quorum.New(config, n.voterSet, n.Clock(), records)
@@ -111,15 +110,15 @@
 	}
 }
 
-// restart starts the machine again, unless it is gone for good.
+// restart starts the machine, unless it is gone for good.
 func (n *ControlNode) restart() {
 	if !n.removed {
 		n.Start()
 	}
 }
 
-// handle carries out what the voter decided, in the order that the daemon keeps: records
-// are appended before anything is sent, and results come last.
+// handle carries out the voter's decisions in the same order as the daemon: records are
+// appended before anything is sent, and results are returned last.
 func (n *ControlNode) handle(ready quorum.Ready) {
 	for _, event := range ready.Events {
 		n.cluster.world.Notef("%s %s", n.Name, event)
@@ -162,8 +161,8 @@
 	}
 }
 
-// deliverResults tells callers the results of their operations. It returns false if the
-// process was ended before one.
+// deliverResults returns the results of operations to their callers. It returns false if the
+// process was ended before one of them.
 func (n *ControlNode) deliverResults(results []quorum.Result) (alive bool) {
 	for _, result := range results {
 		reply := n.pending[result.ID]
@@ -179,7 +178,8 @@
 	return true
 }
 
-// receive takes a message, after a pass through the codec of the real transport.
+// receive handles a message, after encoding and decoding it with the codec of the real
+// transport.
 func (n *ControlNode) receive(message quorum.Message) {
 	if n.node == nil || n.Failure != nil || n.cluster.dropsMessage != nil && n.cluster.dropsMessage(message) {
 		return
@@ -192,7 +192,7 @@
 	n.handle(n.node.Receive(n.Clock(), codec.UnpackMessage(frame.VoterMessage)))
 }
 
-// Propose starts an operation on this node; reply is called once unless the process ends.
+// Propose starts an operation on this node. It calls reply once, unless the process ends.
 func (n *ControlNode) Propose(op quorum.Operation, reply func(quorum.Result)) {
 	if n.node == nil || n.Failure != nil {
 		reply(quorum.Result{Status: quorum.StatusNotLeader})
@@ -205,23 +205,24 @@
 }
 
 const (
-	// maxLeaderSilenceUS is how long a leader may be silent before nothing is forwarded to it, as
-	// in the daemon (internal/app/control): whoever asks learns at once to ask elsewhere.
+	// maxLeaderSilenceUS is how long a leader may be silent before operations are no longer
+	// forwarded to it, as in the daemon (internal/app/control): the client learns at once that
+	// it should try another node.
 	maxLeaderSilenceUS = 400_000
-	// maxForwards is how often an operation is forwarded at most.
+	// maxForwards limits how often an operation is forwarded.
 	maxForwards = 2
 )
 
-// isSilent reports whether a voter was not heard here for a while.
+// isSilent reports whether nothing was heard from a voter for maxLeaderSilenceUS.
 func (n *ControlNode) isSilent(name string) bool {
 	return n.node != nil && n.node.TimeSinceHeard(n.Clock(), name) > maxLeaderSilenceUS
 }
 
-// serve takes an operation from a client.
+// serve handles an operation from a client.
 func (n *ControlNode) serve(op quorum.Operation, reply func(quorum.Result)) { n.Forward(op, 0, reply) }
 
-// Forward carries an operation out, or forwards it to the leader of its slot as the daemons
-// do, if it was not forwarded too often.
+// Forward executes an operation, or forwards it to the leader of its slot as the daemons do,
+// up to maxForwards times.
 func (n *ControlNode) Forward(op quorum.Operation, hops int, reply func(quorum.Result)) {
 	n.Propose(op, func(result quorum.Result) {
 		if result.Status != quorum.StatusNotLeader || result.Leader == "" || result.Leader == n.Name || hops >= maxForwards {
--- a/sim/control_node_disk.go
+++ b/sim/control_node_disk.go
@@ -8,11 +8,11 @@
 	"violetthread/wal"
 )
 
-// Parts of the log in use, in thousandths, and records of a checkpoint, as in the daemon
-// (internal/app/control).
+// Settings of checkpoints, as in the daemon (internal/app/control): the used part of the log,
+// in thousandths, above which one begins, and the records written with one sync.
 const (
 	checkpointPermille = 350
-	checkpointBatch    = 40 // records that are written with one sync
+	checkpointBatch    = 40 // records written with one sync
 )
 
 // sync begins a sync of the disk, unless one is under way.
@@ -24,7 +24,8 @@
 	n.After(400+n.cluster.world.Rng.Int63n(3000)+n.Disk.SyncDelayUS, n.syncDone)
 }
 
-// syncDone syncs the log, tells the voter, and begins the next sync if records came meanwhile.
+// syncDone syncs the log, notifies the voter, and begins the next sync if records were
+// appended meanwhile.
 func (n *ControlNode) syncDone() {
 	n.syncing = false
 	issued := n.recordsIssued
@@ -37,7 +38,7 @@
 		return
 	}
 	if !n.up {
-		return // a day ended the process
+		return // a hook ended the process
 	}
 	if n.cluster.beforeSynced != nil && n.cluster.beforeSynced(n) {
 		return
@@ -49,7 +50,7 @@
 }
 
 // checkpointIfFull writes a checkpoint before anything else is written, as the daemon does at
-// its start, if the process ended in the midst of one.
+// its start, in case the process ended during a checkpoint.
 func (n *ControlNode) checkpointIfFull() error {
 	if n.log.UsedPermille() <= checkpointPermille {
 		return nil
@@ -65,7 +66,8 @@
 	return packed
 }
 
-// advanceCheckpoint writes a part of one with each sync, as the daemon does between changes.
+// advanceCheckpoint writes a part of the checkpoint with each sync, as the daemon does between
+// changes, and begins one if the log is filled far enough.
 func (n *ControlNode) advanceCheckpoint() error {
 	if n.node == nil {
 		return nil
@@ -101,11 +103,11 @@
 	return n.log.BeginCheckpoint()
 }
 
-// fail ends the process for good after an error of its disk. A full log makes it start
-// anew, as the daemon's voter does, with a checkpoint first.
+// fail ends the process for good after an error of its disk. If the log is full, the process
+// restarts and writes a checkpoint first, as the daemon's voter does.
 func (n *ControlNode) fail(err error) {
 	if errors.Is(err, wal.ErrFull) && n.node != nil {
-		n.cluster.world.Notef("%s begins anew: %v", n.Name, err)
+		n.cluster.world.Notef("%s restarts: %v", n.Name, err)
 		n.node = nil
 		n.Kill()
 		n.Start()
@@ -114,20 +116,20 @@
 	n.Failure = err
 	n.cluster.world.Notef("%s ends: %v", n.Name, err)
 	if errors.Is(err, wal.ErrCorrupt) {
-		n.cluster.world.Violation("ring", "%s can't read its ring: %v", n.Name, err)
+		n.cluster.world.Violation("ring", "%s cannot read its log: %v", n.Name, err)
 	}
 	n.node = nil
 	n.Kill()
 }
 
-// LosePower cuts a node's power and loses what its disk had not synced.
+// LosePower cuts a node's power; writes that its disk had not synced may be lost.
 func (n *ControlNode) LosePower() {
 	n.Kill()
 	n.Disk.PowerLoss()
-	n.cluster.world.Notef("%s lost its power", n.Name)
+	n.cluster.world.Notef("%s loses power", n.Name)
 }
 
-// loseDisk ends the machine, which comes back with an empty disk.
+// loseDisk kills the node and empties its disk. The node comes back with a new incarnation.
 func (n *ControlNode) loseDisk() {
 	n.Kill()
 	n.Disk.Wipe()
--- a/sim/control_node_membership.go
+++ b/sim/control_node_membership.go
@@ -8,7 +8,8 @@
 	"violetthread/schema/fb"
 )
 
-// pollVoterSet asks another machine for a voter set that this disk is in.
+// pollVoterSet asks another machine for a voter set that contains this one with its current
+// disk.
 func (n *ControlNode) pollVoterSet(config quorum.Config) {
 	if n.node != nil {
 		return
@@ -28,11 +29,11 @@
 func (n *ControlNode) joinVoterSet(config quorum.Config, voterSet quorum.VoterSet) {
 	n.voterSet = voterSet
 	n.node = quorum.New(config, voterSet, n.Clock(), nil)
-	n.cluster.world.Notef("%s joins at step %d", n.Name, voterSet.Step())
+	n.cluster.world.Notef("%s joins at voter set step %d", n.Name, voterSet.Step())
 }
 
-// requestAdmission asks all other machines for a place in their voter set, as the daemon of a
-// blank disk does.
+// requestAdmission asks all other machines to be admitted to their voter set, as the daemon
+// does with an empty disk.
 func (n *ControlNode) requestAdmission(config quorum.Config, startedAt int64) {
 	if n.node != nil {
 		return
@@ -58,8 +59,8 @@
 	}
 }
 
-// awaitRecovery measures how long it takes from the start until all slots were recovered
-// with the new voter.
+// awaitRecovery measures the time from the start until all slots were recovered with the new
+// voter.
 func (n *ControlNode) awaitRecovery(startedAt int64) {
 	if n.node != nil && !n.node.AllSlotsRecovered() {
 		n.After(10_000, func() { n.awaitRecovery(startedAt) })
@@ -68,7 +69,7 @@
 	n.cluster.SlowestJoinUS = max(n.cluster.SlowestJoinUS, n.cluster.world.now-startedAt)
 }
 
-// isMemberOf reports whether a voter set holds this machine with its present disk.
+// isMemberOf reports whether a voter set contains this machine with its current disk.
 func (n *ControlNode) isMemberOf(voterSet quorum.VoterSet) bool {
 	voter, ok := voterSet.Find(n.Name)
 	return ok && voter.Incarnation == n.incarnation
@@ -95,22 +96,22 @@
 	}
 }
 
-// hasSilentVoter reports whether any voter was not heard for a quarter of a second.
+// hasSilentVoter reports whether nothing was heard from some voter for a quarter of a second.
 func (n *ControlNode) hasSilentVoter() bool {
 	return slices.ContainsFunc(n.node.VoterSet().Voters, func(voter quorum.Voter) bool {
 		return n.node.TimeSinceHeard(n.Clock(), voter.Name) >= 250_000
 	})
 }
 
-// retire drops the state of a disk that a newer voter set does not hold. The power may go
-// in the midst of it: then the old state stands, and it learns of the newer set again.
+// retire discards the state of a disk that a newer voter set no longer contains. If the power
+// is lost meanwhile, the old state remains, and the node learns of the newer set again.
 func (n *ControlNode) retire() {
 	incarnation := n.cluster.newIncarnation()
 	if err := n.log.Checkpoint([][]byte{codec.PackIdentity(&fb.VoterSetT{Incarnation: incarnation})}); err != nil {
 		n.fail(err)
 		return
 	}
-	n.cluster.world.Notef("%s is retired, and is %d from now on", n.Name, incarnation)
+	n.cluster.world.Notef("%s was removed from the voter set; its new incarnation is %d", n.Name, incarnation)
 	n.incarnation, n.voterSet = incarnation, quorum.VoterSet{}
 	n.Kill()
 	n.Start()
--- a/sim/control_services.go
+++ b/sim/control_services.go
@@ -9,14 +9,14 @@
 
 const planKey = "plan"
 
-// controlServices is what a control node does beside voting: it keeps the table of
-// sessions and a cached plan. A new process of the node begins with new ones.
+// controlServices are the services of a control node besides voting: it tracks the sessions of
+// other nodes and caches the plan. Each process of the node starts with new ones.
 type controlServices struct {
 	sessions *membership.Sessions
 	plan     plan.Cached
 }
 
-// addServices has a control node start its services after its voter.
+// addServices makes a control node start its services after its voter.
 func (f *Fleet) addServices(node *ControlNode) {
 	startVoter := node.boot
 	node.boot = func() {
@@ -31,8 +31,8 @@
 	}
 }
 
-// refreshPlan reads the plan, at the node itself or, if that fails, at another: the way
-// to the leader may be cut here and not elsewhere.
+// refreshPlan reads the plan through the node itself or, if that fails, through another one:
+// the link to the leader may be cut here but not there.
 func (f *Fleet) refreshPlan(node *ControlNode, services *controlServices) {
 	askedAt := node.Clock()
 	read := quorum.Operation{Type: quorum.OpGet, Key: planKey}
@@ -53,11 +53,11 @@
 	})
 }
 
-// announceSessions tells the other voters which nodes are alive.
+// announceSessions sends the other voters the list of live nodes.
 func (f *Fleet) announceSessions(node *ControlNode, services *controlServices) {
 	announcement := services.sessions.Announcement(node.Clock())
 	if node.node == nil {
-		return // in no voter set yet
+		return // not in a voter set yet
 	}
 	for _, other := range f.Cluster.Nodes {
 		if _, isVoter := node.node.VoterSet().Find(other.Name); !isVoter || other == node {
@@ -72,7 +72,7 @@
 	}
 }
 
-// heartbeat takes a node's heartbeat in and answers with plan, nodes and voters.
+// heartbeat records a node's heartbeat and responds with plan, nodes and voters.
 func (s *controlServices) heartbeat(node *ControlNode, request *fb.HeartbeatRequestT) *fb.HeartbeatResponseT {
 	now := node.Clock()
 	s.sessions.Heartbeat(now, request.Node)
--- a/sim/cutoff_day.go
+++ b/sim/cutoff_day.go
@@ -8,39 +8,40 @@
 
 const (
 	cutDurationUS = 20_000_000
-	// recoveryBoundOfCutUS is within how long after a cut everything is back in service.
+	// recoveryBoundOfCutUS limits the time from the end of a cut until everything is back in
+	// service.
 	recoveryBoundOfCutUS = 4_000_000
-	// leaderBoundUS is the longest that nobody may answer for a register while a majority
-	// is in touch.
+	// leaderBoundUS limits the time without a leader for a register while a majority is
+	// connected.
 	leaderBoundUS = 2_000_000
-	// insideReadIntervalUS is between two reads on the side that is cut off.
+	// insideReadIntervalUS is the interval of reads on the side that is cut off.
 	insideReadIntervalUS = 60_000
-	// pauseBetweenCutsUS two cuts, once all is back.
+	// pauseBetweenCutsUS is the pause before the next cut, once everything has recovered.
 	pauseBetweenCutsUS = 1_500_000
 )
 
-// CutoffDay is a day on which control machines are cut off for 20 s again and again,
-// with proxies and an operator on their side, while configurations, keys and weights
-// change.
+// CutoffDay is a day on which control nodes are repeatedly cut off for 20 s, with proxies and
+// an operator on their side, while configurations, keys and weights change.
 type CutoffDay struct {
 	*ConfigWorld
 	inside        *ConfigOperator // on the side that is cut off
-	reader        *ConfigReader   // likewise, and reads there as long as it is
+	reader        *ConfigReader   // on the side that is cut off; it reads only there during a cut
 	proxiesInside []*ConfigProxy
 }
 
-// CutoffResult is what such a day came to.
+// CutoffResult is the result of a cut-off day.
 type CutoffResult struct {
 	Acknowledged, Rejected, Reads, WeightsVersions, Cuts int
-	// OldestConfigUS is the longest that a proxy served by a configuration after a newer one
-	// was acknowledged.
+	// OldestConfigUS is the longest time for which a proxy served by a configuration after a
+	// newer one was acknowledged.
 	OldestConfigUS int64
-	// LongestGapUS is the longest without an acknowledgement while a majority was in touch.
+	// LongestGapUS is the longest time without an acknowledgement while a majority was
+	// connected.
 	LongestGapUS int64
-	// LongestWithoutLeaderUS is the longest that no node answered for the configuration.
+	// LongestWithoutLeaderUS is the longest time without a leader for the configuration.
 	LongestWithoutLeaderUS int64
-	// SlowestRecoveryUS is the longest from the end of a cut until all proxies serve, every control
-	// node answers and all operators had a clear answer.
+	// SlowestRecoveryUS is the longest time from the end of a cut until all proxies serve, all
+	// control nodes that were cut off answer, and all operators got a definite answer.
 	SlowestRecoveryUS int64
 	Violations        []string
 	Notes             []string
@@ -53,7 +54,7 @@
 	var r CutoffResult
 	world := d.World
 	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acknowledged > 3 && d.Weights.Acknowledged > 0 }); !ok {
-		world.Violation("not begun", "no configuration was acknowledged after %d us", world.now)
+		world.Violation("not started", "no configuration was acknowledged after %d us", world.now)
 	}
 	for _, partition := range cuts {
 		if len(world.violations) > 0 {
@@ -83,8 +84,8 @@
 	return d
 }
 
-// cut cuts as many machines off as may be lost, or one, for 20 s, and waits until all
-// is back.
+// cut cuts off between one machine and as many as may be lost, for 20 s, and waits until
+// everything is back in service.
 func (d *CutoffDay) cut(partition Partition, result *CutoffResult) {
 	world := d.World
 	machines := d.chooseMachines(result.Cuts%2 == 0)
@@ -114,8 +115,8 @@
 	world.Run(world.now + pauseBetweenCutsUS)
 }
 
-// restartOutside ends the control nodes on the other side, which come back at once and
-// know of no lease that they granted.
+// restartOutside kills the control nodes on the other side. They restart at once, without
+// their record of the leases that they granted.
 func (d *CutoffDay) restartOutside(machines []*ControlNode) {
 	world := d.World
 	for _, node := range d.Cluster.Nodes {
@@ -126,7 +127,8 @@
 	}
 }
 
-// chooseMachines picks the machines to cut off, among them the configuration's leader if asked for.
+// chooseMachines picks the machines to cut off, including the configuration's leader if
+// withLeader is set.
 func (d *CutoffDay) chooseMachines(withLeader bool) []*ControlNode {
 	world := d.World
 	n := 1 + world.Rng.Intn(tolerates(len(d.Cluster.Nodes)))
@@ -142,8 +144,8 @@
 	return out
 }
 
-// watchAvailability runs until a time and judges that changes go on being acknowledged on the
-// side of the majority.
+// watchAvailability runs until a given time and checks that the majority keeps a leader and
+// keeps acknowledging changes.
 func (d *CutoffDay) watchAvailability(until int64, result *CutoffResult) {
 	world := d.World
 	acknowledged, at, ledAt := d.Config.Acknowledged, world.now, world.now
@@ -157,18 +159,18 @@
 		}
 		result.LongestWithoutLeaderUS = max(result.LongestWithoutLeaderUS, world.now-ledAt)
 		if world.now-ledAt > leaderBoundUS {
-			world.Violation("no owner", "of the configuration for %d us, with a majority in touch", world.now-ledAt)
+			world.Violation("no leader", "for the configuration for %d us, with a majority connected", world.now-ledAt)
 		}
 		result.LongestGapUS = max(result.LongestGapUS, world.now-at)
 		if world.now-at > acknowledgementBoundUS {
-			world.Violation("no change acknowledged", "for %d us, with a majority in touch", world.now-at)
+			world.Violation("no change acknowledged", "for %d us, with a majority connected", world.now-at)
 		}
 	}
 }
 
-// notInService names what is not yet in service after a cut: a proxy that does not serve, a
-// machine that was cut off and does not answer for the configuration, an operator that
-// had no clear answer yet. It is empty once all is back.
+// notInService returns a function that names something not yet in service after a cut: a proxy
+// that does not serve, a machine that was cut off and does not answer for the configuration,
+// or an operator without a definite answer. It returns "" once everything is back.
 func (d *CutoffDay) notInService(machines []*ControlNode) func() string {
 	answered := map[*ControlNode]bool{}
 	for _, machine := range machines {
@@ -198,7 +200,7 @@
 	}
 }
 
-// probe reads the configuration at a node until that answers.
+// probe reads the configuration at a node until the node answers.
 func (d *CutoffDay) probe(machine *ControlNode, answered map[*ControlNode]bool) {
 	r := d.Readers[0]
 	r.readAt(machine, func(ok bool) {
--- a/sim/cutoff_day_test.go
+++ b/sim/cutoff_day_test.go
@@ -59,10 +59,10 @@
 				requireNoViolations(t, seed, r.Violations, r.Notes)
 				sum.add(r)
 			}
-			t.Logf("%d cuts: %d acknowledged, %d refused, %d read back, %d weights named; old configuration in use for %s of %s, no owner for %s of %s, no acknowledgement for %s of %s, back after %s of %s",
+			t.Logf("%d cuts: %d acknowledged, %d rejected, %d reads, %d weight versions; old configuration in use for %s, limit %s; no leader for %s, limit %s; no acknowledgement for %s, limit %s; back after %s, limit %s",
 				sum.Cuts, sum.Acknowledged, sum.Rejected, sum.Reads, sum.WeightsVersions, seconds(sum.OldestConfigUS), seconds(ApplyBoundUS), seconds(sum.LongestWithoutLeaderUS), seconds(leaderBoundUS), seconds(sum.LongestGapUS), seconds(acknowledgementBoundUS), seconds(sum.SlowestRecoveryUS), seconds(recoveryBoundOfCutUS))
 			if sum.Acknowledged < 20*sum.Cuts || sum.Reads < 50*sum.Cuts || sum.Rejected == 0 || sum.WeightsVersions < 10*sum.Cuts {
-				t.Error("too little to prove anything")
+				t.Error("too little activity for a meaningful result")
 			}
 		})
 	}
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -7,11 +7,11 @@
 	"violetthread/wal"
 )
 
-// Disk is a simulated directory of write-ahead log files. What no sync covered may be lost
-// with the power, whole or in part. It implements wal.FS.
+// Disk is a simulated directory of write-ahead log files. A power loss may discard unsynced
+// data, wholly or in part. It implements wal.FS.
 type Disk struct {
 	FailAll     bool  // writes and syncs fail
-	SyncDelayUS int64 // how much longer a control node's syncs take
+	SyncDelayUS int64 // additional duration of a control node's syncs
 
 	world *World
 	files map[string]*diskFile
@@ -22,15 +22,15 @@
 type diskFile struct {
 	disk    *Disk
 	name    string
-	durable []byte      // survives a loss of power
-	cache   []byte      // what is read back
-	dirty   []dirtySpan // written since the last sync
+	durable []byte      // contents that survive a power loss
+	cache   []byte      // contents as read back
+	dirty   []dirtySpan // ranges written since the last sync
 }
 
-// dirtySpan is the bytes from begin to before end.
+// dirtySpan is a range of bytes; end is exclusive.
 type dirtySpan struct{ begin, end int64 }
 
-// diskWrite is what an observer sees of a write.
+// diskWrite is a write as reported to an observer.
 type diskWrite struct {
 	offset int64
 	data   []byte
@@ -38,12 +38,12 @@
 
 const sectorBytes = 512
 
-var errSimulatedDisk = errors.New("simulated disk problem")
+var errSimulatedDisk = errors.New("simulated disk error")
 
 // NewDisk makes an empty disk.
 func NewDisk(world *World) *Disk { return &Disk{world: world, files: map[string]*diskFile{}} }
 
-// Size is the bytes of a file, 0 if it is missing.
+// Size returns the size of a file in bytes, 0 if it is missing.
 func (d *Disk) Size(name string) (int64, error) {
 	if file := d.files[name]; file != nil {
 		return int64(len(file.durable)), nil
@@ -51,7 +51,7 @@
 	return 0, nil
 }
 
-// Open opens a file, made with so many zeros if it is missing.
+// Open opens a file, and creates it filled with size zeros if it is missing.
 func (d *Disk) Open(name string, size int64) (wal.File, error) {
 	file := d.files[name]
 	if file == nil {
@@ -61,7 +61,8 @@
 	return file, nil
 }
 
-// PowerLoss keeps what was synced, and of the rest each sector by chance.
+// PowerLoss keeps the synced data, and each sector of the unsynced data with a probability of
+// one half.
 func (d *Disk) PowerLoss() {
 	for _, file := range d.sorted() {
 		for _, span := range file.dirty {
@@ -82,11 +83,11 @@
 	}
 }
 
-// Wipe loses the disk.
+// Wipe empties the disk.
 func (d *Disk) Wipe() { d.files = map[string]*diskFile{} }
 
-// sorted are the files in the order of their segments: the order of a map would change the
-// draws.
+// sorted returns the files in the order of their segments, since map order would change the
+// random draws.
 func (d *Disk) sorted() []*diskFile {
 	var out []*diskFile
 	for i := 0; ; i++ {
@@ -98,12 +99,12 @@
 	}
 }
 
-// ReadAt reads what was written, synced or not.
+// ReadAt reads data, synced or not.
 func (f *diskFile) ReadAt(data []byte, offset int64) (int, error) {
 	return copy(data, f.cache[offset:]), nil
 }
 
-// WriteAt writes; a loss of power may undo it until Sync.
+// WriteAt writes data that a power loss may discard until the next Sync.
 func (f *diskFile) WriteAt(data []byte, offset int64) (int, error) {
 	if f.disk.FailAll {
 		return 0, errSimulatedDisk
@@ -114,7 +115,7 @@
 	return len(data), nil
 }
 
-// Sync makes all that was written last.
+// Sync makes all written data durable.
 func (f *diskFile) Sync() error {
 	if f.disk.FailAll {
 		return errSimulatedDisk
@@ -127,5 +128,5 @@
 	return nil
 }
 
-// Close does nothing: a file ends with its disk.
+// Close does nothing: a file exists as long as its disk.
 func (f *diskFile) Close() error { return nil }
--- a/sim/engine.go
+++ b/sim/engine.go
@@ -7,42 +7,42 @@
 	"violetthread/index"
 )
 
-// Engine is a simulated engine, or the store, which only takes blocks that engines evict.
+// Engine is a simulated engine, or the store, which only holds blocks that engines evict.
 type Engine struct {
 	*Host
 	fleet     *Fleet
 	store     bool
-	capacity  int // runs at once
-	maxBlocks int // that it holds
+	capacity  int // limit of concurrent runs
+	maxBlocks int // limit of blocks held
 
 	incarnation   uint64
 	holdings      map[cacheindex.Key]blockOrigin
-	evictionOrder []cacheindex.Key // the oldest first
-	events        []index.Event    // the last ones
-	lastSequence  uint64           // of its events
+	evictionOrder []cacheindex.Key // oldest first
+	events        []index.Event    // most recent events
+	lastSequence  uint64           // sequence number of the last event
 	weights       string
-	loading       string // weights that it is about to load, "" for none
-	startWeights  string // that it loads at a start
-	fencingToken  uint64 // highest that it was told
+	loading       string // weights that are to be loaded, "" for none
+	startWeights  string // weights that are loaded at a start
+	fencingToken  uint64 // highest fencing token received
 	runs          map[string]*engineRun
 
-	interruptsRuns bool  // it breaks every run off
-	ignoresWeights bool  // it does not load other weights
-	loadDelayUS    int64 // how much longer it takes to load weights
+	interruptsRuns bool  // every run is interrupted
+	ignoresWeights bool  // updates of the weights are ignored
+	loadDelayUS    int64 // additional time for loading weights
 
 	// For the checker and tests, in true time:
-	startTimes       []int64 // when runs began
-	arrivalTimes     []int64 // when runs arrived, begun or refused
-	unreachableUntil int64   // when it could last not be told anything
+	startTimes       []int64 // when runs started
+	arrivalTimes     []int64 // when runs arrived, whether started or refused
+	unreachableUntil int64   // when the engine was last unreachable for a weight update
 }
 
 const (
-	piecesPerRun    = 5   // of an answer
-	maxEngineEvents = 400 // that an engine keeps; then the older half goes
+	piecesPerRun    = 5   // pieces of an answer
+	maxEngineEvents = 400 // limit of the events kept; above it the older half is dropped
 )
 
-// blockOrigin tells whose run computed a block, under which weights and when, in true time:
-// the checker goes by that and not by the keys of blocks.
+// blockOrigin tells which group's run computed a block, under which weights and when, in true
+// time. The checker relies on it instead of the blocks' keys.
 type blockOrigin struct {
 	group, weights string
 	computedAt     int64
@@ -59,7 +59,8 @@
 	return engine
 }
 
-// attemptIDs are those of the runs under way, in an order that does not depend on the map.
+// attemptIDs returns the attempt IDs of the current runs in sorted order, independent of map
+// order.
 func (e *Engine) attemptIDs() []string {
 	var ids []string
 	for id := range e.runs {
@@ -79,12 +80,12 @@
 
 func (e *Engine) nodeID() uint64 { return cacheindex.NodeID(e.Name, e.incarnation) }
 
-// publish adds an event for the index node that polls the engine, unless it gets lost.
+// publish adds an event for the index node that polls the engine, or loses it at random.
 func (e *Engine) publish(event index.Event) {
 	e.lastSequence++
 	event.Seq = e.lastSequence
 	if e.fleet.World.Rng.Intn(1000) < e.fleet.EventLossPermille {
-		return // lost
+		return
 	}
 	e.events = append(e.events, event)
 	if len(e.events) > maxEngineEvents {
@@ -92,7 +93,7 @@
 	}
 }
 
-// addBlock adds a block, if it is not held already.
+// addBlock adds a block, unless the engine already holds it.
 func (e *Engine) addBlock(key cacheindex.Key, origin blockOrigin) {
 	if _, ok := e.holdings[key]; ok {
 		return
@@ -105,7 +106,7 @@
 	}
 }
 
-// evictOldest drops the block that was added first. An engine's goes to the store.
+// evictOldest evicts the block that was added first. Blocks of an engine go to the store.
 func (e *Engine) evictOldest() {
 	evicted := e.evictionOrder[0]
 	e.evictionOrder = e.evictionOrder[1:]
@@ -121,7 +122,8 @@
 	return append([]cacheindex.Key(nil), e.evictionOrder...)
 }
 
-// report answers a poll with the events after a number, if they are of this incarnation.
+// report answers a poll with the events after a sequence number, if the poll is for this
+// incarnation.
 func (e *Engine) report(incarnation, after uint64) index.Report {
 	report := index.Report{Incarnation: e.incarnation, Weights: e.weights, Running: len(e.runs), Capacity: e.capacity, LastSeq: e.lastSequence}
 	if e.loading != "" {
@@ -137,7 +139,7 @@
 	return report
 }
 
-// updateWeights loads other weights once the runs under way have ended.
+// updateWeights loads other weights once the current runs have ended.
 func (e *Engine) updateWeights(name string, token uint64) {
 	if token < e.fencingToken || e.ignoresWeights {
 		return
@@ -153,7 +155,8 @@
 	}
 }
 
-// loadWeights waits for the runs under way, and then drops all blocks with the old weights.
+// loadWeights waits for the current runs to end, then switches the weights and drops all
+// blocks.
 func (e *Engine) loadWeights() {
 	if len(e.runs) > 0 {
 		e.After(10_000, e.loadWeights)
@@ -165,5 +168,5 @@
 		e.publish(index.Event{Removed: true, Block: key, HasBlock: true})
 	}
 	e.holdings, e.evictionOrder = map[cacheindex.Key]blockOrigin{}, nil
-	e.fleet.World.Notef("%s turned to %s", e.Name, e.weights)
+	e.fleet.World.Notef("%s loaded weights %s", e.Name, e.weights)
 }
--- a/sim/engine_run.go
+++ b/sim/engine_run.go
@@ -13,18 +13,18 @@
 	gateway        *Gateway
 	action         dispatch.Action
 	engine         *Engine
-	engineProcess  int  // of the engine that it was sent to
-	gatewayProcess int  // of the gateway that sent it
-	closed         bool // the gateway knows its end
-	received       bool // it arrived at the engine
-	cancelled      bool // by the gateway
-	ended          bool // the engine is done with it
+	engineProcess  int  // process number of the engine when the run was sent
+	gatewayProcess int  // process number of the gateway when the run was sent
+	closed         bool // the gateway knows the outcome
+	received       bool // the run arrived at the engine
+	cancelled      bool // cancelled by the gateway
+	ended          bool // the engine has finished with it
 	piecesSent     int
-	replies        []func() // on their way to the gateway, in the order sent
+	replies        []func() // replies in transit to the gateway, in the order sent
 }
 
-// reply runs a task at the gateway after a delay. Replies arrive in the order sent, also
-// when the gateway was frozen and takes up what it missed in another order.
+// reply runs a task at the gateway after a delay. Replies arrive in the order sent, even if
+// the gateway was frozen and runs its deferred tasks in another order.
 func (r *engineRun) reply(delayUS int64, task func()) {
 	r.replies = append(r.replies, task)
 	r.fleet.World.At(r.fleet.World.now+delayUS, func() {
@@ -36,23 +36,23 @@
 	})
 }
 
-// isCut reports whether nothing gets through between gateway and engine in a direction.
+// isCut reports whether the link between gateway and engine is cut in either direction.
 func (r *engineRun) isCut() bool { return r.fleet.World.isCut(r.gateway.Host, r.engine.Host) }
 
-// checkEngine notices that the engine is gone before the run arrived.
+// checkEngine interrupts the run if the engine's process ended.
 func (r *engineRun) checkEngine() {
 	if !r.closed && (!r.engine.up || r.engine.process != r.engineProcess) && !r.isCut() {
 		r.interrupt()
 	}
 }
 
-// interrupt tells the gateway that the connection broke off.
+// interrupt notifies the gateway that the connection broke.
 func (r *engineRun) interrupt() {
 	r.ended = true
 	r.reply(500, func() { r.finish(attempt.Interrupted, "engine-lost") })
 }
 
-// finish tells the gateway how the attempt ended, once.
+// finish reports the outcome of the attempt to the gateway, once.
 func (r *engineRun) finish(state attempt.State, cause string) {
 	if !r.closed {
 		r.closed = true
@@ -60,7 +60,8 @@
 	}
 }
 
-// cancel is the gateway hanging up: the engine stops when it notices.
+// cancel closes the connection from the gateway's side. The engine stops the run when it
+// notices.
 func (r *engineRun) cancel() {
 	r.cancelled = true
 	r.closed = true
@@ -71,19 +72,19 @@
 	})
 }
 
-// release frees the engine of the run.
+// release removes the run from the engine.
 func (r *engineRun) release() {
 	r.ended = true
 	delete(r.engine.runs, r.action.AttemptID)
 }
 
-// startRun takes a run that arrived at the engine, or refuses it.
+// startRun starts a run that arrived at the engine, or refuses it.
 func (e *Engine) startRun(run *engineRun) {
 	if run.cancelled || run.received || run.engineProcess != e.process {
 		return
 	}
 	e.arrivalTimes = append(e.arrivalTimes, e.fleet.World.now)
-	run.received = true // a connection does not repeat what it carries
+	run.received = true // a connection does not deliver a message twice
 	if reason := e.refusalReason(run.action); reason != "" {
 		run.reply(400, func() { run.finish(attempt.NotStarted, reason) })
 		return
@@ -102,13 +103,13 @@
 	e.computePrompt(run)
 }
 
-// refuses is why an engine does not take a run, "" if it does.
+// refusalReason returns why the engine refuses a run, "" if it does not.
 func (e *Engine) refusalReason(action dispatch.Action) string {
 	switch {
 	case action.Grant.NodeID != e.nodeID():
 		return "other-life"
 	case action.Grant.FencingToken < e.fencingToken:
-		e.fleet.World.Violation("two owners' orders", "%s got a run under epoch %d after %d", e.Name, action.Grant.FencingToken, e.fencingToken)
+		e.fleet.World.Violation("outdated fencing token", "%s got a run with fencing token %d after %d", e.Name, action.Grant.FencingToken, e.fencingToken)
 		return "old-epoch"
 	case action.Weights != e.weights || e.loading != "":
 		return "other-weights"
@@ -118,14 +119,14 @@
 	return ""
 }
 
-// prefix is what a run need not compute: so many blocks of its prompt, and whose run
-// computed the last of them.
+// prefix is the part of a prompt that need not be computed: the number of blocks, and the
+// origin of the last one.
 type prefix struct {
 	blocks int
 	origin blockOrigin
 }
 
-// computePrompt computes the blocks of a run's prompt that are neither held here nor
+// computePrompt computes the blocks of a run's prompt that are neither held locally nor
 // transferred, and then sends the answer.
 func (e *Engine) computePrompt(run *engineRun) {
 	action := run.action
@@ -146,7 +147,7 @@
 	e.After(durationUS+1000, func() { e.promptComputed(run, reused, fresh) })
 }
 
-// localPrefix is the longest prefix of a run's prompt that the engine holds.
+// localPrefix returns the longest prefix of a run's prompt that the engine holds.
 func (e *Engine) localPrefix(run *engineRun, fresh blockOrigin) prefix {
 	chain := run.action.PrefixKeys
 	for i := len(chain) - 1; i >= 0; i-- {
@@ -158,8 +159,8 @@
 	return prefix{0, fresh}
 }
 
-// transferPrefix transfers a longer prefix than the local one, if the run names a peer
-// for it and that works. It returns the local one else, and for how long it waited in vain.
+// transferPrefix transfers a prefix longer than the local one, if the run names a peer that
+// can provide it. Otherwise it returns the local prefix, and the time that was wasted waiting.
 func (e *Engine) transferPrefix(run *engineRun, local prefix) (reused prefix, waitedUS int64) {
 	action := run.action
 	if action.TransferBlock+1 <= local.blocks {
@@ -202,13 +203,13 @@
 	e.sendPieces(run)
 }
 
-// sendPieces sends the next piece of the answer, and ends the run after the last.
+// sendPieces sends the next piece of the answer, and ends the run after the last one.
 func (e *Engine) sendPieces(run *engineRun) {
 	if run.ended || run.engineProcess != e.process {
 		return
 	}
 	if run.isCut() {
-		e.After(50_000, func() { e.sendPieces(run) }) // the connection's buffers fill; nothing moves
+		e.After(50_000, func() { e.sendPieces(run) }) // buffers fill up while the link is cut
 		return
 	}
 	if run.piecesSent < piecesPerRun {
--- a/sim/events.go
+++ b/sim/events.go
@@ -1,9 +1,9 @@
 package sim
 
-// event is a task at a true time.
+// event is a task that runs at a true time.
 type event struct {
 	time     int64  // in microseconds
-	sequence uint64 // orders events of one time
+	sequence uint64 // order among events of the same time
 	run      func()
 }
 
@@ -18,10 +18,10 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push adds an event, for the heap.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop takes the last event off, for the heap.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/sim/final_fault_day.go
+++ b/sim/final_fault_day.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	// finalProbesUS is how long service is asked for after a final fault.
+	// finalProbesUS is how long probes are sent after a final fault.
 	finalProbesUS = 10_000_000
-	// finalAnswersUS is when the last of that must have ended.
+	// finalAnswersUS is the time after the fault at which the run ends, with every probe
+	// finished.
 	finalAnswersUS = 16_000_000
 
 	finalRequestIntervalUS = 150_000
 	finalPlanIntervalUS    = 400_000
 )
 
-// RunFinalFault brings one last fault about and asks for service for ten seconds after it:
-// a once-only request at every gateway every 150 ms, and a plan every 400 ms. It returns
-// when the last of them that failed was followed by one that did not, in microseconds after
-// the fault, over all gateways that live; 0 means that they failed to the end.
+// RunFinalFault injects one final fault and probes the service for ten seconds after it: a
+// once-only request at every gateway every 150 ms, and a plan every 400 ms. It returns the
+// time after the fault, in microseconds, at which service was back for good: when the first
+// probe after the last failed one succeeded, at the slowest of the gateways that are up and
+// the plan. 0 means that service did not come back.
 func RunFinalFault(seed int64, fault string, size FleetSize) (recoveryUS int64, violations []string) {
 	fleet := NewFleet(seed, size)
 	world := fleet.World
@@ -41,12 +43,12 @@
 	return p.recoveryUS(), world.violations
 }
 
-// serviceProbe is a request or plan that was sent to see whether service is back.
+// serviceProbe is a request or plan that was sent to check whether service is back.
 type serviceProbe struct {
-	doneUS int64 // in microseconds after the fault, 0: it failed
+	doneUS int64 // microseconds after the fault, 0 if the probe failed
 }
 
-// serviceProbes asks a fleet for service after a fault.
+// serviceProbes probes the service of a fleet after a fault.
 type serviceProbes struct {
 	fleet       *Fleet
 	operator    *FleetOperator
@@ -105,7 +107,8 @@
 	p.operator.PutPlan(func() { probe.doneUS = p.sinceFault() })
 }
 
-// recoveryUS is when service was back for good at all targets that are up, 0 if it was not.
+// recoveryUS returns when service was back for good at all targets that are up, 0 if it was
+// not.
 func (p *serviceProbes) recoveryUS() (latest int64) {
 	for _, target := range sortedNames(p.byTarget) {
 		if host := p.fleet.World.hostNamed(target); host != nil && !host.up {
@@ -120,7 +123,7 @@
 	return latest
 }
 
-// lastRecovery is when the first probe after the last failed one was done, 0 for none.
+// lastRecovery returns when the first probe after the last failed one succeeded, 0 for none.
 func lastRecovery(probes []*serviceProbe) (recoveredUS int64) {
 	for _, probe := range probes {
 		switch {
--- a/sim/final_faults.go
+++ b/sim/final_faults.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// FinalFaults are single faults after which nothing is mended: service must come back by
-// itself, with a majority left.
+// FinalFaults are single faults after which nothing is repaired. A majority of the control
+// nodes is left, and service must recover by itself.
 var FinalFaults = map[string]func(f *Fleet){
-	"a registrar dies": func(f *Fleet) { f.planLeader().Kill() },
-	"a registrar freezes for good": func(f *Fleet) {
+	"a control node dies": func(f *Fleet) { f.planLeader().Kill() },
+	"a control node freezes for good": func(f *Fleet) {
 		f.planLeader().Freeze()
 	},
-	"a registrar's disk stalls for good": func(f *Fleet) {
+	"a control node's disk stalls for good": func(f *Fleet) {
 		f.planLeader().Disk.SyncDelayUS = 1 << 40
 	},
-	"a registrar's disk fails": func(f *Fleet) { f.planLeader().Disk.FailAll = true },
-	"a registrar hears and is not heard": func(f *Fleet) {
+	"a control node's disk fails": func(f *Fleet) { f.planLeader().Disk.FailAll = true },
+	"a control node's outbound links are cut": func(f *Fleet) {
 		r := f.planLeader()
 		for _, h := range f.World.hosts {
 			f.World.Cut(r.Name, h.Name)
@@ -34,29 +34,29 @@
 			}
 		}
 	},
-	"the owner of most shards dies": func(f *Fleet) { f.busiestIndexNode("duty/shard/").Kill() },
+	"the index node with most shards dies": func(f *Fleet) { f.busiestIndexNode("duty/shard/").Kill() },
 	"the owner of most engines dies in a roll-out": func(f *Fleet) {
 		f.changeWeights()
 		c := f.busiestIndexNode("duty/engine/")
 		f.World.At(f.World.now+1_000_000, c.Kill)
 	},
-	"a custodian dies": func(f *Fleet) { f.IndexNodes[1].Kill() },
-	"a core machine dies": func(f *Fleet) {
+	"an index node dies": func(f *Fleet) { f.IndexNodes[1].Kill() },
+	"a control node and an index node die": func(f *Fleet) {
 		r := f.planLeader()
 		r.Kill()
 		f.indexNodeIn(r.Zone).Kill()
 	},
-	"a core machine is cut off": func(f *Fleet) {
+	"a control node and an index node are cut off": func(f *Fleet) {
 		r := f.planLeader()
 		f.World.Isolate(r.Name)
 		f.World.Isolate(f.indexNodeIn(r.Zone).Name)
 	},
-	"all registrars are killed and start anew": func(f *Fleet) {
+	"all control nodes are killed and restart": func(f *Fleet) {
 		for _, r := range f.Cluster.Nodes {
 			f.restartHost(r.Host)
 		}
 	},
-	"all lose power and start anew": func(f *Fleet) {
+	"all lose power and restart": func(f *Fleet) {
 		for _, r := range f.Cluster.Nodes {
 			r.LosePower()
 		}
@@ -66,14 +66,14 @@
 			}
 		}
 	},
-	"all custodians are killed and start anew": func(f *Fleet) {
+	"all index nodes are killed and restart": func(f *Fleet) {
 		for _, c := range f.IndexNodes {
 			f.restartHost(c.Host)
 		}
 	},
-	"a runner is killed and starts anew":   func(f *Fleet) { f.restartHost(f.Agents[0].Host) },
-	"a remisier is killed and starts anew": func(f *Fleet) { f.restartHost(f.Gateways[0].Host) },
-	"two engines vanish": func(f *Fleet) {
+	"an agent is killed and restarts":  func(f *Fleet) { f.restartHost(f.Agents[0].Host) },
+	"a gateway is killed and restarts": func(f *Fleet) { f.restartHost(f.Gateways[0].Host) },
+	"two engines die": func(f *Fleet) {
 		f.Engines[0].Kill()
 		f.Engines[1].Kill()
 	},
@@ -87,7 +87,7 @@
 	},
 }
 
-// FinalFaultNames lists the faults in order.
+// FinalFaultNames returns the names of the faults in sorted order.
 func FinalFaultNames() []string { return sortedNames(FinalFaults) }
 
 func (f *Fleet) restartHost(host *Host) {
@@ -95,7 +95,7 @@
 	f.World.At(f.World.now+100_000, host.Start)
 }
 
-// planLeader is the control node that leads the plan's slot.
+// planLeader returns the control node that leads the plan's slot.
 func (f *Fleet) planLeader() *ControlNode {
 	for _, node := range f.Cluster.Nodes {
 		if node.node != nil {
@@ -107,7 +107,8 @@
 	return f.Cluster.Nodes[0]
 }
 
-// busiestIndexNode is the index node that holds most roles of a kind.
+// busiestIndexNode returns the index node that holds the most roles whose names begin with
+// kind.
 func (f *Fleet) busiestIndexNode(kind string) *IndexNode {
 	best, most := f.IndexNodes[0], -1
 	for _, indexNode := range f.IndexNodes {
--- a/sim/final_faults_test.go
+++ b/sim/final_faults_test.go
@@ -21,7 +21,7 @@
 					t.Fatalf("seed %d: %v", s, violations)
 				}
 				if recoveryUS == 0 || recoveryUS > 10_000_000 {
-					t.Fatalf("seed %d: back after %d us (0: not within ten seconds)", s, recoveryUS)
+					t.Fatalf("seed %d: back after %d us (0: not within 10 s)", s, recoveryUS)
 				}
 				recoveries = append(recoveries, recoveryUS)
 			}
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -7,8 +7,8 @@
 	"violetthread/wal"
 )
 
-// Fleet is a whole fleet: control nodes, index nodes, gateways with their agents,
-// engines, the platform and callers, all running the daemons' deciding code.
+// Fleet is a whole fleet: control nodes, index nodes, gateways with their agents, engines, the
+// platform and callers. All daemons run their real decision logic.
 type Fleet struct {
 	World            *World
 	Cluster          *Cluster
@@ -21,27 +21,27 @@
 	services         map[*ControlNode]*controlServices
 	checker          *checker
 	requestsSent     int
-	changeWeights    func() // names new weights, for final faults
-	callerGeneration uint64 // newest that any gateway told its callers
-	// EventLossPermille is the part of engines' events that gets lost, in thousandths.
+	changeWeights    func() // sets new weights, for final faults
+	callerGeneration uint64 // newest generation of claims that a gateway passed on to callers
+	// EventLossPermille is the fraction of engine events that are lost, in thousandths.
 	EventLossPermille int
-	// TransferFailurePermille is the part of cache transfers that fail without notice, in
+	// TransferFailurePermille is the fraction of cache transfers that fail silently, in
 	// thousandths.
 	TransferFailurePermille int
-	// SlowTransfersFrom are engines, by address, from which transfers take longer than
-	// anyone waits.
+	// SlowTransfersFrom are the addresses of engines from which transfers take longer than any
+	// wait.
 	SlowTransfersFrom map[string]bool
-	// HideTransferScores leaves what was learnt of links out of all grants.
+	// HideTransferScores removes the learned scores of transfer links from all grants.
 	HideTransferScores bool
-	// Documents is how many long beginnings each group's prompts have; 0 is one.
+	// Documents is the number of long shared prefixes among each group's prompts; 0 means one.
 	Documents int
 	Tally     Tally
 }
 
-// FleetSize says how large a simulated fleet is.
+// FleetSize is the size of a simulated fleet.
 type FleetSize struct{ Gateways, Engines int }
 
-// NewFleet makes a fleet and starts it.
+// NewFleet creates and starts a fleet.
 func NewFleet(seed int64, size FleetSize) *Fleet {
 	world := NewWorld(seed)
 	f := &Fleet{World: world, Cluster: NewCluster(world, 4), services: map[*ControlNode]*controlServices{}}
@@ -73,7 +73,7 @@
 	f.Cluster.Start()
 }
 
-// addEngine starts an engine or the store, and has the platform list it.
+// addEngine starts an engine or the store, and adds it to the platform's list.
 func (f *Fleet) addEngine(name, zone string, store bool) {
 	engine := newEngine(f, name, zone, store)
 	f.Engines = append(f.Engines, engine)
--- a/sim/fleet_callers.go
+++ b/sim/fleet_callers.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// requestKinds are what callers ask for, and how long they wait, in microseconds.
+// requestKinds are the kinds of requests, and requestTimeoutsUS their timeouts at the caller.
 var (
 	requestKinds      = []string{"check", "confirmation", "tag"}
 	requestTimeoutsUS = map[string]int64{"check": 8_000_000, "confirmation": 6_000_000, "tag": 5_000_000}
 )
 
-// drawnRequest is what a caller sends, once or several times.
+// drawnRequest is a randomly drawn request that a caller sends once or several times.
 type drawnRequest struct {
 	group, kind, prompt string
 	key                 int // number of the group's key
@@ -19,7 +19,8 @@
 	pieceDelayUS        int64
 }
 
-// sendRequests sends requests until a true time, some of them twice at two gateways.
+// sendRequests sends requests until a true time, some of them several times at different
+// gateways.
 func (f *Fleet) sendRequests(operator *FleetOperator, until int64) {
 	world := f.World
 	if world.now >= until {
@@ -36,7 +37,7 @@
 		}
 		after := int64(i) * world.Rng.Int63n(3_000_000)
 		if i > 0 && world.Rng.Intn(4) == 0 {
-			after += world.Rng.Int63n(20_000_000) // a resend long after
+			after += world.Rng.Int63n(20_000_000) // a very late resend
 		}
 		world.At(world.now+after, func() { f.sendRequest(request, drawn.prompt) })
 	}
@@ -54,17 +55,17 @@
 	}
 	drawn.key = operator.keyNumbers[drawn.group]
 	if drawn.key > 0 && rng.Intn(5) == 0 {
-		drawn.key-- // a caller that still uses the key that was revoked
+		drawn.key-- // the caller still uses the revoked key
 	}
 	drawn.generation = max(1, f.callerGeneration)
 	if rng.Intn(12) == 0 {
-		drawn.pieceDelayUS = 200_000 + rng.Int63n(1_300_000) // a long answer: much happens while it runs
+		drawn.pieceDelayUS = 200_000 + rng.Int63n(1_300_000) // a long answer, so that other events happen while it runs
 	}
 	return drawn, copies
 }
 
-// drawPrompt draws a prompt that shares a long beginning with others of its group, unless it
-// is of a kind with short ones.
+// drawPrompt draws a prompt that shares a long prefix with others of its group, except for the
+// kind that has short prompts.
 func (f *Fleet) drawPrompt(group, kind string) string {
 	prompt := fmt.Sprintf("%d", f.requestsSent)
 	if kind == "tag" {
@@ -77,7 +78,7 @@
 	return strings.Repeat(document+" shares this much of every prompt. ", 220) + prompt
 }
 
-// sendRequest sends a request to its gateway, if that is up.
+// sendRequest sends a request to its gateway, if the gateway is up.
 func (f *Fleet) sendRequest(request *callerRequest, prompt string) {
 	world, gateway := f.World, request.gateway
 	timeoutUS := requestTimeoutsUS[request.kind]
--- a/sim/fleet_day.go
+++ b/sim/fleet_day.go
@@ -1,40 +1,40 @@
 package sim
 
-// Day is a kind of simulated day for a whole fleet.
+// Day is a kind of simulated day of a whole fleet.
 type Day string
 
-// The days. Each causes its failures again and again and ends with a last one.
+// Days of a fleet. Each one injects its faults repeatedly until its end.
 const (
 	DayCalm        Day = "calm"
-	DayGateways    Day = "proxies"    // gateways and agents killed and frozen
-	DayIndex       Day = "index"      // index nodes killed, frozen, isolated
-	DayControl     Day = "control"    // control nodes killed singly and in herds
-	DayEngines     Day = "engines"    // engines crash, vanish, are replaced, leave; the store is lost
-	DayNetwork     Day = "network"    // cuts, isolated machines, lost and repeated messages
-	DayOperators   Day = "operators"  // keys taken, weights named, storms of plans
-	DayIsolation   Day = "walls"      // groups walled off, opened, removed and made again
-	DayReplacement Day = "roster"     // core machines lost for good with both programs, others put in their place
-	DayWeights     Day = "weights"    // named again and again, engines that refuse, are slow, die half turned
-	DayReports     Day = "news"       // reports lost, cache transfers fail quietly
-	DayAll         Day = "everything" // all of it at once
+	DayGateways    Day = "proxies"    // gateways and agents are killed and frozen
+	DayIndex       Day = "index"      // index nodes are killed, frozen and isolated
+	DayControl     Day = "control"    // control nodes are killed, one at a time or all at once
+	DayEngines     Day = "engines"    // engines and the store crash, freeze and restart; engines are drained
+	DayNetwork     Day = "network"    // links are cut, machines isolated, messages lost and duplicated
+	DayOperators   Day = "operators"  // keys are revoked, weights changed, plans sent in bursts
+	DayIsolation   Day = "walls"      // groups are isolated and shared again, removed and added again
+	DayReplacement Day = "roster"     // machines of control nodes, and at times index nodes on them, are lost for good and replaced
+	DayWeights     Day = "weights"    // weights change repeatedly; engines ignore them, load them slowly, or die while loading
+	DayReports     Day = "news"       // engine events are lost, cache transfers fail silently
+	DayAll         Day = "everything" // all of these faults
 )
 
-// Days lists them all.
+// Days lists all days.
 var Days = []Day{DayCalm, DayGateways, DayIndex, DayControl, DayEngines, DayNetwork, DayOperators, DayIsolation, DayReplacement, DayWeights, DayReports, DayAll}
 
-// FleetResult is what a day came to.
+// FleetResult is the result of a fleet day.
 type FleetResult struct {
 	Tally
-	// RecoveryUS is how long after the last fault was mended a request was done.
+	// RecoveryUS is the time from the end of the faults to the next completed request.
 	RecoveryUS int64
 	Violations []string
 	Notes      []string
 }
 
-// fleetStartUS is how long a fleet has to start up before anything is done to it.
+// fleetStartUS is the time that a fleet has for its start before faults begin.
 const fleetStartUS = 3_000_000
 
-// RunFleet runs one day of so many microseconds.
+// RunFleet runs one day of the given duration.
 func RunFleet(seed int64, day Day, durationUS int64, size FleetSize) FleetResult {
 	fleet := NewFleet(seed, size)
 	world := fleet.World
@@ -49,7 +49,8 @@
 	return FleetResult{Tally: fleet.Tally, RecoveryUS: recoveryUS, Violations: world.violations, Notes: world.notes}
 }
 
-// awaitService has callers go on until a request is done, and returns how long that took.
+// awaitService lets callers continue until a request completes, and returns how long that
+// took.
 func (f *Fleet) awaitService(operator *FleetOperator, from int64) (tookUS int64) {
 	world := f.World
 	end := from + recoveryBoundUS
@@ -60,13 +61,13 @@
 	}
 	tookUS = world.now - from
 	if f.checker.lastCompletion == 0 && len(world.violations) == 0 {
-		world.Violation("not back", "no ticket was done within ten seconds after the last fault")
+		world.Violation("not back", "no request completed within 10 s of the last fault")
 	}
 	return tookUS
 }
 
-// checkRetries adds up the gateways' counters and checks that retries are at most a tenth
-// of all requests, and what each gateway's budget may have saved up.
+// checkRetries sums the gateways' counters and checks that retries are at most a tenth of all
+// requests, plus what each gateway's budget may have accumulated.
 func (f *Fleet) checkRetries() {
 	tally := &f.Tally
 	for _, gateway := range f.Gateways {
@@ -78,6 +79,6 @@
 		}
 	}
 	if tally.Retries > tally.Arrived/10+1 {
-		f.World.Violation("retries", "%d retries for %d tickets", tally.Retries, tally.Arrived)
+		f.World.Violation("retries", "%d retries for %d requests", tally.Retries, tally.Arrived)
 	}
 }
--- a/sim/fleet_faults.go
+++ b/sim/fleet_faults.go
@@ -1,7 +1,7 @@
 package sim
 
-// injectFaults brings a day's faults about again and again until a true time, and an
-// operator's changes on every day but a calm one.
+// injectFaults injects a day's faults repeatedly until a true time, along with changes by an
+// operator, except on a calm day.
 func (f *Fleet) injectFaults(day Day, operator *FleetOperator, until int64) {
 	switch day {
 	case DayCalm:
@@ -18,7 +18,7 @@
 	}
 }
 
-// faultDays are the days of which DayAll draws one for each of its faults.
+// faultDays are the days from which DayAll draws each of its faults.
 var faultDays = []Day{DayGateways, DayIndex, DayControl, DayEngines, DayNetwork, DayOperators, DayIsolation, DayReplacement, DayWeights}
 
 func (f *Fleet) injectNext(day Day, operator *FleetOperator, until int64) {
@@ -44,7 +44,7 @@
 
 func pick[T any](world *World, list []T) T { return list[world.Rng.Intn(len(list))] }
 
-// injectFault brings one of a day's faults about.
+// injectFault injects one of a day's faults.
 func (f *Fleet) injectFault(day Day, operator *FleetOperator) {
 	switch day {
 	case DayGateways:
@@ -68,7 +68,7 @@
 	}
 }
 
-// harm freezes or kills a host for at most so long.
+// disruptHost freezes or kills a host for a random duration.
 func (f *Fleet) disruptHost(host *Host, maxDurationUS int64) {
 	world := f.World
 	duration := 50_000 + world.Rng.Int63n(maxDurationUS)
@@ -89,7 +89,7 @@
 	}
 }
 
-// disruptIndexNodes harms all index nodes, cuts one off, or harms one.
+// disruptIndexNodes disrupts all index nodes, isolates one, or disrupts one.
 func (f *Fleet) disruptIndexNodes() {
 	world := f.World
 	if world.Rng.Intn(6) == 0 {
@@ -120,7 +120,7 @@
 	}
 }
 
-// disruptEngine drains, freezes or kills an engine or the store, which is never drained.
+// disruptEngine drains, freezes or kills an engine. The store is never drained.
 func (f *Fleet) disruptEngine(operator *FleetOperator) {
 	world := f.World
 	engine := pick(world, f.Engines)
@@ -151,8 +151,8 @@
 	world.At(world.now+200_000+world.Rng.Int63n(3_000_000), world.HealAll)
 }
 
-// disruptWeights names weights, or has an engine ignore them, load them slowly or die while
-// it does, or an index node die.
+// disruptWeights changes the weights, makes an engine ignore them, load them slowly or die
+// while loading, or kills an index node.
 func (f *Fleet) disruptWeights(operator *FleetOperator) {
 	world := f.World
 	engine := pick(world, f.Engines)
@@ -175,8 +175,8 @@
 	}
 }
 
-// replaceMachine replaces a machine of a control node. In half of the cases an index node
-// was on it, and starts on the new one.
+// replaceMachine replaces the machine of a control node. In half of the cases an index node
+// was on it as well and starts again later.
 func (f *Fleet) replaceMachine(operator *FleetOperator) {
 	world := f.World
 	before := len(f.Cluster.Nodes)
@@ -202,7 +202,7 @@
 	}
 }
 
-// operate names weights, puts ten plans in a row, or revokes a key.
+// operate changes the weights, sends ten plans in a row, or revokes a key.
 func (f *Fleet) operate(operator *FleetOperator) {
 	world := f.World
 	switch world.Rng.Intn(4) {
@@ -217,7 +217,7 @@
 	}
 }
 
-// endFaults ends all faults: everybody runs again, except machines that are gone.
+// endFaults ends all faults and starts all hosts, except machines that are gone.
 func (f *Fleet) endFaults() {
 	world := f.World
 	world.LossPermille, world.DuplicatePermille = 0, 0
--- a/sim/fleet_operator.go
+++ b/sim/fleet_operator.go
@@ -8,29 +8,30 @@
 	"violetthread/quorum"
 )
 
-// simGroups are the groups of a simulated deployment; the isolated one shares no cache.
+// simGroups are the groups of a simulated deployment. "walled" starts isolated: it shares no
+// cache.
 var simGroups = []string{"desk", "east", "west", "walled"}
 
-// simKey is the digest of a group's key of a number.
+// simKey returns the digest of a group's key with the given number.
 func simKey(group string, number int) string {
 	return plan.KeyDigest(fmt.Sprintf("%s-%d", group, number))
 }
 
-// FleetOperator is what operators and the platform do on a day. One plan is under way at a
-// time; what is asked for meanwhile is left out.
+// FleetOperator makes the changes of operators and the platform. Only one plan is under way at
+// a time; changes requested meanwhile are ignored.
 type FleetOperator struct {
 	fleet      *Fleet
 	host       *Host
-	keyNumbers map[string]int  // by group: number of its present key
+	keyNumbers map[string]int  // by group: number of the current key
 	open       map[string]bool // groups that share their cache
 	removed    map[string]bool // groups that are not in the plan
-	weights    int             // number of those that were named last
-	revision   uint64          // of the plan that was acknowledged last
+	weights    int             // number of the current weights
+	revision   uint64          // revision of the last acknowledged plan
 	busy       bool            // a plan is under way
 	plansMade  int
 }
 
-// NewFleetOperator adds an operator; its first plan is put by PutPlan.
+// NewFleetOperator adds an operator. PutPlan sends its first plan.
 func NewFleetOperator(fleet *Fleet) *FleetOperator {
 	operator := &FleetOperator{
 		fleet:      fleet,
@@ -45,7 +46,7 @@
 	return operator
 }
 
-// nextPlan is the plan as the operator now wants it.
+// nextPlan encodes the plan that the operator currently wants.
 func (o *FleetOperator) nextPlan() []byte {
 	o.plansMade++
 	next := plan.Plan{
@@ -70,8 +71,8 @@
 	return data
 }
 
-// PutPlan sends a plan until it is acknowledged, tells the checker when, and calls then,
-// unless that is nil.
+// PutPlan sends a plan until it is acknowledged, records the time of the acknowledgement in
+// the checker, and then calls then, if it is not nil.
 func (o *FleetOperator) PutPlan(then func()) {
 	if o.busy {
 		return
@@ -80,8 +81,8 @@
 	o.tryPlan(o.nextPlan(), o.fleet.World.Rng.Intn(4), then)
 }
 
-// tryPlan replaces the present plan at one control node, and goes on to the next one if
-// that fails.
+// tryPlan replaces the current plan through one control node, and tries the next one if that
+// fails.
 func (o *FleetOperator) tryPlan(text []byte, number int, then func()) {
 	retry := func() {
 		o.host.After(50_000, func() { o.tryPlan(text, number+1, then) })
@@ -109,12 +110,12 @@
 	fleet.checker.acknowledged = append(fleet.checker.acknowledged, acknowledgement{fleet.World.now, revision})
 	fleet.Tally.PlansAcknowledged++
 	if revision <= o.revision {
-		fleet.World.Violation("lost plan", "revision %d was given after %d", revision, o.revision)
+		fleet.World.Violation("lost plan", "revision %d was assigned after %d", revision, o.revision)
 	}
 	o.revision = revision
 }
 
-// propose carries an operation to a control node: the operator tries all that ever were.
+// propose sends an operation to a control node. Nodes that were removed are tried as well.
 func (o *FleetOperator) propose(number int, op quorum.Operation, failed func(), done func(quorum.Result)) {
 	node := o.fleet.Cluster.Nodes[number%len(o.fleet.Cluster.Nodes)]
 	Call(o.host, node.Host, op, 1_500_000, node.serve, func(result quorum.Result) {
@@ -126,7 +127,7 @@
 	}, failed)
 }
 
-// RevokeKey replaces a group's key; the old one must stop working.
+// RevokeKey replaces a group's key. The old one must stop working.
 func (o *FleetOperator) RevokeKey(group string) {
 	if o.busy {
 		return
@@ -136,7 +137,7 @@
 	o.PutPlan(func() {
 		o.fleet.checker.revokedAt[old] = o.fleet.World.now
 		o.fleet.Tally.KeysRevoked++
-		o.fleet.World.Notef("key of %s taken", group)
+		o.fleet.World.Notef("key of %s revoked", group)
 	})
 }
 
@@ -149,34 +150,34 @@
 	o.putChange(o.fleet.checker.isolated, group, !o.open[group])
 }
 
-// ToggleGroup takes a group out of the plan, or puts one of that name in again.
+// ToggleGroup removes a group from the plan, or adds one of the same name again.
 func (o *FleetOperator) ToggleGroup(group string) {
-	if o.busy || group == "desk" { // one group stays
+	if o.busy || group == "desk" { // one group always remains
 		return
 	}
 	o.removed[group] = !o.removed[group]
 	o.putChange(o.fleet.checker.removed, group, o.removed[group])
 }
 
-// putChange puts the plan in force and tells the checker what began or ended with it.
+// putChange sends the plan and records in the checker which span it begins or ends.
 func (o *FleetOperator) putChange(spans map[string][]span, group string, begins bool) {
 	world := o.fleet.World
 	if n := len(spans[group]); !begins && n > 0 {
 		spans[group][n-1].to = world.now
 	}
 	if begins {
-		spans[group] = append(spans[group], span{0, forever}) // from its acknowledgement on
+		spans[group] = append(spans[group], span{0, forever}) // its beginning is set at the acknowledgement
 	}
 	o.PutPlan(func() {
 		if n := len(spans[group]); begins {
 			spans[group][n-1].from = world.now
 		}
 		o.fleet.Tally.IsolationChanges++
-		world.Notef("walls moved: %s, open %v, gone %v", group, o.open[group], o.removed[group])
+		world.Notef("isolation of %s changed: shared %v, removed %v", group, o.open[group], o.removed[group])
 	})
 }
 
-// ChangeWeights names new weights, and now and then those of before.
+// ChangeWeights sets new weights, or at times the previous ones again.
 func (o *FleetOperator) ChangeWeights() {
 	if o.busy {
 		return
@@ -193,11 +194,11 @@
 		checker.weightsChanges = append(checker.weightsChanges, weightsChange{name, sentAt, world.now})
 		checker.weights, checker.weightsChangedAt = name, world.now
 		o.fleet.Tally.WeightsChanged++
-		world.Notef("weights %s named", name)
+		world.Notef("weights changed to %s", name)
 	})
 }
 
-// DrainEngine has the platform list an engine as leaving, for so many microseconds.
+// DrainEngine makes the platform list an engine as leaving for the given duration.
 func (o *FleetOperator) DrainEngine(name string, durationUS int64) {
 	world, drainingSince := o.fleet.World, o.fleet.checker.drainingSince
 	if drainingSince[name] != 0 {
@@ -206,7 +207,7 @@
 	o.fleet.setLeaving(name, true)
 	drainingSince[name] = world.now
 	o.fleet.Tally.EnginesDrained++
-	world.Notef("%s leaving", name)
+	world.Notef("%s is leaving", name)
 	world.At(world.now+durationUS, func() {
 		o.fleet.setLeaving(name, false)
 		delete(drainingSince, name)
--- a/sim/fleet_session.go
+++ b/sim/fleet_session.go
@@ -8,14 +8,14 @@
 	"violetthread/schema/fb"
 )
 
-// session is what agents and index nodes have in common: heartbeats to a control node,
-// and what its answers tell.
+// session is the state that agents and index nodes share: the control nodes to which they send
+// heartbeats, and the data from the responses.
 type session struct {
 	plan         plan.Cached
 	nodes        []*fb.NodeT
-	current      int // index of the control node that is asked
+	current      int // index of the control node in use
 	controlNodes []*ControlNode
-	generation   uint64 // of claims, the newest that was told
+	generation   uint64 // newest generation of claims received
 }
 
 // keepSession sends heartbeats with a node's status until its process ends.
@@ -39,8 +39,8 @@
 	})
 }
 
-// seed gives a new session three of the present voters (operators keep the settings up),
-// whatever becomes of them later; every answer tells the voters.
+// seed gives a new session three of the current voters, since operators keep the settings up
+// to date. Every response then updates the list of voters.
 func (f *Fleet) seed(s *session) {
 	first := f.World.Rng.Intn(4)
 	if s.controlNodes != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// apply takes a control node's answer in.
+// apply takes over the data of a control node's response.
 func (s *session) apply(cluster *Cluster, node *ControlNode, response *fb.HeartbeatResponseT, askedAt int64) {
 	s.nodes, s.generation = response.Nodes, max(s.generation, response.Generation)
 	var known []*ControlNode
@@ -74,8 +74,8 @@
 	s.plan, _, _ = s.plan.Apply(update, askedAt)
 }
 
-// propose carries an operation through control nodes, beginning with the one at an index,
-// until one answers for the leader or the time is over.
+// propose sends an operation to one control node after the other, starting at an index, until
+// one has a definite result or the time is over.
 func (f *Fleet) propose(host *Host, s *session, at int, op quorum.Operation, leftUS int64, end func(quorum.Result, bool)) {
 	node := s.controlNodes[at%len(s.controlNodes)]
 	askedAt := f.World.now
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -20,10 +20,10 @@
 					t.Fatalf("seed %d: %v\n%s", seed, result.Violations, strings.Join(result.Notes[max(0, len(result.Notes)-60):], "\n"))
 				}
 				done += result.Done
-				t.Logf("%+v back %d", result.Tally, result.RecoveryUS)
+				t.Logf("%+v, back after %d us", result.Tally, result.RecoveryUS)
 			}
 			if done < 200 {
-				t.Fatalf("only %d tickets were done; the days prove nothing", done)
+				t.Fatalf("only %d requests completed: too little activity for a meaningful result", done)
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 		}
 	}
 	if late > 0 || len(fleet.engineNamed("e02").startTimes) == 0 {
-		t.Fatalf("the stuck engine ran %d tickets, %d after the bound", len(fleet.engineNamed("e02").startTimes), late)
+		t.Fatalf("the stuck engine ran %d requests, %d after the bound", len(fleet.engineNamed("e02").startTimes), late)
 	}
 }
 
@@ -89,10 +89,10 @@
 	}
 	with, without := run(false), run(true)
 	mean := func(x Tally) int64 { return x.FirstUS / int64(x.Runs) }
-	t.Logf("waited in vain %d and %d times in %d and %d runs; time to the first piece %d and %d us; taken %d and %d parts",
+	t.Logf("waited in vain %d and %d times in %d and %d runs; time to the first piece %d and %d us; transferred %d and %d blocks",
 		with.TransfersInVain, without.TransfersInVain, with.Runs, without.Runs, mean(with), mean(without), with.Transferred, without.Transferred)
 	if without.TransfersInVain < 20 || with.TransfersInVain*3 > without.TransfersInVain*2 || mean(with) > mean(without) {
-		t.Fatal("what was learnt made no difference")
+		t.Fatal("the learned scores made no difference")
 	}
 }
 
@@ -122,7 +122,7 @@
 		t.Fatal(world.violations)
 	}
 	if began < 6 || fleet.Tally.KeysRevoked != 1 || fleet.Tally.Unknown < 6 {
-		t.Fatalf("%d ran; %+v", began, fleet.Tally)
+		t.Fatalf("%d runs; %+v", began, fleet.Tally)
 	}
 }
 
@@ -149,7 +149,7 @@
 		t.Fatal(world.violations)
 	}
 	if fleet.Tally.EnginesDrained != 3 || fleet.Tally.Done-was < 100 {
-		t.Fatalf("%d done after it was back; %+v", fleet.Tally.Done-was, fleet.Tally)
+		t.Fatalf("%d completed after the platform was back; %+v", fleet.Tally.Done-was, fleet.Tally)
 	}
 }
 
--- a/sim/gateway.go
+++ b/sim/gateway.go
@@ -13,7 +13,7 @@
 	"violetthread/schema/fb"
 )
 
-// Gateway is a gateway: the real dispatcher, and adapters to the simulated world.
+// Gateway is a gateway: the real dispatcher, connected to the simulated world.
 type Gateway struct {
 	*Host
 	fleet       *Fleet
@@ -36,12 +36,12 @@
 	attempts                   []string
 	runs                       map[string]*engineRun
 	pieces                     int
-	piecesFrom                 string // the attempt that its pieces came from
+	piecesFrom                 string // attempt that the delivered pieces came from
 	ended                      bool
-	probe                      bool   // of RunFinalFault
-	reason                     string // of its end
+	probe                      bool   // probe of RunFinalFault
+	reason                     string // reason of its outcome
 	generation                 uint64
-	pieceDelayUS               int64 // how much longer each of its pieces takes
+	pieceDelayUS               int64 // additional delay of each piece
 }
 
 func (g *Gateway) start() {
@@ -54,7 +54,7 @@
 	g.Every(dispatch.TickInterval, func() { g.perform(g.dispatcher.Tick(g.Clock())) })
 }
 
-// pollAgent reports demand to the agent and gets plan, grants and hints from it.
+// pollAgent reports demand to the agent and receives plan, grants and hints from it.
 func (g *Gateway) pollAgent() {
 	status := &fb.NodeT{Name: g.Name, Role: membership.RoleGateway, Zone: g.Zone, Incarnation: g.incarnation, Ready: true}
 	request := codec.FillFeedRequest(g.dispatcher, &fb.FeedRequestT{
@@ -72,7 +72,7 @@
 	before := g.plan.Revision
 	g.plan, _, _ = g.plan.Apply(plan.Update{Revision: response.Revision, Age: response.Age, Raw: response.Plan, Confirmed: response.Confirmed}, askedAt)
 	if g.plan.Revision < before {
-		g.fleet.World.Violation("fell back", "%s from revision %d to %d", g.Name, before, g.plan.Revision)
+		g.fleet.World.Violation("plan went back", "%s from revision %d to %d", g.Name, before, g.plan.Revision)
 	}
 	if g.plan.Plan != nil {
 		g.perform(g.dispatcher.ApplyPlan(g.Clock(), g.plan.Plan, g.plan.ConfirmedAt))
@@ -113,10 +113,10 @@
 	return refs
 }
 
-// admit is a request arriving at the gateway.
+// admit handles a request that arrives at the gateway.
 func (g *Gateway) admit(sent *callerRequest, prompt string, timeoutUS int64) {
 	now := g.Clock()
-	sent.deadline = g.fleet.World.now + timeoutUS // it counts from arrival
+	sent.deadline = g.fleet.World.now + timeoutUS // the timeout counts from arrival
 	if reason := g.refusalReason(sent); reason != "" {
 		g.fleet.requestEnded(sent, attempt.Rejected, reason)
 		return
@@ -150,7 +150,8 @@
 	g.perform(actions)
 }
 
-// refuses is why a request gets no further than the gateway's door, "" if it does.
+// refusalReason returns why the gateway refuses a request before the dispatcher sees it, "" if
+// it does not.
 func (g *Gateway) refusalReason(sent *callerRequest) string {
 	compiled := g.plan.Plan
 	if compiled == nil || g.plan.Age(g.Clock()) > dispatch.MaxPlanAge {
@@ -162,7 +163,8 @@
 	return ""
 }
 
-// lookupHints finds up to four nodes that hold a prefix of a chain, the longest first.
+// lookupHints returns up to four nodes that hold a prefix of the keys, the longest prefix
+// first.
 func (g *Gateway) lookupHints(chain []cacheindex.Key) []cacheindex.Hint {
 	var hints []cacheindex.Hint
 	for i := len(chain) - 1; i >= 0 && len(hints) < 4; i-- {
@@ -175,7 +177,7 @@
 	return hints
 }
 
-// perform carries the dispatcher's actions out, as the gateway's daemon does.
+// perform carries out the dispatcher's actions, as the gateway's daemon does.
 func (g *Gateway) perform(actions []dispatch.Action) {
 	for _, action := range actions {
 		g.fleet.World.observe("act", g.Name, "", action)
@@ -197,7 +199,7 @@
 	}
 }
 
-// claim asks for a claim, or gives it back, through the agent, as the daemons do.
+// claim requests or releases a claim through the agent, as the daemons do.
 func (g *Gateway) claim(action dispatch.Action) {
 	op := quorum.Operation{Type: quorum.OpClaim, Key: action.ClaimKey, Value: []byte(action.ClaimNonce)}
 	if action.Type == dispatch.ActionReleaseClaim {
@@ -225,16 +227,16 @@
 	return attempt.ClaimUnknown
 }
 
-// requestResult is what an observer is told of a request's end.
+// requestResult is the outcome of a request as reported to an observer.
 type requestResult struct {
 	outcome attempt.Outcome
 	reason  string
 }
 
-// requestEnded is the last that the caller hears of a request.
+// requestEnded delivers the final response to the caller.
 func (f *Fleet) requestEnded(request *callerRequest, outcome attempt.Outcome, reason string) {
 	if request.ended {
-		f.World.Violation("two ends", "%s/%s", request.group, request.id)
+		f.World.Violation("two outcomes", "%s/%s", request.group, request.id)
 	}
 	f.World.observe("ended", request.group, request.id, requestResult{outcome, reason})
 	request.ended = true
--- a/sim/gateway_attempt.go
+++ b/sim/gateway_attempt.go
@@ -5,19 +5,20 @@
 	"violetthread/dispatch"
 )
 
-// attemptProgress is what an observer is told of an attempt's course.
+// attemptProgress is the progress of an attempt as reported to an observer.
 type attemptProgress struct {
 	state attempt.State
 	cause string
 }
 
-// progress tells the dispatcher how an attempt got on.
+// progress reports the progress of an attempt to the dispatcher.
 func (g *Gateway) progress(action dispatch.Action, state attempt.State, cause string) {
 	g.fleet.World.observe("attempt", g.Name, action.AttemptID, attemptProgress{state, cause})
 	g.perform(g.dispatcher.AttemptProgressed(g.Clock(), action.Ref, action.AttemptID, state, cause))
 }
 
-// startAttempt dials an engine: a connection that fails is proof that nothing began.
+// startAttempt connects to an engine. If the connection fails, the run certainly did not
+// start.
 func (g *Gateway) startAttempt(request *callerRequest, action dispatch.Action) {
 	fleet := g.fleet
 	request.attempts = append(request.attempts, action.AttemptID)
@@ -37,15 +38,15 @@
 	}
 }
 
-// sendRun sends a run. An engine that dies before is noticed soon; messages that are lost
-// only by the deadline.
+// sendRun sends a run. If the engine dies before the run arrives, the gateway notices soon; a
+// lost message is noticed only at the deadline.
 func (g *Gateway) sendRun(run *engineRun) {
 	run.request.runs[run.action.AttemptID] = run
 	g.Send(run.engine.Host, func() { run.engine.startRun(run) })
 	g.After(5_000, func() { run.checkEngine() })
 }
 
-// deliverPiece passes a piece on to the caller.
+// deliverPiece forwards a piece of the answer to the caller.
 func (g *Gateway) deliverPiece(run *engineRun, number int) {
 	g.fleet.World.observe("piece", g.Name, run.action.AttemptID, number)
 	request := run.request
@@ -56,7 +57,7 @@
 		return
 	}
 	if request.piecesFrom != "" && request.piecesFrom != run.action.AttemptID || number != request.pieces {
-		g.fleet.World.Violation("stitched", "%s/%s got piece %d of %s after %d of %s", request.group, request.id, number, run.action.AttemptID, request.pieces, request.piecesFrom)
+		g.fleet.World.Violation("stitched", "%s/%s got piece %d of attempt %s after %d pieces of %s", request.group, request.id, number, run.action.AttemptID, request.pieces, request.piecesFrom)
 	}
 	request.piecesFrom = run.action.AttemptID
 	request.pieces++
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -195,12 +195,12 @@
 	}
 	for _, name := range sortedNames(want) {
 		if _, ok := got[name]; !ok {
-			t.Errorf("%s: there is a digest and no such day", name)
+			t.Errorf("%s: there is a digest but no such day", name)
 		}
 	}
 	for _, name := range sortedNames(got) {
 		if got[name] != want[name] {
-			t.Errorf("%s: behaves otherwise:\n got %+v\nwant %+v", name, got[name], want[name])
+			t.Errorf("%s: behaviour changed:\n got %+v\nwant %+v", name, got[name], want[name])
 		}
 	}
 }
--- a/sim/host.go
+++ b/sim/host.go
@@ -7,16 +7,16 @@
 
 	world       *World
 	boot        func() // starts its program
-	onStop      func() // called when its process ends, nil for nothing
-	process     int    // number of its process, which rises at each start and end
+	onStop      func() // called when its process ends, may be nil
+	process     int    // number of its process, increased at each start and end
 	up          bool
 	frozen      bool
-	deferred    []func() // tasks that came while it was frozen
-	clockOffset int64    // microseconds that its clock is ahead of true time
+	deferred    []func() // tasks that arrived while it was frozen
+	clockOffset int64    // microseconds by which its clock is ahead of true time
 	thawedAt    int64    // true time of the last thaw
 }
 
-// NewHost adds a host; boot is called whenever it starts.
+// NewHost adds a host. boot is called whenever it starts.
 func (w *World) NewHost(name, zone string, boot func()) *Host {
 	host := &Host{world: w, Name: name, Zone: zone, boot: boot}
 	w.hosts = append(w.hosts, host)
@@ -32,10 +32,10 @@
 	return nil
 }
 
-// Clock is the host's time since boot in microseconds: no two hosts agree on it.
+// Clock returns the host's time since boot in microseconds. Clocks of different hosts differ.
 func (h *Host) Clock() int64 { return h.world.now + h.clockOffset }
 
-// Up reports whether the host runs (it may be frozen).
+// Up reports whether the host is running. It may be frozen.
 func (h *Host) Up() bool { return h.up }
 
 // Start starts the host, unless it is up.
@@ -63,8 +63,8 @@
 	}
 }
 
-// Freeze stops the host without it noticing. Thaw lets it go on, with all that arrived
-// meanwhile, in any order.
+// Freeze suspends the host without its notice. After Thaw it continues and runs all tasks that
+// arrived meanwhile, in random order.
 func (h *Host) Freeze() {
 	if h.up && !h.frozen {
 		h.world.Notef("%s freezes", h.Name)
@@ -87,7 +87,8 @@
 	}
 }
 
-// runIn runs a task on the host in the process of that number, after a freeze if need be.
+// runIn runs a task in the given process of the host, deferred to the thaw if the host is
+// frozen.
 func (h *Host) runIn(process int, task func()) {
 	switch {
 	case !h.up || h.process != process:
@@ -98,14 +99,14 @@
 	}
 }
 
-// After runs a task on the host in so many microseconds, unless its process ends before.
+// After runs a task on the host after a delay in microseconds, unless its process ends before.
 func (h *Host) After(delayUS int64, task func()) {
 	process := h.process
 	h.world.At(h.world.now+delayUS, func() { h.runIn(process, task) })
 }
 
-// Every runs a task at once and then each period of so many microseconds, with a little
-// jitter, until the process ends.
+// Every runs a task at once and then periodically, with a little jitter, until the process
+// ends. The period is in microseconds.
 func (h *Host) Every(period int64, task func()) {
 	task()
 	h.After(period+h.world.Rng.Int63n(period/8+1), func() { h.Every(period, task) })
--- a/sim/index_node.go
+++ b/sim/index_node.go
@@ -12,14 +12,14 @@
 	"violetthread/schema/fb"
 )
 
-// IndexNode is an index node: the real one, and adapters to the simulated world.
+// IndexNode is an index node: the real decision logic, connected to the simulated world.
 type IndexNode struct {
 	*Host
 	fleet       *Fleet
 	session     session
 	node        *index.Node
 	incarnation uint64
-	leaving     bool // it was stopped in order: it releases its roles and then ends
+	leaving     bool // it is shutting down gracefully: it releases its roles and then ends
 }
 
 func (n *IndexNode) start() {
@@ -38,8 +38,8 @@
 	return codec.AddIndexNodeStatus(n.node, n.Clock(), status)
 }
 
-// refreshListing asks the platform for its engines. The last listing still stands if the
-// platform's machine refuses connections.
+// refreshListing asks the platform for its engines. If the platform's machine refuses
+// connections, the last listing remains valid.
 func (n *IndexNode) refreshListing() {
 	askedAt := n.Clock()
 	platform := n.fleet.Platform
@@ -53,8 +53,8 @@
 		})
 }
 
-// renewLeases takes plan and peers in, and asks for what leases the node should hold. One
-// that is leaving ends once it holds none.
+// renewLeases applies the plan and the list of peers, and requests the leases that the node
+// should hold. A node that is leaving ends once it holds none.
 func (n *IndexNode) renewLeases() {
 	now := n.Clock()
 	if n.session.plan.Plan != nil {
@@ -96,7 +96,8 @@
 	})
 }
 
-// issueGrants answers an agent, or passes its question on to the index node that it is for.
+// issueGrants answers an agent, or forwards its query to the index node that it is addressed
+// to.
 func (n *IndexNode) issueGrants(request *fb.CapacityRequestT, reply func(*fb.CapacityResponseT)) {
 	if request.To == "" || request.To == n.Name {
 		response := codec.AnswerCapacity(n.node, n.Clock(), n.Name, request)
@@ -109,11 +110,11 @@
 	}
 }
 
-// relayTimeoutUS is how long an index node waits for an answer that it passes on.
+// relayTimeoutUS is how long an index node waits for the answer to a forwarded query.
 const relayTimeoutUS = 500_000
 
-// pollEngines polls the engines that it should, and tells those that should load other
-// weights.
+// pollEngines polls the engines assigned to the node and sends weight updates to those that
+// need them.
 func (n *IndexNode) pollEngines() {
 	now := n.Clock()
 	for _, poll := range n.node.Polls(now) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// engineHoldings are all blocks that an engine holds, as of a number of its reports.
+// engineHoldings are all blocks that an engine holds, as of a sequence number of its events.
 type engineHoldings struct {
 	incarnation, sequence uint64
 	blocks                []cacheindex.Key
@@ -151,7 +152,7 @@
 	}, func() {})
 }
 
-// askReport asks an engine for its events after a number.
+// askReport asks an engine for its events after a sequence number.
 func (n *IndexNode) askReport(engine *Engine, incarnation, after uint64) {
 	askedAt := n.Clock()
 	serve := func(_ int, reply func(index.Report)) { reply(engine.report(incarnation, after)) }
@@ -160,8 +161,8 @@
 	}, func() {})
 }
 
-// followPeers asks the other index nodes for what engines hold in the shards held here,
-// and for what concerns the zones served here.
+// followPeers asks the other index nodes for the holdings of engines in the shards held here,
+// and for the updates of the zones served here.
 func (n *IndexNode) followPeers() {
 	peers, _ := codec.ReadyIndexNodes(n.session.nodes, n.Name)
 	for _, peer := range peers {
@@ -208,7 +209,7 @@
 	Call(n.Host, other.Host, request, 800_000, serve, apply, func() {})
 }
 
-// answerUpdates answers another index node.
+// answerUpdates answers a request for updates from another index node.
 func (n *IndexNode) answerUpdates(request *fb.UpdatesRequestT) *fb.UpdatesResponseT {
 	response := codec.AnswerUpdates(n.node, request)
 	n.fleet.World.sortUpdates(response.Updates, response.Reset)
--- a/sim/lease_clients.go
+++ b/sim/lease_clients.go
@@ -8,20 +8,21 @@
 
 const (
 	simLeaseUS = 900_000
-	// simLeaseMarginUS is how much earlier a client stops to rely on its lease.
+	// simLeaseMarginUS is how long before the end of its lease a client stops relying on it.
 	simLeaseMarginUS = 50_000
 )
 
-// LeaseClients contend for a role: at no instant do two believe that they hold its lease.
+// LeaseClients compete for the lease of a role and check that no two believe that they hold it
+// at the same instant.
 type LeaseClients struct {
-	Leases int // that were newly granted
+	Leases int // newly granted leases
 
 	cluster   *Cluster
 	hosts     []*Host
-	leaseEnds map[*Host]int64 // by its own clock
+	leaseEnds map[*Host]int64 // by the client's own clock
 }
 
-// NewLeaseClients adds so many clients that contend for one role.
+// NewLeaseClients adds the given number of clients that compete for one role.
 func NewLeaseClients(cluster *Cluster, count int) *LeaseClients {
 	clients := &LeaseClients{cluster: cluster, leaseEnds: map[*Host]int64{}}
 	for i := 0; i < count; i++ {
@@ -38,8 +39,8 @@
 	return clients
 }
 
-// acquire asks for the lease, or renews it with its fencing token. The lease counts from
-// before it was asked for.
+// acquire requests the lease, or renews it with its fencing token. The lease counts from
+// before the request was sent.
 func (c *LeaseClients) acquire(host *Host, token *uint64) {
 	node := pick(c.cluster.world, c.cluster.Nodes)
 	askedAt := host.Clock()
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -79,7 +79,7 @@
 			}
 			t.Logf("%d operations confirmed, %d unknown", confirmed, unknown)
 			if confirmed < 300 {
-				t.Fatalf("%d operations confirmed: too little to prove anything", confirmed)
+				t.Fatalf("%d operations confirmed: too little activity for a meaningful result", confirmed)
 			}
 		})
 	}
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -108,7 +108,7 @@
 				world.At(back, node.restart)
 				continue
 			}
-			d.world.Notef("%s is gone", node.Name)
+			d.world.Notef("%s is gone for good", node.Name)
 			node.LosePower()
 			node.removed = true
 			world.At(back, d.newNode().Start)
@@ -224,12 +224,12 @@
 							stuck++
 							if stuck == 1 {
 								voterSet, members := d.currentVoters()
-								t.Errorf("seed %d: no majority is left: %d voters, %d of them alive\n%s", seed, len(voterSet.Voters), len(members), strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
+								t.Errorf("seed %d: no change was acknowledged: %d voters, %d of them current\n%s", seed, len(voterSet.Voters), len(members), strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
 							}
 						}
 						worst = max(worst, back)
 					}
-					t.Logf("slowest return %.2f s, %d stuck", float64(worst)/1e6, stuck)
+					t.Logf("slowest recovery %.2f s, %d stuck", float64(worst)/1e6, stuck)
 				})
 			}
 		}
@@ -309,7 +309,7 @@
 					worst[kind] = max(worst[kind], took)
 				}
 			}
-			t.Logf("holds everything after, at worst: disk lost %.2f s, replaced %.2f s, added %.2f s, restarted %.2f s; bound %.0f s",
+			t.Logf("caught up after, at worst: disk lost %.2f s, replaced %.2f s, added %.2f s, restarted %.2f s; limit %.0f s",
 				float64(worst[0])/1e6, float64(worst[1])/1e6, float64(worst[2])/1e6, float64(worst[3])/1e6, float64(size.recoveryUS)/1e6)
 		})
 	}
@@ -356,15 +356,15 @@
 						return live-size.tolerated >= voterSet.Majority()
 					})
 					if len(d.world.violations) > 0 || !ok {
-						t.Fatalf("seed %d: in %d us the rest does not bear %d losses: %v\n%s", seed, took, size.tolerated, d.world.violations, strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
+						t.Fatalf("seed %d: after %d us the remaining nodes do not tolerate %d losses: %v\n%s", seed, took, size.tolerated, d.world.violations, strings.Join(d.world.notes[max(0, len(d.world.notes)-30):], "\n"))
 					}
 					d.world.Run(d.world.now + 1_000_000)
 					if !dropped || !node.removed {
-						t.Errorf("seed %d: it ended while the others kept its seat, or did not end", seed)
+						t.Errorf("seed %d: the node ended before its seat was removed, or did not end", seed)
 					}
 					worst = max(worst, took)
 				}
-				t.Logf("the rest bears %d losses after %.3f s at worst", size.tolerated, float64(worst)/1e6)
+				t.Logf("the remaining nodes tolerate %d losses after %.3f s at worst", size.tolerated, float64(worst)/1e6)
 			})
 		}
 	}
--- a/sim/messages_day.go
+++ b/sim/messages_day.go
@@ -3,33 +3,35 @@
 import "violetthread/quorum"
 
 const (
-	// Of a hundred messages between voters, so many come once more soon after, and so
-	// many much later.
+	// Percentages of messages between voters that are delivered again soon after, and much
+	// later.
 	duplicateSoonPercent = 40
 	duplicateLatePercent = 10
-	// duplicateSoonUS is long enough to overtake others, duplicateLateUS long enough to outlive leases,
-	// terms and processes.
+	// duplicateSoonUS is long enough for a message to overtake others, duplicateLateUS long
+	// enough to outlive leases, terms and processes.
 	duplicateSoonUS = 60_000
 	duplicateLateUS = 8_000_000
-	// messagesRecoveryBoundUS is within how long after the trouble every slot takes changes.
+	// messagesRecoveryBoundUS limits the time from the end of the faults until every slot
+	// accepts changes.
 	messagesRecoveryBoundUS = 4_000_000
-	// messageJitterUS is the most by which ways differ, drawn anew every jitterIntervalUS.
+	// messageJitterUS limits the random link delays, which are drawn again every
+	// jitterIntervalUS.
 	messageJitterUS  = 60_000
 	jitterIntervalUS = 300_000
 )
 
-// MessagesResult is what a day of repeated and reordered messages came to.
+// MessagesResult is the result of a day of duplicated and reordered messages.
 type MessagesResult struct {
 	Acknowledged, Claims, Leases, Duplicated, Restarts int
-	// ToNextProcess counts messages that reached another process of their receiver.
+	// ToNextProcess counts messages that were delivered to a later process of their receiver.
 	ToNextProcess int
 	RecoveryUS    int64
 	Violations    []string
 	Notes         []string
 }
 
-// MessagesDay is a day on which the voters' messages come late, out of order and again,
-// also to the next process of the same name.
+// MessagesDay is a day on which messages between voters are delayed, reordered and duplicated,
+// and also reach later processes of the same name.
 type MessagesDay struct {
 	world   *World
 	cluster *Cluster
@@ -37,7 +39,7 @@
 	result  MessagesResult
 }
 
-// RunMessages runs one day, with trouble for a time.
+// RunMessages runs one day with faults for the given duration.
 func RunMessages(seed int64, nodes int, durationUS int64) MessagesResult {
 	world := NewWorld(seed)
 	d := &MessagesDay{world: world, cluster: NewCluster(world, nodes)}
@@ -59,7 +61,8 @@
 	return *r
 }
 
-// echo repeats a message, soon or late, whatever became of its receiver's process.
+// duplicate delivers some messages again, soon or much later, even if the receiver's process
+// ended meanwhile.
 func (d *MessagesDay) duplicate(receiver *ControlNode, message quorum.Message) {
 	world := d.world
 	draw := world.Rng.Intn(100)
@@ -85,7 +88,7 @@
 	})
 }
 
-// jitter makes ways differ, so that messages overtake each other.
+// jitter draws random link delays, so that messages overtake each other.
 func (d *MessagesDay) jitter() {
 	world := d.world
 	if world.now >= d.until {
@@ -99,7 +102,7 @@
 	world.At(world.now+jitterIntervalUS, d.jitter)
 }
 
-// restarts ends one process after the other, and starts it again under its name.
+// restartNext ends one process after the other, and restarts each under its name.
 func (d *MessagesDay) restartNext() {
 	world := d.world
 	if world.now >= d.until {
@@ -124,7 +127,7 @@
 	}
 }
 
-// awaitRecovery waits until every slot takes changes, while what was repeated late still comes.
+// awaitRecovery waits until every slot accepts changes, while late duplicates still arrive.
 func (d *MessagesDay) awaitRecovery(writer *SlotWriter) {
 	world := d.world
 	from := world.now
@@ -133,6 +136,6 @@
 	}
 	d.result.RecoveryUS = world.now - from
 	if !writer.AcknowledgedSince(from) {
-		world.Violation("not back", "not every slot took a change within %d us after the trouble", messagesRecoveryBoundUS)
+		world.Violation("not back", "not every slot accepted a change within %d us after the faults", messagesRecoveryBoundUS)
 	}
 }
--- a/sim/messages_day_test.go
+++ b/sim/messages_day_test.go
@@ -21,10 +21,10 @@
 				requireNoViolations(t, seed, r.Violations, r.Notes)
 				sum.add(r)
 			}
-			t.Logf("%d messages repeated, %d of them to another life, %d restarts: %d acknowledged, %d claims, %d terms; back after %s of %s",
+			t.Logf("%d messages duplicated, %d of them to a later process, %d restarts: %d acknowledged, %d claims, %d lease terms; back after %s, limit %s",
 				sum.Duplicated, sum.ToNextProcess, sum.Restarts, sum.Acknowledged, sum.Claims, sum.Leases, seconds(sum.RecoveryUS), seconds(messagesRecoveryBoundUS))
 			if sum.ToNextProcess < 50 || sum.Restarts < 2 || sum.Acknowledged < 50 || sum.Claims == 0 || sum.Leases == 0 {
-				t.Error("too little to prove anything")
+				t.Error("too little activity for a meaningful result")
 			}
 		})
 	}
--- a/sim/move_test.go
+++ b/sim/move_test.go
@@ -93,7 +93,7 @@
 			failed += fleet.Tally.Rejected - from.Rejected
 			sent += fleet.Tally.Sent - from.Sent
 			if lastWithoutHolder > 5_000_000 {
-				t.Errorf("seed %d: a duty had no owner after %d us", seed, lastWithoutHolder)
+				t.Errorf("seed %d: a role had no holder after %d us", seed, lastWithoutHolder)
 			}
 		}
 		slices.Sort(withoutHolderUS)
@@ -101,7 +101,7 @@
 		slices.Sort(recoveredUS)
 		median := func(other []int64) float64 { return float64(other[len(other)/2]) / 1e6 }
 		worst := func(other []int64) float64 { return float64(other[len(other)-1]) / 1e6 }
-		t.Logf("| polite %v | %d duties moved | without an owner, each: %.2f s, %.2f s at worst | all have one after %.2f s, %.2f s | engines out of use: %.1f, %.1f engine-seconds at a proxy | %d keeps read whole | %d of %d tickets refused |",
+		t.Logf("| graceful %v | %d roles moved | without a holder, each: %.2f s, %.2f s at worst | all held after %.2f s, %.2f s | engines out of use: %.1f, %.1f engine-seconds per gateway | %d full resyncs of holdings | %d of %d requests rejected |",
 			graceful, moved, median(withoutHolderUS), worst(withoutHolderUS), median(recoveredUS), worst(recoveredUS), median(outOfUseUS), worst(outOfUseUS), resyncs, failed, sent)
 	}
 }
--- a/sim/network.go
+++ b/sim/network.go
@@ -1,6 +1,6 @@
 package sim
 
-// link is the way from one host to another, by name. The way back is another link.
+// link is the one-way link from one host to another, by name.
 type link struct{ from, to string }
 
 // Cut cuts the link from one host to another, until HealAll.
@@ -12,14 +12,14 @@
 	w.Cut(b, a)
 }
 
-// HealAll mends all cut and slow links.
+// HealAll repairs all links that are cut, slow or reset connections.
 func (w *World) HealAll() {
 	w.cutLinks = map[link]bool{}
 	w.resetLinks = map[link]bool{}
 	w.linkDelayUS = map[link]int64{}
 }
 
-// Isolate cuts a host off from all others.
+// Isolate cuts all links of a host.
 func (w *World) Isolate(name string) {
 	for _, host := range w.hosts {
 		if host.Name != name {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// Send runs a task on another host, in the process that runs there now: late, not at all or
-// twice, as the network will.
+// Send runs a task on another host, in its current process. The network may delay, lose or
+// duplicate it.
 func (h *Host) Send(receiver *Host, task func()) {
 	world := h.world
 	if h == receiver {
@@ -69,12 +69,12 @@
 	}
 }
 
-// resetDelayUS is how long a caller takes to learn that its connection was reset.
+// resetDelayUS is the time until a caller notices that its connection was reset.
 const resetDelayUS = 1_000
 
-// Call sends a request to another host, which serves it there, at once or later, by calling
-// reply. Exactly one of answer and fail runs at the caller, unless its process ends before:
-// answer if a reply arrives within timeoutUS microseconds, fail at their end or when the
+// Call sends a request to another host, which serves it by calling reply, at once or later.
+// Unless the caller's process ends before, exactly one of answer and fail runs there: answer
+// if a reply arrives within timeoutUS microseconds, fail after that time or when the
 // connection is reset.
 func Call[Q, A any](host, receiver *Host, request Q, timeoutUS int64, serve func(request Q, reply func(A)), answer func(A), fail func()) {
 	ended, process := false, host.process
@@ -89,7 +89,7 @@
 		serve(request, func(result A) {
 			host.world.observe("answer", receiver.Name, host.Name, result)
 			receiver.Send(host, func() {
-				if !ended && host.process == process { // an answer to an earlier process reaches nobody
+				if !ended && host.process == process { // drop answers to an earlier process
 					ended = true
 					answer(result)
 				}
@@ -105,7 +105,7 @@
 	host.After(timeoutUS, giveUp)
 }
 
-// resetsConnections tells whether connections between two hosts are reset.
+// resetsConnections reports whether connections between two hosts are reset.
 func (w *World) resetsConnections(a, b *Host) bool {
 	return w.resetLinks[link{a.Name, b.Name}] || w.resetLinks[link{b.Name, a.Name}]
 }
--- a/sim/network_partition.go
+++ b/sim/network_partition.go
@@ -1,22 +1,22 @@
 package sim
 
-// Partition is a way in which hosts lose each other.
+// Partition is a kind of network partition, or of another way in which hosts lose contact.
 type Partition string
 
-// How the hosts inside are cut off from those outside.
+// Partitions of the hosts inside from those outside.
 const (
-	PartitionSilent       Partition = "silent" // nothing passes, and nobody is told
-	PartitionInboundOnly  Partition = "hears"  // those inside hear, and are not heard
-	PartitionOutboundOnly Partition = "heard"  // those inside are heard, and hear nothing
+	PartitionSilent       Partition = "silent" // nothing passes, and callers get no error
+	PartitionInboundOnly  Partition = "hears"  // only messages to the inside pass
+	PartitionOutboundOnly Partition = "heard"  // only messages to the outside pass
 	PartitionReset        Partition = "reset"  // nothing passes, and connections are reset
-	PartitionFrozen       Partition = "frozen" // those inside stand still, and what arrives waits
-	PartitionRestart      Partition = "forgot" // silent, and the control nodes outside restart at once
+	PartitionFrozen       Partition = "frozen" // the hosts inside are frozen, and arriving messages wait
+	PartitionRestart      Partition = "forgot" // as silent, and the control nodes outside restart at once
 )
 
-// Partitions lists them all.
+// Partitions lists all kinds of partition.
 var Partitions = []Partition{PartitionSilent, PartitionInboundOnly, PartitionOutboundOnly, PartitionReset, PartitionFrozen, PartitionRestart}
 
-// CutOff cuts the hosts inside off from all others. Rejoin ends it.
+// CutOff separates the hosts inside from all others, until Rejoin.
 func (w *World) CutOff(partition Partition, inside []*Host) {
 	within := map[*Host]bool{}
 	for _, host := range inside {
@@ -46,7 +46,7 @@
 	}
 }
 
-// cutPair cuts one host inside off from one outside.
+// cutPair cuts the links between one host inside and one outside.
 func (w *World) cutPair(partition Partition, in, out string) {
 	if partition != PartitionInboundOnly {
 		w.Cut(out, in)
--- a/sim/observed_sort.go
+++ b/sim/observed_sort.go
@@ -9,13 +9,13 @@
 	"violetthread/schema/fb"
 )
 
-// An index node iterates over maps where no order matters to it: over the blocks that a
-// feed restates, over the locations of holders, and over roles that it releases. These
-// methods put what comes of it into one order, so that an observed day is the same each
-// time. In other days the order stays as it comes.
+// An index node iterates over maps where the order does not matter to it: over the blocks in a
+// full feed, the locations of holders, and the roles that it releases. These methods sort the
+// results, so that an observed day is the same every time. On other days the order is left as
+// it is.
 
-// sortUpdates sorts updates by block. Those of one block keep their order, unless the feed
-// restates everything.
+// sortUpdates sorts updates by block. Updates of one block keep their order, unless the feed
+// is a full one.
 func (w *World) sortUpdates(updates []*fb.CacheUpdateT, restated bool) {
 	if w.observer == nil {
 		return
@@ -29,14 +29,14 @@
 	})
 }
 
-// sortLocations sorts the locations of holders.
+// sortLocations sorts the locations of holders by their ID.
 func (w *World) sortLocations(locations []*fb.HolderLocationT) {
 	if w.observer != nil {
 		slices.SortFunc(locations, func(a, b *fb.HolderLocationT) int { return cmp.Compare(a.Id, b.Id) })
 	}
 }
 
-// sortLeaseOps sorts the releases, which come before what is asked for.
+// sortLeaseOps sorts the releases, which precede the requests for leases.
 func (w *World) sortLeaseOps(ops []index.LeaseOp) {
 	if w.observer == nil {
 		return
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		var conflict plan.RevisionConflictError
 		if current.Revision > 0 && (change.Conditional && change.ExpectedRevision == current.Revision || !change.Conditional && !errors.As(err, &conflict)) {
-			world.Violation("a good change was declined", "%v", err)
+			world.Violation("valid change declined", "%v", err)
 		}
 		r.outcomes["declined"]++
 		return
@@ -101,7 +101,7 @@
 // acknowledged checks a change that is in force, and notes it.
 func (r *operatorRace) acknowledged(change plan.Change, revision uint64, base, text []byte) {
 	if change.Conditional && revision != change.ExpectedRevision+1 {
-		r.cluster.world.Violation("precondition", "revision %d was given on condition of %d", revision, change.ExpectedRevision)
+		r.cluster.world.Violation("precondition", "revision %d was assigned to a change conditional on %d", revision, change.ExpectedRevision)
 	}
 	_, baseText, _ := plan.Decode(base)
 	r.texts[revision], r.bases[revision], r.changes[revision] = text, baseText, change
@@ -119,10 +119,10 @@
 		return
 	}
 	if want, ok := r.texts[result.Revision]; ok && !bytes.Equal(want, raw) {
-		world.Violation("read back as something else", "revision %d: %q, acknowledged was %q", result.Revision, raw, want)
+		world.Violation("unexpected content", "revision %d: read %q, acknowledged %q", result.Revision, raw, want)
 	}
 	if change, ok := r.changes[result.Revision]; ok && !change.Patch && !bytes.Equal(change.Body, raw) {
-		world.Violation("not to the byte", "revision %d: %q, sent was %q", result.Revision, raw, change.Body)
+		world.Violation("content changed", "revision %d: read %q, sent %q", result.Revision, raw, change.Body)
 	}
 }
 
@@ -138,7 +138,7 @@
 			operatorsRace(t, fault, max(n, 1), sum)
 			t.Logf("%v", sum)
 			if sum["in force"] < 40 || sum["conflict"] < 5 || sum["declined"] < 5 {
-				t.Errorf("too little to prove anything: %v", sum)
+				t.Errorf("too little activity for a meaningful result: %v", sum)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 		// Every change between two acknowledged neighbours is the patch it was sent as.
 		for rev := range r.changes {
 			if prev, ok := r.texts[rev-1]; ok && !bytes.Equal(prev, r.bases[rev]) {
-				t.Fatalf("%s, seed %d: revision %d was made of %q, in force was %q", fault, seed, rev, r.bases[rev], prev)
+				t.Fatalf("%s, seed %d: revision %d was based on %q, but %q was in force", fault, seed, rev, r.bases[rev], prev)
 			}
 
 		}
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -47,7 +47,7 @@
 			return leader
 		}
 	}
-	r.t.Fatal("no owner")
+	r.t.Fatal("no leader")
 	return nil
 }
 
@@ -105,7 +105,7 @@
 			return
 		}
 	}
-	r.t.Fatal("the node never came to own the key")
+	r.t.Fatal("the node never became the key's leader")
 }
 
 // otherKeyInSlot is a key of the same slot, whose changes move the slot's positions on.
--- a/sim/races_day.go
+++ b/sim/races_day.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// raceRecoveryBoundUS is within how long after the trouble the newest configuration is read
-	// back and all operators have a clear answer.
+	// raceRecoveryBoundUS limits the time from the end of the faults until the newest
+	// configuration is read back and all operators have a definite answer.
 	raceRecoveryBoundUS = 8_000_000
-	// lossPercent of a step's messages get lost.
+	// lossPercent is the percentage of a step's messages that are lost.
 	lossPercent = 25
-	// killPercent of the acknowledgements and syncs that may kill do, while all are up.
+	// killPercent is the percentage of acknowledgements and syncs at which a process is
+	// killed, while all are up.
 	killPercent = 25
 )
 
-// RaceFault is what troubles operators that race.
+// RaceFault is a fault that occurs while operators race.
 type RaceFault string
 
-// Kills of the leader at the moments between a sync and its answer; losses are named by
-// their steps.
+// Faults at the moments between a sync and its answer. The other faults are message losses,
+// named after their steps.
 const (
-	RaceFaultKillAfterSync    RaceFault = "killed after its sync"       // before its voter hears of it
-	RaceFaultKillBeforeAnswer RaceFault = "killed before its answer"    // once a majority has it
-	RaceFaultPowerLoss        RaceFault = "all lose power at an answer" // just after it
+	RaceFaultKillAfterSync    RaceFault = "killed after its sync"       // the leader, before its voter learns of the sync
+	RaceFaultKillBeforeAnswer RaceFault = "killed before its answer"    // the leader, after a majority has the change
+	RaceFaultPowerLoss        RaceFault = "all lose power at an answer" // just after the answer
 )
 
-// RaceFaults lists the kills and the steps.
+// RaceFaults lists the faults between a sync and its answer, and then the steps.
 func RaceFaults() []RaceFault {
 	out := []RaceFault{RaceFaultKillAfterSync, RaceFaultKillBeforeAnswer, RaceFaultPowerLoss}
 	for _, step := range RequestSteps {
@@ -35,7 +36,7 @@
 	return out
 }
 
-// RaceDay is a day on which operators send changes under the same numbers at once.
+// RaceDay is a day on which operators concurrently send changes with the same version.
 type RaceDay struct {
 	*ConfigWorld
 	fault      RaceFault
@@ -44,22 +45,23 @@
 	result     RaceResult
 }
 
-// RaceResult is what such a day came to.
+// RaceResult is the result of a race day.
 type RaceResult struct {
 	Requests, Acknowledged, AcknowledgedAfterResend, Rejected, Reads int
-	Lost, Kills                                                      int // messages, processes
-	// MostBehind is the most changes that were in force after an order when it was
-	// acknowledged for the first time.
+	Lost, Kills                                                      int // lost messages, killed processes
+	// MostBehind is the largest number of changes that were already in force on top of a
+	// request at its first acknowledgement.
 	MostBehind uint64
-	// SlowestRequestUS is the longest that an operator went without a clear answer.
+	// SlowestRequestUS is the longest time that an operator went without a definite answer.
 	SlowestRequestUS int64
-	// RecoveryUS is how long after the trouble all was clear.
+	// RecoveryUS is the time from the end of the faults until all operators had a definite
+	// answer.
 	RecoveryUS int64
 	Violations []string
 	Notes      []string
 }
 
-// RunRaces runs a day of so many operators, with trouble for a time.
+// RunRaces runs a day with the given number of operators, with faults for the given duration.
 func RunRaces(seed int64, nodes, operators int, fault RaceFault, durationUS int64, format ConfigFormat) RaceResult {
 	d := &RaceDay{ConfigWorld: NewConfigWorld(seed, nodes, format), fault: fault, durationUS: durationUS}
 	d.AddOperators(operators)
@@ -71,7 +73,7 @@
 	d.Start()
 	world := d.World
 	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acknowledged > 2 }); !ok {
-		world.Violation("not begun", "no configuration was acknowledged after %d us", world.now)
+		world.Violation("not started", "no configuration was acknowledged after %d us", world.now)
 	}
 	d.begin()
 	world.Run(d.until)
@@ -81,7 +83,7 @@
 	return d.result
 }
 
-// begin brings the trouble about until its time is over.
+// begin starts injecting the day's fault.
 func (d *RaceDay) begin() {
 	cluster := d.Cluster
 	d.until = d.World.now + d.durationUS
@@ -91,7 +93,7 @@
 	case RaceFaultKillBeforeAnswer:
 		cluster.beforeResult = d.killBeforeAnswer
 	case RaceFaultPowerLoss:
-		// By onTaken, at the very acknowledgement.
+		// losePowerAll injects it, called by OnAccepted at the acknowledgement itself.
 	case RaceFault(StepAppend), RaceFault(StepAppendAck):
 		cluster.dropsMessage = d.dropsMessage
 	default:
@@ -99,8 +101,8 @@
 	}
 }
 
-// finish ends the trouble and waits until every operator had a clear answer and the
-// newest configuration was read back.
+// finish ends the fault and waits until every operator has a definite answer and the newest
+// configuration was read back.
 func (d *RaceDay) finish() {
 	cluster, world := d.Cluster, d.World
 	cluster.beforeSynced, cluster.beforeResult, cluster.dropsMessage, cluster.losesStep = nil, nil, nil, nil
@@ -111,11 +113,11 @@
 	took, ok := d.Until(raceRecoveryBoundUS, func() bool { return len(finished) == len(d.Operators) })
 	d.result.RecoveryUS = took
 	if !ok {
-		world.Violation("not back", "%d of %d operators had a clear answer %d us after the trouble", len(finished), len(d.Operators), took)
+		world.Violation("not back", "%d of %d operators had a definite answer %d us after the faults", len(finished), len(d.Operators), took)
 	}
 	reads := d.Config.Reads
 	if _, ok := d.Until(raceRecoveryBoundUS, func() bool { return d.Config.Reads > reads+4 }); !ok {
-		world.Violation("not back", "nothing was read back %d us after the trouble", raceRecoveryBoundUS)
+		world.Violation("not back", "nothing was read back %d us after the faults", raceRecoveryBoundUS)
 	}
 }
 
@@ -145,8 +147,7 @@
 	return true
 }
 
-// dropsMessage loses some of the messages between leader and voters, of the
-// configuration's slot.
+// dropsMessage loses some messages between leader and voters of the configuration's slot.
 func (d *RaceDay) dropsMessage(message quorum.Message) bool {
 	kind := quorum.MsgAppend
 	if d.fault == RaceFault(StepAppendAck) {
@@ -156,7 +157,7 @@
 }
 
 // killAfterSync kills the configuration's leader when its records are on disk and its voter
-// does not know yet.
+// has not been notified yet.
 func (d *RaceDay) killAfterSync(node *ControlNode) bool {
 	if d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
@@ -164,8 +165,8 @@
 	return d.endProcess(node)
 }
 
-// killBeforeAnswer kills the leader when a change is on a majority's disks and nobody was
-// told.
+// killBeforeAnswer kills the leader when a change is on the disks of a majority and nobody has
+// been notified.
 func (d *RaceDay) killBeforeAnswer(node *ControlNode, result quorum.Result) bool {
 	if result.Status != quorum.StatusDone || d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
@@ -173,7 +174,7 @@
 	return d.endProcess(node)
 }
 
-// endProcess ends a process now and then, while all others are up, and starts it again.
+// endProcess sometimes ends a process, if all nodes are up, and restarts it later.
 func (d *RaceDay) endProcess(node *ControlNode) bool {
 	world := d.World
 	if !d.allUp() || world.Rng.Intn(100) >= killPercent {
--- a/sim/races_day_test.go
+++ b/sim/races_day_test.go
@@ -25,10 +25,10 @@
 					sum.add(r)
 				}
 			}
-			t.Logf("%d orders: %d taken, %d after a resend, %d refused, %d read back; %d messages lost, %d kills; %d changes behind at most, a clear answer after %s, all clear after %s of %s",
+			t.Logf("%d requests: %d accepted, %d after a resend, %d rejected, %d reads; %d messages lost, %d kills; %d changes behind at most; definite answer after %s, recovered after %s, limit %s",
 				sum.Requests, sum.Acknowledged, sum.AcknowledgedAfterResend, sum.Rejected, sum.Reads, sum.Lost, sum.Kills, sum.MostBehind, seconds(sum.SlowestRequestUS), seconds(sum.RecoveryUS), seconds(raceRecoveryBoundUS))
 			if sum.Acknowledged < 20 || sum.Rejected == 0 || sum.Lost+sum.Kills < 3 || sum.Reads < 40 {
-				t.Error("too little to prove anything")
+				t.Error("too little activity for a meaningful result")
 			}
 		})
 	}
--- a/sim/register_client.go
+++ b/sim/register_client.go
@@ -6,16 +6,16 @@
 	"violetthread/quorum"
 )
 
-// RegisterClient is a client that changes and reads one key through any node.
+// RegisterClient is a client that writes and reads one key through any node.
 type RegisterClient struct {
 	*Host
 	cluster      *Cluster
 	history      *History
-	operations   int // sent so far
-	writePercent int // of the operations
+	operations   int // number sent so far
+	writePercent int // percentage of writes
 }
 
-// NewRegisterClient adds a client of which so many percent of the operations are writes.
+// NewRegisterClient adds a client with the given percentage of writes.
 func NewRegisterClient(cluster *Cluster, name string, history *History, writePercent int) *RegisterClient {
 	client := &RegisterClient{cluster: cluster, history: history, writePercent: writePercent}
 	client.Host = cluster.world.NewHost(name, "north", func() { client.Every(40_000, client.operate) })
--- a/sim/register_decide.go
+++ b/sim/register_decide.go
@@ -4,12 +4,12 @@
 	"violetthread/route"
 )
 
-// decideFunc makes the next value of a register from its present one. Without a next
-// value the reply stands; with one it stands once that is in force.
+// decideFunc decides a register's next value from its current one. If next is nil, the reply
+// is final; otherwise it is valid once next is in force.
 type decideFunc func(value []byte, revision uint64) (next []byte, reply Reply)
 
-// Texts reads operators' texts. Tests pass the platform's, which this package does
-// not import: an adapter imports the product, never the other way round.
+// ConfigFormat decodes operators' configurations. Tests pass in the platform's format, which
+// this package does not import: an adapter imports the product, never the other way round.
 type ConfigFormat struct {
 	Translate  func([]byte) (route.Config, []route.Finding)
 	FieldNames route.FieldNames
@@ -43,7 +43,7 @@
 	}
 }
 
-// addWeightsVersion decides the naming of a version of a model's weights.
+// addWeightsVersion decides the addition of a version of a model's weights.
 func changeWeights(model string, version uint64) decideFunc {
 	return func(value []byte, revision uint64) ([]byte, Reply) {
 		current := &route.WeightVersions{}
