--- a/sim/register_edit.go
+++ b/sim/register_edit.go
@@ -4,28 +4,29 @@
 	"violetthread/quorum"
 )
 
-// The way of an operator's order through a control node, as platform.OperatorAPI and
-// control.Node take it. Both wait in goroutines by real time, so that the simulator
-// can't run them; what they decide by (quorum, route.Change, route.WeightsDoc) is
-// the very code. TestEditIsThePlatforms holds the constants to theirs.
+// The handling of an operator's request by a control node, as in platform.OperatorAPI and
+// control.Node. Both wait in goroutines by real time, so that the simulator cannot run them,
+// but their decisions come from the same code (quorum, route.Change, route.WeightVersions).
+// TestEditIsThePlatforms checks that the constants are the same.
 const (
-	editTimeoutUS          = 900_000 // in which a node answers an operator
-	readTimeoutUS          = 700_000 // in which a directory reads a register
-	maxReadAgeUS           = 500_000 // how old the read may be that an answer rests on
-	contactCheckIntervalUS = 50_000  // between looks at the contact with a majority
-	retryWithoutLeaderUS   = 25_000  // between looks at a register without an leader
-	retryAfterConflictUS   = 1_000   // after another's change came first
-	forwardReadTimeoutUS   = 500_000 // for a read that is passed to the leader
+	editTimeoutUS          = 900_000 // within which a node answers an operator
+	readTimeoutUS          = 700_000 // within which a directory reads a register
+	maxReadAgeUS           = 500_000 // largest age of the read that an answer is based on
+	contactCheckIntervalUS = 50_000  // between checks of the contact with a majority
+	retryWithoutLeaderUS   = 25_000  // before the next read of a register without a leader
+	retryAfterConflictUS   = 1_000   // before the next read after a conflicting change
+	forwardReadTimeoutUS   = 500_000 // for a read that is forwarded to the leader
 	forwardPutTimeoutUS    = 2_000_000
 	maxHops                = 2
-	maxForwardSilenceUS    = 400_000 // nothing is passed to a leader silent for so long
+	maxForwardSilenceUS    = 400_000 // nothing is forwarded to a leader that was silent for longer
 )
 
-// Outcome is what an operator hears of an order.
+// Outcome is the outcome of a request as the operator learns it.
 type Outcome uint8
 
-// An order whose outcome is OutcomeAccepted is acknowledged. An OutcomeStale one builds on a version that is
-// not current, an Invalid one never will do, and nobody can tell of an Unclear one.
+// A request with OutcomeAccepted is acknowledged. One with OutcomeStale is based on a version
+// that is not current, one with OutcomeInvalid can never be accepted, and with OutcomeUnknown
+// it may or may not take effect.
 const (
 	OutcomeUnknown Outcome = iota
 	OutcomeAccepted
@@ -40,16 +41,16 @@
 // Reply is an answer to an operator.
 type Reply struct {
 	Outcome Outcome
-	Version uint64 // that is current
+	Version uint64 // current version
 }
 
-// registerEdit puts what decide makes of a register, deciding anew as long as provably
-// nothing was changed and the node hears a majority.
+// registerEdit changes a register to the value that decide returns. It decides again as long
+// as it is certain that nothing was changed and the node hears from a majority.
 type registerEdit struct {
 	node     *ControlNode
 	key      string
 	until    int64
-	readAt   int64 // when the read was asked for that the decision rests on
+	readAt   int64 // when the read that the decision is based on was sent
 	decide   decideFunc
 	reply    func(Reply)
 	finished bool
@@ -62,7 +63,8 @@
 	e.read()
 }
 
-// checkContact ends the work once no majority is heard: nothing can be read or changed then.
+// checkContact ends the edit once there is no contact with a majority, since nothing can be
+// read or changed then.
 func (e *registerEdit) checkContact() {
 	if e.finished {
 		return
@@ -87,7 +89,7 @@
 	var revision uint64
 	decide := func(v []byte, rev uint64) ([]byte, Reply) {
 		value, revision = v, rev
-		return nil, Reply{Outcome: OutcomeStale} // rests on what was read
+		return nil, Reply{Outcome: OutcomeStale} // valid only while the read is recent
 	}
 	n.Edit(key, decide, func(a Reply) { reply(value, revision, a.Outcome == OutcomeStale) })
 }
@@ -117,8 +119,8 @@
 	e.node.proposeOnce(put, 0, e.until, func(result quorum.Result) { e.putDone(result, reply) })
 }
 
-// finishUnchanged answers without a change, unless the read has grown old: this process may
-// have been paused, and another leader have taken changes. What was accepted stays accepted.
+// finishUnchanged answers without a change, unless the read is too old: this process may have
+// been paused while another leader accepted changes. An acceptance stays valid.
 func (e *registerEdit) finishUnchanged(reply Reply) {
 	if reply.Outcome != OutcomeAccepted && e.node.Clock()-e.readAt > maxReadAgeUS {
 		reply = Reply{Outcome: OutcomeUnknown}
@@ -139,7 +141,7 @@
 	}
 }
 
-// retryAfter reads anew after a pause, while there is time.
+// retryAfter reads again after a pause, if there is time left.
 func (e *registerEdit) retryAfter(pause int64) {
 	if e.node.Clock()+pause >= e.until {
 		e.end(Reply{Outcome: OutcomeUnknown})
--- a/sim/register_edit_test.go
+++ b/sim/register_edit_test.go
@@ -38,7 +38,7 @@
 		{"slotLeaseUS", platformLeaseUS, operator},
 	} {
 		if want, ok := c.from[c.name]; !ok || want != c.have {
-			t.Errorf("%s is %d there (known: %v), %d here", c.name, want, ok, c.have)
+			t.Errorf("%s is %d in the daemon (found: %v) and %d here", c.name, want, ok, c.have)
 		}
 	}
 }
--- a/sim/register_forward.go
+++ b/sim/register_forward.go
@@ -4,8 +4,8 @@
 	"violetthread/quorum"
 )
 
-// proposeOnce carries an operation to the leader of its key with one try, which ends at a
-// time by this node's clock.
+// proposeOnce sends an operation to the leader of its key, without retries, until a time limit
+// by this node's clock.
 func (n *ControlNode) proposeOnce(op quorum.Operation, hops int, until int64, reply func(quorum.Result)) {
 	ended := false
 	end := func(result quorum.Result) {
@@ -24,7 +24,7 @@
 	})
 }
 
-// forwardToLeader hands an operation on to the leader of its key.
+// forwardToLeader forwards an operation to the leader of its key.
 func (n *ControlNode) forwardToLeader(op quorum.Operation, hops int, leaderName string, end func(quorum.Result)) {
 	receiver := n.cluster.nodeNamed(leaderName)
 	if receiver == nil || n.node == nil || n.node.TimeSinceHeard(n.Clock(), leaderName) > maxForwardSilenceUS {
@@ -50,8 +50,8 @@
 		func() { end(quorum.Result{Status: quorum.StatusUnknown}) })
 }
 
-// hearsMajority reports whether a node heard a majority of the voters lately. One that
-// does not vote can't tell, and says yes.
+// hearsMajority reports whether a node heard from a majority of the voters recently. It
+// returns true for a node that is not a voter, which cannot know.
 func (n *ControlNode) hearsMajority() bool {
 	if n.node == nil {
 		return true
--- a/sim/request_steps.go
+++ b/sim/request_steps.go
@@ -4,25 +4,26 @@
 	"violetthread/quorum"
 )
 
-// RequestStep is a step on an order's way from its operator to the disks and back.
+// RequestStep is a step on the way of a configuration request from its operator to the disks
+// and back.
 type RequestStep string
 
-// The steps of an order, each of which may get lost.
+// Steps of a request, each of which may be lost.
 const (
 	StepRequest     RequestStep = "order"     // operator to node
 	StepReadRequest RequestStep = "read-ask"  // node to the register's leader
-	StepReadReply   RequestStep = "read-tell" // and back
+	StepReadReply   RequestStep = "read-tell" // leader to the node
 	StepPutRequest  RequestStep = "put-ask"   // node to the register's leader
 	StepAppend      RequestStep = "write"     // leader to the voters
-	StepAppendAck   RequestStep = "write-ok"  // and back
+	StepAppendAck   RequestStep = "write-ok"  // voters to the leader
 	StepPutReply    RequestStep = "put-tell"  // leader to the node
 	StepReply       RequestStep = "reply"     // node to operator
 )
 
-// RequestSteps lists them in order.
+// RequestSteps lists all steps in order.
 var RequestSteps = []RequestStep{StepRequest, StepReadRequest, StepReadReply, StepPutRequest, StepAppend, StepAppendAck, StepPutReply, StepReply}
 
-// stepsOf are the steps of an operation that is passed to its leader.
+// stepsOf returns the steps of forwarding an operation to its leader.
 func stepsOf(operationType quorum.OperationType) (request, reply RequestStep) {
 	if operationType == quorum.OpGet {
 		return StepReadRequest, StepReadReply
@@ -30,5 +31,5 @@
 	return StepPutRequest, StepPutReply
 }
 
-// isStepLost tells whether a step gets lost.
+// isStepLost reports whether a step is lost.
 func (c *Cluster) isStepLost(step RequestStep) bool { return c.losesStep != nil && c.losesStep(step) }
--- a/sim/resend_day_test.go
+++ b/sim/resend_day_test.go
@@ -35,11 +35,11 @@
 		back, ok := configWorld.Until(acknowledgementBoundUS, func() bool { return acks > 0 })
 		configWorld.Config.Close()
 		if !ok || len(world.violations) > 0 {
-			t.Fatalf("seed %d: %v, or the order is not acknowledged", seed, world.violations)
+			t.Fatalf("seed %d: %v, or the request is not acknowledged", seed, world.violations)
 		}
-		t.Logf("seed %d: %d changes in %s, %d behind the one that was sent again, acknowledged after %s", seed, configWorld.Config.newest, seconds(took), configWorld.Config.MostBehind, seconds(back))
+		t.Logf("seed %d: %d changes in %s, %d on top of the resent request, which was acknowledged after %s", seed, configWorld.Config.newest, seconds(took), configWorld.Config.MostBehind, seconds(back))
 		if configWorld.Config.MostBehind < changesBehind/2 {
-			t.Errorf("only %d changes were made meanwhile: too little to prove anything", configWorld.Config.MostBehind)
+			t.Errorf("only %d changes were made meanwhile: too little activity for a meaningful result", configWorld.Config.MostBehind)
 		}
 	}
 }
--- a/sim/retries_test.go
+++ b/sim/retries_test.go
@@ -11,7 +11,7 @@
 // the requests, the struggling engine gets less than its part of them, and when it is
 // well again, or back from a crash, it is not run down.
 func TestRetriesFleetWide(t *testing.T) {
-	for _, fault := range []string{"breaks off", "refuses", "crashes"} {
+	for _, fault := range []string{"interrupts runs", "refuses", "crashes"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			fleet := NewFleet(21, FleetSize{Gateways: 9, Engines: 6})
@@ -50,7 +50,7 @@
 			}
 			world.At(8_000_000, func() {
 				switch fault {
-				case "breaks off":
+				case "interrupts runs":
 					engine.interruptsRuns = true
 				case "refuses":
 					engine.capacity = 0
@@ -73,16 +73,16 @@
 			}
 			duringFault, all := count(9_000_000, 16_000_000)
 			first, allAfter := count(16_000_000, 18_000_000)
-			t.Logf("%d tickets (%d of them resent), %d attempts, %d of them retries; the struggling engine got %d of %d attempts; %d of %d in the 2 s after",
+			t.Logf("%d requests (%d of them resent), %d attempts, %d of them retries; the faulty engine got %d of %d attempts, and %d of %d in the 2 s after it recovered",
 				arrived, resent, attempts, retries, duringFault, all, first, allAfter)
 			if retries*10 > arrived || retries == 0 && fault != "crashes" || attempts > arrived+arrived/10 {
-				t.Errorf("%d retries and %d attempts for %d tickets", retries, attempts, arrived)
+				t.Errorf("%d retries and %d attempts for %d requests", retries, attempts, arrived)
 			}
 			if duringFault*6 > all {
-				t.Errorf("the struggling engine got %d of %d runs, a sixth is its part", duringFault, all)
+				t.Errorf("the faulty engine got %d of %d runs, more than its sixth", duringFault, all)
 			}
 			if first*3 > allAfter || first == 0 {
-				t.Errorf("%d of %d attempts came to it in the 2 s after it was well, a sixth is its part", first, allAfter)
+				t.Errorf("the engine got %d of %d attempts in the 2 s after it recovered, its share is a sixth", first, allAfter)
 			}
 		})
 	}
--- a/sim/second_loss_day.go
+++ b/sim/second_loss_day.go
@@ -5,81 +5,85 @@
 	"slices"
 )
 
-// Prelude is what happens before a second loss.
+// Disruption is the event before a second loss: a first loss or planned work.
 type Disruption string
 
-// The preludes.
+// Disruptions before a second loss.
 const (
 	DisruptionDiskLoss    Disruption = "repaired disk"  // a machine loses its disk and comes back empty
 	DisruptionPowerLoss   Disruption = "repaired power" // a machine loses its power and comes back
 	DisruptionReplacement Disruption = "replacement"    // a new machine starts, and an old one leaves
-	DisruptionLeave       Disruption = "leave"          // a machine leaves politely and comes back
+	DisruptionLeave       Disruption = "leave"          // a machine shuts down gracefully and comes back
 )
 
-// Preludes lists them all.
+// Disruptions lists all disruptions.
 var Disruptions = []Disruption{DisruptionDiskLoss, DisruptionPowerLoss, DisruptionReplacement, DisruptionLeave}
 
-// Loss is how machines are lost.
+// Loss is a way in which machines are lost.
 type Loss string
 
-// The losses.
+// Ways of losing machines.
 const (
 	LossOfPower        Loss = "power"           // the disk is kept
 	LossOfDisk         Loss = "disk"            // the machine comes back empty
-	LossOfDiskInOutage Loss = "disk, all power" // while all others lose their power
+	LossOfDiskInOutage Loss = "disk, all power" // the same, while all other machines lose their power
 )
 
-// Losses lists them all.
+// Losses lists all of them.
 var Losses = []Loss{LossOfPower, LossOfDisk, LossOfDiskInOutage}
 
 const (
-	// lossStepUS is between two instants of a sweep.
+	// lossStepUS is the interval between two instants of a sweep.
 	lossStepUS = 50_000
-	// lossWindowUS is swept from when a second loss is borne.
+	// lossWindowUS is the range of instants that is swept, from when a second loss is
+	// tolerated.
 	lossWindowUS = 3_000_000
-	// lossRecoveryBoundUS is within how long after a second loss every slot takes changes again.
+	// lossRecoveryBoundUS limits the time from a second loss until every slot accepts changes
+	// again.
 	lossRecoveryBoundUS = 4_000_000
-	// lossReturnUS is when machines of the second loss come back.
+	// lossReturnUS is the time after which machines of the second loss come back.
 	lossReturnUS = 1_500_000
 )
 
-// SecondLoss is one run: a prelude, and a second loss at an instant after it.
+// SecondLoss is one run: a disruption, and a second loss at an instant after it.
 type SecondLoss struct {
 	Nodes      int
 	Disruption Disruption
 	Loss       Loss
-	Instant    int64 // after the second loss is borne for the first time
+	Instant    int64 // time since a second loss is tolerated
 }
 
 func (l SecondLoss) String() string {
 	return fmt.Sprintf("%d nodes, %s, then %s after %d us", l.Nodes, l.Disruption, l.Loss, l.Instant)
 }
 
-// SecondLossResult is what such a run came to.
+// SecondLossResult is the result of such a run.
 type SecondLossResult struct {
 	Acknowledged, Lost int
-	// RecoveryUS is how long after the second loss a change of every slot was acknowledged.
+	// RecoveryUS is the time from the second loss until a change of every slot was
+	// acknowledged.
 	RecoveryUS int64
-	// RejoinUS is how long after the machines were back all slots were recovered with them.
+	// RejoinUS is the time from the return of the machines until all slots were recovered with
+	// them.
 	RejoinUS   int64
 	Violations []string
 	Notes      []string
 }
 
-// secondLossRun is a run under way.
+// secondLossRun is the state of a run.
 type secondLossRun struct {
 	SecondLoss
 	world  *ConfigWorld
 	writer *SlotWriter
-	// firstLossUntil is until when the first loss counts, by the platform's rule.
+	// firstLossUntil is when the first loss stops counting, by the platform's rule.
 	firstLossUntil int64
-	// toleratedFrom is since when the second loss is borne.
+	// toleratedFrom is when a second loss is first tolerated.
 	toleratedFrom int64
 	lost          []*ControlNode
 	result        SecondLossResult
 }
 
-// RunSecondLoss runs one.
+// RunSecondLoss runs one disruption and second loss.
 func RunSecondLoss(seed int64, loss SecondLoss) SecondLossResult {
 	configWorld := NewConfigWorld(seed, loss.Nodes, ConfigFormat{})
 	configWorld.Cluster.logConfig = smallLog
@@ -90,7 +94,7 @@
 	world := configWorld.World
 	world.At(500_000, s.writer.Start)
 	if _, ok := configWorld.Until(4_000_000, func() bool { return configWorld.AllRecovered() && s.writer.AcknowledgedSince(0) }); !ok {
-		world.Violation("not begun", "not every slot took a change within %d us", world.now)
+		world.Violation("not started", "not every slot accepted a change within %d us", world.now)
 	}
 	s.disrupt()
 	world.Run(max(world.now, s.toleratedFrom) + loss.Instant)
@@ -100,8 +104,8 @@
 	return s.result
 }
 
-// prelude brings the first loss or the planned work about, and tells from when on a
-// second loss is borne.
+// disrupt causes the first loss or the planned work, and sets from when on a second loss is
+// tolerated.
 func (r *secondLossRun) disrupt() {
 	world, nodes := r.world.World, r.world.Cluster.Nodes
 	first := nodes[world.Rng.Intn(len(nodes))]
@@ -135,10 +139,10 @@
 	}
 }
 
-// leave stops a machine politely, as control.Node does: it ends once its seat was dropped,
-// if its successor was let in before.
+// leave shuts a machine down gracefully, as control.Node does: if its successor was admitted
+// before, its process ends only after its seat was removed.
 func (r *secondLossRun) leave(node *ControlNode) {
-	r.world.World.Notef("%s leaves politely", node.Name)
+	r.world.World.Notef("%s shuts down gracefully", node.Name)
 	if !node.up || node.node == nil {
 		return
 	}
@@ -155,13 +159,13 @@
 	node.After(leavePollUS, wait)
 }
 
-// How long a polite stop takes (internal/app/control).
+// Times of a graceful shutdown (internal/app/control).
 const (
 	leavePollUS    = 100_000
 	leaveTimeoutUS = 900_000
 )
 
-// setTargetSize has the voter set count the seats that the fleet keeps, as at a founding.
+// setTargetSize sets the target size in the voter set to its initial number of voters.
 func (c *Cluster) setTargetSize() {
 	c.voterSet.TargetSize = uint16(len(c.voterSet.Voters))
 	for _, node := range c.Nodes {
@@ -169,8 +173,8 @@
 	}
 }
 
-// loseSecond waits for an acknowledgement and loses as many machines as may still be lost,
-// those first that hold the newest changes of its slot.
+// loseSecond waits for an acknowledgement and then loses as many machines as may still be
+// lost, first those that hold the newest changes of its slot.
 func (r *secondLossRun) loseSecond() {
 	world := r.world.World
 	triggered := false
@@ -181,12 +185,12 @@
 		}
 	}
 	if _, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return triggered }); !ok {
-		world.Violation("not served", "no change was acknowledged for %d us after one loss: %v", lossRecoveryBoundUS, r.SecondLoss)
+		world.Violation("no service", "no change was acknowledged for %d us after one loss: %v", lossRecoveryBoundUS, r.SecondLoss)
 	}
 	r.writer.OnAcknowledged = nil
 }
 
-// newestHolders are the machines that go: they hold the most of a slot.
+// newestHolders returns the machines to lose: those with the newest changes of a slot.
 func (r *secondLossRun) newestHolders(slot int) []*ControlNode {
 	tolerated := tolerates(r.Nodes)
 	if r.world.World.now < r.firstLossUntil {
@@ -213,7 +217,7 @@
 	return live[:min(tolerated, len(live))]
 }
 
-// lose loses machines at once.
+// lose loses the given machines at once.
 func (r *secondLossRun) lose(nodes []*ControlNode) {
 	world := r.world.World
 	r.lost, r.result.Lost = nodes, len(nodes)
@@ -238,20 +242,20 @@
 	r.world.World.At(r.world.World.now+lossReturnUS, node.restart)
 }
 
-// awaitRecovery waits until every slot takes changes again, and until all machines are firm
-// members, each within its bound, and reads everything back.
+// awaitRecovery waits until every slot accepts changes again and until all machines have
+// rejoined, each within its bound, and then runs another second for reads to check the data.
 func (r *secondLossRun) awaitRecovery() {
 	world := r.world.World
 	at := world.now
 	took, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return r.writer.AcknowledgedSince(at) })
 	r.result.RecoveryUS = took
 	if !ok {
-		world.Violation("not served", "not every slot took a change within %d us after the second loss: %v", lossRecoveryBoundUS, r.SecondLoss)
+		world.Violation("no service", "not every slot accepted a change within %d us after the second loss: %v", lossRecoveryBoundUS, r.SecondLoss)
 	}
 	world.Run(max(world.now, at+lossReturnUS))
 	back := world.now
 	if _, ok := r.world.Until(rejoinPeriodUS(r.Nodes), r.world.AllRecovered); !ok {
-		world.Violation("not firm", "not every machine was a firm member %d us after it was back: %v", rejoinPeriodUS(r.Nodes), r.SecondLoss)
+		world.Violation("not rejoined", "not every machine had rejoined %d us after its return: %v", rejoinPeriodUS(r.Nodes), r.SecondLoss)
 	}
 	r.result.RejoinUS = world.now - back
 	reads := world.now
--- a/sim/second_loss_day_test.go
+++ b/sim/second_loss_day_test.go
@@ -27,10 +27,10 @@
 						runs, acks, lost = runs+1, acks+r.Acknowledged, lost+r.Lost
 					}
 				}
-				t.Logf("%d second losses of %d machines, %d acknowledged: all slots served after %s of %s, firm after %s of %s",
+				t.Logf("%d second losses of %d machines, %d acknowledged: all slots served after %s, limit %s; rejoined after %s, limit %s",
 					runs, lost, acks, seconds(served), seconds(lossRecoveryBoundUS), seconds(rejoined), seconds(rejoinPeriodUS(nodes)))
 				if lost < runs || acks < 50*runs {
-					t.Error("too little to prove anything")
+					t.Error("too little activity for a meaningful result")
 				}
 			})
 		}
--- a/sim/shares_test.go
+++ b/sim/shares_test.go
@@ -27,15 +27,15 @@
 	loads []load
 	fault func(f *Fleet) // at 14 s
 }{
-	"one group floods one proxy": {loads: []load{{"walled", []int{0}, 4_000, 0, loadEndUS},
+	"one group floods one gateway": {loads: []load{{"walled", []int{0}, 4_000, 0, loadEndUS},
 		{"desk", []int{0, 1, 2}, 150_000, 0, loadEndUS}, {"east", []int{0, 1, 2}, 200_000, 0, loadEndUS}}},
-	"each group at a proxy of its own": {loads: []load{{"walled", []int{0}, 20_000, 0, loadEndUS},
+	"each group at a gateway of its own": {loads: []load{{"walled", []int{0}, 20_000, 0, loadEndUS},
 		{"west", []int{1}, 20_000, 0, loadEndUS}, {"desk", []int{2}, 20_000, 0, loadEndUS}}},
 	"a group is back from idle": {loads: []load{{"walled", []int{0, 1, 2}, 40_000, 0, loadEndUS},
 		{"east", []int{0, 1, 2}, 40_000, 0, loadEndUS}, {"desk", []int{0, 1}, 100_000, 16_000_000, loadEndUS}}},
 	"an engine is lost in a flood": {loads: []load{{"walled", []int{0}, 4_000, 0, loadEndUS},
 		{"desk", []int{0, 1, 2}, 200_000, 0, loadEndUS}}, fault: func(f *Fleet) { f.Engines[0].Kill() }},
-	"a proxy is lost in a flood": {loads: []load{{"walled", []int{0, 1}, 8_000, 0, loadEndUS},
+	"a gateway is lost in a flood": {loads: []load{{"walled", []int{0, 1}, 8_000, 0, loadEndUS},
 		{"desk", []int{0, 2}, 150_000, 0, loadEndUS}}, fault: func(f *Fleet) { f.Gateways[1].Kill() }},
 }
 
@@ -61,7 +61,7 @@
 				for group, e := range fairShares(got) {
 					x, s := got[group], sum[group]
 					if float64(x.done) < 0.8*e-3 {
-						t.Errorf("seed %d: %s got %d of the %.0f that it is entitled to: %+v", seed, group, x.done, e, x)
+						t.Errorf("seed %d: %s got %d of its fair share of %.0f: %+v", seed, group, x.done, e, x)
 					}
 					sum[group] = groupResult{s.sent + x.sent, s.done + x.done, s.refused + x.refused, s.late + x.late, s.unknown + x.unknown}
 					due[group] += e
@@ -72,7 +72,7 @@
 				}
 			}
 			if late*1000 > refused*25 || worst > 60 {
-				t.Errorf("%d of %d refusals came late, %d‰ at worst", late, refused, worst)
+				t.Errorf("%d of %d rejections came late, %d‰ at worst", late, refused, worst)
 			}
 			for _, group := range simGroups {
 				if s := sum[group]; s.sent > 0 {
--- a/sim/slot_writer.go
+++ b/sim/slot_writer.go
@@ -6,8 +6,8 @@
 	"violetthread/quorum"
 )
 
-// SlotWriter changes and reads one key of every slot through any control node, so that
-// whatever is lost or stands still shows.
+// SlotWriter writes and reads one key of every slot through any control node, so that lost
+// data and stalled slots are detected.
 type SlotWriter struct {
 	*Host
 	cluster        *Cluster
@@ -21,7 +21,7 @@
 const (
 	slotWriteIntervalUS = 12_000
 	slotWriteTimeoutUS  = 900_000
-	// slotReadPeriod of each so many operations are reads.
+	// One of slotReadPeriod operations on a slot is a read.
 	slotReadPeriod = 4
 )
 
@@ -36,7 +36,7 @@
 	return s
 }
 
-// keyOfSlot is a key that lies in a slot.
+// keyOfSlot returns a key that belongs to a slot.
 func keyOfSlot(slot int) string {
 	for i := 0; ; i++ {
 		if key := fmt.Sprintf("slot%d/%d", slot, i); int(slotOf(key)) == slot {
@@ -45,7 +45,7 @@
 	}
 }
 
-// act runs the next operation, slot by slot.
+// nextOperation sends the next operation, slot by slot.
 func (s *SlotWriter) nextOperation() {
 	s.next++
 	slot := s.next % len(s.histories)
@@ -83,7 +83,7 @@
 		func() { done(false) })
 }
 
-// liveNode is a node that is up; callers soon learn which ones are.
+// liveNode returns a node that is up, as callers soon learn which ones are.
 func (s *SlotWriter) liveNode() *ControlNode {
 	var live []*ControlNode
 	for _, node := range s.cluster.Nodes {
@@ -97,7 +97,7 @@
 	return live[s.cluster.world.Rng.Intn(len(live))]
 }
 
-// AcknowledgedSince reports whether a change of every slot was acknowledged since a time.
+// AcknowledgedSince reports whether a change of every slot was acknowledged after a time.
 func (s *SlotWriter) AcknowledgedSince(at int64) bool {
 	for _, a := range s.acknowledgedAt {
 		if a <= at {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Acknowledged is how many changes were acknowledged.
+// Acknowledged returns the number of acknowledged changes.
 func (s *SlotWriter) Acknowledged() (n int) {
 	for _, history := range s.histories {
 		n += history.Acknowledged
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -78,7 +78,7 @@
 			return
 		}
 	}
-	t.Fatalf("%s is not settled: %v", key, d.world.violations)
+	t.Fatalf("%s is not committed: %v", key, d.world.violations)
 }
 
 // differs names a register of the filled slot that the leader has settled and r holds
@@ -92,7 +92,7 @@
 	mine, theirs := registers(node), registers(leader)
 	for _, k := range d.keys {
 		if entry := theirs[k]; !committed.Before(entry.Position) && mine[k].Position.Before(entry.Position) {
-			return fmt.Sprintf("%s is of %v, not %v", k, mine[k].Position, entry.Position)
+			return fmt.Sprintf("%s is at %v instead of %v", k, mine[k].Position, entry.Position)
 		}
 	}
 	return ""
@@ -123,7 +123,7 @@
 // hundred times a second. A machine that comes back empty, or with state of hundreds of
 // changes ago, holds everything in time, also when it or the leader ends midway.
 func TestSnapshotInParts(t *testing.T) {
-	for _, scenario := range []string{"empty", "behind", "ends midway", "owner ends midway", "lossy"} {
+	for _, scenario := range []string{"empty", "behind", "restarts midway", "leader restarts midway", "lossy"} {
 		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
 			var worst int64
@@ -142,16 +142,16 @@
 				node.Start()
 				bound := d.size.recoveryUS
 				switch scenario {
-				case "ends midway":
+				case "restarts midway":
 					d.until(1_000_000, func() bool { return node.node != nil })
 					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
-					d.world.Notef("%s ends midway", node.Name)
+					d.world.Notef("%s loses power during the transfer", node.Name)
 					node.LosePower()
 					d.world.Run(d.world.now + 200_000)
 					node.Start()
 				case "lossy":
 					d.world.LossPermille, d.world.DuplicatePermille = 20, 200
-				case "owner ends midway":
+				case "leader restarts midway":
 					d.until(1_000_000, func() bool { return node.node != nil })
 					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
 					if leader := d.slotLeader(); leader != nil && leader != node {
@@ -162,20 +162,20 @@
 				took, ok := d.until(bound, func() bool { return d.caughtUp(node) })
 				if len(d.world.violations) > 0 || !ok {
 					voterSet, _ := d.currentVoters()
-					t.Fatalf("seed %d: not caught up in %d us, votes %v, largest message %d bytes, %d changes: %v", seed, took, node.isMemberOf(voterSet), d.largest, d.changes, d.world.violations)
+					t.Fatalf("seed %d: not caught up in %d us, voter %v, largest message %d bytes, %d changes: %v", seed, took, node.isMemberOf(voterSet), d.largest, d.changes, d.world.violations)
 				}
 				if difference := d.differs(node); difference != "" {
-					t.Fatalf("seed %d: it holds something else than the owner: %s", seed, difference)
+					t.Fatalf("seed %d: the node differs from the leader: %s", seed, difference)
 				}
 				if d.largest > frameBound {
 					t.Fatalf("seed %d: a message of %d bytes was sent", seed, d.largest)
 				}
 				if d.changes < 300 {
-					t.Fatalf("seed %d: %d changes: too little to prove anything", seed, d.changes)
+					t.Fatalf("seed %d: %d changes: too little activity for a meaningful result", seed, d.changes)
 				}
 				worst, largest = max(worst, took), max(largest, d.largest)
 			}
-			t.Logf("holds everything after %.2f s at worst, largest message %d bytes", float64(worst)/1e6, largest)
+			t.Logf("caught up after %.2f s at worst, largest message %d bytes", float64(worst)/1e6, largest)
 		})
 	}
 }
--- a/sim/soak_test.go
+++ b/sim/soak_test.go
@@ -31,7 +31,7 @@
 				sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS = max(sum.SlowestRevocationUS, result.SlowestRevocationUS), max(sum.SlowestDrainUS, result.SlowestDrainUS), max(sum.SlowestWeightUpdateUS, result.SlowestWeightUpdateUS)
 				recovery = max(recovery, result.RecoveryUS)
 			}
-			t.Logf("%d seeds: sent %d done %d refused %d; slowest return %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Rejected, recovery, sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS)
+			t.Logf("%d seeds: sent %d, done %d, rejected %d; slowest recovery %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Rejected, recovery, sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS)
 		})
 	}
 	for _, fault := range ClusterFaults {
@@ -49,7 +49,7 @@
 				joined, slowest = joined+d.Joins, max(slowest, d.SlowestJoinUS)
 				worst, acks, terms, steps, late = max(worst, d.RecoveryUS), acks+d.Acknowledged, terms+d.LeaseTerms, steps+d.Replacements, late+d.LateClaims
 			}
-			t.Logf("%d seeds: %d acknowledged, %d duty terms, %d roster steps, %d claims of closed eras, %d joined, slowest after %d us, slowest return %d us", n, acks, terms, steps, late, joined, slowest, worst)
+			t.Logf("%d seeds: %d acknowledged, %d lease terms, %d replacements, %d claims of closed generations, %d joined, slowest after %d us, slowest recovery %d us", n, acks, terms, steps, late, joined, slowest, worst)
 		})
 	}
 }
--- a/sim/tally.go
+++ b/sim/tally.go
@@ -1,20 +1,20 @@
 package sim
 
-// Tally counts what a day of a fleet came to.
+// Tally counts the events of a fleet day.
 type Tally struct {
-	// Requests that callers sent, and how they ended; a Lost one found no gateway, or lost
-	// it, and got no answer.
+	// Requests that callers sent, and their outcomes. A Lost request found no running gateway
+	// or lost it, and got no answer.
 	Sent, Done, Rejected, Unknown, Lost int
-	// Runs that engines took, the blocks of their prompts, how many of these were reused,
+	// Runs that engines started, the blocks of their prompts, how many of these were reused,
 	// how many of the reused ones were transferred, and transfers that were waited for in
 	// vain.
 	Runs, Blocks, Reused, Transferred, TransfersInVain int
-	FirstUS                                            int64 // until the first piece, summed over runs
+	FirstUS                                            int64 // time to the first piece, summed over runs
 	// Arrived, Retries and Attempts are the gateways' own counters.
 	Arrived, Retries, Attempts uint64
-	// What operators and the platform did.
+	// Changes by operators and the platform.
 	PlansAcknowledged, KeysRevoked, WeightsChanged, EnginesDrained, IsolationChanges int
-	// The longest that a revoked key, a leaving engine and old weights were still used, in
-	// microseconds.
+	// The longest time for which a revoked key, a leaving engine and old weights were still in
+	// use.
 	SlowestRevocationUS, SlowestDrainUS, SlowestWeightUpdateUS int64
 }
--- a/sim/waves_test.go
+++ b/sim/waves_test.go
@@ -53,15 +53,15 @@
 			t.Fatalf("seed %d: %v", seed, world.violations)
 		}
 		if done == 0 || done > 20_000_000 {
-			t.Errorf("seed %d: all engines had turned after %d us", seed, done)
+			t.Errorf("seed %d: all engines had the new weights after %d us", seed, done)
 		}
 		// Callers turned away by engines that turn may use retries up.
 		if fleet.Tally.Rejected*100 > fleet.Tally.Sent || lostByReason["engine-lost"] > 0 {
-			t.Errorf("seed %d: of %d tickets %v", seed, fleet.Tally.Sent, lostByReason)
+			t.Errorf("seed %d: of %d requests, failures %v", seed, fleet.Tally.Sent, lostByReason)
 		}
 		worst = max(worst, done)
 	}
-	t.Logf("at least %d of 18 engines served; all had turned after %.1f s at most", minServing, float64(worst)/1e6)
+	t.Logf("at least %d of 18 engines served; all had the new weights after %.1f s at most", minServing, float64(worst)/1e6)
 	if minServing < 9 {
 		t.Errorf("only %d of 18 engines served", minServing)
 	}
--- a/sim/weights_operator.go
+++ b/sim/weights_operator.go
@@ -4,14 +4,15 @@
 	"violetthread/route"
 )
 
-// simModel is the model whose weights operators name.
+// simModel is the model whose weights operators change.
 const simModel = "translator"
 
-// WeightsHistory judges in true time what operators are told about named weights.
+// WeightsHistory checks, in true time, the answers that operators get about versions of the
+// weights.
 type WeightsHistory struct {
 	world        *World
 	newest       uint64
-	since        map[uint64]int64 // version: since when a version as new was certainly named
+	since        map[uint64]int64 // by version: time from which it was certainly in force
 	Acknowledged int
 }
 
@@ -28,7 +29,7 @@
 	h.newest = max(h.newest, version)
 }
 
-// newestAt is the newest version that was certainly named before a time.
+// newestAt returns the newest version that was certainly in force before a time.
 func (h *WeightsHistory) newestAt(at int64) uint64 {
 	for v := h.newest; v > 0; v-- {
 		if since, ok := h.since[v]; ok && since < at {
@@ -38,7 +39,7 @@
 	return 0
 }
 
-// WeightsOperator names one version after the other, each until it is acknowledged.
+// WeightsOperator adds one version after the other and sends each until it is acknowledged.
 type WeightsOperator struct {
 	*Host
 	cluster *Cluster
@@ -55,7 +56,7 @@
 	return o
 }
 
-// next names a version newer than all that were acknowledged.
+// next adds a version newer than all acknowledged ones.
 func (o *WeightsOperator) next() {
 	o.version = max(o.version, o.history.newest) + 1
 	o.sends = 0
@@ -85,7 +86,7 @@
 		return
 	}
 	if floor := o.history.newestAt(from); answer.Version < floor {
-		o.cluster.world.Violation("older weights", "version %d was told at %d, %d was named before", answer.Version, from, floor)
+		o.cluster.world.Violation("older weights", "version %d was confirmed for a request sent at %d, but %d was in force before", answer.Version, from, floor)
 	}
 	o.history.acknowledged(version)
 	o.After(o.Pause/2+o.cluster.world.Rng.Int63n(o.Pause), o.next)
