--- a/sim/agent.go
+++ b/sim/agent.go
@@ -23,13 +23,13 @@
 	a.fleet.keepSession(a.Host, &a.session, func() *fb.NodeT { return a.status }, nil)
 	a.Every(120_000, func() {
 		for _, query := range a.agent.Queries(a.Clock(), a.session.nodes) {
-			a.ask(query)
+			a.sendQuery(query)
 		}
 	})
 }
 
 // ask sends a capacity query to its index node.
-func (a *Agent) ask(query agent.Query) {
+func (a *Agent) sendQuery(query agent.Query) {
 	indexNode, askedAt := a.fleet.indexNodeNamed(query.Via), a.Clock()
 	Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(response *fb.CapacityResponseT) {
 		if a.fleet.HideTransferScores {
--- a/sim/catchup_day_test.go
+++ b/sim/catchup_day_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// TestCatchupDays: a long row of changes, some of 350 routes, with members down for a part
-// of it, wiped, restarted, or ended at each record of a checkpoint. A member that is back
-// holds all that is committed within the time for which it counts as lost, and nobody
-// answers with old state. VT_SEEDS runs a thousand changes each.
+// TestCatchupDays makes a long series of changes, some with 350 routes, while voters are down
+// for a part of it, lose their disks, restart, or end at each record of a checkpoint in turn.
+// A voter that is back must hold all committed changes within the period in which it still
+// counts as lost, and no leader may answer with outdated state. With VT_SEEDS each day has a
+// thousand changes.
 func TestCatchupDays(t *testing.T) {
 	for _, fault := range CatchupFaults {
 		for _, nodes := range controlSizes {
 			if seeds() == 0 && !(nodes == 4 && (fault == CatchupFaultWiped || fault == CatchupFaultCheckpoint)) {
-				continue // the others on long runs
+				continue // the others only on long runs
 			}
 			t.Run(fmt.Sprint(fault, " ", nodes), func(t *testing.T) {
 				t.Parallel()
@@ -33,7 +34,7 @@
 	}
 }
 
-// catchupChanges is how many changes a day has.
+// catchupChanges returns the number of changes of a day.
 func catchupChanges() int {
 	if seeds() > 0 {
 		return 1000
--- a/sim/checker.go
+++ b/sim/checker.go
@@ -196,7 +196,7 @@
 		}
 		for _, role := range indexNode.node.HeldRoles(indexNode.Clock()) {
 			if other := holders[role]; other != "" {
-				c.fleet.World.Violation("two owners", "%s: %s and %s", role, other, indexNode.Name)
+				c.fleet.World.Violation("two lease holders", "%s: %s and %s", role, other, indexNode.Name)
 			}
 			holders[role] = indexNode.Name
 		}
--- a/sim/claims_test.go
+++ b/sim/claims_test.go
@@ -9,9 +9,10 @@
 	"violetthread/wal"
 )
 
-// TestClaimsWithoutEnd: two hundred once-only requests a second find room for as long
-// as one likes, on rings as much smaller than the default as the generations are shorter;
-// and a claim that was granted is granted to nobody else, however late he asks.
+// TestClaimsWithoutEnd checks that claims of two hundred once-only requests a second fit into
+// the log indefinitely. The logs are smaller than the default in proportion to the shorter
+// generations. A claim that was granted must never be granted to a second client, however late
+// the request.
 func TestClaimsWithoutEnd(t *testing.T) {
 	t.Parallel()
 	const perSecond, seconds, generation = 200, 40, 1_000_000
--- a/sim/cluster.go
+++ b/sim/cluster.go
@@ -157,7 +157,7 @@
 				continue
 			}
 			if o := leaders[i]; o != "" {
-				c.world.Violation("two owners", "slot %d: %s and %s", i, o, node.Name)
+				c.world.Violation("two leaders", "slot %d: %s and %s", i, o, node.Name)
 			}
 			leaders[i] = node.Name
 		}
--- a/sim/cluster_day_test.go
+++ b/sim/cluster_day_test.go
@@ -8,9 +8,9 @@
 	"violetthread/quorum"
 )
 
-// TestCoreDays: control nodes under every kind of failure keep acknowledged
-// changes linearizable, slots and roles single-owned and claims single-held,
-// and come back within ten seconds.
+// TestCoreDays checks control nodes under every kind of fault: acknowledged changes stay
+// linearizable, slots have one leader, roles and claims have one holder, and service is back
+// within 10 s.
 func TestCoreDays(t *testing.T) {
 	for _, fault := range ClusterFaults {
 		t.Run(string(fault), func(t *testing.T) {
@@ -35,8 +35,9 @@
 	}
 }
 
-// TestLostAcknowledgement: every message that a change is on disk gets lost, once.
-// Seed 282 of the lossy days first showed a slot that then stood still for ever.
+// TestLostAcknowledgement loses every acknowledgement of an append for a while. The change
+// must still be committed afterwards. Seed 282 of the lossy days first showed that the slot
+// then stalled for ever.
 func TestLostAcknowledgement(t *testing.T) {
 	s := newDirectedRun(t, 1, "plan")
 	s.put("plan", "v1")
@@ -56,7 +57,8 @@
 	}
 }
 
-// TestSameSeedSameDay: a seed decides everything, or a failing one is worthless.
+// TestSameSeedSameDay checks that a run depends on its seed alone, since a failing seed could
+// not be replayed otherwise.
 func TestSameSeedSameDay(t *testing.T) {
 	a, b := RunCluster(5, FaultAll, 5_000_000), RunCluster(5, FaultAll, 5_000_000)
 	if fmt.Sprint(a) != fmt.Sprint(b) {
@@ -64,9 +66,10 @@
 	}
 }
 
-// TestFailedCandidateFollows: one that could not hear the leader sought its slot in vain
-// and keeps its promise to itself; the leader wins the slot anew above it, so that all
-// voters follow it again. Without that no voter set step was ever recovered with the one left out.
+// TestFailedCandidateFollows cuts a node's inbound link from the leader, so that it stands for
+// election in vain and stays at its higher term. The leader must be re-elected above that
+// term, so that all voters follow it again. Without that, slots were never recovered under a
+// new voter set with the failed candidate.
 func TestFailedCandidateFollows(t *testing.T) {
 	s := newDirectedRun(t, 1, "plan")
 	s.put("plan", "v1")
--- a/sim/config_operator.go
+++ b/sim/config_operator.go
@@ -106,8 +106,8 @@
 	var rest []*ControlNode
 	now := o.cluster.world.now
 	for _, node := range o.cluster.Nodes {
-		at, silent := o.timedOutAt[node]
-		if node != o.last && !node.removed && !(silent && now-at < operatorAvoidUS) {
+		at, timedOut := o.timedOutAt[node]
+		if node != o.last && !node.removed && !(timedOut && now-at < operatorAvoidUS) {
 			rest = append(rest, node)
 		}
 	}
--- a/sim/cutoff_day_test.go
+++ b/sim/cutoff_day_test.go
@@ -10,15 +10,15 @@
 	"violetthread/platform"
 )
 
-// platformFormat reads texts as the platform's operators write them.
+// platformFormat decodes configurations in the format of the platform's operators.
 var platformFormat = ConfigFormat{Translate: platform.Translate, FieldNames: platform.FieldNames}
 
-// controlSizes are the numbers of control nodes of the directed days: 4 bear the loss
-// of one, 5 and 8 that of two.
+// controlSizes are the numbers of control nodes on directed days: 4 tolerate the loss of one,
+// 5 and 8 the loss of two.
 var controlSizes = []int{4, 5, 8}
 
-// daySeeds are the seeds of a directed day: few of its own, or as many as VT_SEEDS says,
-// after VT_FROM.
+// daySeeds returns the seeds of a directed day: the given number, or as many as VT_SEEDS says,
+// starting after VT_FROM.
 func daySeeds(few int64) []int64 {
 	n := few
 	if s := seeds(); s > 0 {
@@ -31,7 +31,7 @@
 	return out
 }
 
-// requireNoViolations reports a day that broke a promise, with the end of its notes.
+// requireNoViolations fails the test if there are violations, and prints the last notes.
 func requireNoViolations(t *testing.T, seed int64, violations, notes []string) {
 	t.Helper()
 	if len(violations) > 0 {
@@ -42,14 +42,14 @@
 
 func seconds(durationUS int64) string { return fmt.Sprintf("%.2f s", float64(durationUS)/1e6) }
 
-// TestCutoffDays: a control machine, or as many as may be lost, is cut off for 20 s twice
-// a day, in each of six ways with VT_SEEDS. No answer vouches for an older configuration than the last
-// one acknowledged, no confirmation is lost, no order is refused wrongly, and all is
-// back within a bound.
+// TestCutoffDays cuts off control nodes for 20 s, as many as may be lost or fewer, twice a
+// day, and with VT_SEEDS in each of six ways. No answer may confirm a configuration older than
+// the last acknowledged one, no acknowledged change may be lost, no request may be wrongly
+// rejected, and everything must be back in service within a bound.
 func TestCutoffDays(t *testing.T) {
 	for i, nodes := range controlSizes {
 		if seeds() == 0 && nodes > 5 {
-			continue // the largest takes longest: on long runs
+			continue // the largest takes longest and runs only on long runs
 		}
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			t.Parallel()
@@ -68,8 +68,8 @@
 	}
 }
 
-// cutsOf are the ways in which machines are cut off on a day: all of them on long runs,
-// two in CI, others for each size.
+// cutsOf returns the ways in which machines are cut off on a day: all of them on long runs,
+// otherwise two that depend on the seed.
 func cutsOf(seed int64) []Partition {
 	cuts := shuffled(seed, Partitions)
 	if seeds() > 0 {
@@ -90,7 +90,7 @@
 	r.SlowestRecoveryUS = max(r.SlowestRecoveryUS, o.SlowestRecoveryUS)
 }
 
-// shuffled is a list in an order of the seed's.
+// shuffled returns the list in an order that depends on the seed.
 func shuffled[T any](seed int64, list []T) []T {
 	out := slices.Clone(list)
 	rand.New(rand.NewSource(seed)).Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
--- a/sim/final_faults_test.go
+++ b/sim/final_faults_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestLastFault: after any single last fault every living gateway serves again,
-// and plans are acknowledged again, within ten seconds. VT_SEEDS runs more
-// seeds; -v prints the table of docs/measurements.md.
+// TestLastFault checks that after any single final fault all live gateways serve again and
+// plans are acknowledged again within 10 s. VT_SEEDS runs more seeds; -v prints the table of
+// docs/measurements.md.
 func TestLastFault(t *testing.T) {
 	n := seeds()
 	n = max(n, 2)
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -7,8 +7,8 @@
 
 var smallFleet = FleetSize{Gateways: 4, Engines: 6}
 
-// TestFleetDays: none of what must never happen does, on any kind of day, and
-// service is back within ten seconds of the last fault.
+// TestFleetDays checks the invariants of a fleet on each kind of day, and that service is back
+// within 10 s of the last fault.
 func TestFleetDays(t *testing.T) {
 	for _, day := range Days {
 		t.Run(string(day), func(t *testing.T) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestStuckEngine: an engine that never takes new weights is out of use when the
-// bound is over, and the others carry on.
+// TestStuckEngine checks that an engine that ignores weight updates gets no more runs after
+// the bound, while the other engines continue to serve.
 func TestStuckEngine(t *testing.T) {
 	t.Parallel()
 	fleet := NewFleet(4, smallFleet)
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestTransferScoresAreLearned: half the engines hand over more slowly than anyone
-// waits. What later reports tell keeps others from waiting for them in vain.
+// TestTransferScoresAreLearned makes transfers from half of the engines slower than any wait.
+// Scores learned from later reports must keep other engines from waiting for them in vain.
 func TestTransferScoresAreLearned(t *testing.T) {
 	t.Parallel()
 	run := func(hideScores bool) Tally {
@@ -76,7 +76,7 @@
 		fleet.SlowTransfersFrom = map[string]bool{"e00": true, "e02": true, "e04": true, "e06": true}
 		fleet.Documents = 8
 		for _, engine := range fleet.Engines {
-			engine.capacity, engine.maxBlocks = 4, 60 // parts come and go, so that there is something to hand over
+			engine.capacity, engine.maxBlocks = 4, 60 // blocks come and go, so that there are transfers
 		}
 		operator := NewFleetOperator(fleet)
 		fleet.World.At(1_300_000, func() { operator.PutPlan(nil) })
@@ -96,9 +96,9 @@
 	}
 }
 
-// TestCutOffProxyEndsStreams: a gateway that hears nothing of the core any more ends
-// what runs before a key that was taken meanwhile has worked for five seconds.
-func TestCutOffProxyEndsStreams(t *testing.T) {
+// TestCutOffGatewayEndsStreams cuts a gateway's agent off from all other nodes. The gateway must
+// end running requests within five seconds after their key was revoked.
+func TestCutOffGatewayEndsStreams(t *testing.T) {
 	t.Parallel()
 	fleet := NewFleet(8, smallFleet)
 	operator := NewFleetOperator(fleet)
@@ -114,7 +114,7 @@
 	})
 	world.At(5_400_000, func() {
 		began = fleet.Tally.Runs
-		world.Isolate(fleet.Agents[0].Name) // the agent is cut off; caller, gateway and engines are not
+		world.Isolate(fleet.Agents[0].Name) // caller, gateway and engines stay connected
 		operator.RevokeKey("desk")
 	})
 	world.Run(16_000_000)
@@ -126,8 +126,9 @@
 	}
 }
 
-// TestPlatformOutOfReach: nobody can see that an engine leaves, since the platform is
-// silent; it gets nothing new all the same, and service is back with the platform.
+// TestPlatformOutOfReach drains engines while the platform is unreachable, so that no node can
+// learn of it. The engines must get no new runs all the same, and service must be back once
+// the platform is.
 func TestPlatformOutOfReach(t *testing.T) {
 	t.Parallel()
 	fleet := NewFleet(12, smallFleet)
@@ -153,9 +154,9 @@
 	}
 }
 
-// TestFrozenEngineAndIsolation: runs are on their way to an engine that freezes; while it
-// stands still a group that left parts there is walled off. Thawed, it must not begin
-// them on those parts.
+// TestFrozenEngineAndIsolation freezes an engine while runs are on their way to it. Meanwhile
+// a group whose blocks the engine holds is isolated. After the thaw the runs must not start on
+// those blocks.
 func TestFrozenEngineAndIsolation(t *testing.T) {
 	t.Parallel()
 	fleet := NewFleet(3, FleetSize{Gateways: 2, Engines: 1})
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -22,23 +22,23 @@
 	"violetthread/schema/fb"
 )
 
-// The golden digests tell whether a change of source changed what the system does. Each
-// is of one simulated day, over every frame, disk write, call and decision with its
-// time, in order. Values go in as encoded bytes, field by field, so that the name of a
-// type, field or function never enters; log lines, notes and the texts of Events do not
-// either. The names of hosts, keys and roles do: they are in frames and records.
+// The golden digests show whether a source change altered the behaviour of the system. Each
+// digest covers one simulated day, with every frame, disk write, call and decision with its
+// time, in order. Values are encoded field by field, so that the names of types, fields and
+// functions do not matter; neither do log lines, notes and the texts of events. The names of
+// hosts, keys and roles do matter, since frames and records contain them.
 //
-// VT_GOLDEN=write writes the digests anew, which only a change of behaviour calls for.
-// VT_GOLDEN_TRACE=<folder> writes what each digest is made of, one observation a line:
-// traces of two versions can be compared to find the first difference.
+// VT_GOLDEN=write rewrites the digests, which is only right for an intended change of
+// behaviour. VT_GOLDEN_TRACE=<folder> writes the input of each digest, one observation per
+// line, so that the traces of two versions can be compared to find the first difference.
 const (
 	goldenFile     = "testdata/golden_digests.json"
 	goldenEnv      = "VT_GOLDEN"
 	goldenTraceEnv = "VT_GOLDEN_TRACE"
-	goldenSeed     = 7_700_000 // the first one; no other test uses these seeds
+	goldenSeed     = 7_700_000 // first seed; no other test uses these
 )
 
-// goldenDigest is what the file holds of a day.
+// goldenDigest is the file's entry for a day.
 type goldenDigest struct {
 	Digest string `json:"digest"`
 	Frames int    `json:"frames"`
@@ -83,7 +83,7 @@
 	})
 	for i, fault := range RaceFaults() {
 		if i%2 == 1 {
-			continue // they differ only in which message is lost
+			continue // the two differ only in which message is lost
 		}
 		add("races/"+string(fault), func(_ *testing.T, seed int64) []string {
 			return RunRaces(seed, controlSizes[i/2%2], 2, fault, 4_000_000, platformFormat).Violations
@@ -118,7 +118,7 @@
 			return violations
 		})
 	}
-	// Engines have little room, some hand over slowly, and blocks come and go.
+	// Engines have little room, some transfer slowly, and blocks come and go.
 	add("fleet/tight", func(_ *testing.T, seed int64) []string {
 		fleet := NewFleet(seed, smallFleet)
 		fleet.SlowTransfersFrom = map[string]bool{"e00": true, "e03": true}
@@ -135,8 +135,8 @@
 	return days
 }
 
-// TestGoldenDigests runs fixed days and compares what they did with what they did before.
-// It is not parallel itself, so that no other test makes worlds while it observes them.
+// TestGoldenDigests runs fixed days and compares their behaviour with the stored digests. It
+// is not parallel itself, so that no other test creates worlds while it observes them.
 func TestGoldenDigests(t *testing.T) {
 	days := goldenDays()
 	observers := map[int64]*goldenObserver{}
@@ -166,7 +166,7 @@
 			})
 		}
 	})
-	if t.Failed() || len(got) < len(days) { // -run chose some of them
+	if t.Failed() || len(got) < len(days) { // -run may have selected some of them
 		return
 	}
 	compareGolden(t, got)
@@ -205,7 +205,7 @@
 	}
 }
 
-// goldenObserver sums up one day.
+// goldenObserver computes the digest of one day.
 type goldenObserver struct {
 	name   string
 	world  *World
@@ -267,7 +267,7 @@
 	}
 }
 
-// goldenEncoder lays values out in a fixed order of fields.
+// goldenEncoder encodes values with their fields in a fixed order.
 type goldenEncoder struct{ out []byte }
 
 func (e *goldenEncoder) number(n int64) { e.out = binary.LittleEndian.AppendUint64(e.out, uint64(n)) }
@@ -300,7 +300,7 @@
 	e.unsigned(uint64(key.Check))
 }
 
-// value lays out whatever is observed; it returns false for what it does not know.
+// value encodes an observed value. It returns false for an unknown type.
 func (e *goldenEncoder) value(value any) bool {
 	switch v := value.(type) {
 	case int:
@@ -363,7 +363,7 @@
 	e.number(world.confirmedAt)
 }
 
-// frameValue lays out what the daemons send as a frame.
+// frameValue encodes values that the daemons send as frames.
 func (e *goldenEncoder) frameValue(value any) bool {
 	switch v := value.(type) {
 	case *fb.HeartbeatRequestT:
@@ -390,7 +390,7 @@
 	return true
 }
 
-// fleetValue lays out what engines report and what proxies and index nodes decide.
+// fleetValue encodes reports of engines and decisions of gateways and index nodes.
 func (e *goldenEncoder) fleetValue(value any) bool {
 	switch v := value.(type) {
 	case index.Report:
--- a/sim/index_node.go
+++ b/sim/index_node.go
@@ -140,7 +140,7 @@
 		return
 	}
 	if !poll.NeedsHoldings {
-		n.askReport(engine, poll.Incarnation, poll.AfterSeq)
+		n.requestReport(engine, poll.Incarnation, poll.AfterSeq)
 		return
 	}
 	serve := func(_ int, reply func(engineHoldings)) {
@@ -148,12 +148,12 @@
 	}
 	Call(n.Host, engine.Host, 0, 800_000, serve, func(holdings engineHoldings) {
 		n.node.ResetHoldings(n.Clock(), poll.Engine, holdings.incarnation, holdings.sequence, holdings.blocks)
-		n.askReport(engine, holdings.incarnation, holdings.sequence)
+		n.requestReport(engine, holdings.incarnation, holdings.sequence)
 	}, func() {})
 }
 
-// askReport asks an engine for its events after a sequence number.
-func (n *IndexNode) askReport(engine *Engine, incarnation, after uint64) {
+// requestReport asks an engine for its events after a sequence number.
+func (n *IndexNode) requestReport(engine *Engine, incarnation, after uint64) {
 	askedAt := n.Clock()
 	serve := func(_ int, reply func(index.Report)) { reply(engine.report(incarnation, after)) }
 	Call(n.Host, engine.Host, 0, 800_000, serve, func(report index.Report) {
@@ -184,7 +184,7 @@
 	}
 	cursor := n.node.HoldingsCursor(other.Name)
 	request := &fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: shards, Incarnation: cursor.Incarnation, Since: cursor.Next}
-	n.askUpdates(other, request, func(response *fb.UpdatesResponseT) {
+	n.requestUpdates(other, request, func(response *fb.UpdatesResponseT) {
 		if n.node.HoldingsCursor(other.Name) == cursor {
 			codec.ApplyHoldings(n.node, n.Clock(), other.Name, response)
 		}
@@ -194,14 +194,14 @@
 func (n *IndexNode) followZone(other *IndexNode, peer index.Peer, zone string) {
 	cursor := *n.node.ZoneCursor(zone, other.Name)
 	request := &fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: zone, Incarnation: cursor.Incarnation, Since: cursor.Next}
-	n.askUpdates(other, request, func(response *fb.UpdatesResponseT) {
+	n.requestUpdates(other, request, func(response *fb.UpdatesResponseT) {
 		if *n.node.ZoneCursor(zone, other.Name) == cursor {
 			n.node.ApplyZoneUpdates(zone, other.Name, index.ShardsOf(peer), codec.UnpackBatch(response))
 		}
 	})
 }
 
-func (n *IndexNode) askUpdates(other *IndexNode, request *fb.UpdatesRequestT, apply func(*fb.UpdatesResponseT)) {
+func (n *IndexNode) requestUpdates(other *IndexNode, request *fb.UpdatesRequestT, apply func(*fb.UpdatesResponseT)) {
 	request.From = n.Name
 	serve := func(request *fb.UpdatesRequestT, reply func(*fb.UpdatesResponseT)) {
 		reply(other.answerUpdates(request))
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -8,15 +8,15 @@
 	"violetthread/quorum"
 )
 
-// recorder is a client of one key that keeps all it asked and was told.
+// recorder is a client of one key that records all its operations and their results.
 type recorder struct {
 	*Host
 	cluster        *Cluster
 	key            string
 	client         int
-	changes        int // of a hundred operations
+	changes        int // percentage of writes
 	count          int
-	newestRevision uint64 // newest revision it was told of
+	newestRevision uint64 // newest revision it received
 	ops            *[]lincheck.Operation
 }
 
@@ -34,7 +34,7 @@
 	op := quorum.Operation{Type: quorum.OpGet, Key: r.key}
 	if world.Rng.Intn(100) < r.changes {
 		operation.Write, operation.Value = true, fmt.Sprintf("%d-%d", r.client, r.count)
-		// A request that the network repeats must not change the key twice.
+		// A request that the network duplicates must not change the key twice.
 		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.newestRevision, []byte(operation.Value)
 	}
 	Call(r.Host, node.Host, op, 900_000, node.serve,
@@ -42,8 +42,8 @@
 		func() { r.record(operation) })
 }
 
-// answered takes all but a confirmation as unknown: where requests are repeated, one may
-// be refused although its twin took effect.
+// answered records any result other than a confirmation as unknown: if a request was
+// duplicated, one copy may be rejected although the other took effect.
 func (r *recorder) answered(operation lincheck.Operation, result quorum.Result) {
 	if result.Status == quorum.StatusDone || result.Status == quorum.StatusConflict {
 		r.newestRevision = max(r.newestRevision, result.Revision)
@@ -56,8 +56,8 @@
 
 func (r *recorder) record(operation lincheck.Operation) { *r.ops = append(*r.ops, operation) }
 
-// TestLinearizable: what operators see of a key on core days, answers lost and unknown
-// ones included, is explained by one order of their operations.
+// TestLinearizable checks that there is one order of operations that explains what clients see
+// of a key on days of control nodes, including operations with lost or unknown results.
 func TestLinearizable(t *testing.T) {
 	for _, fault := range ClusterFaults {
 		t.Run(string(fault), func(t *testing.T) {
@@ -85,7 +85,8 @@
 	}
 }
 
-// recordedDay is a core day with operators at a busy key and at one seldom changed.
+// recordedDay runs a day of control nodes, with clients of a frequently written key and of a
+// rarely written one.
 func recordedDay(seed int64, fault Fault) map[string][]lincheck.Operation {
 	const length = 8_000_000
 	world := NewWorld(seed)
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -7,40 +7,40 @@
 	"testing"
 )
 
-// membershipChange is a repair or a piece of planned work on the control machines.
+// membershipChange is a repair or planned work on control nodes.
 type membershipChange string
 
 const (
-	changeRepaired  membershipChange = "repaired"  // machines come back with empty disks
-	changeReplaced  membershipChange = "replaced"  // machines are gone for good, empty ones come a second later
-	changePlanned   membershipChange = "planned"   // an empty machine comes first, then another is told to stop for good
-	changeHurried   membershipChange = "hurried"   // the same, and the other is told to stop a second after the start
-	changeRestarted membershipChange = "restarted" // machines are told to stop, and come back with their disks
+	changeRepaired  membershipChange = "repaired"  // machines lose their disks and come back empty
+	changeReplaced  membershipChange = "replaced"  // machines are gone for good, and empty ones are added a second later
+	changePlanned   membershipChange = "planned"   // an empty machine is added first, then another is shut down for good
+	changeHurried   membershipChange = "hurried"   // the same, but the other is shut down a second after the start of the new one
+	changeRestarted membershipChange = "restarted" // a machine is shut down and comes back with its disk
 	changeMixed     membershipChange = "mixed"     // up to four of these, one after the other
 )
 
 var membershipChanges = []membershipChange{changeRepaired, changeReplaced, changePlanned, changeHurried, changeRestarted, changeMixed}
 
-// machineLoss is what happens to as many machines as the cluster tolerates, once the change counts
-// as over.
+// machineLoss is what happens to as many machines as the cluster tolerates, once the change
+// counts as completed.
 type machineLoss string
 
 const (
-	lossOfPowerForGood machineLoss = "gone"  // they lose their power for good
-	lossOfDisks        machineLoss = "wiped" // they lose their disks just after an acknowledgement, all others their power
+	lossOfPowerForGood machineLoss = "gone"  // machines lose power for good
+	lossOfDisks        machineLoss = "wiped" // machines lose their disks, and all others their power
 )
 
 var machineLosses = []machineLoss{lossOfPowerForGood, lossOfDisks}
 
-// clusterSize is a number of control machines with what it is said to tolerate.
+// clusterSize is a number of control nodes and the losses that it must tolerate.
 type clusterSize struct {
 	machines, tolerated int
-	recoveryUS          int64 // after its return a machine counts as lost for so long
+	recoveryUS          int64 // how long after its return a machine still counts as lost
 }
 
 var clusterSizes = []clusterSize{{3, 1, 4_000_000}, {4, 1, 4_000_000}, {5, 2, 6_000_000}, {8, 2, 6_000_000}}
 
-// membershipDay is a cluster on which changes and losses are brought about.
+// membershipDay is a cluster with membership changes and machine losses.
 type membershipDay struct {
 	*Cluster
 	size    clusterSize
@@ -67,7 +67,7 @@
 	return d
 }
 
-// liveVoters lists the machines that are up and vote, drawn in any order.
+// liveVoters returns the machines that are up and are voters, in random order.
 func (d *membershipDay) liveVoters() []*ControlNode {
 	_, members := d.currentVoters()
 	members = slices.DeleteFunc(members, func(node *ControlNode) bool { return !node.up || node.removed })
@@ -75,9 +75,10 @@
 	return members
 }
 
-// stop tells a machine to stop and ends its process once it may go, as the daemon does.
+// stop shuts a machine down gracefully and ends its process once it may end, as the daemon
+// does.
 func (d *membershipDay) stop(node *ControlNode, then func()) {
-	d.world.Notef("%s is told to stop", node.Name)
+	d.world.Notef("%s is asked to shut down", node.Name)
 	node.handle(node.node.Leave(node.Clock()))
 	last := d.world.now + 900_000
 	var wait func()
@@ -92,7 +93,7 @@
 	node.After(100_000, wait)
 }
 
-// change does a change and returns when it counts as over, and the machines come or gone.
+// change performs a change and returns the time at which it counts as completed.
 func (d *membershipDay) change(kind membershipChange) int64 {
 	world := d.world
 	members := d.liveVoters()
@@ -132,7 +133,8 @@
 	}
 }
 
-// restart boots a machine with its disk; one that no voter set holds begins anew.
+// restart restarts a machine with its disk. A machine that is no longer in the voter set
+// starts with an empty one.
 func (d *membershipDay) restart(node *ControlNode) {
 	if voterSet, _ := d.currentVoters(); !node.isMemberOf(voterSet) {
 		node.loseDisk()
@@ -140,8 +142,9 @@
 	node.restart()
 }
 
-// loseMachines loses as many machines as are tolerated, the plan's owner among them every
-// other time, and returns how long after it a change was acknowledged; 0 is never.
+// loseMachines loses as many machines as are tolerated, in half of the cases including the
+// leader of the plan's slot. It returns the time until the next acknowledged change, 0 for
+// none.
 func (d *membershipDay) loseMachines(loss machineLoss) int64 {
 	world := d.world
 	members := d.liveVoters()
@@ -168,7 +171,7 @@
 	for world.now < from+10_000_000 && len(world.violations) == 0 {
 		world.Run(world.now + 10_000)
 		if d.history.Acknowledged > n {
-			// The readers go on, and tell what is lost.
+			// The readers continue and detect lost changes.
 			back := world.now - from
 			world.Run(world.now + 2_000_000)
 			return back
@@ -184,9 +187,9 @@
 	return 0
 }
 
-// TestLossAfterChange: as many machines as the core tolerates are lost at any instant from when
-// a repair, a replacement or a restart counts as over. A majority is left, and what was
-// acknowledged is read back.
+// TestLossAfterChange loses as many machines as the cluster tolerates at a random instant
+// after a repair, a replacement or a restart counts as completed. A majority must be left, and
+// acknowledged changes must be read back.
 func TestLossAfterChange(t *testing.T) {
 	for _, size := range clusterSizes {
 		for _, c := range membershipChanges {
@@ -236,8 +239,8 @@
 	}
 }
 
-// caughtUp reports whether a machine votes in the newest voter set and holds every slot's
-// line up to its leader's last change.
+// caughtUp reports whether a machine is a voter in the newest voter set and holds every slot
+// up to the position that its leader has committed.
 func (d *membershipDay) caughtUp(node *ControlNode) bool {
 	voterSet, _ := d.currentVoters()
 	if node.node == nil || !node.up || !node.isMemberOf(voterSet) || node.node.VoterSet().Revision != voterSet.Revision || !node.node.AllSlotsRecovered() {
@@ -257,7 +260,8 @@
 	return true
 }
 
-// until runs the world until ok holds, and returns how long that took.
+// until runs the world until ok returns true or the time is over, and returns the time that
+// passed.
 func (d *membershipDay) until(most int64, ok func() bool) (int64, bool) {
 	from := d.world.now
 	for d.world.now < from+most && len(d.world.violations) == 0 {
@@ -269,8 +273,8 @@
 	return d.world.now - from, false
 }
 
-// TestCaughtUpInTime: a machine that comes back or comes new votes and holds everything
-// long before it stops counting as lost.
+// TestCaughtUpInTime checks that a machine that comes back or is added becomes a voter and
+// holds all committed changes before it stops counting as lost.
 func TestCaughtUpInTime(t *testing.T) {
 	for _, size := range clusterSizes {
 		t.Run(fmt.Sprint(size.machines), func(t *testing.T) {
@@ -315,9 +319,9 @@
 	}
 }
 
-// TestSeatOfTheLeaver: a machine whose successor came first gives its seat back before it
-// ends, so that the rest bears as many losses as before; one that goes without a word
-// loses it once it is missed.
+// TestSeatOfTheLeaver checks that a machine whose successor was added first gives up its seat
+// before its process ends, so that the others tolerate as many losses as before. A machine
+// that disappears without a shutdown must lose its seat once it is missed.
 func TestSeatOfTheLeaver(t *testing.T) {
 	for _, size := range clusterSizes {
 		for _, graceful := range []bool{true, false} {
@@ -344,7 +348,7 @@
 						node.LosePower()
 						end()
 					}
-					// The rest, without the machine that goes, bears the losses tolerated.
+					// The other machines tolerate the specified losses.
 					took, ok := d.until(bound, func() bool {
 						voterSet, members := d.currentVoters()
 						live := 0
--- a/sim/messages_day_test.go
+++ b/sim/messages_day_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestMessageDays: the control nodes' own messages come late, out of order and again, also
-// to a later process of the same name. No answer counts for another question than its own:
-// changes stay linearizable, slots and roles have one owner, claims one holder.
+// TestMessageDays delays, reorders and duplicates messages between control nodes, which also
+// reach later processes of the same name. No answer may be taken for the answer to another
+// request: changes stay linearizable, slots have one leader, roles and claims have one holder.
 func TestMessageDays(t *testing.T) {
 	for _, nodes := range controlSizes {
 		if seeds() == 0 && nodes > 5 {
-			continue // the largest takes longest: on long runs
+			continue // the largest takes longest and runs only on long runs
 		}
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			t.Parallel()
@@ -30,7 +30,7 @@
 	}
 }
 
-// messagesDurationUS is how long a day of repeated messages is troubled.
+// messagesDurationUS returns how long the faults of a day last.
 func messagesDurationUS() int64 {
 	if seeds() > 0 {
 		return 15_000_000
--- a/sim/move_test.go
+++ b/sim/move_test.go
@@ -8,9 +8,9 @@
 	"violetthread/index"
 )
 
-// TestMoveCost: what it costs when an index node's roles move, because it died or
-// was stopped politely: how long roles have no owner, how long engines are out of
-// use at gateways, and what is read and told anew. VT_SEEDS runs more seeds.
+// TestMoveCost measures the cost of moving an index node's roles after a crash or a graceful
+// shutdown: how long roles have no holder, how long engines are out of use at gateways, and
+// how many holdings are read in full again. VT_SEEDS runs more seeds.
 func TestMoveCost(t *testing.T) {
 	t.Parallel()
 	runs := seeds()
@@ -30,8 +30,8 @@
 			for _, other := range fleet.IndexNodes {
 				resyncsBefore += other.node.Counters.Resyncs
 			}
-			withoutHolder, lastWithoutHolder := map[string]int64{}, int64(0) // role -> how long nobody held it
-			outOfUse := int64(0)                                             // engine-microseconds out of use, over gateways
+			withoutHolder, lastWithoutHolder := map[string]int64{}, int64(0) // by role: how long it had no holder
+			outOfUse := int64(0)                                             // engine-microseconds out of use, summed over gateways
 			const step = 10_000
 			if graceful {
 				indexNode.leaving = true
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -11,21 +11,21 @@
 	"violetthread/quorum"
 )
 
-// operatorRace is four operators at once: whole plans, patches, with and without a
-// precondition, many entries in one change, answers lost, while the control nodes
-// fail. What every control node reads back is checked to the byte.
+// operatorRace has four operators send changes at once: whole plans and patches, with and
+// without a precondition, with many routes in one change, and with lost answers, while control
+// nodes fail. Every plan that is read back is compared byte for byte.
 type operatorRace struct {
 	cluster  *Cluster
 	history  *History
-	texts    map[uint64][]byte // by revision: what its operator heard is in force
-	bases    map[uint64][]byte // by revision: the text that its change was applied to
+	texts    map[uint64][]byte // by revision: the text that was acknowledged
+	bases    map[uint64][]byte // by revision: the text that the change was applied to
 	changes  map[uint64]plan.Change
 	outcomes map[string]int
 	number   int
 }
 
-// sendChange draws a change, applies it to what one control node reads, and puts the result
-// at another.
+// sendChange draws a change, applies it to the plan read from one control node, and writes the
+// result through another.
 func (r *operatorRace) sendChange(host *Host, operator int) {
 	world := r.cluster.world
 	r.number++
@@ -57,7 +57,7 @@
 	}
 	change.Body = []byte(body)
 	if rng.Intn(3) == 0 {
-		change.Conditional, change.ExpectedRevision = true, uint64(len(r.texts)) // what it last heard of, perhaps
+		change.Conditional, change.ExpectedRevision = true, uint64(len(r.texts)) // may be outdated
 	}
 	return change
 }
@@ -71,10 +71,11 @@
 	return string(body)
 }
 
-// put applies a change to what was read, and puts the result, unless it must be declined.
+// put applies a change to the plan that was read and writes the result, unless the change is
+// declined.
 func (r *operatorRace) put(host *Host, change plan.Change, current quorum.Result) {
 	world := r.cluster.world
-	sealed, text, err := change.Apply(current.Revision, current.Value)
+	encoded, text, err := change.Apply(current.Revision, current.Value)
 	if err != nil {
 		var conflict plan.RevisionConflictError
 		if current.Revision > 0 && (change.Conditional && change.ExpectedRevision == current.Revision || !change.Conditional && !errors.As(err, &conflict)) {
@@ -84,11 +85,11 @@
 		return
 	}
 	writer, invoked := pick(world, r.cluster.Nodes), world.now
-	put := quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: sealed, ExpectedRevision: current.Revision}
+	put := quorum.Operation{Type: quorum.OpPut, Key: planKey, Value: encoded, ExpectedRevision: current.Revision}
 	Call(host, writer.Host, put, 900_000, writer.serve, func(written quorum.Result) {
 		switch written.Status {
 		case quorum.StatusDone:
-			r.history.add(observedOperation{invoked, world.now, written.Revision, string(sealed), true})
+			r.history.add(observedOperation{invoked, world.now, written.Revision, string(encoded), true})
 			r.acknowledged(change, written.Revision, current.Value, text)
 		case quorum.StatusConflict:
 			r.outcomes["conflict"]++
@@ -98,7 +99,7 @@
 	}, func() { r.outcomes["no answer"]++ })
 }
 
-// acknowledged checks a change that is in force, and notes it.
+// acknowledged checks and records an acknowledged change.
 func (r *operatorRace) acknowledged(change plan.Change, revision uint64, base, text []byte) {
 	if change.Conditional && revision != change.ExpectedRevision+1 {
 		r.cluster.world.Violation("precondition", "revision %d was assigned to a change conditional on %d", revision, change.ExpectedRevision)
@@ -109,7 +110,7 @@
 	r.cluster.changeAcknowledged()
 }
 
-// read checks what a control node gives back.
+// read checks a plan that a control node returned.
 func (r *operatorRace) read(from int64, result quorum.Result) {
 	world := r.cluster.world
 	r.history.add(observedOperation{from, world.now, result.Revision, string(result.Value), false})
@@ -126,9 +127,9 @@
 	}
 }
 
-// TestOperatorsRace: operators at once, under every kind of failure of the control
-// nodes; an acknowledged plan is never lost nor read back otherwise. VT_SEEDS runs
-// more seeds.
+// TestOperatorsRace runs concurrent operators under faults of the control nodes. An
+// acknowledged plan must never be lost or read back with other content. VT_SEEDS runs more
+// seeds.
 func TestOperatorsRace(t *testing.T) {
 	n := seeds()
 	for _, fault := range []Fault{FaultKill, FaultPowerLoss, FaultPartition, FaultLossyLinks, FaultPartialAppend, FaultReplacement, FaultAll} {
@@ -163,7 +164,8 @@
 		if len(world.violations) > 0 {
 			t.Fatalf("%s, seed %d: %v", fault, seed, world.violations)
 		}
-		// Every change between two acknowledged neighbours is the patch it was sent as.
+		// An acknowledged change must be based on the acknowledged text of the previous
+		// revision.
 		for rev := range r.changes {
 			if prev, ok := r.texts[rev-1]; ok && !bytes.Equal(prev, r.bases[rev]) {
 				t.Fatalf("%s, seed %d: revision %d was based on %q, but %q was in force", fault, seed, rev, r.bases[rev], prev)
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -7,7 +7,7 @@
 	"violetthread/quorum"
 )
 
-// directedRun drives single nodes through a set course of events.
+// directedRun takes a cluster through a fixed sequence of events.
 type directedRun struct {
 	t       *testing.T
 	world   *World
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// operate runs an operation on a node and tells the history when it is answered.
+// operate runs an operation on a node and adds its result to the history.
 func (r *directedRun) operate(node *ControlNode, op quorum.Operation) (result quorum.Result) {
 	from := r.world.now
 	Call(r.client, node.Host, op, 2_000_000, node.serve, func(x quorum.Result) {
@@ -74,7 +74,8 @@
 	return r.operate(r.awaitLeader(), quorum.Operation{Type: quorum.OpPut, Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision})
 }
 
-// crashLeaderMidWrite makes the leader take a change that reaches nobody, and die of it.
+// crashLeaderMidWrite makes the leader accept a change that reaches no other node, and then
+// kills it.
 func (r *directedRun) crashLeaderMidWrite() *ControlNode {
 	leader := r.awaitLeader()
 	for _, node := range r.cluster.Nodes {
@@ -87,8 +88,8 @@
 	return leader
 }
 
-// moveLeaderTo kills the leader again and again, restarting it, until it is want, or
-// until it is no more when want is nil.
+// moveLeaderTo kills and restarts one leader after the other until the leader is want, or some
+// times if want is nil.
 func (r *directedRun) moveLeaderTo(want *ControlNode) {
 	for i := 0; i < 30; i++ {
 		leader := r.awaitLeader()
@@ -108,7 +109,7 @@
 	r.t.Fatal("the node never became the key's leader")
 }
 
-// otherKeyInSlot is a key of the same slot, whose changes move the slot's positions on.
+// otherKeyInSlot returns a key of the same slot; changes to it advance the slot's positions.
 func otherKeyInSlot(key string) string {
 	for i := 0; ; i++ {
 		if k := fmt.Sprint("beside", i); quorum.SlotOf(k, 16) == quorum.SlotOf(key, 16) {
@@ -117,8 +118,8 @@
 	}
 }
 
-// leaveUncommittedChange leaves a change of the key on its dead owner's disk alone, while the
-// next line gets ahead of what that owner knows.
+// leaveUncommittedChange leaves a change of the key on the disk of its killed leader alone,
+// while later terms advance beyond what that node knows.
 func (r *directedRun) leaveUncommittedChange() *ControlNode {
 	r.put(r.history.key, "v1")
 	r.advanceSlot()
@@ -128,15 +129,16 @@
 	return one
 }
 
-// advanceSlot moves the slot's marks on, in memory and on disk.
+// advanceSlot advances the slot's positions, in memory and on disk.
 func (r *directedRun) advanceSlot() {
 	for i := 0; i < 3; i++ {
 		r.put(otherKeyInSlot(r.history.key), fmt.Sprint(i))
 	}
 }
 
-// TestPhantom: a change that reached only its dying owner, which later joins the
-// line of its successor and then owns the key again, never shows and vanishes.
+// TestPhantom checks a change that reached only its leader, which is killed, later follows its
+// successor, and then becomes the key's leader again: the change must not be seen and vanish
+// again.
 func TestPhantom(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		s := newDirectedRun(t, seed, "rare")
@@ -155,8 +157,8 @@
 	}
 }
 
-// TestOldLine: the same change, when its leader comes back and votes before it has
-// heard of the line that followed.
+// TestOldLine checks the same change when its leader comes back and votes before it learns of
+// the next leader's term.
 func TestOldLine(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		s := newDirectedRun(t, seed, "rare")
@@ -166,7 +168,7 @@
 		one.Start()
 		s.world.Run(s.world.now + 1_200_000)
 		leader.Kill()
-		s.get() // the third line was elected with the old owner's vote
+		s.get() // the third leader was elected with the vote of the first one
 		s.world.HealAll()
 		leader.Start()
 		s.moveLeaderTo(nil)
--- a/sim/races_day_test.go
+++ b/sim/races_day_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestRaceDays: two and eight operators send different changes under the same numbers,
-// while the messages of one step of their way get lost, or owners are killed between a
-// sync and the answer. Never are two confirmed under one number, what was taken is never
-// refused, and what is read back is the newest acknowledged, to the byte.
+// TestRaceDays has two or eight operators send different changes with the same version, while
+// messages of one step are lost, or leaders are killed between a sync and the answer. Two
+// changes must never be acknowledged for one version, an accepted change must never be
+// rejected, and reads must return the newest acknowledged configuration, byte for byte.
 func TestRaceDays(t *testing.T) {
 	for i, fault := range RaceFaults() {
 		t.Run(string(fault), func(t *testing.T) {
@@ -17,7 +17,7 @@
 			for _, seed := range daySeeds(1) {
 				for j, nodes := range controlSizes {
 					if seeds() == 0 && (i+j)%len(controlSizes) != 0 {
-						continue // CI takes each trouble at one size
+						continue // CI runs each fault at one size
 					}
 					operators := []int{2, 8}[(int(seed)+i+j)%2]
 					r := RunRaces(seed, nodes, operators, fault, raceDurationUS(), platformFormat)
@@ -34,7 +34,7 @@
 	}
 }
 
-// raceDurationUS is how long a day of races is troubled.
+// raceDurationUS returns how long the faults of a day last.
 func raceDurationUS() int64 {
 	if seeds() > 0 {
 		return 10_000_000
--- a/sim/register_edit_test.go
+++ b/sim/register_edit_test.go
@@ -10,17 +10,18 @@
 	"testing"
 )
 
-// TestEditIsThePlatforms: the way of an operator's order stands twice, since the
-// platform's waits by real time; its constants are the platform's and the daemons'.
+// TestEditIsThePlatforms compares constants with those of the platform and the daemons, since
+// the handling of an operator's request is implemented twice: the platform's waits by real
+// time.
 func TestEditIsThePlatforms(t *testing.T) {
 	operator := constants(t, "../platform")
 	node := constants(t, "../internal/app/control")
 	directory := constants(t, "../internal/app/directory")
 	follower := constants(t, "../internal/app/proxy")
-	order := constants(t, "../internal/controlorder")
+	controlOrder := constants(t, "../internal/controlorder")
 	for _, c := range []struct {
 		name string
-		have int64
+		here int64
 		from map[string]int64
 	}{
 		{"callTimeoutUS", editTimeoutUS, operator},
@@ -32,18 +33,19 @@
 		{"contactTimeout", maxForwardSilenceUS, node},
 		{"refreshInterval", directoryRefreshIntervalUS, directory},
 		{"staleRegisterUS", maxDirectoryAgeUS, follower},
-		{"AvoidUS", directoryAvoidUS, order},
+		{"AvoidUS", directoryAvoidUS, controlOrder},
 		{"leavePoll", leavePollUS, node},
 		{"leaveTimeout", leaveTimeoutUS, node},
 		{"slotLeaseUS", platformLeaseUS, operator},
 	} {
-		if want, ok := c.from[c.name]; !ok || want != c.have {
-			t.Errorf("%s is %d in the daemon (found: %v) and %d here", c.name, want, ok, c.have)
+		if there, ok := c.from[c.name]; !ok || there != c.here {
+			t.Errorf("%s is %d in the daemon (found: %v) and %d here", c.name, there, ok, c.here)
 		}
 	}
 }
 
-// constants are those of a folder's program that are plain numbers.
+// constants returns the integer constants and variables of a folder's Go files, tests
+// excluded.
 func constants(t *testing.T, folder string) map[string]int64 {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
--- a/sim/resend_day_test.go
+++ b/sim/resend_day_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// changesBehind is how many changes are made, with eight orders under way, before an
-// order that was taken first has its answer: hundreds on a day, and a lost answer is
-// followed by others.
+// changesBehind is the number of changes made by eight operators before the operator whose
+// request was accepted first gets an answer. It stands for the hundreds of changes that follow
+// a lost answer in a day.
 const changesBehind = 300
 
-// TestResendAfterHundredsOfChanges: an order whose answers all get lost is never refused,
-// however many others were taken since, and is acknowledged in the end.
+// TestResendAfterHundredsOfChanges loses all answers to a request. However many other requests
+// were accepted since, it must never be rejected, and must be acknowledged in the end.
 func TestResendAfterHundredsOfChanges(t *testing.T) {
 	t.Parallel()
 	for _, seed := range daySeeds(1) {
@@ -19,7 +19,7 @@
 		late.Pause, late.LosesReplies = 20_000, true
 		configWorld.Start()
 		world := configWorld.World
-		world.Run(1_500_000) // its first order is taken, and it does not hear of that
+		world.Run(1_500_000) // its first request is accepted, but it misses the answer
 		configWorld.AddOperators(7)
 		for _, o := range configWorld.Operators[1:] {
 			o.Pause = 20_000
--- a/sim/retries_test.go
+++ b/sim/retries_test.go
@@ -6,10 +6,10 @@
 	"violetthread/attempt"
 )
 
-// TestRetriesFleetWide: nine gateways, one engine that breaks every run off, callers
-// that resend what failed. Over the whole fleet attempts stay within a tenth above
-// the requests, the struggling engine gets less than its part of them, and when it is
-// well again, or back from a crash, it is not run down.
+// TestRetriesFleetWide runs nine gateways, a faulty engine, and callers that resend what
+// failed. Over the whole fleet there may be at most a tenth more attempts than requests. The
+// faulty engine must get less than its share of them, and must not be overloaded once it has
+// recovered.
 func TestRetriesFleetWide(t *testing.T) {
 	for _, fault := range []string{"interrupts runs", "refuses", "crashes"} {
 		t.Run(fault, func(t *testing.T) {
@@ -21,7 +21,7 @@
 			resent := 0
 			fleet.checker.onRequestEnded = func(x *callerRequest, outcome attempt.Outcome) {
 				if outcome != attempt.Done && !x.probe && x.reason != "duplicate" && world.now < 24_000_000 {
-					// A caller that sends again at once, elsewhere, under the same name.
+					// The caller resends at once through another gateway, with the same ID.
 					resent++
 					again := &callerRequest{group: x.group, kind: x.kind, id: x.id, keyDigest: x.keyDigest, generation: x.generation, probe: true}
 					again.gateway = fleet.Gateways[world.Rng.Intn(len(fleet.Gateways))]
--- a/sim/second_loss_day_test.go
+++ b/sim/second_loss_day_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// TestSecondLoss: after a repair, a planned replacement or a leave, as many machines as
-// may be lost are lost at once, just after an acknowledgement, those first that hold the
-// newest changes. Nothing that was acknowledged is lost, and every slot takes changes
-// again within a bound. CI takes some instants, VT_SEEDS sweeps all, 50 ms apart.
+// TestSecondLoss loses as many machines as may be lost at once, just after an acknowledgement
+// that follows a repair, a planned replacement or a graceful shutdown, first those that hold
+// the newest changes. No acknowledged change may be lost, and every slot must accept changes
+// again within a bound. CI runs one instant of each; VT_SEEDS sweeps all of them, 50 ms apart.
 func TestSecondLoss(t *testing.T) {
 	for _, nodes := range controlSizes {
 		for _, disruption := range Disruptions {
 			if seeds() == 0 && nodes > 5 && disruption != DisruptionReplacement {
-				continue // the largest takes longest: on long runs
+				continue // the largest takes longest and runs only on long runs
 			}
 			t.Run(fmt.Sprint(nodes, " ", disruption), func(t *testing.T) {
 				t.Parallel()
@@ -37,8 +37,8 @@
 	}
 }
 
-// secondLosses are the runs of one test: the whole sweep on long runs, each instant with
-// another loss for each seed.
+// secondLosses returns the runs of one test. On long runs this is the whole sweep, in which
+// the kind of loss at each instant depends on the seed.
 func secondLosses(seed int64, nodes int, disruption Disruption) (out []SecondLoss) {
 	window := int64(lossWindowUS)
 	if tolerates(nodes) > 1 {
--- a/sim/shares_test.go
+++ b/sim/shares_test.go
@@ -8,8 +8,8 @@
 	"violetthread/attempt"
 )
 
-// crowd is a group that sends a request every gap microseconds at some gateways,
-// from a true time to another.
+// load is a group that sends a request every gap microseconds at some gateways, between two
+// true times.
 type load struct {
 	group    string
 	at       []int
@@ -41,9 +41,9 @@
 
 type groupResult struct{ sent, done, refused, late, unknown int }
 
-// TestShares: however the groups' requests come in, each group gets what its share
-// entitles it to of what is served, and what can't be done is refused early.
-// VT_SEEDS runs more seeds; -v prints the table of docs/measurements.md.
+// TestShares checks that each group gets its fair share of the served requests under any
+// distribution of load, and that requests that cannot be served are rejected early. VT_SEEDS
+// runs more seeds; -v prints the table of docs/measurements.md.
 func TestShares(t *testing.T) {
 	n := seeds()
 	var names []string
@@ -83,8 +83,8 @@
 	}
 }
 
-// entitled fills the groups up by share with all that was served, none above what
-// it sent.
+// fairShares distributes all served requests among the groups in proportion to their shares,
+// but to none more than it sent.
 func fairShares(got map[string]groupResult) map[string]float64 {
 	shares := map[string]float64{"desk": 4, "east": 3, "west": 2, "walled": 1}
 	left := 0.0
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -7,20 +7,20 @@
 	"violetthread/quorum"
 )
 
-// frameBound stands for the bound of a frame on the wires, at the scale of the rings here.
+// frameBound stands for the size limit of a frame, scaled to the small logs of this test.
 const frameBound = 400 << 10
 
-// snapshotDay is a core whose one slot holds much more than a frame takes, while changes
-// keep coming.
+// snapshotDay is a cluster in which one slot holds much more data than fits into a frame,
+// while changes continue.
 type snapshotDay struct {
 	*membershipDay
 	keys    []string
-	largest int   // message that was sent
-	changes int   // acknowledged
-	every   int64 // between two changes
+	largest int   // size of the largest message that was sent
+	changes int   // acknowledged changes
+	every   int64 // interval between two changes
 }
 
-// newSnapshotDay fills the slot of the plan with so many registers of 20 KB.
+// newSnapshotDay fills the plan's slot with the given number of registers of 20 KB.
 func newSnapshotDay(t *testing.T, seed int64, registers int) *snapshotDay {
 	world := NewWorld(seed)
 	cluster := NewCluster(world, 4)
@@ -81,8 +81,8 @@
 	t.Fatalf("%s is not committed: %v", key, d.world.violations)
 }
 
-// differs names a register of the filled slot that the leader has settled and r holds
-// otherwise, or "".
+// differs describes a register of the filled slot that the leader has committed and the node
+// does not hold, or returns "".
 func (d *snapshotDay) differs(node *ControlNode) string {
 	leader := d.slotLeader()
 	if leader == nil || leader == node {
@@ -98,7 +98,7 @@
 	return ""
 }
 
-// registers are all that a machine holds.
+// registers returns all entries that a node holds.
 func registers(node *ControlNode) map[string]quorum.Entry {
 	all := map[string]quorum.Entry{}
 	for _, rec := range node.node.Checkpoint() {
@@ -109,7 +109,7 @@
 	return all
 }
 
-// slotLeader is the machine that owns the slot, or nil.
+// slotLeader returns the leader of the slot, or nil.
 func (d *snapshotDay) slotLeader() *ControlNode {
 	for _, node := range d.liveVoters() {
 		if slotsLed(node) == 1 {
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// TestSnapshotInParts: a slot holds five times what a frame takes and changes come a
-// hundred times a second. A machine that comes back empty, or with state of hundreds of
-// changes ago, holds everything in time, also when it or the leader ends midway.
+// TestSnapshotInParts fills a slot with five times the data that fits into a frame, while a
+// hundred changes a second are made. A machine that comes back empty, or hundreds of changes
+// behind, must hold everything in time, even if it or the leader fails during the transfer.
 func TestSnapshotInParts(t *testing.T) {
 	for _, scenario := range []string{"empty", "behind", "restarts midway", "leader restarts midway", "lossy"} {
 		t.Run(scenario, func(t *testing.T) {
@@ -131,7 +131,7 @@
 			for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 				d := newSnapshotDay(t, seed, 100)
 				node := d.liveVoters()[0]
-				if scenario == "behind" { // and a line behind, since it owned the slot
+				if scenario == "behind" { // the node led the slot, so that it is also a term behind
 					d.until(2_000_000, func() bool { node = d.slotLeader(); return node != nil })
 				}
 				node.Kill()
--- a/sim/soak_test.go
+++ b/sim/soak_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// TestSoak runs many seeds when VT_SEEDS names how many, from VT_FROM on; CI
-// does not.
+// TestSoak runs as many seeds as VT_SEEDS says, starting after VT_FROM. CI does not run it.
 func TestSoak(t *testing.T) {
 	n := seeds()
 	from := seedsFrom()
@@ -54,7 +53,8 @@
 	}
 }
 
-// soakDurationUS is how long a day is: the bound on weights is itself as long as most.
+// soakDurationUS returns the length of a day. Days of weights are longer, since the bound on a
+// weight update is itself about as long as other days.
 func soakDurationUS(day Day) int64 {
 	if day == DayWeights {
 		return 70_000_000
@@ -62,13 +62,13 @@
 	return 25_000_000
 }
 
-// seeds is how many VT_SEEDS asks for, 0 for the test's own few.
+// seeds returns the number of seeds in VT_SEEDS, 0 if the test is to use its own few.
 func seeds() int64 {
 	n, _ := strconv.ParseInt(os.Getenv("VT_SEEDS"), 10, 64)
 	return n
 }
 
-// seedsFrom is the seed after which VT_FROM asks to begin.
+// seedsFrom returns the seed after which to begin, from VT_FROM.
 func seedsFrom() int64 {
 	n, _ := strconv.ParseInt(os.Getenv("VT_FROM"), 10, 64)
 	return n
--- a/sim/waves_test.go
+++ b/sim/waves_test.go
@@ -6,9 +6,9 @@
 	"violetthread/attempt"
 )
 
-// TestWaves: new weights reach a fleet of full size in waves over all of it, also
-// when the busiest index node dies in the middle; half the engines serve all the
-// while, and hardly a request fails for it. VT_SEEDS runs more seeds.
+// TestWaves checks that new weights reach a full-size fleet in waves, even if an index node
+// dies meanwhile. Half of the engines must serve at any time, and hardly any request may fail
+// because of it. VT_SEEDS runs more seeds.
 func TestWaves(t *testing.T) {
 	t.Parallel()
 	n := seeds()
@@ -55,7 +55,7 @@
 		if done == 0 || done > 20_000_000 {
 			t.Errorf("seed %d: all engines had the new weights after %d us", seed, done)
 		}
-		// Callers turned away by engines that turn may use retries up.
+		// Requests that engines refuse while loading may use up the retries.
 		if fleet.Tally.Rejected*100 > fleet.Tally.Sent || lostByReason["engine-lost"] > 0 {
 			t.Errorf("seed %d: of %d requests, failures %v", seed, fleet.Tally.Sent, lostByReason)
 		}
