--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-var small = FleetSize{Gateways: 4, Engines: 6}
+var smallFleet = FleetSize{Gateways: 4, Engines: 6}
 
-// TestFleetDays: none of what must never happen does, on any kind of day, and
-// service is back within ten seconds of the last fault.
+// TestFleetDays checks the invariants of a fleet on each kind of day, and that service is back
+// within 10 s of the last fault.
 func TestFleetDays(t *testing.T) {
 	for _, day := range Days {
 		t.Run(string(day), func(t *testing.T) {
 			t.Parallel()
 			done := 0
 			for seed := int64(1); seed <= 2; seed++ {
-				result := RunFleet(seed, day, 20_000_000, small)
+				result := RunFleet(seed, day, 20_000_000, smallFleet)
 				if len(result.Violations) > 0 {
 					t.Fatalf("seed %d: %v\n%s", seed, result.Violations, strings.Join(result.Notes[max(0, len(result.Notes)-60):], "\n"))
 				}
 				done += result.Done
-				t.Logf("%+v back %d", result.Tally, result.RecoveryUS)
+				t.Logf("%+v, back after %d us", result.Tally, result.RecoveryUS)
 			}
 			if done < 200 {
-				t.Fatalf("only %d tickets were done; the days prove nothing", done)
+				t.Fatalf("only %d requests completed: too little activity for a meaningful result", done)
 			}
 		})
 	}
@@ -31,28 +31,28 @@
 
 func TestSameSeedSameFleetDay(t *testing.T) {
 	t.Parallel()
-	a, b := RunFleet(3, DayAll, 8_000_000, small), RunFleet(3, DayAll, 8_000_000, small)
+	a, b := RunFleet(3, DayAll, 8_000_000, smallFleet), RunFleet(3, DayAll, 8_000_000, smallFleet)
 	if a.Tally != b.Tally || strings.Join(a.Notes, "\n") != strings.Join(b.Notes, "\n") {
 		t.Fatalf("two runs of one seed differ:\n%+v\n%+v", a.Tally, b.Tally)
 	}
 }
 
-// TestStuckEngine: an engine that never takes new weights is out of use when the
-// bound is over, and the others carry on.
+// TestStuckEngine checks that an engine that ignores weight updates gets no more runs after
+// the bound, while the other engines continue to serve.
 func TestStuckEngine(t *testing.T) {
 	t.Parallel()
-	fleet := NewFleet(4, small)
+	fleet := NewFleet(4, smallFleet)
 	fleet.engineNamed("e02").ignoresWeights = true
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
 	world.At(2_500_000, func() { fleet.sendRequests(operator, 40_000_000) })
-	world.At(5_000_000, operator.NameWeights)
+	world.At(5_000_000, operator.ChangeWeights)
 	world.Run(40_000_000)
 	if len(world.violations) > 0 {
 		t.Fatal(world.violations)
 	}
-	if fleet.Tally.WeightsNamed != 1 || fleet.Tally.Done < 500 {
+	if fleet.Tally.WeightsChanged != 1 || fleet.Tally.Done < 500 {
 		t.Fatalf("%+v", fleet.Tally)
 	}
 	late := 0
@@ -62,21 +62,21 @@
 		}
 	}
 	if late > 0 || len(fleet.engineNamed("e02").startTimes) == 0 {
-		t.Fatalf("the stuck engine ran %d tickets, %d after the bound", len(fleet.engineNamed("e02").startTimes), late)
+		t.Fatalf("the stuck engine ran %d requests, %d after the bound", len(fleet.engineNamed("e02").startTimes), late)
 	}
 }
 
-// TestHandOversAreLearnt: half the engines hand over more slowly than anyone
-// waits. What later reports tell keeps others from waiting for them in vain.
-func TestHandOversAreLearnt(t *testing.T) {
+// TestTransferScoresAreLearned makes transfers from half of the engines slower than any wait.
+// Scores learned from later reports must keep other engines from waiting for them in vain.
+func TestTransferScoresAreLearned(t *testing.T) {
 	t.Parallel()
-	run := func(unlearnt bool) Tally {
+	run := func(hideScores bool) Tally {
 		fleet := NewFleet(6, FleetSize{Gateways: 4, Engines: 8})
-		fleet.HideTransferScores = unlearnt
+		fleet.HideTransferScores = hideScores
 		fleet.SlowTransfersFrom = map[string]bool{"e00": true, "e02": true, "e04": true, "e06": true}
 		fleet.Documents = 8
 		for _, engine := range fleet.Engines {
-			engine.capacity, engine.maxBlocks = 4, 60 // parts come and go, so that there is something to hand over
+			engine.capacity, engine.maxBlocks = 4, 60 // blocks come and go, so that there are transfers
 		}
 		operator := NewFleetOperator(fleet)
 		fleet.World.At(1_300_000, func() { operator.PutPlan(nil) })
@@ -89,18 +89,18 @@
 	}
 	with, without := run(false), run(true)
 	mean := func(x Tally) int64 { return x.FirstUS / int64(x.Runs) }
-	t.Logf("waited in vain %d and %d times in %d and %d runs; time to the first piece %d and %d us; taken %d and %d parts",
+	t.Logf("waited in vain %d and %d times in %d and %d runs; time to the first piece %d and %d us; transferred %d and %d blocks",
 		with.TransfersInVain, without.TransfersInVain, with.Runs, without.Runs, mean(with), mean(without), with.Transferred, without.Transferred)
 	if without.TransfersInVain < 20 || with.TransfersInVain*3 > without.TransfersInVain*2 || mean(with) > mean(without) {
-		t.Fatal("what was learnt made no difference")
+		t.Fatal("the learned scores made no difference")
 	}
 }
 
-// TestCutOffProxyEndsStreams: a gateway that hears nothing of the core any more ends
-// what runs before a key that was taken meanwhile has worked for five seconds.
-func TestCutOffProxyEndsStreams(t *testing.T) {
+// TestCutOffGatewayEndsStreams cuts a gateway's agent off from all other nodes. The gateway must
+// end running requests within five seconds after their key was revoked.
+func TestCutOffGatewayEndsStreams(t *testing.T) {
 	t.Parallel()
-	fleet := NewFleet(8, small)
+	fleet := NewFleet(8, smallFleet)
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
@@ -114,7 +114,7 @@
 	})
 	world.At(5_400_000, func() {
 		began = fleet.Tally.Runs
-		world.Isolate(fleet.Agents[0].Name) // the agent is cut off; caller, gateway and engines are not
+		world.Isolate(fleet.Agents[0].Name) // caller, gateway and engines stay connected
 		operator.RevokeKey("desk")
 	})
 	world.Run(16_000_000)
@@ -122,15 +122,16 @@
 		t.Fatal(world.violations)
 	}
 	if began < 6 || fleet.Tally.KeysRevoked != 1 || fleet.Tally.Unknown < 6 {
-		t.Fatalf("%d ran; %+v", began, fleet.Tally)
+		t.Fatalf("%d runs; %+v", began, fleet.Tally)
 	}
 }
 
-// TestPlatformOutOfReach: nobody can see that an engine leaves, since the platform is
-// silent; it gets nothing new all the same, and service is back with the platform.
+// TestPlatformOutOfReach drains engines while the platform is unreachable, so that no node can
+// learn of it. The engines must get no new runs all the same, and service must be back once
+// the platform is.
 func TestPlatformOutOfReach(t *testing.T) {
 	t.Parallel()
-	fleet := NewFleet(12, small)
+	fleet := NewFleet(12, smallFleet)
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
@@ -149,31 +150,31 @@
 		t.Fatal(world.violations)
 	}
 	if fleet.Tally.EnginesDrained != 3 || fleet.Tally.Done-was < 100 {
-		t.Fatalf("%d done after it was back; %+v", fleet.Tally.Done-was, fleet.Tally)
+		t.Fatalf("%d completed after the platform was back; %+v", fleet.Tally.Done-was, fleet.Tally)
 	}
 }
 
-// TestFrozenEngineAndAWall: runs are on their way to an engine that freezes; while it
-// stands still a group that left parts there is walled off. Thawed, it must not begin
-// them on those parts.
-func TestFrozenEngineAndAWall(t *testing.T) {
+// TestFrozenEngineAndIsolation freezes an engine while runs are on their way to it. Meanwhile
+// a group whose blocks the engine holds is isolated. After the thaw the runs must not start on
+// those blocks.
+func TestFrozenEngineAndIsolation(t *testing.T) {
 	t.Parallel()
 	fleet := NewFleet(3, FleetSize{Gateways: 2, Engines: 1})
 	operator := NewFleetOperator(fleet)
 	world := fleet.World
 	engine := fleet.engineNamed("e00")
-	send1 := func(group, id string) {
+	send := func(group, id string) {
 		gateway := fleet.Gateways[0]
 		request := &callerRequest{group: group, kind: "check", id: id, keyDigest: simKey(group, 0), gateway: gateway}
 		gateway.admit(request, strings.Repeat("words that both groups send. ", 300), 8_000_000)
 	}
 	world.At(1_300_000, func() { operator.PutPlan(nil) })
-	world.At(5_000_000, func() { send1("desk", "made") })
+	world.At(5_000_000, func() { send("desk", "made") })
 	reused, sent := 0, 0
-	world.At(7_000_000, func() { send1("east", "goes-on"); reused = fleet.Tally.Reused })
+	world.At(7_000_000, func() { send("east", "goes-on"); reused = fleet.Tally.Reused })
 	world.At(8_000_000, func() {
 		reused = fleet.Tally.Reused - reused
-		send1("east", "on-its-way")
+		send("east", "on-its-way")
 		sent = fleet.Tally.Runs
 		world.At(world.now+100, engine.Freeze)
 		operator.ToggleIsolation("desk")
--- a/sim/golden_digests_test.go
+++ b/sim/golden_digests_test.go
@@ -22,23 +22,23 @@
 	"violetthread/schema/fb"
 )
 
-// The golden digests tell whether a change of source changed what the system does. Each
-// is of one simulated day, over every frame, disk write, call and decision with its
-// time, in order. Values go in as encoded bytes, field by field, so that the name of a
-// type, field or function never enters; log lines, notes and the texts of Events do not
-// either. The names of hosts, keys and roles do: they are in frames and records.
+// The golden digests show whether a source change altered the behaviour of the system. Each
+// digest covers one simulated day, with every frame, disk write, call and decision with its
+// time, in order. Values are encoded field by field, so that the names of types, fields and
+// functions do not matter; neither do log lines, notes and the texts of events. The names of
+// hosts, keys and roles do matter, since frames and records contain them.
 //
-// VT_GOLDEN=write writes the digests anew, which only a change of behaviour calls for.
-// VT_GOLDEN_TRACE=<folder> writes what each digest is made of, one observation a line:
-// traces of two versions can be compared to find the first difference.
+// VT_GOLDEN=write rewrites the digests, which is only right for an intended change of
+// behaviour. VT_GOLDEN_TRACE=<folder> writes the input of each digest, one observation per
+// line, so that the traces of two versions can be compared to find the first difference.
 const (
 	goldenFile     = "testdata/golden_digests.json"
 	goldenEnv      = "VT_GOLDEN"
 	goldenTraceEnv = "VT_GOLDEN_TRACE"
-	goldenSeed     = 7_700_000 // the first one; no other test uses these seeds
+	goldenSeed     = 7_700_000 // first seed; no other test uses these
 )
 
-// goldenDigest is what the file holds of a day.
+// goldenDigest is the file's entry for a day.
 type goldenDigest struct {
 	Digest string `json:"digest"`
 	Frames int    `json:"frames"`
@@ -50,7 +50,7 @@
 // goldenDay is a day with a digest.
 type goldenDay struct {
 	name string
-	run  func(t *testing.T, seed int64) (wrong []string)
+	run  func(t *testing.T, seed int64) (violations []string)
 }
 
 func goldenDays() []goldenDay {
@@ -65,33 +65,33 @@
 	}
 	for _, day := range Days {
 		add("fleet/"+string(day), func(_ *testing.T, seed int64) []string {
-			return RunFleet(seed, day, 8_000_000, small).Violations
+			return RunFleet(seed, day, 8_000_000, smallFleet).Violations
 		})
 	}
-	for _, setback := range Setbacks {
-		add("catch-up/"+string(setback), func(_ *testing.T, seed int64) []string {
-			return RunCatchup(seed, 4, 60, setback, platformTexts).Violations
+	for _, fault := range CatchupFaults {
+		add("catch-up/"+string(fault), func(_ *testing.T, seed int64) []string {
+			return RunCatchup(seed, 4, 60, fault, platformFormat).Violations
 		})
 	}
-	for _, partition := range []Partition{PartitionSilent, PartitionReset, PartitionFrozen, PartitionForgot} {
+	for _, partition := range []Partition{PartitionSilent, PartitionReset, PartitionFrozen, PartitionRestart} {
 		add("cut-off/"+string(partition), func(_ *testing.T, seed int64) []string {
-			return RunCutoff(seed, 4, []Partition{partition}, platformTexts).Violations
+			return RunCutoff(seed, 4, []Partition{partition}, platformFormat).Violations
 		})
 	}
 	add("messages", func(_ *testing.T, seed int64) []string {
 		return RunMessages(seed, 5, 4_000_000).Violations
 	})
-	for i, trouble := range RaceTroubles() {
+	for i, fault := range RaceFaults() {
 		if i%2 == 1 {
-			continue // they differ only in which message is lost
+			continue // the two differ only in which message is lost
 		}
-		add("races/"+string(trouble), func(_ *testing.T, seed int64) []string {
-			return RunRaces(seed, controlSizes[i/2%2], 2, trouble, 4_000_000, platformTexts).Violations
+		add("races/"+string(fault), func(_ *testing.T, seed int64) []string {
+			return RunRaces(seed, controlSizes[i/2%2], 2, fault, 4_000_000, platformFormat).Violations
 		})
 	}
-	for i, prelude := range Preludes {
-		add("second-loss/"+string(prelude), func(_ *testing.T, seed int64) []string {
-			return RunSecondLoss(seed, SecondLoss{controlSizes[i%2], prelude, Losses[i%len(Losses)], 500_000}).Violations
+	for i, disruption := range Disruptions {
+		add("second-loss/"+string(disruption), func(_ *testing.T, seed int64) []string {
+			return RunSecondLoss(seed, SecondLoss{controlSizes[i%2], disruption, Losses[i%len(Losses)], 500_000}).Violations
 		})
 	}
 	for i, change := range membershipChanges {
@@ -114,13 +114,13 @@
 	})
 	for _, fault := range []string{"the owner of most engines dies in a roll-out", "a site is lost"} {
 		add("last-fault/"+fault, func(_ *testing.T, seed int64) []string {
-			_, wrong := RunFinalFault(seed, fault, small)
-			return wrong
+			_, violations := RunFinalFault(seed, fault, smallFleet)
+			return violations
 		})
 	}
-	// Engines have little room, some hand over slowly, and blocks come and go.
+	// Engines have little room, some transfer slowly, and blocks come and go.
 	add("fleet/tight", func(_ *testing.T, seed int64) []string {
-		fleet := NewFleet(seed, small)
+		fleet := NewFleet(seed, smallFleet)
 		fleet.SlowTransfersFrom = map[string]bool{"e00": true, "e03": true}
 		fleet.Documents = 8
 		for _, engine := range fleet.Engines {
@@ -135,8 +135,8 @@
 	return days
 }
 
-// TestGoldenDigests runs fixed days and compares what they did with what they did before.
-// It is not parallel itself, so that no other test makes worlds while it observes them.
+// TestGoldenDigests runs fixed days and compares their behaviour with the stored digests. It
+// is not parallel itself, so that no other test creates worlds while it observes them.
 func TestGoldenDigests(t *testing.T) {
 	days := goldenDays()
 	observers := map[int64]*goldenObserver{}
@@ -158,7 +158,7 @@
 			t.Run(day.name, func(t *testing.T) {
 				t.Parallel()
 				seed := goldenSeed + int64(i)
-				failDay(t, seed, day.run(t, seed), nil)
+				requireNoViolations(t, seed, day.run(t, seed), nil)
 				digest := observers[seed].digest(t)
 				mu.Lock()
 				got[day.name] = digest
@@ -166,7 +166,7 @@
 			})
 		}
 	})
-	if t.Failed() || len(got) < len(days) { // -run chose some of them
+	if t.Failed() || len(got) < len(days) { // -run may have selected some of them
 		return
 	}
 	compareGolden(t, got)
@@ -195,17 +195,17 @@
 	}
 	for _, name := range sortedNames(want) {
 		if _, ok := got[name]; !ok {
-			t.Errorf("%s: there is a digest and no such day", name)
+			t.Errorf("%s: there is a digest but no such day", name)
 		}
 	}
 	for _, name := range sortedNames(got) {
 		if got[name] != want[name] {
-			t.Errorf("%s: behaves otherwise:\n got %+v\nwant %+v", name, got[name], want[name])
+			t.Errorf("%s: behaviour changed:\n got %+v\nwant %+v", name, got[name], want[name])
 		}
 	}
 }
 
-// goldenObserver sums up one day.
+// goldenObserver computes the digest of one day.
 type goldenObserver struct {
 	name   string
 	world  *World
@@ -267,7 +267,7 @@
 	}
 }
 
-// goldenEncoder lays values out in a fixed order of fields.
+// goldenEncoder encodes values with their fields in a fixed order.
 type goldenEncoder struct{ out []byte }
 
 func (e *goldenEncoder) number(n int64) { e.out = binary.LittleEndian.AppendUint64(e.out, uint64(n)) }
@@ -294,13 +294,13 @@
 
 func (e *goldenEncoder) frame(frame *fb.FrameT) { e.bytes(codec.Encode(frame)) }
 
-func (e *goldenEncoder) part(key cacheindex.Key) {
+func (e *goldenEncoder) block(key cacheindex.Key) {
 	e.unsigned(key.Hi)
 	e.unsigned(key.Lo)
 	e.unsigned(uint64(key.Check))
 }
 
-// value lays out whatever is observed; it returns false for what it does not know.
+// value encodes an observed value. It returns false for an unknown type.
 func (e *goldenEncoder) value(value any) bool {
 	switch v := value.(type) {
 	case int:
@@ -328,7 +328,7 @@
 	case Reply:
 		e.unsigned(uint64(v.Outcome))
 		e.unsigned(v.Version)
-	case *ConfigOrder:
+	case *ConfigRequest:
 		e.number(int64(v.id))
 		e.flag(v.change.Replace)
 		e.unsigned(v.change.Base)
@@ -336,8 +336,8 @@
 		e.bytes(v.change.Body)
 		e.unsigned(v.version)
 	case directoryAnswer:
-		e.word(v.config)
-		e.word(v.weights)
+		e.confirmedVersion(v.config)
+		e.confirmedVersion(v.weights)
 		e.number(v.configAge)
 		e.number(v.weightsAge)
 	default:
@@ -356,14 +356,14 @@
 	e.number(o.LeaseDurationUS)
 }
 
-func (e *goldenEncoder) word(world confirmedVersion) {
+func (e *goldenEncoder) confirmedVersion(world confirmedVersion) {
 	e.flag(world.known)
 	e.unsigned(world.revision)
 	e.unsigned(world.version)
 	e.number(world.confirmedAt)
 }
 
-// frameValue lays out what the daemons send as a frame.
+// frameValue encodes values that the daemons send as frames.
 func (e *goldenEncoder) frameValue(value any) bool {
 	switch v := value.(type) {
 	case *fb.HeartbeatRequestT:
@@ -390,7 +390,7 @@
 	return true
 }
 
-// fleetValue lays out what engines report and what proxies and index nodes decide.
+// fleetValue encodes reports of engines and decisions of gateways and index nodes.
 func (e *goldenEncoder) fleetValue(value any) bool {
 	switch v := value.(type) {
 	case index.Report:
@@ -398,7 +398,7 @@
 	case engineHoldings:
 		e.unsigned(v.incarnation)
 		e.unsigned(v.sequence)
-		e.parts(v.blocks)
+		e.blocks(v.blocks)
 	case []index.ListedEngine:
 		e.number(int64(len(v)))
 		for _, l := range v {
@@ -414,8 +414,8 @@
 		e.text(v.Weights)
 		e.unsigned(v.FencingToken)
 	case dispatch.Action:
-		e.act(v)
-	case attemptNote:
+		e.action(v)
+	case attemptProgress:
 		e.unsigned(uint64(v.state))
 		e.text(v.cause)
 	case requestResult:
@@ -427,10 +427,10 @@
 	return true
 }
 
-func (e *goldenEncoder) parts(parts []cacheindex.Key) {
-	e.number(int64(len(parts)))
-	for _, p := range parts {
-		e.part(p)
+func (e *goldenEncoder) blocks(blocks []cacheindex.Key) {
+	e.number(int64(len(blocks)))
+	for _, p := range blocks {
+		e.block(p)
 	}
 }
 
@@ -449,22 +449,22 @@
 		e.flag(event.Removed)
 		e.text(event.FinishedAttempt)
 		e.unsigned(event.RecomputedBlocks)
-		e.part(event.Block)
+		e.block(event.Block)
 		e.flag(event.HasBlock)
 	}
 }
 
-func (e *goldenEncoder) act(action dispatch.Action) {
+func (e *goldenEncoder) action(action dispatch.Action) {
 	e.unsigned(uint64(action.Type))
 	e.unsigned(action.Ref)
 	for _, s := range []string{action.Group, action.RequestID, action.ClaimNonce, action.ClaimKey, action.AttemptID} {
 		e.text(s)
 	}
-	e.order(action.Grant)
+	e.grant(action.Grant)
 	for _, s := range []string{action.Domain, action.Weights, action.Kind, action.Prompt} {
 		e.text(s)
 	}
-	e.parts(action.PrefixKeys)
+	e.blocks(action.PrefixKeys)
 	e.number(int64(action.TransferBlock))
 	e.unsigned(action.TransferNode)
 	e.text(action.TransferAddr)
@@ -476,7 +476,7 @@
 	e.number(action.RetryAfterUS)
 }
 
-func (e *goldenEncoder) order(o dispatch.EngineGrant) {
+func (e *goldenEncoder) grant(o dispatch.EngineGrant) {
 	for _, s := range []string{o.Engine, o.Addr, o.Zone, o.Weights} {
 		e.text(s)
 	}
--- a/sim/index_node.go
+++ b/sim/index_node.go
@@ -12,14 +12,14 @@
 	"violetthread/schema/fb"
 )
 
-// IndexNode is an index node: the real one, and adapters to the simulated world.
+// IndexNode is an index node: the real decision logic, connected to the simulated world.
 type IndexNode struct {
 	*Host
 	fleet       *Fleet
 	session     session
 	node        *index.Node
 	incarnation uint64
-	leaving     bool // it was stopped in order: it releases its roles and then ends
+	leaving     bool // it is shutting down gracefully: it releases its roles and then ends
 }
 
 func (n *IndexNode) start() {
@@ -38,8 +38,8 @@
 	return codec.AddIndexNodeStatus(n.node, n.Clock(), status)
 }
 
-// refreshListing asks the platform for its engines. The last listing still stands if the
-// platform's machine refuses connections.
+// refreshListing asks the platform for its engines. If the platform's machine refuses
+// connections, the last listing remains valid.
 func (n *IndexNode) refreshListing() {
 	askedAt := n.Clock()
 	platform := n.fleet.Platform
@@ -53,8 +53,8 @@
 		})
 }
 
-// renewLeases takes plan and peers in, and asks for what leases the node should hold. One
-// that is leaving ends once it holds none.
+// renewLeases applies the plan and the list of peers, and requests the leases that the node
+// should hold. A node that is leaving ends once it holds none.
 func (n *IndexNode) renewLeases() {
 	now := n.Clock()
 	if n.session.plan.Plan != nil {
@@ -73,7 +73,7 @@
 		}
 	}
 	ops := n.node.LeaseOps(now)
-	n.fleet.World.orderLeaseOps(ops)
+	n.fleet.World.sortLeaseOps(ops)
 	for _, op := range ops {
 		n.proposeLease(op, now)
 	}
@@ -96,24 +96,25 @@
 	})
 }
 
-// issueGrants answers an agent, or passes its question on to the index node that it is for.
+// issueGrants answers an agent, or forwards its query to the index node that it is addressed
+// to.
 func (n *IndexNode) issueGrants(request *fb.CapacityRequestT, reply func(*fb.CapacityResponseT)) {
 	if request.To == "" || request.To == n.Name {
 		response := codec.AnswerCapacity(n.node, n.Clock(), n.Name, request)
-		n.fleet.World.orderUpdates(response.Updates, response.UpdatesReset)
+		n.fleet.World.sortUpdates(response.Updates, response.UpdatesReset)
 		reply(response)
 		return
 	}
 	if other := n.fleet.indexNodeNamed(request.To); other != nil {
-		Call(n.Host, other.Host, request, relayTimeout, other.issueGrants, reply, func() {})
+		Call(n.Host, other.Host, request, relayTimeoutUS, other.issueGrants, reply, func() {})
 	}
 }
 
-// relayTimeout is how long an index node waits for an answer that it passes on.
-const relayTimeout = 500_000
+// relayTimeoutUS is how long an index node waits for the answer to a forwarded query.
+const relayTimeoutUS = 500_000
 
-// pollEngines polls the engines that it should, and tells those that should load other
-// weights.
+// pollEngines polls the engines assigned to the node and sends weight updates to those that
+// need them.
 func (n *IndexNode) pollEngines() {
 	now := n.Clock()
 	for _, poll := range n.node.Polls(now) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// engineHoldings are all blocks that an engine holds, as of a number of its reports.
+// engineHoldings are all blocks that an engine holds, as of a sequence number of its events.
 type engineHoldings struct {
 	incarnation, sequence uint64
 	blocks                []cacheindex.Key
@@ -139,7 +140,7 @@
 		return
 	}
 	if !poll.NeedsHoldings {
-		n.askReport(engine, poll.Incarnation, poll.AfterSeq)
+		n.requestReport(engine, poll.Incarnation, poll.AfterSeq)
 		return
 	}
 	serve := func(_ int, reply func(engineHoldings)) {
@@ -147,12 +148,12 @@
 	}
 	Call(n.Host, engine.Host, 0, 800_000, serve, func(holdings engineHoldings) {
 		n.node.ResetHoldings(n.Clock(), poll.Engine, holdings.incarnation, holdings.sequence, holdings.blocks)
-		n.askReport(engine, holdings.incarnation, holdings.sequence)
+		n.requestReport(engine, holdings.incarnation, holdings.sequence)
 	}, func() {})
 }
 
-// askReport asks an engine for its events after a number.
-func (n *IndexNode) askReport(engine *Engine, incarnation, after uint64) {
+// requestReport asks an engine for its events after a sequence number.
+func (n *IndexNode) requestReport(engine *Engine, incarnation, after uint64) {
 	askedAt := n.Clock()
 	serve := func(_ int, reply func(index.Report)) { reply(engine.report(incarnation, after)) }
 	Call(n.Host, engine.Host, 0, 800_000, serve, func(report index.Report) {
@@ -160,8 +161,8 @@
 	}, func() {})
 }
 
-// followPeers asks the other index nodes for what engines hold in the shards held here,
-// and for what concerns the zones served here.
+// followPeers asks the other index nodes for the holdings of engines in the shards held here,
+// and for the updates of the zones served here.
 func (n *IndexNode) followPeers() {
 	peers, _ := codec.ReadyIndexNodes(n.session.nodes, n.Name)
 	for _, peer := range peers {
@@ -183,7 +184,7 @@
 	}
 	cursor := n.node.HoldingsCursor(other.Name)
 	request := &fb.UpdatesRequestT{Feed: codec.HoldingsFeed, Shards: shards, Incarnation: cursor.Incarnation, Since: cursor.Next}
-	n.askUpdates(other, request, func(response *fb.UpdatesResponseT) {
+	n.requestUpdates(other, request, func(response *fb.UpdatesResponseT) {
 		if n.node.HoldingsCursor(other.Name) == cursor {
 			codec.ApplyHoldings(n.node, n.Clock(), other.Name, response)
 		}
@@ -193,14 +194,14 @@
 func (n *IndexNode) followZone(other *IndexNode, peer index.Peer, zone string) {
 	cursor := *n.node.ZoneCursor(zone, other.Name)
 	request := &fb.UpdatesRequestT{Feed: codec.ZoneFeed, Zone: zone, Incarnation: cursor.Incarnation, Since: cursor.Next}
-	n.askUpdates(other, request, func(response *fb.UpdatesResponseT) {
+	n.requestUpdates(other, request, func(response *fb.UpdatesResponseT) {
 		if *n.node.ZoneCursor(zone, other.Name) == cursor {
 			n.node.ApplyZoneUpdates(zone, other.Name, index.ShardsOf(peer), codec.UnpackBatch(response))
 		}
 	})
 }
 
-func (n *IndexNode) askUpdates(other *IndexNode, request *fb.UpdatesRequestT, apply func(*fb.UpdatesResponseT)) {
+func (n *IndexNode) requestUpdates(other *IndexNode, request *fb.UpdatesRequestT, apply func(*fb.UpdatesResponseT)) {
 	request.From = n.Name
 	serve := func(request *fb.UpdatesRequestT, reply func(*fb.UpdatesResponseT)) {
 		reply(other.answerUpdates(request))
@@ -208,10 +209,10 @@
 	Call(n.Host, other.Host, request, 800_000, serve, apply, func() {})
 }
 
-// answerUpdates answers another index node.
+// answerUpdates answers a request for updates from another index node.
 func (n *IndexNode) answerUpdates(request *fb.UpdatesRequestT) *fb.UpdatesResponseT {
 	response := codec.AnswerUpdates(n.node, request)
-	n.fleet.World.orderUpdates(response.Updates, response.Reset)
-	n.fleet.World.orderLocations(response.Locations)
+	n.fleet.World.sortUpdates(response.Updates, response.Reset)
+	n.fleet.World.sortLocations(response.Locations)
 	return response
 }
--- a/sim/linearizable_test.go
+++ b/sim/linearizable_test.go
@@ -8,56 +8,56 @@
 	"violetthread/quorum"
 )
 
-// recorder is a client of one key that keeps all it asked and was told.
+// recorder is a client of one key that records all its operations and their results.
 type recorder struct {
 	*Host
-	core    *Cluster
-	key     string
-	client  int
-	changes int // of a hundred operations
-	count   int
-	seen    uint64 // newest revision it was told of
-	ops     *[]lincheck.Operation
+	cluster        *Cluster
+	key            string
+	client         int
+	changes        int // percentage of writes
+	count          int
+	newestRevision uint64 // newest revision it received
+	ops            *[]lincheck.Operation
 }
 
 func newRecorder(cluster *Cluster, client int, key string, changes int, ops *[]lincheck.Operation) *recorder {
-	r := &recorder{core: cluster, key: key, client: client, changes: changes, ops: ops}
-	r.Host = cluster.world.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.act) })
+	r := &recorder{cluster: cluster, key: key, client: client, changes: changes, ops: ops}
+	r.Host = cluster.world.NewHost(fmt.Sprint("recorder", client), "north", func() { r.Every(40_000, r.operate) })
 	return r
 }
 
-func (r *recorder) act() {
-	world := r.core.world
-	node := r.core.Nodes[world.Rng.Intn(len(r.core.Nodes))]
+func (r *recorder) operate() {
+	world := r.cluster.world
+	node := r.cluster.Nodes[world.Rng.Intn(len(r.cluster.Nodes))]
 	r.count++
-	seen := lincheck.Operation{Client: r.client, Invoked: world.now}
+	operation := lincheck.Operation{Client: r.client, Invoked: world.now}
 	op := quorum.Operation{Type: quorum.OpGet, Key: r.key}
 	if world.Rng.Intn(100) < r.changes {
-		seen.Write, seen.Value = true, fmt.Sprintf("%d-%d", r.client, r.count)
-		// A request that the network repeats must not change the key twice.
-		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.seen, []byte(seen.Value)
+		operation.Write, operation.Value = true, fmt.Sprintf("%d-%d", r.client, r.count)
+		// A request that the network duplicates must not change the key twice.
+		op.Type, op.ExpectedRevision, op.Value = quorum.OpPut, r.newestRevision, []byte(operation.Value)
 	}
 	Call(r.Host, node.Host, op, 900_000, node.serve,
-		func(result quorum.Result) { r.answered(seen, result) },
-		func() { r.keep(seen) })
+		func(result quorum.Result) { r.answered(operation, result) },
+		func() { r.record(operation) })
 }
 
-// answered takes all but a confirmation as unknown: where requests are repeated, one may
-// be refused although its twin took effect.
-func (r *recorder) answered(seen lincheck.Operation, result quorum.Result) {
+// answered records any result other than a confirmation as unknown: if a request was
+// duplicated, one copy may be rejected although the other took effect.
+func (r *recorder) answered(operation lincheck.Operation, result quorum.Result) {
 	if result.Status == quorum.StatusDone || result.Status == quorum.StatusConflict {
-		r.seen = max(r.seen, result.Revision)
+		r.newestRevision = max(r.newestRevision, result.Revision)
 	}
 	if result.Status == quorum.StatusDone {
-		seen.Confirmed, seen.Returned, seen.Revision, seen.Value = true, r.core.world.now, result.Revision, string(result.Value)
+		operation.Confirmed, operation.Returned, operation.Revision, operation.Value = true, r.cluster.world.now, result.Revision, string(result.Value)
 	}
-	r.keep(seen)
+	r.record(operation)
 }
 
-func (r *recorder) keep(seen lincheck.Operation) { *r.ops = append(*r.ops, seen) }
+func (r *recorder) record(operation lincheck.Operation) { *r.ops = append(*r.ops, operation) }
 
-// TestLinearizable: what operators see of a key on core days, answers lost and unknown
-// ones included, is explained by one order of their operations.
+// TestLinearizable checks that there is one order of operations that explains what clients see
+// of a key on days of control nodes, including operations with lost or unknown results.
 func TestLinearizable(t *testing.T) {
 	for _, fault := range ClusterFaults {
 		t.Run(string(fault), func(t *testing.T) {
@@ -79,13 +79,14 @@
 			}
 			t.Logf("%d operations confirmed, %d unknown", confirmed, unknown)
 			if confirmed < 300 {
-				t.Fatalf("%d operations confirmed: too little to prove anything", confirmed)
+				t.Fatalf("%d operations confirmed: too little activity for a meaningful result", confirmed)
 			}
 		})
 	}
 }
 
-// recordedDay is a core day with operators at a busy key and at one seldom changed.
+// recordedDay runs a day of control nodes, with clients of a frequently written key and of a
+// rarely written one.
 func recordedDay(seed int64, fault Fault) map[string][]lincheck.Operation {
 	const length = 8_000_000
 	world := NewWorld(seed)
--- a/sim/phantom_test.go
+++ b/sim/phantom_test.go
@@ -7,7 +7,7 @@
 	"violetthread/quorum"
 )
 
-// directedRun drives single nodes through a set course of events.
+// directedRun takes a cluster through a fixed sequence of events.
 type directedRun struct {
 	t       *testing.T
 	world   *World
@@ -43,15 +43,15 @@
 		if len(r.world.violations) > 0 {
 			r.t.Fatal(r.world.violations)
 		}
-		if other := r.leader(); other != nil {
-			return other
+		if leader := r.leader(); leader != nil {
+			return leader
 		}
 	}
-	r.t.Fatal("no owner")
+	r.t.Fatal("no leader")
 	return nil
 }
 
-// operate runs an operation on a node and tells the history when it is answered.
+// operate runs an operation on a node and adds its result to the history.
 func (r *directedRun) operate(node *ControlNode, op quorum.Operation) (result quorum.Result) {
 	from := r.world.now
 	Call(r.client, node.Host, op, 2_000_000, node.serve, func(x quorum.Result) {
@@ -74,42 +74,43 @@
 	return r.operate(r.awaitLeader(), quorum.Operation{Type: quorum.OpPut, Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision})
 }
 
-// tornLeader makes the leader take a change that reaches nobody, and die of it.
-func (r *directedRun) tornLeader() *ControlNode {
-	other := r.awaitLeader()
+// crashLeaderMidWrite makes the leader accept a change that reaches no other node, and then
+// kills it.
+func (r *directedRun) crashLeaderMidWrite() *ControlNode {
+	leader := r.awaitLeader()
 	for _, node := range r.cluster.Nodes {
-		r.world.Cut(other.Name, node.Name)
+		r.world.Cut(leader.Name, node.Name)
 	}
-	other.Propose(quorum.Operation{Type: quorum.OpPut, Key: r.history.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
+	leader.Propose(quorum.Operation{Type: quorum.OpPut, Key: r.history.key, Value: []byte("torn"), ExpectedRevision: quorum.AnyRevision}, func(quorum.Result) {})
 	r.world.Run(r.world.now + 60_000)
-	other.Kill()
+	leader.Kill()
 	r.world.HealAll()
-	return other
+	return leader
 }
 
-// moveLeaderTo kills the leader again and again, restarting it, until it is want, or
-// until it is no more when want is nil.
+// moveLeaderTo kills and restarts one leader after the other until the leader is want, or some
+// times if want is nil.
 func (r *directedRun) moveLeaderTo(want *ControlNode) {
 	for i := 0; i < 30; i++ {
-		other := r.awaitLeader()
+		leader := r.awaitLeader()
 		r.get()
-		r.moveOn()
-		if other == want {
+		r.advanceSlot()
+		if leader == want {
 			return
 		}
-		other.Kill()
+		leader.Kill()
 		r.world.Run(r.world.now + 2_600_000)
-		other.Start()
+		leader.Start()
 		r.world.Run(r.world.now + 300_000)
 		if want == nil && i > 4 {
 			return
 		}
 	}
-	r.t.Fatal("the node never came to own the key")
+	r.t.Fatal("the node never became the key's leader")
 }
 
-// keyBeside is a key of the same slot, whose changes move the slot's positions on.
-func keyBeside(key string) string {
+// otherKeyInSlot returns a key of the same slot; changes to it advance the slot's positions.
+func otherKeyInSlot(key string) string {
 	for i := 0; ; i++ {
 		if k := fmt.Sprint("beside", i); quorum.SlotOf(k, 16) == quorum.SlotOf(key, 16) {
 			return k
@@ -117,30 +118,31 @@
 	}
 }
 
-// lostChange leaves a change of the key on its dead owner's disk alone, while the
-// next line gets ahead of what that owner knows.
-func (r *directedRun) lostChange() *ControlNode {
+// leaveUncommittedChange leaves a change of the key on the disk of its killed leader alone,
+// while later terms advance beyond what that node knows.
+func (r *directedRun) leaveUncommittedChange() *ControlNode {
 	r.put(r.history.key, "v1")
-	r.moveOn()
-	one := r.tornLeader()
+	r.advanceSlot()
+	one := r.crashLeaderMidWrite()
 	r.get()
-	r.moveOn()
+	r.advanceSlot()
 	return one
 }
 
-// moveOn moves the slot's marks on, in memory and on disk.
-func (r *directedRun) moveOn() {
+// advanceSlot advances the slot's positions, in memory and on disk.
+func (r *directedRun) advanceSlot() {
 	for i := 0; i < 3; i++ {
-		r.put(keyBeside(r.history.key), fmt.Sprint(i))
+		r.put(otherKeyInSlot(r.history.key), fmt.Sprint(i))
 	}
 }
 
-// TestPhantom: a change that reached only its dying owner, which later joins the
-// line of its successor and then owns the key again, never shows and vanishes.
+// TestPhantom checks a change that reached only its leader, which is killed, later follows its
+// successor, and then becomes the key's leader again: the change must not be seen and vanish
+// again.
 func TestPhantom(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		s := newDirectedRun(t, seed, "rare")
-		one := s.lostChange()
+		one := s.leaveUncommittedChange()
 		one.Start()
 		s.world.Run(s.world.now + 1_500_000)
 		s.moveLeaderTo(one)
@@ -155,20 +157,20 @@
 	}
 }
 
-// TestOldLine: the same change, when its leader comes back and votes before it has
-// heard of the line that followed.
+// TestOldLine checks the same change when its leader comes back and votes before it learns of
+// the next leader's term.
 func TestOldLine(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		s := newDirectedRun(t, seed, "rare")
-		one := s.lostChange()
-		other := s.awaitLeader()
-		s.world.CutBoth(one.Name, other.Name)
+		one := s.leaveUncommittedChange()
+		leader := s.awaitLeader()
+		s.world.CutBoth(one.Name, leader.Name)
 		one.Start()
 		s.world.Run(s.world.now + 1_200_000)
-		other.Kill()
-		s.get() // the third line was elected with the old owner's vote
+		leader.Kill()
+		s.get() // the third leader was elected with the vote of the first one
 		s.world.HealAll()
-		other.Start()
+		leader.Start()
 		s.moveLeaderTo(nil)
 		if len(s.world.violations) > 0 {
 			t.Fatalf("seed %d: %v", seed, s.world.violations)
--- a/sim/races_day.go
+++ b/sim/races_day.go
@@ -6,62 +6,64 @@
 )
 
 const (
-	// raceRecoveryBoundUS is within how long after the trouble the newest configuration is read
-	// back and all operators have a clear answer.
+	// raceRecoveryBoundUS limits the time from the end of the faults until the newest
+	// configuration is read back and all operators have a definite answer.
 	raceRecoveryBoundUS = 8_000_000
-	// lossPercent of a step's messages get lost.
+	// lossPercent is the percentage of a step's messages that are lost.
 	lossPercent = 25
-	// killPercent of the acknowledgements and syncs that may kill do, while all are up.
+	// killPercent is the percentage of acknowledgements and syncs at which a process is
+	// killed, while all are up.
 	killPercent = 25
 )
 
-// RaceTrouble is what troubles operators that race.
-type RaceTrouble string
+// RaceFault is a fault that occurs while operators race.
+type RaceFault string
 
-// Kills of the leader at the moments between a sync and its answer; losses are named by
-// their steps.
+// Faults at the moments between a sync and its answer. The other faults are message losses,
+// named after their steps.
 const (
-	KillSynced    RaceTrouble = "killed after its sync"       // before its voter hears of it
-	KillAnswering RaceTrouble = "killed before its answer"    // once a majority has it
-	PowerAnswered RaceTrouble = "all lose power at an answer" // just after it
+	RaceFaultKillAfterSync    RaceFault = "killed after its sync"       // the leader, before its voter learns of the sync
+	RaceFaultKillBeforeAnswer RaceFault = "killed before its answer"    // the leader, after a majority has the change
+	RaceFaultPowerLoss        RaceFault = "all lose power at an answer" // just after the answer
 )
 
-// RaceTroubles lists the kills and the steps.
-func RaceTroubles() []RaceTrouble {
-	out := []RaceTrouble{KillSynced, KillAnswering, PowerAnswered}
-	for _, step := range OrderSteps {
-		out = append(out, RaceTrouble(step))
+// RaceFaults lists the faults between a sync and its answer, and then the steps.
+func RaceFaults() []RaceFault {
+	out := []RaceFault{RaceFaultKillAfterSync, RaceFaultKillBeforeAnswer, RaceFaultPowerLoss}
+	for _, step := range RequestSteps {
+		out = append(out, RaceFault(step))
 	}
 	return out
 }
 
-// RaceDay is a day on which operators send changes under the same numbers at once.
+// RaceDay is a day on which operators concurrently send changes with the same version.
 type RaceDay struct {
 	*ConfigWorld
-	trouble RaceTrouble
-	lasts   int64
-	until   int64
-	result  RaceResult
+	fault      RaceFault
+	durationUS int64
+	until      int64
+	result     RaceResult
 }
 
-// RaceResult is what such a day came to.
+// RaceResult is the result of a race day.
 type RaceResult struct {
-	Orders, Acknowledged, AcknowledgedAfterResend, Rejected, Reads int
-	Lost, Kills                                                    int // messages, processes
-	// MostBehind is the most changes that were in force after an order when it was
-	// acknowledged for the first time.
+	Requests, Acknowledged, AcknowledgedAfterResend, Rejected, Reads int
+	Lost, Kills                                                      int // lost messages, killed processes
+	// MostBehind is the largest number of changes that were already in force on top of a
+	// request at its first acknowledgement.
 	MostBehind uint64
-	// SlowestOrderUS is the longest that an operator went without a clear answer.
-	SlowestOrderUS int64
-	// SettledUS is how long after the trouble all was clear.
-	SettledUS  int64
+	// SlowestRequestUS is the longest time that an operator went without a definite answer.
+	SlowestRequestUS int64
+	// RecoveryUS is the time from the end of the faults until all operators had a definite
+	// answer.
+	RecoveryUS int64
 	Violations []string
 	Notes      []string
 }
 
-// RunRaces runs a day of so many operators, with trouble for a time.
-func RunRaces(seed int64, nodes, operators int, trouble RaceTrouble, lasts int64, texts Texts) RaceResult {
-	d := &RaceDay{ConfigWorld: NewConfigWorld(seed, nodes, texts), trouble: trouble, lasts: lasts}
+// RunRaces runs a day with the given number of operators, with faults for the given duration.
+func RunRaces(seed int64, nodes, operators int, fault RaceFault, durationUS int64, format ConfigFormat) RaceResult {
+	d := &RaceDay{ConfigWorld: NewConfigWorld(seed, nodes, format), fault: fault, durationUS: durationUS}
 	d.AddOperators(operators)
 	d.AddReaders(2, 150_000)
 	for _, o := range d.Operators {
@@ -71,7 +73,7 @@
 	d.Start()
 	world := d.World
 	if _, ok := d.Until(5_000_000, func() bool { return d.Config.Acknowledged > 2 }); !ok {
-		world.Violation("not begun", "no configuration was acknowledged after %d us", world.now)
+		world.Violation("not started", "no configuration was acknowledged after %d us", world.now)
 	}
 	d.begin()
 	world.Run(d.until)
@@ -81,63 +83,63 @@
 	return d.result
 }
 
-// begin brings the trouble about until its time is over.
+// begin starts injecting the day's fault.
 func (d *RaceDay) begin() {
 	cluster := d.Cluster
-	d.until = d.World.now + d.lasts
-	switch d.trouble {
-	case KillSynced:
-		cluster.beforeSynced = d.killsSynced
-	case KillAnswering:
-		cluster.beforeResult = d.killsAnswering
-	case PowerAnswered:
-		// By onTaken, at the very acknowledgement.
-	case RaceTrouble(StepWrite), RaceTrouble(StepWriteOK):
+	d.until = d.World.now + d.durationUS
+	switch d.fault {
+	case RaceFaultKillAfterSync:
+		cluster.beforeSynced = d.killAfterSync
+	case RaceFaultKillBeforeAnswer:
+		cluster.beforeResult = d.killBeforeAnswer
+	case RaceFaultPowerLoss:
+		// losePowerAll injects it, called by OnAccepted at the acknowledgement itself.
+	case RaceFault(StepAppend), RaceFault(StepAppendAck):
 		cluster.dropsMessage = d.dropsMessage
 	default:
 		cluster.losesStep = d.losesStep
 	}
 }
 
-// finish ends the trouble and waits until every operator had a clear answer and the
-// newest configuration was read back.
+// finish ends the fault and waits until every operator has a definite answer and the newest
+// configuration was read back.
 func (d *RaceDay) finish() {
 	cluster, world := d.Cluster, d.World
 	cluster.beforeSynced, cluster.beforeResult, cluster.dropsMessage, cluster.losesStep = nil, nil, nil, nil
-	told := map[*ConfigOperator]bool{}
+	finished := map[*ConfigOperator]bool{}
 	for _, o := range d.Operators {
-		o.OnFinished = func() { told[o] = true }
+		o.OnFinished = func() { finished[o] = true }
 	}
-	took, ok := d.Until(raceRecoveryBoundUS, func() bool { return len(told) == len(d.Operators) })
-	d.result.SettledUS = took
+	took, ok := d.Until(raceRecoveryBoundUS, func() bool { return len(finished) == len(d.Operators) })
+	d.result.RecoveryUS = took
 	if !ok {
-		world.Violation("not back", "%d of %d operators had a clear answer %d us after the trouble", len(told), len(d.Operators), took)
+		world.Violation("not back", "%d of %d operators had a definite answer %d us after the faults", len(finished), len(d.Operators), took)
 	}
 	reads := d.Config.Reads
 	if _, ok := d.Until(raceRecoveryBoundUS, func() bool { return d.Config.Reads > reads+4 }); !ok {
-		world.Violation("not back", "nothing was read back %d us after the trouble", raceRecoveryBoundUS)
+		world.Violation("not back", "nothing was read back %d us after the faults", raceRecoveryBoundUS)
 	}
 }
 
 func (d *RaceDay) collect() {
 	r, history := &d.result, d.Config
-	r.Orders, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(history.orders), history.Acknowledged, history.AcknowledgedAfterResend, history.Rejected, history.Reads
+	r.Requests, r.Acknowledged, r.AcknowledgedAfterResend, r.Rejected, r.Reads = len(history.requests), history.Acknowledged, history.AcknowledgedAfterResend, history.Rejected, history.Reads
 	r.MostBehind = history.MostBehind
 	for _, o := range d.Operators {
-		r.SlowestOrderUS = max(r.SlowestOrderUS, o.SlowestOrderUS)
+		r.SlowestRequestUS = max(r.SlowestRequestUS, o.SlowestRequestUS)
 	}
 	r.Violations, r.Notes = d.World.violations, d.World.notes
 }
 
 // losesStep loses some messages of one step.
-func (d *RaceDay) losesStep(step OrderStep) bool {
-	if RaceTrouble(step) != d.trouble {
+func (d *RaceDay) losesStep(step RequestStep) bool {
+	if RaceFault(step) != d.fault {
 		return false
 	}
-	return d.losesOne()
+	return d.drawLoss()
 }
 
-func (d *RaceDay) losesOne() bool {
+func (d *RaceDay) drawLoss() bool {
 	if d.World.Rng.Intn(100) >= lossPercent {
 		return false
 	}
@@ -145,35 +147,34 @@
 	return true
 }
 
-// dropsMessage loses some of the messages between leader and voters, of the
-// configuration's slot.
+// dropsMessage loses some messages between leader and voters of the configuration's slot.
 func (d *RaceDay) dropsMessage(message quorum.Message) bool {
 	kind := quorum.MsgAppend
-	if d.trouble == RaceTrouble(StepWriteOK) {
+	if d.fault == RaceFault(StepAppendAck) {
 		kind = quorum.MsgAppendAck
 	}
-	return message.Type == kind && message.Slot == slotOf(route.ConfigKey) && d.losesOne()
+	return message.Type == kind && message.Slot == slotOf(route.ConfigKey) && d.drawLoss()
 }
 
-// killsSynced kills the configuration's leader when its records are on disk and its voter
-// does not know yet.
-func (d *RaceDay) killsSynced(node *ControlNode) bool {
+// killAfterSync kills the configuration's leader when its records are on disk and its voter
+// has not been notified yet.
+func (d *RaceDay) killAfterSync(node *ControlNode) bool {
 	if d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
 	return d.endProcess(node)
 }
 
-// killsAnswering kills the leader when a change is on a majority's disks and nobody was
-// told.
-func (d *RaceDay) killsAnswering(node *ControlNode, result quorum.Result) bool {
+// killBeforeAnswer kills the leader when a change is on the disks of a majority and nobody has
+// been notified.
+func (d *RaceDay) killBeforeAnswer(node *ControlNode, result quorum.Result) bool {
 	if result.Status != quorum.StatusDone || d.Cluster.LeaderOf(route.ConfigKey) != node {
 		return false
 	}
 	return d.endProcess(node)
 }
 
-// endProcess ends a process now and then, while all others are up, and starts it again.
+// endProcess sometimes ends a process, if all nodes are up, and restarts it later.
 func (d *RaceDay) endProcess(node *ControlNode) bool {
 	world := d.World
 	if !d.allUp() || world.Rng.Intn(100) >= killPercent {
@@ -190,9 +191,9 @@
 }
 
 // losePowerAll cuts the power of all control nodes at some acknowledgements.
-func (d *RaceDay) losePowerAll(*ConfigOrder) {
+func (d *RaceDay) losePowerAll(*ConfigRequest) {
 	world := d.World
-	if d.trouble != PowerAnswered || world.now >= d.until || !d.allUp() || world.Rng.Intn(100) >= killPercent {
+	if d.fault != RaceFaultPowerLoss || world.now >= d.until || !d.allUp() || world.Rng.Intn(100) >= killPercent {
 		return
 	}
 	d.result.Kills++
--- a/sim/second_loss_day.go
+++ b/sim/second_loss_day.go
@@ -5,121 +5,125 @@
 	"slices"
 )
 
-// Prelude is what happens before a second loss.
-type Prelude string
+// Disruption is the event before a second loss: a first loss or planned work.
+type Disruption string
 
-// The preludes.
+// Disruptions before a second loss.
 const (
-	RepairedDisk  Prelude = "repaired disk"  // a machine loses its disk and comes back empty
-	RepairedPower Prelude = "repaired power" // a machine loses its power and comes back
-	Replacement   Prelude = "replacement"    // a new machine starts, and an old one leaves
-	Leave         Prelude = "leave"          // a machine leaves politely and comes back
+	DisruptionDiskLoss    Disruption = "repaired disk"  // a machine loses its disk and comes back empty
+	DisruptionPowerLoss   Disruption = "repaired power" // a machine loses its power and comes back
+	DisruptionReplacement Disruption = "replacement"    // a new machine starts, and an old one leaves
+	DisruptionLeave       Disruption = "leave"          // a machine shuts down gracefully and comes back
 )
 
-// Preludes lists them all.
-var Preludes = []Prelude{RepairedDisk, RepairedPower, Replacement, Leave}
+// Disruptions lists all disruptions.
+var Disruptions = []Disruption{DisruptionDiskLoss, DisruptionPowerLoss, DisruptionReplacement, DisruptionLeave}
 
-// Loss is how machines are lost.
+// Loss is a way in which machines are lost.
 type Loss string
 
-// The losses.
+// Ways of losing machines.
 const (
-	LossOfPower Loss = "power"           // the disk is kept
-	LossOfDisk  Loss = "disk"            // the machine comes back empty
-	LossAmidst  Loss = "disk, all power" // while all others lose their power
+	LossOfPower        Loss = "power"           // the disk is kept
+	LossOfDisk         Loss = "disk"            // the machine comes back empty
+	LossOfDiskInOutage Loss = "disk, all power" // the same, while all other machines lose their power
 )
 
-// Losses lists them all.
-var Losses = []Loss{LossOfPower, LossOfDisk, LossAmidst}
+// Losses lists all of them.
+var Losses = []Loss{LossOfPower, LossOfDisk, LossOfDiskInOutage}
 
 const (
-	// lossStep is between two instants of a sweep.
-	lossStep = 50_000
-	// lossWindow is swept from when a second loss is borne.
-	lossWindow = 3_000_000
-	// lossRecoveryBoundUS is within how long after a second loss every slot takes changes again.
+	// lossStepUS is the interval between two instants of a sweep.
+	lossStepUS = 50_000
+	// lossWindowUS is the range of instants that is swept, from when a second loss is
+	// tolerated.
+	lossWindowUS = 3_000_000
+	// lossRecoveryBoundUS limits the time from a second loss until every slot accepts changes
+	// again.
 	lossRecoveryBoundUS = 4_000_000
-	// lossReturnUS is when machines of the second loss come back.
+	// lossReturnUS is the time after which machines of the second loss come back.
 	lossReturnUS = 1_500_000
 )
 
-// SecondLoss is one run: a prelude, and a second loss at an instant after it.
+// SecondLoss is one run: a disruption, and a second loss at an instant after it.
 type SecondLoss struct {
-	Nodes   int
-	Prelude Prelude
-	Loss    Loss
-	Instant int64 // after the second loss is borne for the first time
+	Nodes      int
+	Disruption Disruption
+	Loss       Loss
+	Instant    int64 // time since a second loss is tolerated
 }
 
 func (l SecondLoss) String() string {
-	return fmt.Sprintf("%d nodes, %s, then %s after %d us", l.Nodes, l.Prelude, l.Loss, l.Instant)
+	return fmt.Sprintf("%d nodes, %s, then %s after %d us", l.Nodes, l.Disruption, l.Loss, l.Instant)
 }
 
-// SecondLossResult is what such a run came to.
+// SecondLossResult is the result of such a run.
 type SecondLossResult struct {
 	Acknowledged, Lost int
-	// RecoveryUS is how long after the second loss a change of every slot was acknowledged.
+	// RecoveryUS is the time from the second loss until a change of every slot was
+	// acknowledged.
 	RecoveryUS int64
-	// RejoinUS is how long after the machines were back all slots were recovered with them.
+	// RejoinUS is the time from the return of the machines until all slots were recovered with
+	// them.
 	RejoinUS   int64
 	Violations []string
 	Notes      []string
 }
 
-// secondLossRun is a run under way.
+// secondLossRun is the state of a run.
 type secondLossRun struct {
 	SecondLoss
 	world  *ConfigWorld
 	writer *SlotWriter
-	// firstLossUntil is until when the first loss counts, by the platform's rule.
+	// firstLossUntil is when the first loss stops counting, by the platform's rule.
 	firstLossUntil int64
-	// bearableFrom is since when the second loss is borne.
-	bearableFrom int64
-	lost         []*ControlNode
-	result       SecondLossResult
+	// toleratedFrom is when a second loss is first tolerated.
+	toleratedFrom int64
+	lost          []*ControlNode
+	result        SecondLossResult
 }
 
-// RunSecondLoss runs one.
+// RunSecondLoss runs one disruption and second loss.
 func RunSecondLoss(seed int64, loss SecondLoss) SecondLossResult {
-	configWorld := NewConfigWorld(seed, loss.Nodes, Texts{})
+	configWorld := NewConfigWorld(seed, loss.Nodes, ConfigFormat{})
 	configWorld.Cluster.logConfig = smallLog
 	configWorld.Cluster.selfHealing = true
-	configWorld.Cluster.keepSeats()
+	configWorld.Cluster.setTargetSize()
 	s := &secondLossRun{SecondLoss: loss, world: configWorld, writer: NewSlotWriter(configWorld.Cluster)}
 	configWorld.Cluster.Start()
 	world := configWorld.World
 	world.At(500_000, s.writer.Start)
 	if _, ok := configWorld.Until(4_000_000, func() bool { return configWorld.AllRecovered() && s.writer.AcknowledgedSince(0) }); !ok {
-		world.Violation("not begun", "not every slot took a change within %d us", world.now)
+		world.Violation("not started", "not every slot accepted a change within %d us", world.now)
 	}
-	s.prelude()
-	world.Run(max(world.now, s.bearableFrom) + loss.Instant)
+	s.disrupt()
+	world.Run(max(world.now, s.toleratedFrom) + loss.Instant)
 	s.loseSecond()
 	s.awaitRecovery()
 	s.result.Acknowledged, s.result.Violations, s.result.Notes = s.writer.Acknowledged(), world.violations, world.notes
 	return s.result
 }
 
-// prelude brings the first loss or the planned work about, and tells from when on a
-// second loss is borne.
-func (r *secondLossRun) prelude() {
+// disrupt causes the first loss or the planned work, and sets from when on a second loss is
+// tolerated.
+func (r *secondLossRun) disrupt() {
 	world, nodes := r.world.World, r.world.Cluster.Nodes
 	first := nodes[world.Rng.Intn(len(nodes))]
 	back := world.now + leaveTimeoutUS + leavePollUS + world.Rng.Int63n(2_500_000)
-	sync := syncTime(r.Nodes)
+	sync := rejoinPeriodUS(r.Nodes)
 	r.firstLossUntil = back + sync
-	switch r.Prelude {
-	case RepairedDisk:
+	switch r.Disruption {
+	case DisruptionDiskLoss:
 		world.Notef("%s loses its disk", first.Name)
 		first.loseDisk()
 		world.At(back, first.restart)
-	case RepairedPower:
+	case DisruptionPowerLoss:
 		first.LosePower()
 		world.At(back, first.restart)
-	case Leave:
+	case DisruptionLeave:
 		r.leave(first)
 		world.At(back, first.restart)
-	case Replacement:
+	case DisruptionReplacement:
 		successor := r.world.Cluster.newNode()
 		successor.Start()
 		r.firstLossUntil = world.now + sync
@@ -129,16 +133,16 @@
 		})
 		world.Run(back)
 	}
-	r.bearableFrom = world.now
+	r.toleratedFrom = world.now
 	if tolerates(r.Nodes) == 1 {
-		r.bearableFrom = max(r.bearableFrom, r.firstLossUntil)
+		r.toleratedFrom = max(r.toleratedFrom, r.firstLossUntil)
 	}
 }
 
-// leave stops a machine politely, as control.Node does: it ends once its seat was dropped,
-// if its successor was let in before.
+// leave shuts a machine down gracefully, as control.Node does: if its successor was admitted
+// before, its process ends only after its seat was removed.
 func (r *secondLossRun) leave(node *ControlNode) {
-	r.world.World.Notef("%s leaves politely", node.Name)
+	r.world.World.Notef("%s shuts down gracefully", node.Name)
 	if !node.up || node.node == nil {
 		return
 	}
@@ -155,42 +159,42 @@
 	node.After(leavePollUS, wait)
 }
 
-// How long a polite stop takes (internal/app/control).
+// Times of a graceful shutdown (internal/app/control).
 const (
 	leavePollUS    = 100_000
 	leaveTimeoutUS = 900_000
 )
 
-// keepSeats has the voter set count the seats that the fleet keeps, as at a founding.
-func (c *Cluster) keepSeats() {
+// setTargetSize sets the target size in the voter set to its initial number of voters.
+func (c *Cluster) setTargetSize() {
 	c.voterSet.TargetSize = uint16(len(c.voterSet.Voters))
 	for _, node := range c.Nodes {
 		node.voterSet = c.voterSet
 	}
 }
 
-// loseSecond waits for an acknowledgement and loses as many machines as may still be lost,
-// those first that hold the newest changes of its slot.
+// loseSecond waits for an acknowledgement and then loses as many machines as may still be
+// lost, first those that hold the newest changes of its slot.
 func (r *secondLossRun) loseSecond() {
 	world := r.world.World
-	struck := false
+	triggered := false
 	r.writer.OnAcknowledged = func(slot int) {
-		if !struck {
-			struck = true
-			r.lose(r.mostRecent(slot))
+		if !triggered {
+			triggered = true
+			r.lose(r.newestHolders(slot))
 		}
 	}
-	if _, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return struck }); !ok {
-		world.Violation("not served", "no change was acknowledged for %d us after one loss: %v", lossRecoveryBoundUS, r.SecondLoss)
+	if _, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return triggered }); !ok {
+		world.Violation("no service", "no change was acknowledged for %d us after one loss: %v", lossRecoveryBoundUS, r.SecondLoss)
 	}
 	r.writer.OnAcknowledged = nil
 }
 
-// mostRecent are the machines that go: they hold the most of a slot.
-func (r *secondLossRun) mostRecent(slot int) []*ControlNode {
-	spare := tolerates(r.Nodes)
+// newestHolders returns the machines to lose: those with the newest changes of a slot.
+func (r *secondLossRun) newestHolders(slot int) []*ControlNode {
+	tolerated := tolerates(r.Nodes)
 	if r.world.World.now < r.firstLossUntil {
-		spare--
+		tolerated--
 	}
 	var live []*ControlNode
 	for _, node := range r.world.Cluster.Nodes {
@@ -210,10 +214,10 @@
 		}
 		return 0
 	})
-	return live[:min(spare, len(live))]
+	return live[:min(tolerated, len(live))]
 }
 
-// lose loses machines at once.
+// lose loses the given machines at once.
 func (r *secondLossRun) lose(nodes []*ControlNode) {
 	world := r.world.World
 	r.lost, r.result.Lost = nodes, len(nodes)
@@ -222,7 +226,7 @@
 		case slices.Contains(nodes, node):
 			world.Notef("%s is lost: %s", node.Name, r.Loss)
 			r.loseOne(node)
-		case r.Loss == LossAmidst && node.up:
+		case r.Loss == LossOfDiskInOutage && node.up:
 			node.LosePower()
 			world.At(world.now+50_000+world.Rng.Int63n(300_000), node.restart)
 		}
@@ -238,20 +242,20 @@
 	r.world.World.At(r.world.World.now+lossReturnUS, node.restart)
 }
 
-// awaitRecovery waits until every slot takes changes again, and until all machines are firm
-// members, each within its bound, and reads everything back.
+// awaitRecovery waits until every slot accepts changes again and until all machines have
+// rejoined, each within its bound, and then runs another second for reads to check the data.
 func (r *secondLossRun) awaitRecovery() {
 	world := r.world.World
 	at := world.now
 	took, ok := r.world.Until(lossRecoveryBoundUS, func() bool { return r.writer.AcknowledgedSince(at) })
 	r.result.RecoveryUS = took
 	if !ok {
-		world.Violation("not served", "not every slot took a change within %d us after the second loss: %v", lossRecoveryBoundUS, r.SecondLoss)
+		world.Violation("no service", "not every slot accepted a change within %d us after the second loss: %v", lossRecoveryBoundUS, r.SecondLoss)
 	}
 	world.Run(max(world.now, at+lossReturnUS))
 	back := world.now
-	if _, ok := r.world.Until(syncTime(r.Nodes), r.world.AllRecovered); !ok {
-		world.Violation("not firm", "not every machine was a firm member %d us after it was back: %v", syncTime(r.Nodes), r.SecondLoss)
+	if _, ok := r.world.Until(rejoinPeriodUS(r.Nodes), r.world.AllRecovered); !ok {
+		world.Violation("not rejoined", "not every machine had rejoined %d us after its return: %v", rejoinPeriodUS(r.Nodes), r.SecondLoss)
 	}
 	r.result.RejoinUS = world.now - back
 	reads := world.now
--- a/sim/slot_writer.go
+++ b/sim/slot_writer.go
@@ -6,8 +6,8 @@
 	"violetthread/quorum"
 )
 
-// SlotWriter changes and reads one key of every slot through any control node, so that
-// whatever is lost or stands still shows.
+// SlotWriter writes and reads one key of every slot through any control node, so that lost
+// data and stalled slots are detected.
 type SlotWriter struct {
 	*Host
 	cluster        *Cluster
@@ -19,10 +19,10 @@
 }
 
 const (
-	slotWriteEvery = 12_000
-	slotWriteLimit = 900_000
-	// slotReads of each so many operations are reads.
-	slotReads = 4
+	slotWriteIntervalUS = 12_000
+	slotWriteTimeoutUS  = 900_000
+	// One of slotReadPeriod operations on a slot is a read.
+	slotReadPeriod = 4
 )
 
 // NewSlotWriter adds a writer.
@@ -32,11 +32,11 @@
 	for i := range slots {
 		s.histories = append(s.histories, NewHistory(cluster.world, keyOfSlot(i)))
 	}
-	s.Host = cluster.world.NewHost("slot-writer", "north", func() { s.Every(slotWriteEvery, s.act) })
+	s.Host = cluster.world.NewHost("slot-writer", "north", func() { s.Every(slotWriteIntervalUS, s.nextOperation) })
 	return s
 }
 
-// keyOfSlot is a key that lies in a slot.
+// keyOfSlot returns a key that belongs to a slot.
 func keyOfSlot(slot int) string {
 	for i := 0; ; i++ {
 		if key := fmt.Sprintf("slot%d/%d", slot, i); int(slotOf(key)) == slot {
@@ -45,12 +45,12 @@
 	}
 }
 
-// act runs the next operation, slot by slot.
-func (s *SlotWriter) act() {
+// nextOperation sends the next operation, slot by slot.
+func (s *SlotWriter) nextOperation() {
 	s.next++
 	slot := s.next % len(s.histories)
 	op := quorum.Operation{Type: quorum.OpPut, ExpectedRevision: quorum.AnyRevision, Value: []byte(fmt.Sprint("value", s.next))}
-	if s.next/len(s.histories)%slotReads == 0 {
+	if s.next/len(s.histories)%slotReadPeriod == 0 {
 		op = quorum.Operation{Type: quorum.OpGet}
 	}
 	op.Key = s.histories[slot].key
@@ -61,9 +61,9 @@
 func (s *SlotWriter) operate(node *ControlNode, slot int, op quorum.Operation, done func(ok bool)) {
 	world := s.cluster.world
 	from := world.now
-	Call(s.Host, node.Host, op, slotWriteLimit,
+	Call(s.Host, node.Host, op, slotWriteTimeoutUS,
 		func(operation quorum.Operation, reply func(quorum.Result)) {
-			node.proposeOnce(operation, 0, node.Clock()+slotWriteLimit, reply)
+			node.proposeOnce(operation, 0, node.Clock()+slotWriteTimeoutUS, reply)
 		},
 		func(result quorum.Result) {
 			if result.Status != quorum.StatusDone {
@@ -83,7 +83,7 @@
 		func() { done(false) })
 }
 
-// liveNode is a node that is up; callers soon learn which ones are.
+// liveNode returns a node that is up, as callers soon learn which ones are.
 func (s *SlotWriter) liveNode() *ControlNode {
 	var live []*ControlNode
 	for _, node := range s.cluster.Nodes {
@@ -97,7 +97,7 @@
 	return live[s.cluster.world.Rng.Intn(len(live))]
 }
 
-// AcknowledgedSince reports whether a change of every slot was acknowledged since a time.
+// AcknowledgedSince reports whether a change of every slot was acknowledged after a time.
 func (s *SlotWriter) AcknowledgedSince(at int64) bool {
 	for _, a := range s.acknowledgedAt {
 		if a <= at {
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Acknowledged is how many changes were acknowledged.
+// Acknowledged returns the number of acknowledged changes.
 func (s *SlotWriter) Acknowledged() (n int) {
 	for _, history := range s.histories {
 		n += history.Acknowledged
--- a/sim/snapshot_test.go
+++ b/sim/snapshot_test.go
@@ -7,20 +7,20 @@
 	"violetthread/quorum"
 )
 
-// frameBound stands for the bound of a frame on the wires, at the scale of the rings here.
+// frameBound stands for the size limit of a frame, scaled to the small logs of this test.
 const frameBound = 400 << 10
 
-// snapshotDay is a core whose one slot holds much more than a frame takes, while changes
-// keep coming.
+// snapshotDay is a cluster in which one slot holds much more data than fits into a frame,
+// while changes continue.
 type snapshotDay struct {
 	*membershipDay
 	keys    []string
-	largest int   // message that was sent
-	changes int   // acknowledged
-	every   int64 // between two changes
+	largest int   // size of the largest message that was sent
+	changes int   // acknowledged changes
+	every   int64 // interval between two changes
 }
 
-// newSnapshotDay fills the slot of the plan with so many registers of 20 KB.
+// newSnapshotDay fills the plan's slot with the given number of registers of 20 KB.
 func newSnapshotDay(t *testing.T, seed int64, registers int) *snapshotDay {
 	world := NewWorld(seed)
 	cluster := NewCluster(world, 4)
@@ -78,27 +78,27 @@
 			return
 		}
 	}
-	t.Fatalf("%s is not settled: %v", key, d.world.violations)
+	t.Fatalf("%s is not committed: %v", key, d.world.violations)
 }
 
-// differs names a register of the filled slot that the leader has settled and r holds
-// otherwise, or "".
+// differs describes a register of the filled slot that the leader has committed and the node
+// does not hold, or returns "".
 func (d *snapshotDay) differs(node *ControlNode) string {
-	other := d.slotOwner()
-	if other == nil || other == node {
+	leader := d.slotLeader()
+	if leader == nil || leader == node {
 		return ""
 	}
-	settled := other.node.Status(other.Clock())[quorum.SlotOf(planKey, 16)].Committed
-	mine, theirs := registers(node), registers(other)
+	committed := leader.node.Status(leader.Clock())[quorum.SlotOf(planKey, 16)].Committed
+	mine, theirs := registers(node), registers(leader)
 	for _, k := range d.keys {
-		if entry := theirs[k]; !settled.Before(entry.Position) && mine[k].Position.Before(entry.Position) {
-			return fmt.Sprintf("%s is of %v, not %v", k, mine[k].Position, entry.Position)
+		if entry := theirs[k]; !committed.Before(entry.Position) && mine[k].Position.Before(entry.Position) {
+			return fmt.Sprintf("%s is at %v instead of %v", k, mine[k].Position, entry.Position)
 		}
 	}
 	return ""
 }
 
-// registers are all that a machine holds.
+// registers returns all entries that a node holds.
 func registers(node *ControlNode) map[string]quorum.Entry {
 	all := map[string]quorum.Entry{}
 	for _, rec := range node.node.Checkpoint() {
@@ -109,8 +109,8 @@
 	return all
 }
 
-// slotOwner is the machine that owns the slot, or nil.
-func (d *snapshotDay) slotOwner() *ControlNode {
+// slotLeader returns the leader of the slot, or nil.
+func (d *snapshotDay) slotLeader() *ControlNode {
 	for _, node := range d.liveVoters() {
 		if slotsLed(node) == 1 {
 			return node
@@ -119,63 +119,63 @@
 	return nil
 }
 
-// TestSnapshotInParts: a slot holds five times what a frame takes and changes come a
-// hundred times a second. A machine that comes back empty, or with state of hundreds of
-// changes ago, holds everything in time, also when it or the leader ends midway.
+// TestSnapshotInParts fills a slot with five times the data that fits into a frame, while a
+// hundred changes a second are made. A machine that comes back empty, or hundreds of changes
+// behind, must hold everything in time, even if it or the leader fails during the transfer.
 func TestSnapshotInParts(t *testing.T) {
-	for _, how := range []string{"empty", "behind", "ends midway", "owner ends midway", "lossy"} {
-		t.Run(how, func(t *testing.T) {
+	for _, scenario := range []string{"empty", "behind", "restarts midway", "leader restarts midway", "lossy"} {
+		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
 			var worst int64
 			largest := 0
 			for seed := int64(1); seed <= max(seeds(), 2); seed++ {
 				d := newSnapshotDay(t, seed, 100)
 				node := d.liveVoters()[0]
-				if how == "behind" { // and a line behind, since it owned the slot
-					d.until(2_000_000, func() bool { node = d.slotOwner(); return node != nil })
+				if scenario == "behind" { // the node led the slot, so that it is also a term behind
+					d.until(2_000_000, func() bool { node = d.slotLeader(); return node != nil })
 				}
 				node.Kill()
-				if how != "behind" {
+				if scenario != "behind" {
 					node.loseDisk()
 				}
 				d.world.Run(d.world.now + 6_000_000)
 				node.Start()
 				bound := d.size.recoveryUS
-				switch how {
-				case "ends midway":
+				switch scenario {
+				case "restarts midway":
 					d.until(1_000_000, func() bool { return node.node != nil })
 					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
-					d.world.Notef("%s ends midway", node.Name)
+					d.world.Notef("%s loses power during the transfer", node.Name)
 					node.LosePower()
 					d.world.Run(d.world.now + 200_000)
 					node.Start()
 				case "lossy":
 					d.world.LossPermille, d.world.DuplicatePermille = 20, 200
-				case "owner ends midway":
+				case "leader restarts midway":
 					d.until(1_000_000, func() bool { return node.node != nil })
 					d.world.Run(d.world.now + d.world.Rng.Int63n(60_000))
-					if other := d.slotOwner(); other != nil && other != node {
-						other.Kill()
-						d.world.At(d.world.now+300_000, other.Start)
+					if leader := d.slotLeader(); leader != nil && leader != node {
+						leader.Kill()
+						d.world.At(d.world.now+300_000, leader.Start)
 					}
 				}
 				took, ok := d.until(bound, func() bool { return d.caughtUp(node) })
 				if len(d.world.violations) > 0 || !ok {
 					voterSet, _ := d.currentVoters()
-					t.Fatalf("seed %d: not caught up in %d us, votes %v, largest message %d bytes, %d changes: %v", seed, took, node.isMemberOf(voterSet), d.largest, d.changes, d.world.violations)
+					t.Fatalf("seed %d: not caught up in %d us, voter %v, largest message %d bytes, %d changes: %v", seed, took, node.isMemberOf(voterSet), d.largest, d.changes, d.world.violations)
 				}
-				if was := d.differs(node); was != "" {
-					t.Fatalf("seed %d: it holds something else than the owner: %s", seed, was)
+				if difference := d.differs(node); difference != "" {
+					t.Fatalf("seed %d: the node differs from the leader: %s", seed, difference)
 				}
 				if d.largest > frameBound {
 					t.Fatalf("seed %d: a message of %d bytes was sent", seed, d.largest)
 				}
 				if d.changes < 300 {
-					t.Fatalf("seed %d: %d changes: too little to prove anything", seed, d.changes)
+					t.Fatalf("seed %d: %d changes: too little activity for a meaningful result", seed, d.changes)
 				}
 				worst, largest = max(worst, took), max(largest, d.largest)
 			}
-			t.Logf("holds everything after %.2f s at worst, largest message %d bytes", float64(worst)/1e6, largest)
+			t.Logf("caught up after %.2f s at worst, largest message %d bytes", float64(worst)/1e6, largest)
 		})
 	}
 }
--- a/sim/soak_test.go
+++ b/sim/soak_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// TestSoak runs many seeds when VT_SEEDS names how many, from VT_FROM on; CI
-// does not.
+// TestSoak runs as many seeds as VT_SEEDS says, starting after VT_FROM. CI does not run it.
 func TestSoak(t *testing.T) {
 	n := seeds()
 	from := seedsFrom()
@@ -19,9 +18,9 @@
 		t.Run("fleet/"+string(d), func(t *testing.T) {
 			t.Parallel()
 			var sum Tally
-			var back int64
+			var recovery int64
 			for s := from + 1; s <= from+n; s++ {
-				result := RunFleet(s, d, soakLong(d), small)
+				result := RunFleet(s, d, soakDurationUS(d), smallFleet)
 				if len(result.Violations) > 0 {
 					t.Errorf("seed %d: %v", s, result.Violations)
 					t.Log(strings.Join(result.Notes[max(0, len(result.Notes)-40):], "\n"))
@@ -29,9 +28,9 @@
 				}
 				sum.Sent, sum.Done, sum.Rejected = sum.Sent+result.Sent, sum.Done+result.Done, sum.Rejected+result.Rejected
 				sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS = max(sum.SlowestRevocationUS, result.SlowestRevocationUS), max(sum.SlowestDrainUS, result.SlowestDrainUS), max(sum.SlowestWeightUpdateUS, result.SlowestWeightUpdateUS)
-				back = max(back, result.RecoveryUS)
+				recovery = max(recovery, result.RecoveryUS)
 			}
-			t.Logf("%d seeds: sent %d done %d refused %d; slowest return %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Rejected, back, sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS)
+			t.Logf("%d seeds: sent %d, done %d, rejected %d; slowest recovery %d, key %d, leaving %d, weights %d us", n, sum.Sent, sum.Done, sum.Rejected, recovery, sum.SlowestRevocationUS, sum.SlowestDrainUS, sum.SlowestWeightUpdateUS)
 		})
 	}
 	for _, fault := range ClusterFaults {
@@ -49,26 +48,27 @@
 				joined, slowest = joined+d.Joins, max(slowest, d.SlowestJoinUS)
 				worst, acks, terms, steps, late = max(worst, d.RecoveryUS), acks+d.Acknowledged, terms+d.LeaseTerms, steps+d.Replacements, late+d.LateClaims
 			}
-			t.Logf("%d seeds: %d acknowledged, %d duty terms, %d roster steps, %d claims of closed eras, %d joined, slowest after %d us, slowest return %d us", n, acks, terms, steps, late, joined, slowest, worst)
+			t.Logf("%d seeds: %d acknowledged, %d lease terms, %d replacements, %d claims of closed generations, %d joined, slowest after %d us, slowest recovery %d us", n, acks, terms, steps, late, joined, slowest, worst)
 		})
 	}
 }
 
-// soakLong is how long a day is: the bound on weights is itself as long as most.
-func soakLong(day Day) int64 {
+// soakDurationUS returns the length of a day. Days of weights are longer, since the bound on a
+// weight update is itself about as long as other days.
+func soakDurationUS(day Day) int64 {
 	if day == DayWeights {
 		return 70_000_000
 	}
 	return 25_000_000
 }
 
-// seeds is how many VT_SEEDS asks for, 0 for the test's own few.
+// seeds returns the number of seeds in VT_SEEDS, 0 if the test is to use its own few.
 func seeds() int64 {
 	n, _ := strconv.ParseInt(os.Getenv("VT_SEEDS"), 10, 64)
 	return n
 }
 
-// seedsFrom is the seed after which VT_FROM asks to begin.
+// seedsFrom returns the seed after which to begin, from VT_FROM.
 func seedsFrom() int64 {
 	n, _ := strconv.ParseInt(os.Getenv("VT_FROM"), 10, 64)
 	return n
