--- a/internal/standin/backend/backend.go
+++ b/internal/standin/backend/backend.go
@@ -1,8 +1,9 @@
-// Package backend is a stand-in for the small application behind the plain entries. It
-// answers every path, and counts the requests by method, path and request id, so that a judge
-// outside the fleet sees a request that was sent twice.
+// Package backend simulates the application behind a plan's routes (paths that a proxy
+// forwards to an HTTP server instead of an engine). It answers every path, and counts the
+// requests by method, path and request id, so that a test outside the fleet can detect a
+// request that was forwarded twice.
 //
-// NewDaemon may be called from any goroutine; handlers run concurrently.
+// NewDaemon is safe for concurrent use, and so are the handlers.
 package backend
 
 import (
@@ -16,23 +17,25 @@
 )
 
 const (
-	maxBodyBytes    = 1 << 20 // read of a request; what is beyond is left unread
-	requestIDHeader = "X-Ticket-Id"
-	breaksSuffix    = "/breaks" // of paths whose connection breaks off
+	maxBodyBytes      = 1 << 20 // bytes read of a request's body; the rest is left unread
+	requestIDHeader   = "X-Ticket-Id"
+	abortedPathSuffix = "/breaks" // a request for a path with this suffix has its connection closed without a response
 )
 
-// Settings of the stand-in back end.
+// Settings of the simulated back end.
 type Settings struct{ daemon.NodeSettings }
 
-// Defaults are the settings of a back end that stops at once.
+// Defaults returns settings with a drain time of 0: the back end stops without waiting for
+// requests in progress.
 func Defaults() Settings { return Settings{daemon.NodeSettings{}} }
 
 type backend struct {
 	mu       sync.Mutex
-	requests map[string]int // method, path and request id
+	requests map[string]int // number of requests by "METHOD PATH ID"
 }
 
-// NewDaemon makes a stand-in that serves once it is run. The error is always nil.
+// NewDaemon creates a back end that starts serving when its Run is called. The error is
+// always nil.
 func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	d := daemon.New("backend", settings.Name, settings.HTTPAddr, settings.DrainUS)
 	b := &backend{requests: map[string]int{}}
@@ -53,8 +56,8 @@
 	b.mu.Lock()
 	b.requests[fmt.Sprintf("%s %s %s", request.Method, request.URL.Path, request.Header.Get(requestIDHeader))]++
 	b.mu.Unlock()
-	if strings.HasSuffix(request.URL.Path, breaksSuffix) {
-		panic(http.ErrAbortHandler) // net/http closes the connection and logs nothing
+	if strings.HasSuffix(request.URL.Path, abortedPathSuffix) {
+		panic(http.ErrAbortHandler) // makes net/http close the connection without logging a panic
 	}
 	daemon.WriteJSON(w, http.StatusOK, map[string]any{"method": request.Method, "path": request.URL.Path, "bytes": len(body)})
 }
--- a/internal/standin/backend/backend_test.go
+++ b/internal/standin/backend/backend_test.go
@@ -12,13 +12,13 @@
 	b := &backend{requests: map[string]int{}}
 	for _, c := range []struct {
 		name, method, path, id, body string
-		want                         string // the answer; empty when the connection breaks off
+		want                         string // the response body; empty if the connection is aborted
 	}{
 		{"first", http.MethodPost, "/app/x", "r1", "four", `{"bytes":4,"method":"POST","path":"/app/x"}`},
 		{"again", http.MethodPost, "/app/x", "r1", "four", `{"bytes":4,"method":"POST","path":"/app/x"}`},
 		{"other request", http.MethodPost, "/app/x", "r2", "", `{"bytes":0,"method":"POST","path":"/app/x"}`},
 		{"without an id", http.MethodGet, "/app/y", "", "", `{"bytes":0,"method":"GET","path":"/app/y"}`},
-		{"breaks off", http.MethodPost, "/app/breaks", "r3", "", ""},
+		{"connection aborted", http.MethodPost, "/app/breaks", "r3", "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			request := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
@@ -31,7 +31,7 @@
 			}()
 			b.serve(w, request)
 			if got := strings.TrimSpace(w.Body.String()); got != c.want {
-				t.Errorf("answer %s, want %s", got, c.want)
+				t.Errorf("response %s, want %s", got, c.want)
 			}
 		})
 	}
