--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -1,6 +1,6 @@
-// Package platform is a stand-in for what runs the machines: it lists the engines and the
-// store (docs/engine-protocol.md), takes in what becomes of an engine at /v1/mark, which
-// trials use to take engines away, and asks nodes whether they are ready.
+// Package platform simulates the platform that runs the machines: it serves the list of
+// engines and of the store (docs/engine-protocol.md), accepts changes of that list at
+// /v1/mark, which trials use to drain and remove engines, and polls the readiness of nodes.
 //
-// NewDaemon may be called from any goroutine; handlers run concurrently.
+// NewDaemon is safe for concurrent use, and so are the handlers.
 package platform
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	readinessPeriodUS  = 500_000 // between two questions to all nodes
-	readinessTimeoutUS = 300_000 // for one node's answer
+	readinessPeriodUS  = 500_000 // between two polls of all nodes
+	readinessTimeoutUS = 300_000 // for one node's response
 )
 
 type platform struct {
 	client *engineapi.Client
-	nodes  []string // that are asked for readiness
+	nodes  []string // addresses of the nodes whose readiness is polled
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	engines []engineapi.ListedEngine
-	ready   map[string]bool // by node, as it last answered
+	ready   map[string]bool // by node address: result of the last poll
 }
 
-// NewDaemon makes a stand-in that serves once it is run. It fails when an engine is not written as
-// Settings has it.
+// NewDaemon creates a platform that starts serving when its Run is called. It returns an error
+// if an engine or the store in the settings does not have the form name=IP:port@site.
 func NewDaemon(settings Settings) (*daemon.Daemon, error) {
-	engines, err := settings.list()
+	engines, err := settings.initialEngines()
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 	return d, nil
 }
 
-// checkReadiness asks the nodes one after the other.
+// checkReadiness polls the nodes one after the other.
 func (p *platform) checkReadiness(ctx context.Context) {
 	for _, node := range p.nodes {
 		ready := p.client.Get(ctx, node, "/readyz", readinessTimeoutUS, nil) == nil
@@ -67,12 +67,12 @@
 	daemon.WriteJSON(w, http.StatusOK, engineapi.EngineList{Engines: p.engines})
 }
 
-// EngineUpdate is the body of POST /v1/mark: what became of an engine.
+// EngineUpdate is the body of POST /v1/mark: a change to one listed engine, or a new engine.
 type EngineUpdate struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving"`
-	Gone    bool   `json:"gone"` // it is taken off the list
-	Addr    string `json:"addr"` // IP:port; an engine that is not listed is added
+	Gone    bool   `json:"gone"` // the engine is removed from the list
+	Addr    string `json:"addr"` // IP:port; an engine that is not listed yet is added if this is set
 	Zone    string `json:"site"`
 }
 
@@ -88,7 +88,7 @@
 	daemon.WriteJSON(w, http.StatusOK, engineapi.EngineList{Engines: p.engines})
 }
 
-// apply returns the list with the update; the list itself stays as it is.
+// apply returns a new list with the update applied; engines is not modified.
 func (u EngineUpdate) apply(engines []engineapi.ListedEngine) (updated []engineapi.ListedEngine) {
 	found := false
 	for _, engine := range engines {
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -10,7 +10,7 @@
 	"violetthread/internal/engineapi"
 )
 
-func TestSettingsList(t *testing.T) {
+func TestInitialEngines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		settings Settings
@@ -26,7 +26,7 @@
 		{"store without a zone", Settings{Store: "s=127.0.0.1:3"}, nil, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := c.settings.list()
+			got, err := c.settings.initialEngines()
 			if !reflect.DeepEqual(got, c.want) || (err != nil) != c.invalid {
 				t.Errorf("%v, %v", got, err)
 			}
@@ -43,9 +43,9 @@
 		{"moved", `{"name":"e1","addr":"a:9","site":"south"}`, strings.Replace(strings.Replace(list, "a:1", "a:9", 1), "north", "south", 1)},
 		{"gone", `{"name":"e1","gone":true}`, `{"engines":[{"name":"s","addr":"a:3","site":"north","kind":"store","leaving":false}]}`},
 		{"added", `{"name":"e2","addr":"a:2","site":"south"}`, strings.TrimSuffix(list, "]}") + `,{"name":"e2","addr":"a:2","site":"south","kind":"engine","leaving":false}]}`},
-		{"not listed and without an address", `{"name":"e2","leaving":true}`, list},
+		{"unknown engine without an address", `{"name":"e2","leaving":true}`, list},
 		{"no name", `{"leaving":true}`, ""},
-		{"no JSON", `e1`, ""},
+		{"invalid JSON", `e1`, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := &platform{engines: []engineapi.ListedEngine{{Name: "e1", Addr: "a:1", Zone: "north", Kind: "engine"}, {Name: "s", Addr: "a:3", Zone: "north", Kind: "store"}}}
--- a/internal/standin/platform/settings.go
+++ b/internal/standin/platform/settings.go
@@ -9,28 +9,29 @@
 	"violetthread/internal/engineapi"
 )
 
-// Kinds of listed engines, as the protocol writes them.
+// Values of ListedEngine.Kind in the protocol.
 const (
 	kindEngine = "engine"
 	kindStore  = "store"
 )
 
-// Settings of the stand-in platform.
+// Settings of the simulated platform.
 type Settings struct {
 	daemon.NodeSettings
-	// Engines are listed in this order at the start.
+	// Engines is the initial list of engines, in this order.
 	Engines []string `json:"engines" help:"name=IP:port@site of each engine, with commas"`
-	// Store is listed after the engines; empty lists none.
+	// Store is listed after the engines. If it is empty there is no store.
 	Store string `json:"store" help:"name=IP:port@site of the store"`
-	// Nodes are asked whether they are ready; /v1/ready shows their answers.
+	// Nodes are polled for readiness; /v1/ready serves the results.
 	Nodes []string `json:"nodes" help:"IP:port of the HTTP side of each node to ask for readiness"`
 }
 
-// Defaults are the settings of a platform that lists nothing and stops at once.
+// Defaults returns the settings of a platform that lists no engines and stops without waiting
+// for requests in progress.
 func Defaults() Settings { return Settings{NodeSettings: daemon.NodeSettings{DrainUS: 0}} }
 
-// list is what the platform lists at the start.
-func (s Settings) list() (engines []engineapi.ListedEngine, err error) {
+// initialEngines parses the list of engines that the platform starts with, the store last.
+func (s Settings) initialEngines() (engines []engineapi.ListedEngine, err error) {
 	for _, text := range s.Engines {
 		engine, err := parseEngine(text, kindEngine)
 		if err != nil {
@@ -48,12 +49,12 @@
 	return append(engines, store), nil
 }
 
-// parseEngine reads name=IP:port@zone.
+// parseEngine parses name=IP:port@site; the site is the zone.
 func parseEngine(text, kind string) (engineapi.ListedEngine, error) {
 	name, location, hasLocation := strings.Cut(text, "=")
 	addr, zone, hasZone := strings.Cut(location, "@")
 	if !hasLocation || !hasZone {
-		return engineapi.ListedEngine{}, trace.BadParameter("%q is not name=IP:port@site; write it so", text)
+		return engineapi.ListedEngine{}, trace.BadParameter("invalid engine %q: expected name=IP:port@site", text)
 	}
 	return engineapi.ListedEngine{Name: name, Addr: addr, Zone: zone, Kind: kind}, nil
 }
