--- a/internal/standin/probe/cpu.go
+++ b/internal/standin/probe/cpu.go
@@ -10,18 +10,18 @@
 	"github.com/gravitational/trace"
 )
 
-// Fields of /proc/PID/stat after the command's name (proc_pid_stat(5): utime is the 14th of
-// all, stime the 15th).
+// Indexes of fields of /proc/PID/stat, counted from the first one after the command's name
+// (proc_pid_stat(5): utime is field 14, stime field 15).
 const (
-	statUserTime   = 11
-	statSystemTime = 12
+	userTimeField   = 11
+	systemTimeField = 12
 )
 
-// clockTickUS is what USER_HZ comes to on Linux: a hundredth of a second.
+// clockTickUS is the length of a clock tick: USER_HZ is 100 on Linux.
 const clockTickUS = 10_000
 
-// CPUProbe prints the processor time that processes have used; the difference of two runs is
-// what they used in between.
+// CPUProbe prints the CPU time that processes have used so far; the difference between two
+// readings is the time used in between.
 type CPUProbe struct {
 	PIDs []string `json:"pids" validate:"required,min=1" help:"process ids, with commas"`
 }
@@ -32,9 +32,9 @@
 	for _, pid := range p.PIDs {
 		stat, err := os.ReadFile("/proc/" + pid + "/stat")
 		if err != nil {
-			return trace.NotFound("process %s is not there", pid)
+			return trace.NotFound("no process with id %s", pid)
 		}
-		us, err := parseProcessTime(stat)
+		us, err := parseCPUTime(stat)
 		if err != nil {
 			return err
 		}
@@ -44,12 +44,13 @@
 	return nil
 }
 
-// parseProcessTime reads a process's user and system time, in microseconds. The command's
-// name may hold blanks and parentheses, so that fields are counted from the last one.
-func parseProcessTime(stat []byte) (us int64, err error) {
+// parseCPUTime returns a process's user plus system time, in microseconds. The command's name
+// is in parentheses and may itself contain blanks and parentheses, so fields are counted from
+// the last closing one.
+func parseCPUTime(stat []byte) (us int64, err error) {
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+2:]))
 	var user, system int64
-	if _, err := fmt.Sscan(fields[statUserTime]+" "+fields[statSystemTime], &user, &system); err != nil {
+	if _, err := fmt.Sscan(fields[userTimeField]+" "+fields[systemTimeField], &user, &system); err != nil {
 		return 0, err
 	}
 	return (user + system) * clockTickUS, nil
--- a/internal/standin/probe/latency.go
+++ b/internal/standin/probe/latency.go
@@ -22,67 +22,69 @@
 
 const (
 	reportTimeoutUS  = 2_000_000
-	directDueUS      = 5_000_000
-	maxIdleConns     = 4     // kept to a proxy or engine
-	firstPieceSuffix = `#0"` // of the line with the first piece of a stand-in engine
+	directDeadlineUS = 5_000_000
+	maxIdleConns     = 4     // per proxy or engine
+	firstPieceSuffix = `#0"` // in the line with the first piece of a simulated engine
 	probeDomain      = "commons"
 )
 
-// LatencyProbe sends the same request directly to an engine, through a proxy, and through a
-// proxy under a once-only kind, which needs a claim.
+// LatencyProbe measures the time to the first piece of the same request sent directly to an
+// engine, through a proxy, and through a proxy with a once-only kind, which needs a claim.
 type LatencyProbe struct {
-	// Proxy is the gateway that requests go through.
+	// Proxy is the gateway that forwards the requests.
 	Proxy string `json:"proxy" validate:"required,ipport" help:"IP:port of a gateway"`
-	// Engine is asked directly, under fencing token 1: it rejects that once a fleet has used it.
+	// Engine is sent requests directly, with fencing token 1. An engine that a fleet has used
+	// rejects that token, so it must not be on the platform's list.
 	Engine string `json:"engine" validate:"required,ipport" help:"IP:port of an engine that is on nobody's list, named spare"`
-	// Group is a group of the example plans.
+	// Group is a group of the example plans; its key is derived from its name.
 	Group string `json:"group" validate:"required" help:"group whose example key is used"`
-	// Kind needs no claim.
+	// Kind is a kind that needs no claim.
 	Kind string `json:"kind" validate:"required" help:"a kind that is not once-only"`
-	// OnceOnlyKind needs a claim.
+	// OnceOnlyKind is a kind that needs a claim.
 	OnceOnlyKind string `json:"once" validate:"required" help:"a once-only kind with as many pieces"`
-	// Pairs is how often each of the three is sent.
+	// Pairs is the number of times that each of the three requests is sent.
 	Pairs int `json:"pairs" validate:"min=5,max=100000" help:"pairs to send"`
 }
 
-// LatencyDefaults are the defaults.
+// LatencyDefaults returns the default settings.
 func LatencyDefaults() LatencyProbe {
 	return LatencyProbe{Group: "dealing-desk", Kind: "plain", OnceOnlyKind: "instruction-tag", Pairs: 200}
 }
 
-// route is a way to an engine.
-type route int
+// path is how a request reaches an engine.
+type path int
 
 const (
-	routeDirect route = iota
-	routeProxy
-	routeProxyOnceOnly
-	routeCount
+	pathDirect path = iota
+	pathProxy
+	pathProxyOnceOnly
+	pathCount
 )
 
-// Run sends the requests, each route first as often as the others, and prints medians.
+// Run sends the requests and prints medians. Which path comes first rotates, so that the order
+// favors none.
 func (p LatencyProbe) Run(out io.Writer) error {
 	s, err := p.newSession()
 	if err != nil {
 		return err
 	}
-	var times [routeCount][]int64
-	var byProxy, byClaim []int64
+	var times [pathCount][]int64
+	var proxyOverhead, claimOverhead []int64
 	for i := range p.Pairs {
-		var us [routeCount]int64
-		for offset := range routeCount {
-			route := (offset + route(i)) % routeCount
-			if us[route], err = s.measure(route, i); err != nil {
+		var us [pathCount]int64
+		for offset := range pathCount {
+			measured := (offset + path(i)) % pathCount
+			if us[measured], err = s.measure(measured, i); err != nil {
 				return err
 			}
-			times[route] = append(times[route], us[route])
+			times[measured] = append(times[measured], us[measured])
 		}
-		byProxy = append(byProxy, us[routeProxy]-us[routeDirect])
-		byClaim = append(byClaim, us[routeProxyOnceOnly]-us[routeProxy])
+		proxyOverhead = append(proxyOverhead, us[pathProxy]-us[pathDirect])
+		claimOverhead = append(claimOverhead, us[pathProxyOnceOnly]-us[pathProxy])
 	}
 	fmt.Fprintf(out, "first piece, medians of %d: direct %d us, by proxy %d us, once-only by proxy %d us\n",
-		p.Pairs, median(times[routeDirect]), median(times[routeProxy]), median(times[routeProxyOnceOnly]))
-	fmt.Fprintf(out, "paired differences, medians: proxy adds %d us, a claim adds %d us\n", median(byProxy), median(byClaim))
+		p.Pairs, median(times[pathDirect]), median(times[pathProxy]), median(times[pathProxyOnceOnly]))
+	fmt.Fprintf(out, "paired differences, medians: proxy adds %d us, a claim adds %d us\n", median(proxyOverhead), median(claimOverhead))
 	return nil
 }
 
@@ -92,7 +94,7 @@
 	http    *http.Client
 	nodeID  uint64 // of the engine
 	weights string // of the engine
-	started int64  // makes request ids different from those of other runs
+	started int64  // part of the request ids, so that they differ from those of other sessions
 }
 
 func (p LatencyProbe) newSession() (*latencySession, error) {
@@ -109,10 +111,10 @@
 	}, nil
 }
 
-// measure sends request number i over a route and returns the time to its first piece.
-func (s *latencySession) measure(over route, i int) (us int64, err error) {
+// measure sends request number i over a path and returns the time to its first piece.
+func (s *latencySession) measure(over path, i int) (us int64, err error) {
 	prompt := fmt.Sprintf("probe %d", i)
-	if over == routeDirect {
+	if over == pathDirect {
 		return s.firstPiece("http://"+s.probe.Engine+"/v1/run", "", engineapi.RunRequest{
 			Attempt:      fmt.Sprint("probe", s.started, i),
 			RequestID:    fmt.Sprint("p", i),
@@ -123,11 +125,11 @@
 			FencingToken: 1,
 			NodeID:       s.nodeID,
 			Prompt:       prompt,
-			DueUS:        directDueUS,
+			DueUS:        directDeadlineUS,
 		})
 	}
 	kind := s.probe.Kind
-	if over == routeProxyOnceOnly {
+	if over == pathProxyOnceOnly {
 		kind = s.probe.OnceOnlyKind
 	}
 	return s.firstPiece("http://"+s.probe.Proxy+"/v1/tickets", callers.CallerKey(s.probe.Group), callerapi.Request{
@@ -137,7 +139,8 @@
 	})
 }
 
-// firstPiece sends a body, reads the whole answer, and returns the time to its first piece.
+// firstPiece sends a request with this body, reads the response to its end, and returns the
+// time to its first piece.
 func (s *latencySession) firstPiece(url, key string, body any) (us int64, err error) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -155,8 +158,8 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		answer, _ := io.ReadAll(response.Body)
-		return 0, trace.BadParameter("%s answered %d: %.200s", url, response.StatusCode, answer)
+		body, _ := io.ReadAll(response.Body)
+		return 0, trace.BadParameter("%s answered %d: %.200s", url, response.StatusCode, body)
 	}
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
@@ -170,7 +173,8 @@
 	return us, lines.Err()
 }
 
-// median of at least one value.
+// median returns the median, of an even number of values the upper one. There must be at least
+// one value.
 func median(values []int64) int64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
--- a/internal/standin/probe/probe_test.go
+++ b/internal/standin/probe/probe_test.go
@@ -18,7 +18,7 @@
 	"violetthread/internal/engineapi"
 )
 
-// serve runs a server and returns its address.
+// serve starts a test server and returns its address.
 func serve(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -34,7 +34,7 @@
 }
 
 func TestLatency(t *testing.T) {
-	var sent []string // routes in the order that they were taken
+	var sent []string // paths in the order that requests were sent
 	engine := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/report" {
 			_, _ = fmt.Fprint(w, `{"name":"spare","inc":"7","weights":"w5"}`)
@@ -131,7 +131,7 @@
 	}
 	form := regexp.MustCompile(`^plan changes: 3; acknowledged after a median of \d+ us, worst \d+ us; in force at all 1 proxies after a median of \d+ us, worst \d+ us\n$`)
 	if !form.MatchString(out.String()) || behind != 0 || !slices.Equal(patched, []int{0, 1, 0}) {
-		t.Errorf("printed %q, %d looks left, changes at %v", out.String(), behind, patched)
+		t.Errorf("printed %q, %d polls left, changes at %v", out.String(), behind, patched)
 	}
 }
 
@@ -145,9 +145,9 @@
 		{"rejected", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusConflict)
 			_, _ = fmt.Fprint(w, `{}`)
-		}, "the change was answered with 409"},
-		{"no JSON", func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "ok") }, "the change was answered with 200"},
-		{"no metric", accepting, "shows no violetthread_plan_rev"},
+		}, "plan change failed with status 409"},
+		{"invalid JSON", func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "ok") }, "plan change failed with status 200"},
+		{"no metric", accepting, "has no metric violetthread_plan_rev"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			probe := RolloutProbe{Controls: []string{serve(t, c.control)}, Proxies: []string{serve(t, accepting)}, Changes: 1}
@@ -158,13 +158,13 @@
 	}
 }
 
-func TestProcessTime(t *testing.T) {
+func TestCPUTime(t *testing.T) {
 	stat := "42 (a (b) c) S 1 2 3 4 5 6 7 8 9 10 250 50 0 0 20 0 1"
-	if us, err := parseProcessTime([]byte(stat)); err != nil || us != 3_000_000 {
+	if us, err := parseCPUTime([]byte(stat)); err != nil || us != 3_000_000 {
 		t.Errorf("%d us, %v", us, err)
 	}
-	if _, err := parseProcessTime([]byte(strings.Replace(stat, "250", "x", 1))); err == nil {
-		t.Error("a time that is no number was read")
+	if _, err := parseCPUTime([]byte(strings.Replace(stat, "250", "x", 1))); err == nil {
+		t.Error("no error for a time that is not a number")
 	}
 	var out bytes.Buffer
 	own := strconv.Itoa(os.Getpid())
@@ -175,7 +175,7 @@
 		t.Errorf("printed %q", out.String())
 	}
 	if err := (CPUProbe{PIDs: []string{"0"}}).Run(&out); err == nil {
-		t.Error("a process that is not there was measured")
+		t.Error("no error for a process that does not exist")
 	}
 }
 
--- a/internal/standin/probe/rollout.go
+++ b/internal/standin/probe/rollout.go
@@ -18,7 +18,7 @@
 
 const (
 	maxIdleConnsRollout = 32
-	revisionPollUS      = 2_000 // between two looks at a proxy's revision
+	revisionPollUS      = 2_000 // between two polls of a proxy's plan revision
 	planRevisionMetric  = "violetthread_plan_rev"
 	planPatchFormat     = `{"notes":{"rollout":%d}}`
 	planPath            = "/v1/plan"
@@ -28,19 +28,19 @@
 // RolloutProbe measures how long an acknowledged change of the plan takes to be in force at
 // all proxies.
 type RolloutProbe struct {
-	// Controls take the changes in turn.
+	// Controls are the control nodes that the changes are sent to, in turn.
 	Controls []string `json:"controls" old:"registrars" validate:"required,min=1,dive,ipport" help:"IP:port of control nodes' HTTP sides"`
-	// Proxies are the gateways that a change has to reach.
+	// Proxies are the gateways that must apply each change.
 	Proxies []string `json:"proxies" validate:"required,min=1,dive,ipport" help:"IP:port of the gateways"`
-	// Changes are made one after the other.
+	// Changes is the number of changes, made one after the other.
 	Changes int `json:"times" validate:"min=1,max=10000" help:"changes to make"`
 }
 
-// RolloutDefaults are the defaults.
+// RolloutDefaults returns the default settings.
 func RolloutDefaults() RolloutProbe { return RolloutProbe{Changes: 20} }
 
-// Run makes the changes, and prints the median and the worst time of the acknowledgement and
-// of what follows it.
+// Run makes the changes, and prints the median and maximum of the time to the acknowledgement
+// and of the time from then until the change is in force at all proxies.
 func (p RolloutProbe) Run(out io.Writer) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsRollout}}
 	var acknowledged, inForce []int64
@@ -53,7 +53,7 @@
 		done := clock.Now()
 		acknowledged = append(acknowledged, done-began)
 		for _, proxy := range p.Proxies {
-			if err := awaitRevision(client, proxy, revision); err != nil {
+			if err := waitForRevision(client, proxy, revision); err != nil {
 				return err
 			}
 		}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// changePlan changes a note of the plan and returns the revision that has it.
+// changePlan changes a note of the plan and returns the plan's new revision.
 func changePlan(client *http.Client, control string, note int64) (revision uint64, err error) {
 	request, err := http.NewRequest(http.MethodPatch, "http://"+control+planPath, strings.NewReader(fmt.Sprintf(planPatchFormat, note)))
 	if err != nil {
@@ -80,13 +80,13 @@
 	}
 	err = json.NewDecoder(response.Body).Decode(&answer)
 	if err != nil || response.StatusCode != http.StatusOK {
-		return 0, trace.BadParameter("the change was answered with %d", response.StatusCode)
+		return 0, trace.BadParameter("plan change failed with status %d", response.StatusCode)
 	}
 	return answer.Rev, nil
 }
 
-// awaitRevision asks a proxy again and again until it has a revision.
-func awaitRevision(client *http.Client, proxy string, revision uint64) error {
+// waitForRevision polls a proxy until its plan has at least this revision.
+func waitForRevision(client *http.Client, proxy string, revision uint64) error {
 	for {
 		current, err := planRevision(client, proxy)
 		if err != nil || current >= revision {
@@ -113,5 +113,5 @@
 		_, err := fmt.Sscan(text, &revision)
 		return uint64(revision), err
 	}
-	return 0, trace.NotFound("%s shows no %s", proxy, planRevisionMetric)
+	return 0, trace.NotFound("%s has no metric %s", proxy, planRevisionMetric)
 }
