--- a/internal/standin/callers/callers_test.go
+++ b/internal/standin/callers/callers_test.go
@@ -22,7 +22,8 @@
 	return &loadGenerator{settings: settings, http: http.DefaultClient}
 }
 
-// serve runs a server that answers everything alike, and returns its address.
+// serve starts a test server that sends the same response to every request, and returns its
+// address.
 func serve(t *testing.T, status int, body string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -50,22 +51,22 @@
 		generation                 uint64
 	}{
 		{"done", 200, `{"frame":"accepted","era":5}` + "\n" + piece0 + piece1 + piece2 + done3, false, "done", "", "", 5},
-		{"hangs up", 200, piece0 + piece1 + piece2 + done3, true, "", "hung-up", "", 0},
-		{"breaks off", 200, piece0 + piece1, false, "", "", "", 0},
-		{"a piece is missing", 200, piece0 + piece2 + done3, false, "done", "", "done after 2 pieces", 0},
-		{"stitched", 200, piece0 + strings.Replace(piece1, "a1", "a2", 1), false, "", "", "stitched: piece 1 of a2#1 after 1 of a1", 0},
-		{"pieces out of order", 200, piece1, false, "", "", "stitched: piece 1 of a1#1 after 0 of a1", 0},
+		{"caller disconnects", 200, piece0 + piece1 + piece2 + done3, true, "", "hung-up", "", 0},
+		{"response cut short", 200, piece0 + piece1, false, "", "", "", 0},
+		{"missing piece", 200, piece0 + piece2 + done3, false, "done", "", "done after 2 pieces", 0},
+		{"stitched", 200, piece0 + strings.Replace(piece1, "a1", "a2", 1), false, "", "", "pieces of two attempts or out of order: piece 1 is a2#1 after 1 pieces of a1", 0},
+		{"pieces out of order", 200, piece1, false, "", "", "pieces of two attempts or out of order: piece 1 is a1#1 after 0 pieces of a1", 0},
 		{"too few pieces", 200, piece0 + `{"frame":"done","pieces":1}`, false, "done", "", "done after 1 pieces", 0},
-		{"another count", 200, piece0 + piece1 + piece2 + `{"frame":"done","pieces":4}`, false, "done", "", "done after 3 pieces", 0},
+		{"other piece count", 200, piece0 + piece1 + piece2 + `{"frame":"done","pieces":4}`, false, "done", "", "done after 3 pieces", 0},
 		{"refused", 200, `{"frame":"refused","reason":"late","remedy":"send it earlier"}`, false, "refused", "late", "", 0},
 		{"unknown", 200, piece0 + `{"frame":"unknown","reason":"lost","remedy":"ask"}`, false, "unknown", "lost", "", 0},
-		{"refused without a remedy", 200, `{"frame":"refused","reason":"late"}`, false, "refused", "late", "no remedy with late", 0},
-		{"a frame after the last", 200, piece0 + piece1 + piece2 + done3 + piece0, false, "done", "", "a frame after the last one: " + strings.TrimSpace(piece0), 0},
-		{"no JSON", 200, "piece", false, "", "", "no JSON: piece", 0},
-		{"frame of no kind", 200, `{"frame":"new"}`, false, "", "", "frame of no known kind: new", 0},
+		{"refused without a remedy", 200, `{"frame":"refused","reason":"late"}`, false, "refused", "late", "no remedy for late", 0},
+		{"frame after the last", 200, piece0 + piece1 + piece2 + done3 + piece0, false, "done", "", "frame after the last one: " + strings.TrimSpace(piece0), 0},
+		{"invalid JSON", 200, "piece", false, "", "", "invalid JSON: piece", 0},
+		{"unknown frame", 200, `{"frame":"new"}`, false, "", "", "unknown frame: new", 0},
 		{"rejected", 429, `{"frame":"refused","reason":"busy","remedy":"wait","era":9}`, false, "refused", "busy", "", 9},
-		{"rejected without a remedy", 429, `{"frame":"refused","reason":"busy"}`, false, "refused", "busy", `status 429 without a typed reason: {"frame":"refused","reason":"busy"}`, 0},
-		{"rejected without JSON", 500, "oops", false, "", "", "status 500 without a typed reason: oops", 0},
+		{"rejected without a remedy", 429, `{"frame":"refused","reason":"busy"}`, false, "refused", "busy", `status 429 without a valid rejection frame: {"frame":"refused","reason":"busy"}`, 0},
+		{"rejected without JSON", 500, "oops", false, "", "", "status 500 without a valid rejection frame: oops", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newTestGenerator(Settings{})
@@ -84,7 +85,7 @@
 	}
 }
 
-// TestRequest: what a proxy is sent.
+// TestRequest checks the HTTP request that a proxy receives.
 func TestRequest(t *testing.T) {
 	var got client.Ticket
 	var authorization, path string
@@ -122,9 +123,9 @@
 		{"served", func(t *testing.T) string { return serve(t, 200, done) }, false, false, "done", ""},
 		{"unavailable", func(t *testing.T) string { return serve(t, 503, unavailable) }, false, true, "done", ""},
 		{"refuses connections", func(*testing.T) string { return closed.Listener.Addr().String() }, false, true, "done", ""},
-		{"rejected otherwise", func(t *testing.T) string { return serve(t, 429, unavailable) }, false, false, "refused", "draining"},
+		{"rejected with another status", func(t *testing.T) string { return serve(t, 429, unavailable) }, false, false, "refused", "draining"},
 		{"no other proxy", func(t *testing.T) string { return serve(t, 503, unavailable) }, true, false, "refused", "draining"},
-		{"nobody there, no other proxy", func(*testing.T) string { return closed.Listener.Addr().String() }, true, false, "", "nobody-there"},
+		{"refuses connections, no other proxy", func(*testing.T) string { return closed.Listener.Addr().String() }, true, false, "", "nobody-there"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newTestGenerator(Settings{Proxies: []string{c.first(t)}})
@@ -175,12 +176,12 @@
 		{"once-only ran twice", Settings{}, []Result{once}, runs("r1", "r1"), []string{"g/r1 ran 2 times"}},
 		{"once-only done twice", Settings{}, []Result{once, once}, runs("r1"), []string{"g/r1 was done 2 times"}},
 		{"rejected", Settings{}, []Result{rejected}, runs(), []string{}},
-		{"rejected and ran", Settings{}, []Result{rejected}, runs("r1"), []string{"g/r1 was refused and ran"}},
+		{"rejected but ran", Settings{}, []Result{rejected}, runs("r1"), []string{"g/r1 was refused but ran"}},
 		{"rejected, resent and ran", Settings{}, []Result{rejected, done}, runs("r1"), []string{}},
-		{"done without a run", Settings{}, []Result{done}, runs("r2"), []string{"g/r1 was done and no engine ran it"}},
+		{"done without a run", Settings{}, []Result{done}, runs("r2"), []string{"g/r1 was done but no engine ran it"}},
 		{"done without a run, under faults", Settings{Faults: true}, []Result{done}, runs("r2"), []string{}},
 		{"violation", Settings{}, []Result{{Group: "g", ID: "r1", Violation: "stitched"}}, runs(), []string{"g/r1: stitched"}},
-		{"mixed blocks and stale owners", Settings{}, nil, engine.Observations{Name: "e1", MixedBlocks: []string{"m"}, StaleOwners: []string{"s"}}, []string{"mixed cache at e1: m", "two owners at e1: s"}},
+		{"invalid reuse and stale tokens", Settings{}, nil, engine.Observations{Name: "e1", InvalidReuse: []string{"m"}, StaleTokenRequests: []string{"s"}}, []string{"invalid cache reuse at e1: m", "stale fencing token at e1: s"}},
 		{"enough done", Settings{MinDonePermille: 500}, []Result{done, rejectedAs("r2")}, runs("r1"), []string{}},
 		{"too few done", Settings{MinDonePermille: 501}, []Result{done, rejectedAs("r2")}, runs("r1"), []string{"only 1 of 2 done"}},
 	} {
@@ -205,7 +206,7 @@
 
 func rejectedAs(id string) Result { return Result{Group: "g", ID: id, Outcome: "refused"} }
 
-func TestReportOfSilentEngines(t *testing.T) {
+func TestReportWithUnreachableEngines(t *testing.T) {
 	for _, faults := range []bool{false, true} {
 		g := newTestGenerator(Settings{Faults: faults, Engines: []string{serve(t, 500, "")}})
 		if _, err := g.report(); (err == nil) != faults {
@@ -214,8 +215,9 @@
 	}
 }
 
-// TestPrintedReport: scripts read the report's lines and its file.
-func TestPrintedReport(t *testing.T) {
+// TestReportOutput pins the form of the printed report and of the report's file, which scripts
+// read.
+func TestReportOutput(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	g := newTestGenerator(Settings{Scenario: "selat", Report: path, Faults: true})
 	for i, result := range []Result{
@@ -224,7 +226,7 @@
 		{Group: "research", Outcome: "refused", Reason: "late", TotalUS: 50_000, DueUS: 80_000},
 		{Group: "research", Outcome: "refused", Reason: "busy", TotalUS: 1_000, DueUS: 80_000},
 		{Group: "research", Outcome: "unknown", Reason: "lost", DueUS: 80_000},
-		{Group: "research", Reason: "hung-up", DueUS: 80_000, Violation: "no JSON: x"},
+		{Group: "research", Reason: "hung-up", DueUS: 80_000, Violation: "invalid JSON: x"},
 	} {
 		result.ID = fmt.Sprint("r", i)
 		g.results = append(g.results, result)
@@ -241,20 +243,20 @@
 refused           2
 unknown           1
 incomplete        1
-moved on at door  1
+failed over       1
 first piece       p50 20ms  p90 20ms  p99 20ms
-whole answer      p50 90ms  p90 90ms  p99 90ms
+total time        p50 90ms  p90 90ms  p99 90ms
 worst lateness    10ms
 late refusals     1
 runs              0
-parts reused      0 of 0 (0 taken from peers)
+blocks reused     0 of 0 (0 transferred from peers)
 reason            busy                 1
 reason            hung-up              1
 reason            late                 1
 reason            lost                 1
 group             mandates         done 2, refused 0, unknown 0, incomplete 0
 group             research         done 0, refused 2, unknown 1, incomplete 1
-BROKEN            research/r5: no JSON: x
+BROKEN            research/r5: invalid JSON: x
 `
 	if out.String() != want {
 		t.Errorf("printed\n%s", out.String())
@@ -266,14 +268,14 @@
 	const wantFile = `{"scenario":"selat","sent":6,"done":2,"refused":2,"unknown":1,"incomplete":1,"moved_to_another_proxy":1,` +
 		`"reasons":{"busy":1,"hung-up":1,"late":1,"lost":1},"worst_lateness_us":10000,"refused_after_half_the_due":1,` +
 		`"first_piece_us_p50_p90_p99":[20000,20000,20000],"total_us_p50_p90_p99":[90000,90000,90000],"runs":0,"parts":0,"parts_reused":0,"parts_taken_from_peers":0,` +
-		`"groups":{"mandates":{"done":2},"research":{"incomplete":1,"refused":2,"unknown":1}},"broken":["research/r5: no JSON: x"]}`
+		`"groups":{"mandates":{"done":2},"research":{"incomplete":1,"refused":2,"unknown":1}},"broken":["research/r5: invalid JSON: x"]}`
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, text); err != nil || compact.String() != wantFile {
 		t.Errorf("file %s, %v", compact.String(), err)
 	}
 	out.Reset()
 	(&Report{}).Print(&out)
-	if !strings.HasSuffix(out.String(), "\nno must-never was broken\n") {
-		t.Errorf("a clean report ends with %q", out.String())
+	if !strings.HasSuffix(out.String(), "\nno violations found\n") {
+		t.Errorf("a report without violations ends with %q", out.String())
 	}
 }
--- a/internal/standin/callers/checker.go
+++ b/internal/standin/callers/checker.go
@@ -12,41 +12,42 @@
 	"violetthread/internal/standin/engine"
 )
 
-// observationTimeoutUS bounds asking one engine what it ran.
-const observationTimeoutUS = 5_000_000
+// fetchTimeoutUS bounds the request for one engine's observations.
+const fetchTimeoutUS = 5_000_000
 
-// judge compares callers' answers with engines' counts.
-type judge struct {
+// checker compares the results of callers with the runs that engines observed, and fills in
+// the report.
+type checker struct {
 	settings   Settings
 	report     *Report
-	runs       map[string]int      // by group and request id
-	byID       map[string][]Result // by group and request id
-	firstPiece []int64             // of requests that were done
-	total      []int64             // of requests that were done
+	runs       map[string]int      // number of runs by GROUP/ID of the request
+	byID       map[string][]Result // by GROUP/ID of the request
+	firstPiece []int64             // times of requests that were done
+	total      []int64             // times of requests that were done
 }
 
-// report judges the load and writes the report's file.
+// report checks the results of the load, and writes the report to its file if one is set.
 func (g *loadGenerator) report() (*Report, error) {
-	j := &judge{
+	c := &checker{
 		settings: g.settings,
 		report:   &Report{Scenario: g.settings.Scenario, Reasons: map[string]int{}, Groups: map[string]map[string]int{}, Violations: []string{}},
 		runs:     map[string]int{},
 		byID:     map[string][]Result{},
 	}
-	if err := j.askEngines(); err != nil {
+	if err := c.fetchObservations(); err != nil {
 		return nil, err
 	}
 	for _, result := range g.results {
-		j.count(result)
+		c.count(result)
 	}
-	report := j.report
-	report.FirstPieceUS, report.TotalUS = percentiles(j.firstPiece), percentiles(j.total)
-	for id, results := range j.byID {
-		j.compare(id, results)
+	report := c.report
+	report.FirstPieceUS, report.TotalUS = percentiles(c.firstPiece), percentiles(c.total)
+	for id, results := range c.byID {
+		c.checkRequest(id, results)
 	}
 	sort.Strings(report.Violations)
 	if minimum := g.settings.MinDonePermille; minimum > 0 && int64(report.Done)*1000 < minimum*int64(report.Sent) {
-		j.violation("only %d of %d done", report.Done, report.Sent)
+		c.violation("only %d of %d done", report.Done, report.Sent)
 	}
 	if g.settings.Report == "" {
 		return report, nil
@@ -57,66 +58,66 @@
 	return report, nil
 }
 
-func (j *judge) violation(format string, values ...any) {
-	j.report.Violations = append(j.report.Violations, fmt.Sprintf(format, values...))
+func (c *checker) violation(format string, values ...any) {
+	c.report.Violations = append(c.report.Violations, fmt.Sprintf(format, values...))
 }
 
-func (j *judge) askEngines() error {
+func (c *checker) fetchObservations() error {
 	engines := engineapi.NewClient()
-	for _, addr := range j.settings.Engines {
+	for _, addr := range c.settings.Engines {
 		var observed engine.Observations
-		err := engines.Get(context.Background(), addr, "/v1/seen", observationTimeoutUS, &observed)
+		err := engines.Get(context.Background(), addr, "/v1/seen", fetchTimeoutUS, &observed)
 		switch {
 		case err == nil:
-			j.addEngine(observed)
-		case !j.settings.Faults:
-			return trace.Wrap(err, "an engine does not tell what ran; give --faults true if that is meant")
+			c.addObservations(observed)
+		case !c.settings.Faults:
+			return trace.Wrap(err, "an engine did not return its observed runs; use --faults true if engines are killed on purpose")
 		}
 	}
 	return nil
 }
 
-func (j *judge) addEngine(observed engine.Observations) {
+func (c *checker) addObservations(observed engine.Observations) {
 	for _, run := range observed.Runs {
-		j.runs[run.Group+"/"+run.RequestID]++
-		j.report.Runs++
-		j.report.Blocks += run.Blocks
-		j.report.ReusedBlocks += run.Reused
-		j.report.TransferredBlocks += run.Transferred
+		c.runs[run.Group+"/"+run.RequestID]++
+		c.report.Runs++
+		c.report.Blocks += run.Blocks
+		c.report.ReusedBlocks += run.Reused
+		c.report.TransferredBlocks += run.Transferred
 	}
-	for _, mixed := range observed.MixedBlocks {
-		j.violation("mixed cache at %s: %s", observed.Name, mixed)
+	for _, reuse := range observed.InvalidReuse {
+		c.violation("invalid cache reuse at %s: %s", observed.Name, reuse)
 	}
-	for _, owner := range observed.StaleOwners {
-		j.violation("two owners at %s: %s", observed.Name, owner)
+	for _, request := range observed.StaleTokenRequests {
+		c.violation("stale fencing token at %s: %s", observed.Name, request)
 	}
 }
 
 // count adds one result to the report.
-func (j *judge) count(result Result) {
-	report := j.report
+func (c *checker) count(result Result) {
+	report := c.report
 	report.Sent++
 	if result.FailedOver {
 		report.FailedOver++
 	}
 	id := result.Group + "/" + result.ID
-	j.byID[id] = append(j.byID[id], result)
-	j.countOutcome(result)
+	c.byID[id] = append(c.byID[id], result)
+	c.countOutcome(result)
 	if result.Outcome != outcomeDone {
 		report.Reasons[result.Reason]++
 	}
 	report.WorstLatenessUS = max(report.WorstLatenessUS, result.TotalUS-result.DueUS)
 	if result.Violation != "" {
-		j.violation("%s: %s", id, result.Violation)
+		c.violation("%s: %s", id, result.Violation)
 	}
 }
 
-func (j *judge) countOutcome(result Result) {
-	report := j.report
+func (c *checker) countOutcome(result Result) {
+	report := c.report
 	switch result.Outcome {
 	case outcomeDone:
 		report.Done++
-		j.firstPiece, j.total = append(j.firstPiece, result.FirstPieceUS), append(j.total, result.TotalUS)
+		c.firstPiece, c.total = append(c.firstPiece, result.FirstPieceUS), append(c.total, result.TotalUS)
 	case outcomeRejected:
 		report.Rejected++
 		if result.TotalUS > result.DueUS/2 {
@@ -133,20 +134,21 @@
 	report.Groups[result.Group][lo.CoalesceOrEmpty(result.Outcome, "incomplete")]++
 }
 
-// compare judges all sendings of one request against its runs.
-func (j *judge) compare(id string, results []Result) {
-	runs := j.runs[id]
+// checkRequest compares all results of one request, of both copies if it was sent twice, with
+// its runs.
+func (c *checker) checkRequest(id string, results []Result) {
+	runs := c.runs[id]
 	done := lo.CountBy(results, func(r Result) bool { return r.Outcome == outcomeDone })
 	allRejected := lo.EveryBy(results, func(r Result) bool { return r.Outcome == outcomeRejected })
 	onceOnly := results[0].OnceOnly
 	switch {
 	case onceOnly && runs > 1:
-		j.violation("%s ran %d times", id, runs)
+		c.violation("%s ran %d times", id, runs)
 	case onceOnly && done > 1:
-		j.violation("%s was done %d times", id, done)
+		c.violation("%s was done %d times", id, done)
 	case allRejected && runs > 0:
-		j.violation("%s was refused and ran", id)
-	case done > 0 && runs == 0 && !j.settings.Faults:
-		j.violation("%s was done and no engine ran it", id)
+		c.violation("%s was refused but ran", id)
+	case done > 0 && runs == 0 && !c.settings.Faults:
+		c.violation("%s was done but no engine ran it", id)
 	}
 }
--- a/internal/standin/callers/exchange.go
+++ b/internal/standin/callers/exchange.go
@@ -18,56 +18,56 @@
 	"violetthread/internal/standin/engine"
 )
 
-// Outcomes of an answer are the names of its last frame.
+// Outcomes of a request: the name of the last frame of its response.
 const (
 	outcomeDone       = "done"
 	outcomeRejected   = "refused"
 	outcomeUnknown    = "unknown"
-	outcomeIncomplete = "" // the last frame did not come
+	outcomeIncomplete = "" // the last frame was not received
 )
 
-// Frames that do not end an answer.
+// Frames that do not end a response.
 const (
 	frameAccepted = "accepted"
 	framePiece    = "piece"
 )
 
-// Reasons that no proxy gives.
+// Reasons that the caller itself sets; no proxy sends them.
 const (
 	reasonUnreachable       = "unreachable"
 	reasonConnectionRefused = "nobody-there"
-	reasonHungUp            = "hung-up" // the caller itself
+	reasonHungUp            = "hung-up" // the caller closed the connection
 )
 
 const (
-	patienceUS        = 10_000_000 // that a caller waits beyond the due time
+	responseGraceUS   = 10_000_000 // how long a caller waits after the deadline
 	maxRejectionBytes = 1 << 16
 	maxFrameBytes     = 1 << 20
 )
 
-// Result is what a caller saw of one request. Times are in microseconds.
+// Result is the result of one request as its caller observed it. Times are in microseconds.
 type Result struct {
 	Group, Kind, ID string
-	Proxy           string // that the request was last sent to
+	Proxy           string // the proxy that the request was last sent to
 	OnceOnly        bool
-	Generation      uint64 // of claims, that the request carries
-	DueUS           int64  // from its sending
+	Generation      uint64 // claim generation sent with the request
+	DueUS           int64  // deadline, from the time of sending
 
-	HangsUp    bool // the caller goes after the first piece
-	Resent     bool // the second sending of a request
-	FailedOver bool // the first proxy took nothing in
+	HangsUp    bool // the caller disconnects after the first piece
+	Resent     bool // this is the second copy of a request that is sent twice
+	FailedOver bool // sent to another proxy because the first did not accept it
 
-	Status       int    // of HTTP; 0 if no answer came
-	Outcome      string // the last frame; empty if it did not come
-	Reason       string // why it was not done
+	Status       int    // HTTP status; 0 if there was no response
+	Outcome      string // name of the last frame; empty if it was not received
+	Reason       string // why the request was not done
 	FirstPieceUS int64
 	TotalUS      int64
-	Violation    string // what was wrong with the answer
+	Violation    string // how the response violated the protocol; empty if it did not
 }
 
-// exchange sends a request and notes what came of it.
+// exchange sends a request, reads the response and fills in the result.
 func (g *loadGenerator) exchange(ctx context.Context, result *Result, prompt string, began int64) {
-	ctx, stop := context.WithTimeout(ctx, clock.Duration(result.DueUS+patienceUS))
+	ctx, stop := context.WithTimeout(ctx, clock.Duration(result.DueUS+responseGraceUS))
 	defer stop()
 	caller, err := g.client(result.Proxy, CallerKey(result.Group))
 	if err != nil {
@@ -88,99 +88,99 @@
 		g.readRejection(result, response.Body)
 		return
 	}
-	answer := &answerReader{generator: g, result: result, began: began}
-	answer.read(response.Body)
+	reader := &responseReader{generator: g, result: result, began: began}
+	reader.read(response.Body)
 }
 
-// readRejection reads an answer with a status other than 200, which has one frame.
+// readRejection reads a response with a status other than 200, which has one frame.
 func (g *loadGenerator) readRejection(result *Result, body io.Reader) {
 	text, _ := io.ReadAll(io.LimitReader(body, maxRejectionBytes))
 	var frame client.Frame
 	if json.Unmarshal(text, &frame) != nil || frame.Frame == "" || lo.FromPtr(frame.Remedy) == "" {
-		result.Violation = fmt.Sprintf("status %d without a typed reason: %.100s", result.Status, text)
+		result.Violation = fmt.Sprintf("status %d without a valid rejection frame: %.100s", result.Status, text)
 	}
 	result.Outcome, result.Reason = frame.Frame, lo.FromPtr(frame.Reason)
 	g.observeGeneration(lo.FromPtr(frame.Era))
 }
 
-// answerReader reads the frames of one answer and checks them against docs/caller-api.md.
-type answerReader struct {
+// responseReader reads the frames of one response and checks them against docs/caller-api.md.
+type responseReader struct {
 	generator *loadGenerator
 	result    *Result
 	began     int64  // when the request was sent
-	attempt   string // that the pieces name
-	pieces    int    // so far
+	attempt   string // attempt named by the pieces
+	pieces    int    // pieces received so far
 }
 
-func (a *answerReader) read(body io.Reader) {
+func (r *responseReader) read(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxFrameBytes)
 	for lines.Scan() {
-		if !a.readFrame(lines.Bytes()) {
+		if !r.readFrame(lines.Bytes()) {
 			return
 		}
 	}
 }
 
-// readFrame is false when the caller reads no further. After the last frame it does, since
-// nothing may follow it.
-func (a *answerReader) readFrame(line []byte) bool {
+// readFrame checks one frame, and returns false if the caller stops reading. Reading goes on
+// after the last frame to detect frames that follow it.
+func (r *responseReader) readFrame(line []byte) bool {
 	var frame client.Frame
 	if json.Unmarshal(line, &frame) != nil {
-		return a.violation("no JSON: " + string(line))
+		return r.violation("invalid JSON: " + string(line))
 	}
-	if a.result.Outcome != outcomeIncomplete {
-		return a.violation("a frame after the last one: " + string(line))
+	if r.result.Outcome != outcomeIncomplete {
+		return r.violation("frame after the last one: " + string(line))
 	}
 	switch {
 	case frame.Frame == frameAccepted:
-		a.generator.observeGeneration(lo.FromPtr(frame.Era))
+		r.generator.observeGeneration(lo.FromPtr(frame.Era))
 	case frame.Frame == framePiece:
-		return a.readPiece(frame)
+		return r.readPiece(frame)
 	case frame.Last():
-		a.readLast(frame)
+		r.readLast(frame)
 	default:
-		return a.violation("frame of no known kind: " + frame.Frame)
+		return r.violation("unknown frame: " + frame.Frame)
 	}
 	return true
 }
 
-// violation notes what was wrong; the caller reads no further.
-func (a *answerReader) violation(text string) bool {
-	a.result.Violation = text
+// violation records a protocol violation, and returns false: the caller stops reading.
+func (r *responseReader) violation(text string) bool {
+	r.result.Violation = text
 	return false
 }
 
-// readPiece checks that pieces come in order and from one attempt: the stand-in engine names
-// both in the text.
-func (a *answerReader) readPiece(frame client.Frame) bool {
-	if a.pieces == 0 {
-		a.result.FirstPieceUS = clock.Now() - a.began
+// readPiece checks that the pieces are in order and all from one attempt: the text of a
+// simulated engine's piece is ATTEMPT#NUMBER.
+func (r *responseReader) readPiece(frame client.Frame) bool {
+	if r.pieces == 0 {
+		r.result.FirstPieceUS = clock.Now() - r.began
 	}
 	attempt, number, _ := strings.Cut(lo.FromPtr(frame.Text), "#")
-	if a.attempt == "" {
-		a.attempt = attempt
+	if r.attempt == "" {
+		r.attempt = attempt
 	}
-	if attempt != a.attempt || number != fmt.Sprint(a.pieces) || lo.FromPtr(frame.N) != a.pieces {
-		a.result.Violation = fmt.Sprintf("stitched: piece %d of %s after %d of %s", lo.FromPtr(frame.N), lo.FromPtr(frame.Text), a.pieces, a.attempt)
+	if attempt != r.attempt || number != fmt.Sprint(r.pieces) || lo.FromPtr(frame.N) != r.pieces {
+		r.result.Violation = fmt.Sprintf("pieces of two attempts or out of order: piece %d is %s after %d pieces of %s", lo.FromPtr(frame.N), lo.FromPtr(frame.Text), r.pieces, r.attempt)
 	}
-	a.pieces++
-	if a.result.HangsUp {
-		a.result.Reason = reasonHungUp
+	r.pieces++
+	if r.result.HangsUp {
+		r.result.Reason = reasonHungUp
 		return false
 	}
 	return true
 }
 
-func (a *answerReader) readLast(frame client.Frame) {
-	a.result.Outcome, a.result.Reason = frame.Frame, lo.FromPtr(frame.Reason)
+func (r *responseReader) readLast(frame client.Frame) {
+	r.result.Outcome, r.result.Reason = frame.Frame, lo.FromPtr(frame.Reason)
 	if frame.Frame != outcomeDone {
 		if lo.FromPtr(frame.Remedy) == "" {
-			a.result.Violation = "no remedy with " + a.result.Reason
+			r.result.Violation = "no remedy for " + r.result.Reason
 		}
 		return
 	}
-	if frame.Pieces == nil || *frame.Pieces != a.pieces || a.pieces != engine.PiecesByKind[a.result.Kind] {
-		a.result.Violation = fmt.Sprintf("done after %d pieces", a.pieces)
+	if frame.Pieces == nil || *frame.Pieces != r.pieces || r.pieces != engine.PiecesByKind[r.result.Kind] {
+		r.result.Violation = fmt.Sprintf("done after %d pieces", r.pieces)
 	}
 }
--- a/internal/standin/callers/golden_digest_test.go
+++ b/internal/standin/callers/golden_digest_test.go
@@ -6,7 +6,7 @@
 	"violetthread/internal/goldendigest"
 )
 
-// TestGoldenRequests: a seed means the same requests as ever.
+// TestGoldenRequests checks, by a digest, that a seed still gives the same requests.
 func TestGoldenRequests(t *testing.T) {
 	digest := goldendigest.New()
 	for _, settings := range []Settings{
@@ -26,7 +26,7 @@
 			digest.Number(drawn.DueUS)
 			digest.Flag(drawn.OnceOnly)
 			digest.Flag(drawn.HangsUp)
-			digest.Number(source.pauseUS())
+			digest.Number(source.interarrivalUS())
 		}
 	}
 	digest.Compare(t)
--- a/internal/standin/callers/load.go
+++ b/internal/standin/callers/load.go
@@ -13,21 +13,21 @@
 	"violetthread/internal/taskgroup"
 )
 
-// maxIdleConns is how many connections to a proxy are kept for reuse.
+// maxIdleConns is the maximum number of idle connections kept to each proxy.
 const maxIdleConns = 256
 
 type loadGenerator struct {
 	settings Settings
 	http     *http.Client
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	results    []Result
-	generation uint64 // newest one that a proxy answered with
+	generation uint64 // newest claim generation in any proxy's response
 }
 
-// Run plays a load, which takes Settings.Seconds and the time of the last answers, and judges
-// it. It fails when an engine does not show its runs, unless Settings.Faults is set, or when
-// the report can't be written.
+// Run sends new requests for Settings.Seconds, waits for the last responses, and returns the
+// report with all violations found. It returns an error if an engine does not return its runs,
+// unless Settings.Faults is set, or if the report can't be written.
 func Run(settings Settings) (*Report, error) {
 	g := &loadGenerator{settings: settings, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}}
 	group := taskgroup.New(context.Background(), daemon.NewLogger("violetthread-standin", "callers"))
@@ -40,13 +40,13 @@
 		drawn := source.next()
 		drawn.Generation = g.observeGeneration(0)
 		g.start(group, &callers, drawn)
-		taskgroup.Sleep(group.Context(), source.pauseUS())
+		taskgroup.Sleep(group.Context(), source.interarrivalUS())
 	}
 	callers.Wait()
 	return g.report()
 }
 
-// start lets a caller send a request, and a second one resend it if that was drawn.
+// start sends a request in the background, and a second copy to another proxy if one was drawn.
 func (g *loadGenerator) start(group *taskgroup.Group, callers *sync.WaitGroup, drawn request) {
 	callers.Add(1)
 	group.Go("caller", func(ctx context.Context) {
@@ -67,8 +67,8 @@
 	})
 }
 
-// send sends a request, and once more to another proxy when the first one is draining or
-// refuses connections: it took nothing in.
+// send sends a request and stores its result. If the proxy is draining or refuses the
+// connection, it has not accepted the request, which is then sent to another proxy once.
 func (g *loadGenerator) send(ctx context.Context, unsent Result, prompt string) {
 	began := clock.Now()
 	result := unsent
@@ -85,15 +85,16 @@
 	g.mu.Unlock()
 }
 
-// otherProxy picks another one than the request's, spread by the length of the request's id.
+// otherProxy picks a proxy other than the request's. The length of the request's id decides
+// which, to spread the load.
 func (g *loadGenerator) otherProxy(unsent Result) string {
 	proxies := g.settings.Proxies
 	step := 1 + len(unsent.ID)%(len(proxies)-1)
 	return proxies[(slices.Index(proxies, unsent.Proxy)+step)%len(proxies)]
 }
 
-// observeGeneration takes in a generation of claims that a proxy answered with, and returns
-// the newest of all. New requests carry it; a resend carries that of the first sending.
+// observeGeneration records a claim generation from a proxy's response, and returns the newest
+// one so far. New requests carry that; a second copy carries the generation of the first.
 func (g *loadGenerator) observeGeneration(generation uint64) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,18 +102,19 @@
 	return g.generation
 }
 
-// fetchGeneration asks one proxy after the other for the generation, until one answers.
+// fetchGeneration asks the proxies one after the other for the current generation, until one
+// returns it.
 func (g *loadGenerator) fetchGeneration() {
 	for _, proxy := range g.settings.Proxies {
-		if generation := g.generationAt(proxy); generation > 0 {
+		if generation := g.currentGeneration(proxy); generation > 0 {
 			g.observeGeneration(generation)
 			return
 		}
 	}
 }
 
-// generationAt is the generation that a proxy knows, 0 if it does not answer.
-func (g *loadGenerator) generationAt(proxy string) uint64 {
+// currentGeneration returns the generation that a proxy reports, or 0 if it reports none.
+func (g *loadGenerator) currentGeneration(proxy string) uint64 {
 	caller, err := g.client(proxy, "")
 	if err != nil {
 		return 0
@@ -122,11 +124,11 @@
 		return 0
 	}
 	defer response.Body.Close()
-	var answer client.Era
-	if json.NewDecoder(response.Body).Decode(&answer) != nil {
+	var generation client.Era
+	if json.NewDecoder(response.Body).Decode(&generation) != nil {
 		return 0
 	}
-	return answer.Era
+	return generation.Era
 }
 
 func (g *loadGenerator) client(proxy, key string) (*client.Client, error) {
--- a/internal/standin/callers/report.go
+++ b/internal/standin/callers/report.go
@@ -11,29 +11,30 @@
 	"github.com/samber/lo"
 )
 
-// Report is what a load came to. Times are in microseconds.
+// Report summarizes a load. Times are in microseconds.
 type Report struct {
 	Scenario          string                    `json:"scenario"`
-	Sent              int                       `json:"sent"` // requests, resent ones counted twice
+	Sent              int                       `json:"sent"` // requests; one that is sent twice counts twice
 	Done              int                       `json:"done"`
 	Rejected          int                       `json:"refused"`
 	Unknown           int                       `json:"unknown"`
-	Incomplete        int                       `json:"incomplete"`                 // answers without their last frame
-	FailedOver        int                       `json:"moved_to_another_proxy"`     // the first proxy took nothing in
+	Incomplete        int                       `json:"incomplete"`                 // responses without a last frame
+	FailedOver        int                       `json:"moved_to_another_proxy"`     // sent to another proxy because the first did not accept them
 	Reasons           map[string]int            `json:"reasons"`                    // why requests were not done
-	WorstLatenessUS   int64                     `json:"worst_lateness_us"`          // past the due time
-	LateRejections    int                       `json:"refused_after_half_the_due"` // too late to try elsewhere
+	WorstLatenessUS   int64                     `json:"worst_lateness_us"`          // time after the deadline
+	LateRejections    int                       `json:"refused_after_half_the_due"` // after more than half the time to the deadline
 	FirstPieceUS      [3]int64                  `json:"first_piece_us_p50_p90_p99"` // of requests that were done
 	TotalUS           [3]int64                  `json:"total_us_p50_p90_p99"`       // of requests that were done
 	Runs              int                       `json:"runs"`
-	Blocks            int                       `json:"parts"` // of the prompts of all runs
+	Blocks            int                       `json:"parts"` // blocks of the prompts of all runs
 	ReusedBlocks      int                       `json:"parts_reused"`
 	TransferredBlocks int                       `json:"parts_taken_from_peers"`
-	Groups            map[string]map[string]int `json:"groups"` // outcomes by group
-	Violations        []string                  `json:"broken"` // rules that were broken
+	Groups            map[string]map[string]int `json:"groups"` // number of requests by group and outcome
+	Violations        []string                  `json:"broken"` // violated rules, one text each
 }
 
-// percentiles are the 50th, 90th and 99th, 0 without values. It sorts the values.
+// percentiles returns the 50th, 90th and 99th percentile, or zeros if there are no values. It
+// sorts values in place.
 func percentiles(values []int64) (out [3]int64) {
 	if len(values) == 0 {
 		return out
@@ -45,7 +46,7 @@
 	return out
 }
 
-// write puts the report into a file as JSON.
+// write writes the report to a file as JSON.
 func (r *Report) write(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -54,7 +55,8 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Print writes the report for a person. Scripts read its lines, so that their form stays.
+// Print writes the report as text, one figure per line. Scripts may read the lines, so their
+// form is stable.
 func (r *Report) Print(out io.Writer) {
 	line := func(name, format string, values ...any) {
 		fmt.Fprintf(out, "%-18s"+format+"\n", append([]any{name}, values...)...)
@@ -65,13 +67,13 @@
 	line("refused", "%d", r.Rejected)
 	line("unknown", "%d", r.Unknown)
 	line("incomplete", "%d", r.Incomplete)
-	line("moved on at door", "%d", r.FailedOver)
+	line("failed over", "%d", r.FailedOver)
 	line("first piece", "%s", formatPercentiles(r.FirstPieceUS))
-	line("whole answer", "%s", formatPercentiles(r.TotalUS))
-	line("worst lateness", "%s", formatUS(r.WorstLatenessUS))
+	line("total time", "%s", formatPercentiles(r.TotalUS))
+	line("worst lateness", "%s", formatDuration(r.WorstLatenessUS))
 	line("late refusals", "%d", r.LateRejections)
 	line("runs", "%d", r.Runs)
-	line("parts reused", "%d of %d (%d taken from peers)", r.ReusedBlocks, r.Blocks, r.TransferredBlocks)
+	line("blocks reused", "%d of %d (%d transferred from peers)", r.ReusedBlocks, r.Blocks, r.TransferredBlocks)
 	for _, reason := range sortedKeys(r.Reasons) {
 		line("reason", "%-20s %d", reason, r.Reasons[reason])
 	}
@@ -83,16 +85,16 @@
 		line("BROKEN", "%s", violation)
 	}
 	if len(r.Violations) == 0 {
-		fmt.Fprintln(out, "no must-never was broken")
+		fmt.Fprintln(out, "no violations found")
 	}
 }
 
 func formatPercentiles(us [3]int64) string {
-	return fmt.Sprintf("p50 %s  p90 %s  p99 %s", formatUS(us[0]), formatUS(us[1]), formatUS(us[2]))
+	return fmt.Sprintf("p50 %s  p90 %s  p99 %s", formatDuration(us[0]), formatDuration(us[1]), formatDuration(us[2]))
 }
 
-// formatUS writes microseconds as a duration, rounded to milliseconds.
-func formatUS(us int64) string {
+// formatDuration formats microseconds as a duration rounded to milliseconds.
+func formatDuration(us int64) string {
 	return (time.Duration(us) * time.Microsecond).Round(time.Millisecond).String()
 }
 
--- a/internal/standin/callers/requests.go
+++ b/internal/standin/callers/requests.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	blockBytes    = 1024 // of prompt
-	promptLetters = "abcdefghijklmnopqrstuvwxyz     "
+	blockBytes     = 1024 // bytes of prompt in a block
+	promptAlphabet = "abcdefghijklmnopqrstuvwxyz     "
 )
 
 // request is one drawn request.
 type request struct {
-	Result          // as it is before the request is sent
-	prompt   string // with the group's prefix, if the kind shares it
-	resendTo string // a proxy that is sent the request as well; empty for none
+	Result          // its state before the request is sent
+	prompt   string // starts with the group's prefix if the kind shares it
+	resendTo string // proxy that is sent a second copy; empty for none
 }
 
-// requestSource draws requests. The order of its draws is part of what a seed means: the
-// same settings give the same requests.
+// requestSource draws requests at random. The order of its draws must not change: the same
+// settings, seed included, give the same requests.
 type requestSource struct {
 	settings Settings
 	scenario scenario
 	random   *rand.Rand
-	prefixes map[string]string // of prompts, by group
-	drawn    int
+	prefixes map[string]string // prompt prefix by group
+	drawn    int               // number of requests drawn so far
 }
 
 func newRequestSource(settings Settings) *requestSource {
@@ -74,8 +74,8 @@
 	return drawn
 }
 
-// pauseUS draws the time between two requests of a Poisson process.
-func (s *requestSource) pauseUS() int64 {
+// interarrivalUS draws the time to the next request, as in a Poisson process.
+func (s *requestSource) interarrivalUS() int64 {
 	return int64(s.random.ExpFloat64() * 1e6 / float64(s.settings.Rate))
 }
 
@@ -88,7 +88,7 @@
 func (s *requestSource) text(bytes int) string {
 	text := make([]byte, bytes)
 	for i := range text {
-		text[i] = promptLetters[s.random.Intn(len(promptLetters))]
+		text[i] = promptAlphabet[s.random.Intn(len(promptAlphabet))]
 	}
 	return string(text)
 }
--- a/internal/standin/callers/scenario.go
+++ b/internal/standin/callers/scenario.go
@@ -3,27 +3,27 @@
 // group is a tenant's group of callers.
 type group struct {
 	name         string
-	weight       int // share of the requests, against the other groups' weights
-	sharedBlocks int // blocks of prompt that its callers have in common
+	weight       int // share of the requests, relative to the other groups' weights
+	sharedBlocks int // length of the prompt prefix that its callers share, in blocks
 }
 
 // kind is a kind of request.
 type kind struct {
 	name         string
-	weight       int // share of the requests, against the other kinds' weights
+	weight       int // share of the requests, relative to the other kinds' weights
 	onceOnly     bool
 	dueUS        int64
-	ownBytes     int  // of prompt, different for each request
-	sharesPrefix bool // the prompt begins with what the group has in common
+	ownBytes     int  // length of the part of the prompt that differs for each request
+	sharesPrefix bool // the prompt begins with the group's shared prefix
 }
 
-// scenario is the callers of one deployment, the largest group first.
+// scenario describes the callers of one deployment. The largest group is first.
 type scenario struct {
 	groups []group
 	kinds  []kind
 }
 
-// scenarios are those that Settings.Scenario names.
+// scenarios by name, as Settings.Scenario selects them.
 var scenarios = map[string]scenario{
 	"selat": {
 		groups: []group{
@@ -49,5 +49,5 @@
 	},
 }
 
-// CallerKey is the key that a group's callers carry in the example plans.
+// CallerKey returns the API key of a group's callers in the example plans.
 func CallerKey(group string) string { return "key-of-" + group }
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -1,16 +1,16 @@
-// Package engine is a stand-in for a model engine and, with Settings.Store, for the shared
-// store of cached blocks. It speaks the protocol of docs/engine-protocol.md without a model:
-// recomputing a block, moving one, generating a piece and loading weights only take time, and
-// blocks are cached by name alone.
+// Package engine simulates a model engine and, with Settings.Store, the shared store of cached
+// blocks. It implements the protocol of docs/engine-protocol.md without a model: recomputing
+// a block, transferring one, generating a piece and loading weights are only delays, and a
+// cached block is only its name.
 //
-// What no protocol promises can be made to happen: events get lost, reports withhold the
-// newest events, transfers fail. The draws follow Settings.Seed, so that a trial can be
-// repeated.
+// Faults that the protocol allows can be injected: lost events, reports without their newest
+// events, failed transfers. They are drawn at random from Settings.Seed, so that a trial can
+// be repeated.
 //
-// An engine also counts what a judge outside the fleet has to know, and shows it at
-// /v1/seen: which runs took place, which of them reused blocks across a wall between tenants
-// or across weights, and which orders came under a fencing token that was already superseded.
+// For tests that check a fleet from outside, an engine also records what it ran and serves it
+// at /v1/seen: the runs, reuse of blocks across cache domains or weights, and requests with a
+// fencing token that was already superseded.
 //
-// NewDaemon may be called from any goroutine. The HTTP handlers run concurrently; one mutex guards
+// NewDaemon is safe for concurrent use. The HTTP handlers run concurrently; one mutex guards
 // their state.
 package engine
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -18,21 +18,21 @@
 	client      *engineapi.Client
 	incarnation uint64
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	blocks       map[string]*cachedBlock
-	lru          *list.List // of *cachedBlock, the most recently used one first
+	lru          *list.List // of *cachedBlock, most recently used first
 	events       []engineapi.Event
-	lastSeq      uint64 // of the events, lost ones included
+	lastSeq      uint64 // sequence number of the newest event, lost ones included
 	weights      string
-	nextWeights  string // weights being loaded; empty when none are
+	nextWeights  string // weights being loaded; empty when no load is in progress
 	running      int
-	fencingToken uint64 // highest one accepted
+	fencingToken uint64 // highest token accepted so far
 	observed     Observations
 	slowUS       int64 // moving average of the time to the first piece
 	random       randomSource
 }
 
-// NewDaemon makes a stand-in that serves once it is run.
+// NewDaemon creates an engine or store that starts serving when its Run is called.
 func NewDaemon(settings Settings) (*daemon.Daemon, error) {
 	e, err := newEngine(settings)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return e, nil
 }
 
-// newIncarnation draws a number that no other start of an engine has; its top bit is unset.
+// newIncarnation returns a random 63-bit number that identifies this start of the engine.
 func newIncarnation() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -78,13 +78,13 @@
 	return binary.LittleEndian.Uint64(b[:]) >> 1, nil
 }
 
-// rejection is why a request is not served, with the status of its answer.
+// rejection is the reason for rejecting a request, with the HTTP status of the response.
 type rejection struct {
 	status int
 	reason string
 }
 
-// Rejections as docs/engine-protocol.md names them.
+// Rejections defined in docs/engine-protocol.md.
 var (
 	rejectMalformed        = rejection{http.StatusBadRequest, "malformed"}
 	rejectStore            = rejection{http.StatusServiceUnavailable, "store"}
@@ -102,7 +102,8 @@
 
 func writeOK(w http.ResponseWriter) { daemon.WriteJSON(w, http.StatusOK, "ok") }
 
-// decodeBody reads the JSON body of a request, and rejects it if it is none.
+// decodeBody decodes the JSON body of a request. If that fails it rejects the request and
+// returns false.
 func decodeBody(w http.ResponseWriter, request *http.Request, body any) bool {
 	if json.NewDecoder(request.Body).Decode(body) != nil {
 		rejectMalformed.write(w)
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -15,7 +15,7 @@
 	"violetthread/internal/engineapi"
 )
 
-// newTestEngine makes an engine that takes no time for anything.
+// newTestEngine creates an engine without simulated delays.
 func newTestEngine(t *testing.T, change func(*Settings)) *engine {
 	t.Helper()
 	settings := Defaults()
@@ -32,7 +32,7 @@
 	return e
 }
 
-// call hands a request to a handler and returns its answer.
+// call passes a request to a handler and returns the response.
 func call(t *testing.T, handler http.HandlerFunc, path string, body any) *httptest.ResponseRecorder {
 	t.Helper()
 	text, err := json.Marshal(body)
@@ -85,13 +85,13 @@
 			}
 		})
 	}
-	if len(e.observed.MixedBlocks) > 0 || len(e.observed.StaleOwners) > 0 || e.running != 0 || e.fencingToken != 3 {
+	if len(e.observed.InvalidReuse) > 0 || len(e.observed.StaleTokenRequests) > 0 || e.running != 0 || e.fencingToken != 3 {
 		t.Errorf("%+v, %d running, fencing token %d", e.observed, e.running, e.fencingToken)
 	}
 	request := e.testRun("a4")
 	request.Kind = "plain"
 	if got := strings.Count(call(t, e.serveRun, "/v1/run", request).Body.String(), "piece"); got != 8 {
-		t.Errorf("a kind without an entry has %d pieces", got)
+		t.Errorf("a kind that PiecesByKind does not list has %d pieces", got)
 	}
 }
 
@@ -102,7 +102,7 @@
 		change      func(*engineapi.RunRequest)
 		status      int
 		reason      string
-		staleOwners int
+		staleTokens int
 	}{
 		{"store", func(e *engine) { e.settings.Store = true }, nil, 503, "store", 0},
 		{"other incarnation", nil, func(r *engineapi.RunRequest) { r.NodeID++ }, 409, "other-life", 0},
@@ -110,7 +110,7 @@
 		{"other weights", nil, func(r *engineapi.RunRequest) { r.Weights = "w2" }, 409, "other-weights", 0},
 		{"loading weights", func(e *engine) { e.nextWeights = "w2" }, nil, 409, "other-weights", 0},
 		{"no capacity", func(e *engine) { e.running = e.settings.Capacity }, nil, 503, "busy", 0},
-		{"store before all", func(e *engine) { e.settings.Store = true }, func(r *engineapi.RunRequest) { r.FencingToken = 1 }, 503, "store", 0},
+		{"store takes precedence", func(e *engine) { e.settings.Store = true }, func(r *engineapi.RunRequest) { r.FencingToken = 1 }, 503, "store", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newTestEngine(t, nil)
@@ -126,33 +126,33 @@
 			if got := decode[engineapi.Rejection](t, w); w.Code != c.status || got.Reason != c.reason {
 				t.Errorf("status %d, reason %q", w.Code, got.Reason)
 			}
-			if len(e.observed.Runs) != 0 || len(e.blocks) != 0 || e.fencingToken != 2 || len(e.observed.StaleOwners) != c.staleOwners {
+			if len(e.observed.Runs) != 0 || len(e.blocks) != 0 || e.fencingToken != 2 || len(e.observed.StaleTokenRequests) != c.staleTokens {
 				t.Errorf("observed %+v, fencing token %d", e.observed, e.fencingToken)
 			}
 		})
 	}
 	e := newTestEngine(t, nil)
-	if w := call(t, e.serveRun, "/v1/run", "no object"); w.Code != 400 || decode[engineapi.Rejection](t, w).Reason != "malformed" {
+	if w := call(t, e.serveRun, "/v1/run", "not an object"); w.Code != 400 || decode[engineapi.Rejection](t, w).Reason != "malformed" {
 		t.Errorf("status %d, %q", w.Code, w.Body)
 	}
 }
 
-func TestMixedBlocksAreObserved(t *testing.T) {
+func TestInvalidReuseIsObserved(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		domain, weights string
 		want            []string
 	}{
 		{"same", "commons", "w1", nil},
-		{"other domain", "walled", "w1", []string{"a1: part of walled/w1 for commons/w1"}},
-		{"other weights", "commons", "w0", []string{"a1: part of commons/w0 for commons/w1"}},
+		{"other domain", "walled", "w1", []string{"a1: block of walled/w1 for commons/w1"}},
+		{"other weights", "commons", "w0", []string{"a1: block of commons/w0 for commons/w1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newTestEngine(t, nil)
 			e.cache("x", c.domain, c.weights)
 			call(t, e.serveRun, "/v1/run", e.testRun("a1", "x"))
-			if !slices.Equal(e.observed.MixedBlocks, c.want) {
-				t.Errorf("observed %q", e.observed.MixedBlocks)
+			if !slices.Equal(e.observed.InvalidReuse, c.want) {
+				t.Errorf("observed %q", e.observed.InvalidReuse)
 			}
 		})
 	}
@@ -175,8 +175,9 @@
 	}
 }
 
-// TestEvictedBlocksGoToTheStore: what an engine evicts, the store then exports.
-func TestEvictedBlocksGoToTheStore(t *testing.T) {
+// TestEvictedBlocksArePutInStore checks that the store exports a block after an engine
+// evicted it.
+func TestEvictedBlocksArePutInStore(t *testing.T) {
 	store := newTestEngine(t, func(s *Settings) { s.Store = true })
 	put := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -243,8 +244,9 @@
 	}
 }
 
-// TestFaultsFollowTheSeed: trials are repeated by seed, so the draws must stay the same.
-func TestFaultsFollowTheSeed(t *testing.T) {
+// TestSameSeedDrawsSameFaults guards against a change of the random sequence: trials are
+// repeated by seed.
+func TestSameSeedDrawsSameFaults(t *testing.T) {
 	e := newTestEngine(t, func(s *Settings) { s.Seed, s.LostEventPermille = 7, 300 })
 	for range 40 {
 		e.appendEvent(engineapi.Event{Op: "ran"})
@@ -255,7 +257,7 @@
 	}
 	want := []uint64{2, 3, 5, 6, 8, 9, 10, 12, 13, 15, 16, 17, 20, 21, 23, 24, 25, 26, 27, 28, 29, 30, 32, 33, 34, 35, 36, 37, 38, 39, 40}
 	if !slices.Equal(kept, want) {
-		t.Errorf("events %v came through, want %v", kept, want)
+		t.Errorf("events %v were not lost, want %v", kept, want)
 	}
 }
 
@@ -270,7 +272,7 @@
 	}{
 		{"no weights", engineapi.WeightsRequest{FencingToken: 2}, 400},
 		{"old fencing token", engineapi.WeightsRequest{Weights: "w2", FencingToken: 1, Owner: "c1"}, 409},
-		{"weights it has", engineapi.WeightsRequest{Weights: "w1", FencingToken: 2}, 200},
+		{"weights already in use", engineapi.WeightsRequest{Weights: "w1", FencingToken: 2}, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if w := call(t, e.serveWeights, "/v1/weights", c.request); w.Code != c.status || e.nextWeights != "" {
@@ -278,10 +280,10 @@
 			}
 		})
 	}
-	if want := []string{"weights by c1 epoch 1 after 2"}; !slices.Equal(e.observed.StaleOwners, want) {
-		t.Errorf("stale owners %q", e.observed.StaleOwners)
+	if want := []string{"weights by c1: fencing token 1 after 2"}; !slices.Equal(e.observed.StaleTokenRequests, want) {
+		t.Errorf("stale token requests %q", e.observed.StaleTokenRequests)
 	}
-	e.nextWeights = "w2" // a load of w2 is under way
+	e.nextWeights = "w2" // a load of w2 is in progress
 	if w := call(t, e.serveWeights, "/v1/weights", engineapi.WeightsRequest{Weights: "w3", FencingToken: 4}); w.Code != 200 || e.nextWeights != "w3" || e.fencingToken != 4 {
 		t.Errorf("status %d, next weights %q, fencing token %d", w.Code, e.nextWeights, e.fencingToken)
 	}
@@ -294,7 +296,8 @@
 	}
 }
 
-// TestTransfer: a run fetches blocks from a peer, unless the transfer fails.
+// TestTransfer checks that a run uses blocks transferred from a peer, and recomputes them if
+// the transfer fails.
 func TestTransfer(t *testing.T) {
 	peer := newTestEngine(t, nil)
 	server := httptest.NewServer(http.HandlerFunc(peer.serveExport))
@@ -313,7 +316,7 @@
 	}{
 		{"fetched", []string{"x", "y", "z"}, engineapi.Transfer{Block: 1, From: addr, WaitUS: 5_000_000}, 0, 2, 2, 0},
 		{"lost", []string{"x", "y", "z"}, engineapi.Transfer{Block: 1, From: addr, WaitUS: 5_000_000}, 1000, 0, 0, 0},
-		{"peer has none", []string{"x", "absent"}, engineapi.Transfer{Block: 1, From: addr, WaitUS: 5_000_000}, 0, 0, 0, 0},
+		{"not cached at the peer", []string{"x", "absent"}, engineapi.Transfer{Block: 1, From: addr, WaitUS: 5_000_000}, 0, 0, 0, 0},
 		{"mixed", []string{"other"}, engineapi.Transfer{Block: 0, From: addr, WaitUS: 5_000_000}, 0, 1, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -322,8 +325,8 @@
 			request.Transfer = &c.transfer
 			call(t, e.serveRun, "/v1/run", request)
 			run := e.observed.Runs[0]
-			if run.Transferred != c.transferred || run.Reused != c.reused || !run.Completed || len(e.observed.MixedBlocks) != c.mixed {
-				t.Errorf("observed %+v, %q", run, e.observed.MixedBlocks)
+			if run.Transferred != c.transferred || run.Reused != c.reused || !run.Completed || len(e.observed.InvalidReuse) != c.mixed {
+				t.Errorf("observed %+v, %q", run, e.observed.InvalidReuse)
 			}
 		})
 	}
@@ -345,7 +348,7 @@
 		{"imported", "x", 2, 200, true},
 		{"other weights", "old", 2, 200, false},
 		{"old fencing token", "x", 1, 200, false},
-		{"peer has none", "absent", 2, 502, false},
+		{"not cached at the peer", "absent", 2, 502, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newTestEngine(t, nil)
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -8,20 +8,20 @@
 	"violetthread/internal/engineapi"
 )
 
-// Operations of events, as the protocol writes them.
+// Event operations, as the protocol spells them.
 const (
-	opKept    = "keep"
-	opDropped = "drop"
-	opRan     = "ran"
+	opCached   = "keep"
+	opEvicted  = "drop"
+	opRunEnded = "ran"
 )
 
 const (
-	maxEvents         = 4096 // in the log; beyond it the older half is cut off
+	maxEvents         = 4096 // kept in memory; beyond that the older half is discarded
 	maxEventsInReport = 1024
 )
 
-// appendEvent numbers an event and logs it, unless it is drawn to be lost. The caller holds
-// the lock.
+// appendEvent gives an event the next sequence number and keeps it for reports. An event that
+// is drawn to be lost uses up its number, so that reports show a gap. The caller holds e.mu.
 func (e *engine) appendEvent(event engineapi.Event) {
 	e.lastSeq++
 	event.Seq = e.lastSeq
@@ -58,8 +58,8 @@
 	daemon.WriteJSON(w, http.StatusOK, report)
 }
 
-// eventsAfter are the events of one report, without the newer half if they are drawn to be
-// withheld. The caller holds the lock.
+// eventsAfter returns the events of one report, without the newer half if the report is drawn
+// to withhold them. The caller holds e.mu.
 func (e *engine) eventsAfter(seq uint64) (events []engineapi.Event) {
 	for _, event := range e.events {
 		if event.Seq > seq && len(events) < maxEventsInReport {
--- a/internal/standin/engine/observe.go
+++ b/internal/standin/engine/observe.go
@@ -7,7 +7,7 @@
 	"violetthread/internal/daemon"
 )
 
-// ObservedRun is one run as the engine counts it, for a judge outside the fleet.
+// ObservedRun is one run as the engine recorded it, for tests that check a fleet from outside.
 type ObservedRun struct {
 	Group       string `json:"Group"`
 	RequestID   string `json:"Ticket"`
@@ -15,18 +15,18 @@
 	Attempt     string `json:"Attempt"`
 	Weights     string `json:"Weights"`
 	Completed   bool   `json:"Whole"`  // the last frame was sent
-	Blocks      int    `json:"Parts"`  // of the prompt
+	Blocks      int    `json:"Parts"`  // blocks of the prompt
 	Reused      int    `json:"Reused"` // blocks that were not recomputed, transferred ones included
-	Transferred int    `json:"Taken"`  // blocks fetched from a peer
+	Transferred int    `json:"Taken"`  // blocks transferred from another engine or the store
 }
 
-// Observations is the answer to GET /v1/seen.
+// Observations is the response to GET /v1/seen.
 type Observations struct {
-	Name        string        `json:"name"`
-	Runs        []ObservedRun `json:"runs"`
-	MixedBlocks []string      `json:"mixed"`  // blocks reused across a wall or across weights
-	StaleOwners []string      `json:"owners"` // orders under a lower fencing token than before
-	Leaving     int64         `json:"leaving"`
+	Name               string        `json:"name"`
+	Runs               []ObservedRun `json:"runs"`
+	InvalidReuse       []string      `json:"mixed"`  // blocks reused across cache domains or weights
+	StaleTokenRequests []string      `json:"owners"` // requests with a lower fencing token than an earlier one
+	Leaving            int64         `json:"leaving"`
 }
 
 func (e *engine) serveObservations(w http.ResponseWriter, _ *http.Request) {
@@ -35,17 +35,17 @@
 	daemon.WriteJSON(w, http.StatusOK, e.observed)
 }
 
-// observeStaleOwner notes an order under a superseded fencing token. The caller holds the lock.
-func (e *engine) observeStaleOwner(order string, fencingToken uint64) {
-	e.observed.StaleOwners = append(e.observed.StaleOwners, fmt.Sprintf("%s epoch %d after %d", order, fencingToken, e.fencingToken))
+// observeStaleToken records a request with a superseded fencing token. The caller holds e.mu.
+func (e *engine) observeStaleToken(request string, fencingToken uint64) {
+	e.observed.StaleTokenRequests = append(e.observed.StaleTokenRequests, fmt.Sprintf("%s: fencing token %d after %d", request, fencingToken, e.fencingToken))
 }
 
-// observeMixed notes a block that an attempt reuses though it belongs to another domain or
-// other weights. The caller holds the lock.
-func (e *engine) observeMixed(attempt, action string, block, wanted provenance) {
+// observeInvalidReuse records that an attempt reuses a block of another cache domain or of
+// other weights than its own. The caller holds e.mu.
+func (e *engine) observeInvalidReuse(attempt, action string, block, wanted cacheScope) {
 	if block == wanted {
 		return
 	}
-	e.observed.MixedBlocks = append(e.observed.MixedBlocks, fmt.Sprintf("%s: %spart of %s/%s for %s/%s",
+	e.observed.InvalidReuse = append(e.observed.InvalidReuse, fmt.Sprintf("%s: %sblock of %s/%s for %s/%s",
 		attempt, action, block.domain, block.weights, wanted.domain, wanted.weights))
 }
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	maxRunBytes    = 16 << 20 // of a run's body
-	slownessWeight = 8        // one in so many parts of the moving average is the newest time
+	maxRunBytes        = 16 << 20 // bytes of a run request's body
+	slowAverageDivisor = 8        // the newest time has a weight of 1/8 in the moving average
 )
 
-// serveRun plays one run. A caller that hangs up ends it.
+// serveRun simulates one run and streams its frames. The run ends early when the client
+// disconnects.
 func (e *engine) serveRun(w http.ResponseWriter, request *http.Request) {
 	var run engineapi.RunRequest
 	request.Body = http.MaxBytesReader(w, request.Body, maxRunBytes)
 	if !decodeBody(w, request, &run) {
 		return
 	}
-	index, rejected := e.admit(run)
+	index, rejected := e.startRun(run)
 	if rejected != nil {
 		rejected.write(w)
 		return
 	}
-	defer e.release()
+	defer e.endRun()
 	began := clock.Now()
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	stream := &frameStream{ctx: request.Context(), writer: w, encoder: json.NewEncoder(w)}
 	if !stream.send(engineapi.RunFrame{Began: true}) || !e.prefill(stream.ctx, run, index) {
 		return
 	}
-	pieces := piecesOf(run.Kind)
+	pieces := pieceCount(run.Kind)
 	for i := range pieces {
 		if !taskgroup.Sleep(stream.ctx, e.settings.PieceUS) {
 			return
 		}
 		if i == 0 {
-			e.measureFirstPiece(clock.Now() - began)
+			e.recordFirstPieceTime(clock.Now() - began)
 		}
 		if !stream.send(pieceFrame(run.Attempt, i)) {
 			return
@@ -54,8 +55,9 @@
 	stream.send(engineapi.RunFrame{Done: true, Pieces: pieces})
 }
 
-// admit begins a run and returns the index of its observation, or says why it does not begin.
-func (e *engine) admit(run engineapi.RunRequest) (index int, rejected *rejection) {
+// startRun registers a run and returns the index of its entry in e.observed.Runs, or the
+// reason for rejecting it.
+func (e *engine) startRun(run engineapi.RunRequest) (index int, rejected *rejection) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -64,7 +66,7 @@
 	case run.NodeID != cacheindex.NodeID(e.settings.Name, e.incarnation):
 		return 0, &rejectOtherIncarnation
 	case run.FencingToken < e.fencingToken:
-		e.observeStaleOwner("run "+run.Attempt, run.FencingToken)
+		e.observeStaleToken("run "+run.Attempt, run.FencingToken)
 		return 0, &rejectOldToken
 	case run.Weights != e.weights || e.nextWeights != "":
 		return 0, &rejectOtherWeights
@@ -83,14 +85,15 @@
 	return len(e.observed.Runs) - 1, nil
 }
 
-func (e *engine) release() {
+func (e *engine) endRun() {
 	e.mu.Lock()
 	e.running--
 	e.mu.Unlock()
 }
 
-// prefill makes the blocks of a run's prompt cached: some are, some come from a peer, and the
-// others are recomputed. It is false when the caller hung up.
+// prefill brings all blocks of a run's prompt into the cache: cached ones are reused, some may
+// be transferred from a peer, and the others are recomputed. It returns false if the client
+// disconnects.
 func (e *engine) prefill(ctx context.Context, run engineapi.RunRequest, index int) bool {
 	reused, transferred := e.cachedPrefix(run), 0
 	if run.Transfer != nil && run.Transfer.Block+1 > reused {
@@ -109,30 +112,31 @@
 	}
 	observed := &e.observed.Runs[index]
 	observed.Blocks, observed.Reused, observed.Transferred = len(run.Blocks), reused, transferred
-	e.appendEvent(engineapi.Event{Op: opRan, Attempt: run.Attempt, RecomputedBytes: uint64(recomputed)})
+	e.appendEvent(engineapi.Event{Op: opRunEnded, Attempt: run.Attempt, RecomputedBytes: uint64(recomputed)})
 	return true
 }
 
-func (e *engine) measureFirstPiece(us int64) {
+func (e *engine) recordFirstPieceTime(us int64) {
 	e.mu.Lock()
-	e.slowUS += (us - e.slowUS) / slownessWeight
+	e.slowUS += (us - e.slowUS) / slowAverageDivisor
 	e.mu.Unlock()
 }
 
-// pieceFrame names its run, so that a judge sees an answer stitched together from two runs.
+// pieceFrame returns a frame whose text names the attempt and the piece's number, so that a
+// client can detect a response that mixes pieces of two runs.
 func pieceFrame(attempt string, number int) engineapi.RunFrame {
 	text := attempt + "#" + strconv.Itoa(number)
 	return engineapi.RunFrame{Piece: &text}
 }
 
-// frameStream writes the frames of one answer, a line each.
+// frameStream writes the frames of one response, one JSON object per line.
 type frameStream struct {
 	ctx     context.Context
 	writer  http.ResponseWriter
 	encoder *json.Encoder
 }
 
-// send writes a frame at once; it is false when the caller hung up.
+// send writes and flushes a frame. It returns false if the client has disconnected.
 func (s *frameStream) send(frame engineapi.RunFrame) bool {
 	err := s.encoder.Encode(frame)
 	s.writer.(http.Flusher).Flush()
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -11,22 +11,25 @@
 	"violetthread/internal/taskgroup"
 )
 
-// blockTransfer is a block on its way from one engine to another, or to the store.
+// blockTransfer is the body of an export response and of a put request: a block sent to
+// another engine or to the store.
 type blockTransfer struct {
 	Block   string `json:"Part"`
 	Domain  string `json:"Domain"`
 	Weights string `json:"Weights"`
 }
 
-// export asks a peer for a block, which the blocks before it come along with.
+// export requests a block from a peer, together with the blocks before it that are not cached
+// yet; blocks is how many are transferred in all.
 func (e *engine) export(ctx context.Context, from, block string, blocks int, waitUS int64) (exported blockTransfer, err error) {
 	path := fmt.Sprintf("/v1/export?part=%s&parts=%d", block, blocks)
 	err = e.client.Get(ctx, from, path, waitUS, &exported)
 	return exported, err
 }
 
-// fetchBlocks fetches the blocks of a run from a peer and returns how many leading ones are
-// cached then: as many as before if anything goes wrong, and the run recomputes the others.
+// fetchBlocks transfers the blocks of a run from a peer and returns how many leading blocks
+// are cached afterwards. If the transfer fails that is the number cached before, and the run
+// recomputes the others.
 func (e *engine) fetchBlocks(ctx context.Context, run engineapi.RunRequest, cached int) int {
 	e.mu.Lock()
 	failed := e.random.chance(e.settings.FailedTransferPermille)
@@ -41,7 +44,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.observeMixed(run.Attempt, "took ", provenance{exported.Domain, exported.Weights}, provenance{run.Domain, run.Weights})
+	e.observeInvalidReuse(run.Attempt, "transferred ", cacheScope{exported.Domain, exported.Weights}, cacheScope{run.Domain, run.Weights})
 	for _, name := range run.Blocks[:count] {
 		e.cache(name, run.Domain, run.Weights)
 	}
@@ -64,27 +67,27 @@
 	daemon.WriteJSON(w, http.StatusOK, block.transfer())
 }
 
-// serveImport fetches a block ahead of need. One of other weights, or ordered under a
-// superseded fencing token, is not cached.
+// serveImport fetches a block from a peer before a run needs it. A block of other weights, or
+// one requested with a superseded fencing token, is not cached.
 func (e *engine) serveImport(w http.ResponseWriter, request *http.Request) {
-	var order engineapi.ImportRequest
-	if !decodeBody(w, request, &order) {
+	var body engineapi.ImportRequest
+	if !decodeBody(w, request, &body) {
 		return
 	}
-	exported, err := e.export(request.Context(), order.From, order.Block, 1, order.WaitUS)
+	exported, err := e.export(request.Context(), body.From, body.Block, 1, body.WaitUS)
 	if err != nil {
 		rejectNotFetched.write(w)
 		return
 	}
 	e.mu.Lock()
-	if exported.Weights == e.weights && order.FencingToken >= e.fencingToken {
+	if exported.Weights == e.weights && body.FencingToken >= e.fencingToken {
 		e.cache(exported.Block, exported.Domain, exported.Weights)
 	}
 	e.mu.Unlock()
 	writeOK(w)
 }
 
-// servePut takes in a block that an engine evicted.
+// servePut caches a block that an engine evicted.
 func (e *engine) servePut(w http.ResponseWriter, request *http.Request) {
 	var evicted blockTransfer
 	if !decodeBody(w, request, &evicted) {
