--- a/internal/e2e/core_test.go
+++ b/internal/e2e/core_test.go
@@ -18,143 +18,151 @@
 	"violetthread/wal"
 )
 
-// cluster is a few real control nodes over loopback that come, go and lose their disks.
+// cluster is a set of control nodes in one process, connected over loopback, that tests can stop,
+// restart, and deprive of their disks.
 type cluster struct {
-	t        *testing.T
-	ports    []string
-	seeds    []string
-	machines map[string]*machine
+	t     *testing.T
+	addrs []string // not used yet
+	seeds []string // for nodes that are started from now on
+	nodes map[string]*testNode
 }
 
-type machine struct {
+// testNode is a control node, with what survives its restarts.
+type testNode struct {
 	settings control.Settings
-	node     *control.Node
+	node     *control.Node // nil while it does not run
 	disk     *faultyDisk
-	ended    sync.WaitGroup
-	err      error // of the life that ended last
+	running  sync.WaitGroup
+	runErr   error // of the last run that ended
 }
 
-// newCore makes n machines named a, b, c...; the first three are the seeds.
+// newCluster starts n nodes named a, b, c and so on. The first three are the seeds.
 func newCluster(t *testing.T, n int) *cluster {
-	c := &cluster{t: t, ports: ports(t, 40), machines: map[string]*machine{}}
+	c := &cluster{t: t, addrs: freeAddrs(t, 40), nodes: map[string]*testNode{}}
 	var names []string
 	for i := 0; i < n; i++ {
 		names = append(names, string(rune('a'+i)))
-		c.machine(names[i])
+		c.addNode(names[i])
 		if i < 3 {
-			c.seeds = append(c.seeds, c.machines[names[i]].settings.TransportAddr)
+			c.seeds = append(c.seeds, c.nodes[names[i]].settings.TransportAddr)
 		}
 	}
-	for _, n := range names {
-		c.start(n, true)
+	for _, name := range names {
+		c.start(name, true)
 	}
 	t.Cleanup(func() {
-		for n := range c.machines {
-			c.kill(n)
+		for name := range c.nodes {
+			c.kill(name)
 		}
 	})
 	return c
 }
 
-func (c *cluster) port() string { p := c.ports[0]; c.ports = c.ports[1:]; return p }
+func (c *cluster) nextAddr() string { addr := c.addrs[0]; c.addrs = c.addrs[1:]; return addr }
 
-func (c *cluster) machine(name string) {
+// addNode adds a node with new addresses and an empty data folder, without starting it. It
+// replaces a node of the same name.
+func (c *cluster) addNode(name string) {
 	s := control.Defaults()
-	s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.DataDir, s.DrainUS = name, "north", c.port(), c.port(), c.t.TempDir(), 0
+	s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.DataDir, s.DrainUS = name, "north", c.nextAddr(), c.nextAddr(), c.t.TempDir(), 0
 	s.LogSegments, s.LogSegmentBytes, s.OperationTimeoutUS = 16, 2<<20, 2_500_000
-	m := &machine{settings: s, disk: newFaultyDisk(nil)}
-	m.settings.Disk = func(fs wal.FS) wal.FS {
-		m.disk.FS = fs
-		return m.disk
+	n := &testNode{settings: s, disk: newFaultyDisk(nil)}
+	n.settings.Disk = func(fs wal.FS) wal.FS {
+		n.disk.FS = fs
+		return n.disk
 	}
-	c.machines[name] = m
+	c.nodes[name] = n
 }
 
-func (c *cluster) start(name string, found bool) {
+func (c *cluster) start(name string, bootstrap bool) {
 	c.t.Helper()
-	m := c.machines[name]
-	m.settings.Bootstrap, m.settings.Seeds = found, c.seeds
-	n, err := control.NewNode(m.settings)
+	n := c.nodes[name]
+	n.settings.Bootstrap, n.settings.Seeds = bootstrap, c.seeds
+	node, err := control.NewNode(n.settings)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	m.node = n
-	m.ended.Add(1)
-	d := n.Daemon()
+	n.node = node
+	n.running.Add(1)
+	d := node.Daemon()
 	taskgroup.New(context.Background(), d.Log).Go("machine", func(context.Context) {
-		defer m.ended.Done()
-		m.err = d.Run()
+		defer n.running.Done()
+		n.runErr = d.Run()
 	})
 }
 
-// kill ends a machine without a word to the others.
+// kill ends nodes at the same time and without a graceful shutdown: the tasks of all are stopped
+// before the first daemon is, so that none can notify the other nodes.
 func (c *cluster) kill(names ...string) {
-	for _, n := range names {
-		if m := c.machines[n]; m.node != nil {
-			m.node.Daemon().Group.Stop()
+	for _, name := range names {
+		if n := c.nodes[name]; n.node != nil {
+			n.node.Daemon().Group.Stop()
 		}
 	}
-	for _, n := range names {
-		m := c.machines[n]
-		if m.node == nil {
+	for _, name := range names {
+		n := c.nodes[name]
+		if n.node == nil {
 			continue
 		}
-		m.node.Daemon().Stop()
-		m.ended.Wait()
-		m.node = nil
+		n.node.Daemon().Stop()
+		n.running.Wait()
+		n.node = nil
 	}
 }
 
-func (c *cluster) fleet(addr string) string {
-	a, err := http.Get("http://" + addr + "/v1/fleet")
+// fleetStatus returns the body of /v1/fleet at an address, or the error.
+func (c *cluster) fleetStatus(addr string) string {
+	response, err := http.Get("http://" + addr + "/v1/fleet")
 	if err != nil {
 		return err.Error()
 	}
-	defer a.Body.Close()
-	b, _ := io.ReadAll(a.Body)
-	return string(b)
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
+	return string(body)
 }
 
-func (c *cluster) wipe(name string) {
-	if err := os.RemoveAll(c.machines[name].settings.DataDir); err != nil {
+// wipeDisk removes a node's data folder.
+func (c *cluster) wipeDisk(name string) {
+	if err := os.RemoveAll(c.nodes[name].settings.DataDir); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// until waits for a condition and returns how long it took.
-func (c *cluster) until(what string, from time.Time, f func() bool) time.Duration {
+// waitUntil polls a condition and returns the time since from when it holds. It fails the test
+// after 20 s.
+func (c *cluster) waitUntil(what string, from time.Time, condition func() bool) time.Duration {
 	c.t.Helper()
 	tick, end := time.NewTicker(5*time.Millisecond), time.After(20*time.Second)
 	defer tick.Stop()
-	for !f() {
+	for !condition() {
 		select {
 		case <-tick.C:
 		case <-end:
-			for n, m := range c.machines {
-				if m.node != nil {
-					c.t.Logf("%s: up %v, %s", n, m.node.Voting(), c.fleet(m.settings.HTTPAddr))
+			for name, n := range c.nodes {
+				if n.node != nil {
+					c.t.Logf("%s: voting %v, %s", name, n.node.Voting(), c.fleetStatus(n.settings.HTTPAddr))
 				}
 			}
-			c.t.Fatalf("waited in vain until %s", what)
+			c.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 	return time.Since(from)
 }
 
-// complete tells whether exactly these machines are the voter set and vote, and every slot
-// has a leader.
-func (c *cluster) complete(names ...string) bool {
-	for _, n := range names {
-		x := c.machines[n].node
-		if !x.Voting() || len(x.VoterAddrs()) != len(names) {
+// allVoting returns whether the voter set consists of exactly these nodes, each of them votes
+// and knows that set, and every slot has a leader.
+func (c *cluster) allVoting(names ...string) bool {
+	for _, name := range names {
+		node := c.nodes[name].node
+		if !node.Voting() || len(node.VoterAddrs()) != len(names) {
 			return false
 		}
-		for _, n := range names {
-			in := false
-			for _, a := range x.VoterAddrs() {
-				in = in || a == c.machines[n].settings.TransportAddr
+		for _, voter := range names {
+			found := false
+			for _, addr := range node.VoterAddrs() {
+				found = found || addr == c.nodes[voter].settings.TransportAddr
 			}
-			if !in {
+			if !found {
 				return false
 			}
 		}
@@ -162,169 +170,172 @@
 	return c.allSlotsServed(names[0])
 }
 
-// allSlotsServed tells whether every slot answers, as asked through one machine.
+// allSlotsServed returns whether a read in every slot succeeds when sent to this node.
 func (c *cluster) allSlotsServed(name string) bool {
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	seen := map[uint16]bool{}
-	for i := 0; len(seen) < 16; i++ {
-		k := fmt.Sprint("key", i)
-		if s := quorum.SlotOf(k, 16); !seen[s] {
-			if a := c.machines[name].node.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: k}); quorum.Status(a.Status) != quorum.StatusDone {
+	served := map[uint16]bool{}
+	for i := 0; len(served) < 16; i++ {
+		key := fmt.Sprint("key", i)
+		if slot := quorum.SlotOf(key, 16); !served[slot] {
+			if response := c.nodes[name].node.ExecuteOnce(ctx, &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key}); quorum.Status(response.Status) != quorum.StatusDone {
 				return false
 			}
-			seen[s] = true
+			served[slot] = true
 		}
 	}
 	return true
 }
 
-func (c *cluster) put(name, key, val string) {
+func (c *cluster) mustPut(name, key, value string) {
 	c.t.Helper()
-	if a := c.machines[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision}); quorum.Status(a.Status) != quorum.StatusDone {
-		c.t.Fatalf("putting %s at %s ended in %d", key, name, a.Status)
+	if response := c.nodes[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: key, Value: []byte(value), ExpectedRevision: quorum.AnyRevision}); quorum.Status(response.Status) != quorum.StatusDone {
+		c.t.Fatalf("put of %s at %s ended with status %d", key, name, response.Status)
 	}
 }
 
-func (c *cluster) reads(name, key, val string) {
+func (c *cluster) mustRead(name, key, want string) {
 	c.t.Helper()
-	if a := c.machines[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key}); quorum.Status(a.Status) != quorum.StatusDone || string(a.Value) != val {
-		c.t.Fatalf("reading %s at %s ended in %d: %q, not %q", key, name, a.Status, a.Value, val)
+	if response := c.nodes[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: key}); quorum.Status(response.Status) != quorum.StatusDone || string(response.Value) != want {
+		c.t.Fatalf("read of %s at %s ended with status %d: got %q, want %q", key, name, response.Status, response.Value, want)
 	}
 }
 
-// bound fails when something took longer than the fleet promises.
-func (c *cluster) bound(what string, took, most time.Duration) {
+// checkDuration logs how long something took, and fails the test if that is above the limit.
+func (c *cluster) checkDuration(what string, took, limit time.Duration) {
 	c.t.Helper()
 	c.t.Logf("%s: %d ms", what, took.Milliseconds())
-	if took > most {
-		c.t.Errorf("%s took %v, more than %v", what, took, most)
+	if took > limit {
+		c.t.Errorf("%s took %v, limit %v", what, took, limit)
 	}
 }
 
-// TestCoreFoundsItself: the seeds found the fleet, the others join; then a machine
-// loses its disk, all lose their power, and one dies.
-func TestCoreFoundsItself(t *testing.T) {
+// TestClusterBootstrapAndRecovery bootstraps clusters of three to five nodes: the seeds agree on
+// the first voter set and the others join. Then nodes lose their disks one at a time, all nodes
+// are killed at once, and one is killed and restarted later. Each time the cluster must recover
+// in bounded time and keep acknowledged writes.
+func TestClusterBootstrapAndRecovery(t *testing.T) {
 	for _, n := range []int{3, 4, 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			at := time.Now()
+			began := time.Now()
 			c := newCluster(t, n)
 			var all []string
 			for i := 0; i < n; i++ {
 				all = append(all, string(rune('a'+i)))
 			}
-			c.bound("founded and joined", c.until("the fleet is whole", at, func() bool { return c.complete(all...) }), 3*time.Second)
-			c.put("b", "plan", "v1")
+			c.checkDuration("bootstrapped and joined", c.waitUntil("all nodes vote", began, func() bool { return c.allVoting(all...) }), 3*time.Second)
+			c.mustPut("b", "plan", "v1")
 
-			for _, x := range []string{"c", "a"} {
-				inc := c.machines[x].node.Incarnation()
-				c.kill(x)
-				c.wipe(x)
-				at = time.Now()
-				c.start(x, false)
-				c.bound("a wiped machine is back", c.until("the wiped one is back", at, func() bool { return c.complete(all...) }), 3*time.Second)
-				if c.machines[x].node.Incarnation() == inc {
-					t.Fatal("an emptied disk has its former incarnation")
+			for _, name := range []string{"c", "a"} {
+				incarnation := c.nodes[name].node.Incarnation()
+				c.kill(name)
+				c.wipeDisk(name)
+				began = time.Now()
+				c.start(name, false)
+				c.checkDuration("node with a wiped disk votes again", c.waitUntil("the node with the wiped disk votes", began, func() bool { return c.allVoting(all...) }), 3*time.Second)
+				if c.nodes[name].node.Incarnation() == incarnation {
+					t.Fatal("a node with a wiped disk kept its incarnation")
 				}
-				c.reads(x, "plan", "v1")
+				c.mustRead(name, "plan", "v1")
 			}
 
-			c.put("c", "plan", "v2")
+			c.mustPut("c", "plan", "v2")
 			c.kill(all...)
-			at = time.Now()
-			for _, x := range all {
-				c.start(x, false)
+			began = time.Now()
+			for _, name := range all {
+				c.start(name, false)
 			}
-			c.bound("all were killed and are back", c.until("all are back", at, func() bool { return c.complete(all...) }), 4*time.Second)
-			c.reads("a", "plan", "v2")
+			c.checkDuration("all nodes vote after all were killed", c.waitUntil("all nodes vote again", began, func() bool { return c.allVoting(all...) }), 4*time.Second)
+			c.mustRead("a", "plan", "v2")
 
-			at = time.Now()
+			began = time.Now()
 			c.kill("b")
-			c.bound("one was killed and its slots are owned", c.until("its slots are owned", at, func() bool { return c.allSlotsServed("a") }), 3*time.Second)
-			c.put("a", "plan", "v3")
-			if len(c.machines["a"].node.VoterAddrs()) != n {
-				t.Fatal("a voter was removed for its silence alone")
+			c.checkDuration("slots of a killed node have new leaders", c.waitUntil("the killed node's slots have leaders", began, func() bool { return c.allSlotsServed("a") }), 3*time.Second)
+			c.mustPut("a", "plan", "v3")
+			if len(c.nodes["a"].node.VoterAddrs()) != n {
+				t.Fatal("a voter was removed only because it is unreachable")
 			}
-			at = time.Now()
+			began = time.Now()
 			c.start("b", false)
-			c.bound("it is back", c.until("it is back", at, func() bool { return c.complete(all...) }), 3*time.Second)
-			c.reads("b", "plan", "v3")
+			c.checkDuration("restarted node votes again", c.waitUntil("the restarted node votes", began, func() bool { return c.allVoting(all...) }), 3*time.Second)
+			c.mustRead("b", "plan", "v3")
 		})
 	}
 }
 
-// TestCoreReplacesMachines: one goes for good and another comes in its place, at an
-// address that no seed names; the former one returns with its old disk and joins anew,
-// and never votes with its old number.
-func TestCoreReplacesMachines(t *testing.T) {
+// TestNodeReplacement replaces a node by one at an address that is not among the seeds. The
+// replaced node then returns with its old disk: it must join under a new incarnation and never
+// vote with the old one.
+func TestNodeReplacement(t *testing.T) {
 	for _, n := range []int{3, 4} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			c := newCluster(t, n)
 			all := []string{"a", "b", "c", "d"}[:n]
-			c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-			c.put("b", "plan", "v1")
-			inc := c.machines["a"].node.Incarnation()
+			c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+			c.mustPut("b", "plan", "v1")
+			incarnation := c.nodes["a"].node.Incarnation()
 			c.kill("a")
-			c.machine("z")
-			at := time.Now()
+			c.addNode("z")
+			began := time.Now()
 			c.start("z", false)
-			now := append([]string{"z"}, all[1:]...)
-			c.bound("another is in its place", c.until("another is in its place", at, func() bool { return c.complete(now...) }), 4*time.Second)
-			c.reads("z", "plan", "v1")
-			c.put("z", "plan", "v2")
+			voters := append([]string{"z"}, all[1:]...)
+			c.checkDuration("replacement votes", c.waitUntil("the replacement votes", began, func() bool { return c.allVoting(voters...) }), 4*time.Second)
+			c.mustRead("z", "plan", "v1")
+			c.mustPut("z", "plan", "v2")
 
-			at = time.Now()
+			began = time.Now()
 			c.start("a", false)
-			now = append(now, "a")
-			c.bound("the former one joins anew", c.until("the former one joins anew", at, func() bool { return c.complete(now...) }), 3*time.Second)
-			if c.machines["a"].node.Incarnation() == inc {
-				t.Fatal("it votes with its former number")
+			voters = append(voters, "a")
+			c.checkDuration("replaced node joined again", c.waitUntil("the replaced node has joined again", began, func() bool { return c.allVoting(voters...) }), 3*time.Second)
+			if c.nodes["a"].node.Incarnation() == incarnation {
+				t.Fatal("the replaced node votes with its old incarnation")
 			}
-			c.reads("a", "plan", "v2")
-			for _, x := range now {
-				if c.machines[x].node.LiveNodes(clock.Now()) != nil {
-					t.Fatal("members out of nowhere")
+			c.mustRead("a", "plan", "v2")
+			for _, name := range voters {
+				if c.nodes[name].node.LiveNodes(clock.Now()) != nil {
+					t.Fatal("live nodes are listed though none has a session")
 				}
 			}
-			// The retired disk keeps its new number over a restart.
-			inc = c.machines["a"].node.Incarnation()
+			// The new incarnation survives a restart.
+			incarnation = c.nodes["a"].node.Incarnation()
 			c.kill("a")
-			at = time.Now()
+			began = time.Now()
 			c.start("a", false)
-			c.bound("it is back after a restart", c.until("it is back", at, func() bool { return c.complete(now...) }), 3*time.Second)
-			if c.machines["a"].node.Incarnation() != inc {
-				t.Fatal("a retired disk changed its number once more")
+			c.checkDuration("node votes after a restart", c.waitUntil("the restarted node votes", began, func() bool { return c.allVoting(voters...) }), 3*time.Second)
+			if c.nodes["a"].node.Incarnation() != incarnation {
+				t.Fatal("the incarnation changed again on a restart")
 			}
 		})
 	}
 }
 
-// TestCoreMoves: a machine comes back empty under its name at another address.
-func TestCoreMoves(t *testing.T) {
+// TestNodeChangesAddress restarts a node with an empty disk, under its old name, at another
+// address.
+func TestNodeChangesAddress(t *testing.T) {
 	c := newCluster(t, 4)
 	all := []string{"a", "b", "c", "d"}
-	c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-	c.put("a", "plan", "v1")
+	c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+	c.mustPut("a", "plan", "v1")
 	c.kill("b")
-	c.machine("b")
-	at := time.Now()
+	c.addNode("b")
+	began := time.Now()
 	c.start("b", false)
-	c.bound("back at another address", c.until("it is back", at, func() bool { return c.complete(all...) }), 4*time.Second)
-	c.kill("c") // now its vote is needed
-	c.until("its vote counts", time.Now(), func() bool { return c.allSlotsServed("a") })
-	c.reads("b", "plan", "v1")
+	c.checkDuration("node votes at its new address", c.waitUntil("the node votes at its new address", began, func() bool { return c.allVoting(all...) }), 4*time.Second)
+	c.kill("c") // without c, a majority needs the vote of b
+	c.waitUntil("the node's vote counts", time.Now(), func() bool { return c.allSlotsServed("a") })
+	c.mustRead("b", "plan", "v1")
 }
 
-// TestCoreFindsTheLost: a machine whose disk was lost has seeds that are all stale. The
-// voters know its address, and it learns from them whom to ask.
-func TestCoreFindsTheLost(t *testing.T) {
+// TestRejoinWithStaleSeeds restarts a node whose disk was lost and whose seeds are all
+// unreachable. The voters know its address and contact it, and so it learns theirs.
+func TestRejoinWithStaleSeeds(t *testing.T) {
 	c := newCluster(t, 4)
 	all := []string{"a", "b", "c", "d"}
-	c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
+	c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
 	c.kill("d")
-	c.wipe("d")
-	c.seeds = []string{c.port(), c.port()}
-	at := time.Now()
+	c.wipeDisk("d")
+	c.seeds = []string{c.nextAddr(), c.nextAddr()}
+	began := time.Now()
 	c.start("d", false)
-	c.bound("found by the others", c.until("it is back", at, func() bool { return c.complete(all...) }), 4*time.Second)
+	c.checkDuration("node found by the voters", c.waitUntil("the node votes again", began, func() bool { return c.allVoting(all...) }), 4*time.Second)
 }
--- a/internal/e2e/disk_test.go
+++ b/internal/e2e/disk_test.go
@@ -18,283 +18,285 @@
 	"violetthread/wal"
 )
 
-// page is what a machine's HTTP interface answers to a path.
-func (c *cluster) page(name, path string) (int, string) {
-	a, err := http.Get("http://" + c.machines[name].settings.HTTPAddr + path)
+// get returns the status and body of a GET at a node's HTTP interface, or status 0 and the error.
+func (c *cluster) get(name, path string) (int, string) {
+	response, err := http.Get("http://" + c.nodes[name].settings.HTTPAddr + path)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer a.Body.Close()
-	b, _ := io.ReadAll(a.Body)
-	return a.StatusCode, string(b)
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(body)
 }
 
-func (c *cluster) diskState(name string) control.DiskStatus {
-	var f control.FleetStatus
-	_ = json.Unmarshal([]byte(c.fleet(c.machines[name].settings.HTTPAddr)), &f)
-	return f.Disk
+func (c *cluster) diskStatus(name string) control.DiskStatus {
+	var status control.FleetStatus
+	_ = json.Unmarshal([]byte(c.fleetStatus(c.nodes[name].settings.HTTPAddr)), &status)
+	return status.Disk
 }
 
-// try puts a value and returns how that ended.
-func (c *cluster) try(name, key, val string) quorum.Status {
-	a := c.machines[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: key, Value: []byte(val), ExpectedRevision: quorum.AnyRevision})
-	return quorum.Status(a.Status)
+// tryPut puts a value and returns the status.
+func (c *cluster) tryPut(name, key, value string) quorum.Status {
+	response := c.nodes[name].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpPut), Key: key, Value: []byte(value), ExpectedRevision: quorum.AnyRevision})
+	return quorum.Status(response.Status)
 }
 
-// putSoon puts a value as an operator does, who tries again.
-func (c *cluster) putSoon(name, key, val string) {
+// putEventually repeats a put until it succeeds, as an operator would.
+func (c *cluster) putEventually(name, key, value string) {
 	c.t.Helper()
-	c.until(fmt.Sprintf("%s is put at %s", key, name), time.Now(), func() bool { return c.try(name, key, val) == quorum.StatusDone })
+	c.waitUntil(fmt.Sprintf("a put of %s succeeds at %s", key, name), time.Now(), func() bool { return c.tryPut(name, key, value) == quorum.StatusDone })
 }
 
-// leadsNothing tells whether no slot has this leader, as another machine sees it.
-func (c *cluster) leadsNothing(name, seenBy string) bool {
-	var f control.FleetStatus
-	if json.Unmarshal([]byte(c.fleet(c.machines[seenBy].settings.HTTPAddr)), &f) != nil || len(f.Slots) == 0 {
+// leadsNoSlot reports whether this node leads no slot, according to another node.
+func (c *cluster) leadsNoSlot(name, seenBy string) bool {
+	var status control.FleetStatus
+	if json.Unmarshal([]byte(c.fleetStatus(c.nodes[seenBy].settings.HTTPAddr)), &status) != nil || len(status.Slots) == 0 {
 		return false
 	}
-	for _, s := range f.Slots {
-		if s.Leader == name {
+	for _, slot := range status.Slots {
+		if slot.Leader == name {
 			return false
 		}
 	}
 	return true
 }
 
-// saysWhy tells whether a machine is up, not ready, and tells the cause on all its pages.
-func (c *cluster) saysWhy(name, cause string) bool {
-	alive, _ := c.page(name, "/healthz")
-	ready, why := c.page(name, "/readyz")
-	_, metrics := c.page(name, "/metrics")
-	disk := c.diskState(name)
-	return alive == 200 && ready == 503 && strings.Contains(why, cause) && !disk.Usable && strings.Contains(disk.Cause, cause) &&
-		strings.Contains(metrics, "violetthread_disk_usable 0") && !c.machines[name].node.Voting()
+// reportsDiskFault reports whether a node is alive but neither ready nor voting, and shows the
+// cause in /readyz, /v1/fleet and its metrics.
+func (c *cluster) reportsDiskFault(name, message string) bool {
+	alive, _ := c.get(name, "/healthz")
+	ready, why := c.get(name, "/readyz")
+	_, metrics := c.get(name, "/metrics")
+	disk := c.diskStatus(name)
+	return alive == 200 && ready == 503 && strings.Contains(why, message) && !disk.Usable && strings.Contains(disk.Cause, message) &&
+		strings.Contains(metrics, "violetthread_disk_usable 0") && !c.nodes[name].node.Voting()
 }
 
-var four = []string{"a", "b", "c", "d"}
+var fourNodes = []string{"a", "b", "c", "d"}
 
-// sickDisks are troubles that pass, and what is said of them.
-var diskFaults = []struct{ how, cause string }{
+// diskFaults are faults that a node recovers from, with a part of the message that it reports.
+var diskFaults = []struct{ name, message string }{
 	{"full", "free space where the data folder lies"},
 	{"failing", "check the disk below the data folder"},
 	{"stalled", "the disk does not answer"},
 }
 
-// TestSickDiskStandsAside: a machine whose disk is full, fails or stalls stays up, gives
-// up what it owns, passes on what it is asked, says why, and comes back by itself with
-// its own incarnation.
-func TestSickDiskStandsAside(t *testing.T) {
+// TestDiskFaultAndRecovery: a node whose disk is full, fails or stalls must keep running, stop
+// leading slots, forward operations to other nodes and report the cause. When the fault is over
+// it must vote again by itself, with its incarnation unchanged.
+func TestDiskFaultAndRecovery(t *testing.T) {
 	for _, fault := range diskFaults {
-		t.Run(fault.how, func(t *testing.T) {
+		t.Run(fault.name, func(t *testing.T) {
 			c := newCluster(t, 4)
-			c.until("the fleet is whole", time.Now(), func() bool { return c.complete(four...) })
-			c.putSoon("b", "plan", "v1")
-			inc := c.machines["a"].node.Incarnation()
-			at := time.Now()
-			c.machines["a"].disk.setFault(fault.how)
-			for i := 0; !c.saysWhy("a", fault.cause); i++ {
-				c.try("b", fmt.Sprint("key", i%32), "x") // so that there is something to write
+			c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(fourNodes...) })
+			c.putEventually("b", "plan", "v1")
+			incarnation := c.nodes["a"].node.Incarnation()
+			began := time.Now()
+			c.nodes["a"].disk.setFault(fault.name)
+			for i := 0; !c.reportsDiskFault("a", fault.message); i++ {
+				c.tryPut("b", fmt.Sprint("key", i%32), "x") // gives the disk something to write
 			}
-			c.bound("it stands aside", time.Since(at), 8*time.Second)
-			c.until("it owns nothing", time.Now(), func() bool { return c.leadsNothing("a", "b") })
-			c.putSoon("b", "plan", "v2")
-			c.putSoon("a", "plan", "v3") // passed on
-			c.reads("a", "plan", "v3")
-			c.reads("c", "plan", "v3")
+			c.checkDuration("fault reported", time.Since(began), 8*time.Second)
+			c.waitUntil("the node leads no slot", time.Now(), func() bool { return c.leadsNoSlot("a", "b") })
+			c.putEventually("b", "plan", "v2")
+			c.putEventually("a", "plan", "v3") // forwarded to another node
+			c.mustRead("a", "plan", "v3")
+			c.mustRead("c", "plan", "v3")
 
-			at = time.Now()
-			c.machines["a"].disk.setFault("")
-			c.bound("it is back", c.until("it is back", at, func() bool { return c.complete(four...) }), 8*time.Second)
-			if c.machines["a"].node.Incarnation() != inc {
-				t.Fatal("it came back as another")
+			began = time.Now()
+			c.nodes["a"].disk.setFault("")
+			c.checkDuration("node recovered", c.waitUntil("the node votes again", began, func() bool { return c.allVoting(fourNodes...) }), 8*time.Second)
+			if c.nodes["a"].node.Incarnation() != incarnation {
+				t.Fatal("the incarnation changed")
 			}
-			if _, m := c.page("a", "/metrics"); !strings.Contains(m, "violetthread_disk_usable 1") || strings.Contains(m, "violetthread_disk_troubles_total 0") {
-				t.Fatal("metrics do not tell that the disk had trouble and is usable")
+			if _, metrics := c.get("a", "/metrics"); !strings.Contains(metrics, "violetthread_disk_usable 1") || strings.Contains(metrics, "violetthread_disk_troubles_total 0") {
+				t.Fatal("metrics do not show a past fault and a usable disk")
 			}
-			c.kill("d") // now its vote is needed, and has all it must have
-			c.until("its vote counts", time.Now(), func() bool { return c.allSlotsServed("a") })
-			c.reads("a", "plan", "v3")
-			c.putSoon("a", "plan", "v4")
+			c.kill("d") // now a majority needs the vote of the recovered node, which must have all writes
+			c.waitUntil("the node's vote counts", time.Now(), func() bool { return c.allSlotsServed("a") })
+			c.mustRead("a", "plan", "v3")
+			c.putEventually("a", "plan", "v4")
 		})
 	}
 }
 
-// TestAllDisksSick: with no disk that takes writes nothing is confirmed, nobody ends, and
-// with room again all that was confirmed is there.
-func TestAllDisksSick(t *testing.T) {
+// TestAllDisksFull: while no disk accepts writes, no change may be acknowledged and no node may
+// end. Once there is space again, all acknowledged writes must be there.
+func TestAllDisksFull(t *testing.T) {
 	c := newCluster(t, 3)
-	all := four[:3]
-	c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-	c.putSoon("b", "plan", "v1")
+	all := fourNodes[:3]
+	c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+	c.putEventually("b", "plan", "v1")
 	for _, n := range all {
-		c.machines[n].disk.setFault("full")
+		c.nodes[n].disk.setFault("full")
 	}
 	for i := range 6 {
-		if s := c.try(all[i%3], "plan", "never"); s == quorum.StatusDone {
-			t.Fatal("a change was confirmed that no disk holds")
+		if status := c.tryPut(all[i%3], "plan", "never"); status == quorum.StatusDone {
+			t.Fatal("a change was acknowledged that is on no disk")
 		}
 	}
 	for _, n := range all {
-		if st, _ := c.page(n, "/healthz"); st != 200 {
-			t.Fatalf("%s ended", n)
+		if status, _ := c.get(n, "/healthz"); status != 200 {
+			t.Fatalf("node %s has ended", n)
 		}
 	}
-	at := time.Now()
+	began := time.Now()
 	for _, n := range all {
-		c.machines[n].disk.setFault("")
+		c.nodes[n].disk.setFault("")
 	}
-	c.bound("all are back", c.until("all are back", at, func() bool { return c.complete(all...) }), 10*time.Second)
-	// What was answered "unknown" may have taken effect, nothing else.
-	a := c.machines["a"].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: "plan"})
-	if v := string(a.Value); quorum.Status(a.Status) != quorum.StatusDone || v != "v1" && v != "never" {
-		t.Fatalf("read %d %q", a.Status, v)
+	c.checkDuration("all nodes recovered", c.waitUntil("all nodes vote again", began, func() bool { return c.allVoting(all...) }), 10*time.Second)
+	// A change that was not acknowledged may have taken effect, so that either value may be read.
+	response := c.nodes["a"].node.Execute(context.Background(), &fb.OperationRequestT{Type: byte(quorum.OpGet), Key: "plan"})
+	if value := string(response.Value); quorum.Status(response.Status) != quorum.StatusDone || value != "v1" && value != "never" {
+		t.Fatalf("read status %d, value %q", response.Status, value)
 	}
-	c.putSoon("a", "plan", "v2")
+	c.putEventually("a", "plan", "v2")
 	c.kill(all...)
 	for _, n := range all {
 		c.start(n, false)
 	}
-	c.until("all are back from their disks", time.Now(), func() bool { return c.complete(all...) })
-	c.reads("c", "plan", "v2")
+	c.waitUntil("all nodes vote after a restart", time.Now(), func() bool { return c.allVoting(all...) })
+	c.mustRead("c", "plan", "v2")
 }
 
-// TestStartWithSickDisk: a machine that starts with a disk that takes no writes waits,
-// says so and passes on what it is asked; it votes as soon as there is room. The same
-// for one whose disk is blank.
-func TestStartWithSickDisk(t *testing.T) {
+// TestStartWithFaultyDisk: a node that starts while its disk accepts no writes must wait, report
+// the cause and forward operations, and must vote once the fault is over. The same holds for a
+// node whose disk is empty.
+func TestStartWithFaultyDisk(t *testing.T) {
 	for _, fault := range diskFaults {
-		t.Run(fault.how, func(t *testing.T) {
+		t.Run(fault.name, func(t *testing.T) {
 			c := newCluster(t, 4)
-			c.until("the fleet is whole", time.Now(), func() bool { return c.complete(four...) })
-			c.putSoon("b", "plan", "v1")
-			inc := c.machines["d"].node.Incarnation()
+			c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(fourNodes...) })
+			c.putEventually("b", "plan", "v1")
+			incarnation := c.nodes["d"].node.Incarnation()
 			c.kill("d", "c")
-			c.wipe("c")
+			c.wipeDisk("c")
 			for _, n := range []string{"d", "c"} {
-				c.machines[n].disk.setFault(fault.how)
+				c.nodes[n].disk.setFault(fault.name)
 				c.start(n, false)
 			}
 			for _, n := range []string{"d", "c"} {
-				c.until(n+" says why it waits", time.Now(), func() bool { return c.saysWhy(n, fault.cause) })
+				c.waitUntil(n+" reports the fault", time.Now(), func() bool { return c.reportsDiskFault(n, fault.message) })
 			}
-			if s := c.try("a", "plan", "never"); s == quorum.StatusDone {
-				t.Fatal("two of four confirmed a change")
+			if status := c.tryPut("a", "plan", "never"); status == quorum.StatusDone {
+				t.Fatal("two of four nodes acknowledged a change")
 			}
-			at := time.Now()
-			c.machines["d"].disk.setFault("")
-			c.bound("it votes", c.until("it votes", at, func() bool { return c.machines["d"].node.Voting() }), 8*time.Second)
-			if c.machines["d"].node.Incarnation() != inc {
-				t.Fatal("it came back as another")
+			began := time.Now()
+			c.nodes["d"].disk.setFault("")
+			c.checkDuration("node votes after the fault", c.waitUntil("the node votes", began, func() bool { return c.nodes["d"].node.Voting() }), 8*time.Second)
+			if c.nodes["d"].node.Incarnation() != incarnation {
+				t.Fatal("the incarnation changed")
 			}
-			c.until("three own all", time.Now(), func() bool { return c.allSlotsServed("a") })
-			c.putSoon("c", "plan", "v2") // passed on by one that never had a disk
-			c.reads("d", "plan", "v2")
-			c.machines["c"].disk.setFault("")
-			c.until("all are back", time.Now(), func() bool { return c.complete(four...) })
-			c.reads("c", "plan", "v2")
+			c.waitUntil("every slot has a leader among the three nodes", time.Now(), func() bool { return c.allSlotsServed("a") })
+			c.putEventually("c", "plan", "v2") // forwarded by the node whose disk has never worked since its start
+			c.mustRead("d", "plan", "v2")
+			c.nodes["c"].disk.setFault("")
+			c.waitUntil("all nodes vote again", time.Now(), func() bool { return c.allVoting(fourNodes...) })
+			c.mustRead("c", "plan", "v2")
 		})
 	}
 }
 
-// TestStopWhileStalled: a polite stop does not wait for a disk that does not answer, and
-// no other process gets the folder while a write may still be under way.
-func TestStopWhileStalled(t *testing.T) {
+// TestStopWithStalledDisk: a graceful stop must not wait for a stalled disk, and no other process
+// may open the data folder while a write may still be in progress.
+func TestStopWithStalledDisk(t *testing.T) {
 	c := newCluster(t, 3)
-	all := four[:3]
-	c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-	c.machines["a"].disk.setFault("stalled")
-	for i := 0; c.machines["a"].node.Voting(); i++ {
-		c.try("b", fmt.Sprint("key", i%32), "x")
+	all := fourNodes[:3]
+	c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+	c.nodes["a"].disk.setFault("stalled")
+	for i := 0; c.nodes["a"].node.Voting(); i++ {
+		c.tryPut("b", fmt.Sprint("key", i%32), "x")
 	}
-	at := time.Now()
-	m := c.machines["a"]
-	m.node.Daemon().Stop()
-	m.ended.Wait()
-	c.bound("it stops", time.Since(at), 4*time.Second)
+	began := time.Now()
+	n := c.nodes["a"]
+	n.node.Daemon().Stop()
+	n.running.Wait()
+	c.checkDuration("graceful stop", time.Since(began), 4*time.Second)
 	c.start("a", false)
-	m.ended.Wait()
-	if m.err == nil || !strings.Contains(m.err.Error(), "another process uses") {
-		t.Fatalf("a second life beside a write under way: %v", m.err)
+	n.running.Wait()
+	if n.runErr == nil || !strings.Contains(n.runErr.Error(), "another process uses") {
+		t.Fatalf("restart during a write in progress ended with %v", n.runErr)
 	}
-	m.node = nil
-	m.disk.setFault("")
-	c.until("it is back", time.Now(), func() bool {
-		if m.node == nil || m.node.Daemon().Failure() != nil {
+	n.node = nil
+	n.disk.setFault("")
+	c.waitUntil("the restarted node votes", time.Now(), func() bool {
+		if n.node == nil || n.node.Daemon().Failure() != nil {
 			c.kill("a")
 			c.start("a", false)
 		}
-		return c.complete(all...)
+		return c.allVoting(all...)
 	})
 }
 
-// logSegment is a file of a machine's write-ahead log.
+// logSegment returns the path of a segment file of a node's write-ahead log.
 func (c *cluster) logSegment(name string, index int) string {
-	return filepath.Join(c.machines[name].settings.DataDir, "ring", fmt.Sprintf("ring-%03d", index))
+	return filepath.Join(c.nodes[name].settings.DataDir, "ring", fmt.Sprintf("ring-%03d", index))
 }
 
-// TestLostMedium: a disk that comes back without what it had confirmed is not trusted
-// again. The process ends once, with the remedy, and does not vote; neither does its
-// next life.
-func TestLostMedium(t *testing.T) {
+// TestDiskLosesAcknowledgedWrites: a disk that has lost synced data when its fault is over must
+// not be trusted. The process must end with an error that names the remedy, rather than vote
+// without that data.
+func TestDiskLosesAcknowledgedWrites(t *testing.T) {
 	c := newCluster(t, 3)
-	all := four[:3]
-	c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-	c.putSoon("b", "plan", "v1")
-	m := c.machines["c"]
-	m.disk.setFault("failing")
-	for i := 0; m.node.Voting(); i++ {
-		c.try("b", fmt.Sprint("key", i%32), "x")
+	all := fourNodes[:3]
+	c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+	c.putEventually("b", "plan", "v1")
+	n := c.nodes["c"]
+	n.disk.setFault("failing")
+	for i := 0; n.node.Voting(); i++ {
+		c.tryPut("b", fmt.Sprint("key", i%32), "x")
 	}
-	whole, err := os.ReadFile(c.logSegment("c", 1))
+	segment, err := os.ReadFile(c.logSegment("c", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	clear(whole[64:]) // all but the header is gone
-	if err := os.WriteFile(c.logSegment("c", 1), whole, 0o600); err != nil {
+	clear(segment[64:]) // keeps only the header
+	if err := os.WriteFile(c.logSegment("c", 1), segment, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	m.disk.setFault("")
-	m.ended.Wait()
-	if m.err == nil || !strings.Contains(m.err.Error(), "start again as an empty node") {
-		t.Fatalf("it ended with %v", m.err)
+	n.disk.setFault("")
+	n.running.Wait()
+	if n.runErr == nil || !strings.Contains(n.runErr.Error(), "start again as an empty node") {
+		t.Fatalf("the node ended with %v", n.runErr)
 	}
-	m.node = nil
-	c.putSoon("a", "plan", "v2")
+	n.node = nil
+	c.putEventually("a", "plan", "v2")
 }
 
-// TestDamagedRing: a machine whose ring is cut, damaged or of another format ends with a
-// remedy, changes nothing on its disk, and never votes; with an empty disk it joins anew.
-func TestDamagedRing(t *testing.T) {
+// TestDamagedLog: a node whose write-ahead log is truncated, damaged or of another format must end
+// with an error that names a remedy, without changing the log and without voting. With its data
+// folder removed it must join again.
+func TestDamagedLog(t *testing.T) {
 	for _, damage := range []struct {
 		name, remedy string
-		do           func(t *testing.T, path string)
+		apply        func(t *testing.T, path string)
 	}{
 		{"cut", "a file was cut", func(t *testing.T, path string) { must(t, os.Truncate(path, 1<<20)) }},
-		{"header", "start again as an empty node", func(t *testing.T, path string) { flip(t, path, 9) }},
-		{"record", "start again as an empty node", func(t *testing.T, path string) { flip(t, path, 60) }},
+		{"header", "start again as an empty node", func(t *testing.T, path string) { flipBit(t, path, 9) }},
+		{"record", "start again as an empty node", func(t *testing.T, path string) { flipBit(t, path, 60) }},
 	} {
 		t.Run(damage.name, func(t *testing.T) {
 			c := newCluster(t, 3)
-			all := four[:3]
-			c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-			c.putSoon("b", "plan", "v1")
+			all := fourNodes[:3]
+			c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+			c.putEventually("b", "plan", "v1")
 			c.kill("c")
-			damage.do(t, c.logSegment("c", 1))
+			damage.apply(t, c.logSegment("c", 1))
 			before, _ := os.ReadFile(c.logSegment("c", 1))
 			c.start("c", false)
-			m := c.machines["c"]
-			m.ended.Wait()
-			if m.err == nil || !strings.Contains(m.err.Error(), damage.remedy) || m.node.Voting() {
-				t.Fatalf("it ended with %v", m.err)
+			n := c.nodes["c"]
+			n.running.Wait()
+			if n.runErr == nil || !strings.Contains(n.runErr.Error(), damage.remedy) || n.node.Voting() {
+				t.Fatalf("the node ended with %v", n.runErr)
 			}
-			m.node = nil
+			n.node = nil
 			if after, _ := os.ReadFile(c.logSegment("c", 1)); string(after) != string(before) {
-				t.Fatal("the damaged file was changed")
+				t.Fatal("the damaged segment was changed")
 			}
-			c.wipe("c")
+			c.wipeDisk("c")
 			c.start("c", false)
-			c.until("it joined anew", time.Now(), func() bool { return c.complete(all...) })
-			c.reads("c", "plan", "v1")
+			c.waitUntil("the node has joined again", time.Now(), func() bool { return c.allVoting(all...) })
+			c.mustRead("c", "plan", "v1")
 		})
 	}
 }
@@ -306,109 +308,110 @@
 	}
 }
 
-func flip(t *testing.T, path string, at int) {
+// flipBit flips the lowest bit of a byte in a file.
+func flipBit(t *testing.T, path string, offset int) {
 	t.Helper()
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	must(t, err)
-	b[at] ^= 1
-	must(t, os.WriteFile(path, b, 0o600))
+	content[offset] ^= 1
+	must(t, os.WriteFile(path, content, 0o600))
 }
 
-// TestWrongSeeds: seeds that are this node itself, all dead, or of another fleet. One that
-// knows its fleet goes back there whatever the seeds say; one that knows none says what
-// to do, and founds nothing.
+// TestWrongSeeds starts nodes with seeds that are only the node itself, unreachable, or of another
+// fleet. A node that has been in a fleet must return to it whatever its seeds are. A node with an
+// empty disk must report what to do, and must not bootstrap a fleet of its own.
 func TestWrongSeeds(t *testing.T) {
 	c, other := newCluster(t, 3), newCluster(t, 3)
-	all := four[:3]
-	c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-	other.until("the other fleet is whole", time.Now(), func() bool { return other.complete(all...) })
-	c.putSoon("a", "plan", "v1")
-	other.putSoon("a", "plan", "foreign")
-	inc := c.machines["c"].node.Incarnation()
+	all := fourNodes[:3]
+	c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+	other.waitUntil("all nodes of the other fleet vote", time.Now(), func() bool { return other.allVoting(all...) })
+	c.putEventually("a", "plan", "v1")
+	other.putEventually("a", "plan", "foreign")
+	incarnation := c.nodes["c"].node.Incarnation()
 	for name, seeds := range map[string][]string{
-		"itself":        {c.machines["c"].settings.TransportAddr},
-		"dead":          {c.port(), c.port()},
+		"itself":        {c.nodes["c"].settings.TransportAddr},
+		"dead":          {c.nextAddr(), c.nextAddr()},
 		"another fleet": other.seeds,
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.kill("c")
 			c.seeds = seeds
 			c.start("c", false)
-			c.until("it is back in its fleet", time.Now(), func() bool { return c.complete(all...) })
-			c.reads("c", "plan", "v1")
-			if c.machines["c"].node.Incarnation() != inc || len(other.machines["a"].node.VoterAddrs()) != 3 {
-				t.Fatal("it joined another fleet")
+			c.waitUntil("the node votes in its fleet", time.Now(), func() bool { return c.allVoting(all...) })
+			c.mustRead("c", "plan", "v1")
+			if c.nodes["c"].node.Incarnation() != incarnation || len(other.nodes["a"].node.VoterAddrs()) != 3 {
+				t.Fatal("the node joined another fleet")
 			}
-			// Alone with such seeds it neither votes with others nor answers for them.
+			// A single node with such seeds is no majority and must acknowledge nothing.
 			c.kill("a", "b")
-			if s := c.try("c", "plan", "alone"); s == quorum.StatusDone {
-				t.Fatal("one of three confirmed a change")
+			if status := c.tryPut("c", "plan", "alone"); status == quorum.StatusDone {
+				t.Fatal("one of three nodes acknowledged a change")
 			}
 			c.start("a", false)
 			c.start("b", false)
-			c.until("all are back", time.Now(), func() bool { return c.complete(all...) })
-			c.reads("b", "plan", "v1")
+			c.waitUntil("all nodes vote again", time.Now(), func() bool { return c.allVoting(all...) })
+			c.mustRead("b", "plan", "v1")
 		})
 	}
-	for name, seeds := range map[string][]string{"itself": nil, "dead": {c.port(), c.port()}} {
-		t.Run("blank, "+name, func(t *testing.T) {
-			c.machine("blank")
+	for name, seeds := range map[string][]string{"itself": nil, "dead": {c.nextAddr(), c.nextAddr()}} {
+		t.Run("empty disk, "+name, func(t *testing.T) {
+			c.addNode("blank")
 			if c.seeds = seeds; seeds == nil {
-				c.seeds = []string{c.machines["blank"].settings.TransportAddr}
+				c.seeds = []string{c.nodes["blank"].settings.TransportAddr}
 			}
 			c.start("blank", false)
-			c.until("it says what to do", time.Now(), func() bool {
-				st, why := c.page("blank", "/readyz")
-				return st == 503 && strings.Contains(why, "no bootstrapped fleet is reachable")
+			c.waitUntil("the node reports what to do", time.Now(), func() bool {
+				status, why := c.get("blank", "/readyz")
+				return status == 503 && strings.Contains(why, "no bootstrapped fleet is reachable")
 			})
-			if c.machines["blank"].node.Voting() || c.machines["blank"].node.VoterAddrs() != nil {
-				t.Fatal("it votes in a fleet of its own")
+			if c.nodes["blank"].node.Voting() || c.nodes["blank"].node.VoterAddrs() != nil {
+				t.Fatal("the node votes in a fleet of its own")
 			}
 			c.kill("blank")
 		})
 	}
 }
 
-// TestRemovedRing: a machine whose files in use were removed is one whose disk was lost:
-// it joins as another, and never votes with its former number.
-func TestRemovedRing(t *testing.T) {
+// TestRemovedLogSegment: a node whose log segment in use was removed must be treated as one that
+// lost its disk: it must join under a new incarnation and never vote with the old one.
+func TestRemovedLogSegment(t *testing.T) {
 	c := newCluster(t, 3)
-	all := four[:3]
-	c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-	c.putSoon("b", "plan", "v1")
-	inc := c.machines["c"].node.Incarnation()
+	all := fourNodes[:3]
+	c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+	c.putEventually("b", "plan", "v1")
+	incarnation := c.nodes["c"].node.Incarnation()
 	c.kill("c")
 	must(t, os.Remove(c.logSegment("c", 1)))
 	c.start("c", false)
-	c.until("it joined anew", time.Now(), func() bool { return c.complete(all...) })
-	if c.machines["c"].node.Incarnation() == inc {
-		t.Fatal("it votes with its former number")
+	c.waitUntil("the node has joined again", time.Now(), func() bool { return c.allVoting(all...) })
+	if c.nodes["c"].node.Incarnation() == incarnation {
+		t.Fatal("the node votes with its old incarnation")
 	}
-	c.reads("c", "plan", "v1")
+	c.mustRead("c", "plan", "v1")
 }
 
-// TestNameTwice: a machine with the name of one that voted and a disk of its own takes
-// the seat; the former comes back and drops its number before it votes again.
-func TestNameTwice(t *testing.T) {
+// TestDuplicateNodeName: a node with the name of a voter, but with a disk of its own, takes the
+// voter's place while that is down. When the old node returns, it must give up its incarnation.
+func TestDuplicateNodeName(t *testing.T) {
 	c := newCluster(t, 3)
-	all := four[:3]
-	c.until("the fleet is whole", time.Now(), func() bool { return c.complete(all...) })
-	c.putSoon("a", "plan", "v1")
-	former := c.machines["b"]
-	inc := former.node.Incarnation()
+	all := fourNodes[:3]
+	c.waitUntil("all nodes vote", time.Now(), func() bool { return c.allVoting(all...) })
+	c.putEventually("a", "plan", "v1")
+	old := c.nodes["b"]
+	incarnation := old.node.Incarnation()
 	c.kill("b")
-	c.machine("b")
+	c.addNode("b")
 	c.start("b", false)
-	c.until("the second of the name is in", time.Now(), func() bool { return c.complete(all...) })
-	c.machines["former"] = former
+	c.waitUntil("the second node of that name votes", time.Now(), func() bool { return c.allVoting(all...) })
+	c.nodes["former"] = old
 	c.start("former", false)
-	c.until("the former has dropped its number", time.Now(), func() bool {
-		now := former.node.Incarnation()
-		return now != 0 && now != inc
+	c.waitUntil("the old node has another incarnation", time.Now(), func() bool {
+		current := old.node.Incarnation()
+		return current != 0 && current != incarnation
 	})
 	c.kill("former")
-	c.putSoon("a", "plan", "v2")
-	c.reads("c", "plan", "v2")
+	c.putEventually("a", "plan", "v2")
+	c.mustRead("c", "plan", "v2")
 }
 
 var _ wal.FS = (*faultyDisk)(nil)
--- a/internal/e2e/faulty_disk_test.go
+++ b/internal/e2e/faulty_disk_test.go
@@ -7,13 +7,14 @@
 	"violetthread/wal"
 )
 
-// faultyDisk is a disk that stalls, fills up or fails when told to. A full one takes part of
-// what is written to it.
+// faultyDisk is a file system with injectable faults. While it is stalled, operations block. While
+// it is full, writes return ENOSPC; while it is failing, writes and syncs return EIO. A write that
+// fails has stored half of its data.
 type faultyDisk struct {
 	wal.FS
-	mu    sync.Mutex
-	gate  *sync.Cond
-	fault string // "" is well; stalled, full, failing
+	mu      sync.Mutex
+	changed *sync.Cond // signaled when fault changes
+	fault   string     // stalled, full, failing, or empty for none
 }
 
 type faultyFile struct {
@@ -23,23 +24,24 @@
 
 func newFaultyDisk(fs wal.FS) *faultyDisk {
 	d := &faultyDisk{FS: fs}
-	d.gate = sync.NewCond(&d.mu)
+	d.changed = sync.NewCond(&d.mu)
 	return d
 }
 
-func (d *faultyDisk) setFault(how string) {
+func (d *faultyDisk) setFault(fault string) {
 	d.mu.Lock()
-	d.fault = how
+	d.fault = fault
 	d.mu.Unlock()
-	d.gate.Broadcast()
+	d.changed.Broadcast()
 }
 
-// pass waits while the disk is stalled.
-func (d *faultyDisk) pass(write bool) error {
+// check blocks while the disk is stalled, and then returns the error of the current fault. write
+// tells whether the operation needs free space.
+func (d *faultyDisk) check(write bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for d.fault == "stalled" {
-		d.gate.Wait()
+		d.changed.Wait()
 	}
 	switch {
 	case d.fault == "full" && write:
@@ -51,27 +53,27 @@
 }
 
 func (d *faultyDisk) Open(name string, size int64) (wal.File, error) {
-	has, err := d.FS.Size(name)
+	current, err := d.FS.Size(name)
 	if err != nil {
 		return nil, err
 	}
-	if err := d.pass(has < size); err != nil && has < size {
+	if err := d.check(current < size); err != nil && current < size {
 		return nil, err
 	}
-	f, err := d.FS.Open(name, size)
-	return faultyFile{f, d}, err
+	file, err := d.FS.Open(name, size)
+	return faultyFile{file, d}, err
 }
 
-func (f faultyFile) WriteAt(b []byte, o int64) (int, error) {
-	if err := f.disk.pass(true); err != nil {
-		n, _ := f.File.WriteAt(b[:len(b)/2], o)
+func (f faultyFile) WriteAt(data []byte, offset int64) (int, error) {
+	if err := f.disk.check(true); err != nil {
+		n, _ := f.File.WriteAt(data[:len(data)/2], offset)
 		return n, err
 	}
-	return f.File.WriteAt(b, o)
+	return f.File.WriteAt(data, offset)
 }
 
 func (f faultyFile) Sync() error {
-	if err := f.disk.pass(false); err != nil {
+	if err := f.disk.check(false); err != nil {
 		return err
 	}
 	return f.File.Sync()
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -25,24 +25,28 @@
 	"violetthread/wal"
 )
 
-// ports hands out addresses that were free a moment ago.
-func ports(t *testing.T, n int) []string {
+// freeAddrs returns n loopback addresses whose ports were free when it returned. Another process
+// may still take one before it is used.
+func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
-	var ls []net.Listener
-	var out []string
+	var listeners []net.Listener
+	var addrs []string
 	for i := 0; i < n; i++ {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		ls, out = append(ls, l), append(out, l.Addr().String())
+		listeners, addrs = append(listeners, listener), append(addrs, listener.Addr().String())
 	}
-	for _, l := range ls {
-		_ = l.Close()
+	for _, listener := range listeners {
+		_ = listener.Close()
 	}
-	return out
+	return addrs
 }
 
+// testFleet is a fleet of all daemons in one process: four control nodes, two index nodes, two
+// gateways with their agents, and simulated engines, platform and back end. Addresses are those
+// of the HTTP interfaces.
 type testFleet struct {
 	t          *testing.T
 	controls   []string
@@ -50,168 +54,175 @@
 	engines    []string
 	platform   string
 	backend    string
-	recordings []string
-	stop       map[string]*daemon.Daemon
-	wg         sync.WaitGroup
-	disks      []*faultyDisk // of the control nodes
+	recordings []string                  // paths of the recordings
+	daemons    map[string]*daemon.Daemon // running daemons by name
+	running    sync.WaitGroup            // of the daemons' Run calls
+	disks      []*faultyDisk             // of the control nodes
 }
 
-func (r *testFleet) run(name string, d *daemon.Daemon, err error) {
-	r.t.Helper()
+// start runs a daemon in the background; err is the error of creating it.
+func (fleet *testFleet) start(name string, d *daemon.Daemon, err error) {
+	fleet.t.Helper()
 	if err != nil {
-		r.t.Fatalf("%s: %v", name, err)
+		fleet.t.Fatalf("%s: %v", name, err)
 	}
-	r.stop[name] = d
-	r.wg.Add(1)
-	c := taskgroup.New(d.Group.Context(), d.Log)
-	c.Go(name, func(context.Context) {
-		defer r.wg.Done()
+	fleet.daemons[name] = d
+	fleet.running.Add(1)
+	group := taskgroup.New(d.Group.Context(), d.Log)
+	group.Go(name, func(context.Context) {
+		defer fleet.running.Done()
 		_ = d.Run()
 	})
 }
 
+// newTestFleet starts a fleet, which is stopped at the end of the test.
 func newTestFleet(t *testing.T) *testFleet {
-	r := &testFleet{t: t, stop: map[string]*daemon.Daemon{}}
-	p := ports(t, 32)
-	next := func() string { a := p[0]; p = p[1:]; return a }
+	fleet := &testFleet{t: t, daemons: map[string]*daemon.Daemon{}}
+	addrs := freeAddrs(t, 32)
+	nextAddr := func() string { addr := addrs[0]; addrs = addrs[1:]; return addr }
 	dir := t.TempDir()
-	var wires []string
+	var transportAddrs []string // of the control nodes
 	for i := 0; i < 4; i++ {
-		wires = append(wires, next())
+		transportAddrs = append(transportAddrs, nextAddr())
 	}
-	sites := []string{"north", "east", "south", "west"}
+	zones := []string{"north", "east", "south", "west"}
 	for i := 0; i < 4; i++ {
 		s := control.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Bootstrap, s.DataDir = fmt.Sprint("control", i), sites[i], next(), wires[i], true, fmt.Sprintf("%s/r%d", dir, i)
+		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Bootstrap, s.DataDir = fmt.Sprint("control", i), zones[i], nextAddr(), transportAddrs[i], true, fmt.Sprintf("%s/r%d", dir, i)
 		s.LogSegments, s.LogSegmentBytes, s.DrainUS = 8, 256<<10, 0
-		s.Seeds = wires[:3] // the fourth joins
+		s.Seeds = transportAddrs[:3] // the fourth node joins the other three
 		s.Disk = func(fs wal.FS) wal.FS {
-			r.disks = append(r.disks, newFaultyDisk(fs))
-			return r.disks[len(r.disks)-1]
+			fleet.disks = append(fleet.disks, newFaultyDisk(fs))
+			return fleet.disks[len(fleet.disks)-1]
 		}
-		r.controls = append(r.controls, s.HTTPAddr)
+		fleet.controls = append(fleet.controls, s.HTTPAddr)
 		d, err := control.NewDaemon(s)
-		r.run(s.Name, d, err)
+		fleet.start(s.Name, d, err)
 	}
-	var list []string
+	var listed []string // engines as the platform's settings list them
 	for i := 0; i < 3; i++ {
 		s := engine.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.PieceUS, s.RecomputeUS, s.WeightsLoadUS, s.DrainUS = fmt.Sprint("e", i), sites[i], next(), 3_000, 500, 50_000, 0
-		r.engines = append(r.engines, s.HTTPAddr)
-		list = append(list, fmt.Sprintf("%s=%s@%s", s.Name, s.HTTPAddr, s.Zone))
+		s.Name, s.Zone, s.HTTPAddr, s.PieceUS, s.RecomputeUS, s.WeightsLoadUS, s.DrainUS = fmt.Sprint("e", i), zones[i], nextAddr(), 3_000, 500, 50_000, 0
+		fleet.engines = append(fleet.engines, s.HTTPAddr)
+		listed = append(listed, fmt.Sprintf("%s=%s@%s", s.Name, s.HTTPAddr, s.Zone))
 		d, err := engine.NewDaemon(s)
-		r.run(s.Name, d, err)
-	}
-	r.platform, r.backend = next(), next()
-	ps := platform.Defaults()
-	ps.Name, ps.Zone, ps.HTTPAddr, ps.Engines = "platform", "core", r.platform, list
-	d, err := platform.NewDaemon(ps)
-	r.run("platform", d, err)
-	bs := backend.Defaults()
-	bs.Name, bs.Zone, bs.HTTPAddr = "backend", "core", r.backend
-	d, err = backend.NewDaemon(bs)
-	r.run("backend", d, err)
+		fleet.start(s.Name, d, err)
+	}
+	fleet.platform, fleet.backend = nextAddr(), nextAddr()
+	platformSettings := platform.Defaults()
+	platformSettings.Name, platformSettings.Zone, platformSettings.HTTPAddr, platformSettings.Engines = "platform", "core", fleet.platform, listed
+	d, err := platform.NewDaemon(platformSettings)
+	fleet.start("platform", d, err)
+	backendSettings := backend.Defaults()
+	backendSettings.Name, backendSettings.Zone, backendSettings.HTTPAddr = "backend", "core", fleet.backend
+	d, err = backend.NewDaemon(backendSettings)
+	fleet.start("backend", d, err)
 	for i := 0; i < 2; i++ {
 		s := indexnode.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Seeds, s.Platform, s.DrainUS = fmt.Sprint("index", i), sites[i], next(), next(), wires[:3], r.platform, 500_000
+		s.Name, s.Zone, s.HTTPAddr, s.TransportAddr, s.Seeds, s.Platform, s.DrainUS = fmt.Sprint("index", i), zones[i], nextAddr(), nextAddr(), transportAddrs[:3], fleet.platform, 500_000
 		s.Recording = fmt.Sprintf("%s/index%d.recording", dir, i)
-		r.recordings = append(r.recordings, s.Recording)
+		fleet.recordings = append(fleet.recordings, s.Recording)
 		d, err := indexnode.NewDaemon(s)
-		r.run(s.Name, d, err)
+		fleet.start(s.Name, d, err)
 	}
 	for i := 0; i < 2; i++ {
-		a := agent.Defaults()
-		a.Name, a.Zone, a.HTTPAddr, a.TransportAddr, a.Seeds, a.DrainUS = fmt.Sprint("gateway", i), sites[i], next(), next(), wires[:3], 0
-		d, err := agent.NewDaemon(a)
-		r.run(a.Name+"-agent", d, err)
+		agentSettings := agent.Defaults()
+		agentSettings.Name, agentSettings.Zone, agentSettings.HTTPAddr, agentSettings.TransportAddr, agentSettings.Seeds, agentSettings.DrainUS = fmt.Sprint("gateway", i), zones[i], nextAddr(), nextAddr(), transportAddrs[:3], 0
+		d, err := agent.NewDaemon(agentSettings)
+		fleet.start(agentSettings.Name+"-agent", d, err)
 		s := gateway.Defaults()
-		s.Name, s.Zone, s.HTTPAddr, s.Agent, s.DrainUS = a.Name, a.Zone, next(), a.TransportAddr, 3_000_000
+		s.Name, s.Zone, s.HTTPAddr, s.Agent, s.DrainUS = agentSettings.Name, agentSettings.Zone, nextAddr(), agentSettings.TransportAddr, 3_000_000
 		s.Recording = fmt.Sprintf("%s/gateway%d.recording", dir, i)
-		r.recordings = append(r.recordings, s.Recording)
-		r.proxies = append(r.proxies, s.HTTPAddr)
+		fleet.recordings = append(fleet.recordings, s.Recording)
+		fleet.proxies = append(fleet.proxies, s.HTTPAddr)
 		d, err = gateway.NewDaemon(s)
-		r.run(s.Name, d, err)
+		fleet.start(s.Name, d, err)
 	}
-	t.Cleanup(r.down)
-	return r
+	t.Cleanup(fleet.stopAll)
+	return fleet
 }
 
-func (r *testFleet) down() {
-	for _, d := range r.disks {
-		d.setFault("")
+// stopAll ends all disk faults, so that no daemon waits for its disk, and stops all daemons.
+func (fleet *testFleet) stopAll() {
+	for _, disk := range fleet.disks {
+		disk.setFault("")
 	}
-	for n, d := range r.stop {
+	for name, d := range fleet.daemons {
 		d.Stop()
-		delete(r.stop, n)
+		delete(fleet.daemons, name)
 	}
-	r.wg.Wait()
+	fleet.running.Wait()
 }
 
-// until waits for a condition that another process brings about.
-func (r *testFleet) until(what string, f func() bool) {
-	r.t.Helper()
+// waitUntil polls a condition, and fails the test if it does not hold within 30 s.
+func (fleet *testFleet) waitUntil(what string, condition func() bool) {
+	fleet.t.Helper()
 	tick, end := time.NewTicker(10*time.Millisecond), time.After(30*time.Second)
 	defer tick.Stop()
-	for !f() {
+	for !condition() {
 		select {
 		case <-tick.C:
 		case <-end:
-			r.t.Fatalf("waited in vain until %s", what)
+			fleet.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-func (r *testFleet) get(url string) (int, string) {
-	q, err := http.Get("http://" + url)
+// get returns the status and body of a GET, or status 0 and the error.
+func (fleet *testFleet) get(url string) (int, string) {
+	response, err := http.Get("http://" + url)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer q.Body.Close()
-	b, _ := io.ReadAll(q.Body)
-	return q.StatusCode, string(b)
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(body)
 }
 
-func (r *testFleet) send(method, url, key string, h map[string]string, body string) (int, string) {
-	q, err := http.NewRequest(method, "http://"+url, strings.NewReader(body))
+// send sends an HTTP request and returns the status and body of the response, or status 0 and
+// the error. An empty key sends no Authorization header.
+func (fleet *testFleet) send(method, url, key string, header map[string]string, text string) (int, string) {
+	request, err := http.NewRequest(method, "http://"+url, strings.NewReader(text))
 	if err != nil {
-		r.t.Fatal(err)
+		fleet.t.Fatal(err)
 	}
 	if key != "" {
-		q.Header.Set("Authorization", "Bearer "+key)
+		request.Header.Set("Authorization", "Bearer "+key)
 	}
-	for k, v := range h {
-		q.Header.Set(k, v)
+	for name, value := range header {
+		request.Header.Set(name, value)
 	}
-	a, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer a.Body.Close()
-	b, _ := io.ReadAll(a.Body)
-	return a.StatusCode, string(b)
+	defer response.Body.Close()
+	body, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(body)
 }
 
-// request sends a request and returns the status, the frames and the last one.
-func (r *testFleet) request(proxy int, key, body string) (int, []callerapi.Frame, callerapi.Frame) {
-	st, out := r.send("POST", r.proxies[proxy]+"/v1/tickets", key, nil, body)
-	var fs []callerapi.Frame
-	for _, l := range strings.Split(strings.TrimSpace(out), "\n") {
-		var f callerapi.Frame
-		if json.Unmarshal([]byte(l), &f) == nil {
-			fs = append(fs, f)
+// request sends a caller's request and returns the HTTP status, all frames and the last one.
+func (fleet *testFleet) request(proxy int, key, body string) (int, []callerapi.Frame, callerapi.Frame) {
+	status, text := fleet.send("POST", fleet.proxies[proxy]+"/v1/tickets", key, nil, body)
+	var frames []callerapi.Frame
+	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
+		var frame callerapi.Frame
+		if json.Unmarshal([]byte(line), &frame) == nil {
+			frames = append(frames, frame)
 		}
 	}
-	if len(fs) == 0 {
-		return st, nil, callerapi.Frame{}
+	if len(frames) == 0 {
+		return status, nil, callerapi.Frame{}
 	}
-	return st, fs, fs[len(fs)-1]
+	return status, frames, frames[len(frames)-1]
 }
 
-func (r *testFleet) runs(requestID string) (n int) {
-	for _, addr := range r.engines {
-		_, b := r.get(addr + "/v1/seen")
+// countRuns returns how many runs of a request the engines observed.
+func (fleet *testFleet) countRuns(requestID string) (n int) {
+	for _, addr := range fleet.engines {
+		_, body := fleet.get(addr + "/v1/seen")
 		var observed engine.Observations
-		_ = json.Unmarshal([]byte(b), &observed)
+		_ = json.Unmarshal([]byte(body), &observed)
 		for _, run := range observed.Runs {
 			if run.RequestID == requestID {
 				n++
