--- a/scripts/days/day.go
+++ b/scripts/days/day.go
@@ -8,14 +8,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// A day passes its gate only if this part of its worth is earned. It is below the
-// sites' own floors, since these days hold more trouble than standard ones.
+// A day passes only if it earns at least this part of its worth, in all and in each class and
+// zone. The floors are below those of the sites' own days, since generated days have more faults.
 const (
-	dayFloor  = 0.3
+	goalFloor = 0.3
 	partFloor = 0.2
 )
 
-// entry is one piece of planned work or one fault.
+// entry is one piece of planned work, or one fault, in a day's file.
 type entry struct {
 	At      float64 `toml:"at"`
 	Kind    string  `toml:"kind"`
@@ -32,7 +32,7 @@
 	Class   string  `toml:"class,omitempty"`
 }
 
-// closing is the fault that strikes at the end of a day.
+// closing is the fault that occurs at the end of a day.
 type closing struct {
 	Kind  string  `toml:"kind"`
 	DownS float64 `toml:"down_s"`
@@ -43,7 +43,7 @@
 	Floor float64 `toml:"floor"`
 }
 
-// day is written as the bench reads it.
+// day is a day in the form that the bench reads.
 type day struct {
 	Name         string           `toml:"name"`
 	Slot         string           `toml:"slot"`
@@ -62,7 +62,7 @@
 	Traffic      []map[string]any `toml:"traffic"`
 }
 
-// write puts a day into a file, whose folder is made if need be.
+// write writes a day to a file, and creates the file's folder if it does not exist.
 func (d day) write(path string) error {
 	text, err := toml.Marshal(struct {
 		Days []day `toml:"day"`
--- a/scripts/days/golden_digest_test.go
+++ b/scripts/days/golden_digest_test.go
@@ -8,8 +8,8 @@
 	"violetthread/internal/goldendigest"
 )
 
-// TestGoldenDays: a seed means the same day as ever, on a site with all contracts and on one
-// without. Days that once found something are played again by their seeds.
+// TestGoldenDays checks, by a digest, that a seed still gives the same day, on a site with all
+// contracts and on one without. Days that found a fault are run again by their seeds.
 func TestGoldenDays(t *testing.T) {
 	s, _ := testSite(t)
 	everyContract := s
--- a/scripts/days/kinds.go
+++ b/scripts/days/kinds.go
@@ -1,19 +1,21 @@
 package main
 
-// planned kinds stand under plan, the others under faults.
-var planned = map[string]bool{
+// isPlanned tells which kinds are planned work, written under plan in a day's file. The others are
+// written under faults.
+var isPlanned = map[string]bool{
 	"ack_lost": false, "bad_config": true, "big_config": true, "config_change": true,
 	"config_race": true, "config_storm": true, "hup": true, "release": true, "revoke": true,
 	"roll_term": true, "scale_in": true, "scale_out": true, "version_bump": true,
 }
 
-// contractOf names the contract that a kind needs; the others come everywhere.
+// contractOf names the contract that a site must have for a kind. Kinds that are not listed suit
+// every site.
 var contractOf = map[string]string{
 	"hot_key": "pool", "idle_race": "pool",
 	"srv_flap": "health", "srv_lying_health": "health",
 }
 
-// kinds draws an entry of each kind that a day may hold.
+// kinds maps each kind of planned work or fault to the function that draws an entry of it.
 var kinds = map[string]func(*draft) entry{
 	"ack_lost":       func(d *draft) entry { return entry{X: d.between(0.3, 0.9), ForS: d.between(5, 20)} },
 	"after_ack_kill": drawAfterAckKill,
@@ -37,7 +39,7 @@
 		return entry{Share: d.between(0.1, 0.3), ForS: d.between(3, 8), Class: d.class()}
 	},
 	"hup": func(d *draft) entry {
-		return entry{Share: d.between(0.2, 1), GapS: d.between(0.5, 4), On: d.anywhere()}
+		return entry{Share: d.between(0.2, 1), GapS: d.between(0.5, 4), On: d.machineClass()}
 	},
 	"idle_race": func(d *draft) entry {
 		return entry{Share: d.between(0.2, 0.8), X: d.between(100, 800), ForS: d.between(3, 10)}
@@ -73,33 +75,34 @@
 	"version_bump": func(*draft) entry { return entry{} },
 }
 
-// core is the class of the machines that hold the fleet's state.
+// core is the class of the machines that run the control nodes.
 const core = "core"
 
-// anywhere is the core, or the class that carries the traffic.
-func (d *draft) anywhere() string { return d.pick("", core) }
+// machineClass picks the core, or with an empty name the class that carries the traffic.
+func (d *draft) machineClass() string { return d.pick("", core) }
 
-// anyOrLeader is no variant, so that any machine is struck, or the one that strikes the leader.
-func (d *draft) anyOrLeader() string { return d.pick("", "leader") }
+// anyOrLeaderVariant picks the variant that affects the leader, or none, which affects any machine.
+func (d *draft) anyOrLeaderVariant() string { return d.pick("", "leader") }
 
-// strike aims a fault at machines of the class that it was drawn for: at one of the core, in a
-// variant, or at a share of those that carry the traffic.
-func (d *draft) strike(one entry, lowShare, highShare float64, variant func() string) entry {
-	if one.On == core {
-		one.Count, one.How = 1, variant()
-		return one
+// aim sets the machines that a fault affects, by the class that was drawn for it: one core
+// machine, with a variant, or a share of the machines that carry the traffic.
+func (d *draft) aim(e entry, lowShare, highShare float64, variant func() string) entry {
+	if e.On == core {
+		e.Count, e.How = 1, variant()
+		return e
 	}
-	one.Share = d.between(lowShare, highShare)
-	return one
+	e.Share = d.between(lowShare, highShare)
+	return e
 }
 
-// after is what is done to a machine when it returns, and during a cut.
-func (d *draft) after() string {
-	return how(d.pick("", "meet", "race"), d.pick("", "", "hard"), d.pick("", "", "drain"))
+// returnVariant picks variants of what happens to a machine when it returns, and during a cut.
+func (d *draft) returnVariant() string {
+	return joinVariants(d.pick("", "meet", "race"), d.pick("", "", "hard"), d.pick("", "", "drain"))
 }
 
-// whom names the machine that a fault strikes; left empty, the day's seed picks.
-func (d *draft) whom() string { return d.pick("", "leader", "leader", "reader", "seed") }
+// targetVariant picks the variant that selects the core machine that a fault affects. If it is
+// empty, the day's seed selects one.
+func (d *draft) targetVariant() string { return d.pick("", "leader", "leader", "reader", "seed") }
 
 func engineFault(d *draft, lowShare, highShare float64) entry {
 	return entry{Share: d.between(lowShare, highShare), ForS: d.between(3, 7), Service: d.engines()}
@@ -126,7 +129,7 @@
 
 func drawClockStep(d *draft) entry {
 	return entry{Share: d.between(0.2, 0.6), X: d.between(1000, 4000), ForS: d.between(3, 10),
-		How: how(d.pick("back", "ahead"), d.anyOrLeader())}
+		How: joinVariants(d.pick("back", "ahead"), d.anyOrLeaderVariant())}
 }
 
 func drawConfigChange(d *draft) entry {
@@ -135,15 +138,15 @@
 
 func drawCoreCut(d *draft) entry {
 	variant := d.pick("", "", "reset", "refuse", "one_way", "one_way", "seeds", "both")
-	return entry{ForS: d.between(3, 8), How: how(d.whom(), variant, d.after())}
+	return entry{ForS: d.between(3, 8), How: joinVariants(d.targetVariant(), variant, d.returnVariant())}
 }
 
 func drawDisk(d *draft) entry {
-	return entry{ForS: d.between(2, 6), How: d.anyOrLeader()}
+	return entry{ForS: d.between(2, 6), How: d.anyOrLeaderVariant()}
 }
 
 func drawDiskSlow(d *draft) entry {
-	return entry{ForS: d.between(3, 8), X: d.between(15, 45), How: d.anyOrLeader()}
+	return entry{ForS: d.between(3, 8), X: d.between(15, 45), How: d.anyOrLeaderVariant()}
 }
 
 func drawGarble(d *draft) entry {
@@ -152,17 +155,17 @@
 }
 
 func drawHerdKill(d *draft) entry {
-	one := entry{ForS: d.between(0.5, 2.5), On: d.anywhere(), How: how(d.pick("", "power"), d.after())}
-	if one.On == "" {
-		one.Share = d.between(0.3, 0.8)
+	e := entry{ForS: d.between(0.5, 2.5), On: d.machineClass(), How: joinVariants(d.pick("", "power"), d.returnVariant())}
+	if e.On == "" {
+		e.Share = d.between(0.3, 0.8)
 	}
-	return one
+	return e
 }
 
 func drawLinksSlow(d *draft) entry {
-	one := engineFault(d, 0.15, 0.4)
-	one.X = d.between(4, 12)
-	return one
+	e := engineFault(d, 0.15, 0.4)
+	e.X = d.between(4, 12)
+	return e
 }
 
 func drawNodeCut(d *draft) entry {
@@ -170,18 +173,18 @@
 }
 
 func drawNodeFreeze(d *draft) entry {
-	one := entry{ForS: d.between(0.8, 6), On: d.anywhere()}
-	return d.strike(one, 0.1, 0.25, func() string { return how(d.whom(), d.after()) })
+	e := entry{ForS: d.between(0.8, 6), On: d.machineClass()}
+	return d.aim(e, 0.1, 0.25, func() string { return joinVariants(d.targetVariant(), d.returnVariant()) })
 }
 
 func drawNodeKill(d *draft) entry {
-	one := entry{ForS: d.between(0.3, 4), On: d.anywhere(), How: d.pick("", "power")}
-	return d.strike(one, 0.1, 0.25, func() string { return how(one.How, d.whom(), d.after()) })
+	e := entry{ForS: d.between(0.3, 4), On: d.machineClass(), How: d.pick("", "power")}
+	return d.aim(e, 0.1, 0.25, func() string { return joinVariants(e.How, d.targetVariant(), d.returnVariant()) })
 }
 
 func drawNodeSlow(d *draft) entry {
-	one := entry{X: d.between(3, 8), ForS: d.between(2, 6), On: d.anywhere()}
-	return d.strike(one, 0.1, 0.2, d.anyOrLeader)
+	e := entry{X: d.between(3, 8), ForS: d.between(2, 6), On: d.machineClass()}
+	return d.aim(e, 0.1, 0.2, d.anyOrLeaderVariant)
 }
 
 func drawRelease(d *draft) entry {
@@ -189,7 +192,7 @@
 }
 
 func drawReplaceCore(d *draft) entry {
-	return entry{X: d.between(0.5, 3), How: how(d.pick("", "planned"), d.pick("", "leader", "seed"))}
+	return entry{X: d.between(0.5, 3), How: joinVariants(d.pick("", "planned"), d.pick("", "leader", "seed"))}
 }
 
 func drawReplaceWithReuse(d *draft) entry {
@@ -197,18 +200,18 @@
 }
 
 func drawResetConnections(d *draft) entry {
-	one := entry{X: d.between(0.3, 1), ForS: d.between(0.5, 3), On: d.anywhere()}
-	return d.strike(one, 0.1, 0.6, d.anyOrLeader)
+	e := entry{X: d.between(0.3, 1), ForS: d.between(0.5, 3), On: d.machineClass()}
+	return d.aim(e, 0.1, 0.6, d.anyOrLeaderVariant)
 }
 
 func drawRollTerm(d *draft) entry {
-	one := entry{X: 1, GapS: d.between(0.8, 1.6), On: d.anywhere(), How: d.pick("", "busy", "remove")}
-	if one.On == core {
-		one.How = d.pick("", "meet", "race")
-		one.GapS = d.between(5, 8)
+	e := entry{X: 1, GapS: d.between(0.8, 1.6), On: d.machineClass(), How: d.pick("", "busy", "remove")}
+	if e.On == core {
+		e.How = d.pick("", "meet", "race")
+		e.GapS = d.between(5, 8)
 	}
-	one.Share = d.between(0.3, 0.6)
-	return one
+	e.Share = d.between(0.3, 0.6)
+	return e
 }
 
 func drawScaleIn(d *draft) entry {
@@ -216,29 +219,29 @@
 }
 
 func drawEngineCrash(d *draft) entry {
-	one := engineFault(d, 0.06, 0.17)
-	one.How = d.pick("", "dark", "gone")
+	e := engineFault(d, 0.06, 0.17)
+	e.How = d.pick("", "dark", "gone")
 	if stores := d.site.servicesOf(false); len(stores) > 0 && d.chance(0.3) {
-		one.Service, one.Share, one.How = d.pick(stores...), 0, "all"
+		e.Service, e.Share, e.How = d.pick(stores...), 0, "all"
 	}
-	return one
+	return e
 }
 
 func drawEngineGrey(d *draft) entry {
-	one := engineFault(d, 0.1, 0.2)
-	one.How = d.pick("errors", "shed", "busy", "hang", "reset", "mute", "slow")
-	one.X = d.between(0.2, 0.5)
-	if one.How == "slow" {
-		one.X = d.between(4, 9)
+	e := engineFault(d, 0.1, 0.2)
+	e.How = d.pick("errors", "shed", "busy", "hang", "reset", "mute", "slow")
+	e.X = d.between(0.2, 0.5)
+	if e.How == "slow" {
+		e.X = d.between(4, 9)
 	}
 	if d.chance(0.2) {
-		one.How, one.ToZone = how(one.How, "one_zone"), d.zone()
+		e.How, e.ToZone = joinVariants(e.How, "one_zone"), d.zone()
 	}
-	return one
+	return e
 }
 
 func drawLyingHealth(d *draft) entry {
-	one := engineFault(d, 0.05, 0.12)
-	one.How = d.pick("errors", "hang", "reset", "bad")
-	return one
+	e := engineFault(d, 0.05, 0.12)
+	e.How = d.pick("errors", "hang", "reset", "bad")
+	return e
 }
--- a/scripts/days/main.go
+++ b/scripts/days/main.go
@@ -1,11 +1,11 @@
-// Command days draws days of trouble for a deployment, to be played by the users'
-// bench, and tells in one line how one went (docs/hunts.md).
+// Command days generates days with faults for a deployment, to be run by the users' bench, and
+// summarizes the bench's report of a day in one line (docs/hunts.md).
 //
-//	days draw SITE SEED FILE [THEME]   the day of a seed, written to FILE; of THEME, if it is named
-//	days line NAME REPORT        one line on a report of the bench
-//	days kinds                   the kinds of trouble that are drawn, one a line
+//	days draw SITE SEED FILE [THEME]   writes the day of a seed to FILE; of THEME, if it is given
+//	days line NAME REPORT              prints a summary of a report of the bench, in one line
+//	days kinds                         lists the kinds of planned work and faults, one per line
 //
-// Exit code 1 means that the day of a report failed, 2 that the command did.
+// Exit code 1 means that the day of a report failed, 2 that the command failed.
 package main
 
 import (
@@ -20,7 +20,7 @@
 
 const usage = "usage: days draw SITE SEED FILE [THEME] | days line NAME REPORT | days kinds"
 
-// errDayFailed means that a rule broke or a gate was not passed.
+// errDayFailed means that a rule was violated or that the day was not passed otherwise.
 var errDayFailed = errors.New("the day failed")
 
 func main() {
@@ -55,7 +55,7 @@
 func drawFile(sitePath, seedText, dayPath, themeName string) error {
 	seed, err := strconv.ParseUint(seedText, 10, 63)
 	if err != nil {
-		return fmt.Errorf("seed %q: give a whole number from 0 on", seedText)
+		return fmt.Errorf("invalid seed %q: expected an integer from 0 to 2^63-1", seedText)
 	}
 	s, err := readSite(sitePath)
 	if err != nil {
--- a/scripts/days/main_test.go
+++ b/scripts/days/main_test.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// siteText is a deployment that no user has.
+// siteText is a deployment's file made up for these tests.
 const siteText = `
 name = "test"
 contracts = ["base", "config"]
@@ -33,7 +33,7 @@
 zero = 0.3
 `
 
-// manySeeds is enough for every theme to come some thirty times.
+// manySeeds gives thirty days of each of the ten themes.
 const manySeeds = 300
 
 func testSite(t *testing.T) (site, string) {
@@ -65,11 +65,11 @@
 		texts[name] = string(text)
 	}
 	if texts["first"] != texts["again"] {
-		t.Error("one seed gave two days")
+		t.Error("the same seed gave different days")
 	}
 	s, _ := testSite(t)
 	if draw(s, 17).Traffic[0]["per_s"] == draw(s, 27).Traffic[0]["per_s"] {
-		t.Error("two seeds of one theme gave the same traffic")
+		t.Error("different seeds of a theme gave the same traffic")
 	}
 }
 
@@ -92,7 +92,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if len(got.Days) != 1 || !slices.Equal(got.Days[0].Plan, want.Plan) || !slices.Equal(got.Days[0].Faults, want.Faults) {
-			t.Fatalf("seed %d: read back otherwise than drawn", seed)
+			t.Fatalf("seed %d: the day read back differs from the drawn one", seed)
 		}
 	}
 }
@@ -101,20 +101,20 @@
 	s, _ := testSite(t)
 	for seed := range uint64(manySeeds) {
 		drawn := draw(s, seed)
-		for _, one := range slices.Concat(drawn.Plan, drawn.Faults) {
-			if one.At < 2 || one.At > drawn.LengthS-tailS {
-				t.Errorf("seed %d: %s at %v of %v s", seed, one.Kind, one.At, drawn.LengthS)
+		for _, e := range slices.Concat(drawn.Plan, drawn.Faults) {
+			if e.At < 2 || e.At > drawn.LengthS-quietTailS {
+				t.Errorf("seed %d: %s at %v of %v s", seed, e.Kind, e.At, drawn.LengthS)
 			}
-			if one.Share < 0 || one.Share > 1 {
-				t.Errorf("seed %d: %s with a share of %v", seed, one.Kind, one.Share)
+			if e.Share < 0 || e.Share > 1 {
+				t.Errorf("seed %d: %s with a share of %v", seed, e.Kind, e.Share)
 			}
-			if strings.Contains(one.How, "  ") || strings.TrimSpace(one.How) != one.How {
-				t.Errorf("seed %d: %s with a variant %q", seed, one.Kind, one.How)
+			if strings.Contains(e.How, "  ") || strings.TrimSpace(e.How) != e.How {
+				t.Errorf("seed %d: %s with a variant %q", seed, e.Kind, e.How)
 			}
 		}
-		for _, one := range drawn.Faults {
-			if planned[one.Kind] {
-				t.Errorf("seed %d: %s is planned work among faults", seed, one.Kind)
+		for _, e := range drawn.Faults {
+			if isPlanned[e.Kind] {
+				t.Errorf("seed %d: planned work %s is listed as a fault", seed, e.Kind)
 			}
 		}
 	}
@@ -126,8 +126,8 @@
 	seen := map[string]bool{}
 	for seed := range uint64(manySeeds) {
 		drawn := draw(s, seed)
-		for _, one := range slices.Concat(drawn.Plan, drawn.Faults) {
-			seen[one.Kind] = true
+		for _, e := range slices.Concat(drawn.Plan, drawn.Faults) {
+			seen[e.Kind] = true
 		}
 	}
 	for kind := range kinds {
@@ -141,9 +141,9 @@
 	s, _ := testSite(t)
 	for seed := range uint64(manySeeds) {
 		drawn := draw(s, seed)
-		for _, one := range drawn.Faults {
-			if needed := contractOf[one.Kind]; needed != "" {
-				t.Errorf("seed %d: %s needs the contract %s", seed, one.Kind, needed)
+		for _, e := range drawn.Faults {
+			if needed := contractOf[e.Kind]; needed != "" {
+				t.Errorf("seed %d: %s needs the contract %s", seed, e.Kind, needed)
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 	seen := map[string]bool{}
 	for seed := range uint64(manySeeds) {
 		if last := draw(s, seed).Closing; last != nil {
-			seen[how(last.Kind, last.How)] = true
+			seen[joinVariants(last.Kind, last.How)] = true
 		}
 	}
 	for _, want := range []string{
@@ -162,7 +162,7 @@
 		"wipe_after_ack", "wipe_after_ack aimed", "wipe_after_ack timed", "wipe_after_ack aimed timed",
 	} {
 		if !seen[want] {
-			t.Errorf("%s never came; seen: %v", want, slices.Sorted(maps.Keys(seen)))
+			t.Errorf("%s was never drawn; seen: %v", want, slices.Sorted(maps.Keys(seen)))
 		}
 	}
 }
@@ -188,7 +188,7 @@
 		}
 		slower++
 		if len(drawn.Machines) != len(s.Machines) || drawn.Machines[0]["disk"] != nil {
-			t.Fatalf("seed %d: other machines than the site's: %v", seed, drawn.Machines)
+			t.Fatalf("seed %d: machines differ from the site's in more than their disks: %v", seed, drawn.Machines)
 		}
 		disk := drawn.Machines[1]["disk"].(map[string]any)
 		if sync := disk["sync_ms"].(float64); sync < 10 || sync > 60 || disk["mb"] != int64(128) {
@@ -216,14 +216,14 @@
 		if stream["resume"] != false || stream["gap_ms"] != int64(20) {
 			t.Errorf("seed %d: a stream %v", seed, stream)
 		}
-		for _, one := range drawn.Classes {
-			if attempts := one["attempts"].(int); attempts < 2 || attempts > 4 {
+		for _, e := range drawn.Classes {
+			if attempts := e["attempts"].(int); attempts < 2 || attempts > 4 {
 				t.Errorf("seed %d: %d attempts", seed, attempts)
 			}
 		}
 	}
 	if found == 0 || found == manySeeds {
-		t.Errorf("%d of %d days with routes that may run once only", found, manySeeds)
+		t.Errorf("%d of %d days with once-only routes", found, manySeeds)
 	}
 	if s.Classes[1]["stream"].(map[string]any)["resume"] != true {
 		t.Error("the site's own classes changed")
@@ -306,9 +306,9 @@
 	}
 }
 
-// TestDirectedThemes: a theme that is named comes whatever the seed; one that nobody knows is an
-// error. A day of rollouts names new weights and lets engines restart soon after.
-func TestDirectedThemes(t *testing.T) {
+// TestExtraThemes checks that a named theme is used whatever the seed, and that an unknown one is
+// an error. A day of the theme rollouts must announce new weights and restart engines.
+func TestExtraThemes(t *testing.T) {
 	s, sitePath := testSite(t)
 	rollouts, err := themeOf("rollouts", 0)
 	if err != nil {
@@ -317,14 +317,14 @@
 	for seed := range uint64(manySeeds) {
 		count := map[string]int{}
 		drawn := drawTheme(s, seed, rollouts)
-		for _, one := range slices.Concat(drawn.Plan, drawn.Faults) {
-			count[one.Kind]++
-			if one.At < 2 || one.At > drawn.LengthS-tailS {
-				t.Errorf("seed %d: %s at %v of %v s", seed, one.Kind, one.At, drawn.LengthS)
+		for _, e := range slices.Concat(drawn.Plan, drawn.Faults) {
+			count[e.Kind]++
+			if e.At < 2 || e.At > drawn.LengthS-quietTailS {
+				t.Errorf("seed %d: %s at %v of %v s", seed, e.Kind, e.At, drawn.LengthS)
 			}
 		}
 		if count["version_bump"] < 2 || count["srv_crash"] < 3 || count["burst"]+count["srv_slow"] == 0 {
-			t.Errorf("seed %d: a day of rollouts with %v", seed, count)
+			t.Errorf("seed %d: a day of rollouts has %v", seed, count)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "day.toml")
@@ -332,6 +332,6 @@
 		t.Error(err)
 	}
 	if err := run([]string{"draw", sitePath, "4", path, "nobody's"}, nil); err == nil {
-		t.Error("a theme that nobody knows was drawn")
+		t.Error("no error for an unknown theme")
 	}
 }
--- a/scripts/days/report.go
+++ b/scripts/days/report.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// report is what the bench tells of a day that it played.
+// report is the bench's report of a day.
 type report struct {
 	Served  float64        `json:"served"`
 	Refused float64        `json:"refused"`
@@ -18,11 +18,11 @@
 	Short   []any          `json:"short"`
 	Breaks  map[string]any `json:"breaks"`
 	Ends    int            `json:"exits_n"`
-	Exits   []exit         `json:"exits"` // the first few of them
+	Exits   []exit         `json:"exits"` // only the first few
 	Changes int            `json:"configs"`
 }
 
-// exit is a process that ended by itself.
+// exit is a process that ended without being told to.
 type exit struct {
 	Node string  `json:"node"`
 	AtS  float64 `json:"at_s"`
@@ -41,13 +41,14 @@
 	return r, nil
 }
 
-// passed tells whether the gate was passed.
+// passed reports whether the day was passed: no rule violated, no fault of the run and no goal
+// missed.
 func (r report) passed() bool {
 	return len(r.Breaks) == 0 && r.Fault == nil && len(r.Short) == 0
 }
 
-// line is a day in one line: its gate, the broken rules, what it served, and the
-// processes that ended by themselves.
+// line summarizes a day in one line: whether it was passed, the violated rules, the shares of
+// requests by outcome, and the processes that ended without being told to.
 func (r report) line(name string) string {
 	gate := "passed"
 	if !r.passed() {
@@ -61,8 +62,8 @@
 	if len(r.Short) > 0 {
 		out += fmt.Sprintf("  short: %v", r.Short)
 	}
-	for _, one := range r.Exits {
-		out += fmt.Sprintf("  [%s at %.1f s: %s]", one.Node, one.AtS, one.Why)
+	for _, e := range r.Exits {
+		out += fmt.Sprintf("  [%s at %.1f s: %s]", e.Node, e.AtS, e.Why)
 	}
 	return out
 }
--- a/scripts/days/site.go
+++ b/scripts/days/site.go
@@ -8,10 +8,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// engineModel is the model of a service whose servers are model engines.
+// engineModel is the value of a service's model if its servers are model engines.
 const engineModel = "llm"
 
-// site is what days need to know of a deployment's file.
+// site is the part of a deployment's file that days depend on.
 type site struct {
 	Name      string           `toml:"name"`
 	Contracts []string         `toml:"contracts"`
@@ -33,17 +33,16 @@
 	Model string `toml:"model"`
 }
 
-// standardDay is one of the site's own days; its bounds of scoring, One and Zero, are taken
-// over.
+// standardDay is one of the site's own days. Generated days use its scoring bounds, One and Zero.
 type standardDay struct {
 	Slot string  `toml:"slot"`
 	One  float64 `toml:"one"`
 	Zero float64 `toml:"zero"`
 }
 
-var errNoEngines = errors.New("no service with model \"" + engineModel + "\": give a site file whose services include engines")
+var errNoEngines = errors.New("no service with model \"" + engineModel + "\": the site file must have a service of engines")
 
-// readSite reads a deployment's file.
+// readSite reads and checks a deployment's file.
 func readSite(path string) (site, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -64,23 +63,23 @@
 	case len(s.servicesOf(true)) == 0:
 		return errNoEngines
 	case len(s.Zones) == 0 || len(s.Classes) == 0 || len(s.Traffic) == 0 || len(s.Days) == 0:
-		return errors.New("zones, classes, traffic and at least one [[day]] are needed")
+		return errors.New("the site file must have zones, classes, traffic and at least one [[day]]")
 	}
 	return nil
 }
 
-// servicesOf lists the services that are engines, or those that are not.
+// servicesOf lists the names of the services that are engines, or of those that are not.
 func (s site) servicesOf(engines bool) []string {
 	var out []string
-	for _, one := range s.Services {
-		if (one.Model == engineModel) == engines {
-			out = append(out, one.Name)
+	for _, service := range s.Services {
+		if (service.Model == engineModel) == engines {
+			out = append(out, service.Name)
 		}
 	}
 	return out
 }
 
-// referenceDay is the first day of trouble, or the first day if there is none.
+// referenceDay returns the first day in the slot "trouble", or the first day if there is none.
 func (s site) referenceDay() standardDay {
 	for _, day := range s.Days {
 		if day.Slot == "trouble" {
