--- a/scripts/knownred/main.go
+++ b/scripts/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred runs go test and passes over the failing tests that a list names.
-// Any other failure counts, and so does a listed test that passes, is skipped or is
-// not there: a list that is out of date would hide the next fault.
+// Command knownred runs go test and ignores failures of the tests in a list (KNOWN-RED.txt). It
+// fails on any other failure, and also if a listed test passes, is skipped or does not run: an
+// outdated list would hide the next fault.
 package main
 
 import (
@@ -14,10 +14,10 @@
 	"strings"
 )
 
-const listName = "KNOWN-RED.txt"
+const listFile = "KNOWN-RED.txt"
 
 func main() {
-	list, err := os.ReadFile(listName)
+	list, err := os.ReadFile(listFile)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "known-red:", err)
 		os.Exit(2)
@@ -28,7 +28,7 @@
 		os.Exit(2)
 	}
 	r := newRun(known, os.Stdout)
-	for _, args := range groups(os.Args[1:]) {
+	for _, args := range splitGroups(os.Args[1:]) {
 		if err := r.test(args); err != nil {
 			fmt.Fprintf(os.Stderr, "known-red: %v\n", err)
 			os.Exit(2)
@@ -39,8 +39,8 @@
 	}
 }
 
-// groups splits arguments at "--".
-func groups(args []string) (groups [][]string) {
+// splitGroups splits the arguments at "--".
+func splitGroups(args []string) (groups [][]string) {
 	for {
 		i := slices.Index(args, "--")
 		if i < 0 {
@@ -50,10 +50,10 @@
 	}
 }
 
-// knownFailure is a line of the list.
+// knownFailure is one entry of the list.
 type knownFailure struct{ test, cause, issue string }
 
-// parseList reads a list: "package.Test | cause | issue" lines and comments.
+// parseList parses a list: lines of the form "package.Test | cause | issue", and comments.
 func parseList(text string) (list []knownFailure, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -66,37 +66,37 @@
 		}
 		pkg, test, ok := strings.Cut(fields[0], ".")
 		if len(fields) != 3 || !ok || pkg == "" || test == "" || fields[1] == "" || fields[2] == "" {
-			return nil, fmt.Errorf("%s:%d: write package.Test | cause | issue", listName, i+1)
+			return nil, fmt.Errorf("%s:%d: expected package.Test | cause | issue", listFile, i+1)
 		}
 		if slices.ContainsFunc(list, func(r knownFailure) bool { return r.test == fields[0] }) {
-			return nil, fmt.Errorf("%s:%d: %s is listed twice", listName, i+1, fields[0])
+			return nil, fmt.Errorf("%s:%d: %s is listed twice", listFile, i+1, fields[0])
 		}
 		list = append(list, knownFailure{fields[0], fields[1], fields[2]})
 	}
 	return list, nil
 }
 
-// event is one line of go test -json.
+// event is one line of the output of go test -json.
 type event struct {
 	Action, Package, Test, Output, ImportPath, FailedBuild string
 }
 
-// packageRun is what is known of one package's tests while they run.
+// packageRun is the state of one package's tests while they run.
 type packageRun struct {
-	lines    []string            // of the package itself
-	output   map[string][]string // of a test that has not passed
-	state    map[string]string   // of each test: run, pass, fail or skip
-	order    []string
-	brokeOff bool // it ended otherwise than by failing tests
+	lines   []string            // output that belongs to no test
+	output  map[string][]string // output of each test that has not passed
+	state   map[string]string   // state of each test: run, pass, fail or skip
+	order   []string            // tests in the order in which they started
+	aborted bool                // the process ended for another reason than failed tests
 }
 
 type run struct {
 	out      io.Writer
 	known    []knownFailure
-	running  map[string]*packageRun
-	state    map[string]string // of every test, by package.Test
-	failures []string          // why the run as a whole fails
-	module   string
+	running  map[string]*packageRun // by import path
+	state    map[string]string      // final state of every test, by package.Test
+	failures []string               // reasons why the run as a whole fails
+	module   string                 // prefix of import paths that is not printed
 }
 
 func newRun(known []knownFailure, out io.Writer) *run {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// readEvents handles the events of one go test and counts the packages that failed.
+// readEvents handles the events of one go test, and returns the number of packages that failed.
 func (r *run) readEvents(in io.Reader) (fails int, err error) {
 	decoder := json.NewDecoder(in)
 	for {
@@ -133,7 +133,7 @@
 		if err := decoder.Decode(&event); err == io.EOF {
 			break
 		} else if err != nil {
-			return fails, fmt.Errorf("go test -json can't be read: %v", err)
+			return fails, fmt.Errorf("reading the output of go test -json: %v", err)
 		}
 		if event.Action == "fail" && event.Test == "" && event.Package != "" {
 			fails++
@@ -141,14 +141,14 @@
 		r.handle(event)
 	}
 	for n := range r.running {
-		r.failures = append(r.failures, n+": has no end")
+		r.failures = append(r.failures, n+": no final result")
 	}
 	clear(r.running)
 	return fails, nil
 }
 
 func (r *run) handle(event event) {
-	if event.Package == "" { // of the compiler
+	if event.Package == "" { // output of the compiler
 		fmt.Fprint(r.out, event.Output)
 		return
 	}
@@ -159,7 +159,7 @@
 	}
 	switch {
 	case event.Action == "output":
-		pkg.brokeOff = pkg.brokeOff || endsProcess(event.Output, event.Test)
+		pkg.aborted = pkg.aborted || reportsAbort(event.Output, event.Test)
 		if event.Test == "" {
 			pkg.lines = append(pkg.lines, event.Output)
 		} else if !strings.HasPrefix(event.Output, "=== ") {
@@ -182,24 +182,24 @@
 	}
 }
 
-// endsProcess tells by a line that a package's process ended in another way than by failing
-// tests, so that some tests may not have run at all.
-func endsProcess(line, test string) bool {
+// reportsAbort returns whether an output line shows that a package's test process ended for another
+// reason than failed tests, so that some tests may not have run.
+func reportsAbort(line, test string) bool {
 	trimmed := strings.TrimSpace(line)
 	return strings.HasPrefix(trimmed, "panic: ") || strings.HasPrefix(trimmed, "fatal error: ") || strings.HasPrefix(trimmed, "signal: ") ||
 		test == "" && strings.HasPrefix(trimmed, "exit status ") && trimmed != "exit status 1"
 }
 
-// finishPackage judges a package and prints what go test would, or which of its tests are
-// passed over.
+// finishPackage evaluates a package, and prints what go test would, except that ignored failures
+// are marked as such.
 func (r *run) finishPackage(e event, pkg *packageRun) {
 	name := strings.TrimPrefix(e.Package, r.module)
-	failures, passedOver, failed := r.judgeTests(name, pkg)
-	if pkg.brokeOff {
-		failures = append(failures, name+": its process broke off")
+	failures, ignored, failed := r.classifyTests(name, pkg)
+	if pkg.aborted {
+		failures = append(failures, name+": its test process was aborted")
 	}
 	if e.Action == "fail" && failed == 0 {
-		cause := "failed, though none of its tests did"
+		cause := "failed, although none of its tests did"
 		if e.FailedBuild != "" {
 			cause = "does not build"
 		}
@@ -211,20 +211,20 @@
 			fmt.Fprint(r.out, strings.Join(pkg.output[test], ""))
 		}
 	}
-	excused := len(failures) == 0
+	noFailures := len(failures) == 0
 	for _, line := range pkg.lines {
-		r.printPackageLine(line, excused, excused && e.Action == "fail", passedOver)
+		r.printPackageLine(line, noFailures, noFailures && e.Action == "fail", ignored)
 	}
 }
 
-// judgeTests returns the tests that count as failures, the listed ones that failed, and how
-// many failed in all.
-func (r *run) judgeTests(name string, pkg *packageRun) (failures, passedOver []string, failed int) {
+// classifyTests returns the tests that count as failures, the failed tests that are ignored because
+// they are listed, and the number of all failed tests.
+func (r *run) classifyTests(name string, pkg *packageRun) (failures, ignored []string, failed int) {
 	for _, test := range pkg.order {
 		state := pkg.state[test]
 		r.state[name+"."+test] = state
 		if state == "run" {
-			failures = append(failures, name+"."+test+" did not end")
+			failures = append(failures, name+"."+test+" did not finish")
 		}
 		if state != "fail" {
 			continue
@@ -232,23 +232,23 @@
 		failed++
 		switch {
 		case r.listed(name + "." + test):
-			passedOver = append(passedOver, test)
-		case !r.excused(name, test, pkg):
+			ignored = append(ignored, test)
+		case !r.failedOnlyBelow(name, test, pkg):
 			failures = append(failures, name+"."+test)
 		}
 	}
-	return failures, passedOver, failed
+	return failures, ignored, failed
 }
 
-// printPackageLine prints a line of the package itself. A package that failed by listed
-// tests alone is known-red in place of FAIL.
-func (r *run) printPackageLine(line string, excused, hideFailure bool, passedOver []string) {
+// printPackageLine prints an output line that belongs to no test. For a package in which only
+// listed tests failed, FAIL is replaced by known-red.
+func (r *run) printPackageLine(line string, noFailures, hideFailure bool, ignored []string) {
 	text := strings.TrimSpace(line)
 	if text == "PASS" || hideFailure && (text == "FAIL" || text == "exit status 1") {
 		return
 	}
-	if rest, ok := strings.CutPrefix(line, "FAIL\t"); ok && excused {
-		line = "known-red\t" + strings.TrimRight(rest, "\n") + "\t" + strings.Join(passedOver, " ") + "\n"
+	if rest, ok := strings.CutPrefix(line, "FAIL\t"); ok && noFailures {
+		line = "known-red\t" + strings.TrimRight(rest, "\n") + "\t" + strings.Join(ignored, " ") + "\n"
 	}
 	fmt.Fprint(r.out, line)
 }
@@ -257,9 +257,9 @@
 	return slices.ContainsFunc(r.known, func(k knownFailure) bool { return k.test == test })
 }
 
-// excused reports whether a test failed only because listed ones below it did. One
-// that wrote anything itself may have failed by itself.
-func (r *run) excused(name, test string, pkg *packageRun) bool {
+// failedOnlyBelow reports whether a test failed only because listed subtests of it did. A test with
+// output of its own may have failed by itself.
+func (r *run) failedOnlyBelow(name, test string, pkg *packageRun) bool {
 	listedBelow := false
 	for below, s := range pkg.state {
 		if s == "fail" && strings.HasPrefix(below, test+"/") {
@@ -276,24 +276,24 @@
 	return listedBelow && !own
 }
 
-// finish compares the list with what ran, says what was passed over and whether all
-// is well.
+// finish compares the list with the tests that ran, prints the ignored and the other failures, and
+// returns whether the run passes.
 func (r *run) finish() bool {
-	var passedOver bytes.Buffer
+	var ignored bytes.Buffer
 	for _, known := range r.known {
 		switch r.state[known.test] {
 		case "fail":
-			fmt.Fprintf(&passedOver, "  %s: %s (issue %s)\n", known.test, known.cause, strings.TrimPrefix(known.issue, "#"))
+			fmt.Fprintf(&ignored, "  %s: %s (issue %s)\n", known.test, known.cause, strings.TrimPrefix(known.issue, "#"))
 		case "pass":
-			r.failures = append(r.failures, known.test+" passes: take it off "+listName)
+			r.failures = append(r.failures, known.test+" passes: remove it from "+listFile)
 		case "skip":
-			r.failures = append(r.failures, known.test+" is skipped, though "+listName+" says that it fails")
+			r.failures = append(r.failures, known.test+" is skipped, although "+listFile+" says that it fails")
 		case "":
-			r.failures = append(r.failures, known.test+" is on "+listName+" and is not there")
+			r.failures = append(r.failures, known.test+" is listed in "+listFile+" but did not run")
 		}
 	}
-	if passedOver.Len() > 0 {
-		fmt.Fprintf(r.out, "known red, passed over (%s):\n%s", listName, passedOver.String())
+	if ignored.Len() > 0 {
+		fmt.Fprintf(r.out, "known failures, ignored (%s):\n%s", listFile, ignored.String())
 	}
 	if len(r.failures) > 0 {
 		fmt.Fprintf(r.out, "FAIL: %s\n", strings.Join(r.failures, "\nFAIL: "))
--- a/scripts/knownred/main_test.go
+++ b/scripts/knownred/main_test.go
@@ -8,9 +8,10 @@
 	"testing"
 )
 
-// said makes events of short lines: "run T", "fail T", "say T: text"; T is - for the
-// package, and "done pass" ends it.
-func said(t *testing.T, lines ...string) []byte {
+// makeEvents converts short lines to events in JSON: "run T", "fail T" and so on for a test T, "say
+// T: text" for its output (T is - for output of the package), and "done pass" or "done fail" for the
+// end of the package.
+func makeEvents(t *testing.T, lines ...string) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	for _, l := range lines {
@@ -58,19 +59,19 @@
 			[]string{"a_test.go:7: no", "--- FAIL: TestB", "FAIL\tviolet", "FAIL: p.TestB"}, []string{"known"}},
 		"listed": {"p.TestB | c | 3", join(fails("TestB"), end), true,
 			[]string{"a_test.go:7: no", "known-red\tviolet\t0.1s\tTestB", "p.TestB: c (issue 3)"}, []string{"\nFAIL"}},
-		"another fails as well":   {"p.TestB | c | 3", join(fails("TestB"), fails("TestC"), end), false, []string{"FAIL: p.TestC", "FAIL\tviolet"}, []string{"FAIL: p.TestB"}},
-		"listed and passes":       {"p.TestA | c | 3", pass, false, []string{"p.TestA passes"}, nil},
-		"listed and not there":    {"p.TestZ | c | 3", pass, false, []string{"p.TestZ is on"}, nil},
-		"listed and skipped":      {"p.TestA | c | 3", []string{"run TestA", "skip TestA", "done pass"}, false, []string{"skipped"}, nil},
-		"a subtest is listed":     {"p.TestB/x | c | 3", join(sub, end), true, []string{"p.TestB/x: c"}, []string{"\nFAIL"}},
-		"its parent fails itself": {"p.TestB/x | c | 3", join([]string{"say TestB: a_test.go:9: mine"}, sub, end), false, []string{"FAIL: p.TestB"}, nil},
-		"a sibling fails":         {"p.TestB/x | c | 3", join(fails("TestB/y"), sub, end), false, []string{"FAIL: p.TestB/y", "FAIL: p.TestB"}, nil},
-		"the parent is listed":    {"p.TestB | c | 3", join(sub, end), false, []string{"FAIL: p.TestB/x"}, nil},
-		"listed and panics":       {"p.TestB | c | 3", join([]string{"say TestB: panic: oh"}, fails("TestB"), []string{"say -: exit status 2"}, end), false, []string{"broke off"}, nil},
-		"a race outside tests":    {"p.TestB | c | 3", join(fails("TestB"), []string{"say -: exit status 66"}, end), false, []string{"broke off"}, nil},
-		"no test failed":          {"", []string{"say -: oh", "done fail"}, false, []string{"oh", "none of its tests did"}, nil},
-		"a test without an end":   {"p.TestB | c | 3", join(fails("TestB"), []string{"run TestC"}, end), false, []string{"p.TestC did not end"}, nil},
-		"a package without one":   {"", []string{"run TestA"}, false, []string{"has no end"}, nil},
+		"another fails as well":     {"p.TestB | c | 3", join(fails("TestB"), fails("TestC"), end), false, []string{"FAIL: p.TestC", "FAIL\tviolet"}, []string{"FAIL: p.TestB"}},
+		"listed and passes":         {"p.TestA | c | 3", pass, false, []string{"p.TestA passes"}, nil},
+		"listed but not run":        {"p.TestZ | c | 3", pass, false, []string{"p.TestZ is listed"}, nil},
+		"listed and skipped":        {"p.TestA | c | 3", []string{"run TestA", "skip TestA", "done pass"}, false, []string{"skipped"}, nil},
+		"a subtest is listed":       {"p.TestB/x | c | 3", join(sub, end), true, []string{"p.TestB/x: c"}, []string{"\nFAIL"}},
+		"its parent fails itself":   {"p.TestB/x | c | 3", join([]string{"say TestB: a_test.go:9: mine"}, sub, end), false, []string{"FAIL: p.TestB"}, nil},
+		"a sibling fails":           {"p.TestB/x | c | 3", join(fails("TestB/y"), sub, end), false, []string{"FAIL: p.TestB/y", "FAIL: p.TestB"}, nil},
+		"the parent is listed":      {"p.TestB | c | 3", join(sub, end), false, []string{"FAIL: p.TestB/x"}, nil},
+		"listed and panics":         {"p.TestB | c | 3", join([]string{"say TestB: panic: oh"}, fails("TestB"), []string{"say -: exit status 2"}, end), false, []string{"was aborted"}, nil},
+		"a race outside tests":      {"p.TestB | c | 3", join(fails("TestB"), []string{"say -: exit status 66"}, end), false, []string{"was aborted"}, nil},
+		"no test failed":            {"", []string{"say -: oh", "done fail"}, false, []string{"oh", "none of its tests did"}, nil},
+		"a test does not finish":    {"p.TestB | c | 3", join(fails("TestB"), []string{"run TestC"}, end), false, []string{"p.TestC did not finish"}, nil},
+		"a package does not finish": {"", []string{"run TestA"}, false, []string{"no final result"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			known, err := parseList(c.list)
@@ -79,11 +80,11 @@
 			}
 			var out bytes.Buffer
 			r := newRun(known, &out)
-			if _, err := r.readEvents(bytes.NewReader(said(t, c.events...))); err != nil {
+			if _, err := r.readEvents(bytes.NewReader(makeEvents(t, c.events...))); err != nil {
 				t.Fatal(err)
 			}
 			if ok := r.finish(); ok != c.ok {
-				t.Errorf("ok is %v", ok)
+				t.Errorf("finish returned %v", ok)
 			}
 			for _, s := range c.has {
 				if !strings.Contains(out.String(), s) {
@@ -92,7 +93,7 @@
 			}
 			for _, s := range c.hasNot {
 				if strings.Contains(out.String(), s) {
-					t.Errorf("%q is there", s)
+					t.Errorf("%q was printed", s)
 				}
 			}
 			if t.Failed() {
@@ -109,19 +110,19 @@
 	}
 	for _, l := range []string{"TestX | c | 1", "p.TestX", "p.TestX | c", "p.TestX | | 1", "p.TestX | c | ", ".TestX | c | 1", "p. | c | 1", "p.TestX | c | 1 | d", "p.X | c | 1\np.X | d | 2"} {
 		if _, err := parseList(l); err == nil {
-			t.Errorf("%q is taken", l)
+			t.Errorf("no error for %q", l)
 		}
 	}
 }
 
 func TestGroups(t *testing.T) {
-	if got := groups([]string{"a", "b", "--", "c"}); !reflect.DeepEqual(got, [][]string{{"a", "b"}, {"c"}}) {
+	if got := splitGroups([]string{"a", "b", "--", "c"}); !reflect.DeepEqual(got, [][]string{{"a", "b"}, {"c"}}) {
 		t.Error(got)
 	}
 }
 
 func TestUnreadable(t *testing.T) {
 	if _, err := newRun(nil, &bytes.Buffer{}).readEvents(strings.NewReader("FAIL p [setup failed]\n")); err == nil {
-		t.Error("taken for an event")
+		t.Error("no error for a line that is not JSON")
 	}
 }
