--- a/scripts/vocabulary/list.go
+++ b/scripts/vocabulary/list.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The checks, as not-done.txt names them.
+// Names of the checks, as in not-done.txt.
 const (
 	checkOfNames     = "names"
 	checkOfTestNames = "test-names"
@@ -16,7 +16,7 @@
 
 var checks = []string{checkOfNames, checkOfTestNames, checkOfShape}
 
-// finding is something to mend.
+// finding is a violation of a check.
 type finding struct {
 	check string
 	pkg   string // folder of the package
@@ -31,7 +31,7 @@
 // key is a line of the list: a package and a check that it does not pass yet.
 type key struct{ pkg, check string }
 
-// notDone is the list of packages that are not done, in its order.
+// notDone is the list of packages and checks that they do not pass yet, in the order of the file.
 type notDone struct {
 	comment []string
 	keys    []key
@@ -56,11 +56,11 @@
 			continue
 		}
 		if len(words) != 2 || !slices.Contains(checks, words[1]) {
-			return l, fmt.Errorf("%s:%d: %q is not a package and one of %s", path, i+1, line, strings.Join(checks, ", "))
+			return l, fmt.Errorf("%s:%d: %q: expected a package and one of %s", path, i+1, line, strings.Join(checks, ", "))
 		}
 		k := key{words[0], words[1]}
 		if l.has(k) {
-			return l, fmt.Errorf("%s:%d: %q stands there twice", path, i+1, line)
+			return l, fmt.Errorf("%s:%d: %q is listed twice", path, i+1, line)
 		}
 		l.keys = append(l.keys, k)
 	}
@@ -69,7 +69,7 @@
 
 func (l notDone) has(k key) bool { return slices.Contains(l.keys, k) }
 
-// stale are the lines without findings.
+// stale returns the lines without findings.
 func (l notDone) stale(findings []finding) (stale []key) {
 	for _, k := range l.keys {
 		if !slices.ContainsFunc(findings, func(f finding) bool { return f.key() == k }) {
@@ -79,7 +79,7 @@
 	return stale
 }
 
-// shrink is the list without stale lines. It never grows.
+// shrink returns the list without stale lines.
 func (l notDone) shrink(findings []finding) notDone {
 	stale := l.stale(findings)
 	left := slices.DeleteFunc(slices.Clone(l.keys), func(k key) bool { return slices.Contains(stale, k) })
--- a/scripts/vocabulary/main.go
+++ b/scripts/vocabulary/main.go
@@ -1,18 +1,19 @@
-// Command vocabulary checks the whole module for readable names and functions:
+// Command vocabulary checks all packages of the module for readable names and functions:
 //
 //   - names: withdrawn words (withdrawn.txt) in identifiers, files, packages, log events and
 //     keys, and documentation of exported items; log events and keys that are not snake_case
 //   - test-names: the same in test files
-//   - shape: long functions, tangled functions, long parameter lists (.revive-shape.toml),
+//   - shape: long functions, complex functions, long parameter lists (.revive-shape.toml),
 //     and files over 400 lines; test files are not measured
 //
-// Packages that are not done yet stand in not-done.txt, a line for each package and check.
-// Any finding in another package fails, and so does a line whose package is gone or has no
-// finding left: the list can only shrink. Generated code is not checked.
+// Packages that do not pass yet are listed in not-done.txt, one line for each package and check.
+// The command fails if a package that is not listed has findings, and also if a listed package has
+// no findings or does not exist any more, so that the list can only shrink. Generated code is not
+// checked.
 //
-//	go run ./scripts/vocabulary            checks; exit code 1 with findings
-//	go run ./scripts/vocabulary -all       prints the findings of listed packages too
-//	go run ./scripts/vocabulary -shrink    removes lines that are done from the list
+//	go run ./scripts/vocabulary            checks; exit code 1 if it fails
+//	go run ./scripts/vocabulary -all       also prints the findings of listed packages
+//	go run ./scripts/vocabulary -shrink    removes lines without findings from the list
 package main
 
 import (
@@ -29,7 +30,7 @@
 
 func main() {
 	all := flag.Bool("all", false, "print the findings of listed packages too")
-	shrink := flag.Bool("shrink", false, "remove lines that are done from the list")
+	shrink := flag.Bool("shrink", false, "remove lines without findings from the list")
 	flag.Parse()
 	failed, err := run(os.Stdout, *all, *shrink)
 	if err != nil {
@@ -66,7 +67,8 @@
 	return report(out, findings, list, all), nil
 }
 
-// report prints what fails, and tells whether anything does.
+// report prints the findings and list entries that make the check fail, and returns whether there
+// are any.
 func report(out io.Writer, findings []finding, list notDone, all bool) (failed bool) {
 	for _, f := range findings {
 		if listed := list.has(f.key()); all || !listed {
@@ -75,7 +77,7 @@
 		}
 	}
 	for _, k := range list.stale(findings) {
-		fmt.Fprintf(out, "%s: no findings of %s are left in %s; remove the line (-shrink does)\n", notDoneFile, k.check, k.pkg)
+		fmt.Fprintf(out, "%s: no %s findings are left in %s; remove the line (-shrink does)\n", notDoneFile, k.check, k.pkg)
 		failed = true
 	}
 	return failed
--- a/scripts/vocabulary/main_test.go
+++ b/scripts/vocabulary/main_test.go
@@ -19,7 +19,7 @@
 		"TapeV2": "tape v", "ID": "id", "x": "x", "Desks": "desks", "parseURLOf": "parse url of", "": "",
 	} {
 		if got := strings.Join(split(name), " "); got != want {
-			t.Errorf("%q is split into %q, not %q", name, got, want)
+			t.Errorf("%q is split into %q, want %q", name, got, want)
 		}
 	}
 }
@@ -29,7 +29,7 @@
 		"Desk": "desk", "newDesks": "desk", "duties": "duty", "onTape": "tape", "desktop": "", "taper": "", "heartbeat": "", "": "",
 	} {
 		if got := testWords.inName(name); got != want {
-			t.Errorf("in %q %q was found, not %q", name, got, want)
+			t.Errorf("in %q found %q, want %q", name, got, want)
 		}
 	}
 }
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestCheckNames: names of files and packages count, test files have a check of their own,
-// and generated code, test data and hidden folders are left out.
+// TestCheckNames checks that names of files and packages count, that test files have a check of
+// their own, and that generated code, test data and hidden folders are left out.
 func TestCheckNames(t *testing.T) {
 	root := t.TempDir()
 	for path, text := range map[string]string{
@@ -137,7 +137,7 @@
 	}
 	for _, text := range []string{"desk", "desk:", "Desk: dispatcher", "desk : dispatcher"} {
 		if _, err := parseWords("file", text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("no error for %q", text)
 		}
 	}
 }
@@ -149,23 +149,24 @@
 	}
 	for _, text := range []string{"a", "a all", "a names shape", "a names\na names"} {
 		if _, err := parseList("file", text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("no error for %q", text)
 		}
 	}
 	findings := []finding{{checkOfNames, "a", "a/x.go:1", "x"}, {checkOfShape, "c", "c/x.go:1", "x"}}
 	if s := l.shrink(findings); !reflect.DeepEqual(s.keys, []key{{"a", checkOfNames}}) {
-		t.Errorf("shrunk to %v", s.keys)
+		t.Errorf("after shrink: %v", s.keys)
 	}
 	path := filepath.Join(t.TempDir(), "list")
 	if err := l.write(path); err != nil {
 		t.Fatal(err)
 	}
 	if again, err := readList(path); err != nil || !reflect.DeepEqual(again, l) {
-		t.Errorf("%v became %v, %v", l, again, err)
+		t.Errorf("wrote %v, read %v, %v", l, again, err)
 	}
 }
 
-// TestReport: a finding fails unless its package is listed, and a line without findings fails.
+// TestReport checks that a finding fails unless its package is listed, and that a line without
+// findings fails.
 func TestReport(t *testing.T) {
 	of := func(pkg string) finding { return finding{checkOfNames, pkg, pkg + "/x.go:1", "text"} }
 	for _, c := range []struct {
@@ -178,8 +179,8 @@
 		{"nothing", nil, "", false, ""},
 		{"listed", []finding{of("a")}, "a names", false, ""},
 		{"not listed", []finding{of("a")}, "", true, "a/x.go:1: text [names]\n"},
-		{"another check is listed", []finding{of("a")}, "a shape", true, "a/x.go:1: text [names]\n" + notDoneFile + ": no findings of shape are left in a; remove the line (-shrink does)\n"},
-		{"a stale line", nil, "gone names", true, notDoneFile + ": no findings of names are left in gone; remove the line (-shrink does)\n"},
+		{"another check is listed", []finding{of("a")}, "a shape", true, "a/x.go:1: text [names]\n" + notDoneFile + ": no shape findings are left in a; remove the line (-shrink does)\n"},
+		{"a stale line", nil, "gone names", true, notDoneFile + ": no names findings are left in gone; remove the line (-shrink does)\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, err := parseList("file", c.list)
@@ -203,7 +204,7 @@
 		t.Errorf("%v %v", findings, err)
 	}
 	if _, err := parseFunctions([]byte("panic")); err == nil {
-		t.Error("an answer without JSON was taken")
+		t.Error("no error for output that is not JSON")
 	}
 	root := t.TempDir()
 	long := "package a\n" + strings.Repeat("\n", maxFileLines)
--- a/scripts/vocabulary/names.go
+++ b/scripts/vocabulary/names.go
@@ -13,12 +13,12 @@
 	"strings"
 )
 
-// snakeCase is the form of log events and keys.
+// snakeCase is the required form of log events and keys.
 var snakeCase = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
 
-// checkNames checks every Go file below a folder.
+// checkNames checks the names in all Go files below a folder.
 func checkNames(root string, words withdrawn) (findings []finding, err error) {
-	seen := map[string]bool{} // packages whose name was checked
+	seen := map[string]bool{} // packages whose names have been checked
 	err = eachGoFile(root, func(path string) error {
 		c, err := checkFile(path, words)
 		if err != nil || c == nil {
@@ -26,7 +26,7 @@
 		}
 		if !seen[c.pkg] {
 			seen[c.pkg] = true
-			c.nameOf(c.pkg, 1, "package", filepath.Base(c.pkg))
+			c.checkName(c.pkg, 1, "package", filepath.Base(c.pkg))
 		}
 		findings = append(findings, c.findings...)
 		return nil
@@ -34,7 +34,8 @@
 	return findings, err
 }
 
-// eachGoFile visits the Go files of a module.
+// eachGoFile calls visit for the Go files of a module, except those in hidden folders, testdata and
+// target.
 func eachGoFile(root string, visit func(path string) error) error {
 	return filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -54,17 +55,17 @@
 	})
 }
 
-// fileCheck is the check of one file.
+// fileCheck is the state of the check of one file.
 type fileCheck struct {
 	words    withdrawn
 	fset     *token.FileSet
 	path     string
-	pkg      string // folder
+	pkg      string // folder of the package
 	check    string
 	findings []finding
 }
 
-// checkFile returns nil for generated code.
+// checkFile checks the names in a file. It returns nil for generated code.
 func checkFile(path string, words withdrawn) (*fileCheck, error) {
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, path, nil, parser.ParseComments)
@@ -78,10 +79,10 @@
 	if strings.HasSuffix(path, "_test.go") {
 		c.check = checkOfTestNames
 	}
-	c.nameOf(path, 1, "file", strings.TrimSuffix(filepath.Base(path), ".go"))
-	c.declarations(file)
-	c.documentation(file)
-	c.logs(file)
+	c.checkName(path, 1, "file", strings.TrimSuffix(filepath.Base(path), ".go"))
+	c.checkDeclarations(file)
+	c.checkDocumentation(file)
+	c.checkLogs(file)
 	return c, nil
 }
 
@@ -89,19 +90,19 @@
 	c.findings = append(c.findings, finding{c.check, c.pkg, fmt.Sprintf("%s:%d", at, line), text})
 }
 
-func (c *fileCheck) nameOf(at string, line int, what, name string) {
+func (c *fileCheck) checkName(at string, line int, what, name string) {
 	if word := c.words.inName(name); word != "" {
-		c.add(at, line, fmt.Sprintf("%s %s has the withdrawn word %q; write: %s", what, name, word, c.words[word].instead))
+		c.add(at, line, fmt.Sprintf("%s %s contains the withdrawn word %q; use: %s", what, name, word, c.words[word].instead))
 	}
 }
 
-func (c *fileCheck) at(n ast.Node) int { return c.fset.Position(n.Pos()).Line }
+func (c *fileCheck) line(n ast.Node) int { return c.fset.Position(n.Pos()).Line }
 
-// declarations checks every identifier where it is declared: uses follow.
-func (c *fileCheck) declarations(file *ast.File) {
+// checkDeclarations checks every identifier where it is declared. Uses need no check.
+func (c *fileCheck) checkDeclarations(file *ast.File) {
 	declare := func(names ...*ast.Ident) {
 		for _, name := range names {
-			c.nameOf(c.path, c.at(name), "name", name.Name)
+			c.checkName(c.path, c.line(name), "name", name.Name)
 		}
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -136,21 +137,21 @@
 	return names
 }
 
-// documentation checks the comments of the package and of exported items.
-func (c *fileCheck) documentation(file *ast.File) {
-	c.comment("the package", file.Doc)
+// checkDocumentation checks the comments of the package and of exported items.
+func (c *fileCheck) checkDocumentation(file *ast.File) {
+	c.checkComment("the package", file.Doc)
 	for _, d := range file.Decls {
 		switch d := d.(type) {
 		case *ast.FuncDecl:
 			if d.Name.IsExported() {
-				c.comment(d.Name.Name, d.Doc)
+				c.checkComment(d.Name.Name, d.Doc)
 			}
 		case *ast.GenDecl:
 			if slices.ContainsFunc(d.Specs, isExported) {
-				c.comment("a declaration", d.Doc)
+				c.checkComment("a declaration", d.Doc)
 			}
 			for _, spec := range d.Specs {
-				c.spec(spec)
+				c.checkSpec(spec)
 			}
 		}
 	}
@@ -166,48 +167,48 @@
 	return false
 }
 
-func (c *fileCheck) spec(spec ast.Spec) {
+func (c *fileCheck) checkSpec(spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
 		if s.Names[0].IsExported() {
-			c.comment(s.Names[0].Name, s.Doc, s.Comment)
+			c.checkComment(s.Names[0].Name, s.Doc, s.Comment)
 		}
 	case *ast.TypeSpec:
 		if !s.Name.IsExported() {
 			return
 		}
-		c.comment(s.Name.Name, s.Doc, s.Comment)
+		c.checkComment(s.Name.Name, s.Doc, s.Comment)
 		if t, ok := s.Type.(*ast.StructType); ok {
-			c.fields(s.Name.Name, t.Fields)
+			c.checkFields(s.Name.Name, t.Fields)
 		}
 		if t, ok := s.Type.(*ast.InterfaceType); ok {
-			c.fields(s.Name.Name, t.Methods)
+			c.checkFields(s.Name.Name, t.Methods)
 		}
 	}
 }
 
-func (c *fileCheck) fields(of string, fields *ast.FieldList) {
+func (c *fileCheck) checkFields(of string, fields *ast.FieldList) {
 	for _, f := range fields.List {
 		if len(f.Names) > 0 && f.Names[0].IsExported() {
-			c.comment(of+"."+f.Names[0].Name, f.Doc, f.Comment)
+			c.checkComment(of+"."+f.Names[0].Name, f.Doc, f.Comment)
 		}
 	}
 }
 
-func (c *fileCheck) comment(of string, groups ...*ast.CommentGroup) {
+func (c *fileCheck) checkComment(of string, groups ...*ast.CommentGroup) {
 	for _, g := range groups {
 		if g == nil {
 			continue
 		}
 		if word := c.words.inText(g.Text()); word != "" {
-			c.add(c.path, c.at(g), fmt.Sprintf("the documentation of %s has the withdrawn word %q; write: %s", of, word, c.words[word].instead))
+			c.add(c.path, c.line(g), fmt.Sprintf("the documentation of %s contains the withdrawn word %q; use: %s", of, word, c.words[word].instead))
 		}
 	}
 }
 
-// logs checks events and keys of log lines: calls of Info and Error on something whose name
-// ends in log or logger.
-func (c *fileCheck) logs(file *ast.File) {
+// checkLogs checks the events and keys of log lines, which are calls of Info and Error on an
+// expression whose name ends in log or logger.
+func (c *fileCheck) checkLogs(file *ast.File) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
 		if !ok {
@@ -218,16 +219,17 @@
 			if !ok || i > 0 && i%2 == 0 { // values
 				continue
 			}
-			c.nameOf(c.path, c.at(arg), "log name", text)
+			c.checkName(c.path, c.line(arg), "log name", text)
 			if !snakeCase.MatchString(text) {
-				c.add(c.path, c.at(arg), fmt.Sprintf("log name %q is not snake_case", text))
+				c.add(c.path, c.line(arg), fmt.Sprintf("log name %q is not snake_case", text))
 			}
 		}
 		return true
 	})
 }
 
-// logArguments are the event, then keys and values, of a call that writes a log line; else nil.
+// logArguments returns the event, keys and values of a call that writes a log line, or nil for
+// other calls.
 func logArguments(call *ast.CallExpr) []ast.Expr {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || !isLogger(method.X) {
--- a/scripts/vocabulary/shape.go
+++ b/scripts/vocabulary/shape.go
@@ -15,7 +15,7 @@
 	maxFileLines = 400
 )
 
-// checkShape measures functions, by revive, and files.
+// checkShape checks the shape of functions, with revive, and the length of files.
 func checkShape(root string) ([]finding, error) {
 	findings, err := checkFunctions(root)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return append(findings, files...), err
 }
 
-// checkFunctions runs revive, which exits with 1 when it has findings.
+// checkFunctions runs revive, whose exit code is 1 if it has findings.
 func checkFunctions(root string) ([]finding, error) {
 	cmd := exec.Command("go", "tool", "revive", "-config", shapeConfig, "-formatter", "json", "./...")
 	cmd.Dir = root
@@ -45,7 +45,7 @@
 		Position struct{ Start struct{ Filename, Line any } }
 	}
 	if err := json.Unmarshal(out, &failures); err != nil {
-		return nil, fmt.Errorf("revive's answer: %w: %.200s", err, out)
+		return nil, fmt.Errorf("reading the output of revive: %w: %.200s", err, out)
 	}
 	for _, f := range failures {
 		file := filepath.ToSlash(filepath.Clean(fmt.Sprint(f.Position.Start.Filename)))
@@ -55,7 +55,7 @@
 	return findings, nil
 }
 
-// checkFiles finds files that are too long; test files and generated code are not measured.
+// checkFiles returns the files that are too long. Test files and generated code are not measured.
 func checkFiles(root string) (findings []finding, err error) {
 	err = eachGoFile(root, func(path string) error {
 		if strings.HasSuffix(path, "_test.go") {
--- a/scripts/vocabulary/words.go
+++ b/scripts/vocabulary/words.go
@@ -7,15 +7,15 @@
 	"unicode"
 )
 
-// withdrawn maps a word to what takes its place.
+// withdrawn maps words that are not used any more to their replacements.
 type withdrawn map[string]replacement
 
 type replacement struct {
 	instead   string
-	namesOnly bool // in documentation it is plain English
+	namesOnly bool // the word is withdrawn in names only; in documentation it is plain English
 }
 
-// namesOnly follows a word in the file.
+// namesOnly is the suffix of words in the file that are withdrawn in names only.
 const namesOnly = ", in names"
 
 func readWords(path string) (withdrawn, error) {
@@ -36,19 +36,19 @@
 		word, instead, ok := strings.Cut(line, ":")
 		word, onlyNames := strings.CutSuffix(word, namesOnly)
 		if !ok || strings.TrimSpace(instead) == "" || strings.Join(split(word), "") != word {
-			return nil, fmt.Errorf("%s:%d: %q is not a word in small letters, a colon and what to write instead", path, i+1, line)
+			return nil, fmt.Errorf("%s:%d: %q: expected a word in lower case, a colon and its replacement", path, i+1, line)
 		}
 		words[word] = replacement{strings.TrimSpace(instead), onlyNames}
 	}
 	return words, nil
 }
 
-// inName returns the withdrawn word that a name has, or "". Parts are those of split.
+// inName returns the first withdrawn word in a name, or "".
 func (w withdrawn) inName(name string) string {
 	return w.in(name, func(replacement) bool { return true })
 }
 
-// inText returns the withdrawn word that documentation has, or "".
+// inText returns the first withdrawn word in a documentation text, or "".
 func (w withdrawn) inText(text string) string {
 	return w.in(text, func(r replacement) bool { return !r.namesOnly })
 }
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// split cuts a name or a text into words in small letters: at capitals, and at whatever is
-// no letter. A run of capitals is one word: HTTPAddr is http and addr.
+// split splits a name or a text into words in lower case, at capitals and at characters that are
+// not letters. A sequence of capitals is one word: HTTPAddr is http and addr.
 func split(name string) (parts []string) {
 	runes := []rune(name)
 	start := 0
