--- a/quorum/election.go
+++ b/quorum/election.go
@@ -129,9 +129,10 @@
 	}
 }
 
-// handleVoteRejected ends the campaign if a majority can no longer be won, or if a voter
-// promised a higher term. The time for which the other voter grants no votes only delays this
-// node's next campaign; it does not restrict this node's own votes.
+// handleVoteRejected ends the campaign if a majority can no longer be won, or if a voter has
+// already promised the candidate's term or a higher one. The time for which the other voter
+// grants no votes only delays this node's next campaign; it does not restrict this node's own
+// votes.
 func (n *Node) handleVoteRejected(now int64, replica *slotReplica, message Message, ready *Ready) {
 	if replica.state != stateCandidate || replica.term != message.Term {
 		return
--- a/quorum/explore_actions_test.go
+++ b/quorum/explore_actions_test.go
@@ -14,7 +14,7 @@
 	a, b int // machines, a register, or a count
 }
 
-// verb is the name of an action, as traces have it.
+// verb is the name of an action, as written in traces.
 type verb string
 
 const (
--- a/quorum/explore_cluster_test.go
+++ b/quorum/explore_cluster_test.go
@@ -284,7 +284,8 @@
 	return 0
 }
 
-// key identifies clusters that continue and are checked in the same way.
+// key returns a digest that differs between clusters that may continue differently, or be checked
+// differently.
 func (cl *cluster) key() digest {
 	encoded := make([]byte, 0, 1024)
 	encoded = binary.AppendVarint(encoded, cl.now)
--- a/quorum/explore_machine_test.go
+++ b/quorum/explore_machine_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// kill ends a machine's process. The first kept unsynced records reach the disk all the same.
-// Messages on their way may still arrive, at the machine's next process.
+// kill ends a machine's process. kept is how many of its unsynced records, oldest first, reach
+// the disk all the same. Messages in flight may still arrive, at the machine's next process.
 func (cl *cluster) kill(i, kept int) {
 	host := &cl.machines[i]
 	if !host.up {
--- a/quorum/install.go
+++ b/quorum/install.go
@@ -51,7 +51,7 @@
 	n.self.Incarnation = n.config.Incarnation
 	n.resetNewVoters(now, former)
 	if !n.leaving || n.isVoter() {
-		ready.VoterSet = set // a leaving node that was removed must not join again
+		ready.VoterSet = set // not reported to a leaving node that was removed: it must not join again
 	}
 	ready.event(Event{Type: EventVoterSetInstalled, Step: set.Step(), Voters: len(set.Voters), Voting: n.isVoter()})
 	n.campaignUnderNewSet(now, ready)
--- a/quorum/lease.go
+++ b/quorum/lease.go
@@ -141,7 +141,8 @@
 	return now >= replica.leaseUntil
 }
 
-// mustCampaignAgain reports whether a voter promised a higher term and still does not follow.
+// mustCampaignAgain reports whether a voter promised a higher term and still does not follow, and
+// no change is pending.
 func (n *Node) mustCampaignAgain(now int64, replica *slotReplica) bool {
 	waited := now - replica.higherTermSeenAt
 	return replica.higherTerm > replica.term && len(replica.pendingOrder) == 0 &&
--- a/quorum/voterset.go
+++ b/quorum/voterset.go
@@ -106,8 +106,9 @@
 	if len(next.Voters) == 0 || removedCount+addedCount == 0 || removedCount > 1 || addedCount > 1 {
 		return false
 	}
-	// A majority of a set includes at least this many common voters. The two counts must exceed
-	// the number of common voters, so that the majorities overlap.
+	// A majority of a set includes at least as many common voters as its size less the voters
+	// that the other set does not have. If the two counts together exceed the number of common
+	// voters, the two majorities share one.
 	return set.Majority()-removedCount+next.Majority()-addedCount > common
 }
 
