--- a/wal/damage_test.go
+++ b/wal/damage_test.go
@@ -459,7 +459,7 @@
 }
 
 // FuzzRecovery checks that opening files with arbitrary content returns records or a typed
-// error, and that a log that opens can be appended to and reopened.
+// error, and that a log that opens can be appended to and reopened with all its records.
 func FuzzRecovery(f *testing.F) {
 	fs := newFaultyFS(1)
 	log, _, err := wal.Open(fs, smallestConfig)
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -112,8 +112,8 @@
 	r.live, r.synced = got, len(got)
 }
 
-// beginCheckpoint begins a checkpoint of the last few records. Other records are appended
-// while it is being written.
+// beginCheckpoint begins a checkpoint of the last few records, which stand in for the live
+// state. Other records are appended while it is being written.
 func (r *powerLossRun) beginCheckpoint() {
 	r.t.Helper()
 	r.checkpointFrom = max(0, len(r.live)-4)
