--- a/internal/app/control/bootstrap.go
+++ b/internal/app/control/bootstrap.go
@@ -18,8 +18,8 @@
 const maxResponseAge = 700_000
 
 // mayBootstrap reports whether this node may take part in the bootstrap of a fleet that starts
-// for the first time. A node that was removed from the voter set may not: it was replaced, and
-// its seat is taken.
+// for the first time. A node that was removed from the voter set may not: another node has
+// taken its place.
 func (n *Node) mayBootstrap() bool { return n.settings.Bootstrap && !n.removed.Load() }
 
 // tryBootstrap builds a fleet's first voter set from the recent join responses of the seeds, or
--- a/internal/app/control/errors.go
+++ b/internal/app/control/errors.go
@@ -13,7 +13,7 @@
 	errStalled = errors.New("the disk does not answer; check it, and what else uses it")
 	// errBacklog: maxPendingBatches batches of records are already waiting for the disk.
 	errBacklog = errors.New("the disk is too slow for the rate of new records; check it, and what else uses it")
-	// errRemoved is not a disk failure: the disk's seat was given to another one. The node
+	// errRemoved is not a disk failure: the disk was removed from the voter set. The node
 	// discards its state and joins again without an operator's help.
 	errRemoved = errors.New("a newer voter set does not include this disk; the node joins again as an empty node")
 )
--- a/internal/app/control/voter.go
+++ b/internal/app/control/voter.go
@@ -120,7 +120,8 @@
 }
 
 // stepDown gives up leadership of all slots because of a disk failure, and waits for the messages
-// to be sent. Operations that wait for the disk are abandoned.
+// to be sent. Pending operations end at once instead of waiting for the disk; their changes may
+// still take effect (quorum.StatusUnknown).
 func (n *Node) stepDown(ctx context.Context) {
 	done := make(chan struct{})
 	if taskgroup.Send(ctx, n.commands, func(now int64) {
