--- a/internal/app/directory/registers_test.go
+++ b/internal/app/directory/registers_test.go
@@ -31,8 +31,8 @@
 	return 0
 }
 
-// A node that reads new weights late must not understate their age: they may have been announced
-// right after its previous read of the register.
+// TestLateReadDoesNotUnderstateAge: a node that reads new weights late must not understate their
+// age: they may have been announced right after its previous read of the register.
 func TestLateReadDoesNotUnderstateAge(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
@@ -47,8 +47,9 @@
 	}
 }
 
-// A node that just started counts ages from its start, and a node that was disconnected for long
-// counts them from takeoverWindow ago: the time bound on weights restarts after such an outage.
+// TestChangedSince: a node that just started counts ages from its start, and a node that was
+// disconnected for long counts them from takeoverWindow ago: the time bound on weights restarts
+// after such an outage.
 func TestChangedSince(t *testing.T) {
 	const now = 100_000_000
 	for _, c := range []struct{ lastRead, want int64 }{
@@ -69,7 +70,8 @@
 	}
 }
 
-// Ages restart when another directory becomes the rollout leader, and only then.
+// TestAgesRestartWithNewRolloutLeader: ages restart when another directory becomes the rollout
+// leader, and only then.
 func TestAgesRestartWithNewRolloutLeader(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
@@ -89,7 +91,8 @@
 	}
 }
 
-// A node adopts the age that the first node in the list order reports, if its own is less.
+// TestOlderAgeFromFirstNodeIsAdopted: a node adopts the age that the first node in the list order
+// reports, if its own is less.
 func TestOlderAgeFromFirstNodeIsAdopted(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
@@ -101,8 +104,8 @@
 	}
 }
 
-// Each response carries the age of the weights and rollout registers, so that proxies notice
-// outdated ones.
+// TestAgeOfRegistersIsSent: each response carries the age of the weights and rollout registers, so
+// that proxies notice outdated ones.
 func TestAgeOfRegistersIsSent(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	control.announce(1)
--- a/internal/app/directory/rollout_test.go
+++ b/internal/app/directory/rollout_test.go
@@ -111,8 +111,8 @@
 	return newDirectory(group, settings, control, platform), control, platform
 }
 
-// A node that has not read the platform's list yet must not treat every engine as gone: that would
-// drop the update requests that the last leader may have sent.
+// TestRolloutWaitsForEngineList: a node that has not read the platform's list yet must not treat
+// every engine as gone: that would drop the update requests that the last leader may have sent.
 func TestRolloutWaitsForEngineList(t *testing.T) {
 	d, control, _ := newTestDirectory(t)
 	saved := rollout.State{Updates: map[string]rollout.Update{"i-1": {Model: "m", Version: 2, Phase: rollout.PhaseRequested}},
@@ -130,8 +130,9 @@
 	}
 }
 
-// An update request that was decided under one lease must not be sent under a later one: another
-// node may have been leader in between and sent requests of its own.
+// TestUpdateDecidedUnderEarlierLeaseIsNotSent: an update request that was decided under one lease
+// must not be sent under a later one: another node may have been leader in between and sent
+// requests of its own.
 func TestUpdateDecidedUnderEarlierLeaseIsNotSent(t *testing.T) {
 	d, _, platform := newTestDirectory(t)
 	d.role.lease.Store(&rollout.Lease{FencingToken: 9, ExpiresAt: clock.Now() + 60_000_000})
@@ -145,8 +146,8 @@
 	}
 }
 
-// An update request carries the fencing token and the leader of the lease that it was decided
-// under, and Permit fails once that lease has ended.
+// TestUpdateRequestCarriesFencingToken: an update request carries the fencing token and the leader
+// of the lease that it was decided under, and Permit fails once that lease has ended.
 func TestUpdateRequestCarriesFencingToken(t *testing.T) {
 	d, _, platform := newTestDirectory(t)
 	d.role.lease.Store(&rollout.Lease{FencingToken: 9, ExpiresAt: clock.Now() + 60_000_000})
@@ -167,8 +168,8 @@
 	}
 }
 
-// A graceful stop releases the lease only when no request is in flight, and never acquires it
-// again.
+// TestLeaveWaitsForUpdatesInFlight: a graceful stop releases the lease only when no request is in
+// flight, and never acquires it again.
 func TestLeaveWaitsForUpdatesInFlight(t *testing.T) {
 	d, control, platform := newTestDirectory(t)
 	released := false
