--- a/rollout/scheduler_test.go
+++ b/rollout/scheduler_test.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// TestSlowUpdates: all engines are updated in time if updates take 1.7 to 1.9 s, which is close
-// to the duration that the scheduler expects before it has measured any.
+// TestSlowUpdates: all engines are updated in time if they take 1.7 to 1.9 s after the request.
+// With the draining before it, that is about the duration that the scheduler expects before it
+// has measured any.
 func TestSlowUpdates(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 5, 6, 7, 10, 20, 40, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
