--- a/wal/damage_test.go
+++ b/wal/damage_test.go
@@ -176,7 +176,7 @@
 func TestOtherSizes(t *testing.T) {
 	for _, other := range []wal.Config{{SegmentCount: 6, SegmentBytes: 4096}, {SegmentCount: 4, SegmentBytes: 4096}, {SegmentCount: 5, SegmentBytes: 8192}, {SegmentCount: 10, SegmentBytes: 8192}} {
 		fs, want := newSyncedLog(t, testConfig, 30)
-		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "start with the sizes that the log was created with (ring_files, ring_bytes; fixed under a deploy file)") {
+		if _, err := tryOpen(fs, other); !errors.Is(err, wal.ErrLayout) || !strings.Contains(err.Error(), "start with the sizes that the log was made with (ring_files, ring_bytes; fixed under a deploy file)") {
 			t.Fatalf("%+v: %v", other, err)
 		}
 		if got, err := tryOpen(fs, testConfig); err != nil || !slices.Equal(got, want) {
--- a/wal/errors.go
+++ b/wal/errors.go
@@ -43,7 +43,7 @@
 	if errors.Is(e.Err, syscall.ENOSPC) || errors.Is(e.Err, syscall.EDQUOT) {
 		return "free space where the data folder lies"
 	}
-	return "check the disk of the data folder, and replace it if the errors continue"
+	return "check the disk below the data folder, and replace it if this goes on"
 }
 
 // Unwrap returns ErrDisk and the cause.
@@ -72,7 +72,7 @@
 
 // Error returns the details and the remedy.
 func (e *LayoutError) Error() string {
-	const remedy = "start with the sizes that the log was created with (ring_files, ring_bytes; fixed under a deploy file); if they were not changed, a file was truncated: " + rejoinRemedy
+	const remedy = "start with the sizes that the log was made with (ring_files, ring_bytes; fixed under a deploy file); if they were not changed, a file was cut: " + rejoinRemedy
 	return fmt.Sprintf("%v: file %d %s; %s", ErrLayout, e.File, e.Detail, remedy)
 }
 
