--- a/internal/app/proxy/bytes_test.go
+++ b/internal/app/proxy/bytes_test.go
@@ -94,7 +94,7 @@
 	body        = "the question"
 )
 
-// warmUp makes the proxy pool a connection to the engine that it asks next.
+// warmUp sends a request, after which the proxy has an idle connection to the engine in its pool.
 func (s *harness) warmUp() error {
 	id := s.newID()
 	if a := s.call(repeatable, id, body, longWaitMS); !a.complete(repeatable, id) {
--- a/internal/app/proxy/export_test.go
+++ b/internal/app/proxy/export_test.go
@@ -100,7 +100,7 @@
 	return d
 }
 
-// resetIdleLimits forgets lost idle connections, for engines that are new.
+// resetIdleLimits discards the idle limits learned from lost connections, for engines that are new.
 func (p *connPool) resetIdleLimits() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/app/proxy/fleet.go
+++ b/internal/app/proxy/fleet.go
@@ -90,7 +90,7 @@
 }
 
 // applyHints updates the table of cached blocks, and returns the updates for blocks that an engine
-// is still computing (cacheindex.OpReading).
+// is still computing (cacheindex.OpComputing).
 func (s *server) applyHints(state *fb.MapResponseT) (reading []*fb.CacheUpdateT) {
 	s.hintsMu.Lock()
 	defer s.hintsMu.Unlock()
@@ -114,7 +114,7 @@
 const maxPendingCacheUpdates = 1000
 
 // queueCacheUpdates queues updates for control nodes: these blocks are being computed by an engine
-// (cacheindex.OpReading) or are cached there now (cacheindex.OpAdd). The caller holds s.mu.
+// (cacheindex.OpComputing) or are cached there now (cacheindex.OpAdd). The caller holds s.mu.
 func (s *server) queueCacheUpdates(op cacheindex.UpdateOp, engineID string, keys []cacheindex.Key) {
 	if !s.settings.Policy.Uses(placement.PromptHints) || len(s.pendingCacheUpdates)+len(keys) > maxPendingCacheUpdates {
 		return
--- a/internal/app/proxy/follow.go
+++ b/internal/app/proxy/follow.go
@@ -15,7 +15,7 @@
 	pollHoldUS       = 250_000 // how long a control node may hold a poll until there is an update
 	pollTimeoutUS    = 450_000 // how much longer than that its response may take
 	failedNodeHoldUS = 50_000  // longest hold by a node that failed lately, polled for lack of a better one
-	pollRetryDelayUS = 30_000  // before the next poll after a failure, unless another node can be tried
+	pollRetryDelayUS = 30_000  // before the next poll if the only known node failed, or the node that responded is isolated
 
 	// staleListUS is the age beyond which a node's list of engines is stale: other nodes are
 	// preferred to that node for controlorder.AvoidStaleListUS.
@@ -107,8 +107,8 @@
 	}
 }
 
-// handleResponse applies the response to a poll that was sent at the time now, and reports whether
-// the node is not isolated.
+// handleResponse applies the response to a poll that was sent at the time now. It returns false if
+// the node is isolated.
 func (f *follower) handleResponse(now int64, addr string, state *fb.MapResponseT) bool {
 	node := f.nodes[addr]
 	node.Zone, node.FailedAt = state.Zone, 0
--- a/internal/app/proxy/follow_test.go
+++ b/internal/app/proxy/follow_test.go
@@ -21,7 +21,8 @@
 		Engines: []*fb.MapEngineT{{Id: engine}}, Announced: []*fb.AnnouncedVersionT{{Model: "m", Version: 2, Age: announcedAge}}}
 }
 
-// Switching to a node that learnt of new weights later must not make older weights usable again.
+// TestSwitchingNodesKeepsAnnouncementAges: switching to a node that learnt of new weights later must
+// not make older weights usable again.
 func TestSwitchingNodesKeepsAnnouncementAges(t *testing.T) {
 	const within = 12 * second
 	v := &view{}
@@ -49,8 +50,9 @@
 	return &fb.MapResponseT{Incarnation: node, Known: true, ListAge: listAge, Proxies: 3}
 }
 
-// A node's older list of engines must not replace a newer one, or an engine that has left would
-// reappear. It is used once the node has read a newer list, or after pendingMapWaitUS.
+// TestOlderEngineListIsDeferred: a node's older list of engines must not replace a newer one, or an
+// engine that has left would reappear. It is used once the node has read a newer list, or after
+// pendingMapWaitUS.
 func TestOlderEngineListIsDeferred(t *testing.T) {
 	v := &view{}
 	use := func(what string, m *fb.MapResponseT, at int64, want string) {
@@ -76,8 +78,8 @@
 	use("once it has read a list", fullState(4, 0, "four", 0, 1), 118*second, "four")
 }
 
-// An isolated node loses sight of proxies that still exist. That must not raise the share of the
-// retry allowance that each proxy may spend.
+// TestProxyCountDoesNotFallWhenCutOff: an isolated node no longer counts proxies that still exist.
+// That must not raise the share of the retry allowance that each proxy may spend.
 func TestProxyCountDoesNotFallWhenCutOff(t *testing.T) {
 	v := &view{}
 	all := fullState(1, 0, "e", 0, 1)
@@ -109,8 +111,8 @@
 	}
 }
 
-// An isolated node knows an old set of voters. Voters added since must not be removed because of
-// it.
+// TestStaleVoterSetRemovesNoNodes: an isolated node may report an old set of voters. Voters added
+// since must not be removed because of it.
 func TestStaleVoterSetRemovesNoNodes(t *testing.T) {
 	f := newFollower(&server{settings: Settings{Seeds: []string{"a"}}})
 	f.setNodes([]string{"b", "c"}, true)
@@ -124,8 +126,8 @@
 	}
 }
 
-// The configuration revision never decreases, and the age of one revision does not make another one
-// count as fresh.
+// TestConfigurationRevisionNeverDecreases: the configuration revision never decreases, and the age
+// of one revision does not make another one count as fresh.
 func TestConfigurationRevisionNeverDecreases(t *testing.T) {
 	const damaged = "damaged"
 	parse := func(text []byte, rev uint64) *route.Table {
@@ -163,7 +165,8 @@
 	}
 }
 
-// A retry starts later than the first attempt: by then the weights of an engine may be outdated.
+// TestRetryUsesCurrentMinVersion: a retry starts later than the first attempt, and by then the
+// weights of an engine may be outdated.
 func TestRetryUsesCurrentMinVersion(t *testing.T) {
 	const announcedAt = 100 * second
 	u := NewStandalone(t, nil, route.Compile(route.Config{}, 1))
--- a/internal/app/proxy/forwarded.go
+++ b/internal/app/proxy/forwarded.go
@@ -93,7 +93,7 @@
 }
 
 // reject responds that the request has not run and will not. If an earlier attempt may have run, it
-// responds with reasonEngineLost instead.
+// responds with reasonEngineLost instead, or aborts a response that has started.
 func (f *forwardedRequest) reject(reason string) {
 	s := f.server
 	for _, a := range f.forward.Attempts {
@@ -126,7 +126,7 @@
 // Why no attempt was made.
 var (
 	errNoEngine    = trace.NotFound("no engine of the pool is available; retry shortly")
-	errRetryBudget = trace.LimitExceeded("the retry budget is exhausted; retry shortly")
+	errRetryBudget = trace.LimitExceeded("this proxy's share of the fleet's retry budget is exhausted; retry shortly")
 )
 
 // send selects an engine and makes one attempt there.
--- a/internal/app/proxy/server.go
+++ b/internal/app/proxy/server.go
@@ -193,7 +193,8 @@
 }
 
 // drain lets requests in flight finish. New requests are accepted for drainDelayUS, since they
-// still arrive; their responses ask the caller to close the connection.
+// still arrive; their responses ask the caller to close the connection, so that it connects to
+// another proxy.
 func (s *server) drain(ctx context.Context) {
 	httpServer := s.httpServer.Load()
 	if httpServer == nil {
--- a/internal/app/proxy/view.go
+++ b/internal/app/proxy/view.go
@@ -57,8 +57,8 @@
 	return v.announced.OldestAllowed(now, model, limits)
 }
 
-// usableUntil returns the time from which no attempt may start on a version of a model, and whether
-// there is one.
+// usableUntil returns the time after which no attempt may start on a version of a model, and whether
+// there is such a time.
 func (v *view) usableUntil(model string, version uint64, limits route.VersionLimits) (until int64, superseded bool) {
 	if v.announced == nil {
 		return 0, false
@@ -69,8 +69,8 @@
 // merge applies the fleet state that a node reported; the node sent it no sooner than at. It
 // returns the engines to use from now on, if they are to be replaced.
 func (v *view) merge(state *fb.MapResponseT, at int64) (engines []*fb.MapEngineT, use bool) {
-	// An isolated node loses sight of proxies that still exist. A lower count from such a node is
-	// ignored, since it would raise each proxy's share of the retry allowance.
+	// An isolated node no longer counts proxies that still exist. A lower count from such a node
+	// is ignored, since it would raise each proxy's share of the retry allowance.
 	if proxies := max(1, int(state.Proxies)); !isIsolated(state) || proxies > v.proxies {
 		v.proxies = proxies
 	}
