--- a/placement/costmodel.go
+++ b/placement/costmodel.go
@@ -59,7 +59,8 @@
 )
 
 // transferUS estimates the duration of a transfer of cached tokens over a link of the given
-// speed. A speed of 0 stands for the default, and a transfer between zones takes twice as long.
+// speed, including TransferSetupUS. A speed of 0 stands for TransferTokensPerMS; between zones the
+// tokens take twice as long.
 func (m *CostModel) transferUS(sameZone bool, tokens int, tokensPerMS float64) int64 {
 	if tokensPerMS <= 0 {
 		tokensPerMS = m.TransferTokensPerMS
