--- a/cacheindex/directory.go
+++ b/cacheindex/directory.go
@@ -77,9 +77,9 @@
 	return log
 }
 
-// suggestPrefetch suggests a block to all zones without it when its second zone gets a copy, with
-// node, the newest holder, as the source: a block that two subtrees fetched is likely to be
-// requested in others (the paper's "push shared").
+// suggestPrefetch is called when node gets a copy of a block. If engines of exactly two zones have
+// the block then, it suggests the block to all other zones, with node as the source: a block that
+// two subtrees fetched is likely to be requested in others (the paper's "push shared").
 func (d *Directory) suggestPrefetch(key Key, node uint64) {
 	zones := map[string]bool{}
 	for _, holder := range d.holders[key] {
--- a/cacheindex/transferscores.go
+++ b/cacheindex/transferscores.go
@@ -22,7 +22,8 @@
 const (
 	initialScore   = 800 // thousandths
 	minUsableScore = 450
-	// An unusable peer is probed with exponential backoff.
+	// An unusable peer is probed rarely: the interval between probes doubles with each failed
+	// transfer.
 	minProbeInterval = 1_000_000 // microseconds
 	maxProbeInterval = 60_000_000
 )
