--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -174,8 +174,8 @@
 		// Reject it now rather than when its deadline is near (docs/design.md §8).
 		return d.Stop(now, request.Ref, ReasonDeadline)
 	case claimAge > claimTimeout:
-		// The claim may still be granted. This request will not use it and does not release
-		// it, which is safe: a claim that is held prevents a second run.
+		// The request is rejected and releases its claim. A claim that is granted after the
+		// release stays held, which is safe: it can only keep the request from running.
 		request.history.Claim = attempt.ClaimUnknown
 		return d.advance(now, request)
 	case request.queued:
