--- a/attempt/state.go
+++ b/attempt/state.go
@@ -27,7 +27,7 @@
 // Unreachable is the Cause of an attempt of which no part reached an engine.
 const Unreachable = "unreachable"
 
-// Attempt is one sending of a request to one engine.
+// Attempt records that a request was sent to one engine, and what is known of the result.
 type Attempt struct {
 	ID     string // unique within the request
 	Engine string // id of the engine's incarnation
