--- a/route/announcements.go
+++ b/route/announcements.go
@@ -10,7 +10,7 @@
 // Directories announce as many to proxies.
 const MaxAnnouncedVersions = 8
 
-// announcement is since when a version is known to be announced.
+// announcement holds since when a version is known to be announced, in monotonic microseconds.
 type announcement struct {
 	at    int64 // as counted in the current term
 	first int64 // in any term; at is never earlier
--- a/route/document_test.go
+++ b/route/document_test.go
@@ -175,7 +175,7 @@
 }
 
 // TestApplyKeepsCurrent: Apply must not modify the document that it decides against, because
-// the caller may lose the race to write the result.
+// the caller may lose the race to write the result, and then decides again on another document.
 func TestApplyKeepsCurrent(t *testing.T) {
 	current, _, _ := whole(0, `{"v":1,"pools":[{"id":"a"},{"id":"b"}]}`).Apply(nil, parsePools, testFields)
 	before := current.Encode()
--- a/route/validate.go
+++ b/route/validate.go
@@ -89,7 +89,7 @@
 			v.add(fmt.Sprintf("%s.split[%d].pool", path, i), "unknown-pool", "define %q as a pool of engines, or send route %q to another pool", share.Pool, r.Name)
 		}
 		negative = negative || share.Weight < 0
-		sum = min(sum+max(share.Weight, 0), 1<<40) // capped so that it cannot overflow
+		sum = min(sum+max(share.Weight, 0), 1<<40) // capped, so that the sum can't wrap around to 0
 	}
 	if negative || sum <= 0 {
 		v.add(path+".split", "no-weight", "give route %q weights of 0 or more, at least one above 0", r.Name)
