--- a/plan/domainhistory.go
+++ b/plan/domainhistory.go
@@ -132,8 +132,9 @@
 
 // CacheDomain returns the name of the domain in which a group's cached prompts for the given
 // weights may be shared. The name changes when the group becomes isolated or stops being so,
-// and when the weights are put in force again after others. Weights that are not in the
-// history have a domain for this revision alone.
+// and when the weights are put in force again after others. The name of the shared domain also
+// changes when any group leaves it to become isolated, or when an isolated group stops being so
+// or is removed. Weights that are not in the history have a domain for this revision alone.
 func (c *Compiled) CacheDomain(group, weights string) string {
 	domain := "commons." + strconv.FormatUint(c.domainHistory.SharedSince, 10)
 	if c.Groups[group].Isolated {
