--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -27,7 +27,7 @@
 		d.Counter(name, help, func() float64 { return float64(of(transport.TotalTraffic())) })
 	}
 	count("link_sent_bytes_total", "bytes sent to other nodes", func(t transport.Traffic) int64 { return t.BytesSent })
-	count("link_received_bytes_total", "bytes received from other nodes", func(t transport.Traffic) int64 { return t.BytesReceived })
+	count("link_received_bytes_total", "bytes taken in from other nodes", func(t transport.Traffic) int64 { return t.BytesReceived })
 	count("link_sent_frames_total", "frames sent to other nodes", func(t transport.Traffic) int64 { return t.FramesSent })
-	count("link_received_frames_total", "frames received from other nodes", func(t transport.Traffic) int64 { return t.FramesReceived })
+	count("link_received_frames_total", "frames taken in from other nodes", func(t transport.Traffic) int64 { return t.FramesReceived })
 }
--- a/sim/agent.go
+++ b/sim/agent.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// ask sends a capacity query to its index node.
+// sendQuery sends a capacity query to its index node.
 func (a *Agent) sendQuery(query agent.Query) {
 	indexNode, askedAt := a.fleet.indexNodeNamed(query.Via), a.Clock()
 	Call(a.Host, indexNode.Host, query.Request, 700_000, indexNode.issueGrants, func(response *fb.CapacityResponseT) {
--- a/sim/register_decide.go
+++ b/sim/register_decide.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// addWeightsVersion decides the addition of a version of a model's weights.
+// changeWeights decides the addition of a version of a model's weights.
 func changeWeights(model string, version uint64) decideFunc {
 	return func(value []byte, revision uint64) ([]byte, Reply) {
 		current := &route.WeightVersions{}
