--- a/internal/app/indexnode/engines.go
+++ b/internal/app/indexnode/engines.go
@@ -108,7 +108,7 @@
 			Seq:              event.Seq,
 			Added:            event.Op == engineapi.EventAdded,
 			Removed:          event.Op == engineapi.EventRemoved,
-			RecomputedBlocks: event.RecomputedBytes,
+			RecomputedBlocks: event.RecomputedBlocks,
 		}
 		if event.Op == engineapi.EventFinished {
 			unpacked.FinishedAttempt = event.Attempt
--- a/internal/engineapi/api.go
+++ b/internal/engineapi/api.go
@@ -43,16 +43,16 @@
 const (
 	EventAdded    = "keep" // Block was added to the cache
 	EventRemoved  = "drop" // Block was removed from the cache
-	EventFinished = "ran"  // Attempt ended; RecomputedBytes were recomputed for it
+	EventFinished = "ran"  // Attempt ended; RecomputedBlocks is how many blocks were recomputed for it
 )
 
 // Event is one event that an engine or the store reports.
 type Event struct {
-	Seq             uint64 `json:"seq"`
-	Op              string `json:"op"`
-	Block           string `json:"part,omitempty"`
-	Attempt         string `json:"attempt,omitempty"`
-	RecomputedBytes uint64 `json:"filled,omitempty"`
+	Seq              uint64 `json:"seq"`
+	Op               string `json:"op"`
+	Block            string `json:"part,omitempty"`
+	Attempt          string `json:"attempt,omitempty"`
+	RecomputedBlocks uint64 `json:"filled,omitempty"`
 }
 
 // Report is the response to GET /v1/report?inc=I&after=N: the events after N that are still
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -112,7 +112,7 @@
 	}
 	observed := &e.observed.Runs[index]
 	observed.Blocks, observed.Reused, observed.Transferred = len(run.Blocks), reused, transferred
-	e.appendEvent(engineapi.Event{Op: opRunEnded, Attempt: run.Attempt, RecomputedBytes: uint64(recomputed)})
+	e.appendEvent(engineapi.Event{Op: opRunEnded, Attempt: run.Attempt, RecomputedBlocks: uint64(recomputed)})
 	return true
 }
 
