--- a/docs/logs_test.go
+++ b/docs/logs_test.go
@@ -14,12 +14,12 @@
 	"violetthread/quorum"
 )
 
-// logPage lists every log event with its keys, and every key with its meaning.
+// logPage is the page that documents every log event with its keys, and the meaning of every key.
 const logPage = "logs.md"
 
 var snakeCase = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
 
-// logEvents is the log as the code writes it: the keys of each event.
+// logEvents maps the name of each log event to the set of its keys.
 type logEvents map[string]map[string]bool
 
 func (e logEvents) add(event string, keys ...string) {
@@ -41,7 +41,7 @@
 	return all
 }
 
-// sorted lists the members of a set in order.
+// sorted returns the members of a set in sorted order.
 func sorted(set map[string]bool) []string {
 	var members []string
 	for member := range set {
@@ -51,8 +51,9 @@
 	return members
 }
 
-// loggedEvents reads all calls of logr.Logger.Info and Error in the product's source. An
-// event and its keys must be literals there, so that they can be searched for.
+// loggedEvents collects the events of all calls of logr.Logger.Info and Error in the project's
+// source files other than tests. In a call, the event and its keys must be literals, so that they
+// can be found by a text search.
 func loggedEvents(t *testing.T) logEvents {
 	t.Helper()
 	events := logEvents{}
@@ -69,7 +70,8 @@
 	return events
 }
 
-// addCall adds what a call logs; it tells what is wrong with the call, "" if nothing is.
+// addCall adds the event of a call, if it is a logging call. It returns a description of the
+// problem if the event or a key can't be determined, else "".
 func (e logEvents) addCall(call *ast.CallExpr) string {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || method.Sel.Name != "Info" && method.Sel.Name != "Error" {
@@ -77,23 +79,23 @@
 	}
 	arguments := call.Args
 	if method.Sel.Name == "Error" {
-		arguments = arguments[1:] // the error
+		arguments = arguments[1:] // skip the error value
 	}
 	if len(arguments) == 0 {
-		return "" // testing.T.Error and its like
+		return "" // not a logger: Error with one argument, for example of testing.T
 	}
 	if call.Ellipsis.IsValid() {
-		return e.addTyped(arguments)
+		return e.addCoreEvents(arguments)
 	}
 	event, ok := literal(arguments[0])
 	if !ok {
-		return "the event is no literal"
+		return "the event is not a string literal"
 	}
 	var keys []string
 	for i := 1; i < len(arguments); i += 2 {
 		key, ok := literal(arguments[i])
 		if !ok {
-			return fmt.Sprintf("a key of event %s is no literal", event)
+			return fmt.Sprintf("a key of event %s is not a string literal", event)
 		}
 		keys = append(keys, key)
 	}
@@ -101,11 +103,11 @@
 	return ""
 }
 
-// addTyped adds the events that the agreement core types itself, which are logged as
-// Info(event.Type.String(), event.KeysAndValues()...).
-func (e logEvents) addTyped(arguments []ast.Expr) string {
+// addCoreEvents adds the events that package quorum defines itself, which are logged as
+// Info(event.Type.String(), event.KeysAndValues()...). Frequent ones are not logged.
+func (e logEvents) addCoreEvents(arguments []ast.Expr) string {
 	if len(arguments) != 2 || !callsMethod(arguments[0], "String") || !callsMethod(arguments[1], "KeysAndValues") {
-		return "the event is no literal, and no event of the agreement core"
+		return "the event is neither a string literal nor an event of package quorum"
 	}
 	for kind := quorum.EventType(1); ; kind++ {
 		pairs := quorum.Event{Type: kind}.KeysAndValues()
@@ -113,7 +115,7 @@
 			return ""
 		}
 		if kind.Frequent() {
-			continue // left out of the log
+			continue // not logged
 		}
 		e.add(kind.String())
 		for i := 0; i < len(pairs); i += 2 {
@@ -140,8 +142,8 @@
 	return text, err == nil
 }
 
-// documentedEvents reads the page: rows below "Events" are events with their
-// keys, rows below "Keys" are keys.
+// documentedEvents parses the log page: table rows in section "Events" list events with their
+// keys, those in section "Keys" list keys.
 func documentedEvents(t *testing.T) (events logEvents, keys map[string]bool) {
 	t.Helper()
 	text, err := os.ReadFile(logPage)
@@ -161,7 +163,7 @@
 		}
 		for _, cell := range cells[1 : len(cells)-1] {
 			if text := strings.TrimSpace(cell); text == "" || text == "TODO" {
-				t.Errorf("%s: something is missing in the row of %s", logPage, strings.TrimSpace(cells[1]))
+				t.Errorf("%s: the row of %s has an empty or TODO cell", logPage, strings.TrimSpace(cells[1]))
 			}
 		}
 		names := codeNames(cells[1])
@@ -187,42 +189,43 @@
 	return names
 }
 
-// TestLogPage: the page lists the events that the code logs, each with its keys, and no others.
+// TestLogPage checks that the log page documents exactly the events that the code logs, each with
+// exactly its keys, and the meaning of exactly these keys.
 func TestLogPage(t *testing.T) {
 	logged := loggedEvents(t)
 	documented, documentedKeys := documentedEvents(t)
 	if len(logged) < 20 {
-		t.Fatalf("only %d events were found in the code", len(logged))
+		t.Fatalf("only %d log events were found in the code", len(logged))
 	}
 	for event, keys := range logged {
 		if documented[event] == nil {
-			t.Errorf("event %s is logged and not in %s; keys %v", event, logPage, sorted(keys))
+			t.Errorf("event %s is logged but not documented in %s; keys %v", event, logPage, sorted(keys))
 		} else if got, want := sorted(documented[event]), sorted(keys); !slices.Equal(got, want) {
-			t.Errorf("event %s has the keys %v; %s says %v", event, want, logPage, got)
+			t.Errorf("event %s has the keys %v, but %s documents %v", event, want, logPage, got)
 		}
 	}
 	for event := range documented {
 		if logged[event] == nil {
-			t.Errorf("event %s is in %s, and nothing logs it", event, logPage)
+			t.Errorf("event %s is documented in %s but not logged", event, logPage)
 		}
 	}
 	loggedKeys := logged.keys()
 	for key := range loggedKeys {
 		if !documentedKeys[key] {
-			t.Errorf("key %s has no meaning in %s", key, logPage)
+			t.Errorf("key %s is logged but not documented in %s", key, logPage)
 		}
 	}
 	for key := range documentedKeys {
-		if !loggedKeys[key] && !slices.Contains(keysOfEveryLine, key) {
-			t.Errorf("key %s is in %s, and no event has it", key, logPage)
+		if !loggedKeys[key] && !slices.Contains(commonKeys, key) {
+			t.Errorf("key %s is documented in %s but not logged with any event", key, logPage)
 		}
 	}
 }
 
-// keysOfEveryLine are written by the logger itself.
-var keysOfEveryLine = []string{"at", "program", "node", "event"}
+// commonKeys are the keys that the logger itself adds to every line.
+var commonKeys = []string{"at", "program", "node", "event"}
 
-// TestLogNames: events and keys are snake_case.
+// TestLogNames checks that the names of log events and keys are snake_case.
 func TestLogNames(t *testing.T) {
 	for event, keys := range loggedEvents(t) {
 		for _, name := range append(sorted(keys), event) {
--- a/docs/symbols_test.go
+++ b/docs/symbols_test.go
@@ -1,4 +1,5 @@
-// Package docs holds the project's pages. Its test keeps what they say of the code true.
+// Package docs contains the project's documentation. Its tests check that the pages name
+// code, log events and safeguards as they are in the source.
 package docs
 
 import (
@@ -17,7 +18,7 @@
 	"violetthread/route"
 )
 
-// checkedPages name code by symbol; each symbol must be there.
+// checkedPages are the pages on which every name of code must exist.
 var checkedPages = []string{
 	"../README.md", "../DEVELOPERS.md", "ROADMAP.md", "glossary.md", "logs.md", "oncall.md",
 	"architecture.md", "design.md", "bounds.md", "control-safety.md", "platform.md", "paper.md",
@@ -34,16 +35,16 @@
 	fileName    = regexp.MustCompile(`^[\w.-]+(/[\w.-]+)+$`)
 )
 
-// storedKeys are keys of registers, which look like paths; the code spells them this way.
+// storedKeys are keys of registers. They look like paths but are not files.
 var storedKeys = map[string]bool{
 	route.ConfigKey: true, route.WeightsKey: true, directory.RolloutKey: true, directory.WeightsRoleKey: true,
 }
 
-// libraries are packages of the language or of others, and names in them, that pages name.
+// libraries are packages outside the project, and symbols in them, that pages mention.
 var libraries = map[string]bool{"net/http": true, "errors.Is": true, "gravitational/trace": true, "samber/lo": true}
 
-// declared lists what the project's source declares: tests by name, and symbols as
-// package.Name and package.Type.Member, the package being the last part of its path.
+// declared returns the names that the project's source declares: tests by name, and other symbols
+// as package.Name and package.Type.Member, where package is the package's name without "_test".
 func declared(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -53,7 +54,7 @@
 	return names
 }
 
-// eachSourceFile visits all Go files of the project but tests.
+// eachSourceFile calls visit for all Go files of the project except tests.
 func eachSourceFile(t *testing.T, visit func(files *token.FileSet, file *ast.File)) {
 	t.Helper()
 	eachFile(t, func(path string, files *token.FileSet, file *ast.File) {
@@ -63,7 +64,7 @@
 	})
 }
 
-// eachFile visits all Go files of the project.
+// eachFile calls visit for all Go files of the project.
 func eachFile(t *testing.T, visit func(path string, files *token.FileSet, file *ast.File)) {
 	t.Helper()
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
@@ -145,7 +146,8 @@
 	}
 }
 
-// missing tells what is wrong with one piece of code that a page names, "" if nothing is.
+// missing checks one name of code from a page: a test, symbol, program or file. It returns what is
+// wrong, "" if the name exists or is not of one of these forms.
 func missing(names map[string]bool, code string) string {
 	if test := testName.FindString(code); test != "" {
 		if !names[test] {
@@ -183,7 +185,8 @@
 	return ""
 }
 
-// TestPagesNameWhatIsThere: every symbol, test and file that a checked page names exists.
+// TestPagesNameWhatIsThere checks that every symbol, test, program and file that a checked page
+// names exists.
 func TestPagesNameWhatIsThere(t *testing.T) {
 	names := declared(t)
 	for _, page := range checkedPages {
@@ -199,13 +202,13 @@
 			}
 		}
 		if found == 0 {
-			t.Errorf("%s names no code at all", page)
+			t.Errorf("%s names no code", page)
 		}
 	}
 }
 
-// TestArchitectureFiles: each file that a step of the architecture page names spells one of the
-// symbols of that step.
+// TestArchitectureFiles checks the steps on the architecture page: each file that a step names must
+// contain at least one of the symbols that the step names.
 func TestArchitectureFiles(t *testing.T) {
 	text, err := os.ReadFile("architecture.md")
 	if err != nil {
@@ -224,12 +227,12 @@
 				t.Error(err)
 				continue
 			}
-			spelt := func(symbol string) bool {
+			inSource := func(symbol string) bool {
 				name := symbol[strings.LastIndex(symbol, ".")+1:]
 				return regexp.MustCompile(`\b` + name + `\b`).Match(source)
 			}
-			if !slices.ContainsFunc(codeNames(cells[2]), spelt) {
-				t.Errorf("%s spells nothing that its step names: %s", file, strings.TrimSpace(cells[1]))
+			if !slices.ContainsFunc(codeNames(cells[2]), inSource) {
+				t.Errorf("%s contains none of the symbols of its step: %s", file, strings.TrimSpace(cells[1]))
 			}
 		}
 	}
@@ -238,7 +241,7 @@
 	}
 }
 
-// safeguardColumns are the titles of columns that name entries of scripts/safeguards in quotes.
+// safeguardColumns are the titles of table columns that name entries of scripts/safeguards in quotes.
 var safeguardColumns = []string{"noticed if taken out", "without the safeguard"}
 
 var (
@@ -246,7 +249,7 @@
 	safeguardEntry = regexp.MustCompile(`(?m)^weaken "([^"]+)"`)
 )
 
-// safeguards lists the names of the entries of scripts/safeguards.
+// safeguards returns the names of the entries of scripts/safeguards.
 func safeguards(t *testing.T) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob("../scripts/safeguards/*")
@@ -266,8 +269,8 @@
 	return names
 }
 
-// TestPagesNameSafeguards: what a page says would be noticed without a safeguard names an entry
-// that scripts/weaken takes out.
+// TestPagesNameSafeguards checks that the safeguards that pages name in safeguardColumns are entries
+// of scripts/safeguards, which scripts/weaken removes one at a time to show that a test fails.
 func TestPagesNameSafeguards(t *testing.T) {
 	names := safeguards(t)
 	for _, page := range []string{"control-safety.md", "bounds.md"} {
@@ -292,7 +295,7 @@
 			for _, match := range quoted.FindAllStringSubmatch(last, -1) {
 				found++
 				if !names[match[1]] {
-					t.Errorf("%s names the safeguard %q, which is no entry of scripts/safeguards", page, match[1])
+					t.Errorf("%s names the safeguard %q, which is not an entry of scripts/safeguards", page, match[1])
 				}
 			}
 		}
@@ -302,30 +305,31 @@
 	}
 }
 
-// operatorPages name metrics, log events, keys and fields of answers.
+// operatorPages are the pages that name metrics, log events, log keys and fields of responses.
 var operatorPages = []string{"oncall.md", "operating.md", "platform-operating.md"}
 
-// underscored is a name as metrics, log events, keys and JSON fields are spelt.
+// underscored matches names of metrics, log events, log keys and JSON fields of several words.
 var underscored = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)+$`)
 
-// spelt lists the texts that the product's source spells: string literals, those in struct tags too.
-func spelt(t *testing.T) map[string]bool {
+// literalWords returns the words in string literals and struct tags of the project's source files
+// other than tests, and the names of log events and their keys.
+func literalWords(t *testing.T) map[string]bool {
 	t.Helper()
 	words := map[string]bool{}
-	for event, keys := range loggedEvents(t) { // some are joined from parts
+	for event, keys := range loggedEvents(t) { // in case a name is composed at run time
 		words[event] = true
 		for key := range keys {
 			words[key] = true
 		}
 	}
-	inQuotes := regexp.MustCompile(`[a-z][a-z0-9_]*`)
+	wordPattern := regexp.MustCompile(`[a-z][a-z0-9_]*`)
 	eachSourceFile(t, func(_ *token.FileSet, file *ast.File) {
 		ast.Inspect(file, func(node ast.Node) bool {
 			basic, ok := node.(*ast.BasicLit)
 			if !ok || basic.Kind != token.STRING {
 				return true
 			}
-			for _, word := range inQuotes.FindAllString(basic.Value, -1) {
+			for _, word := range wordPattern.FindAllString(basic.Value, -1) {
 				words[word] = true
 			}
 			return true
@@ -334,10 +338,10 @@
 	return words
 }
 
-// TestOperatorPagesSpell: the metrics, events, keys and fields that operators are told to look at
-// exist under that name.
+// TestOperatorPagesSpell checks that the metrics, events, keys and fields that the operators' pages
+// name exist in the source under that name.
 func TestOperatorPagesSpell(t *testing.T) {
-	words := spelt(t)
+	words := literalWords(t)
 	for _, page := range operatorPages {
 		text, err := os.ReadFile(page)
 		if err != nil {
@@ -350,7 +354,7 @@
 			}
 			found++
 			if !words[match[1]] {
-				t.Errorf("%s names `%s`, which nothing in the source spells", page, match[1])
+				t.Errorf("%s names `%s`, which no string in the source contains", page, match[1])
 			}
 		}
 		if found == 0 {
@@ -359,7 +363,7 @@
 	}
 }
 
-// TestMissing: what is not there is told apart from what is.
+// TestMissing checks that missing accepts names that exist and reports those that don't.
 func TestMissing(t *testing.T) {
 	names := declared(t)
 	for code, want := range map[string]string{
