--- a/index/feeds.go
+++ b/index/feeds.go
@@ -11,7 +11,7 @@
 	feedLogSize   = 1 << 14
 	feedBatchSize = 4096
 	zoneTableSize = 1 << 15 // entries in a zone's table
-	feedSeqShift  = 40      // bits of the incarnation below feedSeq in a feed's incarnation
+	feedSeqShift  = 40      // bits of a feed's incarnation that hold the node's; feedSeq is above them
 )
 
 // Cursor is a follower's position in a feed.
--- a/index/grants.go
+++ b/index/grants.go
@@ -223,7 +223,7 @@
 	}
 	engine.decaySuspicion(now)
 	if engine.suspicion > suspicionLimit {
-		capacity = max(1, capacity/4) // never zero, so that the engine can show that it has recovered
+		capacity = max(1, capacity/4) // slow start for a failing engine; never zero, so that it can show that it has recovered
 	}
 	round := int(now/LeaseDuration) + int(rendezvousScore(engine.Name, "")%97)
 	return fairqueue.Split(capacity, split.shares, split.serving, split.demands, round)
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -66,8 +66,8 @@
 }
 
 // sendAttempt sends an attempt and returns the engine's response if the engine accepted the
-// run. Errors are attemptErrors. An attempt certainly never started if nothing of it was sent,
-// or if the engine says so.
+// run. Errors are of type *attemptError. An attempt certainly never started if nothing of it
+// was sent, or if the engine says so.
 func (g *gateway) sendAttempt(ctx context.Context, action dispatch.Action) (*http.Response, error) {
 	body, err := json.Marshal(newRunRequest(action))
 	if err != nil {
--- a/internal/app/indexnode/engines.go
+++ b/internal/app/indexnode/engines.go
@@ -23,8 +23,8 @@
 )
 
 // refreshListing polls the platform's list of engines. While the platform refuses connections,
-// no node can get a newer list, and the last one remains valid. While the platform only does
-// not answer, the list ages until engines get no new work (docs/bounds.md).
+// no node can get a newer list, and the last one remains valid. If a poll fails for another
+// reason, such as a time-out, the list ages until engines get no new work (docs/bounds.md).
 func (n *indexNode) refreshListing(ctx context.Context) {
 	askedAt := clock.Now()
 	var list engineapi.EngineList
