--- a/internal/e2e/core_test.go
+++ b/internal/e2e/core_test.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// waitUntil polls a condition and returns the time since from when it holds. It fails the test
-// after 20 s.
+// waitUntil polls a condition until it holds, and returns the time that has passed since from. It
+// fails the test after 20 s.
 func (c *cluster) waitUntil(what string, from time.Time, condition func() bool) time.Duration {
 	c.t.Helper()
 	tick, end := time.NewTicker(5*time.Millisecond), time.After(20*time.Second)
