--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -93,8 +93,9 @@
 	return nil
 }
 
-// Change sends a change exactly once. If expectedRevision is not empty, the change is made only if
-// the resource still has that revision. ErrOutcomeUnknown means that it may have been made.
+// Change sends a change, and does not send it again once a node has accepted the connection. If
+// expectedRevision is not empty, the change is made only if the resource still has that revision.
+// ErrOutcomeUnknown means that it may have been made.
 func (c *Client) Change(ctx context.Context, method, path string, body []byte, expectedRevision string) (Response, error) {
 	return c.send(ctx, request{method: method, path: path, body: body, expectedRevision: expectedRevision})
 }
--- a/sim/cluster_replacement.go
+++ b/sim/cluster_replacement.go
@@ -64,8 +64,8 @@
 }
 
 // disruptOneMachine disrupts one machine, once all have recovered from earlier disruptions.
-// The machine loses its disk or its power, or is removed and replaced by a new one; a removed
-// machine may return with its old disk.
+// The machine loses its disk or its power, or is removed and replaced by a new one; or a removed
+// machine returns with its old disk. In one of six cases all machines lose their power instead.
 func (c *Cluster) disruptOneMachine() {
 	world := c.world
 	voterSet, members := c.currentVoters()
--- a/sim/second_loss_day.go
+++ b/sim/second_loss_day.go
@@ -140,7 +140,7 @@
 }
 
 // leave shuts a machine down gracefully, as control.Node does: if its successor was admitted
-// before, its process ends only after its seat was removed.
+// before, its process ends only once it is removed from the voter set, or after leaveTimeoutUS.
 func (r *secondLossRun) leave(node *ControlNode) {
 	r.world.World.Notef("%s shuts down gracefully", node.Name)
 	if !node.up || node.node == nil {
