--- a/cmd/violetthread/main.go
+++ b/cmd/violetthread/main.go
@@ -37,7 +37,7 @@
 		}},
 		{"control", "store the control state, track the engines and serve operators", platform.Control},
 		{"check", "validate the settings file, list every problem and exit", func(b platform.Boot) error {
-			fmt.Printf("%s is valid: node=%s class=%s\n", path, b.Node, b.Class)
+			fmt.Printf("%s is in order: node=%s class=%s\n", path, b.Node, b.Class)
 			return nil
 		}},
 	}
--- a/internal/standin/callers/callers_test.go
+++ b/internal/standin/callers/callers_test.go
@@ -243,13 +243,13 @@
 refused           2
 unknown           1
 incomplete        1
-failed over       1
+moved on at door  1
 first piece       p50 20ms  p90 20ms  p99 20ms
-total time        p50 90ms  p90 90ms  p99 90ms
+whole answer      p50 90ms  p90 90ms  p99 90ms
 worst lateness    10ms
 late refusals     1
 runs              0
-blocks reused     0 of 0 (0 transferred from peers)
+parts reused      0 of 0 (0 taken from peers)
 reason            busy                 1
 reason            hung-up              1
 reason            late                 1
@@ -275,7 +275,7 @@
 	}
 	out.Reset()
 	(&Report{}).Print(&out)
-	if !strings.HasSuffix(out.String(), "\nno violations found\n") {
+	if !strings.HasSuffix(out.String(), "\nno must-never was broken\n") {
 		t.Errorf("a report without violations ends with %q", out.String())
 	}
 }
--- a/internal/standin/callers/report.go
+++ b/internal/standin/callers/report.go
@@ -67,13 +67,13 @@
 	line("refused", "%d", r.Rejected)
 	line("unknown", "%d", r.Unknown)
 	line("incomplete", "%d", r.Incomplete)
-	line("failed over", "%d", r.FailedOver)
+	line("moved on at door", "%d", r.FailedOver)
 	line("first piece", "%s", formatPercentiles(r.FirstPieceUS))
-	line("total time", "%s", formatPercentiles(r.TotalUS))
+	line("whole answer", "%s", formatPercentiles(r.TotalUS))
 	line("worst lateness", "%s", formatDuration(r.WorstLatenessUS))
 	line("late refusals", "%d", r.LateRejections)
 	line("runs", "%d", r.Runs)
-	line("blocks reused", "%d of %d (%d transferred from peers)", r.ReusedBlocks, r.Blocks, r.TransferredBlocks)
+	line("parts reused", "%d of %d (%d taken from peers)", r.ReusedBlocks, r.Blocks, r.TransferredBlocks)
 	for _, reason := range sortedKeys(r.Reasons) {
 		line("reason", "%-20s %d", reason, r.Reasons[reason])
 	}
@@ -85,7 +85,7 @@
 		line("BROKEN", "%s", violation)
 	}
 	if len(r.Violations) == 0 {
-		fmt.Fprintln(out, "no violations found")
+		fmt.Fprintln(out, "no must-never was broken")
 	}
 }
 
